--- a/benchmarks/capacity/group.py
+++ b/benchmarks/capacity/group.py
@@ -19,16 +19,16 @@
 from benchmarks.capacity import Effort, Lines, cpu_of
 from benchmarks.capacity.members import Timed
 from lichencleat.capacity.slopes import Line
+from lichencleat.consensus.client import Client
+from lichencleat.consensus.entries import encode_group
+from lichencleat.consensus.facts import Facts, Set
+from lichencleat.consensus.member import Role
+from lichencleat.consensus.state import State, command, founded
+from lichencleat.consensus.terms import Act, Durable, Group, Member, Message, Times
+from lichencleat.consensus.voter import Voter
+from lichencleat.consensus.wire import Carried, decode_frame, encode
 from lichencleat.lab.rig.relay import LOCAL
 from lichencleat.lab.rig.rig import Rig
-from lichencleat.quorum.client import Client
-from lichencleat.quorum.entries import encode_group
-from lichencleat.quorum.facts import Facts, Set
-from lichencleat.quorum.member import Role
-from lichencleat.quorum.state import State, command, founded
-from lichencleat.quorum.terms import Act, Durable, Group, Member, Message, Times
-from lichencleat.quorum.voter import Voter
-from lichencleat.quorum.wire import Carried, decode_frame, encode
 
 VOTERS = 3
 LATE = 3.0  # s for an answer
--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -24,6 +24,7 @@
 import click
 
 from lichencleat.cli import output
+from lichencleat.consensus.client import Client, GroupError
 from lichencleat.distribution.terms import IN_FORCE
 from lichencleat.lab.rig.distribution import DistributionRig
 from lichencleat.lab.rig.distribution_parts import ROOT, RelayProcess
@@ -31,7 +32,6 @@
 from lichencleat.lab.rig.relay import LOCAL
 from lichencleat.lab.rig.rig import GROUP
 from lichencleat.lab.rig.tap import moment
-from lichencleat.quorum.client import Client, GroupError
 
 REGIONS, RELAYS_EACH = 2, 2
 PROCESS_MOST = 300  # hollow nodes of one process
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -18,10 +18,10 @@
 from twisted.internet.defer import Deferred, DeferredList
 
 from lichencleat.cli import output
+from lichencleat.consensus.client import Client
 from lichencleat.lab.rig.receiver import Receiver
 from lichencleat.lab.rig.relay import LOCAL
 from lichencleat.lab.rig.rig import Rig
-from lichencleat.quorum.client import Client
 
 JOB = "deal"
 
--- a/benchmarks/quorum_size.py
+++ b/benchmarks/quorum_size.py
@@ -11,12 +11,12 @@
 
 import click
 
+from lichencleat.consensus.facts import Set
+from lichencleat.consensus.state import command
+from lichencleat.consensus.terms import Entry, What
 from lichencleat.lab.sim.clockwork import Clockwork
 from lichencleat.lab.sim.group import SimGroup
 from lichencleat.lab.sim.network import Network
-from lichencleat.quorum.facts import Set
-from lichencleat.quorum.state import command
-from lichencleat.quorum.terms import Entry, What
 
 SECOND = 1_000_000  # µs
 VOTERS = 3
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -7,11 +7,11 @@
 from lichencleat.capacity import sizes as of
 from lichencleat.capacity.needs import CONFIG, SOME
 from lichencleat.capacity.sizes import Size
+from lichencleat.consensus import facts, group, links, sessions
 from lichencleat.distribution import terms as distribution
 from lichencleat.flows import collector
 from lichencleat.members import table as members
 from lichencleat.owners import terms as owners
-from lichencleat.quorum import facts, group, links, sessions
 from lichencleat.revive import terms as revive
 from lichencleat.shares import terms as shares
 from lichencleat.zones import terms as zones
--- a/lichencleat/cli/quorum.py
+++ b/lichencleat/cli/quorum.py
@@ -15,10 +15,10 @@
 
 from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output
-from lichencleat.quorum import program
-from lichencleat.quorum.client import Client, GroupError
-from lichencleat.quorum.file import QuorumChoice, host_port, read_quorum
-from lichencleat.quorum.terms import Reason
+from lichencleat.consensus import program
+from lichencleat.consensus.client import Client, GroupError
+from lichencleat.consensus.file import QuorumChoice, host_port, read_quorum
+from lichencleat.consensus.terms import Reason
 from lichencleat.store.errors import StoreError
 
 HEAD = ["name", "address", "zone", "votes", "role", "term", "applied", "last", "start", "seat"]
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -10,9 +10,9 @@
 from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output
 from lichencleat.cli.quorum import ask_all, on_reactor
+from lichencleat.consensus.file import read_quorum
 from lichencleat.distribution.counts import OLDEST, merged
 from lichencleat.distribution.terms import IN_FORCE, Count
-from lichencleat.quorum.file import read_quorum
 
 ZONE_HEAD = ["zone", "nodes", "lowest", "late", "oldest_s", "by"]
 ASKED_HEAD = ["name", "address", "version", "digest", "age_s", "subscribers", "late_below"]
--- a/lichencleat/quorum/arrival.py
+++ b/lichencleat/consensus/arrival.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lichencleat.quorum.terms import Message, Snapshot
+from lichencleat.consensus.terms import Message, Snapshot
 
 # bytes of one, held whole in memory here: pages of configuration that do not compress (distribution/terms.py
 # has 128 MiB of them), its window of 16 MiB, and the sessions
--- a/lichencleat/quorum/client.py
+++ b/lichencleat/consensus/client.py
@@ -15,13 +15,13 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory
 
+from lichencleat.consensus.links import Framed
+from lichencleat.consensus.seats import Life, Welcome
+from lichencleat.consensus.sessions import Verdict
+from lichencleat.consensus.state import command
+from lichencleat.consensus.terms import Reason
+from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.quorum.links import Framed
-from lichencleat.quorum.seats import Life, Welcome
-from lichencleat.quorum.sessions import Verdict
-from lichencleat.quorum.state import command
-from lichencleat.quorum.terms import Reason
-from lichencleat.quorum.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 
 TRY = 1.0  # s for one try at one member: over any election's beat, under a caller's patience
 REST = (0.02, 0.4)  # s before the next try, twice as long each time, with a drawn part
--- a/lichencleat/quorum/entries.py
+++ b/lichencleat/consensus/entries.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lichencleat.quorum.terms import Entry, Group, Snapshot, What
+from lichencleat.consensus.terms import Entry, Group, Snapshot, What
 
 encode_group = msgspec.msgpack.encode
 decode_group = msgspec.msgpack.Decoder(Group).decode
--- a/lichencleat/quorum/following.py
+++ b/lichencleat/consensus/following.py
@@ -6,8 +6,8 @@
 
 from msgspec.structs import replace
 
-from lichencleat.quorum.entries import Entries
-from lichencleat.quorum.terms import Kind, Message
+from lichencleat.consensus.entries import Entries
+from lichencleat.consensus.terms import Kind, Message
 
 BYTES_MOST = 256 << 10  # of entries in one message: some ms of a slow link
 AHEAD_MOST = 16  # messages with entries that a follower may have unanswered: what its link must hold
--- a/lichencleat/quorum/group.py
+++ b/lichencleat/consensus/group.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Iterable
 
-from lichencleat.quorum.terms import Group, Member, Reason
+from lichencleat.consensus.terms import Group, Member, Reason
 
 VOTERS_MOST = 7  # each more is waited for by every commit; five bear the loss of two
 MEMBERS_MOST = 512  # learners included: the leader feeds each one
--- a/lichencleat/quorum/journal.py
+++ b/lichencleat/consensus/journal.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from lichencleat.quorum.terms import Durable, Entry, Group, Save, Snapshot
+from lichencleat.consensus.terms import Durable, Entry, Group, Save, Snapshot
 from lichencleat.store.batch import Batch
 from lichencleat.store.errors import DamagedError, Finding
 
--- a/lichencleat/quorum/leading.py
+++ b/lichencleat/consensus/leading.py
@@ -9,9 +9,9 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from lichencleat.quorum.following import Progress
-from lichencleat.quorum.group import agreed, has_majority
-from lichencleat.quorum.terms import NOBODY, Reason
+from lichencleat.consensus.following import Progress
+from lichencleat.consensus.group import agreed, has_majority
+from lichencleat.consensus.terms import NOBODY, Reason
 
 WAITING_MOST = 4_096  # proposals not committed yet: some MB, and at most a second of a slow group
 READS_MOST = 4_096  # reads that wait for a round
--- a/lichencleat/quorum/links.py
+++ b/lichencleat/consensus/links.py
@@ -14,9 +14,8 @@
 from twisted.internet.protocol import ClientFactory, Factory
 from twisted.protocols.basic import Int32StringReceiver
 
-from lichencleat.decoding import UNDECODABLE
-from lichencleat.quorum.terms import Member, Message
-from lichencleat.quorum.wire import (
+from lichencleat.consensus.terms import Member, Message
+from lichencleat.consensus.wire import (
     FRAME_MOST,
     Carried,
     Frame,
@@ -27,6 +26,7 @@
     decode_frame,
     encode,
 )
+from lichencleat.decoding import UNDECODABLE
 
 WAITING_MOST = 8 << 20  # bytes written and not taken by the kernel: a window of snapshots' pieces
 AGAIN = (0.05, 1.0)  # s between tries to open a link, twice as long each time, with a drawn part
--- a/lichencleat/quorum/member.py
+++ b/lichencleat/consensus/member.py
@@ -7,10 +7,10 @@
 from enum import Enum, auto
 from typing import Any
 
-from lichencleat.quorum.arrival import Arrival
-from lichencleat.quorum.entries import Entries
-from lichencleat.quorum.leading import Leading
-from lichencleat.quorum.terms import (
+from lichencleat.consensus.arrival import Arrival
+from lichencleat.consensus.entries import Entries
+from lichencleat.consensus.leading import Leading
+from lichencleat.consensus.terms import (
     NOBODY,
     Act,
     Decision,
@@ -22,7 +22,7 @@
     Snapshot,
     Times,
 )
-from lichencleat.quorum.writes import Writes
+from lichencleat.consensus.writes import Writes
 
 LONG_AGO = -(1 << 62)  # µs: before any clock
 # doublings of what is drawn on top of an election's time, one a failed election: where a flush takes as long
--- a/lichencleat/quorum/parts.py
+++ b/lichencleat/consensus/parts.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from lichencleat.quorum.terms import Group
+from lichencleat.consensus.terms import Group
 
 USES = "parts"  # under this name a leader writes which part is used from then on
 # what a version knew that does not say so yet
--- a/lichencleat/quorum/process.py
+++ b/lichencleat/consensus/process.py
@@ -14,21 +14,20 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from lichencleat.decoding import UNDECODABLE
-from lichencleat.quorum.facts import Facts
-from lichencleat.quorum.group import changed, without
-from lichencleat.quorum.journal import Journal
-from lichencleat.quorum.links import Called, Door, Out
-from lichencleat.quorum.member import Role
-from lichencleat.quorum.parts import USES, Known, UnknownPartError
-from lichencleat.quorum.saves import Saves
-from lichencleat.quorum.seats import IDENTITY, Identity, Life, Seats, Welcome
-from lichencleat.quorum.serves import Guarded, Log, Serves
-from lichencleat.quorum.sessions import Verdict
-from lichencleat.quorum.state import Part, State, command, decode_command
-from lichencleat.quorum.terms import Act, Decision, Group, Kind, Member, Message, Reason, Times
-from lichencleat.quorum.voter import Voter
-from lichencleat.quorum.wire import (
+from lichencleat.consensus.facts import Facts
+from lichencleat.consensus.group import changed, without
+from lichencleat.consensus.journal import Journal
+from lichencleat.consensus.links import Called, Door, Out
+from lichencleat.consensus.member import Role
+from lichencleat.consensus.parts import USES, Known, UnknownPartError
+from lichencleat.consensus.saves import Saves
+from lichencleat.consensus.seats import IDENTITY, Identity, Life, Seats, Welcome
+from lichencleat.consensus.serves import Guarded, Log, Serves
+from lichencleat.consensus.sessions import Verdict
+from lichencleat.consensus.state import Part, State, command, decode_command
+from lichencleat.consensus.terms import Act, Decision, Group, Kind, Member, Message, Reason, Times
+from lichencleat.consensus.voter import Voter
+from lichencleat.consensus.wire import (
     FORMAT,
     Carried,
     Greeted,
@@ -41,6 +40,7 @@
     decode_who,
     raw,
 )
+from lichencleat.decoding import UNDECODABLE
 from lichencleat.store.batch import Batch
 from lichencleat.store.store import Store
 
--- a/lichencleat/quorum/program.py
+++ b/lichencleat/consensus/program.py
@@ -11,18 +11,18 @@
 from twisted.internet.error import CannotListenError
 
 from lichencleat.clocks import make_reactor, unix_time
+from lichencleat.consensus.facts import Facts
+from lichencleat.consensus.file import QuorumChoice, host_port
+from lichencleat.consensus.journal import TOP, Journal
+from lichencleat.consensus.process import Process
+from lichencleat.consensus.seats import IDENTITY, Identity, wake_up
+from lichencleat.consensus.serves import Serves
+from lichencleat.consensus.state import Part, State, founded
+from lichencleat.consensus.terms import Group, Member
 from lichencleat.logs.lines import make_log
 from lichencleat.owners.expiry import Expiry
 from lichencleat.owners.jobs import Jobs
 from lichencleat.programs import run_program
-from lichencleat.quorum.facts import Facts
-from lichencleat.quorum.file import QuorumChoice, host_port
-from lichencleat.quorum.journal import TOP, Journal
-from lichencleat.quorum.process import Process
-from lichencleat.quorum.seats import IDENTITY, Identity, wake_up
-from lichencleat.quorum.serves import Serves
-from lichencleat.quorum.state import Part, State, founded
-from lichencleat.quorum.terms import Group, Member
 from lichencleat.revive.state import Fleet
 from lichencleat.shares.pools import Pools
 from lichencleat.store.disk import Disk, RealDisk
--- a/lichencleat/quorum/saves.py
+++ b/lichencleat/consensus/saves.py
@@ -12,8 +12,8 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from lichencleat.quorum.journal import Journal
-from lichencleat.quorum.terms import Save
+from lichencleat.consensus.journal import Journal
+from lichencleat.consensus.terms import Save
 from lichencleat.store.batch import Batch
 from lichencleat.store.store import Store
 
--- a/lichencleat/quorum/serves.py
+++ b/lichencleat/consensus/serves.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from lichencleat.quorum.links import Called
-from lichencleat.quorum.state import State
-from lichencleat.quorum.wire import Request
+from lichencleat.consensus.links import Called
+from lichencleat.consensus.state import State
+from lichencleat.consensus.wire import Request
 
 
 class Log(Protocol):
--- a/lichencleat/quorum/state.py
+++ b/lichencleat/consensus/state.py
@@ -10,10 +10,10 @@
 
 import msgspec
 
+from lichencleat.consensus.parts import USES, UnknownPartError
+from lichencleat.consensus.sessions import Held, Sessions, Verdict
+from lichencleat.consensus.terms import Entry, Group, Snapshot, What
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.quorum.parts import USES, UnknownPartError
-from lichencleat.quorum.sessions import Held, Sessions, Verdict
-from lichencleat.quorum.terms import Entry, Group, Snapshot, What
 
 encode = msgspec.msgpack.encode
 Command = tuple[str, msgspec.Raw]  # the part's name, and what is its own
--- a/lichencleat/quorum/voter.py
+++ b/lichencleat/consensus/voter.py
@@ -10,11 +10,11 @@
 
 from typing import Any, ClassVar
 
-from lichencleat.quorum import group as groups
-from lichencleat.quorum.entries import encode_group
-from lichencleat.quorum.leading import WAITING_MOST, Leading
-from lichencleat.quorum.member import Member, Role
-from lichencleat.quorum.terms import (
+from lichencleat.consensus import group as groups
+from lichencleat.consensus.entries import encode_group
+from lichencleat.consensus.leading import WAITING_MOST, Leading
+from lichencleat.consensus.member import Member, Role
+from lichencleat.consensus.terms import (
     NOBODY,
     Act,
     Decision,
--- a/lichencleat/quorum/wire.py
+++ b/lichencleat/consensus/wire.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from lichencleat.quorum.seats import Life
-from lichencleat.quorum.terms import Message
+from lichencleat.consensus.seats import Life
+from lichencleat.consensus.terms import Message
 
 FORMAT = 1  # of these frames; another one is turned away
 FRAME_MOST = 1 << 20  # bytes: entries or a snapshot's piece, and the numbers about them
--- a/lichencleat/quorum/writes.py
+++ b/lichencleat/consensus/writes.py
@@ -6,8 +6,8 @@
 
 from collections import deque
 
-from lichencleat.quorum.entries import Entries
-from lichencleat.quorum.terms import Save
+from lichencleat.consensus.entries import Entries
+from lichencleat.consensus.terms import Save
 
 
 class Writes:
--- a/lichencleat/distribution/relay.py
+++ b/lichencleat/distribution/relay.py
@@ -13,6 +13,10 @@
 from twisted.internet.defer import Deferred, succeed
 
 from lichencleat.chosen.file import host_port
+from lichencleat.consensus.links import Called, Door
+from lichencleat.consensus.seats import Life, Welcome
+from lichencleat.consensus.terms import Message
+from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 from lichencleat.distribution.copy import TableCopy
 from lichencleat.distribution.feed import Feeder
 from lichencleat.distribution.file import RelayChoice
@@ -21,10 +25,6 @@
 from lichencleat.distribution.subscriber import Subscriber
 from lichencleat.distribution.table import Table
 from lichencleat.distribution.terms import Batch
-from lichencleat.quorum.links import Called, Door
-from lichencleat.quorum.seats import Life, Welcome
-from lichencleat.quorum.terms import Message
-from lichencleat.quorum.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 
 if TYPE_CHECKING:
     from lichencleat.distribution.kept import Kept  # off means not imported: memory counts
--- a/lichencleat/distribution/serving.py
+++ b/lichencleat/distribution/serving.py
@@ -13,6 +13,7 @@
 
 import msgspec
 
+from lichencleat.consensus.wire import Reply, Request, raw
 from lichencleat.decoding import UNDECODABLE
 from lichencleat.distribution.feed import Answer, Drop, Feeder
 from lichencleat.distribution.terms import (
@@ -26,7 +27,6 @@
     decode_wanting,
     encode,
 )
-from lichencleat.quorum.wire import Reply, Request, raw
 
 ANSWERS_TURN = 64  # written in one turn of the reactor: what was read meanwhile is not kept waiting for all
 UNREAD = 10_000_000  # µs that an answer may wait to be read: at 13 KB a second the largest one is through
--- a/lichencleat/distribution/subscriber.py
+++ b/lichencleat/distribution/subscriber.py
@@ -15,6 +15,9 @@
 from twisted.internet.protocol import ClientFactory
 
 from lichencleat.chosen.file import host_port
+from lichencleat.consensus.links import Framed
+from lichencleat.consensus.seats import Life, Welcome
+from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 from lichencleat.decoding import UNDECODABLE
 from lichencleat.distribution.acts import Act, Decision
 from lichencleat.distribution.copy import Copy
@@ -31,9 +34,6 @@
     decode_fed,
     decode_pages,
 )
-from lichencleat.quorum.links import Framed
-from lichencleat.quorum.seats import Life, Welcome
-from lichencleat.quorum.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 
 CALL = 1.5  # s for a connection to open; the follower's patience is shorter, and counts until it is greeted
 AGAIN = 0.1  # s until decisions are pulled again after one that failed
--- a/lichencleat/lab/explore_quorum.py
+++ b/lichencleat/lab/explore_quorum.py
@@ -14,10 +14,10 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.quorum.group import changed, without
-from lichencleat.quorum.member import Role
-from lichencleat.quorum.terms import Act, Durable, Entry, Group, Member, Message, Save, Snapshot, Times
-from lichencleat.quorum.voter import Voter
+from lichencleat.consensus.group import changed, without
+from lichencleat.consensus.member import Role
+from lichencleat.consensus.terms import Act, Durable, Entry, Group, Member, Message, Save, Snapshot, Times
+from lichencleat.consensus.voter import Voter
 
 SNAPSHOT_STATE = b"the state"  # what it holds is of no matter here
 
--- a/lichencleat/lab/explore_scenes.py
+++ b/lichencleat/lab/explore_scenes.py
@@ -12,11 +12,11 @@
 
 import click
 
+from lichencleat.consensus import following
+from lichencleat.consensus.voter import Voter
 from lichencleat.lab.explore import Explored, explore
 from lichencleat.lab.explore_quorum import Limits, QuorumWorld, quiet, settled, stood
 from lichencleat.lab.sim.variants import VARIANTS
-from lichencleat.quorum import following
-from lichencleat.quorum.voter import Voter
 
 STATES_MOST = 200_000  # of one scene: some 40 s
 
--- a/lichencleat/lab/rig/distribution.py
+++ b/lichencleat/lab/rig/distribution.py
@@ -17,6 +17,7 @@
 import msgspec
 import yaml
 
+from lichencleat.consensus.client import Client, GroupError
 from lichencleat.distribution.source import Publish, Published
 from lichencleat.distribution.terms import Change
 from lichencleat.distribution.voting import PART
@@ -33,7 +34,6 @@
 from lichencleat.lab.rig.relay import CLIENT, LOCAL
 from lichencleat.lab.rig.rig import GROUP, PATIENCE, Rig, Voter
 from lichencleat.lab.rig.tap import TappedRelays, moment
-from lichencleat.quorum.client import Client, GroupError
 
 PAIRS, TENANTS = 8, 8  # records that are looked at
 BULK, BULK_EACH = 2_000, 60  # routes, and those changed by a batch: it takes several slices
--- a/lichencleat/lab/rig/older_voter.py
+++ b/lichencleat/lab/rig/older_voter.py
@@ -9,8 +9,8 @@
 import sys
 
 from lichencleat.cli.main import run
-from lichencleat.quorum import program
-from lichencleat.quorum.state import Part
+from lichencleat.consensus import program
+from lichencleat.consensus.state import Part
 
 
 def without(names: set[str]) -> None:
--- a/lichencleat/lab/rig/relay.py
+++ b/lichencleat/lab/rig/relay.py
@@ -16,8 +16,8 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 from twisted.internet.threads import blockingCallFromThread
 
+from lichencleat.consensus.wire import Greeting, decode_frame
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.quorum.wire import Greeting, decode_frame
 
 LOCAL = "127.0.0.1"
 CLIENT = "client"  # who greets without a name
--- a/lichencleat/lab/rig/rig.py
+++ b/lichencleat/lab/rig/rig.py
@@ -18,12 +18,12 @@
 import yaml
 
 from lichencleat.clocks import RIG
+from lichencleat.consensus.client import Client, GroupError
+from lichencleat.consensus.facts import Changed, Fact
 from lichencleat.lab.checkers.linear import Call
 from lichencleat.lab.rig import clock
 from lichencleat.lab.rig.heldback import FULL
 from lichencleat.lab.rig.relay import CLIENT, LOCAL, Relays
-from lichencleat.quorum.client import Client, GroupError
-from lichencleat.quorum.facts import Changed, Fact
 
 OLDER = "lichencleat.lab.rig.older_voter"
 PATIENCE = 10.0  # s: only a failing test waits so long
--- a/lichencleat/lab/rig/tap.py
+++ b/lichencleat/lab/rig/tap.py
@@ -11,11 +11,11 @@
 from dataclasses import dataclass
 from typing import Any
 
+from lichencleat.consensus.wire import FRAME_MOST, Greeting, Request, decode_frame
 from lichencleat.decoding import UNDECODABLE
 from lichencleat.distribution.terms import FOLLOW, decode_follow
 from lichencleat.lab.checkers.distribution import Acknowledged
 from lichencleat.lab.rig.relay import Inward, Link, Relay, Relays
-from lichencleat.quorum.wire import FRAME_MOST, Greeting, Request, decode_frame
 
 ASKED_MOST = 200_000  # questions kept: an hour of fifty processes
 LEAST = 400  # bytes of a piece that is spoilt: one with records in it, not a word that there is no news
--- a/lichencleat/lab/rig/worker.py
+++ b/lichencleat/lab/rig/worker.py
@@ -16,10 +16,10 @@
 from twisted.protocols.basic import LineOnlyReceiver
 
 from lichencleat.clocks import make_reactor, unix_time
+from lichencleat.consensus.client import Client
+from lichencleat.consensus.file import host_port, read_quorum
 from lichencleat.logs.lines import make_log
 from lichencleat.owners.holder import Holder
-from lichencleat.quorum.client import Client
-from lichencleat.quorum.file import host_port, read_quorum
 
 ACT = 0.01  # s between two acts on a job
 
--- a/lichencleat/lab/sim/distribution_fleet.py
+++ b/lichencleat/lab/sim/distribution_fleet.py
@@ -12,6 +12,7 @@
 
 import msgspec
 
+from lichencleat.consensus.wire import Reply, Request, encode
 from lichencleat.distribution.errors import TableError
 from lichencleat.distribution.feed import Answer, Decline, Feeder
 from lichencleat.distribution.follow import Act, Decision, Follower
@@ -30,7 +31,6 @@
     World,
     size_of,
 )
-from lichencleat.quorum.wire import Reply, Request, encode
 
 MARK = b"the group's mark"
 CALL = 1_500_000  # µs for a link to be opened and greeted, as the real host waits
--- a/lichencleat/lab/sim/distribution_world.py
+++ b/lichencleat/lab/sim/distribution_world.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from lichencleat.consensus.seats import Life, Welcome
+from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, encode
 from lichencleat.lab.sim.clockwork import Clockwork
-from lichencleat.quorum.seats import Life, Welcome
-from lichencleat.quorum.wire import FORMAT, Greeted, Greeting, encode
 
 SECOND = 1_000_000  # µs
 REGIONS, ZONES, VOTERS = 6, 17, 5
--- a/lichencleat/lab/sim/group.py
+++ b/lichencleat/lab/sim/group.py
@@ -11,16 +11,27 @@
 
 import msgspec
 
+from lichencleat.consensus.facts import Facts, Set
+from lichencleat.consensus.group import changed, without
+from lichencleat.consensus.journal import Journal
+from lichencleat.consensus.member import Role
+from lichencleat.consensus.state import State, founded
+from lichencleat.consensus.terms import (
+    Act,
+    Decision,
+    Entry,
+    Group,
+    Member,
+    Message,
+    Reason,
+    Save,
+    Times,
+    What,
+)
+from lichencleat.consensus.voter import Voter
 from lichencleat.lab.checkers.group import GroupWatch
 from lichencleat.lab.sim.clockwork import Clockwork, DriftingClock, Timer
 from lichencleat.lab.sim.network import Network
-from lichencleat.quorum.facts import Facts, Set
-from lichencleat.quorum.group import changed, without
-from lichencleat.quorum.journal import Journal
-from lichencleat.quorum.member import Role
-from lichencleat.quorum.state import State, founded
-from lichencleat.quorum.terms import Act, Decision, Entry, Group, Member, Message, Reason, Save, Times, What
-from lichencleat.quorum.voter import Voter
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
 from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
--- a/lichencleat/lab/sim/run.py
+++ b/lichencleat/lab/sim/run.py
@@ -8,6 +8,9 @@
 
 import click
 
+from lichencleat.consensus import following
+from lichencleat.consensus.terms import Times
+from lichencleat.consensus.voter import Voter
 from lichencleat.lab.checkers.linear import judge_facts
 from lichencleat.lab.sim.clients import SimClient
 from lichencleat.lab.sim.clockwork import Clockwork
@@ -16,9 +19,6 @@
 from lichencleat.lab.sim.many import many
 from lichencleat.lab.sim.network import Network
 from lichencleat.lab.sim.variants import VARIANTS
-from lichencleat.quorum import following
-from lichencleat.quorum.terms import Times
-from lichencleat.quorum.voter import Voter
 
 TROUBLE = 6_000_000  # µs in which faults begin
 CALM = 6_000_000  # µs after the last fault by which everything has to be well again: ten elections
--- a/lichencleat/lab/sim/variants.py
+++ b/lichencleat/lab/sim/variants.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from lichencleat.quorum.member import Role
-from lichencleat.quorum.terms import Act, Decision, Group, Kind, Message, Reason
-from lichencleat.quorum.voter import Voter
+from lichencleat.consensus.member import Role
+from lichencleat.consensus.terms import Act, Decision, Group, Kind, Message, Reason
+from lichencleat.consensus.voter import Voter
 
 
 class VoteNotFlushed(Voter):
--- a/lichencleat/net/fleet.py
+++ b/lichencleat/net/fleet.py
@@ -13,8 +13,8 @@
 from twisted.internet.defer import Deferred, succeed
 
 from lichencleat.chosen.file import FleetChoice, host_port
+from lichencleat.consensus.client import Client
 from lichencleat.owners.holder import Holder, Work
-from lichencleat.quorum.client import Client
 from lichencleat.revive.boot import Clock
 from lichencleat.revive.seat import Planning, Record, Return
 from lichencleat.revive.waking import Waking
--- a/lichencleat/router/seat.py
+++ b/lichencleat/router/seat.py
@@ -10,8 +10,8 @@
 import msgspec
 from twisted.python.failure import Failure
 
+from lichencleat.consensus.client import Client
 from lichencleat.owners.holder import Holder
-from lichencleat.quorum.client import Client
 from lichencleat.router.core import Router
 from lichencleat.zones.judge import LOOK, Judge
 from lichencleat.zones.terms import JOB, Order, Source, Tell, Wished, Zone
--- a/tests/quorum/test_explore.py
+++ b/tests/consensus/test_explore.py
@@ -2,10 +2,10 @@
 
 import pytest
 
+from lichencleat.consensus.voter import Voter
 from lichencleat.lab.explore import explore
 from lichencleat.lab.explore_scenes import SCENES, play
 from lichencleat.lab.sim.variants import VARIANTS
-from lichencleat.quorum.voter import Voter
 
 
 @pytest.mark.parametrize("name", SCENES)
--- a/tests/quorum/test_pieces.py
+++ b/tests/consensus/test_pieces.py
@@ -7,13 +7,13 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.task import Clock
 
-from lichencleat.quorum.arrival import SNAPSHOT_MOST, Arrival
-from lichencleat.quorum.entries import Entries
-from lichencleat.quorum.following import PIECE, Progress
-from lichencleat.quorum.journal import PIECE as PIECE_KEY
-from lichencleat.quorum.journal import PIECE_MOST, SNAPSHOT, UNDER_WAY, Journal, piece_key
-from lichencleat.quorum.saves import Saves
-from lichencleat.quorum.terms import (
+from lichencleat.consensus.arrival import SNAPSHOT_MOST, Arrival
+from lichencleat.consensus.entries import Entries
+from lichencleat.consensus.following import PIECE, Progress
+from lichencleat.consensus.journal import PIECE as PIECE_KEY
+from lichencleat.consensus.journal import PIECE_MOST, SNAPSHOT, UNDER_WAY, Journal, piece_key
+from lichencleat.consensus.saves import Saves
+from lichencleat.consensus.terms import (
     Act,
     Durable,
     Entry,
@@ -26,7 +26,7 @@
     Times,
     What,
 )
-from lichencleat.quorum.voter import Voter
+from lichencleat.consensus.voter import Voter
 from lichencleat.store.batch import Batch
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import DamagedError, FullError, StoreError
--- a/tests/quorum/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -8,19 +8,19 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
+from lichencleat.consensus.client import Client, GroupError
+from lichencleat.consensus.journal import Journal
+from lichencleat.consensus.member import Role
+from lichencleat.consensus.process import Process
+from lichencleat.consensus.program import distribution_parts
+from lichencleat.consensus.seats import Identity, wake_up
+from lichencleat.consensus.serves import Guarded
+from lichencleat.consensus.state import command, founded
+from lichencleat.consensus.terms import Act, Decision, Group, Kind, Member, Message, Reason
+from lichencleat.consensus.wire import Request, raw
 from lichencleat.distribution.source import Publish, Source
 from lichencleat.distribution.terms import Change, Follow, Say, decode_fed
 from lichencleat.distribution.voting import Voting
-from lichencleat.quorum.client import Client, GroupError
-from lichencleat.quorum.journal import Journal
-from lichencleat.quorum.member import Role
-from lichencleat.quorum.process import Process
-from lichencleat.quorum.program import distribution_parts
-from lichencleat.quorum.seats import Identity, wake_up
-from lichencleat.quorum.serves import Guarded
-from lichencleat.quorum.state import command, founded
-from lichencleat.quorum.terms import Act, Decision, Group, Kind, Member, Message, Reason
-from lichencleat.quorum.wire import Request, raw
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, StoreError
 from lichencleat.store.faulty import FaultyDisk
@@ -225,7 +225,7 @@
 
 
 def test_a_dump_comes_after_many_entries_or_after_many_bytes_of_them(monkeypatch):
-    monkeypatch.setattr("lichencleat.quorum.process.SNAPSHOT_BYTES", 300)
+    monkeypatch.setattr("lichencleat.consensus.process.SNAPSHOT_BYTES", 300)
     reactor, client = MemoryReactorClock(), Link()
     process, _ = alone(reactor, FaultyDisk())
     run_on(reactor)
--- a/tests/quorum/test_state.py
+++ b/tests/consensus/test_state.py
@@ -5,12 +5,12 @@
 import msgspec
 import pytest
 
-from lichencleat.quorum.facts import Changed, Facts, Set
-from lichencleat.quorum.journal import Journal, entry_key
-from lichencleat.quorum.seats import WAIT, Life, Seats, Welcome
-from lichencleat.quorum.sessions import Sessions, Verdict
-from lichencleat.quorum.state import State, command
-from lichencleat.quorum.terms import Entry, Group, Member, Save, Snapshot, What
+from lichencleat.consensus.facts import Changed, Facts, Set
+from lichencleat.consensus.journal import Journal, entry_key
+from lichencleat.consensus.seats import WAIT, Life, Seats, Welcome
+from lichencleat.consensus.sessions import Sessions, Verdict
+from lichencleat.consensus.state import State, command
+from lichencleat.consensus.terms import Entry, Group, Member, Save, Snapshot, What
 from lichencleat.store.batch import Batch
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import DamagedError
--- a/tests/quorum/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -4,17 +4,17 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
+from lichencleat.consensus import wire
+from lichencleat.consensus.facts import Facts, Set
+from lichencleat.consensus.links import Framed
+from lichencleat.consensus.program import parts
+from lichencleat.consensus.seats import Life
+from lichencleat.consensus.state import State, command
+from lichencleat.consensus.terms import Entry, What
 from lichencleat.distribution.source import Publish, Source
 from lichencleat.distribution.terms import Change
 from lichencleat.owners.jobs import Jobs
 from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.quorum import wire
-from lichencleat.quorum.facts import Facts, Set
-from lichencleat.quorum.links import Framed
-from lichencleat.quorum.program import parts
-from lichencleat.quorum.seats import Life
-from lichencleat.quorum.state import State, command
-from lichencleat.quorum.terms import Entry, What
 from lichencleat.revive.terms import Report
 from lichencleat.shares.terms import Define as DefinePool
 from lichencleat.zones.terms import Define as DefineZone
--- a/tests/quorum/test_versions.py
+++ b/tests/consensus/test_versions.py
@@ -5,13 +5,13 @@
 import msgspec
 import pytest
 
-from lichencleat.quorum import wire
-from lichencleat.quorum.facts import Facts, Set
-from lichencleat.quorum.parts import BEFORE, NAMED_MOST, TOLD_MOST, USES, Known, UnknownPartError
-from lichencleat.quorum.program import distribution_parts, parts
-from lichencleat.quorum.seats import Life
-from lichencleat.quorum.state import State, command
-from lichencleat.quorum.terms import Entry, Group, Member, Snapshot, What
+from lichencleat.consensus import wire
+from lichencleat.consensus.facts import Facts, Set
+from lichencleat.consensus.parts import BEFORE, NAMED_MOST, TOLD_MOST, USES, Known, UnknownPartError
+from lichencleat.consensus.program import distribution_parts, parts
+from lichencleat.consensus.seats import Life
+from lichencleat.consensus.state import State, command
+from lichencleat.consensus.terms import Entry, Group, Member, Snapshot, What
 from lichencleat.revive.terms import Report
 
 GROUP = Group(tuple(Member(seat, f"v{seat}", "h", seat) for seat in range(1, 7)))
--- a/tests/quorum/test_voter.py
+++ b/tests/consensus/test_voter.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from lichencleat.quorum.entries import Entries
-from lichencleat.quorum.following import AHEAD_MOST, Progress
-from lichencleat.quorum.group import agreed, changed, has_majority, objection, without
-from lichencleat.quorum.member import Role
-from lichencleat.quorum.terms import (
+from lichencleat.consensus.entries import Entries
+from lichencleat.consensus.following import AHEAD_MOST, Progress
+from lichencleat.consensus.group import agreed, changed, has_majority, objection, without
+from lichencleat.consensus.member import Role
+from lichencleat.consensus.terms import (
     Act,
     Durable,
     Entry,
@@ -21,7 +21,7 @@
     Times,
     What,
 )
-from lichencleat.quorum.voter import Voter
+from lichencleat.consensus.voter import Voter
 
 TIMES = Times()
 MEMBERS = [Member(seat, f"v{seat}", "h", seat) for seat in range(1, 6)]
--- a/tests/distribution/test_serving.py
+++ b/tests/distribution/test_serving.py
@@ -4,6 +4,7 @@
 import pytest
 from twisted.internet.task import Clock
 
+from lichencleat.consensus.wire import Request, raw
 from lichencleat.distribution import serving
 from lichencleat.distribution.feed import Feeder
 from lichencleat.distribution.serving import Serving
@@ -25,7 +26,6 @@
     decode_pages,
     encode,
 )
-from lichencleat.quorum.wire import Request, raw
 
 SECOND = 1_000_000
 
--- a/tests/distribution/test_source.py
+++ b/tests/distribution/test_source.py
@@ -6,14 +6,14 @@
 import msgspec
 import pytest
 
+from lichencleat.consensus.serves import Guarded
+from lichencleat.consensus.state import State, command
+from lichencleat.consensus.terms import Entry, Group, Member, Snapshot, What
+from lichencleat.consensus.wire import Request, raw
 from lichencleat.distribution import source as sources
 from lichencleat.distribution.source import Diff, Find, Publish, Published, Source, Stands
 from lichencleat.distribution.terms import BATCH_MOST, FIND, FOLLOW, IN_FORCE, Change, Follow, Say
 from lichencleat.distribution.voting import DOUBT, SILENCE, Fresh, Voting
-from lichencleat.quorum.serves import Guarded
-from lichencleat.quorum.state import State, command
-from lichencleat.quorum.terms import Entry, Group, Member, Snapshot, What
-from lichencleat.quorum.wire import Request, raw
 
 GROUP = Group((Member(1, "v1", "h", 1),))
 encode = msgspec.msgpack.encode
--- a/tests/distribution/test_subscriber.py
+++ b/tests/distribution/test_subscriber.py
@@ -7,6 +7,8 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.test.iosim import FakeTransport, connect
 
+from lichencleat.consensus.seats import Life
+from lichencleat.consensus.wire import FORMAT, Greeting, Reply, Request, raw
 from lichencleat.distribution.copy import TableCopy
 from lichencleat.distribution.errors import SpoiltError
 from lichencleat.distribution.file import RelayChoice
@@ -15,8 +17,6 @@
 from lichencleat.distribution.subscriber import CALL, Subscriber
 from lichencleat.distribution.table import Table
 from lichencleat.distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
-from lichencleat.quorum.seats import Life
-from lichencleat.quorum.wire import FORMAT, Greeting, Reply, Request, raw
 
 SECOND = 1_000_000
 MARK = b"mark-one"
--- a/tests/fleet/test_older_voters.py
+++ b/tests/fleet/test_older_voters.py
@@ -4,9 +4,9 @@
 
 import pytest
 
+from lichencleat.consensus.client import GroupError
 from lichencleat.lab.rig.fleet import Fleet
 from lichencleat.lab.rig.rig import Rig
-from lichencleat.quorum.client import GroupError
 from lichencleat.revive.terms import Report
 
 LACKS = ("revive", "zones")
--- a/tests/fleet/test_publishing.py
+++ b/tests/fleet/test_publishing.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from lichencleat.consensus.client import GroupError
 from lichencleat.lab.rig.rig import Rig, Voter
-from lichencleat.quorum.client import GroupError
 
 
 @pytest.fixture
