--- a/benchmarks/capacity/state.py
+++ b/benchmarks/capacity/state.py
@@ -20,9 +20,9 @@
 from lichencleat.capacity.slopes import Line
 from lichencleat.chosen.file import read_as
 from lichencleat.consensus.facts import Fact, Facts
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.owners.terms import Renew
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Renew
 from lichencleat.shares.dealer import Dealer
 from lichencleat.shares.pools import Pools
 from lichencleat.shares.terms import TERM, Ask, Pool, Seat, job_of
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -10,8 +10,8 @@
 from lichencleat.consensus import facts, group, links, sessions
 from lichencleat.distribution import terms as distribution
 from lichencleat.flows import collector
+from lichencleat.leases import terms as owners
 from lichencleat.members import table as members
-from lichencleat.owners import terms as owners
 from lichencleat.revive import terms as revive
 from lichencleat.shares import terms as shares
 from lichencleat.zones import terms as zones
--- a/lichencleat/capacity/glance.py
+++ b/lichencleat/capacity/glance.py
@@ -13,7 +13,7 @@
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import Target
 from lichencleat.distribution.terms import HOLD
-from lichencleat.owners import terms as owners
+from lichencleat.leases import terms as owners
 from lichencleat.shares import terms as shares
 
 Value = float | str | None  # "-": does not apply; None: not measured
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -12,7 +12,7 @@
 from lichencleat.capacity.target import Target
 from lichencleat.chosen.file import SIZE_MOST
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
-from lichencleat.owners import terms as owners
+from lichencleat.leases import terms as owners
 from lichencleat.revive.seat import PLAN
 from lichencleat.shares import terms as shares
 from lichencleat.shares.dealer import LOOK as DEAL
--- a/lichencleat/capacity/sizes.py
+++ b/lichencleat/capacity/sizes.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from lichencleat.capacity.target import Target
-from lichencleat.owners import terms as owners
+from lichencleat.leases import terms as owners
 from lichencleat.revive import waking
 from lichencleat.shares import terms as shares
 
--- a/lichencleat/cli/owners.py
+++ b/lichencleat/cli/owners.py
@@ -9,8 +9,8 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.owners.choice import heir
-from lichencleat.owners.terms import CRASHES_MOST, Candidate, Define, Done, Drop, Job, Move
+from lichencleat.leases.choice import heir
+from lichencleat.leases.terms import CRASHES_MOST, Candidate, Define, Done, Drop, Job, Move
 
 
 @click.group("owners", no_args_is_help=True)
--- a/lichencleat/cli/shares.py
+++ b/lichencleat/cli/shares.py
@@ -9,9 +9,9 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.owners.terms import Drop as DropJob
-from lichencleat.owners.terms import Job
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Drop as DropJob
+from lichencleat.leases.terms import Job
 from lichencleat.shares.pools import reserved
 from lichencleat.shares.terms import Define, Done, Drop, Forget, Pool, job_of
 
--- a/lichencleat/cli/zones.py
+++ b/lichencleat/cli/zones.py
@@ -9,8 +9,8 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.owners.terms import Job
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Job
 from lichencleat.zones.preview import preview
 from lichencleat.zones.terms import (
     JOB,
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -19,9 +19,9 @@
 from lichencleat.consensus.serves import Serves
 from lichencleat.consensus.state import Part, State, founded
 from lichencleat.consensus.terms import Group, Member
+from lichencleat.leases.expiry import Expiry
+from lichencleat.leases.jobs import Jobs
 from lichencleat.logs.lines import make_log
-from lichencleat.owners.expiry import Expiry
-from lichencleat.owners.jobs import Jobs
 from lichencleat.programs import run_program
 from lichencleat.revive.state import Fleet
 from lichencleat.shares.pools import Pools
--- a/lichencleat/lab/explore_revive.py
+++ b/lichencleat/lab/explore_revive.py
@@ -18,9 +18,9 @@
 from lichencleat.keyed.book import Book, Told
 from lichencleat.keyed.records import Entry, State
 from lichencleat.lab.explore import Explored, explore
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.owners.terms import Gone, Renew
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Gone, Renew
 from lichencleat.revive.boot import Clock
 from lichencleat.revive.state import Fleet
 from lichencleat.revive.terms import JOB, Door, NewEpoch, Plan, Report, Wave
--- a/lichencleat/lab/rig/receiver.py
+++ b/lichencleat/lab/rig/receiver.py
@@ -12,7 +12,7 @@
 
 from lichencleat.lab.checkers.owners import OwnersWatch
 from lichencleat.lab.rig.relay import LOCAL
-from lichencleat.owners.fence import Fence
+from lichencleat.leases.fence import Fence
 
 
 class Act(LineOnlyReceiver):
--- a/lichencleat/lab/sim/owners.py
+++ b/lichencleat/lab/sim/owners.py
@@ -18,11 +18,11 @@
 from lichencleat.lab.checkers.owners import OwnersWatch
 from lichencleat.lab.sim.clockwork import Clockwork, DriftingClock
 from lichencleat.lab.sim.many import many
-from lichencleat.owners.expiry import Expiry
-from lichencleat.owners.fence import Fence
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.leases import Leases
-from lichencleat.owners.terms import Define, Leave, Move, Owned, Release
+from lichencleat.leases.expiry import Expiry
+from lichencleat.leases.fence import Fence
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.leases import Leases
+from lichencleat.leases.terms import Define, Leave, Move, Owned, Release
 
 TROUBLE, CALM = 12_000_000, 8_000_000  # µs with faults, and after them
 NAMES, JOBS, ZONES = ["a", "b", "c", "d"], ["j1", "j2", "j3"], ["x", "y"]
--- a/lichencleat/lab/sim/revive.py
+++ b/lichencleat/lab/sim/revive.py
@@ -19,9 +19,9 @@
 import msgspec
 
 from lichencleat.lab.sim.clockwork import Clockwork
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.owners.terms import Gone, Renew
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Gone, Renew
 from lichencleat.revive.boot import Clock
 from lichencleat.revive.planner import Planner
 from lichencleat.revive.state import Fleet
--- a/lichencleat/lab/sim/shares.py
+++ b/lichencleat/lab/sim/shares.py
@@ -18,9 +18,9 @@
 
 from lichencleat.lab.sim.clockwork import Clockwork, DriftingClock
 from lichencleat.lab.sim.many import many
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.owners.terms import Gone, Renew
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Gone, Renew
 from lichencleat.shares.dealer import LOOK, Dealer
 from lichencleat.shares.grants import Grants
 from lichencleat.shares.pools import Pools, reserved
--- a/lichencleat/owners/choice.py
+++ b/lichencleat/leases/choice.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Mapping
 
-from lichencleat.owners.terms import Candidate, Job
+from lichencleat.leases.terms import Candidate, Job
 
 # jobs more than the least loaded one has: from there on one is moved; one less would swing back and forth
 UNEVEN = 2
--- a/lichencleat/owners/expiry.py
+++ b/lichencleat/leases/expiry.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from lichencleat.owners.terms import DRIFT, LEASE, Candidate, Gone
+from lichencleat.leases.terms import DRIFT, LEASE, Candidate, Gone
 
 
 def patience(lease: int = LEASE, drift: float = DRIFT) -> int:
--- a/lichencleat/owners/holder.py
+++ b/lichencleat/leases/holder.py
@@ -12,8 +12,8 @@
 from twisted.python.failure import Failure
 
 from lichencleat.consensus.client import Client
-from lichencleat.owners.leases import Leases
-from lichencleat.owners.terms import DRIFT, LEASE, Leave, Owned, Release
+from lichencleat.leases.leases import Leases
+from lichencleat.leases.terms import DRIFT, LEASE, Leave, Owned, Release
 
 SECOND = 1_000_000  # µs
 LOOK_MOST = 100_000  # µs from one look at the lease to the next, whatever is due
--- a/lichencleat/owners/jobs.py
+++ b/lichencleat/leases/jobs.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.owners.choice import better, heir
-from lichencleat.owners.terms import (
+from lichencleat.leases.choice import better, heir
+from lichencleat.leases.terms import (
     CANDIDATES_MOST,
     CRASHES_MOST,
     JOBS_MOST,
--- a/lichencleat/owners/leases.py
+++ b/lichencleat/leases/leases.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from lichencleat.owners.terms import DRIFT, LEASE, RENEW, Owned, Renew
+from lichencleat.leases.terms import DRIFT, LEASE, RENEW, Owned, Renew
 
 
 class Leases:
--- a/lichencleat/revive/seat.py
+++ b/lichencleat/revive/seat.py
@@ -10,7 +10,7 @@
 
 from lichencleat.consensus.client import Client
 from lichencleat.decide import RUNS_FEW
-from lichencleat.owners.holder import Holder
+from lichencleat.leases.holder import Holder
 from lichencleat.revive import boot as boots
 from lichencleat.revive import figures
 from lichencleat.revive.planner import Planner
--- a/lichencleat/revive/state.py
+++ b/lichencleat/revive/state.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.owners.jobs import Jobs
+from lichencleat.leases.jobs import Jobs
 from lichencleat.revive.terms import (
     JOB,
     NODES_MOST,
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -12,11 +12,11 @@
 from lichencleat.chosen.file import WrongFileError
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.consensus.client import Client
+from lichencleat.leases.holder import Holder
 from lichencleat.logs.lines import make_log
 from lichencleat.net.assembly import UnixClock
 from lichencleat.net.deadlines import Deadlines
 from lichencleat.net.structured import StructuredReport
-from lichencleat.owners.holder import Holder
 from lichencleat.programs import run_program
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterHost
--- a/lichencleat/router/seat.py
+++ b/lichencleat/router/seat.py
@@ -11,7 +11,7 @@
 from twisted.python.failure import Failure
 
 from lichencleat.consensus.client import Client
-from lichencleat.owners.holder import Holder
+from lichencleat.leases.holder import Holder
 from lichencleat.router.core import Router
 from lichencleat.zones.judge import LOOK, Judge
 from lichencleat.zones.terms import JOB, Order, Source, Tell, Wished, Zone
--- a/lichencleat/shares/pools.py
+++ b/lichencleat/shares/pools.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.owners.jobs import Jobs
+from lichencleat.leases.jobs import Jobs
 from lichencleat.shares.terms import (
     LIMIT_MOST,
     NODES_MOST,
--- a/lichencleat/shares/seat.py
+++ b/lichencleat/shares/seat.py
@@ -9,7 +9,7 @@
 from twisted.python.failure import Failure
 
 from lichencleat.consensus.client import Client
-from lichencleat.owners.holder import Holder
+from lichencleat.leases.holder import Holder
 from lichencleat.shares.dealer import LOOK, Dealer
 from lichencleat.shares.grants import Grants
 from lichencleat.shares.terms import Deal, Granted, Over, Pool, job_of
--- a/lichencleat/zones/state.py
+++ b/lichencleat/zones/state.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.owners.jobs import Jobs
+from lichencleat.leases.jobs import Jobs
 from lichencleat.zones.terms import (
     HISTORY_MOST,
     JOB,
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -13,8 +13,8 @@
 from lichencleat.consensus.terms import Entry, What
 from lichencleat.distribution.source import Publish, Source
 from lichencleat.distribution.terms import Change
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.terms import Define as DefineJob
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.revive.terms import Report
 from lichencleat.shares.terms import Define as DefinePool
 from lichencleat.zones.terms import Define as DefineZone
--- a/tests/owners/test_decisions.py
+++ b/tests/leases/test_decisions.py
@@ -5,12 +5,12 @@
 import msgspec
 import pytest
 
-from lichencleat.owners.choice import better, heir
-from lichencleat.owners.expiry import Expiry, patience
-from lichencleat.owners.fence import Fence
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.leases import Leases
-from lichencleat.owners.terms import (
+from lichencleat.leases.choice import better, heir
+from lichencleat.leases.expiry import Expiry, patience
+from lichencleat.leases.fence import Fence
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.leases import Leases
+from lichencleat.leases.terms import (
     CANDIDATES_MOST,
     CRASHES_MOST,
     DRIFT,
--- a/tests/revive/test_revive.py
+++ b/tests/revive/test_revive.py
@@ -6,8 +6,8 @@
 from lichencleat.lab.explore_revive import MISTAKES, GrantsOfOne, play
 from lichencleat.lab.explore_revive import World as Explored
 from lichencleat.lab.sim.revive import World
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.terms import Define, Gone, Renew
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define, Gone, Renew
 from lichencleat.revive import boot as boots
 from lichencleat.revive.boot import Boot, Clock, WrongBootError
 from lichencleat.revive.planner import FIRST, MISSED, PART_FIRST, STEP, WAIT, Planner, turns
--- a/tests/shares/test_shares.py
+++ b/tests/shares/test_shares.py
@@ -6,9 +6,9 @@
 from hypothesis import strategies as st
 
 from lichencleat.lab.sim.shares import VARIANTS, run
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.owners.terms import Gone, Renew
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Gone, Renew
 from lichencleat.shares.deal import fair, targets, worth_saying
 from lichencleat.shares.dealer import Dealer
 from lichencleat.shares.grants import Grants
--- a/tests/zones/test_zones.py
+++ b/tests/zones/test_zones.py
@@ -6,9 +6,9 @@
 import pytest
 
 from lichencleat.lab.sim.zones import World
-from lichencleat.owners.jobs import Jobs
-from lichencleat.owners.terms import Define as DefineJob
-from lichencleat.owners.terms import Gone, Renew
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Gone, Renew
 from lichencleat.zones.budget import FLOOR, KEPT, Budget
 from lichencleat.zones.judge import CALM, LOOK, LOOKS, SILENT, TRICKLE, Judge
 from lichencleat.zones.leave_out import SPAN, LeaveOut
