--- a/benchmarks/capacity/state.py
+++ b/benchmarks/capacity/state.py
@@ -23,9 +23,9 @@
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Renew
-from lichencleat.shares.dealer import Dealer
-from lichencleat.shares.pools import Pools
-from lichencleat.shares.terms import TERM, Ask, Pool, Seat, job_of
+from lichencleat.quotas.dealer import Dealer
+from lichencleat.quotas.pools import Pools
+from lichencleat.quotas.terms import TERM, Ask, Pool, Seat, job_of
 from lichencleat.zones.judge import JOB, Judge
 from lichencleat.zones.state import Dumped, Zones
 from lichencleat.zones.terms import Define as DefineZone
--- a/lichencleat/capacity/glance.py
+++ b/lichencleat/capacity/glance.py
@@ -14,7 +14,7 @@
 from lichencleat.capacity.target import Target
 from lichencleat.distribution.terms import HOLD
 from lichencleat.leases import terms as owners
-from lichencleat.shares import terms as shares
+from lichencleat.quotas import terms as shares
 
 Value = float | str | None  # "-": does not apply; None: not measured
 
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -13,9 +13,9 @@
 from lichencleat.chosen.file import SIZE_MOST
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
 from lichencleat.leases import terms as owners
+from lichencleat.quotas import terms as shares
+from lichencleat.quotas.dealer import LOOK as DEAL
 from lichencleat.revive.seat import PLAN
-from lichencleat.shares import terms as shares
-from lichencleat.shares.dealer import LOOK as DEAL
 from lichencleat.zones import judge
 
 CONFIG = "distribution: relays in tiers ([distribution.md](distribution.md))"
--- a/lichencleat/capacity/sizes.py
+++ b/lichencleat/capacity/sizes.py
@@ -6,8 +6,8 @@
 
 from lichencleat.capacity.target import Target
 from lichencleat.leases import terms as owners
+from lichencleat.quotas import terms as shares
 from lichencleat.revive import waking
-from lichencleat.shares import terms as shares
 
 SECOND = 1_000_000  # µs
 FLOW_S = 60.0  # s after which an open flow is told again, as the operators' file has it by itself
--- a/lichencleat/cli/shares.py
+++ b/lichencleat/cli/shares.py
@@ -12,8 +12,8 @@
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Drop as DropJob
 from lichencleat.leases.terms import Job
-from lichencleat.shares.pools import reserved
-from lichencleat.shares.terms import Define, Done, Drop, Forget, Pool, job_of
+from lichencleat.quotas.pools import reserved
+from lichencleat.quotas.terms import Define, Done, Drop, Forget, Pool, job_of
 
 SECOND = 1_000_000  # µs
 POOL = click.argument("pool")
--- a/lichencleat/lab/explore_revive.py
+++ b/lichencleat/lab/explore_revive.py
@@ -21,14 +21,14 @@
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
+from lichencleat.quotas.dealer import Dealer
+from lichencleat.quotas.grants import Grants
+from lichencleat.quotas.pools import Pools, reserved
+from lichencleat.quotas.terms import Ask, Define, Granted, job_of
 from lichencleat.revive.boot import Clock
 from lichencleat.revive.state import Fleet
 from lichencleat.revive.terms import JOB, Door, NewEpoch, Plan, Report, Wave
 from lichencleat.revive.waking import Waking
-from lichencleat.shares.dealer import Dealer
-from lichencleat.shares.grants import Grants
-from lichencleat.shares.pools import Pools, reserved
-from lichencleat.shares.terms import Ask, Define, Granted, job_of
 
 POOL, LIMIT, FLOOR, TERM = "p", 3, 1, 1_000_000
 TICK = TERM // 2  # µs: one step of time
--- a/lichencleat/lab/sim/revive.py
+++ b/lichencleat/lab/sim/revive.py
@@ -22,13 +22,13 @@
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
+from lichencleat.quotas.pools import Pools
+from lichencleat.quotas.terms import Part, Pool
 from lichencleat.revive.boot import Clock
 from lichencleat.revive.planner import Planner
 from lichencleat.revive.state import Fleet
 from lichencleat.revive.terms import JOB, Door, Node, Report
 from lichencleat.revive.waking import Waking
-from lichencleat.shares.pools import Pools
-from lichencleat.shares.terms import Part, Pool
 
 SECOND = 1_000_000  # µs
 TICK = 50_000  # µs
--- a/lichencleat/lab/sim/shares.py
+++ b/lichencleat/lab/sim/shares.py
@@ -21,10 +21,10 @@
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
-from lichencleat.shares.dealer import LOOK, Dealer
-from lichencleat.shares.grants import Grants
-from lichencleat.shares.pools import Pools, reserved
-from lichencleat.shares.terms import Ask, Define, Granted, Over, job_of
+from lichencleat.quotas.dealer import LOOK, Dealer
+from lichencleat.quotas.grants import Grants
+from lichencleat.quotas.pools import Pools, reserved
+from lichencleat.quotas.terms import Ask, Define, Granted, Over, job_of
 
 POOL, TERM = "p", 1_000_000  # µs: short, so that a run sees many
 TROUBLE, CALM = 15_000_000, 8_000_000  # µs with faults, and after them
--- a/lichencleat/shares/deal.py
+++ b/lichencleat/quotas/deal.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from lichencleat.shares.terms import Pool
+from lichencleat.quotas.terms import Pool
 
 STEP = 0.15  # of what a node has: smaller changes are left, for each costs a renewal and some quiet calls
 SPARE = 0.5  # of what is left beyond all needs, dealt on top: a burst needs no round trip
--- a/lichencleat/shares/dealer.py
+++ b/lichencleat/quotas/dealer.py
@@ -6,8 +6,8 @@
 
 from __future__ import annotations
 
-from lichencleat.shares.deal import targets, worth_saying
-from lichencleat.shares.terms import DRIFT, Deal, Over, Pool
+from lichencleat.quotas.deal import targets, worth_saying
+from lichencleat.quotas.terms import DRIFT, Deal, Over, Pool
 
 LOOK = 0.1  # of a term from one look to the next: a need is met within half a renewal or so
 
--- a/lichencleat/shares/grants.py
+++ b/lichencleat/quotas/grants.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from lichencleat.shares.terms import DRIFT, RENEW, Ask, Granted
+from lichencleat.quotas.terms import DRIFT, RENEW, Ask, Granted
 
 WAIT = 0.3  # of a term: the patience with one renewal, so that another one fits in
 
--- a/lichencleat/shares/pools.py
+++ b/lichencleat/quotas/pools.py
@@ -12,7 +12,7 @@
 
 from lichencleat.decoding import UNDECODABLE
 from lichencleat.leases.jobs import Jobs
-from lichencleat.shares.terms import (
+from lichencleat.quotas.terms import (
     LIMIT_MOST,
     NODES_MOST,
     POOLS_MOST,
--- a/lichencleat/shares/seat.py
+++ b/lichencleat/quotas/seat.py
@@ -10,9 +10,9 @@
 
 from lichencleat.consensus.client import Client
 from lichencleat.leases.holder import Holder
-from lichencleat.shares.dealer import LOOK, Dealer
-from lichencleat.shares.grants import Grants
-from lichencleat.shares.terms import Deal, Granted, Over, Pool, job_of
+from lichencleat.quotas.dealer import LOOK, Dealer
+from lichencleat.quotas.grants import Grants
+from lichencleat.quotas.terms import Deal, Granted, Over, Pool, job_of
 
 SECOND = 1_000_000  # µs
 LOOK_MOST = 100_000  # µs from one look at the grant to the next, whatever is due
--- a/lichencleat/revive/terms.py
+++ b/lichencleat/revive/terms.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lichencleat.shares.terms import RETURN
+from lichencleat.quotas.terms import RETURN
 
 JOB = RETURN  # of the fleet: its owner plans
 NODES_MOST = 2_048
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -15,8 +15,8 @@
 from lichencleat.distribution.terms import Change
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.quotas.terms import Define as DefinePool
 from lichencleat.revive.terms import Report
-from lichencleat.shares.terms import Define as DefinePool
 from lichencleat.zones.terms import Define as DefineZone
 
 COMMANDS = {
--- a/tests/shares/test_shares.py
+++ b/tests/quotas/test_shares.py
@@ -9,11 +9,11 @@
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
-from lichencleat.shares.deal import fair, targets, worth_saying
-from lichencleat.shares.dealer import Dealer
-from lichencleat.shares.grants import Grants
-from lichencleat.shares.pools import Pools, reserved
-from lichencleat.shares.terms import Ask, Deal, Define, Done, Drop, Forget, Granted, Over, job_of
+from lichencleat.quotas.deal import fair, targets, worth_saying
+from lichencleat.quotas.dealer import Dealer
+from lichencleat.quotas.grants import Grants
+from lichencleat.quotas.pools import Pools, reserved
+from lichencleat.quotas.terms import Ask, Deal, Define, Done, Drop, Forget, Granted, Over, job_of
 
 TERM = 1_000_000
 CAUGHT = {
--- a/tests/revive/test_revive.py
+++ b/tests/revive/test_revive.py
@@ -8,6 +8,8 @@
 from lichencleat.lab.sim.revive import World
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define, Gone, Renew
+from lichencleat.quotas.pools import Pools
+from lichencleat.quotas.terms import Part
 from lichencleat.revive import boot as boots
 from lichencleat.revive.boot import Boot, Clock, WrongBootError
 from lichencleat.revive.planner import FIRST, MISSED, PART_FIRST, STEP, WAIT, Planner, turns
@@ -27,8 +29,6 @@
 )
 from lichencleat.revive.trust import TABLE, Item, Known, Proof, may_serve_receipted, trusted
 from lichencleat.revive.waking import ALONE, Waking
-from lichencleat.shares.pools import Pools
-from lichencleat.shares.terms import Part
 
 SECOND = 1_000_000
 HOUR = 3_600 * SECOND
