--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -11,7 +11,7 @@
 from lichencleat.distribution import terms as distribution
 from lichencleat.flows import collector
 from lichencleat.leases import terms as owners
-from lichencleat.members import table as members
+from lichencleat.membership import table as members
 from lichencleat.quotas import terms as shares
 from lichencleat.revive import terms as revive
 from lichencleat.zones import terms as zones
--- a/lichencleat/cli/members.py
+++ b/lichencleat/cli/members.py
@@ -6,7 +6,7 @@
 
 from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output
-from lichencleat.members import program
+from lichencleat.membership import program
 
 
 @click.group("members", no_args_is_help=True)
--- a/lichencleat/lab/sim/members.py
+++ b/lichencleat/lab/sim/members.py
@@ -12,8 +12,8 @@
 from lichencleat.cli import output
 from lichencleat.lab.sim.clockwork import Clockwork, DriftingClock, Timer
 from lichencleat.lab.sim.network import Network
-from lichencleat.members.gossip import Gossip, Send
-from lichencleat.members.terms import Choice, Datagram, State, Word
+from lichencleat.membership.gossip import Gossip, Send
+from lichencleat.membership.terms import Choice, Datagram, State, Word
 
 SECOND = 1_000_000
 
--- a/lichencleat/members/gossip.py
+++ b/lichencleat/membership/gossip.py
@@ -12,9 +12,9 @@
 from collections import deque
 from dataclasses import dataclass
 
-from lichencleat.members.rumors import DATAGRAM_MOST, Rumors, size_of, times
-from lichencleat.members.table import Table
-from lichencleat.members.terms import Choice, Datagram, Kind, State, Word
+from lichencleat.membership.rumors import DATAGRAM_MOST, Rumors, size_of, times
+from lichencleat.membership.table import Table
+from lichencleat.membership.terms import Choice, Datagram, Kind, State, Word
 
 HEALTH_MOST = 8  # times a period may be stretched by one's own trouble
 HEAD = 120  # bytes of a datagram besides its words, at the most
--- a/lichencleat/members/port.py
+++ b/lichencleat/membership/port.py
@@ -9,9 +9,9 @@
 from twisted.internet.protocol import DatagramProtocol
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.members.gossip import Gossip, Send
-from lichencleat.members.rumors import DATAGRAM_MOST
-from lichencleat.members.terms import Datagram, Word
+from lichencleat.membership.gossip import Gossip, Send
+from lichencleat.membership.rumors import DATAGRAM_MOST
+from lichencleat.membership.terms import Datagram, Word
 
 SECOND = 1_000_000  # µs
 Changed = Callable[[Word], None]
--- a/lichencleat/members/program.py
+++ b/lichencleat/membership/program.py
@@ -13,9 +13,9 @@
 from lichencleat.chosen.file import Name, WrongFileError, load, read_as
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.logs.lines import make_log
-from lichencleat.members.gossip import Gossip
-from lichencleat.members.port import Port
-from lichencleat.members.terms import Choice, State, Word
+from lichencleat.membership.gossip import Gossip
+from lichencleat.membership.port import Port
+from lichencleat.membership.terms import Choice, State, Word
 
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 FAREWELL = 0.2  # s for the word that it leaves
--- a/lichencleat/members/rumors.py
+++ b/lichencleat/membership/rumors.py
@@ -6,7 +6,7 @@
 
 import math
 
-from lichencleat.members.terms import Word
+from lichencleat.membership.terms import Word
 
 DATAGRAM_MOST = 1_200  # bytes: within the smallest path that carries IPv6, so never in pieces
 WORD_EXTRA = 40  # bytes of a word besides its names, at the most
--- a/lichencleat/members/table.py
+++ b/lichencleat/membership/table.py
@@ -9,7 +9,7 @@
 import msgspec
 from crc32c import crc32c
 
-from lichencleat.members.terms import State, Word
+from lichencleat.membership.terms import State, Word
 
 MEMBERS_MOST = 1_024  # words on more are left out: a datagram must not be able to fill the memory
 
--- a/tests/capacity/test_plan.py
+++ b/tests/capacity/test_plan.py
@@ -13,7 +13,7 @@
 from lichencleat.capacity.plan import at, in_order, largest_within, limit, made, row
 from lichencleat.capacity.target import Target, Tree, read_target
 from lichencleat.consensus import group
-from lichencleat.members import table as members
+from lichencleat.membership import table as members
 
 ROOT = Path(__file__).resolve().parents[2]
 FIXED = settings(derandomize=True, deadline=None, max_examples=60)
--- a/tests/members/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -7,10 +7,10 @@
 import pytest
 
 from lichencleat.lab.sim.members import SECOND, MembersWorld
-from lichencleat.members.gossip import Change, Gossip, Send
-from lichencleat.members.rumors import DATAGRAM_MOST, Rumors, times
-from lichencleat.members.table import MEMBERS_MOST, Table
-from lichencleat.members.terms import Choice, Datagram, Kind, State, Word
+from lichencleat.membership.gossip import Change, Gossip, Send
+from lichencleat.membership.rumors import DATAGRAM_MOST, Rumors, times
+from lichencleat.membership.table import MEMBERS_MOST, Table
+from lichencleat.membership.terms import Choice, Datagram, Kind, State, Word
 
 
 def word(name, state=State.HERE, incarnation=1):
