--- a/benchmarks/capacity/returns.py
+++ b/benchmarks/capacity/returns.py
@@ -13,9 +13,9 @@
 from lichencleat.flows.collector import Collector
 from lichencleat.flows.elements import Elements
 from lichencleat.lab.sim.revive import SPAN, World
-from lichencleat.revive.planner import Planner
-from lichencleat.revive.state import Dumped
-from lichencleat.revive.terms import Door, Node, Plan, Report
+from lichencleat.recovery.planner import Planner
+from lichencleat.recovery.state import Dumped
+from lichencleat.recovery.terms import Door, Node, Plan, Report
 
 encode = msgspec.msgpack.encode
 BATCH = 20_000  # records
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -13,7 +13,7 @@
 from lichencleat.leases import terms as owners
 from lichencleat.membership import table as members
 from lichencleat.quotas import terms as shares
-from lichencleat.revive import terms as revive
+from lichencleat.recovery import terms as revive
 from lichencleat.zones import terms as zones
 
 
--- a/lichencleat/capacity/events.py
+++ b/lichencleat/capacity/events.py
@@ -9,7 +9,7 @@
 from lichencleat.capacity.target import DAY, Target
 from lichencleat.distribution.feed import FETCH_RATE
 from lichencleat.distribution.terms import WINDOW_BATCHES
-from lichencleat.revive.terms import NODES_MOST
+from lichencleat.recovery.terms import NODES_MOST
 
 CUT = 300.0  # s that a region is cut off
 LAST = "until the last one that starts or returns has what holds"
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -15,7 +15,7 @@
 from lichencleat.leases import terms as owners
 from lichencleat.quotas import terms as shares
 from lichencleat.quotas.dealer import LOOK as DEAL
-from lichencleat.revive.seat import PLAN
+from lichencleat.recovery.seat import PLAN
 from lichencleat.zones import judge
 
 CONFIG = "distribution: relays in tiers ([distribution.md](distribution.md))"
--- a/lichencleat/capacity/sizes.py
+++ b/lichencleat/capacity/sizes.py
@@ -7,7 +7,7 @@
 from lichencleat.capacity.target import Target
 from lichencleat.leases import terms as owners
 from lichencleat.quotas import terms as shares
-from lichencleat.revive import waking
+from lichencleat.recovery import waking
 
 SECOND = 1_000_000  # µs
 FLOW_S = 60.0  # s after which an open flow is told again, as the operators' file has it by itself
--- a/lichencleat/cli/fleet.py
+++ b/lichencleat/cli/fleet.py
@@ -10,8 +10,8 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.revive.state import reason
-from lichencleat.revive.terms import Done, Door, Forget, Hold, Node, Plan, Skip
+from lichencleat.recovery.state import reason
+from lichencleat.recovery.terms import Done, Door, Forget, Hold, Node, Plan, Skip
 
 LIVE = 0.5  # s between two pictures of `plan --live`
 NODE = click.argument("node")
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -24,7 +24,7 @@
 from lichencleat.logs.lines import make_log
 from lichencleat.programs import run_program
 from lichencleat.quotas.pools import Pools
-from lichencleat.revive.state import Fleet
+from lichencleat.recovery.state import Fleet
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
--- a/lichencleat/lab/explore_revive.py
+++ b/lichencleat/lab/explore_revive.py
@@ -25,10 +25,10 @@
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.pools import Pools, reserved
 from lichencleat.quotas.terms import Ask, Define, Granted, job_of
-from lichencleat.revive.boot import Clock
-from lichencleat.revive.state import Fleet
-from lichencleat.revive.terms import JOB, Door, NewEpoch, Plan, Report, Wave
-from lichencleat.revive.waking import Waking
+from lichencleat.recovery.boot import Clock
+from lichencleat.recovery.state import Fleet
+from lichencleat.recovery.terms import JOB, Door, NewEpoch, Plan, Report, Wave
+from lichencleat.recovery.waking import Waking
 
 POOL, LIMIT, FLOOR, TERM = "p", 3, 1, 1_000_000
 TICK = TERM // 2  # µs: one step of time
--- a/lichencleat/lab/sim/revive.py
+++ b/lichencleat/lab/sim/revive.py
@@ -1,7 +1,7 @@
 """A whole fleet after a power loss, in simulated time, by plan, all at once, or after fixed delays:
 `python -m lichencleat.lab.sim.revive --nodes 200`.
 
-The decisions are the real ones (`revive/`); the rest is a fluid model of our own: engines that warm up as
+The decisions are the real ones (`recovery/`); the rest is a fluid model of our own: engines that warm up as
 they work, a dependency that comes back cold and falls when it gets more than it survives, callers that come
 again. Each tick moves rates: it compares orders of return, and tells of no single request.
 """
@@ -24,11 +24,11 @@
 from lichencleat.leases.terms import Gone, Renew
 from lichencleat.quotas.pools import Pools
 from lichencleat.quotas.terms import Part, Pool
-from lichencleat.revive.boot import Clock
-from lichencleat.revive.planner import Planner
-from lichencleat.revive.state import Fleet
-from lichencleat.revive.terms import JOB, Door, Node, Report
-from lichencleat.revive.waking import Waking
+from lichencleat.recovery.boot import Clock
+from lichencleat.recovery.planner import Planner
+from lichencleat.recovery.state import Fleet
+from lichencleat.recovery.terms import JOB, Door, Node, Report
+from lichencleat.recovery.waking import Waking
 
 SECOND = 1_000_000  # µs
 TICK = 50_000  # µs
--- a/lichencleat/net/fleet.py
+++ b/lichencleat/net/fleet.py
@@ -1,6 +1,6 @@
 """A node among others that agree through voters: its seat in a pool, its part in a return, its jobs.
 
-Puts together what `quotas/`, `revive/` and `leases/` make; decides nothing. Imported only where the
+Puts together what `quotas/`, `recovery/` and `leases/` make; decides nothing. Imported only where the
 operators' file names a fleet.
 """
 
@@ -17,9 +17,9 @@
 from lichencleat.leases.holder import Holder, Work
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.seat import Dealing, Seat
-from lichencleat.revive.boot import Clock
-from lichencleat.revive.seat import Planning, Record, Return
-from lichencleat.revive.waking import Waking
+from lichencleat.recovery.boot import Clock
+from lichencleat.recovery.seat import Planning, Record, Return
+from lichencleat.recovery.waking import Waking
 
 SECOND = 1_000_000  # µs
 
--- a/lichencleat/revive/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from lichencleat.quotas.terms import Part
-from lichencleat.revive.terms import Door, Lost, NewEpoch, Node, Plan, Wave
+from lichencleat.recovery.terms import Door, Lost, NewEpoch, Node, Plan, Wave
 
 MISSED = 5_000_000  # µs without a report from a node that is called gone: an open one reports each 2 s
 WAIT = (
--- a/lichencleat/revive/seat.py
+++ b/lichencleat/recovery/seat.py
@@ -12,11 +12,11 @@
 from lichencleat.decide import RUNS_FEW
 from lichencleat.leases.holder import Holder
 from lichencleat.quotas.terms import Part
-from lichencleat.revive import boot as boots
-from lichencleat.revive import figures
-from lichencleat.revive.planner import Planner
-from lichencleat.revive.terms import JOB, Leave, Node, Plan, Word
-from lichencleat.revive.waking import Waking
+from lichencleat.recovery import boot as boots
+from lichencleat.recovery import figures
+from lichencleat.recovery.planner import Planner
+from lichencleat.recovery.terms import JOB, Leave, Node, Plan, Word
+from lichencleat.recovery.waking import Waking
 
 SECOND = 1_000_000  # µs
 LOOK = 0.1  # s between looks at what may be served
--- a/lichencleat/revive/state.py
+++ b/lichencleat/recovery/state.py
@@ -9,7 +9,7 @@
 
 from lichencleat.decoding import UNDECODABLE
 from lichencleat.leases.jobs import Jobs
-from lichencleat.revive.terms import (
+from lichencleat.recovery.terms import (
     JOB,
     NODES_MOST,
     REASON_MOST,
--- a/lichencleat/revive/waking.py
+++ b/lichencleat/recovery/waking.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass
 
-from lichencleat.revive.boot import Clock
-from lichencleat.revive.terms import Report, Word
-from lichencleat.revive.trust import Known, may_serve_receipted
+from lichencleat.recovery.boot import Clock
+from lichencleat.recovery.terms import Report, Word
+from lichencleat.recovery.trust import Known, may_serve_receipted
 
 ALONE = (
     4_000_000  # µs without a word after which a node goes on by itself: voters that have power elect in one
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -16,7 +16,7 @@
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.quotas.terms import Define as DefinePool
-from lichencleat.revive.terms import Report
+from lichencleat.recovery.terms import Report
 from lichencleat.zones.terms import Define as DefineZone
 
 COMMANDS = {
--- a/tests/fleet/test_older_voters.py
+++ b/tests/fleet/test_older_voters.py
@@ -7,7 +7,7 @@
 from lichencleat.consensus.client import GroupError
 from lichencleat.lab.rig.fleet import Fleet
 from lichencleat.lab.rig.rig import Rig
-from lichencleat.revive.terms import Report
+from lichencleat.recovery.terms import Report
 
 LACKS = ("revive", "zones")
 
--- a/tests/revive/test_figures.py
+++ b/tests/recovery/test_figures.py
@@ -10,11 +10,11 @@
 
 from lichencleat.decide import RUNS_FEW, Node
 from lichencleat.net.host import Host
-from lichencleat.revive import boot as boots
-from lichencleat.revive.figures import FORMAT, TARIFFS_MOST, Figures, encode, recalled, to_keep
-from lichencleat.revive.seat import FIGURES, Learned, Record, Return
-from lichencleat.revive.trust import TABLE, Item, Proof
-from lichencleat.revive.waking import Waking
+from lichencleat.recovery import boot as boots
+from lichencleat.recovery.figures import FORMAT, TARIFFS_MOST, Figures, encode, recalled, to_keep
+from lichencleat.recovery.seat import FIGURES, Learned, Record, Return
+from lichencleat.recovery.trust import TABLE, Item, Proof
+from lichencleat.recovery.waking import Waking
 from lichencleat.terms import Machine, Outcome, Request, State, Tariff
 
 SECOND = 1_000_000
--- a/tests/revive/test_revive.py
+++ b/tests/recovery/test_revive.py
@@ -10,11 +10,11 @@
 from lichencleat.leases.terms import Define, Gone, Renew
 from lichencleat.quotas.pools import Pools
 from lichencleat.quotas.terms import Part
-from lichencleat.revive import boot as boots
-from lichencleat.revive.boot import Boot, Clock, WrongBootError
-from lichencleat.revive.planner import FIRST, MISSED, PART_FIRST, STEP, WAIT, Planner, turns
-from lichencleat.revive.state import Fleet
-from lichencleat.revive.terms import (
+from lichencleat.recovery import boot as boots
+from lichencleat.recovery.boot import Boot, Clock, WrongBootError
+from lichencleat.recovery.planner import FIRST, MISSED, PART_FIRST, STEP, WAIT, Planner, turns
+from lichencleat.recovery.state import Fleet
+from lichencleat.recovery.terms import (
     JOB,
     Door,
     Forget,
@@ -27,8 +27,8 @@
     Skip,
     Wave,
 )
-from lichencleat.revive.trust import TABLE, Item, Known, Proof, may_serve_receipted, trusted
-from lichencleat.revive.waking import ALONE, Waking
+from lichencleat.recovery.trust import TABLE, Item, Known, Proof, may_serve_receipted, trusted
+from lichencleat.recovery.waking import ALONE, Waking
 
 SECOND = 1_000_000
 HOUR = 3_600 * SECOND
@@ -333,7 +333,7 @@
 
 
 def word(epoch, share, **more):
-    from lichencleat.revive.terms import Word
+    from lichencleat.recovery.terms import Word
 
     return Word(epoch, share, **more)
 
