--- a/benchmarks/capacity/state.py
+++ b/benchmarks/capacity/state.py
@@ -20,16 +20,16 @@
 from lichencleat.capacity.slopes import Line
 from lichencleat.chosen.file import read_as
 from lichencleat.consensus.facts import Fact, Facts
+from lichencleat.failover.judge import JOB, Judge
+from lichencleat.failover.state import Dumped, Zones
+from lichencleat.failover.terms import Define as DefineZone
+from lichencleat.failover.terms import Seen, Source, Tell
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Renew
 from lichencleat.quotas.dealer import Dealer
 from lichencleat.quotas.pools import Pools
 from lichencleat.quotas.terms import TERM, Ask, Pool, Seat, job_of
-from lichencleat.zones.judge import JOB, Judge
-from lichencleat.zones.state import Dumped, Zones
-from lichencleat.zones.terms import Define as DefineZone
-from lichencleat.zones.terms import Seen, Source, Tell
 
 encode = msgspec.msgpack.encode
 POOL, FLOOR = "below", 2
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -9,12 +9,12 @@
 from lichencleat.capacity.sizes import Size
 from lichencleat.consensus import facts, group, links, sessions
 from lichencleat.distribution import terms as distribution
+from lichencleat.failover import terms as zones
 from lichencleat.flows import collector
 from lichencleat.leases import terms as owners
 from lichencleat.membership import table as members
 from lichencleat.quotas import terms as shares
 from lichencleat.recovery import terms as revive
-from lichencleat.zones import terms as zones
 
 
 @dataclass(frozen=True, slots=True)
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -12,11 +12,11 @@
 from lichencleat.capacity.target import Target
 from lichencleat.chosen.file import SIZE_MOST
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
+from lichencleat.failover import judge
 from lichencleat.leases import terms as owners
 from lichencleat.quotas import terms as shares
 from lichencleat.quotas.dealer import LOOK as DEAL
 from lichencleat.recovery.seat import PLAN
-from lichencleat.zones import judge
 
 CONFIG = "distribution: relays in tiers ([distribution.md](distribution.md))"
 SOME = "a few are members: relays and voters, not nodes"
--- a/lichencleat/cli/zones.py
+++ b/lichencleat/cli/zones.py
@@ -9,10 +9,8 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Job
-from lichencleat.zones.preview import preview
-from lichencleat.zones.terms import (
+from lichencleat.failover.preview import preview
+from lichencleat.failover.terms import (
     JOB,
     Define,
     Done,
@@ -25,6 +23,8 @@
     Wished,
     Zone,
 )
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Job
 
 SECOND = 1_000_000  # µs
 ZONE = click.argument("zone")
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -19,6 +19,7 @@
 from lichencleat.consensus.serves import Serves
 from lichencleat.consensus.state import Part, State, founded
 from lichencleat.consensus.terms import Group, Member
+from lichencleat.failover.state import Zones
 from lichencleat.leases.expiry import Expiry
 from lichencleat.leases.jobs import Jobs
 from lichencleat.logs.lines import make_log
@@ -30,7 +31,6 @@
 from lichencleat.store.errors import StoreError
 from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
-from lichencleat.zones.state import Zones
 
 BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=256 << 20, entries=200_000)  # logs are cut at snapshots
 # two snapshots of up to 160 MiB (the one that stands, the one that is written), two lots of the log of 32 MiB
--- a/lichencleat/zones/judge.py
+++ b/lichencleat/failover/judge.py
@@ -11,7 +11,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-from lichencleat.zones.terms import JOB, Duty, Give, Learn, Order, Source, Unwish, Wished, Zone
+from lichencleat.failover.terms import JOB, Duty, Give, Learn, Order, Source, Unwish, Wished, Zone
 
 __all__ = ["JOB", "Judge"]
 
--- a/lichencleat/zones/near.py
+++ b/lichencleat/failover/near.py
@@ -10,7 +10,7 @@
 import random
 from dataclasses import dataclass
 
-from lichencleat.zones.terms import Duty, Order, Zone
+from lichencleat.failover.terms import Duty, Order, Zone
 
 SPAN = 300_000  # µs between two steps: some tens of tries, at most rates
 UP, DOWN = 0.08, 0.02  # of the arrivals, a step
--- a/lichencleat/zones/preview.py
+++ b/lichencleat/failover/preview.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from lichencleat.zones.judge import Judge, Known, offered_in
-from lichencleat.zones.terms import Duty, Order, Source, Wished, Zone
+from lichencleat.failover.judge import Judge, Known, offered_in
+from lichencleat.failover.terms import Duty, Order, Source, Wished, Zone
 
 
 def preview(
--- a/lichencleat/zones/state.py
+++ b/lichencleat/failover/state.py
@@ -7,8 +7,7 @@
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.leases.jobs import Jobs
-from lichencleat.zones.terms import (
+from lichencleat.failover.terms import (
     HISTORY_MOST,
     JOB,
     SOURCES_MOST,
@@ -28,6 +27,7 @@
     Wished,
     Zone,
 )
+from lichencleat.leases.jobs import Jobs
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
 SAFE = 1.0  # of what a zone is known to carry, its guests and own together: beyond it an order is refused
--- a/lichencleat/lab/explore_router.py
+++ b/lichencleat/lab/explore_router.py
@@ -12,11 +12,11 @@
 
 import click
 
+from lichencleat.failover.terms import Duty, Order, Zone
 from lichencleat.lab.explore import Explored, explore
 from lichencleat.router.core import GUARD, TRIES_MOST, Router
 from lichencleat.router.terms import Act, Came, Carried, Decision
 from lichencleat.terms import Effect, Tariff, Told
-from lichencleat.zones.terms import Duty, Order, Zone
 
 SECOND = 1_000_000
 START = 1_000 * SECOND  # µs of Unix time
--- a/lichencleat/lab/sim/zones.py
+++ b/lichencleat/lab/sim/zones.py
@@ -1,7 +1,7 @@
 """Zones of a service through loss, grey failure and overload, in simulated time: `python -m
 lichencleat.lab.sim.zones`.
 
-The order, the judge and what a router spills are the real ones (`zones/`); zones are a model of our own:
+The order, the judge and what a router spills are the real ones (`failover/`); zones are a model of our own:
 nodes that serve so much a second, turn the rest away, and fall into doing less when they get far too much.
 Beside them two baselines: every router spreads over all zones that it finds alive, and a fixed split.
 """
@@ -18,14 +18,14 @@
 import click
 import msgspec
 
+from lichencleat.failover.judge import LOOK, Judge
+from lichencleat.failover.near import SPAN, Near, Span
+from lichencleat.failover.state import Zones
+from lichencleat.failover.terms import JOB, Define, Duty, Order, Seen, Tell
 from lichencleat.lab.sim.clockwork import Clockwork
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
-from lichencleat.zones.judge import LOOK, Judge
-from lichencleat.zones.near import SPAN, Near, Span
-from lichencleat.zones.state import Zones
-from lichencleat.zones.terms import JOB, Define, Duty, Order, Seen, Tell
 
 SECOND = 1_000_000  # µs
 TICK = 100_000  # µs
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -12,6 +12,7 @@
 from lichencleat.chosen.file import WrongFileError
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.consensus.client import Client
+from lichencleat.failover.terms import Zone
 from lichencleat.leases.holder import Holder
 from lichencleat.logs.lines import make_log
 from lichencleat.net.assembly import UnixClock
@@ -24,7 +25,6 @@
 from lichencleat.router.links import LINKS_MOST
 from lichencleat.router.seat import Judging, Telling
 from lichencleat.terms import Machine
-from lichencleat.zones.terms import Zone
 
 STOPPED, WRONG = 0, 2  # exit codes
 BELIEFS = 10_000_000  # µs between lines that tell what the router believes
--- a/lichencleat/router/seat.py
+++ b/lichencleat/router/seat.py
@@ -11,10 +11,10 @@
 from twisted.python.failure import Failure
 
 from lichencleat.consensus.client import Client
+from lichencleat.failover.judge import LOOK, Judge
+from lichencleat.failover.terms import JOB, Order, Source, Tell, Wished, Zone
 from lichencleat.leases.holder import Holder
 from lichencleat.router.core import Router
-from lichencleat.zones.judge import LOOK, Judge
-from lichencleat.zones.terms import JOB, Order, Source, Tell, Wished, Zone
 
 PATIENCE = 1.0  # s for an answer of the voters
 SECOND = 1_000_000  # µs
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -13,11 +13,11 @@
 from lichencleat.consensus.terms import Entry, What
 from lichencleat.distribution.source import Publish, Source
 from lichencleat.distribution.terms import Change
+from lichencleat.failover.terms import Define as DefineZone
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.quotas.terms import Define as DefinePool
 from lichencleat.recovery.terms import Report
-from lichencleat.zones.terms import Define as DefineZone
 
 COMMANDS = {
     "facts": Set("fact", b"v"),
--- a/tests/zones/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -5,16 +5,12 @@
 import msgspec
 import pytest
 
-from lichencleat.lab.sim.zones import World
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Gone, Renew
-from lichencleat.zones.budget import FLOOR, KEPT, Budget
-from lichencleat.zones.judge import CALM, LOOK, LOOKS, SILENT, TRICKLE, Judge
-from lichencleat.zones.leave_out import SPAN, LeaveOut
-from lichencleat.zones.near import HOLD, PROBE, REST, STALE, UP, Near
-from lichencleat.zones.state import Zones
-from lichencleat.zones.terms import (
+from lichencleat.failover.budget import FLOOR, KEPT, Budget
+from lichencleat.failover.judge import CALM, LOOK, LOOKS, SILENT, TRICKLE, Judge
+from lichencleat.failover.leave_out import SPAN, LeaveOut
+from lichencleat.failover.near import HOLD, PROBE, REST, STALE, UP, Near
+from lichencleat.failover.state import Zones
+from lichencleat.failover.terms import (
     JOB,
     Define,
     Done,
@@ -29,6 +25,10 @@
     Wish,
     Zone,
 )
+from lichencleat.lab.sim.zones import World
+from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.terms import Define as DefineJob
+from lichencleat.leases.terms import Gone, Renew
 
 SECOND = 1_000_000
 
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -8,6 +8,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from lichencleat.chosen.file import WrongFileError
+from lichencleat.failover.terms import Zone
 from lichencleat.net.deadlines import Deadlines
 from lichencleat.net.report import Report
 from lichencleat.net.resp import ArrayReader, array
@@ -18,7 +19,6 @@
 from lichencleat.router.terms import Came
 from lichencleat.terms import Effect, Machine, Tariff
 from lichencleat.terms import Told as Value
-from lichencleat.zones.terms import Zone
 
 SECOND = 1_000_000
 KEY = b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
