--- a/benchmarks/keyed.py
+++ b/benchmarks/keyed.py
@@ -15,9 +15,9 @@
 
 import click
 
-from lichencleat.keyed.book import READ_LATE
-from lichencleat.keyed.records import ENTRY, FORMAT, WHOSE, Entry, Seen, State, Whose, encode
-from lichencleat.keyed.records import SEEN as SEEN_KEY
+from lichencleat.idempotency.book import READ_LATE
+from lichencleat.idempotency.records import ENTRY, FORMAT, WHOSE, Entry, Seen, State, Whose, encode
+from lichencleat.idempotency.records import SEEN as SEEN_KEY
 from lichencleat.lab.rig.nodes import HARD_LIMIT, RigNode, settings, unix_time
 from lichencleat.lab.rig.rig import Rig, wait_until
 from lichencleat.store.batch import Batch
--- a/lichencleat/cli/keyed.py
+++ b/lichencleat/cli/keyed.py
@@ -13,8 +13,8 @@
 
 from lichencleat.cli import output
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.keyed.book import READ_LATE
-from lichencleat.keyed.records import (
+from lichencleat.idempotency.book import READ_LATE
+from lichencleat.idempotency.records import (
     ENTRY,
     FORMAT,
     SEEN,
--- a/lichencleat/keyed/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -10,9 +10,9 @@
 from twisted.internet.defer import inlineCallbacks
 
 from lichencleat.chosen.file import KeyedChoice
-from lichencleat.keyed.book import Book
-from lichencleat.keyed.keeper import Keeper
-from lichencleat.keyed.whose import NotOursError
+from lichencleat.idempotency.book import Book
+from lichencleat.idempotency.keeper import Keeper
+from lichencleat.idempotency.whose import NotOursError
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.errors import StoreError
 from lichencleat.store.room import Bounds
--- a/lichencleat/keyed/book.py
+++ b/lichencleat/idempotency/book.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum, auto
 
-from lichencleat.keyed.records import Entry, State
+from lichencleat.idempotency.records import Entry, State
 
 READ_LATE = (
     10_000_000  # µs that an entry stays past its window, for tries that came before and are read after
--- a/lichencleat/keyed/keeper.py
+++ b/lichencleat/idempotency/keeper.py
@@ -17,8 +17,8 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.keyed.book import Book, Told
-from lichencleat.keyed.records import (
+from lichencleat.idempotency.book import Book, Told
+from lichencleat.idempotency.records import (
     ENTRY,
     MARK,
     SEEN,
@@ -31,7 +31,7 @@
     encode,
     mark,
 )
-from lichencleat.keyed.whose import check_whose
+from lichencleat.idempotency.whose import check_whose
 from lichencleat.store.batch import Batch
 from lichencleat.store.errors import StoreError
 from lichencleat.store.store import Store
--- a/lichencleat/keyed/whose.py
+++ b/lichencleat/idempotency/whose.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lichencleat.keyed.records import ENTRY, FORMAT, WHOSE, Whose, decode_whose, encode
+from lichencleat.idempotency.records import ENTRY, FORMAT, WHOSE, Whose, decode_whose, encode
 from lichencleat.store.store import Store
 
 
--- a/lichencleat/lab/explore_keyed.py
+++ b/lichencleat/lab/explore_keyed.py
@@ -11,8 +11,8 @@
 
 import click
 
-from lichencleat.keyed.book import Book, Told
-from lichencleat.keyed.records import Entry, State
+from lichencleat.idempotency.book import Book, Told
+from lichencleat.idempotency.records import Entry, State
 from lichencleat.lab.explore import Explored, explore
 
 KEY, BODY = b"k" * 16, b"b" * 16
--- a/lichencleat/lab/explore_revive.py
+++ b/lichencleat/lab/explore_revive.py
@@ -15,8 +15,8 @@
 import click
 import msgspec
 
-from lichencleat.keyed.book import Book, Told
-from lichencleat.keyed.records import Entry, State
+from lichencleat.idempotency.book import Book, Told
+from lichencleat.idempotency.records import Entry, State
 from lichencleat.lab.explore import Explored, explore
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
--- a/lichencleat/net/assembly.py
+++ b/lichencleat/net/assembly.py
@@ -69,7 +69,7 @@
         self.keyed: Any = None
         self.chosen = chosen
         if chosen is not None and chosen.keyed is not None:
-            from lichencleat.keyed.assembly import make_keeper  # off means not imported: memory counts
+            from lichencleat.idempotency.assembly import make_keeper  # off means not imported: memory counts
 
             self.keyed = self.host.keyed = make_keeper(self, told.name, chosen.keyed, clock)
             self.host.able = False
@@ -121,7 +121,7 @@
         if self.distributed is not None:
             self.distributed.start().addErrback(self.cant_follow)
         if self.keyed is not None:
-            from lichencleat.keyed.assembly import start_keeper
+            from lichencleat.idempotency.assembly import start_keeper
 
             started = start_keeper(self.reactor, self.keyed, self.chosen.keyed, self.clock)
             started.addErrback(self.cant_start)
--- a/tests/keyed/keyed_life.py
+++ b/tests/idempotency/keyed_life.py
@@ -5,9 +5,9 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from lichencleat.keyed.book import Book
-from lichencleat.keyed.keeper import Keeper
-from lichencleat.keyed.whose import NotOursError
+from lichencleat.idempotency.book import Book
+from lichencleat.idempotency.keeper import Keeper
+from lichencleat.idempotency.whose import NotOursError
 from lichencleat.net.deadlines import Deadlines
 from lichencleat.net.host import Case, Host
 from lichencleat.net.report import Report
--- a/tests/keyed/kills.py
+++ b/tests/idempotency/kills.py
@@ -1,4 +1,4 @@
-"""The real node killed at drawn moments under repeated keys: `python -m tests.keyed.kills --kills 500`.
+"""The real node killed at drawn moments under repeated keys: `python -m tests.idempotency.kills --kills 500`.
 
 Its engine outlives it and counts runs; its disk holds back what was not flushed, so that each kill is a cut
 of power. Callers ask for the same keys again and again, across the restarts. Judged: no key runs twice in its
--- a/tests/keyed/test_keyed.py
+++ b/tests/idempotency/test_keyed.py
@@ -5,9 +5,9 @@
 import pytest
 from keyed_life import Life, World
 
-from lichencleat.keyed.book import ENTRY_COST, LATE, READ_LATE, Book, Told
-from lichencleat.keyed.keeper import PARKED_MOST
-from lichencleat.keyed.records import Entry, State
+from lichencleat.idempotency.book import ENTRY_COST, LATE, READ_LATE, Book, Told
+from lichencleat.idempotency.keeper import PARKED_MOST
+from lichencleat.idempotency.records import Entry, State
 from lichencleat.lab.explore_keyed import MISTAKES, play
 from lichencleat.lab.explore_keyed import World as Explored
 from lichencleat.store.faulty import FaultyDisk
--- a/tests/keyed/test_kills.py
+++ b/tests/idempotency/test_kills.py
@@ -1,11 +1,11 @@
-"""A few kills of the real node; the full length is `python -m tests.keyed.kills`."""
+"""A few kills of the real node; the full length is `python -m tests.idempotency.kills`."""
 
 import subprocess
 import sys
 from pathlib import Path
 
 import pytest
-from keyed.kills import run
+from idempotency.kills import run
 
 from lichencleat.lab.rig.nodes import RigNode, settings
 from lichencleat.lab.rig.rig import Rig
