--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -24,8 +24,8 @@
 import click
 
 from lichencleat.cli import output
+from lichencleat.config_distribution.terms import IN_FORCE
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.distribution.terms import IN_FORCE
 from lichencleat.lab.rig.distribution import DistributionRig
 from lichencleat.lab.rig.distribution_parts import ROOT, RelayProcess
 from lichencleat.lab.rig.hollow_nodes import rss
--- a/benchmarks/distribution_table.py
+++ b/benchmarks/distribution_table.py
@@ -24,10 +24,10 @@
 
 import click
 
-from lichencleat.distribution import pages
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import (
     PAGES,
     RECORDS_MOST,
     Batch,
@@ -240,7 +240,7 @@
     from twisted.internet.task import LoopingCall
 
     from lichencleat.clocks import make_reactor, unix_time
-    from lichencleat.distribution.kept import open_kept
+    from lichencleat.config_distribution.kept import open_kept
 
     reactor = make_reactor()
     found: dict[str, float] = {}
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -7,8 +7,8 @@
 from lichencleat.capacity import sizes as of
 from lichencleat.capacity.needs import CONFIG, SOME
 from lichencleat.capacity.sizes import Size
+from lichencleat.config_distribution import terms as distribution
 from lichencleat.consensus import facts, group, links, sessions
-from lichencleat.distribution import terms as distribution
 from lichencleat.failover import terms as zones
 from lichencleat.flows import collector
 from lichencleat.leases import terms as owners
--- a/lichencleat/capacity/events.py
+++ b/lichencleat/capacity/events.py
@@ -7,8 +7,8 @@
 from lichencleat.capacity.sizes import reports_waking
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import DAY, Target
-from lichencleat.distribution.feed import FETCH_RATE
-from lichencleat.distribution.terms import WINDOW_BATCHES
+from lichencleat.config_distribution.feed import FETCH_RATE
+from lichencleat.config_distribution.terms import WINDOW_BATCHES
 from lichencleat.recovery.terms import NODES_MOST
 
 CUT = 300.0  # s that a region is cut off
--- a/lichencleat/capacity/glance.py
+++ b/lichencleat/capacity/glance.py
@@ -12,7 +12,7 @@
 from lichencleat.capacity.sizes import SECOND
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import Target
-from lichencleat.distribution.terms import HOLD
+from lichencleat.config_distribution.terms import HOLD
 from lichencleat.leases import terms as owners
 from lichencleat.quotas import terms as shares
 
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -15,10 +15,19 @@
 from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output, relays
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.config_distribution.published import Summary, check_file, read_changes, split
+from lichencleat.config_distribution.source import (
+    Changed,
+    Diff,
+    Difference,
+    Find,
+    Found,
+    Publish,
+    Published,
+    net,
+)
+from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.distribution.published import Summary, check_file, read_changes, split
-from lichencleat.distribution.source import Changed, Diff, Difference, Find, Found, Publish, Published, net
-from lichencleat.distribution.terms import BATCH_BYTES, BATCH_MOST, Change
 
 PART = "distribution"
 UNCHANGED = "nothing would change"
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -10,9 +10,9 @@
 from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output
 from lichencleat.cli.quorum import ask_all, on_reactor
+from lichencleat.config_distribution.counts import OLDEST, merged
+from lichencleat.config_distribution.terms import IN_FORCE, Count
 from lichencleat.consensus.file import read_quorum
-from lichencleat.distribution.counts import OLDEST, merged
-from lichencleat.distribution.terms import IN_FORCE, Count
 
 ZONE_HEAD = ["zone", "nodes", "lowest", "late", "oldest_s", "by"]
 ASKED_HEAD = ["name", "address", "version", "digest", "age_s", "subscribers", "late_below"]
@@ -23,8 +23,8 @@
 @click.argument("file", type=click.Path(dir_okay=False))
 def run(file: str) -> None:
     """Run the relay of FILE until SIGTERM."""
-    from lichencleat.distribution import program
-    from lichencleat.distribution.file import read_relay
+    from lichencleat.config_distribution import program
+    from lichencleat.config_distribution.file import read_relay
 
     try:
         chosen = read_relay(file)
--- a/lichencleat/distribution/acts.py
+++ b/lichencleat/config_distribution/acts.py
@@ -6,7 +6,7 @@
 from enum import Enum
 from typing import Any
 
-from lichencleat.distribution.terms import Batch
+from lichencleat.config_distribution.terms import Batch
 
 
 class Act(Enum):
--- a/lichencleat/distribution/choice.py
+++ b/lichencleat/config_distribution/choice.py
@@ -10,7 +10,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from lichencleat.distribution.terms import HOLD, RELAYS_MOST
+from lichencleat.config_distribution.terms import HOLD, RELAYS_MOST
 
 Span = tuple[int, int]  # µs: drawn between these
 
--- a/lichencleat/distribution/copy.py
+++ b/lichencleat/config_distribution/copy.py
@@ -8,10 +8,10 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from lichencleat.distribution.errors import ChainError, SpoiltError
-from lichencleat.distribution.rebuild import Rebuild
-from lichencleat.distribution.table import Staging, Table
-from lichencleat.distribution.terms import Batch, Digests, Pages
+from lichencleat.config_distribution.errors import ChainError, SpoiltError
+from lichencleat.config_distribution.rebuild import Rebuild
+from lichencleat.config_distribution.table import Staging, Table
+from lichencleat.config_distribution.terms import Batch, Digests, Pages
 
 SPENT = 256  # pages let go of in one slice: some 100 µs
 
--- a/lichencleat/distribution/counts.py
+++ b/lichencleat/config_distribution/counts.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from lichencleat.distribution.terms import ZONES_MOST, Count
+from lichencleat.config_distribution.terms import ZONES_MOST, Count
 
 NODES_MOST = 1 << 20  # that one word can tell of: far over any fleet, so that sums stay numbers of the wire
 NAME_MOST = 64  # characters of a zone or a relay
--- a/lichencleat/distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -18,8 +18,8 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from lichencleat.distribution.counts import COUNTED, OLDEST, aged, at_relay, merged
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.counts import COUNTED, OLDEST, aged, at_relay, merged
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     FED_BYTES,
     FIND,
@@ -42,7 +42,7 @@
     Wanted,
     Wanting,
 )
-from lichencleat.distribution.window import Had, Window
+from lichencleat.config_distribution.window import Had, Window
 
 BEHIND_HOLD = 250_000  # µs that one who has more than this relay waits for it to catch up, before it is told
 FETCHERS_MOST = 8  # snapshots fetched at once: some 20 MB each, so that each gets 2 MB/s of the budget below
--- a/lichencleat/distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -22,14 +22,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.distribution.acts import Act, Decision
-from lichencleat.distribution.choice import Choice, Span, Times
-from lichencleat.distribution.copy import Copy
-from lichencleat.distribution.counts import OLDEST, aged
-from lichencleat.distribution.errors import TableError
-from lichencleat.distribution.looks import Looks, Probe
-from lichencleat.distribution.taking import Taking
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.acts import Act, Decision
+from lichencleat.config_distribution.choice import Choice, Span, Times
+from lichencleat.config_distribution.copy import Copy
+from lichencleat.config_distribution.counts import OLDEST, aged
+from lichencleat.config_distribution.errors import TableError
+from lichencleat.config_distribution.looks import Looks, Probe
+from lichencleat.config_distribution.taking import Taking
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
     HOLD,
--- a/lichencleat/distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -29,11 +29,11 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.python.failure import Failure
 
-from lichencleat.distribution import pages
-from lichencleat.distribution.errors import SpoiltError
-from lichencleat.distribution.rebuild import differing
-from lichencleat.distribution.table import Table, View
-from lichencleat.distribution.terms import DIGEST, PAGES, Batch, decode_batch, encode
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.errors import SpoiltError
+from lichencleat.config_distribution.rebuild import differing
+from lichencleat.config_distribution.table import Table, View
+from lichencleat.config_distribution.terms import DIGEST, PAGES, Batch, decode_batch, encode
 from lichencleat.store import batch as stored
 from lichencleat.store.disk import Disk
 from lichencleat.store.errors import DamagedError, StoreError, UnfitError
--- a/lichencleat/distribution/looks.py
+++ b/lichencleat/config_distribution/looks.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass
 
-from lichencleat.distribution.choice import Choice, Times
-from lichencleat.distribution.counts import aged
-from lichencleat.distribution.terms import Fed, Say
+from lichencleat.config_distribution.choice import Choice, Times
+from lichencleat.config_distribution.counts import aged
+from lichencleat.config_distribution.terms import Fed, Say
 
 
 @dataclass(slots=True)
--- a/lichencleat/distribution/pages.py
+++ b/lichencleat/config_distribution/pages.py
@@ -20,8 +20,8 @@
 
 from xxhash import xxh3_64_intdigest, xxh3_128_intdigest
 
-from lichencleat.distribution.errors import SpoiltError
-from lichencleat.distribution.terms import DIGEST, PAGES
+from lichencleat.config_distribution.errors import SpoiltError
+from lichencleat.config_distribution.terms import DIGEST, PAGES
 
 PAGE_MOST = 128 << 10  # bytes of a page: four times the mean of a full table; what is inflated at once
 RECORD_HEAD = 2  # bytes: the two lengths
@@ -31,7 +31,7 @@
 LEVEL = 1  # of zlib: a fifth of the time of the usual level, for a tenth more bytes
 
 if sys.byteorder != "little":  # pages are read in place, and their bytes are the same everywhere
-    raise ImportError("lichencleat.distribution needs a little-endian machine")
+    raise ImportError("lichencleat.config_distribution needs a little-endian machine")
 
 Put = tuple[int, bytes, bytes | None]
 """A change within a page: place, key, the value or None."""
--- a/lichencleat/distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -10,9 +10,9 @@
 from twisted.internet.error import CannotListenError
 
 from lichencleat.clocks import make_reactor, unix_time
-from lichencleat.distribution.file import RelayChoice
-from lichencleat.distribution.relay import RelayProcess
-from lichencleat.distribution.table import Table
+from lichencleat.config_distribution.file import RelayChoice
+from lichencleat.config_distribution.relay import RelayProcess
+from lichencleat.config_distribution.table import Table
 from lichencleat.logs.lines import make_log
 from lichencleat.programs import run_program
 from lichencleat.store.errors import StoreError
@@ -44,7 +44,9 @@
         chosen, kept = self.chosen, None
         table, mark, recent = Table(), b"", []
         if chosen.directory is not None:
-            from lichencleat.distribution.kept import open_kept  # off means not imported: memory counts
+            from lichencleat.config_distribution.kept import (
+                open_kept,  # off means not imported: memory counts
+            )
 
             disk = disk_of(chosen)
             try:
--- a/lichencleat/distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -18,9 +18,9 @@
 from msgspec import UNSET, Meta, Struct
 
 from lichencleat.chosen.file import Place, WrongFileError, load, read_as
-from lichencleat.distribution.pages import key_of
-from lichencleat.distribution.table import unfit_change
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.pages import key_of
+from lichencleat.config_distribution.table import unfit_change
+from lichencleat.config_distribution.terms import (
     BATCH_BYTES,
     BATCH_MOST,
     KIND_MOST,
--- a/lichencleat/distribution/rebuild.py
+++ b/lichencleat/config_distribution/rebuild.py
@@ -12,12 +12,12 @@
 from operator import ne
 from typing import TYPE_CHECKING
 
-from lichencleat.distribution import pages
-from lichencleat.distribution.errors import ChainError, SpoiltError
-from lichencleat.distribution.terms import DIGEST, PAGES, RECORDS_MOST, TABLE_BYTES, Digests
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.errors import ChainError, SpoiltError
+from lichencleat.config_distribution.terms import DIGEST, PAGES, RECORDS_MOST, TABLE_BYTES, Digests
 
 if TYPE_CHECKING:
-    from lichencleat.distribution.table import Table
+    from lichencleat.config_distribution.table import Table
 
 SPLIT = struct.Struct(f"{DIGEST}s" * PAGES)
 
--- a/lichencleat/distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -13,21 +13,21 @@
 from twisted.internet.defer import Deferred, succeed
 
 from lichencleat.chosen.file import host_port
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.file import RelayChoice
+from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.serving import Log, Serving
+from lichencleat.config_distribution.subscriber import Subscriber
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import Batch
 from lichencleat.consensus.links import Called, Door
 from lichencleat.consensus.seats import Life, Welcome
 from lichencleat.consensus.terms import Message
 from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.feed import Feeder
-from lichencleat.distribution.file import RelayChoice
-from lichencleat.distribution.follow import Follower
-from lichencleat.distribution.serving import Log, Serving
-from lichencleat.distribution.subscriber import Subscriber
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import Batch
 
 if TYPE_CHECKING:
-    from lichencleat.distribution.kept import Kept  # off means not imported: memory counts
+    from lichencleat.config_distribution.kept import Kept  # off means not imported: memory counts
 
 COUNT = 200_000  # µs between sums of what is below: they are told once a second
 SWEEP = 5.0  # s between looks for links whose caller has not said who it is
--- a/lichencleat/distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -13,10 +13,8 @@
 
 import msgspec
 
-from lichencleat.consensus.wire import Reply, Request, raw
-from lichencleat.decoding import UNDECODABLE
-from lichencleat.distribution.feed import Answer, Drop, Feeder
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.feed import Answer, Drop, Feeder
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     FIND,
     FOLLOW,
@@ -27,6 +25,8 @@
     decode_wanting,
     encode,
 )
+from lichencleat.consensus.wire import Reply, Request, raw
+from lichencleat.decoding import UNDECODABLE
 
 ANSWERS_TURN = 64  # written in one turn of the reactor: what was read meanwhile is not kept waiting for all
 UNREAD = 10_000_000  # µs that an answer may wait to be read: at 13 KB a second the largest one is through
--- a/lichencleat/distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -20,11 +20,10 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
-from lichencleat.distribution.errors import TableError
-from lichencleat.distribution.pages import LEVEL, PAGE_MOST, key_of, place_of
-from lichencleat.distribution.table import Table, unfit
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.errors import TableError
+from lichencleat.config_distribution.pages import LEVEL, PAGE_MOST, key_of, place_of
+from lichencleat.config_distribution.table import Table, unfit
+from lichencleat.config_distribution.terms import (
     BATCH_BYTES,
     BATCH_MOST,
     VALUE_MOST,
@@ -34,6 +33,7 @@
     Change,
     encode,
 )
+from lichencleat.decoding import UNDECODABLE
 
 PACKED_EACH = 16  # pages compressed at an entry, some 300 µs each: small batches leave none that waits
 PAST_MOST = BATCH_BYTES + BATCH_MOST * (VALUE_MOST + 16)  # bytes of a kept batch, values replaced included
--- a/lichencleat/distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -15,17 +15,13 @@
 from twisted.internet.protocol import ClientFactory
 
 from lichencleat.chosen.file import host_port
-from lichencleat.consensus.links import Framed
-from lichencleat.consensus.seats import Life, Welcome
-from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
-from lichencleat.decoding import UNDECODABLE
-from lichencleat.distribution.acts import Act, Decision
-from lichencleat.distribution.copy import Copy
-from lichencleat.distribution.counts import OLDEST
-from lichencleat.distribution.errors import TableError
-from lichencleat.distribution.follow import Follower
-from lichencleat.distribution.serving import Log
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.acts import Act, Decision
+from lichencleat.config_distribution.copy import Copy
+from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.errors import TableError
+from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.serving import Log
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
     PAGES_OF,
@@ -34,6 +30,10 @@
     decode_fed,
     decode_pages,
 )
+from lichencleat.consensus.links import Framed
+from lichencleat.consensus.seats import Life, Welcome
+from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
+from lichencleat.decoding import UNDECODABLE
 
 CALL = 1.5  # s for a connection to open; the follower's patience is shorter, and counts until it is greeted
 AGAIN = 0.1  # s until decisions are pulled again after one that failed
--- a/lichencleat/distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -12,10 +12,10 @@
 
 from collections.abc import Iterator, Sequence
 
-from lichencleat.distribution import pages
-from lichencleat.distribution.errors import ChainError, SpoiltError, UnfitError
-from lichencleat.distribution.rebuild import Rebuild
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.errors import ChainError, SpoiltError, UnfitError
+from lichencleat.config_distribution.rebuild import Rebuild
+from lichencleat.config_distribution.terms import (
     BATCH_BYTES,
     BATCH_MOST,
     DIGEST,
--- a/lichencleat/distribution/taking.py
+++ b/lichencleat/config_distribution/taking.py
@@ -7,9 +7,9 @@
 
 from __future__ import annotations
 
-from lichencleat.distribution.copy import Copy
-from lichencleat.distribution.errors import TableError
-from lichencleat.distribution.terms import Batch, Digests, Fed, Pages, Wanted
+from lichencleat.config_distribution.copy import Copy
+from lichencleat.config_distribution.errors import TableError
+from lichencleat.config_distribution.terms import Batch, Digests, Fed, Pages, Wanted
 
 WANT = 8  # pages asked for at once: each is a slice of some 150 µs when it came
 AHEAD = 2 * WANT  # pages that came and are not looked at yet, while more are asked for
--- a/lichencleat/distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -12,13 +12,13 @@
 from collections.abc import Callable
 from typing import Any
 
+from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.serving import KNOWN, Serving
+from lichencleat.config_distribution.source import Source
 from lichencleat.consensus.links import Called
 from lichencleat.consensus.serves import Asks
 from lichencleat.consensus.state import State
 from lichencleat.consensus.wire import Reply, Request, raw
-from lichencleat.distribution.feed import Feeder
-from lichencleat.distribution.serving import KNOWN, Serving
-from lichencleat.distribution.source import Source
 
 PART = "distribution"  # of the group's state
 PROVE = 0.1  # s between a leader's questions whether it still leads: one word more to each voter
--- a/lichencleat/distribution/window.py
+++ b/lichencleat/config_distribution/window.py
@@ -7,7 +7,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from lichencleat.distribution.terms import FED_BYTES, LATE, WINDOW_BATCHES, WINDOW_BYTES, Batch
+from lichencleat.config_distribution.terms import FED_BYTES, LATE, WINDOW_BATCHES, WINDOW_BYTES, Batch
 
 BATCH_ROOM = 64  # bytes of a batch beside its changes, encoded: three numbers, a digest, the heads of arrays
 CHANGE_ROOM = 12  # bytes of a change beside its words: the heads of an array, two strings and bytes
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -93,7 +93,7 @@
 
 def distribution_parts() -> dict[str, Part]:
     """Of a group for configuration: leases and renewals never travel with it."""
-    from lichencleat.distribution.source import Source  # other groups don't load it
+    from lichencleat.config_distribution.source import Source  # other groups don't load it
 
     return {"facts": Facts(), "distribution": Source()}
 
@@ -161,7 +161,7 @@
             serves: Serves | None = None
             own: tuple[Any, Any] = (parts, ExpiryTender().tend)
             if chosen.distribution:
-                from lichencleat.distribution.voting import Voting
+                from lichencleat.config_distribution.voting import Voting
 
                 serves = Voting(self.reactor, identity.member, chosen.zone, self.log)
                 own = (distribution_parts, lambda state, now: [])
--- a/lichencleat/lab/explore_distribution.py
+++ b/lichencleat/lab/explore_distribution.py
@@ -16,10 +16,10 @@
 
 import click
 
-from lichencleat.distribution.feed import Feeder
-from lichencleat.distribution.follow import Follower, Question
-from lichencleat.distribution.taking import Taking
-from lichencleat.distribution.terms import FOLLOW, Batch, Digests, Fed, Follow, Pages, Say
+from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.follow import Follower, Question
+from lichencleat.config_distribution.taking import Taking
+from lichencleat.config_distribution.terms import FOLLOW, Batch, Digests, Fed, Follow, Pages, Say
 from lichencleat.lab.explore import Explored, explore
 from lichencleat.lab.tiny_distribution import NODE, RELAYS, TICK, Kinds, Limits, World
 from lichencleat.lab.tiny_table import Tiny, page_digest
--- a/lichencleat/lab/hollow.py
+++ b/lichencleat/lab/hollow.py
@@ -17,11 +17,11 @@
 from collections.abc import Sequence
 from typing import TypeVar
 
-from lichencleat.distribution import pages
-from lichencleat.distribution.errors import ChainError, SpoiltError, TableError
-from lichencleat.distribution.rebuild import differing, digests_of
-from lichencleat.distribution.table import Staging, Table
-from lichencleat.distribution.terms import PAGES, RECORDS_MOST, TABLE_BYTES, Batch, Digests, Pages
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.errors import ChainError, SpoiltError, TableError
+from lichencleat.config_distribution.rebuild import differing, digests_of
+from lichencleat.config_distribution.table import Staging, Table
+from lichencleat.config_distribution.terms import PAGES, RECORDS_MOST, TABLE_BYTES, Batch, Digests, Pages
 
 TABLES_MOST = 64  # versions that are found again; an older one lives on as long as a follower has it
 WORKS_MOST = 64  # batches under way or applied that are found again
--- a/lichencleat/lab/rig/distribution.py
+++ b/lichencleat/lab/rig/distribution.py
@@ -17,10 +17,10 @@
 import msgspec
 import yaml
 
+from lichencleat.config_distribution.source import Publish, Published
+from lichencleat.config_distribution.terms import Change
+from lichencleat.config_distribution.voting import PART
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.distribution.source import Publish, Published
-from lichencleat.distribution.terms import Change
-from lichencleat.distribution.voting import PART
 from lichencleat.lab.checkers.distribution import (
     LEFT,
     PAIR,
--- a/lichencleat/lab/rig/distribution_parts.py
+++ b/lichencleat/lab/rig/distribution_parts.py
@@ -14,7 +14,7 @@
 import yaml
 
 from lichencleat.clocks import unix_time
-from lichencleat.distribution.kept import PAGE, STORE
+from lichencleat.config_distribution.kept import PAGE, STORE
 from lichencleat.lab.rig.heldback import FULL
 from lichencleat.lab.rig.relay import LOCAL
 from lichencleat.lab.rig.rig import GROUP, Signalled, free_port
--- a/lichencleat/lab/rig/hollow_nodes.py
+++ b/lichencleat/lab/rig/hollow_nodes.py
@@ -21,13 +21,13 @@
 from typing import Any
 
 from lichencleat.clocks import make_reactor, unix_time
-from lichencleat.distribution import subscriber as subscribing
-from lichencleat.distribution.choice import Times
-from lichencleat.distribution.copy import Copy, TableCopy
-from lichencleat.distribution.follow import Follower
-from lichencleat.distribution.subscriber import Subscriber, Upward
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import Batch
+from lichencleat.config_distribution import subscriber as subscribing
+from lichencleat.config_distribution.choice import Times
+from lichencleat.config_distribution.copy import Copy, TableCopy
+from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.subscriber import Subscriber, Upward
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import Batch
 from lichencleat.lab.hollow import Shared, SharedCopy
 from lichencleat.lab.rig.tap import moment
 from lichencleat.logs.lines import make_log
--- a/lichencleat/lab/rig/mistakes.py
+++ b/lichencleat/lab/rig/mistakes.py
@@ -10,12 +10,12 @@
 
 import msgspec
 
-from lichencleat.distribution import kept as keeping
-from lichencleat.distribution.kept import Kept, page_key, slot_of, unpack
-from lichencleat.distribution.pages import EMPTY, digest_bytes
-from lichencleat.distribution.subscriber import Subscriber
-from lichencleat.distribution.table import Staging, Table
-from lichencleat.distribution.terms import PAGES, Batch, Digests
+from lichencleat.config_distribution import kept as keeping
+from lichencleat.config_distribution.kept import Kept, page_key, slot_of, unpack
+from lichencleat.config_distribution.pages import EMPTY, digest_bytes
+from lichencleat.config_distribution.subscriber import Subscriber
+from lichencleat.config_distribution.table import Staging, Table
+from lichencleat.config_distribution.terms import PAGES, Batch, Digests
 from lichencleat.lab.rig.watcher import WatchedCopy
 
 LATER = 0.05  # s from one turn to the other, or from the word to the deed
--- a/lichencleat/lab/rig/tap.py
+++ b/lichencleat/lab/rig/tap.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from typing import Any
 
+from lichencleat.config_distribution.terms import FOLLOW, decode_follow
 from lichencleat.consensus.wire import FRAME_MOST, Greeting, Request, decode_frame
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.distribution.terms import FOLLOW, decode_follow
 from lichencleat.lab.checkers.distribution import Acknowledged
 from lichencleat.lab.rig.relay import Inward, Link, Relay, Relays
 
--- a/lichencleat/lab/rig/watcher.py
+++ b/lichencleat/lab/rig/watcher.py
@@ -22,14 +22,14 @@
 from twisted.internet.defer import inlineCallbacks
 
 from lichencleat.clocks import make_reactor, unix_time
-from lichencleat.distribution.choice import Times
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.follow import Follower
-from lichencleat.distribution.kept import open_kept
-from lichencleat.distribution.pages import digest_bytes, digest_of
-from lichencleat.distribution.subscriber import Subscriber
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import Batch, Digests, Pages
+from lichencleat.config_distribution.choice import Times
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.kept import open_kept
+from lichencleat.config_distribution.pages import digest_bytes, digest_of
+from lichencleat.config_distribution.subscriber import Subscriber
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import Batch, Digests, Pages
 from lichencleat.lab.rig.heldback import HeldBackDisk
 from lichencleat.lab.rig.tap import moment
 from lichencleat.logs.lines import make_log
--- a/lichencleat/lab/sim/distribution.py
+++ b/lichencleat/lab/sim/distribution.py
@@ -20,9 +20,9 @@
 
 import click
 
-from lichencleat.distribution.counts import OLDEST, merged
-from lichencleat.distribution.feed import Feeder
-from lichencleat.distribution.follow import Follower
+from lichencleat.config_distribution.counts import OLDEST, merged
+from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.follow import Follower
 from lichencleat.lab.sim.distribution_events import EVENTS, WARM, Scene
 from lichencleat.lab.sim.distribution_fleet import Fleet, Size
 from lichencleat.lab.sim.distribution_table import SharedCopy
--- a/lichencleat/lab/sim/distribution_events.py
+++ b/lichencleat/lab/sim/distribution_events.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from lichencleat.distribution.terms import BATCH_MOST, Change
+from lichencleat.config_distribution.terms import BATCH_MOST, Change
 from lichencleat.lab.sim.distribution_fleet import Fleet
 from lichencleat.lab.sim.distribution_table import drawn_changes
 from lichencleat.lab.sim.distribution_world import SECOND, Site
--- a/lichencleat/lab/sim/distribution_fleet.py
+++ b/lichencleat/lab/sim/distribution_fleet.py
@@ -12,11 +12,11 @@
 
 import msgspec
 
+from lichencleat.config_distribution.errors import TableError
+from lichencleat.config_distribution.feed import Answer, Decline, Feeder
+from lichencleat.config_distribution.follow import Act, Decision, Follower
+from lichencleat.config_distribution.terms import FOLLOW, Batch, Follow, Pages
 from lichencleat.consensus.wire import Reply, Request, encode
-from lichencleat.distribution.errors import TableError
-from lichencleat.distribution.feed import Answer, Decline, Feeder
-from lichencleat.distribution.follow import Act, Decision, Follower
-from lichencleat.distribution.terms import FOLLOW, Batch, Follow, Pages
 from lichencleat.lab.sim.distribution_judge import Judge
 from lichencleat.lab.sim.distribution_source import Source
 from lichencleat.lab.sim.distribution_table import Shared, SharedCopy, drawn_table
--- a/lichencleat/lab/sim/distribution_judge.py
+++ b/lichencleat/lab/sim/distribution_judge.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, Protocol
 
-from lichencleat.distribution.terms import Batch
+from lichencleat.config_distribution.terms import Batch
 
 WRONGS_MOST = 20  # told of a run: the first ones say what is wrong
 COMPARED_MOST = 4_000_000  # records, of tables that are compared whole: each is one for all that share it
--- a/lichencleat/lab/sim/distribution_source.py
+++ b/lichencleat/lab/sim/distribution_source.py
@@ -10,7 +10,7 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from lichencleat.distribution.terms import Batch, Change
+from lichencleat.config_distribution.terms import Batch, Change
 from lichencleat.lab.sim.distribution_world import SECOND, VOTERS, Site
 
 if TYPE_CHECKING:
--- a/lichencleat/lab/sim/distribution_table.py
+++ b/lichencleat/lab/sim/distribution_table.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterator, Sequence
 from typing import Any
 
-from lichencleat.distribution import pages
-from lichencleat.distribution.table import Table, View
-from lichencleat.distribution.terms import PAGES, Batch, Change, Digests, Pages
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.table import Table, View
+from lichencleat.config_distribution.terms import PAGES, Batch, Change, Digests, Pages
 from lichencleat.lab import hollow
 
 ROUTES = 200 / 560  # of all records; the others are tenants
--- a/lichencleat/lab/tiny_distribution.py
+++ b/lichencleat/lab/tiny_distribution.py
@@ -1,7 +1,7 @@
 """A source, two relays and a node of the configuration's distribution: the real decisions over a table of
 three records, one step at a time.
 
-Driven through all orders by `explore_distribution.py`, and at random by `tests/distribution/test_tree.py`. A
+Driven through all orders by `explore_distribution.py`, and at random by `tests/config_distribution/test_tree.py`. A
 tick is a span in which no message arrives, so silence and late answers are among the orders; so are lost
 links, spoilt answers, and a relay that is put back to what it once had. Judged at each state: no version goes
 back, none is there in part or with other bytes than published, nothing is acknowledged before it is in force,
@@ -19,13 +19,13 @@
 
 import msgspec
 
-from lichencleat.distribution.acts import Act
-from lichencleat.distribution.counts import OLDEST
-from lichencleat.distribution.errors import SpoiltError
-from lichencleat.distribution.feed import Answer, Feeder
-from lichencleat.distribution.follow import Follower, Times
-from lichencleat.distribution.terms import Batch, Change, Digests, Fed, Follow, Pages, Say
-from lichencleat.distribution.window import Window
+from lichencleat.config_distribution.acts import Act
+from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.errors import SpoiltError
+from lichencleat.config_distribution.feed import Answer, Feeder
+from lichencleat.config_distribution.follow import Follower, Times
+from lichencleat.config_distribution.terms import Batch, Change, Digests, Fed, Follow, Pages, Say
+from lichencleat.config_distribution.window import Window
 from lichencleat.lab.checkers.distribution import Acknowledged, DistributionWatch, Said
 from lichencleat.lab.tiny_table import MARK, NAMES, Tiny, changes, digest_of, published
 
--- a/lichencleat/lab/tiny_table.py
+++ b/lichencleat/lab/tiny_table.py
@@ -5,8 +5,8 @@
 from collections.abc import Sequence
 from hashlib import blake2b
 
-from lichencleat.distribution.errors import ChainError, SpoiltError
-from lichencleat.distribution.terms import Batch, Change, Digests, Pages
+from lichencleat.config_distribution.errors import ChainError, SpoiltError
+from lichencleat.config_distribution.terms import Batch, Change, Digests, Pages
 
 NAMES = ("a", "b", "c")  # of the records, each on a page of its own; a and b only change together
 AT_ONCE = 2  # pages asked for, so that a snapshot has two pieces
--- a/lichencleat/net/tenants.py
+++ b/lichencleat/net/tenants.py
@@ -1,6 +1,6 @@
 """A node that is told the fleet's configuration: a subscriber of its zone's relays, and what is used of it.
 
-Puts together what `distribution/` makes; decides nothing. Imported only where the operators' file names a
+Puts together what `config_distribution/` makes; decides nothing. Imported only where the operators' file names a
 distribution. What the node uses is which tenants there are.
 """
 
@@ -12,15 +12,15 @@
 
 from twisted.internet.defer import Deferred, inlineCallbacks, succeed
 
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.follow import Follower
-from lichencleat.distribution.subscriber import Subscriber
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import Batch
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.subscriber import Subscriber
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import Batch
 from lichencleat.store.errors import StoreError
 
 if TYPE_CHECKING:
-    from lichencleat.distribution.kept import Kept
+    from lichencleat.config_distribution.kept import Kept
 
 TENANT = "tenant"  # a record's kind; its name is what a request bears
 SECOND = 1_000_000  # µs
@@ -92,7 +92,9 @@
         """What is on the disk is in force once it is checked; where none is whole, nothing is."""
         table = Table()
         if self.chosen.directory is not None:
-            from lichencleat.distribution.kept import open_kept  # off means not imported: memory counts
+            from lichencleat.config_distribution.kept import (
+                open_kept,  # off means not imported: memory counts
+            )
 
             try:
                 self.kept = yield open_kept(
--- a/tests/distribution/following.py
+++ b/tests/config_distribution/following.py
@@ -4,10 +4,10 @@
 
 from hypothesis import settings
 
-from lichencleat.distribution.acts import Act
-from lichencleat.distribution.errors import TableError
-from lichencleat.distribution.follow import Follower, Times
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.acts import Act
+from lichencleat.config_distribution.errors import TableError
+from lichencleat.config_distribution.follow import Follower, Times
+from lichencleat.config_distribution.terms import (
     FOLLOW,
     Batch,
     Fed,
--- a/tests/distribution/test_copy.py
+++ b/tests/config_distribution/test_copy.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from lichencleat.distribution import pages
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.errors import ChainError, SpoiltError
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import PAGES, Batch, Change, Digests, Pages
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.errors import ChainError, SpoiltError
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import PAGES, Batch, Change, Digests, Pages
 
 
 def change(name: str, value: bytes | None) -> Change:
--- a/tests/distribution/test_counts.py
+++ b/tests/config_distribution/test_counts.py
@@ -5,10 +5,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lichencleat.distribution.counts import COUNTED, NAME_MOST, NODES_MOST, OLDEST, at_relay, merged
-from lichencleat.distribution.feed import Feeder
-from lichencleat.distribution.terms import FOLLOW, HOLD, LATE, ZONES_MOST, Count, Follow, encode
-from lichencleat.distribution.window import SLOT, SLOTS_MOST, Had
+from lichencleat.config_distribution.counts import COUNTED, NAME_MOST, NODES_MOST, OLDEST, at_relay, merged
+from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.terms import FOLLOW, HOLD, LATE, ZONES_MOST, Count, Follow, encode
+from lichencleat.config_distribution.window import SLOT, SLOTS_MOST, Had
 from lichencleat.lab.tiny_table import Tiny
 
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=80)
--- a/tests/distribution/test_distribution_sim.py
+++ b/tests/config_distribution/test_distribution_sim.py
@@ -13,9 +13,9 @@
 import msgspec
 import pytest
 
-from lichencleat.distribution.feed import Feeder
-from lichencleat.distribution.follow import Follower
-from lichencleat.distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
+from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
 from lichencleat.lab.sim.distribution import AIM, Job, Run
 from lichencleat.lab.sim.distribution_events import EVENTS
 from lichencleat.lab.sim.distribution_fleet import Size
@@ -91,7 +91,7 @@
 
 def test_the_same_seed_gives_the_same_bytes_whatever_the_hashes() -> None:
     script = (
-        "import json; from tests.distribution.test_distribution_sim import LEAST, play;"
+        "import json; from tests.config_distribution.test_distribution_sim import LEAST, play;"
         "print(json.dumps(play('drawn', 7, LEAST)))"
     )
     told = [
--- a/tests/distribution/test_feed.py
+++ b/tests/config_distribution/test_feed.py
@@ -6,9 +6,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lichencleat.distribution import feed
-from lichencleat.distribution.counts import OLDEST
-from lichencleat.distribution.feed import (
+from lichencleat.config_distribution import feed
+from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.feed import (
     BEHIND_HOLD,
     FETCH_BURST,
     FETCH_IDLE,
@@ -23,8 +23,8 @@
     Drop,
     Feeder,
 )
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     FED_BYTES,
     FIND,
@@ -43,7 +43,7 @@
     Wanting,
     encode,
 )
-from lichencleat.distribution.window import Window, size_of
+from lichencleat.config_distribution.window import Window, size_of
 
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=80)
 
--- a/tests/distribution/test_follow.py
+++ b/tests/config_distribution/test_follow.py
@@ -4,12 +4,12 @@
 from collections import Counter
 
 import pytest
-from distribution.following import HOME, NEXT, SECOND, TIMES, Node, fed, following, news
+from config_distribution.following import HOME, NEXT, SECOND, TIMES, Node, fed, following, news
 
-from lichencleat.distribution.choice import Choice
-from lichencleat.distribution.counts import OLDEST
-from lichencleat.distribution.follow import BUSY_MOST
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.choice import Choice
+from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.follow import BUSY_MOST
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     HOLD,
     RELAYS_MOST,
--- a/tests/distribution/test_follow_properties.py
+++ b/tests/config_distribution/test_follow_properties.py
@@ -1,13 +1,13 @@
 """A follower against relays that say anything; planted mistakes do not withstand it."""
 
 import pytest
-from distribution.following import FIXED, Node, batch, fed, head, news, pages
+from config_distribution.following import FIXED, Node, batch, fed, head, news, pages
 from hypothesis import Phase, find, given, settings
 from hypothesis import strategies as st
 
-from lichencleat.distribution.follow import Follower
-from lichencleat.distribution.taking import Taking
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.taking import Taking
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
     PAGES_OF,
--- a/tests/distribution/test_follow_taking.py
+++ b/tests/config_distribution/test_follow_taking.py
@@ -1,14 +1,14 @@
 """What a follower takes over, and what its age is: by direct calls."""
 
 import pytest
-from distribution.following import SECOND, TIMES, Node, batch, fed, following, head, news, pages
-
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.counts import OLDEST
-from lichencleat.distribution.follow import HEADS_MOST
-from lichencleat.distribution.pages import key_of, place_of
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import (
+from config_distribution.following import SECOND, TIMES, Node, batch, fed, following, head, news, pages
+
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.follow import HEADS_MOST
+from lichencleat.config_distribution.pages import key_of, place_of
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     HOLD,
     PAGES_OF,
--- a/tests/distribution/test_hollow.py
+++ b/tests/config_distribution/test_hollow.py
@@ -4,11 +4,11 @@
 
 import pytest
 
-from lichencleat.distribution import pages
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.errors import ChainError, SpoiltError, TableError
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import PAGES, Batch, Change, Digests, Pages
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.errors import ChainError, SpoiltError, TableError
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import PAGES, Batch, Change, Digests, Pages
 from lichencleat.lab.hollow import Shared, SharedCopy
 
 NAMES = [f"t{number}" for number in range(40)]
--- a/tests/distribution/test_in_time.py
+++ b/tests/config_distribution/test_in_time.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lichencleat.distribution.choice import Times
+from lichencleat.config_distribution.choice import Times
 from lichencleat.lab import tiny_distribution
 from lichencleat.lab.tiny_distribution import NODE, RELAYS, SOURCE, Kinds, Limits, World
 
--- a/tests/distribution/test_kept.py
+++ b/tests/config_distribution/test_kept.py
@@ -8,11 +8,11 @@
 from twisted.internet.defer import Deferred, execute
 from twisted.internet.task import Clock
 
-from lichencleat.distribution import kept as module
-from lichencleat.distribution import pages
-from lichencleat.distribution.kept import Kept, made_kept, open_kept, page_key
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import PAGES, Batch, Change
+from lichencleat.config_distribution import kept as module
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution.kept import Kept, made_kept, open_kept, page_key
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import PAGES, Batch, Change
 from lichencleat.store.batch import Batch as Stored
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import DamagedError, Finding, StoreError, UnfitError
--- a/tests/distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -10,10 +10,10 @@
 from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import distribution as commands
 from lichencleat.cli.main import lichencleat
+from lichencleat.config_distribution.published import LINE_MOST, check_file, read_changes, split
+from lichencleat.config_distribution.source import Source
+from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change, encode
 from lichencleat.consensus.client import GroupError
-from lichencleat.distribution.published import LINE_MOST, check_file, read_changes, split
-from lichencleat.distribution.source import Source
-from lichencleat.distribution.terms import BATCH_BYTES, BATCH_MOST, Change, encode
 
 GOOD = '{"kind":"tenant","name":"%s","value":{"b":1,"a":[null,true,"é"]}}\n'
 
--- a/tests/distribution/test_relay_file.py
+++ b/tests/config_distribution/test_relay_file.py
@@ -5,9 +5,9 @@
 import pytest
 
 from lichencleat.chosen.file import SOURCES_MOST, WrongFileError, read_file
+from lichencleat.config_distribution.file import read_relay
+from lichencleat.config_distribution.terms import RELAYS_MOST
 from lichencleat.consensus.file import read_quorum
-from lichencleat.distribution.file import read_relay
-from lichencleat.distribution.terms import RELAYS_MOST
 
 EXAMPLES = Path(__file__).parents[2] / "deploy" / "relays"
 GOOD = """distribution:
--- a/tests/distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -4,12 +4,11 @@
 import pytest
 from twisted.internet.task import Clock
 
-from lichencleat.consensus.wire import Request, raw
-from lichencleat.distribution import serving
-from lichencleat.distribution.feed import Feeder
-from lichencleat.distribution.serving import Serving
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution import serving
+from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.serving import Serving
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import (
     DIGESTS,
     FIND,
     FOLLOW,
@@ -26,6 +25,7 @@
     decode_pages,
     encode,
 )
+from lichencleat.consensus.wire import Request, raw
 
 SECOND = 1_000_000
 
--- a/tests/distribution/test_source.py
+++ b/tests/config_distribution/test_source.py
@@ -6,14 +6,14 @@
 import msgspec
 import pytest
 
+from lichencleat.config_distribution import source as sources
+from lichencleat.config_distribution.source import Diff, Find, Publish, Published, Source, Stands
+from lichencleat.config_distribution.terms import BATCH_MOST, FIND, FOLLOW, IN_FORCE, Change, Follow, Say
+from lichencleat.config_distribution.voting import DOUBT, SILENCE, Fresh, Voting
 from lichencleat.consensus.serves import Guarded
 from lichencleat.consensus.state import State, command
 from lichencleat.consensus.terms import Entry, Group, Member, Snapshot, What
 from lichencleat.consensus.wire import Request, raw
-from lichencleat.distribution import source as sources
-from lichencleat.distribution.source import Diff, Find, Publish, Published, Source, Stands
-from lichencleat.distribution.terms import BATCH_MOST, FIND, FOLLOW, IN_FORCE, Change, Follow, Say
-from lichencleat.distribution.voting import DOUBT, SILENCE, Fresh, Voting
 
 GROUP = Group((Member(1, "v1", "h", 1),))
 encode = msgspec.msgpack.encode
@@ -105,7 +105,7 @@
     assert "another version" in publish(source, 2, ("tenant", "a", b"2"), only_if=0).why
     for none in (b"\x01", encode(["publish", "x"]), encode(["drop", []])):
         assert source.apply(3, msgspec.Raw(none)) == Published(False, 1, 0, "no command")
-    monkeypatch.setattr("lichencleat.distribution.table.RECORDS_MOST", 1)
+    monkeypatch.setattr("lichencleat.config_distribution.table.RECORDS_MOST", 1)
     assert "records" in publish(source, 4, ("tenant", "b", b"1")).why
     assert found(source, "a") == b"1" and found(source, "b") is None
     assert source.read(["none"]) is None
--- a/tests/distribution/test_status.py
+++ b/tests/config_distribution/test_status.py
@@ -7,9 +7,9 @@
 from twisted.internet.defer import succeed
 
 from lichencleat.cli import relays
-from lichencleat.distribution.feed import Feeder
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import FOLLOW, Change, Count, Follow
+from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import FOLLOW, Change, Count, Follow
 
 FILE = """quorum:
   group: config
--- a/tests/distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -7,16 +7,16 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.test.iosim import FakeTransport, connect
 
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.errors import SpoiltError
+from lichencleat.config_distribution.file import RelayChoice
+from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.relay import SWEEP, RelayProcess
+from lichencleat.config_distribution.subscriber import CALL, Subscriber
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
 from lichencleat.consensus.seats import Life
 from lichencleat.consensus.wire import FORMAT, Greeting, Reply, Request, raw
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.errors import SpoiltError
-from lichencleat.distribution.file import RelayChoice
-from lichencleat.distribution.follow import Follower
-from lichencleat.distribution.relay import SWEEP, RelayProcess
-from lichencleat.distribution.subscriber import CALL, Subscriber
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
 
 SECOND = 1_000_000
 MARK = b"mark-one"
--- a/tests/distribution/test_table.py
+++ b/tests/config_distribution/test_table.py
@@ -7,11 +7,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lichencleat.distribution import pages
-from lichencleat.distribution import table as module
-from lichencleat.distribution.errors import ChainError, SpoiltError, UnfitError
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import (
+from lichencleat.config_distribution import pages
+from lichencleat.config_distribution import table as module
+from lichencleat.config_distribution.errors import ChainError, SpoiltError, UnfitError
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import (
     BATCH_MOST,
     DIGEST,
     NAME_MOST,
@@ -256,14 +256,14 @@
         ("pages", "PAGE_MOST", 20),
     ]:
         with monkeypatch.context() as patch:
-            patch.setattr(f"lichencleat.distribution.{where}.{bound}", value)
+            patch.setattr(f"lichencleat.config_distribution.{where}.{bound}", value)
             with pytest.raises(UnfitError, match="at the most"):
                 table.apply(2, batch.changes)
             with pytest.raises(SpoiltError):
                 ended(table.stage([batch]))
         assert (table.version, table.records) == (1, 9)
     with monkeypatch.context() as patch:
-        patch.setattr("lichencleat.distribution.rebuild.RECORDS_MOST", 9)
+        patch.setattr("lichencleat.config_distribution.rebuild.RECORDS_MOST", 9)
         with pytest.raises(SpoiltError):
             copied(source, table)
     assert table.apply(2, batch.changes) == batch
--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -8,6 +8,9 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
+from lichencleat.config_distribution.source import Publish, Source
+from lichencleat.config_distribution.terms import Change, Follow, Say, decode_fed
+from lichencleat.config_distribution.voting import Voting
 from lichencleat.consensus.client import Client, GroupError
 from lichencleat.consensus.journal import Journal
 from lichencleat.consensus.member import Role
@@ -18,9 +21,6 @@
 from lichencleat.consensus.state import command, founded
 from lichencleat.consensus.terms import Act, Decision, Group, Kind, Member, Message, Reason
 from lichencleat.consensus.wire import Request, raw
-from lichencleat.distribution.source import Publish, Source
-from lichencleat.distribution.terms import Change, Follow, Say, decode_fed
-from lichencleat.distribution.voting import Voting
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, StoreError
 from lichencleat.store.faulty import FaultyDisk
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -4,6 +4,8 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
+from lichencleat.config_distribution.source import Publish, Source
+from lichencleat.config_distribution.terms import Change
 from lichencleat.consensus import wire
 from lichencleat.consensus.facts import Facts, Set
 from lichencleat.consensus.links import Framed
@@ -11,8 +13,6 @@
 from lichencleat.consensus.seats import Life
 from lichencleat.consensus.state import State, command
 from lichencleat.consensus.terms import Entry, What
-from lichencleat.distribution.source import Publish, Source
-from lichencleat.distribution.terms import Change
 from lichencleat.failover.terms import Define as DefineZone
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lichencleat.distribution.terms import DIGESTS, FOLLOW, PAGES_OF
+from lichencleat.config_distribution.terms import DIGESTS, FOLLOW, PAGES_OF
 from lichencleat.lab.rig.distribution import DistributionRig
 from lichencleat.lab.rig.rig import GROUP
 from lichencleat.lab.rig.tap import moment
--- a/tests/net/test_tenants.py
+++ b/tests/net/test_tenants.py
@@ -14,10 +14,10 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from lichencleat.chosen.file import read_text
-from lichencleat.distribution import kept
-from lichencleat.distribution.copy import TableCopy
-from lichencleat.distribution.table import Table
-from lichencleat.distribution.terms import Change, Digests, Pages
+from lichencleat.config_distribution import kept
+from lichencleat.config_distribution.copy import TableCopy
+from lichencleat.config_distribution.table import Table
+from lichencleat.config_distribution.terms import Change, Digests, Pages
 from lichencleat.net.assembly import RealNode
 from lichencleat.net.config import read_told
 from lichencleat.net.host import Answer
