--- a/benchmarks/capacity/state.py
+++ b/benchmarks/capacity/state.py
@@ -18,7 +18,7 @@
 
 from benchmarks.capacity import Effort, Lines, enough, took
 from lichencleat.capacity.slopes import Line
-from lichencleat.chosen.file import read_as
+from lichencleat.config.file import read_as
 from lichencleat.consensus.facts import Fact, Facts
 from lichencleat.failover.judge import JOB, Judge
 from lichencleat.failover.state import Dumped, Zones
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -10,7 +10,7 @@
 from lichencleat.capacity import sizes as of
 from lichencleat.capacity.sizes import SECOND, Size, Times, look_bytes, looks, once
 from lichencleat.capacity.target import Target
-from lichencleat.chosen.file import SIZE_MOST
+from lichencleat.config.file import SIZE_MOST
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
 from lichencleat.failover import judge
 from lichencleat.leases import terms as owners
--- a/lichencleat/capacity/target.py
+++ b/lichencleat/capacity/target.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, Struct
 
 from lichencleat.capacity.slopes import Slopes, WrongSlopesError, decode
-from lichencleat.chosen.file import WrongFileError, load, read_as
+from lichencleat.config.file import WrongFileError, load, read_as
 
 SLOPES_MOST = 4 << 20  # bytes of a file of slopes: it has some 50 KB
 DAY = 86_400  # s
--- a/lichencleat/cli/capacity.py
+++ b/lichencleat/cli/capacity.py
@@ -9,8 +9,8 @@
 
 from lichencleat.capacity import page, plan
 from lichencleat.capacity.target import read_slopes, read_target
-from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output
+from lichencleat.config.file import WrongFileError
 
 
 @click.group("capacity", no_args_is_help=True)
--- a/lichencleat/cli/chosen.py
+++ b/lichencleat/cli/chosen.py
@@ -4,8 +4,8 @@
 
 import click
 
-from lichencleat.chosen.file import WrongFileError, read_file, show
 from lichencleat.cli import output
+from lichencleat.config.file import WrongFileError, read_file, show
 
 
 @click.group("config", no_args_is_help=True)
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -12,9 +12,9 @@
 import msgspec
 from twisted.internet.defer import inlineCallbacks
 
-from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output, relays
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.config.file import WrongFileError
 from lichencleat.config_distribution.published import Summary, check_file, read_changes, split
 from lichencleat.config_distribution.source import (
     Changed,
--- a/lichencleat/cli/quorum.py
+++ b/lichencleat/cli/quorum.py
@@ -13,8 +13,8 @@
 from twisted.internet.epollreactor import EPollReactor
 from twisted.internet.task import deferLater
 
-from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output
+from lichencleat.config.file import WrongFileError
 from lichencleat.consensus import program
 from lichencleat.consensus.client import Client, GroupError
 from lichencleat.consensus.file import QuorumChoice, host_port, read_quorum
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -7,9 +7,9 @@
 
 import click
 
-from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output
 from lichencleat.cli.quorum import ask_all, on_reactor
+from lichencleat.config.file import WrongFileError
 from lichencleat.config_distribution.counts import OLDEST, merged
 from lichencleat.config_distribution.terms import IN_FORCE, Count
 from lichencleat.consensus.file import read_quorum
--- a/lichencleat/cli/router.py
+++ b/lichencleat/cli/router.py
@@ -4,8 +4,8 @@
 
 import click
 
-from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import output
+from lichencleat.config.file import WrongFileError
 from lichencleat.router.file import RouterFile, read_router
 from lichencleat.terms import Machine
 
--- a/lichencleat/config_distribution/file.py
+++ b/lichencleat/config_distribution/file.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from lichencleat.chosen.file import (
+from lichencleat.config.file import (
     Address,
     LogChoice,
     Name,
--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -17,7 +17,7 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct
 
-from lichencleat.chosen.file import Place, WrongFileError, load, read_as
+from lichencleat.config.file import Place, WrongFileError, load, read_as
 from lichencleat.config_distribution.pages import key_of
 from lichencleat.config_distribution.table import unfit_change
 from lichencleat.config_distribution.terms import (
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from lichencleat.chosen.file import host_port
+from lichencleat.config.file import host_port
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.feed import Feeder
 from lichencleat.config_distribution.file import RelayChoice
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -14,7 +14,7 @@
 import msgspec
 from twisted.internet.protocol import ClientFactory
 
-from lichencleat.chosen.file import host_port
+from lichencleat.config.file import host_port
 from lichencleat.config_distribution.acts import Act, Decision
 from lichencleat.config_distribution.copy import Copy
 from lichencleat.config_distribution.counts import OLDEST
--- a/lichencleat/consensus/file.py
+++ b/lichencleat/consensus/file.py
@@ -6,7 +6,7 @@
 
 from msgspec import Meta, Struct
 
-from lichencleat.chosen.file import Address, LogChoice, Name, Place, WrongFileError, host_port, load, read_as
+from lichencleat.config.file import Address, LogChoice, Name, Place, WrongFileError, host_port, load, read_as
 from lichencleat.consensus.terms import Times
 
 __all__ = ["QuorumChoice", "QuorumFile", "host_port", "read_quorum"]
--- a/lichencleat/flows/assembly.py
+++ b/lichencleat/flows/assembly.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 from twisted.protocols.policies import ProtocolWrapper, WrappingFactory
 
-from lichencleat.chosen.file import FlowsChoice
+from lichencleat.config.file import FlowsChoice
 from lichencleat.flows.channel import Channel, Wire
 from lichencleat.flows.elements import Elements
 from lichencleat.flows.exporter import Exporter, Link, Report, Timers
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.defer import inlineCallbacks
 
-from lichencleat.chosen.file import KeyedChoice
+from lichencleat.config.file import KeyedChoice
 from lichencleat.idempotency.book import Book
 from lichencleat.idempotency.keeper import Keeper
 from lichencleat.idempotency.whose import NotOursError
--- a/lichencleat/membership/program.py
+++ b/lichencleat/membership/program.py
@@ -10,8 +10,8 @@
 from msgspec import Meta, Struct
 from twisted.internet.error import CannotListenError
 
-from lichencleat.chosen.file import Name, WrongFileError, load, read_as
 from lichencleat.clocks import make_reactor, unix_time
+from lichencleat.config.file import Name, WrongFileError, load, read_as
 from lichencleat.logs.lines import make_log
 from lichencleat.membership.gossip import Gossip
 from lichencleat.membership.port import Port
--- a/lichencleat/net/fleet.py
+++ b/lichencleat/net/fleet.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from lichencleat.chosen.file import FleetChoice, host_port
+from lichencleat.config.file import FleetChoice, host_port
 from lichencleat.consensus.client import Client
 from lichencleat.leases.holder import Holder, Work
 from lichencleat.quotas.grants import Grants
--- a/lichencleat/net/program.py
+++ b/lichencleat/net/program.py
@@ -59,7 +59,7 @@
     if not path:
         return None
     try:
-        from lichencleat.chosen.file import WrongFileError, read_file
+        from lichencleat.config.file import WrongFileError, read_file
     except ModuleNotFoundError as missing:
         raise BadInputError(
             f"LICHENCLEAT_FILE: needs {missing.name}: pip install 'lichencleat[file]'"
--- a/lichencleat/router/file.py
+++ b/lichencleat/router/file.py
@@ -7,7 +7,7 @@
 
 from msgspec import Meta, Struct
 
-from lichencleat.chosen.file import (
+from lichencleat.config.file import (
     Address,
     LogChoice,
     Name,
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -9,8 +9,8 @@
 
 from twisted.internet.error import CannotListenError
 
-from lichencleat.chosen.file import WrongFileError
 from lichencleat.clocks import make_reactor, unix_time
+from lichencleat.config.file import WrongFileError
 from lichencleat.consensus.client import Client
 from lichencleat.failover.terms import Zone
 from lichencleat.leases.holder import Holder
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -7,9 +7,9 @@
 from click.testing import CliRunner
 from twisted.internet.defer import fail, succeed
 
-from lichencleat.chosen.file import WrongFileError
 from lichencleat.cli import distribution as commands
 from lichencleat.cli.main import lichencleat
+from lichencleat.config.file import WrongFileError
 from lichencleat.config_distribution.published import LINE_MOST, check_file, read_changes, split
 from lichencleat.config_distribution.source import Source
 from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change, encode
--- a/tests/config_distribution/test_relay_file.py
+++ b/tests/config_distribution/test_relay_file.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lichencleat.chosen.file import SOURCES_MOST, WrongFileError, read_file
+from lichencleat.config.file import SOURCES_MOST, WrongFileError, read_file
 from lichencleat.config_distribution.file import read_relay
 from lichencleat.config_distribution.terms import RELAYS_MOST
 from lichencleat.consensus.file import read_quorum
--- a/tests/net/test_tenants.py
+++ b/tests/net/test_tenants.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.testing import MemoryReactorClock
 
-from lichencleat.chosen.file import read_text
+from lichencleat.config.file import read_text
 from lichencleat.config_distribution import kept
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.table import Table
@@ -202,7 +202,7 @@
 
 
 def test_off_means_not_imported():
-    text = "from lichencleat.chosen.file import read_text; import lichencleat.net.assembly, sys; "
+    text = "from lichencleat.config.file import read_text; import lichencleat.net.assembly, sys; "
     text += "assert read_text('f', 'log: {form: json}')[0].log; print(*sys.modules)"
     ran = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True)
     assert "lichencleat.net.assembly" in ran.stdout.split()
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from lichencleat.chosen.file import WrongFileError
+from lichencleat.config.file import WrongFileError
 from lichencleat.failover.terms import Zone
 from lichencleat.net.deadlines import Deadlines
 from lichencleat.net.report import Report
--- a/tests/test_chosen.py
+++ b/tests/test_chosen.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lichencleat.chosen.file import WrongFileError, read_file, show
+from lichencleat.config.file import WrongFileError, read_file, show
 
 GOOD = """flows:
   collectors:
