--- a/lichencleat/cli/logs.py
+++ b/lichencleat/cli/logs.py
@@ -8,7 +8,7 @@
 import click
 
 from lichencleat.cli import output
-from lichencleat.logs.merge import merge
+from lichencleat.log.merge import merge
 
 
 @click.group("logs", no_args_is_help=True)
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -13,7 +13,7 @@
 from lichencleat.config_distribution.file import RelayChoice
 from lichencleat.config_distribution.relay import RelayProcess
 from lichencleat.config_distribution.table import Table
-from lichencleat.logs.lines import make_log
+from lichencleat.log.lines import make_log
 from lichencleat.programs import run_program
 from lichencleat.store.errors import StoreError
 
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -43,7 +43,7 @@
 
 
 class Log(Protocol):
-    """Where events are told; `lichencleat.logs` makes one."""
+    """Where events are told; `lichencleat.log` makes one."""
 
     def info(self, event: str, **fields: Any) -> Any: ...
 
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -22,7 +22,7 @@
 from lichencleat.failover.state import Zones
 from lichencleat.leases.expiry import Expiry
 from lichencleat.leases.jobs import Jobs
-from lichencleat.logs.lines import make_log
+from lichencleat.log.lines import make_log
 from lichencleat.programs import run_program
 from lichencleat.quotas.pools import Pools
 from lichencleat.recovery.state import Fleet
--- a/lichencleat/consensus/serves.py
+++ b/lichencleat/consensus/serves.py
@@ -12,7 +12,7 @@
 
 
 class Log(Protocol):
-    """Where events are told; `lichencleat.logs` makes one."""
+    """Where events are told; `lichencleat.log` makes one."""
 
     def info(self, event: str, **fields: Any) -> Any: ...
 
--- a/lichencleat/lab/rig/hollow_nodes.py
+++ b/lichencleat/lab/rig/hollow_nodes.py
@@ -30,7 +30,7 @@
 from lichencleat.config_distribution.terms import Batch
 from lichencleat.lab.hollow import Shared, SharedCopy
 from lichencleat.lab.rig.tap import moment
-from lichencleat.logs.lines import make_log
+from lichencleat.log.lines import make_log
 
 TAKES_MOST = 2_000_000  # kept between two lines: 300 nodes that take some thousand batches
 passed = {"in": 0, "out": 0}  # bytes of all links
--- a/lichencleat/lab/rig/watcher.py
+++ b/lichencleat/lab/rig/watcher.py
@@ -32,7 +32,7 @@
 from lichencleat.config_distribution.terms import Batch, Digests, Pages
 from lichencleat.lab.rig.heldback import HeldBackDisk
 from lichencleat.lab.rig.tap import moment
-from lichencleat.logs.lines import make_log
+from lichencleat.log.lines import make_log
 from lichencleat.store.errors import StoreError
 
 
--- a/lichencleat/lab/rig/worker.py
+++ b/lichencleat/lab/rig/worker.py
@@ -19,7 +19,7 @@
 from lichencleat.consensus.client import Client
 from lichencleat.consensus.file import host_port, read_quorum
 from lichencleat.leases.holder import Holder
-from lichencleat.logs.lines import make_log
+from lichencleat.log.lines import make_log
 
 ACT = 0.01  # s between two acts on a job
 
--- a/lichencleat/membership/program.py
+++ b/lichencleat/membership/program.py
@@ -12,7 +12,7 @@
 
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config.file import Name, WrongFileError, load, read_as
-from lichencleat.logs.lines import make_log
+from lichencleat.log.lines import make_log
 from lichencleat.membership.gossip import Gossip
 from lichencleat.membership.port import Port
 from lichencleat.membership.terms import Choice, State, Word
--- a/lichencleat/net/structured.py
+++ b/lichencleat/net/structured.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from lichencleat.logs.lines import make_log
+from lichencleat.log.lines import make_log
 from lichencleat.net.report import Report
 
 
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -14,7 +14,7 @@
 from lichencleat.consensus.client import Client
 from lichencleat.failover.terms import Zone
 from lichencleat.leases.holder import Holder
-from lichencleat.logs.lines import make_log
+from lichencleat.log.lines import make_log
 from lichencleat.net.assembly import UnixClock
 from lichencleat.net.deadlines import Deadlines
 from lichencleat.net.structured import StructuredReport
--- a/tests/fleet/test_logs.py
+++ b/tests/fleet/test_logs.py
@@ -3,8 +3,8 @@
 import io
 import json
 
-from lichencleat.logs.lines import KIND_MOST, make_log
-from lichencleat.logs.merge import merge, moment
+from lichencleat.log.lines import KIND_MOST, make_log
+from lichencleat.log.merge import merge, moment
 
 
 def test_a_line_bears_its_fields_and_a_kind_that_comes_too_often_is_counted():
