--- a/benchmarks/capacity/data_path.py
+++ b/benchmarks/capacity/data_path.py
@@ -23,7 +23,7 @@
 
 from benchmarks.capacity import Effort, Lines, cpu_of, resident
 from lichencleat.capacity.slopes import Line
-from lichencleat.net.resp import ArrayReader, array
+from lichencleat.node.resp import ArrayReader, array
 
 ROOT = Path(__file__).resolve().parents[2]
 LOCAL = "127.0.0.1"
--- a/benchmarks/router.py
+++ b/benchmarks/router.py
@@ -24,7 +24,7 @@
 from lichencleat.lab.rig.peers import Asked, Caller
 from lichencleat.lab.rig.relay import LOCAL, Relays
 from lichencleat.lab.rig.rig import free_port, wait_until
-from lichencleat.net.resp import ArrayReader, array
+from lichencleat.node.resp import ArrayReader, array
 
 TICKS = os.sysconf("SC_CLK_TCK")
 OPEN = 24  # tries at once, where as many as possible are asked for
--- a/lichencleat/__main__.py
+++ b/lichencleat/__main__.py
@@ -17,7 +17,7 @@
     # the imports take a while; what it asks for is read after them, and nothing is owed before
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
-    from lichencleat.net.program import main as node
+    from lichencleat.node.program import main as node
 
     return node()
 
--- a/lichencleat/flows/exporter.py
+++ b/lichencleat/flows/exporter.py
@@ -29,7 +29,7 @@
 
 
 class Timers(Protocol):
-    """As net/deadlines.py: one heap of timers."""
+    """As node/deadlines.py: one heap of timers."""
 
     def after(self, span: int, call: Callable[..., None], *args: Any) -> Any: ...
 
--- a/lichencleat/lab/rig/peers.py
+++ b/lichencleat/lab/rig/peers.py
@@ -14,9 +14,9 @@
 
 from twisted.internet.protocol import ClientFactory, DatagramProtocol, Factory, Protocol
 
-from lichencleat.net.framing import BrokenFramingError
-from lichencleat.net.lines import LineReader, line, line_with_body
-from lichencleat.net.resp import ArrayReader, array
+from lichencleat.node.framing import BrokenFramingError
+from lichencleat.node.lines import LineReader, line, line_with_body
+from lichencleat.node.resp import ArrayReader, array
 
 LOCAL = "127.0.0.1"
 NOTICES_MOST = 4_000  # kept for a link that comes again
--- a/lichencleat/net/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -9,14 +9,14 @@
 from twisted.internet.defer import Deferred, DeferredList
 
 from lichencleat.clocks import unix_time
-from lichencleat.net.catalogue import Catalogue, links_most
-from lichencleat.net.config import Told
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.dispatchers import MEMORY_LEAST, Dispatchers
-from lichencleat.net.host import Host
-from lichencleat.net.interpreter import Interpreter
-from lichencleat.net.membership import Membership
-from lichencleat.net.report import Report
+from lichencleat.node.catalogue import Catalogue, links_most
+from lichencleat.node.config import Told
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.dispatchers import MEMORY_LEAST, Dispatchers
+from lichencleat.node.host import Host
+from lichencleat.node.interpreter import Interpreter
+from lichencleat.node.membership import Membership
+from lichencleat.node.report import Report
 
 LOOK = 20_000  # µs between looks whether all is answered, while leaving
 BELIEFS = 10_000_000  # µs between lines that tell what the node believes: a log stays readable
@@ -75,7 +75,7 @@
             self.host.able = False
         self.fleet: Any = None
         if chosen is not None and chosen.fleet is not None:
-            from lichencleat.net.fleet import FleetNode  # off means not imported: memory counts
+            from lichencleat.node.fleet import FleetNode  # off means not imported: memory counts
 
             rng, events = Random(os.urandom(16)), self.report.events()
             self.fleet = FleetNode(
@@ -83,7 +83,7 @@
             )
         self.distributed: Any = None
         if chosen is not None and chosen.distribution is not None:
-            from lichencleat.net.tenants import Distributed  # off means not imported: memory counts
+            from lichencleat.node.tenants import Distributed  # off means not imported: memory counts
 
             rng, choice = Random(os.urandom(16)), chosen.distribution
             self.distributed = Distributed(
@@ -105,7 +105,7 @@
     def make_report(self, chosen: Any) -> Report:
         if chosen is None or chosen.log is None:
             return Report(self.told.name, self.clock)
-        from lichencleat.net.structured import StructuredReport  # off means not imported: memory counts
+        from lichencleat.node.structured import StructuredReport  # off means not imported: memory counts
 
         return StructuredReport(self.told.name, self.clock, chosen.log.form)
 
--- a/lichencleat/net/catalogue.py
+++ b/lichencleat/node/catalogue.py
@@ -12,10 +12,10 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 
-from lichencleat.net.deadlines import Deadline, Deadlines
-from lichencleat.net.framing import BrokenFramingError
-from lichencleat.net.lines import LineReader, line, line_with_body
-from lichencleat.net.report import Report
+from lichencleat.node.deadlines import Deadline, Deadlines
+from lichencleat.node.framing import BrokenFramingError
+from lichencleat.node.lines import LineReader, line, line_with_body
+from lichencleat.node.report import Report
 from lichencleat.terms import Outcome
 
 IDLE = 500_000  # µs: one left idle for longer may be forgotten by the other side, and the next call be lost
--- a/lichencleat/net/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -11,14 +11,14 @@
 from twisted.internet.tcp import Port
 from zope.interface import implementer
 
-from lichencleat.net.catalogue import links_most
-from lichencleat.net.deadlines import Deadline, Deadlines
-from lichencleat.net.framing import BrokenFramingError
-from lichencleat.net.host import Answer, Case, Host
-from lichencleat.net.report import Report
-from lichencleat.net.requests import BadRequestError, read_request
-from lichencleat.net.resp import ArrayReader, array
-from lichencleat.net.slots import Slots
+from lichencleat.node.catalogue import links_most
+from lichencleat.node.deadlines import Deadline, Deadlines
+from lichencleat.node.framing import BrokenFramingError
+from lichencleat.node.host import Answer, Case, Host
+from lichencleat.node.report import Report
+from lichencleat.node.requests import BadRequestError, read_request
+from lichencleat.node.resp import ArrayReader, array
+from lichencleat.node.slots import Slots
 from lichencleat.terms import Request
 
 READ_MOST = 16_384  # bytes read at once: a flood on one connection holds the others up for some ms at most
--- a/lichencleat/net/host.py
+++ b/lichencleat/node/host.py
@@ -15,12 +15,12 @@
 
 from lichencleat.decide import Node
 from lichencleat.machine import read_gauges
-from lichencleat.net.catalogue import Call, Catalogue
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.interpreter import Interpreter, Run
-from lichencleat.net.receipts import Receipts
-from lichencleat.net.report import Report
-from lichencleat.net.slots import Slots
+from lichencleat.node.catalogue import Call, Catalogue
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.interpreter import Interpreter, Run
+from lichencleat.node.receipts import Receipts
+from lichencleat.node.report import Report
+from lichencleat.node.slots import Slots
 from lichencleat.terms import Act, Decision, Effect, Gauges, Machine, Outcome, Request, State
 
 GAUGES_WAIT = 40_000  # µs for the gauges at a wake-up: well under its period, and far over a usual answer
--- a/lichencleat/net/lines.py
+++ b/lichencleat/node/lines.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from lichencleat.net.framing import BrokenFramingError, Reader
+from lichencleat.node.framing import BrokenFramingError, Reader
 
 LINE_MOST = 1_024  # bytes: the longest line has a few words and a remark
 LENGTH_MOST = 9  # digits of a length
--- a/lichencleat/net/membership.py
+++ b/lichencleat/node/membership.py
@@ -6,8 +6,8 @@
 
 from twisted.internet.protocol import DatagramProtocol
 
-from lichencleat.net.deadlines import Deadline, Deadlines
-from lichencleat.net.report import Report
+from lichencleat.node.deadlines import Deadline, Deadlines
+from lichencleat.node.report import Report
 
 BEAT = 200_000  # µs between reports: with one in four lost, 14 in a row (3 s) are, once in 200 million
 
--- a/lichencleat/net/program.py
+++ b/lichencleat/node/program.py
@@ -14,10 +14,10 @@
 
 from lichencleat.clocks import make_reactor
 from lichencleat.machine import BadInputError
-from lichencleat.net.assembly import RealNode, UnixClock
-from lichencleat.net.config import read_told
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.report import Report
+from lichencleat.node.assembly import RealNode, UnixClock
+from lichencleat.node.config import read_told
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.report import Report
 
 EXTRAS = {"crc32c": "store", "sortedcontainers": "store", "structlog": "fleet", "xxhash": "fleet"}
 TIDY = 10_000_000  # µs between full collections: they take 2 ms, and closed connections are cycles
--- a/lichencleat/net/requests.py
+++ b/lichencleat/node/requests.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Container
 from hashlib import blake2b
 
-from lichencleat.net.host import Case, Host
+from lichencleat.node.host import Case, Host
 from lichencleat.terms import Effect, Request
 
 BODY_MOST = 2_048  # bytes, by the protocol
--- a/lichencleat/net/resp.py
+++ b/lichencleat/node/resp.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lichencleat.net.framing import BrokenFramingError, Reader
+from lichencleat.node.framing import BrokenFramingError, Reader
 
 WORDS_MOST = 8  # in an array: half as many again as the longest message has
 WORD_MOST = 4_096  # bytes: twice a body, so that one a little too long can still be answered by its tag
--- a/lichencleat/net/structured.py
+++ b/lichencleat/node/structured.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lichencleat.log.lines import make_log
-from lichencleat.net.report import Report
+from lichencleat.node.report import Report
 
 
 class StructuredReport(Report):
--- a/lichencleat/router/door.py
+++ b/lichencleat/router/door.py
@@ -1,7 +1,7 @@
 """A router between its callers and its nodes: reads requests as a node does, and carries out what `core`
 decides.
 
-What reads and answers callers is the node's own (`net/dispatchers.py`), with all its bounds.
+What reads and answers callers is the node's own (`node/dispatchers.py`), with all its bounds.
 """
 
 from __future__ import annotations
@@ -10,12 +10,12 @@
 from functools import partial
 from typing import Any
 
-from lichencleat.net.deadlines import Deadline, Deadlines
-from lichencleat.net.dispatchers import OPEN_MOST, Connection, Dispatchers
-from lichencleat.net.host import Answer, Case
-from lichencleat.net.report import Report
-from lichencleat.net.requests import BadRequestError, read_request
-from lichencleat.net.slots import Slots
+from lichencleat.node.deadlines import Deadline, Deadlines
+from lichencleat.node.dispatchers import OPEN_MOST, Connection, Dispatchers
+from lichencleat.node.host import Answer, Case
+from lichencleat.node.report import Report
+from lichencleat.node.requests import BadRequestError, read_request
+from lichencleat.node.slots import Slots
 from lichencleat.router.core import Router
 from lichencleat.router.links import NodeLinks, Told, Try
 from lichencleat.router.terms import Act, Came, Carried, Decision
--- a/lichencleat/router/links.py
+++ b/lichencleat/router/links.py
@@ -12,10 +12,10 @@
 
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 
-from lichencleat.net.deadlines import Deadline, Deadlines
-from lichencleat.net.framing import BrokenFramingError
-from lichencleat.net.report import Report
-from lichencleat.net.resp import ArrayReader, array
+from lichencleat.node.deadlines import Deadline, Deadlines
+from lichencleat.node.framing import BrokenFramingError
+from lichencleat.node.report import Report
+from lichencleat.node.resp import ArrayReader, array
 from lichencleat.router.terms import Came
 
 OPEN_MOST = 32  # tries open on one connection, by the protocol
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -15,9 +15,9 @@
 from lichencleat.failover.terms import Zone
 from lichencleat.leases.holder import Holder
 from lichencleat.log.lines import make_log
-from lichencleat.net.assembly import UnixClock
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.structured import StructuredReport
+from lichencleat.node.assembly import UnixClock
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.structured import StructuredReport
 from lichencleat.programs import run_program
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterHost
--- a/tests/flows/test_export.py
+++ b/tests/flows/test_export.py
@@ -17,8 +17,8 @@
 from lichencleat.flows.elements import Elements
 from lichencleat.flows.exporter import AGAIN_MOST, REFUSED_SPAN, SLOW_LONG, TICK, Exporter, Link
 from lichencleat.flows.meter import Counts, End, Meter, Record
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.report import Report
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.report import Report
 
 SECOND = 1_000_000
 HERE, THERE = (b"\x7f\0\0\x01", 8443), (b"\x7f\0\0\x02", 40_000)
--- a/tests/idempotency/keyed_life.py
+++ b/tests/idempotency/keyed_life.py
@@ -8,9 +8,9 @@
 from lichencleat.idempotency.book import Book
 from lichencleat.idempotency.keeper import Keeper
 from lichencleat.idempotency.whose import NotOursError
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.host import Case, Host
-from lichencleat.net.report import Report
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.host import Case, Host
+from lichencleat.node.report import Report
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
 from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
--- a/tests/net/conftest.py
+++ b/tests/node/conftest.py
@@ -6,12 +6,12 @@
 from net_parts import ID, SECOND, Reactor, Transport
 
 from lichencleat.decide import Node
-from lichencleat.net.catalogue import Catalogue
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.dispatchers import Connection, Dispatchers
-from lichencleat.net.host import Case, Host
-from lichencleat.net.interpreter import Interpreter, Link, Run
-from lichencleat.net.report import Report
+from lichencleat.node.catalogue import Catalogue
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.dispatchers import Connection, Dispatchers
+from lichencleat.node.host import Case, Host
+from lichencleat.node.interpreter import Interpreter, Link, Run
+from lichencleat.node.report import Report
 from lichencleat.terms import Effect, Machine, Request, Tariff
 
 
--- a/tests/net/test_calls.py
+++ b/tests/node/test_calls.py
@@ -3,7 +3,7 @@
 import pytest
 from net_parts import ID, SECOND
 
-from lichencleat.net.catalogue import BEYOND, IDLE, LINKS_MOST
+from lichencleat.node.catalogue import BEYOND, IDLE, LINKS_MOST
 from lichencleat.terms import Outcome
 
 
--- a/tests/net/test_connections.py
+++ b/tests/node/test_connections.py
@@ -3,10 +3,10 @@
 import pytest
 from net_parts import CHECK, ID, REQUEST, SECOND, Transport
 
-from lichencleat.net.dispatchers import BAD_MOST, Dispatchers
-from lichencleat.net.host import Answer
-from lichencleat.net.membership import Membership
-from lichencleat.net.requests import mark
+from lichencleat.node.dispatchers import BAD_MOST, Dispatchers
+from lichencleat.node.host import Answer
+from lichencleat.node.membership import Membership
+from lichencleat.node.requests import mark
 
 
 def test_after_its_leave_the_node_reports_no_more(reactor, deadlines, report):
--- a/tests/net/test_ends.py
+++ b/tests/node/test_ends.py
@@ -3,9 +3,9 @@
 import pytest
 from net_parts import CHECK, ID, REQUEST, Transport
 
-from lichencleat.net.catalogue import links_most
-from lichencleat.net.dispatchers import OWN, SPARE, Dispatchers
-from lichencleat.net.host import Answer
+from lichencleat.node.catalogue import links_most
+from lichencleat.node.dispatchers import OWN, SPARE, Dispatchers
+from lichencleat.node.host import Answer
 
 
 def test_near_the_bound_the_oldest_that_said_nothing_ends_and_none_is_cut_off(connection, reactor):
--- a/tests/net/test_host.py
+++ b/tests/node/test_host.py
@@ -3,8 +3,8 @@
 import pytest
 from net_parts import ID, SECOND
 
-from lichencleat.net.host import Answer, Case
-from lichencleat.net.interpreter import Run
+from lichencleat.node.host import Answer, Case
+from lichencleat.node.interpreter import Run
 from lichencleat.terms import Act, Decision, Outcome, Request
 
 
--- a/tests/net/test_interpreter_link.py
+++ b/tests/node/test_interpreter_link.py
@@ -3,7 +3,7 @@
 import pytest
 from net_parts import ID, SECOND
 
-from lichencleat.net.interpreter import KEPT_MOST, SILENT
+from lichencleat.node.interpreter import KEPT_MOST, SILENT
 from lichencleat.terms import Outcome
 
 
--- a/tests/net/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -6,8 +6,8 @@
 from net_parts import CHECK, ID, REQUEST, SECOND, Machine, Transport
 from standins import SETTINGS
 
-from lichencleat.net.assembly import RealNode
-from lichencleat.net.config import read_told
+from lichencleat.node.assembly import RealNode
+from lichencleat.node.config import read_told
 
 
 @pytest.fixture
--- a/tests/net/test_records_of_keys.py
+++ b/tests/node/test_records_of_keys.py
@@ -2,8 +2,8 @@
 
 from net_parts import SECOND
 
-from lichencleat.net.receipts import READ_LATE, Receipts
-from lichencleat.net.requests import BEHIND_MOST
+from lichencleat.node.receipts import READ_LATE, Receipts
+from lichencleat.node.requests import BEHIND_MOST
 from lichencleat.terms import Request, State
 
 
--- a/tests/net/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -18,11 +18,11 @@
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Change, Digests, Pages
-from lichencleat.net.assembly import RealNode
-from lichencleat.net.config import read_told
-from lichencleat.net.host import Answer
-from lichencleat.net.report import Report
-from lichencleat.net.tenants import Distributed, Tenants
+from lichencleat.node.assembly import RealNode
+from lichencleat.node.config import read_told
+from lichencleat.node.host import Answer
+from lichencleat.node.report import Report
+from lichencleat.node.tenants import Distributed, Tenants
 from lichencleat.store.errors import StoreError
 
 
@@ -202,10 +202,10 @@
 
 
 def test_off_means_not_imported():
-    text = "from lichencleat.config.file import read_text; import lichencleat.net.assembly, sys; "
+    text = "from lichencleat.config.file import read_text; import lichencleat.node.assembly, sys; "
     text += "assert read_text('f', 'log: {form: json}')[0].log; print(*sys.modules)"
     ran = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True)
-    assert "lichencleat.net.assembly" in ran.stdout.split()
+    assert "lichencleat.node.assembly" in ran.stdout.split()
     assert not [each for each in ran.stdout.split() if "distribution" in each or each == "xxhash"]
 
 
--- a/tests/net/test_timers_and_log.py
+++ b/tests/node/test_timers_and_log.py
@@ -6,9 +6,9 @@
 import pytest
 from net_parts import SECOND
 
-from lichencleat.net.program import TIDY, tidy
-from lichencleat.net.report import LINES_MOST
-from lichencleat.net.slots import Slots
+from lichencleat.node.program import TIDY, tidy
+from lichencleat.node.report import LINES_MOST
+from lichencleat.node.slots import Slots
 
 
 def test_a_slot_goes_to_the_next_and_is_given_back_once():
--- a/tests/net/test_windows.py
+++ b/tests/node/test_windows.py
@@ -6,11 +6,11 @@
 from net_parts import SECOND, Reactor
 
 from lichencleat.decide import Node
-from lichencleat.net.catalogue import Catalogue
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.host import Answer, Case, Host
-from lichencleat.net.interpreter import Interpreter
-from lichencleat.net.report import Report
+from lichencleat.node.catalogue import Catalogue
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.host import Answer, Case, Host
+from lichencleat.node.interpreter import Interpreter
+from lichencleat.node.report import Report
 from lichencleat.terms import Effect, Halt, Machine, Outcome, Request, Tariff
 
 DEADLINE = 1_500_000  # µs
--- a/tests/recovery/test_figures.py
+++ b/tests/recovery/test_figures.py
@@ -9,7 +9,7 @@
 from twisted.internet.task import Clock
 
 from lichencleat.decide import RUNS_FEW, Node
-from lichencleat.net.host import Host
+from lichencleat.node.host import Host
 from lichencleat.recovery import boot as boots
 from lichencleat.recovery.figures import FORMAT, TARIFFS_MOST, Figures, encode, recalled, to_keep
 from lichencleat.recovery.seat import FIGURES, Learned, Record, Return
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -9,9 +9,9 @@
 
 from lichencleat.config.file import WrongFileError
 from lichencleat.failover.terms import Zone
-from lichencleat.net.deadlines import Deadlines
-from lichencleat.net.report import Report
-from lichencleat.net.resp import ArrayReader, array
+from lichencleat.node.deadlines import Deadlines
+from lichencleat.node.report import Report
+from lichencleat.node.resp import ArrayReader, array
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterConnection, RouterHost, again
 from lichencleat.router.file import read_router
--- a/tests/store/test_store_commands.py
+++ b/tests/store/test_store_commands.py
@@ -163,12 +163,12 @@
 
 def test_the_node_imports_no_commands_libraries_and_keeps_its_exit_code():
     listed = subprocess.run(
-        [sys.executable, "-c", "import lichencleat.net.program, sys; print(*sys.modules)"],
+        [sys.executable, "-c", "import lichencleat.node.program, sys; print(*sys.modules)"],
         capture_output=True,
         text=True,
     )
     heavy = {"click", "msgspec", "crc32c", "sortedcontainers", "lichencleat.store", "lichencleat.cli"}
-    assert "lichencleat.net.program" in listed.stdout.split() and not heavy & set(listed.stdout.split())
+    assert "lichencleat.node.program" in listed.stdout.split() and not heavy & set(listed.stdout.split())
     bare = {key: value for key, value in os.environ.items() if key != "BALANCER_CONFIG"}
     node = subprocess.run([sys.executable, "-m", "lichencleat"], capture_output=True, text=True, env=bare)
     assert (node.returncode, node.stderr) == (2, "lichencleat: BALANCER_CONFIG is not set\n")
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -1,7 +1,7 @@
 import pytest
 
-from lichencleat.net import lines, resp
-from lichencleat.net.framing import BrokenFramingError
+from lichencleat.node import lines, resp
+from lichencleat.node.framing import BrokenFramingError
 
 ARRAY = b"".join(resp.array(b"REQ", b"7", b"", b"a\r\nb"))
 LINES = b"TRACE 1 all well 5\r\nVALUE 2 a1 PASS 3 4\r\n\r\n\r\n\r\nTOPS g1 1 2 3 4\r\n"
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -9,7 +9,7 @@
 
 from lichencleat.decide import Node
 from lichencleat.machine import BadInputError, decode_machine
-from lichencleat.net.config import read_told
+from lichencleat.node.config import read_told
 from lichencleat.terms import Gauges, Request
 
 ODD = [
