--- a/lichencleat/benchlink/__main__.py
+++ b/lichencleat/bench_adapter/__main__.py
@@ -1,8 +1,8 @@
-"""`python -m lichencleat.benchlink`: reads batches on standard input and answers each on standard output."""
+"""`python -m lichencleat.bench_adapter`: reads batches on standard input and answers each on standard output."""
 
 import sys
 
-from lichencleat.benchlink.wire import BadInputError, Wire
+from lichencleat.bench_adapter.wire import BadInputError, Wire
 
 
 def main() -> int:
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lichencleat.benchlink.wire import BadInputError, Wire
+from lichencleat.bench_adapter.wire import BadInputError, Wire
 
 TOLD = {
     "classes": [{"name": "plain", "aim": 1.0, "deadline": 3.0, "effect": "free", "worth": 1.0}],
