--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -32,12 +32,12 @@
     "owners": Role("in process, direct calls", state.owners),
     "judge": Role("in process, direct calls", state.judge),
     "revive": Role("in process, direct calls", returns.revive),
-    "return": Role("simulated: lichencleat.lab.sim.revive, by plan", returns.back),
+    "return": Role("simulated: lichencleat.testkit.simulation.revive, by plan", returns.back),
     "collector": Role("in process, IPFIX messages as the exporters make them", returns.collector),
     "senders": Role("in process, one message of each sender in turn", returns.senders),
     "table": Role("fresh processes: benchmarks.distribution_table --json, taken over", taken.table),
     "source": Role("trials with three real voters on loopback, disk real; taken over", taken.source),
-    "fleet": Role("simulated: lichencleat.lab.sim.distribution --json, taken over", taken.fleet),
+    "fleet": Role("simulated: lichencleat.testkit.simulation.distribution --json, taken over", taken.fleet),
     "hollow": Role("hollow nodes on loopback: benchmarks.distribution --json, taken over", taken.hollow),
 }
 TAKEN = ("table", "source", "fleet", "hollow")
--- a/benchmarks/capacity/group.py
+++ b/benchmarks/capacity/group.py
@@ -27,8 +27,8 @@
 from lichencleat.consensus.terms import Act, Durable, Group, Member, Message, Times
 from lichencleat.consensus.voter import Voter
 from lichencleat.consensus.wire import Carried, decode_frame, encode
-from lichencleat.lab.rig.relay import LOCAL
-from lichencleat.lab.rig.rig import Rig
+from lichencleat.testkit.cluster.relay import LOCAL
+from lichencleat.testkit.cluster.rig import Rig
 
 VOTERS = 3
 LATE = 3.0  # s for an answer
--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -17,10 +17,10 @@
 
 from benchmarks.capacity import SECOND, Effort, Lines
 from lichencleat.capacity.slopes import Line
-from lichencleat.lab.sim.members import MembersWorld, SimInstance
 from lichencleat.membership.gossip import Send
 from lichencleat.membership.table import Table
 from lichencleat.membership.terms import Datagram
+from lichencleat.testkit.simulation.members import MembersWorld, SimInstance
 
 WARM, SPAN = 3, 10  # simulated seconds before, and measured, in calm
 RESTARTS = 20_000 / 86_400 / 3_300  # a second of each member, as at the target
--- a/benchmarks/capacity/returns.py
+++ b/benchmarks/capacity/returns.py
@@ -12,10 +12,10 @@
 from lichencleat.flows.channel import Channel, Wire
 from lichencleat.flows.collector import Collector
 from lichencleat.flows.elements import Elements
-from lichencleat.lab.sim.revive import SPAN, World
 from lichencleat.recovery.planner import Planner
 from lichencleat.recovery.state import Dumped
 from lichencleat.recovery.terms import Door, Node, Plan, Report
+from lichencleat.testkit.simulation.revive import SPAN, World
 
 encode = msgspec.msgpack.encode
 BATCH = 20_000  # records
--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -1,7 +1,7 @@
 """The configuration's distribution on sockets, to hollow nodes: `python -m benchmarks.distribution`.
 
 Three voters and relays as real processes on one machine: two regions with two relays each, zones with two
-relays each; hollow nodes share processes (`lab/rig/hollow_nodes.py` says what they leave out). For each
+relays each; hollow nodes share processes (`testkit/cluster/hollow_nodes.py` says what they leave out). For each
 size: bytes and processor time of a node at rest and under changes, time until a batch is in force, a relay's
 cost by its subscribers, and what happens when a zone's relay is killed.
 """
@@ -26,12 +26,12 @@
 from lichencleat.cli import output
 from lichencleat.config_distribution.terms import IN_FORCE
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.lab.rig.distribution import DistributionRig
-from lichencleat.lab.rig.distribution_parts import ROOT, RelayProcess
-from lichencleat.lab.rig.hollow_nodes import rss
-from lichencleat.lab.rig.relay import LOCAL
-from lichencleat.lab.rig.rig import GROUP
-from lichencleat.lab.rig.tap import moment
+from lichencleat.testkit.cluster.distribution import DistributionRig
+from lichencleat.testkit.cluster.distribution_parts import ROOT, RelayProcess
+from lichencleat.testkit.cluster.hollow_nodes import rss
+from lichencleat.testkit.cluster.relay import LOCAL
+from lichencleat.testkit.cluster.rig import GROUP
+from lichencleat.testkit.cluster.tap import moment
 
 REGIONS, RELAYS_EACH = 2, 2
 PROCESS_MOST = 300  # hollow nodes of one process
@@ -66,7 +66,7 @@
         known = {"group": GROUP, "zone": zone, "name": name, "nodes": nodes, "sources": sources}
         known |= {"said": str(self.said), "spread": max(1.0, nodes / 100)}
         file.write_text(json.dumps(known | {"cold": cold, "version": rig.version}))
-        words = [sys.executable, "-m", "lichencleat.lab.rig.hollow_nodes", str(file)]
+        words = [sys.executable, "-m", "lichencleat.testkit.cluster.hollow_nodes", str(file)]
         with open(rig.path / f"{name}.log", "ab") as log:
             self.running = subprocess.Popen(words, cwd=ROOT, stderr=log)
         rig.children.append(self.running)
--- a/benchmarks/keyed.py
+++ b/benchmarks/keyed.py
@@ -18,12 +18,12 @@
 from lichencleat.idempotency.book import READ_LATE
 from lichencleat.idempotency.records import ENTRY, FORMAT, WHOSE, Entry, Seen, State, Whose, encode
 from lichencleat.idempotency.records import SEEN as SEEN_KEY
-from lichencleat.lab.rig.nodes import HARD_LIMIT, RigNode, settings, unix_time
-from lichencleat.lab.rig.rig import Rig, wait_until
 from lichencleat.store.batch import Batch
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.room import Bounds
+from lichencleat.testkit.cluster.nodes import HARD_LIMIT, RigNode, settings, unix_time
+from lichencleat.testkit.cluster.rig import Rig, wait_until
 
 PURE_RATE = 100  # a second, beside the receipted ones
 WORK = 0.002  # s, mean of a run
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -19,9 +19,9 @@
 
 from lichencleat.cli import output
 from lichencleat.consensus.client import Client
-from lichencleat.lab.rig.receiver import Receiver
-from lichencleat.lab.rig.relay import LOCAL
-from lichencleat.lab.rig.rig import Rig
+from lichencleat.testkit.cluster.receiver import Receiver
+from lichencleat.testkit.cluster.relay import LOCAL
+from lichencleat.testkit.cluster.rig import Rig
 
 JOB = "deal"
 
--- a/benchmarks/quorum_size.py
+++ b/benchmarks/quorum_size.py
@@ -14,9 +14,9 @@
 from lichencleat.consensus.facts import Set
 from lichencleat.consensus.state import command
 from lichencleat.consensus.terms import Entry, What
-from lichencleat.lab.sim.clockwork import Clockwork
-from lichencleat.lab.sim.group import SimGroup
-from lichencleat.lab.sim.network import Network
+from lichencleat.testkit.simulation.clockwork import Clockwork
+from lichencleat.testkit.simulation.group import SimGroup
+from lichencleat.testkit.simulation.network import Network
 
 SECOND = 1_000_000  # µs
 VOTERS = 3
--- a/benchmarks/revive.py
+++ b/benchmarks/revive.py
@@ -12,8 +12,8 @@
 
 import click
 
-from lichencleat.lab.rig.fleet import Fleet
-from lichencleat.lab.rig.peers import ColdDependency
+from lichencleat.testkit.cluster.fleet import Fleet
+from lichencleat.testkit.cluster.peers import ColdDependency
 
 LIMIT, TAKES = 36, 0.1  # calls that the dependency survives; s that one takes
 BEFORE, LOOK = 4.0, 0.25  # s measured before the cut; s between samples
--- a/benchmarks/router.py
+++ b/benchmarks/router.py
@@ -20,11 +20,11 @@
 from twisted.internet.protocol import Factory, Protocol
 from twisted.internet.task import deferLater
 
-from lichencleat.lab.rig.nodes import HARD_LIMIT, settings, unix_time
-from lichencleat.lab.rig.peers import Asked, Caller
-from lichencleat.lab.rig.relay import LOCAL, Relays
-from lichencleat.lab.rig.rig import free_port, wait_until
 from lichencleat.node.resp import ArrayReader, array
+from lichencleat.testkit.cluster.nodes import HARD_LIMIT, settings, unix_time
+from lichencleat.testkit.cluster.peers import Asked, Caller
+from lichencleat.testkit.cluster.relay import LOCAL, Relays
+from lichencleat.testkit.cluster.rig import free_port, wait_until
 
 TICKS = os.sysconf("SC_CLK_TCK")
 OPEN = 24  # tries at once, where as many as possible are asked for
--- a/lichencleat/clocks.py
+++ b/lichencleat/clocks.py
@@ -1,7 +1,7 @@
 """The clocks of every process: timers and leases on the monotonic one, moments told to others on Unix time.
 
 A step of the system's clock moves no timer and no lease. For the rig, the variable LICHENCLEAT_RIG_CLOCK
-names a file by which both run wrong; see `lab/rig/clock.py`.
+names a file by which both run wrong; see `testkit/cluster/clock.py`.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 monotonic: Callable[[], float] = time.monotonic  # s
 unix_ns: Callable[[], int] = time.time_ns
 if os.environ.get(RIG):
-    from lichencleat.lab.rig.clock import RigClock
+    from lichencleat.testkit.cluster.clock import RigClock
 
     rigged = RigClock(os.environ[RIG])
     monotonic, unix_ns = rigged.monotonic, rigged.unix_ns
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -99,7 +99,7 @@
 def disk_of(chosen: RelayChoice) -> Any:
     """None: the directory itself."""
     if chosen.disk == "held back":
-        from lichencleat.lab.rig.heldback import HeldBackDisk  # for tests: not imported otherwise
+        from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
 
         assert chosen.directory is not None
         return HeldBackDisk(chosen.directory, create=True)
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -50,7 +50,7 @@
 def disk_of(chosen: QuorumChoice) -> Disk:
     assert chosen.directory is not None
     if chosen.disk == "held back":
-        from lichencleat.lab.rig.heldback import HeldBackDisk  # for tests: not imported otherwise
+        from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
 
         return HeldBackDisk(chosen.directory, create=True)
     return RealDisk(chosen.directory, create=True)
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -29,7 +29,7 @@
 
 def disk_of(chosen: KeyedChoice) -> Disk:
     if chosen.disk == "held back":
-        from lichencleat.lab.rig.heldback import HeldBackDisk  # for tests: not imported otherwise
+        from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
 
         return HeldBackDisk(chosen.directory, create=True)
     return RealDisk(chosen.directory, create=True)
--- a/lichencleat/lab/rig/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -21,7 +21,7 @@
 from lichencleat.config_distribution.terms import Change
 from lichencleat.config_distribution.voting import PART
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.lab.checkers.distribution import (
+from lichencleat.testkit.checkers.distribution import (
     LEFT,
     PAIR,
     RIGHT,
@@ -30,10 +30,10 @@
     DistributionWatch,
     Said,
 )
-from lichencleat.lab.rig.distribution_parts import RelayProcess, Watcher
-from lichencleat.lab.rig.relay import CLIENT, LOCAL
-from lichencleat.lab.rig.rig import GROUP, PATIENCE, Rig, Voter
-from lichencleat.lab.rig.tap import TappedRelays, moment
+from lichencleat.testkit.cluster.distribution_parts import RelayProcess, Watcher
+from lichencleat.testkit.cluster.relay import CLIENT, LOCAL
+from lichencleat.testkit.cluster.rig import GROUP, PATIENCE, Rig, Voter
+from lichencleat.testkit.cluster.tap import TappedRelays, moment
 
 PAIRS, TENANTS = 8, 8  # records that are looked at
 BULK, BULK_EACH = 2_000, 60  # routes, and those changed by a batch: it takes several slices
--- a/lichencleat/lab/rig/distribution_parts.py
+++ b/lichencleat/testkit/cluster/distribution_parts.py
@@ -15,13 +15,13 @@
 
 from lichencleat.clocks import unix_time
 from lichencleat.config_distribution.kept import PAGE, STORE
-from lichencleat.lab.rig.heldback import FULL
-from lichencleat.lab.rig.relay import LOCAL
-from lichencleat.lab.rig.rig import GROUP, Signalled, free_port
 from lichencleat.store.batch import Batch
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
+from lichencleat.testkit.cluster.heldback import FULL
+from lichencleat.testkit.cluster.relay import LOCAL
+from lichencleat.testkit.cluster.rig import GROUP, Signalled, free_port
 
 ROOT = Path(__file__).resolve().parents[3]
 
@@ -171,7 +171,7 @@
 
     def words(self) -> list[str]:
         more = ["--mistake", self.mistake] if self.mistake else []
-        return ["lichencleat.lab.rig.watcher", str(self.file), *more]
+        return ["lichencleat.testkit.cluster.watcher", str(self.file), *more]
 
     def hear(self) -> list[dict[str, Any]]:
         """Lines that are new, whole ones only."""
--- a/lichencleat/lab/rig/fleet.py
+++ b/lichencleat/testkit/cluster/fleet.py
@@ -15,9 +15,9 @@
 
 import yaml
 
-from lichencleat.lab.rig.nodes import HARD_LIMIT, RigNode, settings
-from lichencleat.lab.rig.peers import Dependency
-from lichencleat.lab.rig.rig import Rig, wait_until
+from lichencleat.testkit.cluster.nodes import HARD_LIMIT, RigNode, settings
+from lichencleat.testkit.cluster.peers import Dependency
+from lichencleat.testkit.cluster.rig import Rig, wait_until
 
 LIMIT, FLOOR, TERM = 24, 1, 1.0
 NODES, OPEN, KEYS = 8, 6, 12  # OPEN: tries at once at each node; KEYS: of receipted requests, at each
--- a/lichencleat/lab/rig/hollow_nodes.py
+++ b/lichencleat/testkit/cluster/hollow_nodes.py
@@ -1,7 +1,7 @@
 """A process with many hollow nodes: each has the real follower, subscriber and link of its own; all of them
 share one set of tables, so that a batch is applied once.
 
-python -m lichencleat.lab.rig.hollow_nodes FILE
+python -m lichencleat.testkit.cluster.hollow_nodes FILE
 
 Left out against a node: its own table and its staging, its disk, its own process. Unless the start is to be
 cold, one follower with a table fetches what there is, and all begin with that, as from a disk. At each
@@ -28,9 +28,9 @@
 from lichencleat.config_distribution.subscriber import Subscriber, Upward
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
-from lichencleat.lab.hollow import Shared, SharedCopy
-from lichencleat.lab.rig.tap import moment
 from lichencleat.log.lines import make_log
+from lichencleat.testkit.cluster.tap import moment
+from lichencleat.testkit.hollow import Shared, SharedCopy
 
 TAKES_MOST = 2_000_000  # kept between two lines: 300 nodes that take some thousand batches
 passed = {"in": 0, "out": 0}  # bytes of all links
--- a/lichencleat/lab/rig/mistakes.py
+++ b/lichencleat/testkit/cluster/mistakes.py
@@ -16,7 +16,7 @@
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Staging, Table
 from lichencleat.config_distribution.terms import PAGES, Batch, Digests
-from lichencleat.lab.rig.watcher import WatchedCopy
+from lichencleat.testkit.cluster.watcher import WatchedCopy
 
 LATER = 0.05  # s from one turn to the other, or from the word to the deed
 
--- a/lichencleat/lab/rig/nodes.py
+++ b/lichencleat/testkit/cluster/nodes.py
@@ -12,9 +12,9 @@
 
 import yaml
 
-from lichencleat.lab.rig.peers import Caller, Dependency, Engine, Listed
-from lichencleat.lab.rig.relay import LOCAL
-from lichencleat.lab.rig.rig import Rig, Signalled, free_port
+from lichencleat.testkit.cluster.peers import Caller, Dependency, Engine, Listed
+from lichencleat.testkit.cluster.relay import LOCAL
+from lichencleat.testkit.cluster.rig import Rig, Signalled, free_port
 
 HARD_LIMIT = 6_000_000  # µs, of both tariffs
 ROOT = Path(__file__).resolve().parents[3]
--- a/lichencleat/lab/rig/receiver.py
+++ b/lichencleat/testkit/cluster/receiver.py
@@ -10,9 +10,9 @@
 from twisted.internet.protocol import Factory
 from twisted.protocols.basic import LineOnlyReceiver
 
-from lichencleat.lab.checkers.owners import OwnersWatch
-from lichencleat.lab.rig.relay import LOCAL
 from lichencleat.leases.fence import Fence
+from lichencleat.testkit.checkers.owners import OwnersWatch
+from lichencleat.testkit.cluster.relay import LOCAL
 
 
 class Act(LineOnlyReceiver):
--- a/lichencleat/lab/rig/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -20,12 +20,12 @@
 from lichencleat.clocks import RIG
 from lichencleat.consensus.client import Client, GroupError
 from lichencleat.consensus.facts import Changed, Fact
-from lichencleat.lab.checkers.linear import Call
-from lichencleat.lab.rig import clock
-from lichencleat.lab.rig.heldback import FULL
-from lichencleat.lab.rig.relay import CLIENT, LOCAL, Relays
+from lichencleat.testkit.checkers.linear import Call
+from lichencleat.testkit.cluster import clock
+from lichencleat.testkit.cluster.heldback import FULL
+from lichencleat.testkit.cluster.relay import CLIENT, LOCAL, Relays
 
-OLDER = "lichencleat.lab.rig.older_voter"
+OLDER = "lichencleat.testkit.cluster.older_voter"
 PATIENCE = 10.0  # s: only a failing test waits so long
 FAST = {"beat_ms": 30, "election_ms": 180, "spread_ms": 180, "transfer_ms": 400}
 GROUP = "rig"
@@ -268,7 +268,15 @@
     def worker(self, name: str, zone: str, receiver: int) -> subprocess.Popen:
         """A process that wants jobs; its log is NAME.log."""
         file = next(iter(self.voters.values())).file
-        words = [sys.executable, "-m", "lichencleat.lab.rig.worker", str(file), name, zone, str(receiver)]
+        words = [
+            sys.executable,
+            "-m",
+            "lichencleat.testkit.cluster.worker",
+            str(file),
+            name,
+            zone,
+            str(receiver),
+        ]
         with open(self.path / f"{name}.log", "ab") as log:
             root = Path(__file__).resolve().parents[3]
             child = subprocess.Popen(words, cwd=root, stderr=log, env=self.variables(name))
--- a/lichencleat/lab/rig/routers.py
+++ b/lichencleat/testkit/cluster/routers.py
@@ -13,10 +13,10 @@
 
 import yaml
 
-from lichencleat.lab.rig.nodes import HARD_LIMIT, RigNode, settings, unix_time
-from lichencleat.lab.rig.peers import Asked, Caller
-from lichencleat.lab.rig.relay import LOCAL
-from lichencleat.lab.rig.rig import GROUP, Rig, Signalled, free_port
+from lichencleat.testkit.cluster.nodes import HARD_LIMIT, RigNode, settings, unix_time
+from lichencleat.testkit.cluster.peers import Asked, Caller
+from lichencleat.testkit.cluster.relay import LOCAL
+from lichencleat.testkit.cluster.rig import GROUP, Rig, Signalled, free_port
 
 CARRIES = 400.0  # requests a second that a zone is said to carry
 FAR = 5.0  # ms
--- a/lichencleat/lab/rig/tap.py
+++ b/lichencleat/testkit/cluster/tap.py
@@ -14,8 +14,8 @@
 from lichencleat.config_distribution.terms import FOLLOW, decode_follow
 from lichencleat.consensus.wire import FRAME_MOST, Greeting, Request, decode_frame
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.lab.checkers.distribution import Acknowledged
-from lichencleat.lab.rig.relay import Inward, Link, Relay, Relays
+from lichencleat.testkit.checkers.distribution import Acknowledged
+from lichencleat.testkit.cluster.relay import Inward, Link, Relay, Relays
 
 ASKED_MOST = 200_000  # questions kept: an hour of fifty processes
 LEAST = 400  # bytes of a piece that is spoilt: one with records in it, not a word that there is no news
--- a/lichencleat/lab/rig/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -1,7 +1,7 @@
 """A node's part of the distribution alone, as a process: the real subscriber, table and disk. It writes down
 each version in force and what it answers for some records, where that is another, and when asked by SIGUSR1.
 
-python -m lichencleat.lab.rig.watcher FILE [--mistake NAME]
+python -m lichencleat.testkit.cluster.watcher FILE [--mistake NAME]
 
 A line is written before anything is told to the one above, and its digest is made anew from the pages, so
 that what a mistake claims is not what is judged.
@@ -30,10 +30,10 @@
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch, Digests, Pages
-from lichencleat.lab.rig.heldback import HeldBackDisk
-from lichencleat.lab.rig.tap import moment
 from lichencleat.log.lines import make_log
 from lichencleat.store.errors import StoreError
+from lichencleat.testkit.cluster.heldback import HeldBackDisk
+from lichencleat.testkit.cluster.tap import moment
 
 
 class WatchedCopy(TableCopy):
@@ -97,7 +97,7 @@
 
     @inlineCallbacks
     def start(self) -> Any:
-        from lichencleat.lab.rig import mistakes
+        from lichencleat.testkit.cluster import mistakes
 
         chosen = self.chosen
         table, mark = Table(), b""
--- a/lichencleat/lab/rig/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -1,7 +1,7 @@
 """A process that wants jobs and does nothing but act: each act is a line to a receiver that looks at the
 token.
 
-python -m lichencleat.lab.rig.worker FILE NAME ZONE RECEIVER_PORT
+python -m lichencleat.testkit.cluster.worker FILE NAME ZONE RECEIVER_PORT
 """
 
 from __future__ import annotations
--- a/lichencleat/lab/explore_distribution.py
+++ b/lichencleat/testkit/explore_distribution.py
@@ -1,6 +1,6 @@
 """A source, two relays and a node of the configuration's distribution, in all orders of what may happen.
 
-`python -m lichencleat.lab.explore_distribution` says how far all was tried in each scene, and that planted
+`python -m lichencleat.testkit.explore_distribution` says how far all was tried in each scene, and that planted
 mistakes are caught. The setting and what is judged at each state: `tiny_distribution.py`. Most scenes begin
 with one version in force everywhere, and leave some messages to arrive at once, so that what they are about
 is tried further.
@@ -20,9 +20,9 @@
 from lichencleat.config_distribution.follow import Follower, Question
 from lichencleat.config_distribution.taking import Taking
 from lichencleat.config_distribution.terms import FOLLOW, Batch, Digests, Fed, Follow, Pages, Say
-from lichencleat.lab.explore import Explored, explore
-from lichencleat.lab.tiny_distribution import NODE, RELAYS, TICK, Kinds, Limits, World
-from lichencleat.lab.tiny_table import Tiny, page_digest
+from lichencleat.testkit.explore import Explored, explore
+from lichencleat.testkit.tiny_distribution import NODE, RELAYS, TICK, Kinds, Limits, World
+from lichencleat.testkit.tiny_table import Tiny, page_digest
 
 STATES_MOST = 60_000  # of one scene: some 40 s, and 300 MB
 
--- a/lichencleat/lab/explore_keyed.py
+++ b/lichencleat/testkit/explore_keyed.py
@@ -1,6 +1,6 @@
 """One key's life in all orders: tries, flushes, runs, notices, cuts, restarts; with the real `Book`.
 
-`python -m lichencleat.lab.explore_keyed` says to which depth all was tried, and what mistakes are caught.
+`python -m lichencleat.testkit.explore_keyed` says to which depth all was tried, and what mistakes are caught.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from lichencleat.idempotency.book import Book, Told
 from lichencleat.idempotency.records import Entry, State
-from lichencleat.lab.explore import Explored, explore
+from lichencleat.testkit.explore import Explored, explore
 
 KEY, BODY = b"k" * 16, b"b" * 16
 FOREVER = 1 << 50  # µs: the window outlasts the history, so no second run is right
--- a/lichencleat/lab/explore_revive.py
+++ b/lichencleat/testkit/explore_revive.py
@@ -1,6 +1,6 @@
 """Two nodes, their grants, receipts and clocks through cuts and returns in all orders; the real decisions.
 
-`python -m lichencleat.lab.explore_revive` says how far all was tried, and that planted mistakes are caught.
+`python -m lichencleat.testkit.explore_revive` says how far all was tried, and that planted mistakes are caught.
 The log is one order, as voters make it (`explore_quorum.py` is about those); what goes to it and back may be
 lost, late, or of an owner that is none any more.
 """
@@ -17,7 +17,6 @@
 
 from lichencleat.idempotency.book import Book, Told
 from lichencleat.idempotency.records import Entry, State
-from lichencleat.lab.explore import Explored, explore
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
@@ -29,6 +28,7 @@
 from lichencleat.recovery.state import Fleet
 from lichencleat.recovery.terms import JOB, Door, NewEpoch, Plan, Report, Wave
 from lichencleat.recovery.waking import Waking
+from lichencleat.testkit.explore import Explored, explore
 
 POOL, LIMIT, FLOOR, TERM = "p", 3, 1, 1_000_000
 TICK = TERM // 2  # µs: one step of time
--- a/lichencleat/lab/explore_router.py
+++ b/lichencleat/testkit/explore_router.py
@@ -1,7 +1,7 @@
 """Two routers of two zones, one key, orders that come in any order, cuts and repeats, in all orders; the real
 decisions.
 
-`python -m lichencleat.lab.explore_router` says how far all was tried, and that planted mistakes are caught.
+`python -m lichencleat.testkit.explore_router` says how far all was tried, and that planted mistakes are caught.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 import click
 
 from lichencleat.failover.terms import Duty, Order, Zone
-from lichencleat.lab.explore import Explored, explore
 from lichencleat.router.core import GUARD, TRIES_MOST, Router
 from lichencleat.router.terms import Act, Came, Carried, Decision
 from lichencleat.terms import Effect, Tariff, Told
+from lichencleat.testkit.explore import Explored, explore
 
 SECOND = 1_000_000
 START = 1_000 * SECOND  # µs of Unix time
--- a/lichencleat/lab/explore_scenes.py
+++ b/lichencleat/testkit/explore_scenes.py
@@ -1,5 +1,5 @@
 """Small settings for the explorer, each one in which a certain mistake shows: `python -m
-lichencleat.lab.explore_scenes`.
+lichencleat.testkit.explore_scenes`.
 
 Some begin after a scripted history, as what follows it is what matters; from there on everything is tried.
 """
@@ -14,9 +14,9 @@
 
 from lichencleat.consensus import following
 from lichencleat.consensus.voter import Voter
-from lichencleat.lab.explore import Explored, explore
-from lichencleat.lab.explore_quorum import Limits, QuorumWorld, quiet, settled, stood
-from lichencleat.lab.sim.variants import VARIANTS
+from lichencleat.testkit.explore import Explored, explore
+from lichencleat.testkit.explore_quorum import Limits, QuorumWorld, quiet, settled, stood
+from lichencleat.testkit.simulation.variants import VARIANTS
 
 STATES_MOST = 200_000  # of one scene: some 40 s
 
--- a/lichencleat/lab/sim/clients.py
+++ b/lichencleat/testkit/simulation/clients.py
@@ -13,9 +13,9 @@
 from lichencleat.consensus.sessions import Verdict
 from lichencleat.consensus.state import command
 from lichencleat.consensus.terms import Entry, What
-from lichencleat.lab.checkers.linear import Call
-from lichencleat.lab.sim.clockwork import Timer
-from lichencleat.lab.sim.group import SimGroup
+from lichencleat.testkit.checkers.linear import Call
+from lichencleat.testkit.simulation.clockwork import Timer
+from lichencleat.testkit.simulation.group import SimGroup
 
 PATIENCE = (200_000, 3_000_000)  # µs for one try, drawn once a client: who waits longer is told older news
 REST = (1_000, 60_000)  # µs between calls
--- a/lichencleat/lab/sim/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -1,5 +1,5 @@
 """The configuration's distribution at full size, in simulated time: `python -m
-lichencleat.lab.sim.distribution`.
+lichencleat.testkit.simulation.distribution`.
 
 Feeder, Follower, Table, Staging and View are the real ones; the network, cores, machines and the group of
 voters are models (`distribution_world.py`, `distribution_source.py`), tables are shared
@@ -23,11 +23,11 @@
 from lichencleat.config_distribution.counts import OLDEST, merged
 from lichencleat.config_distribution.feed import Feeder
 from lichencleat.config_distribution.follow import Follower
-from lichencleat.lab.sim.distribution_events import EVENTS, WARM, Scene
-from lichencleat.lab.sim.distribution_fleet import Fleet, Size
-from lichencleat.lab.sim.distribution_table import SharedCopy
-from lichencleat.lab.sim.distribution_world import REGIONS, SECOND, ZONES, Costs, Meter, Site
-from lichencleat.lab.sim.many import many
+from lichencleat.testkit.simulation.distribution_events import EVENTS, WARM, Scene
+from lichencleat.testkit.simulation.distribution_fleet import Fleet, Size
+from lichencleat.testkit.simulation.distribution_table import SharedCopy
+from lichencleat.testkit.simulation.distribution_world import REGIONS, SECOND, ZONES, Costs, Meter, Site
+from lichencleat.testkit.simulation.many import many
 
 AIM = 5_000  # ms from publishing until in force at all that are reached
 DAY = 86_400  # s
--- a/lichencleat/lab/sim/distribution_events.py
+++ b/lichencleat/testkit/simulation/distribution_events.py
@@ -7,9 +7,9 @@
 from typing import Any
 
 from lichencleat.config_distribution.terms import BATCH_MOST, Change
-from lichencleat.lab.sim.distribution_fleet import Fleet
-from lichencleat.lab.sim.distribution_table import drawn_changes
-from lichencleat.lab.sim.distribution_world import SECOND, Site
+from lichencleat.testkit.simulation.distribution_fleet import Fleet
+from lichencleat.testkit.simulation.distribution_table import drawn_changes
+from lichencleat.testkit.simulation.distribution_world import SECOND, Site
 
 WARM = 12  # s until all have come and figures begin
 BEGIN = 20  # s: what happens begins
--- a/lichencleat/lab/sim/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -17,10 +17,10 @@
 from lichencleat.config_distribution.follow import Act, Decision, Follower
 from lichencleat.config_distribution.terms import FOLLOW, Batch, Follow, Pages
 from lichencleat.consensus.wire import Reply, Request, encode
-from lichencleat.lab.sim.distribution_judge import Judge
-from lichencleat.lab.sim.distribution_source import Source
-from lichencleat.lab.sim.distribution_table import Shared, SharedCopy, drawn_table
-from lichencleat.lab.sim.distribution_world import (
+from lichencleat.testkit.simulation.distribution_judge import Judge
+from lichencleat.testkit.simulation.distribution_source import Source
+from lichencleat.testkit.simulation.distribution_table import Shared, SharedCopy, drawn_table
+from lichencleat.testkit.simulation.distribution_world import (
     REGIONS,
     SECOND,
     VOTERS,
--- a/lichencleat/lab/sim/distribution_source.py
+++ b/lichencleat/testkit/simulation/distribution_source.py
@@ -11,10 +11,10 @@
 from typing import TYPE_CHECKING
 
 from lichencleat.config_distribution.terms import Batch, Change
-from lichencleat.lab.sim.distribution_world import SECOND, VOTERS, Site
+from lichencleat.testkit.simulation.distribution_world import SECOND, VOTERS, Site
 
 if TYPE_CHECKING:
-    from lichencleat.lab.sim.distribution_fleet import Fleet
+    from lichencleat.testkit.simulation.distribution_fleet import Fleet
 
 BEAT = 100_000  # µs between words of the leader
 ELECTION = (400_000, 900_000)  # µs without a leader once it is lost
--- a/lichencleat/lab/sim/distribution_table.py
+++ b/lichencleat/testkit/simulation/distribution_table.py
@@ -1,4 +1,4 @@
-"""What the simulated voters, relays and nodes hold: the hollow copies of `lab/hollow.py`, drawn records.
+"""What the simulated voters, relays and nodes hold: the hollow copies of `testkit/hollow.py`, drawn records.
 
 Batches are made by the real `Table`, staged by the real `Staging`, pages by the real `View`. What is shared
 is memory and work, not the decision when a version comes into force: that is each copy's own. The slices that
@@ -15,7 +15,7 @@
 from lichencleat.config_distribution import pages
 from lichencleat.config_distribution.table import Table, View
 from lichencleat.config_distribution.terms import PAGES, Batch, Change, Digests, Pages
-from lichencleat.lab import hollow
+from lichencleat.testkit import hollow
 
 ROUTES = 200 / 560  # of all records; the others are tenants
 REWRITTEN = 4  # pages in a slice of staging
--- a/lichencleat/lab/sim/distribution_world.py
+++ b/lichencleat/testkit/simulation/distribution_world.py
@@ -14,7 +14,7 @@
 
 from lichencleat.consensus.seats import Life, Welcome
 from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, encode
-from lichencleat.lab.sim.clockwork import Clockwork
+from lichencleat.testkit.simulation.clockwork import Clockwork
 
 SECOND = 1_000_000  # µs
 REGIONS, ZONES, VOTERS = 6, 17, 5
--- a/lichencleat/lab/sim/faults.py
+++ b/lichencleat/testkit/simulation/faults.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.lab.sim.group import SimGroup, SimMember
+from lichencleat.testkit.simulation.group import SimGroup, SimMember
 
 SPAN = (20_000, 2_500_000)  # µs that a fault lasts
 
--- a/lichencleat/lab/sim/members.py
+++ b/lichencleat/testkit/simulation/members.py
@@ -1,4 +1,4 @@
-"""Members in simulated time, from ten to some hundred: `python -m lichencleat.lab.sim.members`."""
+"""Members in simulated time, from ten to some hundred: `python -m lichencleat.testkit.simulation.members`."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.lab.sim.clockwork import Clockwork, DriftingClock, Timer
-from lichencleat.lab.sim.network import Network
 from lichencleat.membership.gossip import Gossip, Send
 from lichencleat.membership.terms import Choice, Datagram, State, Word
+from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock, Timer
+from lichencleat.testkit.simulation.network import Network
 
 SECOND = 1_000_000
 
--- a/lichencleat/lab/sim/network.py
+++ b/lichencleat/testkit/simulation/network.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from lichencleat.lab.sim.clockwork import Clockwork
+from lichencleat.testkit.simulation.clockwork import Clockwork
 
 NEAR = (100, 1_500)  # µs: a message within a zone, with its way through two kernels
 
--- a/lichencleat/lab/sim/owners.py
+++ b/lichencleat/testkit/simulation/owners.py
@@ -2,7 +2,7 @@
 late, a receiver.
 
 The log itself is a model here, as it is judged elsewhere: proposals are applied one by one, each once, some
-of them lost, some of their answers. `python -m lichencleat.lab.sim.owners --seeds 10000 --cores 8`
+of them lost, some of their answers. `python -m lichencleat.testkit.simulation.owners --seeds 10000 --cores 8`
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 import click
 import msgspec
 
-from lichencleat.lab.checkers.owners import OwnersWatch
-from lichencleat.lab.sim.clockwork import Clockwork, DriftingClock
-from lichencleat.lab.sim.many import many
 from lichencleat.leases.expiry import Expiry
 from lichencleat.leases.fence import Fence
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.leases import Leases
 from lichencleat.leases.terms import Define, Leave, Move, Owned, Release
+from lichencleat.testkit.checkers.owners import OwnersWatch
+from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock
+from lichencleat.testkit.simulation.many import many
 
 TROUBLE, CALM = 12_000_000, 8_000_000  # µs with faults, and after them
 NAMES, JOBS, ZONES = ["a", "b", "c", "d"], ["j1", "j2", "j3"], ["x", "y"]
--- a/lichencleat/lab/sim/revive.py
+++ b/lichencleat/testkit/simulation/revive.py
@@ -1,5 +1,5 @@
 """A whole fleet after a power loss, in simulated time, by plan, all at once, or after fixed delays:
-`python -m lichencleat.lab.sim.revive --nodes 200`.
+`python -m lichencleat.testkit.simulation.revive --nodes 200`.
 
 The decisions are the real ones (`recovery/`); the rest is a fluid model of our own: engines that warm up as
 they work, a dependency that comes back cold and falls when it gets more than it survives, callers that come
@@ -18,7 +18,6 @@
 import click
 import msgspec
 
-from lichencleat.lab.sim.clockwork import Clockwork
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
@@ -29,6 +28,7 @@
 from lichencleat.recovery.state import Fleet
 from lichencleat.recovery.terms import JOB, Door, Node, Report
 from lichencleat.recovery.waking import Waking
+from lichencleat.testkit.simulation.clockwork import Clockwork
 
 SECOND = 1_000_000  # µs
 TICK = 50_000  # µs
--- a/lichencleat/lab/sim/run.py
+++ b/lichencleat/testkit/simulation/run.py
@@ -1,4 +1,4 @@
-"""One run by its seed, and many on several cores: `python -m lichencleat.lab.sim.run --seeds 1000`."""
+"""One run by its seed, and many on several cores: `python -m lichencleat.testkit.simulation.run --seeds 1000`."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from lichencleat.consensus import following
 from lichencleat.consensus.terms import Times
 from lichencleat.consensus.voter import Voter
-from lichencleat.lab.checkers.linear import judge_facts
-from lichencleat.lab.sim.clients import SimClient
-from lichencleat.lab.sim.clockwork import Clockwork
-from lichencleat.lab.sim.faults import Cause, Fault, draw, shrink
-from lichencleat.lab.sim.group import SimGroup
-from lichencleat.lab.sim.many import many
-from lichencleat.lab.sim.network import Network
-from lichencleat.lab.sim.variants import VARIANTS
+from lichencleat.testkit.checkers.linear import judge_facts
+from lichencleat.testkit.simulation.clients import SimClient
+from lichencleat.testkit.simulation.clockwork import Clockwork
+from lichencleat.testkit.simulation.faults import Cause, Fault, draw, shrink
+from lichencleat.testkit.simulation.group import SimGroup
+from lichencleat.testkit.simulation.many import many
+from lichencleat.testkit.simulation.network import Network
+from lichencleat.testkit.simulation.variants import VARIANTS
 
 TROUBLE = 6_000_000  # µs in which faults begin
 CALM = 6_000_000  # µs after the last fault by which everything has to be well again: ten elections
--- a/lichencleat/lab/sim/shares.py
+++ b/lichencleat/testkit/simulation/shares.py
@@ -1,5 +1,5 @@
 """Nodes that share a dependency, through drawn faults in simulated time:
-`python -m lichencleat.lab.sim.shares`.
+`python -m lichencleat.testkit.simulation.shares`.
 
 The log is one order with losses, and with tries that are applied long after their caller gave them up.
 Owners change, and old ones go on dealing. Judged at every step: what all nodes believe they may have in
@@ -16,8 +16,6 @@
 import click
 import msgspec
 
-from lichencleat.lab.sim.clockwork import Clockwork, DriftingClock
-from lichencleat.lab.sim.many import many
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
@@ -25,6 +23,8 @@
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.pools import Pools, reserved
 from lichencleat.quotas.terms import Ask, Define, Granted, Over, job_of
+from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock
+from lichencleat.testkit.simulation.many import many
 
 POOL, TERM = "p", 1_000_000  # µs: short, so that a run sees many
 TROUBLE, CALM = 15_000_000, 8_000_000  # µs with faults, and after them
--- a/lichencleat/lab/sim/zones.py
+++ b/lichencleat/testkit/simulation/zones.py
@@ -1,5 +1,5 @@
 """Zones of a service through loss, grey failure and overload, in simulated time: `python -m
-lichencleat.lab.sim.zones`.
+lichencleat.testkit.simulation.zones`.
 
 The order, the judge and what a router spills are the real ones (`failover/`); zones are a model of our own:
 nodes that serve so much a second, turn the rest away, and fall into doing less when they get far too much.
@@ -22,10 +22,10 @@
 from lichencleat.failover.near import SPAN, Near, Span
 from lichencleat.failover.state import Zones
 from lichencleat.failover.terms import JOB, Define, Duty, Order, Seen, Tell
-from lichencleat.lab.sim.clockwork import Clockwork
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
+from lichencleat.testkit.simulation.clockwork import Clockwork
 
 SECOND = 1_000_000  # µs
 TICK = 100_000  # µs
--- a/lichencleat/lab/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -26,8 +26,8 @@
 from lichencleat.config_distribution.follow import Follower, Times
 from lichencleat.config_distribution.terms import Batch, Change, Digests, Fed, Follow, Pages, Say
 from lichencleat.config_distribution.window import Window
-from lichencleat.lab.checkers.distribution import Acknowledged, DistributionWatch, Said
-from lichencleat.lab.tiny_table import MARK, NAMES, Tiny, changes, digest_of, published
+from lichencleat.testkit.checkers.distribution import Acknowledged, DistributionWatch, Said
+from lichencleat.testkit.tiny_table import MARK, NAMES, Tiny, changes, digest_of, published
 
 SOURCE, NODE = "s", "n"
 RELAYS = ("A", "B")
--- a/tests/config_distribution/following.py
+++ b/tests/config_distribution/following.py
@@ -14,7 +14,7 @@
     Pages,
     Say,
 )
-from lichencleat.lab.tiny_table import MARK, Tiny, changes, digest_of, published
+from lichencleat.testkit.tiny_table import MARK, Tiny, changes, digest_of, published
 
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=100)
 SECOND = 1_000_000
--- a/tests/config_distribution/test_counts.py
+++ b/tests/config_distribution/test_counts.py
@@ -9,7 +9,7 @@
 from lichencleat.config_distribution.feed import Feeder
 from lichencleat.config_distribution.terms import FOLLOW, HOLD, LATE, ZONES_MOST, Count, Follow, encode
 from lichencleat.config_distribution.window import SLOT, SLOTS_MOST, Had
-from lichencleat.lab.tiny_table import Tiny
+from lichencleat.testkit.tiny_table import Tiny
 
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=80)
 SECOND = 1_000_000
--- a/tests/config_distribution/test_distribution_checkers.py
+++ b/tests/config_distribution/test_distribution_checkers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lichencleat.lab.checkers.distribution import Acknowledged, DistributionWatch, Said
+from lichencleat.testkit.checkers.distribution import Acknowledged, DistributionWatch, Said
 
 
 def answers(number, tenant="t1"):
--- a/tests/config_distribution/test_distribution_sim.py
+++ b/tests/config_distribution/test_distribution_sim.py
@@ -16,12 +16,12 @@
 from lichencleat.config_distribution.feed import Feeder
 from lichencleat.config_distribution.follow import Follower
 from lichencleat.config_distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
-from lichencleat.lab.sim.distribution import AIM, Job, Run
-from lichencleat.lab.sim.distribution_events import EVENTS
-from lichencleat.lab.sim.distribution_fleet import Size
-from lichencleat.lab.sim.distribution_judge import Judge, Spans
-from lichencleat.lab.sim.distribution_table import SharedCopy
-from lichencleat.lab.sim.distribution_world import FIRST_WINDOW, SECOND, Costs, World, size_of
+from lichencleat.testkit.simulation.distribution import AIM, Job, Run
+from lichencleat.testkit.simulation.distribution_events import EVENTS
+from lichencleat.testkit.simulation.distribution_fleet import Size
+from lichencleat.testkit.simulation.distribution_judge import Judge, Spans
+from lichencleat.testkit.simulation.distribution_table import SharedCopy
+from lichencleat.testkit.simulation.distribution_world import FIRST_WINDOW, SECOND, Costs, World, size_of
 
 SMALL = Size(nodes=60, zones=3, regions=3, records=1_500)
 LEAST = Size(nodes=15, zones=3, regions=3, records=600)
--- a/tests/config_distribution/test_follow.py
+++ b/tests/config_distribution/test_follow.py
@@ -15,7 +15,7 @@
     RELAYS_MOST,
     Say,
 )
-from lichencleat.lab.tiny_table import MARK
+from lichencleat.testkit.tiny_table import MARK
 
 
 def test_the_relays_of_the_home_tier_are_drawn_evenly_and_within_the_span():
--- a/tests/config_distribution/test_follow_properties.py
+++ b/tests/config_distribution/test_follow_properties.py
@@ -17,8 +17,8 @@
     Pages,
     Say,
 )
-from lichencleat.lab.explore_distribution import EarlyWord, Lax, SpoiltBatch, SpoiltPiece
-from lichencleat.lab.tiny_table import NAMES, Tiny, changes, digest_of, published
+from lichencleat.testkit.explore_distribution import EarlyWord, Lax, SpoiltBatch, SpoiltPiece
+from lichencleat.testkit.tiny_table import NAMES, Tiny, changes, digest_of, published
 
 VERSION = st.integers(0, 9)
 DIGEST = st.one_of(VERSION.map(lambda version: digest_of(published(version))), st.just(b"wrong"))
--- a/tests/config_distribution/test_follow_taking.py
+++ b/tests/config_distribution/test_follow_taking.py
@@ -19,7 +19,7 @@
     Pages,
     Say,
 )
-from lichencleat.lab.tiny_table import MARK, digest_of, published
+from lichencleat.testkit.tiny_table import MARK, digest_of, published
 
 
 def test_batches_are_in_force_whole_and_only_then_acknowledged():
--- a/tests/config_distribution/test_hollow.py
+++ b/tests/config_distribution/test_hollow.py
@@ -9,7 +9,7 @@
 from lichencleat.config_distribution.errors import ChainError, SpoiltError, TableError
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import PAGES, Batch, Change, Digests, Pages
-from lichencleat.lab.hollow import Shared, SharedCopy
+from lichencleat.testkit.hollow import Shared, SharedCopy
 
 NAMES = [f"t{number}" for number in range(40)]
 
@@ -133,8 +133,8 @@
 
 
 def test_what_is_found_again_is_bounded(monkeypatch):
-    monkeypatch.setattr("lichencleat.lab.hollow.TABLES_MOST", 3)
-    monkeypatch.setattr("lichencleat.lab.hollow.WORKS_MOST", 3)
+    monkeypatch.setattr("lichencleat.testkit.hollow.TABLES_MOST", 3)
+    monkeypatch.setattr("lichencleat.testkit.hollow.WORKS_MOST", 3)
     source, shared = Source(random.Random(1), 12), Shared()
     ahead, behind = SharedCopy(shared), SharedCopy(shared)
     for copy in (ahead, behind):
--- a/tests/config_distribution/test_in_time.py
+++ b/tests/config_distribution/test_in_time.py
@@ -8,8 +8,8 @@
 import pytest
 
 from lichencleat.config_distribution.choice import Times
-from lichencleat.lab import tiny_distribution
-from lichencleat.lab.tiny_distribution import NODE, RELAYS, SOURCE, Kinds, Limits, World
+from lichencleat.testkit import tiny_distribution
+from lichencleat.testkit.tiny_distribution import NODE, RELAYS, SOURCE, Kinds, Limits, World
 
 SECOND = 1_000_000
 SEEDS = range(40)
--- a/tests/config_distribution/test_tree.py
+++ b/tests/config_distribution/test_tree.py
@@ -6,8 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lichencleat.lab.explore_distribution import MISTAKES, SCENES, Moment, begun, play
-from lichencleat.lab.tiny_distribution import RELAYS, TICK, Kinds, Limits, World
+from lichencleat.testkit.explore_distribution import MISTAKES, SCENES, Moment, begun, play
+from lichencleat.testkit.tiny_distribution import RELAYS, TICK, Kinds, Limits, World
 
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 LONG = Limits(versions=12, ticks=30, losses=12, back=4, spoils=3, window=2, slices=True)
--- a/tests/consensus/test_checkers.py
+++ b/tests/consensus/test_checkers.py
@@ -2,8 +2,8 @@
 
 import random
 
-from lichencleat.lab.checkers.group import GroupWatch
-from lichencleat.lab.checkers.linear import NEVER, Call, judge_facts, linear, register
+from lichencleat.testkit.checkers.group import GroupWatch
+from lichencleat.testkit.checkers.linear import NEVER, Call, judge_facts, linear, register
 
 
 def call(client, what, begin, end, told):
--- a/tests/consensus/test_explore.py
+++ b/tests/consensus/test_explore.py
@@ -3,9 +3,9 @@
 import pytest
 
 from lichencleat.consensus.voter import Voter
-from lichencleat.lab.explore import explore
-from lichencleat.lab.explore_scenes import SCENES, play
-from lichencleat.lab.sim.variants import VARIANTS
+from lichencleat.testkit.explore import explore
+from lichencleat.testkit.explore_scenes import SCENES, play
+from lichencleat.testkit.simulation.variants import VARIANTS
 
 
 @pytest.mark.parametrize("name", SCENES)
--- a/tests/consensus/test_quorum_sim.py
+++ b/tests/consensus/test_quorum_sim.py
@@ -1,11 +1,11 @@
-"""Drawn faults, a few seeds: the full length is `python -m lichencleat.lab.sim.run`."""
+"""Drawn faults, a few seeds: the full length is `python -m lichencleat.testkit.simulation.run`."""
 
 import pytest
 
-from lichencleat.lab.sim.clockwork import Clockwork, DriftingClock
-from lichencleat.lab.sim.faults import Fault, shrink
-from lichencleat.lab.sim.run import run
-from lichencleat.lab.sim.variants import VARIANTS
+from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock
+from lichencleat.testkit.simulation.faults import Fault, shrink
+from lichencleat.testkit.simulation.run import run
+from lichencleat.testkit.simulation.variants import VARIANTS
 
 CAUGHT = {"AnyLogIsFine": 6, "CutsWhatAgrees": 48, "CommitsUnverified": 47, "AckBeforeFlush": 64}
 
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -25,10 +25,10 @@
     Wish,
     Zone,
 )
-from lichencleat.lab.sim.zones import World
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
+from lichencleat.testkit.simulation.zones import World
 
 SECOND = 1_000_000
 
--- a/tests/fleet/distribution.py
+++ b/tests/fleet/distribution.py
@@ -18,8 +18,8 @@
 
 import click
 
-from lichencleat.lab.rig.distribution import DistributionRig
-from lichencleat.lab.rig.distribution_parts import Child, RelayProcess
+from lichencleat.testkit.cluster.distribution import DistributionRig
+from lichencleat.testkit.cluster.distribution_parts import Child, RelayProcess
 
 FAULTS, SPAN, BETWEEN = (3, 9), (0.2, 4.0), 1.0  # how many; s that each lasts; s from one to the next
 BEAT = 0.05  # s between looks
--- a/tests/fleet/owners.py
+++ b/tests/fleet/owners.py
@@ -17,9 +17,9 @@
 
 import click
 
-from lichencleat.lab.checkers.linear import judge_facts
-from lichencleat.lab.rig.receiver import Receiver
-from lichencleat.lab.rig.rig import Rig, Writer
+from lichencleat.testkit.checkers.linear import judge_facts
+from lichencleat.testkit.cluster.receiver import Receiver
+from lichencleat.testkit.cluster.rig import Rig, Writer
 
 JOBS = ["deal", "plan"]
 FAULTS, SPAN = (2, 6), (0.1, 2.5)  # how many, and s that each lasts
--- a/tests/fleet/revive.py
+++ b/tests/fleet/revive.py
@@ -20,7 +20,7 @@
 
 import click
 
-from lichencleat.lab.rig.fleet import Fleet
+from lichencleat.testkit.cluster.fleet import Fleet
 
 
 @dataclass
--- a/tests/fleet/routers.py
+++ b/tests/fleet/routers.py
@@ -18,8 +18,8 @@
 
 import click
 
-from lichencleat.lab.rig.nodes import HARD_LIMIT
-from lichencleat.lab.rig.routers import Zones
+from lichencleat.testkit.cluster.nodes import HARD_LIMIT
+from lichencleat.testkit.cluster.routers import Zones
 
 OPEN, KEYED = 3, 0.3  # tries at once of each caller, and the share of them with a key
 SPAN = 6.0  # s of faults
--- a/tests/fleet/shares_drawn.py
+++ b/tests/fleet/shares_drawn.py
@@ -17,9 +17,9 @@
 
 import click
 
-from lichencleat.lab.rig.nodes import HARD_LIMIT, RigNode, settings
-from lichencleat.lab.rig.peers import Dependency
-from lichencleat.lab.rig.rig import Rig
+from lichencleat.testkit.cluster.nodes import HARD_LIMIT, RigNode, settings
+from lichencleat.testkit.cluster.peers import Dependency
+from lichencleat.testkit.cluster.rig import Rig
 
 LIMIT, FLOOR, NODES, TERM = 12, 1, 5, 1.0
 FAULTS, SPAN, BETWEEN = (2, 6), (0.1, 3.0), 0.8  # how many; s that each lasts; s from one to the next
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -7,9 +7,9 @@
 import pytest
 
 from lichencleat.config_distribution.terms import DIGESTS, FOLLOW, PAGES_OF
-from lichencleat.lab.rig.distribution import DistributionRig
-from lichencleat.lab.rig.rig import GROUP
-from lichencleat.lab.rig.tap import moment
+from lichencleat.testkit.cluster.distribution import DistributionRig
+from lichencleat.testkit.cluster.rig import GROUP
+from lichencleat.testkit.cluster.tap import moment
 
 
 @pytest.fixture(scope="module")
@@ -222,7 +222,7 @@
 
 
 def test_a_real_node_knows_the_tenants_that_there_are_while_its_relays_come_and_go(rig):
-    from lichencleat.lab.rig.nodes import HARD_LIMIT, RigNode
+    from lichencleat.testkit.cluster.nodes import HARD_LIMIT, RigNode
 
     followed = {
         "group": GROUP,
--- a/tests/fleet/test_fleet_return.py
+++ b/tests/fleet/test_fleet_return.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lichencleat.lab.rig.fleet import Fleet
+from lichencleat.testkit.cluster.fleet import Fleet
 
 
 @pytest.fixture
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -9,7 +9,7 @@
 import pytest
 import yaml
 
-from lichencleat.lab.rig.rig import free_port, wait_until
+from lichencleat.testkit.cluster.rig import free_port, wait_until
 
 
 @pytest.fixture
--- a/tests/fleet/test_older_voters.py
+++ b/tests/fleet/test_older_voters.py
@@ -5,9 +5,9 @@
 import pytest
 
 from lichencleat.consensus.client import GroupError
-from lichencleat.lab.rig.fleet import Fleet
-from lichencleat.lab.rig.rig import Rig
 from lichencleat.recovery.terms import Report
+from lichencleat.testkit.cluster.fleet import Fleet
+from lichencleat.testkit.cluster.rig import Rig
 
 LACKS = ("revive", "zones")
 
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -5,8 +5,8 @@
 
 import pytest
 
-from lichencleat.lab.rig.receiver import Receiver
-from lichencleat.lab.rig.rig import Rig
+from lichencleat.testkit.cluster.receiver import Receiver
+from lichencleat.testkit.cluster.rig import Rig
 
 JOBS = ["deal", "plan"]
 
--- a/tests/fleet/test_publishing.py
+++ b/tests/fleet/test_publishing.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lichencleat.consensus.client import GroupError
-from lichencleat.lab.rig.rig import Rig, Voter
+from lichencleat.testkit.cluster.rig import Rig, Voter
 
 
 @pytest.fixture
--- a/tests/fleet/test_quorum.py
+++ b/tests/fleet/test_quorum.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from lichencleat.lab.checkers.linear import judge_facts
-from lichencleat.lab.rig.rig import Rig, Writer
+from lichencleat.testkit.checkers.linear import judge_facts
+from lichencleat.testkit.cluster.rig import Rig, Writer
 
 
 @pytest.fixture
--- a/tests/fleet/test_router.py
+++ b/tests/fleet/test_router.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lichencleat.lab.rig.routers import Zones
+from lichencleat.testkit.cluster.routers import Zones
 
 
 @pytest.fixture(scope="module")
--- a/tests/idempotency/kills.py
+++ b/tests/idempotency/kills.py
@@ -17,8 +17,8 @@
 
 import click
 
-from lichencleat.lab.rig.nodes import HARD_LIMIT, RigNode, settings
-from lichencleat.lab.rig.rig import Rig, wait_until
+from lichencleat.testkit.cluster.nodes import HARD_LIMIT, RigNode, settings
+from lichencleat.testkit.cluster.rig import Rig, wait_until
 
 WINDOW = 30.0  # s: longer than a round, so that no key may run twice in it
 KEYS = 40  # of a round
--- a/tests/idempotency/test_kills.py
+++ b/tests/idempotency/test_kills.py
@@ -7,8 +7,8 @@
 import pytest
 from idempotency.kills import run
 
-from lichencleat.lab.rig.nodes import RigNode, settings
-from lichencleat.lab.rig.rig import Rig
+from lichencleat.testkit.cluster.nodes import RigNode, settings
+from lichencleat.testkit.cluster.rig import Rig
 
 
 @pytest.mark.parametrize("forgets", [False, True])
--- a/tests/leases/test_owners_sim.py
+++ b/tests/leases/test_owners_sim.py
@@ -1,9 +1,9 @@
-"""Owners through drawn faults, a few seeds: the full length is `python -m lichencleat.lab.sim.owners`."""
+"""Owners through drawn faults, a few seeds: the full length is `python -m lichencleat.testkit.simulation.owners`."""
 
 import pytest
 
-from lichencleat.lab.checkers.owners import OwnersWatch
-from lichencleat.lab.sim.owners import VARIANTS, run
+from lichencleat.testkit.checkers.owners import OwnersWatch
+from lichencleat.testkit.simulation.owners import VARIANTS, run
 
 CAUGHT = {
     "FromTheAnswer": 165,
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -6,11 +6,11 @@
 import msgspec
 import pytest
 
-from lichencleat.lab.sim.members import SECOND, MembersWorld
 from lichencleat.membership.gossip import Change, Gossip, Send
 from lichencleat.membership.rumors import DATAGRAM_MOST, Rumors, times
 from lichencleat.membership.table import MEMBERS_MOST, Table
 from lichencleat.membership.terms import Choice, Datagram, Kind, State, Word
+from lichencleat.testkit.simulation.members import SECOND, MembersWorld
 
 
 def word(name, state=State.HERE, incarnation=1):
--- a/tests/quotas/test_shares.py
+++ b/tests/quotas/test_shares.py
@@ -5,7 +5,6 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lichencleat.lab.sim.shares import VARIANTS, run
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
@@ -14,6 +13,7 @@
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.pools import Pools, reserved
 from lichencleat.quotas.terms import Ask, Deal, Define, Done, Drop, Forget, Granted, Over, job_of
+from lichencleat.testkit.simulation.shares import VARIANTS, run
 
 TERM = 1_000_000
 CAUGHT = {
--- a/tests/recovery/test_revive.py
+++ b/tests/recovery/test_revive.py
@@ -3,9 +3,6 @@
 import msgspec
 import pytest
 
-from lichencleat.lab.explore_revive import MISTAKES, GrantsOfOne, play
-from lichencleat.lab.explore_revive import World as Explored
-from lichencleat.lab.sim.revive import World
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define, Gone, Renew
 from lichencleat.quotas.pools import Pools
@@ -29,6 +26,9 @@
 )
 from lichencleat.recovery.trust import TABLE, Item, Known, Proof, may_serve_receipted, trusted
 from lichencleat.recovery.waking import ALONE, Waking
+from lichencleat.testkit.explore_revive import MISTAKES, GrantsOfOne, play
+from lichencleat.testkit.explore_revive import World as Explored
+from lichencleat.testkit.simulation.revive import World
 
 SECOND = 1_000_000
 HOUR = 3_600 * SECOND
--- a/tests/router/test_explore_router.py
+++ b/tests/router/test_explore_router.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from lichencleat.lab.explore_router import MISTAKES, play
 from lichencleat.router.core import Router
+from lichencleat.testkit.explore_router import MISTAKES, play
 
 
 def test_no_order_of_events_breaks_a_rule():
