--- a/benchmarks/capacity/taken.py
+++ b/benchmarks/capacity/taken.py
@@ -1,6 +1,7 @@
 """Figures of other benchmarks, taken over from their JSON files: the table (`benchmarks.distribution_table`),
 relays and hollow nodes on sockets (`benchmarks.distribution`), the fleet in simulated time
-(`lichencleat.testkit.simulation.distribution`). Each file is told by its form; several of one kind give the sizes.
+(`lichencleat.testkit.simulation.distribution`). Each file is told by its form; several of one kind give
+the sizes.
 """
 
 from __future__ import annotations
--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -1,7 +1,8 @@
 """The configuration's distribution on sockets, to hollow nodes: `python -m benchmarks.distribution`.
 
 Three voters and relays as real processes on one machine: two regions with two relays each, zones with two
-relays each; hollow nodes share processes (`testkit/cluster/hollow_nodes.py` says what they leave out). For each
+relays each; hollow nodes share processes (`testkit/cluster/hollow_nodes.py` says what they leave out). For
+each
 size: bytes and processor time of a node at rest and under changes, time until a batch is in force, a relay's
 cost by its subscribers, and what happens when a zone's relay is killed.
 """
--- a/lichencleat/bench_adapter/__main__.py
+++ b/lichencleat/bench_adapter/__main__.py
@@ -1,4 +1,5 @@
-"""`python -m lichencleat.bench_adapter`: reads batches on standard input and answers each on standard output."""
+"""`python -m lichencleat.bench_adapter`: reads batches on standard input and answers each on standard
+output."""
 
 import sys
 
--- a/lichencleat/config_distribution/copy.py
+++ b/lichencleat/config_distribution/copy.py
@@ -1,6 +1,7 @@
 """What a follower holds: a table, and what is staged beside it; no I/O.
 
-A follower knows it by the methods of `Copy` alone, so that hollow followers may share one (`testkit/hollow.py`).
+A follower knows it by the methods of `Copy` alone, so that hollow followers may share one
+(`testkit/hollow.py`).
 """
 
 from __future__ import annotations
--- a/lichencleat/config_distribution/terms.py
+++ b/lichencleat/config_distribution/terms.py
@@ -1,6 +1,7 @@
 """What the source, relays and subscribers tell one another, and the bounds of it all; no I/O.
 
-All of it travels as the content of the group's `Request` and `Reply` frames (`consensus/wire.py`): a subscriber
+All of it travels as the content of the group's `Request` and `Reply` frames (`consensus/wire.py`): a
+subscriber
 asks, the one above answers. A `follow` may be held back until there is news, `HOLD` at the most.
 """
 
--- a/lichencleat/consensus/arrival.py
+++ b/lichencleat/consensus/arrival.py
@@ -4,7 +4,8 @@
 
 from lichencleat.consensus.terms import Message, Snapshot
 
-# bytes of one, held whole in memory here: pages of configuration that do not compress (config_distribution/terms.py
+# bytes of one, held whole in memory here: pages of configuration that do not compress
+# (config_distribution/terms.py
 # has 128 MiB of them), its window of 16 MiB, and the sessions
 SNAPSHOT_MOST = 160 << 20
 
--- a/lichencleat/leases/jobs.py
+++ b/lichencleat/leases/jobs.py
@@ -78,9 +78,8 @@
             return self.move(what)
         elif isinstance(what, Define):
             return self.define(what)
-        elif isinstance(what, Drop):
-            if self.jobs.pop(what.job, None) is None:
-                return Done(False, "no such job")
+        elif isinstance(what, Drop) and self.jobs.pop(what.job, None) is None:
+            return Done(False, "no such job")
         return Done(True)
 
     def renew(self, index: int, what: Renew) -> Owned | None:
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -1,6 +1,7 @@
 """A node that is told the fleet's configuration: a subscriber of its zone's relays, and what is used of it.
 
-Puts together what `config_distribution/` makes; decides nothing. Imported only where the operators' file names a
+Puts together what `config_distribution/` makes; decides nothing. Imported only where the operators' file
+names a
 distribution. What the node uses is which tenants there are.
 """
 
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -104,7 +104,7 @@
             return [
                 NewEpoch(self.token, epoch, f"{away} of {len(nodes)} nodes lost their power or their way")
             ]
-        opening |= {name: STEP for name in turns(nodes)}
+        opening |= dict.fromkeys(turns(nodes), STEP)
         return [Wave(self.token, opening, None)] if opening else []
 
     def steps(self, nodes: dict[str, Node]) -> dict[str, float]:
--- a/lichencleat/testkit/cluster/older_voter.py
+++ b/lichencleat/testkit/cluster/older_voter.py
@@ -1,4 +1,5 @@
-"""A voter as of a version that knows fewer parts: `python -m lichencleat.testkit.cluster.older_voter PARTS quorum run
+"""A voter as of a version that knows fewer parts: `python -m lichencleat.testkit.cluster.older_voter PARTS
+quorum run
 FILE`; PARTS are those that it does not know, with commas between.
 
 It says which it knows, as each version from landing 6 on does.
--- a/lichencleat/testkit/explore_distribution.py
+++ b/lichencleat/testkit/explore_distribution.py
@@ -1,6 +1,7 @@
 """A source, two relays and a node of the configuration's distribution, in all orders of what may happen.
 
-`python -m lichencleat.testkit.explore_distribution` says how far all was tried in each scene, and that planted
+`python -m lichencleat.testkit.explore_distribution` says how far all was tried in each scene, and that
+planted
 mistakes are caught. The setting and what is judged at each state: `tiny_distribution.py`. Most scenes begin
 with one version in force everywhere, and leave some messages to arrive at once, so that what they are about
 is tried further.
--- a/lichencleat/testkit/explore_revive.py
+++ b/lichencleat/testkit/explore_revive.py
@@ -1,6 +1,7 @@
 """Two nodes, their grants, receipts and clocks through cuts and returns in all orders; the real decisions.
 
-`python -m lichencleat.testkit.explore_revive` says how far all was tried, and that planted mistakes are caught.
+`python -m lichencleat.testkit.explore_revive` says how far all was tried, and that planted mistakes are
+caught.
 The log is one order, as voters make it (`explore_quorum.py` is about those); what goes to it and back may be
 lost, late, or of an owner that is none any more.
 """
--- a/lichencleat/testkit/explore_router.py
+++ b/lichencleat/testkit/explore_router.py
@@ -1,7 +1,8 @@
 """Two routers of two zones, one key, orders that come in any order, cuts and repeats, in all orders; the real
 decisions.
 
-`python -m lichencleat.testkit.explore_router` says how far all was tried, and that planted mistakes are caught.
+`python -m lichencleat.testkit.explore_router` says how far all was tried, and that planted mistakes are
+caught.
 """
 
 from __future__ import annotations
--- a/lichencleat/testkit/simulation/run.py
+++ b/lichencleat/testkit/simulation/run.py
@@ -1,4 +1,5 @@
-"""One run by its seed, and many on several cores: `python -m lichencleat.testkit.simulation.run --seeds 1000`."""
+"""One run by its seed, and many on several cores: `python -m lichencleat.testkit.simulation.run --seeds
+1000`."""
 
 from __future__ import annotations
 
--- a/lichencleat/testkit/simulation/zones.py
+++ b/lichencleat/testkit/simulation/zones.py
@@ -126,8 +126,8 @@
             elif self.scene == "hover" and number == 0:
                 each.offered = lambda at: CARRIES * (1.0 + 0.12 * math.sin(at * 0.9))
             else:
-                each.offered = lambda at, level=level, phase=phase: CARRIES * (
-                    level + 0.03 * math.sin(at / 3 + phase)
+                each.offered = lambda at, level=level, phase=phase: (
+                    CARRIES * (level + 0.03 * math.sin(at / 3 + phase))
                 )
         place = self.places[first]
         if self.scene in ("lost", "tight"):
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -1,7 +1,8 @@
 """A source, two relays and a node of the configuration's distribution: the real decisions over a table of
 three records, one step at a time.
 
-Driven through all orders by `explore_distribution.py`, and at random by `tests/config_distribution/test_tree.py`. A
+Driven through all orders by `explore_distribution.py`, and at random by
+`tests/config_distribution/test_tree.py`. A
 tick is a span in which no message arrives, so silence and late answers are among the orders; so are lost
 links, spoilt answers, and a relay that is put back to what it once had. Judged at each state: no version goes
 back, none is there in part or with other bytes than published, nothing is acknowledged before it is in force,
--- a/tests/leases/test_owners_sim.py
+++ b/tests/leases/test_owners_sim.py
@@ -1,4 +1,5 @@
-"""Owners through drawn faults, a few seeds: the full length is `python -m lichencleat.testkit.simulation.owners`."""
+"""Owners through drawn faults, a few seeds: the full length is `python -m
+lichencleat.testkit.simulation.owners`."""
 
 import pytest
 
