--- /dev/null
+++ b/lichencleat/leases/leader_task.py
@@ -0,0 +1,128 @@
+"""A task that runs in whichever process holds the lease of its job.
+
+The base of quota allocation, rollout planning and failover control. While the lease is held, the task polls
+a part of the replicated state and proposes the commands that its decision object derives from it. Each
+acquired lease gets a decision object of its own, which carries the fencing token; answers that were requested
+under an earlier lease are dropped.
+"""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from typing import Generic, Protocol, TypeVar
+
+from twisted.python.failure import Failure
+
+from lichencleat.leases.interfaces import DelayedCall, GroupClient, Logger, ReactorTime
+
+MICROSECONDS_PER_SECOND = 1_000_000
+REQUEST_TIMEOUT_S = 1.0  # for a read or a proposal; the next poll repeats what is still needed
+
+Decider = TypeVar("Decider")  # decides under one fencing token what to propose
+
+
+class FencingTokens(Protocol):
+    """Knows which leases this process holds; implemented by `LeaseClient`."""
+
+    def fencing_token(self, job: str) -> int | None:
+        """The token of the job's lease, None while this process must not act."""
+        ...
+
+
+class LeaderTask(ABC, Generic[Decider]):
+    """Owns the timer of the polls while the lease is held. Implements `LeaseListener`.
+
+    Args:
+        reactor: Source of the monotonic clock and of the timer.
+        client: Client of the consensus group.
+        part: The part of the replicated state that is polled.
+        job: The job whose lease holder runs this task.
+        log: Logger of the process.
+    """
+
+    poll_interval_s = 1.0
+    query: object = None
+
+    def __init__(self, reactor: ReactorTime, client: GroupClient, part: str, job: str, log: Logger) -> None:
+        self.reactor = reactor
+        self.client = client
+        self.part = part
+        self.job = job
+        self.log = log
+        self.lease_client: FencingTokens | None = None
+        self.decider: Decider | None = None
+        self.timer: DelayedCall | None = None
+
+    def now(self) -> int:
+        """The reactor's monotonic time in µs."""
+        return int(self.reactor.seconds() * MICROSECONDS_PER_SECOND)
+
+    def on_lease_acquired(self, job: str, fencing_token: int) -> None:
+        """Start to work if the lease is that of this task's job."""
+        if job == self.job:
+            self.decider = self.create_decider(fencing_token)
+            self.poll()
+
+    def on_lease_lost(self, job: str, reason: str) -> None:
+        """Stop at once if the lease is that of this task's job."""
+        if job == self.job:
+            self.decider = None
+            if self.timer is not None and self.timer.active():
+                self.timer.cancel()
+
+    def has_lease(self) -> bool:
+        """Whether this process may still act on the job."""
+        return self.lease_client is not None and self.lease_client.fencing_token(self.job) is not None
+
+    def poll(self) -> None:
+        """Read the state, if the lease is held."""
+        decider = self.decider
+        if decider is not None:
+            answer = self.client.read(self.part, self.query, REQUEST_TIMEOUT_S)
+            answer.addCallbacks(
+                self.on_answer, self.on_read_failed, callbackArgs=(decider,), errbackArgs=(decider,)
+            )
+
+    def schedule_poll(self, decider: Decider, delay_s: float) -> None:
+        """Poll again in `delay_s` seconds, unless `decider` is of an earlier lease."""
+        if decider is self.decider:
+            self.timer = self.reactor.callLater(delay_s, self.poll)
+
+    def on_answer(self, answer: object, decider: Decider) -> None:
+        """Pass the answer on, unless it was requested under an earlier lease."""
+        if decider is self.decider:
+            self.on_state(answer, decider)
+
+    def on_read_failed(self, failure: Failure, decider: Decider) -> None:
+        """Poll again after the usual interval."""
+        self.schedule_poll(decider, self.poll_interval_s)
+
+    def propose(self, part: str, command: object) -> None:
+        """Propose `command` unless the lease is over.
+
+        A pause may lie between that check and the proposal; the fencing token in the command is what keeps
+        a late one from being applied.
+        """
+        if not self.has_lease():
+            return
+        self.on_propose(command)
+        reply = self.client.propose(part, command, REQUEST_TIMEOUT_S)
+        reply.addCallbacks(self.on_reply, self.on_proposal_failed)
+
+    def on_propose(self, command: object) -> None:  # noqa: B027 - a hook that a subclass may leave out
+        """Log a command that is about to be proposed."""
+
+    def on_reply(self, reply: object) -> None:  # noqa: B027 - a hook that a subclass may leave out
+        """Handle the decoded reply to a proposal."""
+
+    @abstractmethod
+    def create_decider(self, fencing_token: int) -> Decider:
+        """Return the decision object of a lease that was just acquired."""
+
+    @abstractmethod
+    def on_state(self, state: object, decider: Decider) -> None:
+        """Propose what follows from the state that was read, and schedule the next poll."""
+
+    @abstractmethod
+    def on_proposal_failed(self, failure: Failure) -> None:
+        """Log that no reply came; the command may have been applied all the same."""
--- /dev/null
+++ b/lichencleat/leases/periodic_proposer.py
@@ -0,0 +1,101 @@
+"""A loop that proposes commands to the consensus group whenever they fall due.
+
+The base of the lease client, the quota client and the recovery client: it owns the timer, a subclass says
+which command is due, when the next round is due, and what a reply means.
+"""
+
+from __future__ import annotations
+
+from abc import ABC, abstractmethod
+from dataclasses import dataclass
+
+from twisted.python.failure import Failure
+
+from lichencleat.leases.interfaces import DelayedCall, GroupClient, Logger, ReactorTime
+
+MICROSECONDS_PER_SECOND = 1_000_000
+MAX_ROUND_INTERVAL_US = 100_000  # a round is run this often even if nothing is due
+
+
+@dataclass(frozen=True, slots=True)
+class Proposal:
+    """A command that is due, and how long its reply is awaited."""
+
+    command: object
+    timeout_s: float
+
+
+class PeriodicProposer(ABC):
+    """Owns the timer of the rounds until `stop`; the client of the group belongs to the caller.
+
+    Args:
+        reactor: Source of the monotonic clock and of the timer.
+        client: Client of the consensus group.
+        part: The part of the replicated state that the commands are for.
+        log: Logger of the process.
+    """
+
+    min_round_interval_us = 0
+
+    def __init__(self, reactor: ReactorTime, client: GroupClient, part: str, log: Logger) -> None:
+        self.reactor = reactor
+        self.client = client
+        self.part = part
+        self.log = log
+        self.timer: DelayedCall | None = None
+        self.stopped = False
+
+    def now(self) -> int:
+        """The reactor's monotonic time in µs."""
+        return int(self.reactor.seconds() * MICROSECONDS_PER_SECOND)
+
+    def start(self) -> None:
+        """Run the first round at once."""
+        self.run_round()
+
+    def stop(self) -> None:
+        """Run no further rounds; a reply that is still awaited is handled when it comes."""
+        self.stopped = True
+        self.cancel_timer()
+
+    def run_round(self) -> None:
+        """Propose the command that is due, if any, and schedule the next round."""
+        self.timer = None
+        if self.stopped:
+            return
+        proposal = self.next_proposal(self.now())
+        if proposal is not None:
+            reply = self.client.propose(self.part, proposal.command, proposal.timeout_s)
+            reply.addCallbacks(self.on_reply, self.on_failure)
+        self.schedule_round()
+
+    def schedule_round(self) -> None:
+        """Schedule the next round in place of one that is scheduled already."""
+        self.cancel_timer()
+        if self.stopped:
+            return
+        now = self.now()
+        delay = min(self.next_round_at(now) - now, MAX_ROUND_INTERVAL_US)
+        delay = max(self.min_round_interval_us, delay)
+        self.timer = self.reactor.callLater(delay / MICROSECONDS_PER_SECOND, self.run_round)
+
+    def cancel_timer(self) -> None:
+        """Cancel the next round if one is scheduled."""
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
+
+    @abstractmethod
+    def next_proposal(self, now: int) -> Proposal | None:
+        """Do what is due at `now` (µs), and return the command to propose, if any."""
+
+    @abstractmethod
+    def next_round_at(self, now: int) -> int:
+        """The time in µs at which the next round is due; bounded by the interval limits."""
+
+    @abstractmethod
+    def on_reply(self, reply: object) -> None:
+        """Handle the decoded reply to the command proposed last."""
+
+    @abstractmethod
+    def on_failure(self, failure: Failure) -> None:
+        """Handle that no reply came; the command may have been applied all the same."""
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -14,9 +14,10 @@
 
 from lichencleat.config.file import FleetChoice, host_port
 from lichencleat.consensus.client import Client
-from lichencleat.leases.holder import Holder, Work
+from lichencleat.leases.lease_client import LeaseClient, LeaseListener
+from lichencleat.quotas.allocator_task import AllocatorTask
 from lichencleat.quotas.grants import Grants
-from lichencleat.quotas.seat import Dealing, Seat
+from lichencleat.quotas.quota_client import QuotaClient
 from lichencleat.recovery.boot import Clock
 from lichencleat.recovery.seat import Planning, Record, Return
 from lichencleat.recovery.waking import Waking
@@ -25,18 +26,18 @@
 
 
 class Works:
-    """A `holder.Work` that hands each job to those that know it."""
+    """A `LeaseListener` that hands each job to those that know it."""
 
-    def __init__(self, works: list[Work]) -> None:
+    def __init__(self, works: list[LeaseListener]) -> None:
         self.works = works
 
-    def begins(self, job: str, token: int) -> None:
+    def on_lease_acquired(self, job: str, fencing_token: int) -> None:
         for each in self.works:
-            each.begins(job, token)
+            each.on_lease_acquired(job, fencing_token)
 
-    def ends(self, job: str, reason: str) -> None:
+    def on_lease_lost(self, job: str, reason: str) -> None:
         for each in self.works:
-            each.ends(job, reason)
+            each.on_lease_lost(job, reason)
 
 
 class FleetNode:
@@ -69,13 +70,13 @@
     def now(self) -> int:
         return int(self.reactor.seconds() * SECOND)
 
-    def make_seat(self, host: Any) -> Seat:
+    def make_seat(self, host: Any) -> QuotaClient:
         shares, life = self.chosen.shares, self.rng.getrandbits(48)
         assert shares is not None
         term = round(shares.term_s * SECOND)
         grants = Grants(shares.pool, self.name, life, shares.floor, term, self.now())
-        seat = Seat(self.reactor, self.client(), grants, host.calls_wanted, host.may_call, self.log)
-        host.call_span = seat.span
+        seat = QuotaClient(self.reactor, self.client(), grants, host.calls_wanted, host.may_call, self.log)
+        host.call_span = seat.max_call_duration
         return seat
 
     def make_return(self, host: Any, keyed: Any, unix: Callable[[], int]) -> Return:
@@ -91,16 +92,16 @@
             keyed.signs += [record.sign, back.learned.sign]
         return back
 
-    def make_holder(self) -> Holder:
+    def make_holder(self) -> LeaseClient:
         works: list[Any] = []
         if self.chosen.shares is not None:
-            works.append(Dealing(self.reactor, self.client(), self.chosen.shares.pool, self.log))
+            works.append(AllocatorTask(self.reactor, self.client(), self.chosen.shares.pool, self.log))
         if self.chosen.revive:
             works.append(Planning(self.reactor, self.client(), self.log))
         zone = self.chosen.zone
-        holder = Holder(self.reactor, self.client(), self.name, zone, Works(works), self.rng, self.log)
+        holder = LeaseClient(self.reactor, self.client(), self.name, zone, Works(works), self.rng, self.log)
         for each in works:
-            each.holder = holder
+            each.lease_client = holder
         # a node whose file names no part of it would own a job and do nothing
         holder.leases.knows = [each.job for each in works] or ["none"]
         return holder
@@ -124,6 +125,7 @@
             client.close()
 
     def beliefs(self) -> str:
-        said = [each.beliefs() for each in (self.seat, self.back) if each is not None]
+        said = [self.seat.describe()] if self.seat is not None else []
+        said += [self.back.beliefs()] if self.back is not None else []
         jobs = ", ".join(sorted(self.holder.leases.held)) if self.holder is not None else ""
         return "; ".join(said + ([f"owns {jobs}"] if jobs else [])) or "alone"
--- a/lichencleat/recovery/seat.py
+++ b/lichencleat/recovery/seat.py
@@ -10,7 +10,7 @@
 
 from lichencleat.consensus.client import Client
 from lichencleat.decide import RUNS_FEW
-from lichencleat.leases.holder import Holder
+from lichencleat.leases.lease_client import LeaseClient
 from lichencleat.quotas.terms import Part
 from lichencleat.recovery import boot as boots
 from lichencleat.recovery import figures
@@ -170,22 +170,22 @@
 
 
 class Planning:
-    """The owner's work: a look at the fleet every so often, and what follows from it. A `holder.Work`."""
+    """The owner's work: a look at the fleet every so often, and what follows from it. A `LeaseListener`."""
 
     def __init__(self, reactor: Any, client: Client, log: Any) -> None:
         self.reactor, self.client, self.log = reactor, client, log
         self.job = JOB
-        self.holder: Holder | None = None
+        self.lease_client: LeaseClient | None = None
         self.planner: Planner | None = None
         self.timer: Any = None
         self.why = ""
 
-    def begins(self, job: str, token: int) -> None:
+    def on_lease_acquired(self, job: str, fencing_token: int) -> None:
         if job == JOB:
-            self.planner = Planner(token)
+            self.planner = Planner(fencing_token)
             self.look()
 
-    def ends(self, job: str, reason: str) -> None:
+    def on_lease_lost(self, job: str, reason: str) -> None:
         if job == JOB:
             self.planner = None
             if self.timer is not None and self.timer.active():
@@ -211,7 +211,7 @@
         plan = msgspec.convert(told["plan"], Plan | None)
         said = planner.looks(int(self.reactor.seconds() * SECOND), told["epoch"], nodes, plan)
         for what in said:
-            if self.holder is None or self.holder.token(JOB) is None:
+            if self.lease_client is None or self.lease_client.fencing_token(JOB) is None:
                 return
             self.tell(what)
             part = "shares" if isinstance(what, Part) else "revive"
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -13,7 +13,7 @@
 from lichencleat.config.file import WrongFileError
 from lichencleat.consensus.client import Client
 from lichencleat.failover.terms import Zone
-from lichencleat.leases.holder import Holder
+from lichencleat.leases.lease_client import LeaseClient
 from lichencleat.log.lines import make_log
 from lichencleat.node.assembly import UnixClock
 from lichencleat.node.deadlines import Deadlines
@@ -84,7 +84,7 @@
         )
         self.clients: list[Client] = []
         self.telling: Telling | None = None
-        self.holder: Holder | None = None
+        self.holder: LeaseClient | None = None
         self.stop_at: int | None = None
         self.ended = False
 
@@ -111,8 +111,8 @@
         if self.chosen.candidate:
             work = Judging(self.reactor, self.client(group), self.log)
             name, zone = self.chosen.name, self.chosen.zone
-            self.holder = Holder(self.reactor, self.client(group), name, zone, work, self.rng, self.log)
-            work.holder = self.holder
+            self.holder = LeaseClient(self.reactor, self.client(group), name, zone, work, self.rng, self.log)
+            work.lease_client = self.holder
             self.holder.leases.knows = ["zones"]
             self.holder.start()
 
--- a/lichencleat/router/seat.py
+++ b/lichencleat/router/seat.py
@@ -13,7 +13,7 @@
 from lichencleat.consensus.client import Client
 from lichencleat.failover.judge import LOOK, Judge
 from lichencleat.failover.terms import JOB, Order, Source, Tell, Wished, Zone
-from lichencleat.leases.holder import Holder
+from lichencleat.leases.lease_client import LeaseClient
 from lichencleat.router.core import Router
 
 PATIENCE = 1.0  # s for an answer of the voters
@@ -78,21 +78,21 @@
 
 
 class Judging:
-    """The owner's work: a look at the evidence every so often, and what follows from it. A `holder.Work`."""
+    """The owner's work: a look at the evidence every so often, and what follows from it. A `LeaseListener`."""
 
     def __init__(self, reactor: Any, client: Client, log: Any) -> None:
         self.reactor, self.client, self.log = reactor, client, log
-        self.holder: Holder | None = None
+        self.lease_client: LeaseClient | None = None
         self.judge: Judge | None = None
         self.timer: Any = None
         self.why = ""
 
-    def begins(self, job: str, token: int) -> None:
+    def on_lease_acquired(self, job: str, fencing_token: int) -> None:
         if job == JOB:
-            self.judge = Judge(token)
+            self.judge = Judge(fencing_token)
             self.look()
 
-    def ends(self, job: str, reason: str) -> None:
+    def on_lease_lost(self, job: str, reason: str) -> None:
         if job == JOB:
             self.judge = None
             if self.timer is not None and self.timer.active():
@@ -122,7 +122,7 @@
             msgspec.convert(told["wishes"], dict[str, Wished]),
         )
         for what in said:
-            if self.holder is None or self.holder.token(JOB) is None:
+            if self.lease_client is None or self.lease_client.fencing_token(JOB) is None:
                 return
             self.tell(what)
             self.client.propose("zones", what, PATIENCE).addErrback(
--- a/lichencleat/testkit/cluster/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -18,7 +18,7 @@
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.consensus.client import Client
 from lichencleat.consensus.file import host_port, read_quorum
-from lichencleat.leases.holder import Holder
+from lichencleat.leases.lease_client import LeaseClient
 from lichencleat.log.lines import make_log
 
 ACT = 0.01  # s between two acts on a job
@@ -42,19 +42,19 @@
     def __init__(self, reactor: Any, name: str, acts: Acts) -> None:
         self.reactor, self.name, self.acts = reactor, name, acts
         self.running: dict[str, Any] = {}
-        self.holder: Holder | None = None
+        self.lease_client: LeaseClient | None = None
 
-    def begins(self, job: str, token: int) -> None:
+    def on_lease_acquired(self, job: str, fencing_token: int) -> None:
         self.running[job] = self.reactor.callLater(0, self.act, job)
 
-    def ends(self, job: str, reason: str) -> None:
+    def on_lease_lost(self, job: str, reason: str) -> None:
         timer = self.running.pop(job, None)
         if timer is not None and timer.active():
             timer.cancel()
 
     def act(self, job: str) -> None:
-        assert self.holder is not None
-        token = self.holder.token(job)
+        assert self.lease_client is not None
+        token = self.lease_client.fencing_token(job)
         if token is not None and self.acts.link is not None and self.acts.link.transport is not None:
             self.acts.link.sendLine(f"{job} {token} {self.name}-{os.getpid()}".encode())
         self.running[job] = self.reactor.callLater(ACT, self.act, job)
@@ -70,13 +70,13 @@
     acts = Acts()
     acts.maxDelay = 0.2
     worker = Worker(reactor, name, acts)
-    worker.holder = Holder(reactor, client, name, zone, worker, rng, log)
+    worker.lease_client = LeaseClient(reactor, client, name, zone, worker, rng, log)
     reactor.connectTCP("127.0.0.1", int(port), acts)
-    reactor.callWhenRunning(worker.holder.start)
+    reactor.callWhenRunning(worker.lease_client.start)
 
     def leave() -> None:
-        assert worker.holder is not None
-        worker.holder.leave().addBoth(lambda _: reactor.stop())
+        assert worker.lease_client is not None
+        worker.lease_client.leave().addBoth(lambda _: reactor.stop())
 
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(leave))
     reactor.run(installSignalHandlers=False)
