--- a/benchmarks/capacity/state.py
+++ b/benchmarks/capacity/state.py
@@ -24,12 +24,11 @@
 from lichencleat.failover.state import Dumped, Zones
 from lichencleat.failover.terms import Define as DefineZone
 from lichencleat.failover.terms import Seen, Source, Tell
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Renew
-from lichencleat.quotas.dealer import Dealer
-from lichencleat.quotas.pools import Pools
-from lichencleat.quotas.terms import TERM, Ask, Pool, Seat, job_of
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import DefineJob, RenewLease
+from lichencleat.quotas.allocator import Allocator
+from lichencleat.quotas.messages import DEFAULT_TERM_US, NodeQuota, Pool, QuotaRequest, allocator_job
+from lichencleat.quotas.quota_state import QuotaState
 
 encode = msgspec.msgpack.encode
 POOL, FLOOR = "below", 2
@@ -113,13 +112,13 @@
     lines.kind("owner.renew_us", "candidates", "µs a renewal", "at each member of the group")
     lines.kind("owner.state_kb", "candidates", "KB")
     for count in effort.sizes((4, 8, 16, 32, 64), (4, 8, 12, 16)):
-        jobs = Jobs()
+        jobs = LeaseState()
         for number in range(count):
-            jobs.apply(number + 1, raw(Renew(f"node-{number:05d}", f"z{number % 17}", number, True, {})))
+            jobs.apply(number + 1, raw(RenewLease(f"node-{number:05d}", f"z{number % 17}", number, True, {})))
         for number in range(16):
             jobs.apply(1_000 + number, raw(DefineJob(f"shares/pool-{number}")))
-        held = {name: job.token for name, job in jobs.jobs.items() if job.owner == "node-00000"}
-        renewal = raw(Renew("node-00000", "z0", 0, True, held))
+        held = {name: job.fencing_token for name, job in jobs.jobs.items() if job.holder == "node-00000"}
+        renewal = raw(RenewLease("node-00000", "z0", 0, True, held))
         lines.add("owner.state_kb", count, len(encode(jobs.dump())) / 1e3)
         for _ in range(effort.runs(5)):
             spent = enough(lambda jobs=jobs, renewal=renewal: jobs.apply(2_000, renewal), effort.seconds(0.2))
@@ -130,16 +129,16 @@
 # -- shares ------------------------------------------------------------------------------------------------
 
 
-def dealt(count: int, rng: random.Random) -> tuple[Jobs, Pools]:
+def dealt(count: int, rng: random.Random) -> tuple[LeaseState, QuotaState]:
     """A pool with so many seats, most of them in use; put in past its bound, to see beyond it."""
-    jobs = Jobs()
-    jobs.apply(1, raw(Renew("owner", "", 1, True, {})))
-    jobs.apply(2, raw(DefineJob(job_of(POOL))))
-    pools = Pools(jobs)
-    pool = pools.pools[POOL] = Pool(count * 40, FLOOR, count, TERM, token=2)
+    jobs = LeaseState()
+    jobs.apply(1, raw(RenewLease("owner", "", 1, True, {})))
+    jobs.apply(2, raw(DefineJob(allocator_job(POOL))))
+    pools = QuotaState(jobs)
+    pool = pools.pools[POOL] = Pool(count * 40, FLOOR, count, DEFAULT_TERM_US, fencing_token=2)
     for number in range(count):
         held = rng.randint(10, 40)
-        pool.seats[f"node-{number:05d}"] = Seat(
+        pool.node_quotas[f"node-{number:05d}"] = NodeQuota(
             rng.getrandbits(40), 9, held, held, held + 5, 1_000_000 + number
         )
     return jobs, pools
@@ -158,27 +157,29 @@
         rng = random.Random(effort.seed)
         _, pools = dealt(count, rng)
         name = f"node-{count // 2:05d}"
-        seat = pools.pools[POOL].seats[name]
+        seat = pools.pools[POOL].node_quotas[name]
         data = encode(pools.read(POOL))
         lines.add("dealer.look_kb", count, len(data) / 1e3)
-        dealer = Dealer(POOL, 2)
+        dealer = Allocator(POOL, 2)
         now = [0]
 
-        def look(dealer: Dealer = dealer, data: bytes = data, now: list[int] = now) -> None:
+        def look(dealer: Allocator = dealer, data: bytes = data, now: list[int] = now) -> None:
             now[0] += 500_000
-            for each in dealer.looks(now[0] % 4_000_000, kind.decode(data)):
+            for each in dealer.decide(now[0] % 4_000_000, kind.decode(data)):
                 encode(each)
 
         turn = [100]
 
         def renewal(
-            pools: Pools = pools, name: str = name, seat: Seat = seat, turn: list[int] = turn
+            pools: QuotaState = pools, name: str = name, seat: NodeQuota = seat, turn: list[int] = turn
         ) -> None:
             turn[0] += 1
-            ask = Ask(POOL, name, seat.life, turn[0], FLOOR, TERM, seat.held, 30)
+            ask = QuotaRequest(
+                POOL, name, seat.incarnation, turn[0], FLOOR, DEFAULT_TERM_US, seat.reserved, 30
+            )
             pools.apply(2_000_000 + turn[0], raw(ask))
 
-        ask = Ask(POOL, name, seat.life, 1_000_000, FLOOR, TERM, 30, 30)
+        ask = QuotaRequest(POOL, name, seat.incarnation, 1_000_000, FLOOR, DEFAULT_TERM_US, 30, 30)
         lines.add("seat.renew_bytes", count, len(encode(("shares", ask))) + 32)
         for _ in range(effort.runs(5)):
             lines.add("dealer.look_ms", count, enough(look, effort.seconds(0.3)) * 1e3)
@@ -201,8 +202,8 @@
 
 def judged(zones: int, routers: int, rng: random.Random) -> tuple[int, bytes]:
     """The owner's token, and the evidence as it is sent to it."""
-    jobs = Jobs()
-    jobs.apply(1, raw(Renew("owner", "", 1, True, {})))
+    jobs = LeaseState()
+    jobs.apply(1, raw(RenewLease("owner", "", 1, True, {})))
     jobs.apply(2, raw(DefineJob(JOB)))
     part = Zones(jobs)
     names = [f"zone-{zone:02d}" for zone in range(zones)]
@@ -214,7 +215,7 @@
         part.apply(100 + number, raw(what))
         if what.router not in part.sources:  # over the bound of the part: put in beside it
             part.sources[what.router] = Source(what.zone, what.order, what.offered, what.seen, 100 + number)
-    return jobs.jobs[JOB].token, encode(part.dump())
+    return jobs.jobs[JOB].fencing_token, encode(part.dump())
 
 
 def judge(effort: Effort) -> list[Line]:
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -11,9 +11,9 @@
 from lichencleat.consensus import facts, group, links, sessions
 from lichencleat.failover import terms as zones
 from lichencleat.flows import collector
-from lichencleat.leases import terms as owners
+from lichencleat.leases import messages as owners
 from lichencleat.membership import table as members
-from lichencleat.quotas import terms as shares
+from lichencleat.quotas import messages as shares
 from lichencleat.recovery import terms as revive
 
 
@@ -45,11 +45,11 @@
     Bound("voter", "sessions: each node asks one group", "quorum.sessions.SESSIONS_MOST",
           sessions.SESSIONS_MOST,
           of.nodes),
-    Bound("owner", "candidates: each node", "owners.terms.CANDIDATES_MOST", owners.CANDIDATES_MOST,
+    Bound("owner", "candidates: each node", "leases.messages.MAX_CANDIDATES", owners.MAX_CANDIDATES,
           of.nodes, CANDIDATES),
-    Bound("owner", "candidates: each machine", "owners.terms.CANDIDATES_MOST", owners.CANDIDATES_MOST,
+    Bound("owner", "candidates: each machine", "leases.messages.MAX_CANDIDATES", owners.MAX_CANDIDATES,
           of.machines),
-    Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.NODES_MOST, of.seats),
+    Bound("dealer", "seats of a pool", "quotas.messages.MAX_NODES", shares.MAX_NODES, of.seats),
     Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", revive.NODES_MOST, of.nodes),
     Bound("zone judge", "zones", "zones.terms.ZONES_MOST", zones.ZONES_MOST, of.zones),
     Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", zones.SOURCES_MOST, of.routers),
--- a/lichencleat/capacity/glance.py
+++ b/lichencleat/capacity/glance.py
@@ -13,8 +13,8 @@
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import Target
 from lichencleat.config_distribution.terms import HOLD
-from lichencleat.leases import terms as owners
-from lichencleat.quotas import terms as shares
+from lichencleat.leases import messages as owners
+from lichencleat.quotas import messages as shares
 
 Value = float | str | None  # "-": does not apply; None: not measured
 
@@ -85,13 +85,15 @@
                "-"),
         Glance("voter of the fleet's return", f"{nodes:,} nodes", reports,
                times(at("node.report_bytes", nodes), reports), at("voter.writes_core", reports), "-"),
-        Glance("owner of a job", "its leases", owners.RENEW * SECOND / owners.LEASE, "-",
+        Glance("owner of a job", "its leases",
+               owners.RENEWALS_PER_LEASE * SECOND / owners.LEASE_DURATION_US, "-",
                times(at("owner.renew_us", machines), leases / 1e6), "-"),
         Glance("dealer", f"{target.dependency_seats:,} seats", SECOND / DEALS,
                times(at("dealer.look_kb", target.dependency_seats), 1e3 * SECOND / DEALS),
                times(at("dealer.look_ms", target.dependency_seats), SECOND / DEALS / 1e3), "-"),
-        Glance("a seat", "its grant", shares.RENEW * SECOND / shares.TERM,
-               times(at("seat.renew_bytes", target.dependency_seats), shares.RENEW * SECOND / shares.TERM),
+        Glance("a seat", "its grant", shares.RENEWALS_PER_TERM * SECOND / shares.DEFAULT_TERM_US,
+               times(at("seat.renew_bytes", target.dependency_seats),
+                     shares.RENEWALS_PER_TERM * SECOND / shares.DEFAULT_TERM_US),
                "-", "-"),
         Glance("planner of a return", f"{nodes:,} nodes", SECOND / PLANS,
                times(at("planner.look_kb", nodes), 1e3 * SECOND / PLANS),
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -13,9 +13,9 @@
 from lichencleat.config.file import SIZE_MOST
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
 from lichencleat.failover import judge
-from lichencleat.leases import terms as owners
-from lichencleat.quotas import terms as shares
-from lichencleat.quotas.dealer import LOOK as DEAL
+from lichencleat.leases import messages as owners
+from lichencleat.quotas import messages as shares
+from lichencleat.quotas.allocator import POLL_INTERVAL_TERMS as DEAL
 from lichencleat.recovery.seat import PLAN
 
 CONFIG = "distribution: relays in tiers ([distribution.md](distribution.md))"
@@ -38,7 +38,9 @@
 ONE_CORE = Budget("one core: a process of its own", lambda t: 1.0)
 IN_FORCE = Budget("in force everywhere", lambda t: t.in_force_s)
 IN_FORCE_MS = Budget("in force everywhere", lambda t: t.in_force_s * 1e3)
-RENEWED = Budget("one of three renewals in a term", lambda t: shares.TERM / shares.RENEW / 1e3)
+RENEWED = Budget(
+    "one of three renewals in a term", lambda t: shares.DEFAULT_TERM_US / shares.RENEWALS_PER_TERM / 1e3
+)
 TURN_US = Budget("a turn of the reactor", lambda t: t.turn_ms * 1e3)
 BACK = Budget("back after a power loss (supposed)", lambda t: t.back_in_s)
 FILE = Budget("the file's most characters", lambda t: SIZE_MOST)
@@ -64,11 +66,11 @@
 
 def renewals_each(target: Target, size: float) -> float:
     """A second, of so many that hold grants."""
-    return size * shares.RENEW / (shares.TERM / SECOND)
+    return size * shares.RENEWALS_PER_TERM / (shares.DEFAULT_TERM_US / SECOND)
 
 
 def leases_each(target: Target, size: float) -> float:
-    return size * owners.RENEW / (owners.LEASE / SECOND)
+    return size * owners.RENEWALS_PER_LEASE / (owners.LEASE_DURATION_US / SECOND)
 
 
 def changes_core(target: Target, size: float) -> float:
@@ -81,7 +83,7 @@
     return 2 * target.restarts_a_second
 
 
-DEALS, PLANS, JUDGES = DEAL * shares.TERM, PLAN * SECOND, judge.LOOK  # µs between two looks
+DEALS, PLANS, JUDGES = DEAL * shares.DEFAULT_TERM_US, PLAN * SECOND, judge.LOOK  # µs between two looks
 ONE = "one process, one reactor"
 PER_CALLER = "a connection a caller"
 EACH = "each caller to each node"
--- a/lichencleat/capacity/sizes.py
+++ b/lichencleat/capacity/sizes.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from lichencleat.capacity.target import Target
-from lichencleat.leases import terms as owners
-from lichencleat.quotas import terms as shares
+from lichencleat.leases import messages as owners
+from lichencleat.quotas import messages as shares
 from lichencleat.recovery import waking
 
 SECOND = 1_000_000  # µs
@@ -81,7 +81,7 @@
 
 def renewals(target: Target) -> float:
     """Of shares, a second, of one pool."""
-    return target.dependency_seats * shares.RENEW / (shares.TERM / SECOND)
+    return target.dependency_seats * shares.RENEWALS_PER_TERM / (shares.DEFAULT_TERM_US / SECOND)
 
 
 def reports(target: Target) -> float:
@@ -94,7 +94,7 @@
 
 
 def leases(target: Target) -> float:
-    return target.machines * owners.RENEW / (owners.LEASE / SECOND)
+    return target.machines * owners.RENEWALS_PER_LEASE / (owners.LEASE_DURATION_US / SECOND)
 
 
 def changes(target: Target) -> float:
--- a/lichencleat/cli/owners.py
+++ b/lichencleat/cli/owners.py
@@ -9,8 +9,8 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.leases.choice import heir
-from lichencleat.leases.terms import CRASHES_MOST, Candidate, Define, Done, Drop, Job, Move
+from lichencleat.leases.messages import MAX_CRASHES, Candidate, CommandReply, DefineJob, DropJob, Job, MoveJob
+from lichencleat.leases.placement import choose_holder
 
 
 @click.group("owners", no_args_is_help=True)
@@ -28,9 +28,9 @@
 
 def propose(file: str, what: Any) -> None:
     told = talk(lambda reactor, client: client.propose("owners", what, PATIENCE), chosen(file))
-    done = msgspec.convert(told, Done)
-    if not done.done:
-        raise output.WrongData(f"owners: nothing was changed: {done.why}")
+    done = msgspec.convert(told, CommandReply)
+    if not done.accepted:
+        raise output.WrongData(f"owners: nothing was changed: {done.reason}")
 
 
 @group.command("list")
@@ -40,7 +40,15 @@
     """Each job with its owner and token."""
     jobs, candidates = state(file)
     rows = [
-        [name, job.owner, job.token, job.near, job.wanted, job.crashes, "aside" if job.aside else ""]
+        [
+            name,
+            job.holder,
+            job.fencing_token,
+            job.preferred_zone,
+            job.next_holder,
+            job.crash_count,
+            "aside" if job.suspended else "",
+        ]
         for name, job in sorted(jobs.items())
     ]
     output.table(["job", "owner", "token", "near", "goes_to", "crashes", "state"], rows, as_json)
@@ -58,7 +66,7 @@
 @click.option("--near", default="", help="The zone in which it is better done.")
 def define(file: str, job: str, near: str) -> None:
     """Make JOB known, or put one that was aside on again."""
-    propose(file, Define(job, near))
+    propose(file, DefineJob(job, near))
 
 
 @group.command()
@@ -66,7 +74,7 @@
 @click.argument("job")
 def drop(file: str, job: str) -> None:
     """Nobody does JOB any more; one made anew under its name goes on with greater tokens."""
-    propose(file, Drop(job))
+    propose(file, DropJob(job))
 
 
 @group.command()
@@ -75,7 +83,7 @@
 @click.argument("candidate")
 def move(file: str, job: str, candidate: str) -> None:
     """Have CANDIDATE own JOB; its owner lets go first."""
-    propose(file, Move(job, candidate))
+    propose(file, MoveJob(job, candidate))
 
 
 @group.command()
@@ -91,22 +99,36 @@
 
 def reasons(name: str, jobs: dict[str, Job], candidates: dict[str, Candidate]) -> list[str]:
     job = jobs[name]
-    said = [f"{name}: token {job.token}" + (f", better in zone {job.near}" if job.near else "")]
-    if job.aside:
+    said = [
+        f"{name}: token {job.fencing_token}"
+        + (f", better in zone {job.preferred_zone}" if job.preferred_zone else "")
+    ]
+    if job.suspended:
+        said.append(
+            f"it is aside: it crashed {job.crash_count} owners in a row "
+            f"({MAX_CRASHES} put it aside), the last"
+        )
+        said.append(
+            f"one {job.last_crashed_holder}; look at its log there, "
+            f"then 'lichencleat owners define FILE {name}'"
+        )
+    elif job.holder:
+        owner = candidates[job.holder]
+        where = (
+            "which is near"
+            if owner.zone == job.preferred_zone
+            else f"as no healthy candidate is in {job.preferred_zone}"
+        )
         said.append(
-            f"it is aside: it crashed {job.crashes} owners in a row ({CRASHES_MOST} put it aside), the last"
+            f"{job.holder} owns it, in zone {owner.zone or '-'}"
+            + (f", {where}" if job.preferred_zone else "")
         )
-        said.append(f"one {job.last}; look at its log there, then 'lichencleat owners define FILE {name}'")
-    elif job.owner:
-        owner = candidates[job.owner]
-        where = "which is near" if owner.zone == job.near else f"as no healthy candidate is in {job.near}"
-        said.append(f"{job.owner} owns it, in zone {owner.zone or '-'}" + (f", {where}" if job.near else ""))
-        if job.wanted:
-            said.append(f"{job.owner} is asked to let go of it, and {job.wanted} gets it then")
+        if job.next_holder:
+            said.append(f"{job.holder} is asked to let go of it, and {job.next_holder} gets it then")
     else:
         nobody = (
             "nobody: there is no healthy candidate"
-            if not heir(name, jobs, candidates)
+            if not choose_holder(name, jobs, candidates)
             else "about to be given"
         )
         said.append(f"it is {nobody}")
--- a/lichencleat/cli/shares.py
+++ b/lichencleat/cli/shares.py
@@ -9,11 +9,9 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Drop as DropJob
-from lichencleat.leases.terms import Job
-from lichencleat.quotas.pools import reserved
-from lichencleat.quotas.terms import Define, Done, Drop, Forget, Pool, job_of
+from lichencleat.leases.messages import CommandReply, DefineJob, DropJob, Job
+from lichencleat.quotas.messages import DefinePool, DropPool, ForgetNode, Pool, allocator_job
+from lichencleat.quotas.quota_state import reserved_calls
 
 SECOND = 1_000_000  # µs
 POOL = click.argument("pool")
@@ -42,9 +40,9 @@
 
 
 def propose(file: str, part: str, what: Any) -> None:
-    done = msgspec.convert(ask(file, "propose", part, what), Done)
-    if not done.done:
-        raise output.WrongData(f"shares: nothing was changed: {done.why}")
+    done = msgspec.convert(ask(file, "propose", part, what), CommandReply)
+    if not done.accepted:
+        raise output.WrongData(f"shares: nothing was changed: {done.reason}")
 
 
 @group.command("list")
@@ -55,11 +53,13 @@
     jobs = msgspec.convert(ask(file, "read", "owners", None)["jobs"], dict[str, Job])
     rows = []
     for name, pool in sorted(pools(file).items()):
-        job = jobs.get(job_of(name))
-        need = sum(each.need for each in pool.seats.values())
-        seats = f"{len(pool.seats)}/{pool.nodes}"
-        owner = job.owner if job else ""
-        rows.append([name, pool.limit, reserved(pool), need, pool.floor, seats, pool.term / SECOND, owner])
+        job = jobs.get(allocator_job(name))
+        need = sum(each.demand for each in pool.node_quotas.values())
+        seats = f"{len(pool.node_quotas)}/{pool.max_nodes}"
+        owner = job.holder if job else ""
+        rows.append(
+            [name, pool.limit, reserved_calls(pool), need, pool.floor, seats, pool.term / SECOND, owner]
+        )
     output.table(["pool", "limit", "reserved", "need", "floor", "seats", "term_s", "owner"], rows, as_json)
 
 
@@ -70,8 +70,8 @@
 def show(file: str, pool: str, as_json: bool) -> None:
     """Each node's part of POOL: what is reserved for it, what it is to have, what it could use."""
     rows = [
-        [name, each.held, each.target, each.need, each.ghost]
-        for name, each in sorted(named(file, pool).seats.items())
+        [name, each.reserved, each.target, each.demand, each.reserved_until_expiry]
+        for name, each in sorted(named(file, pool).node_quotas.items())
     ]
     output.table(["node", "reserved", "to_have", "need", "of_earlier_life"], rows, as_json)
 
@@ -85,8 +85,8 @@
 @click.option("--term", default=5.0, show_default=True, help="Seconds that a grant lasts unless renewed.")
 def define(file: str, pool: str, limit: int, nodes: int, floor: int, term: float) -> None:
     """Make POOL known, or change its limit; a smaller one holds once the nodes have let go."""
-    propose(file, "shares", Define(pool, limit, floor, nodes, round(term * SECOND)))
-    propose(file, "owners", DefineJob(job_of(pool)))
+    propose(file, "shares", DefinePool(pool, limit, floor, nodes, round(term * SECOND)))
+    propose(file, "owners", DefineJob(allocator_job(pool)))
 
 
 @group.command()
@@ -94,8 +94,8 @@
 @POOL
 def drop(file: str, pool: str) -> None:
     """Nobody shares POOL any more. Its nodes must be forgotten first."""
-    propose(file, "shares", Drop(pool))
-    propose(file, "owners", DropJob(job_of(pool)))
+    propose(file, "shares", DropPool(pool))
+    propose(file, "owners", DropJob(allocator_job(pool)))
 
 
 @group.command()
@@ -104,4 +104,4 @@
 @click.argument("node")
 def forget(file: str, pool: str, node: str) -> None:
     """NODE is gone for good: its floor is free. Wrong while it runs, as it would go on using that."""
-    propose(file, "shares", Forget(pool, node))
+    propose(file, "shares", ForgetNode(pool, node))
--- a/lichencleat/cli/zones.py
+++ b/lichencleat/cli/zones.py
@@ -23,8 +23,7 @@
     Wished,
     Zone,
 )
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Job
+from lichencleat.leases.messages import DefineJob, Job
 
 SECOND = 1_000_000  # µs
 ZONE = click.argument("zone")
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -20,11 +20,11 @@
 from lichencleat.consensus.state import Part, State, founded
 from lichencleat.consensus.terms import Group, Member
 from lichencleat.failover.state import Zones
-from lichencleat.leases.expiry import Expiry
-from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.candidate_expiry import CandidateExpiry
+from lichencleat.leases.lease_state import LeaseState
 from lichencleat.log.lines import make_log
 from lichencleat.programs import run_program
-from lichencleat.quotas.pools import Pools
+from lichencleat.quotas.quota_state import QuotaState
 from lichencleat.recovery.state import Fleet
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.engine import Engine
@@ -81,11 +81,11 @@
 
 def parts() -> dict[str, Part]:
     """What the group decides on; the same at each member."""
-    jobs = Jobs()
+    jobs = LeaseState()
     return {
         "facts": Facts(),
         "owners": jobs,
-        "shares": Pools(jobs),
+        "shares": QuotaState(jobs),
         "revive": Fleet(jobs),
         "zones": Zones(jobs),
     }
@@ -102,15 +102,15 @@
     """What the leader says of candidates that are gone."""
 
     def __init__(self) -> None:
-        self.expiry = Expiry()
+        self.expiry = CandidateExpiry()
 
     def tend(self, state: State | None, now: int) -> list[tuple[str, Any]]:
         if state is None:
-            self.expiry.leads_no_more()
+            self.expiry.reset()
             return []
         jobs = state.parts["owners"]
-        assert isinstance(jobs, Jobs)
-        return [("owners", each) for each in self.expiry.due(now, jobs.candidates)]
+        assert isinstance(jobs, LeaseState)
+        return [("owners", each) for each in self.expiry.find_expired(now, jobs.candidates)]
 
 
 class Running:
--- a/lichencleat/failover/state.py
+++ b/lichencleat/failover/state.py
@@ -27,7 +27,7 @@
     Wished,
     Zone,
 )
-from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.lease_state import LeaseState
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
 SAFE = 1.0  # of what a zone is known to carry, its guests and own together: beyond it an order is refused
@@ -47,7 +47,7 @@
 class Zones:
     """A `state.Part`. An order comes into force in `give` alone."""
 
-    def __init__(self, jobs: Jobs) -> None:
+    def __init__(self, jobs: LeaseState) -> None:
         """`jobs`: the part of the same state; its newest token is what the owner says is held against."""
         self.jobs = jobs
         self.zones: dict[str, Zone] = {}
@@ -81,7 +81,7 @@
             return Done(True)
         if isinstance(what, Unwish):
             return self.unwish(what)
-        if not self.jobs.is_owner(JOB, what.token):  # stopped for leases, it goes on with its view
+        if not self.jobs.is_current_token(JOB, what.token):  # stopped for leases, it goes on with its view
             return Done(False, "an older owner's")
         if isinstance(what, Learn):
             self.zones[what.zone].carries = what.carries
--- a/lichencleat/leases/__init__.py
+++ b/lichencleat/leases/__init__.py
@@ -1,12 +1,14 @@
-"""One owner at a time for a job of the fleet: leases from the group's log, and fencing tokens.
+"""Leases of the fleet's jobs, granted through the consensus group, with fencing tokens.
 
-Promised: a job has at most one owner in the log, each with a token that only grows; whoever checks tokens
-never accepts an older one after a newer. As long as clocks keep the stated drift, an owner has stopped by
-itself before the next one begins. Not promised: that an owner notices in time. A pause may lie between any
-two lines; only the token makes its late act harmless.
+Guaranteed: a job has at most one holder in the log, each with a fencing token that only grows; a receiver
+that checks tokens never accepts an older one after a newer one. As long as clocks keep the stated drift, a
+holder has stopped by itself before the next one starts. Not guaranteed: that a holder notices in time. It
+may pause between any two instructions; only the token makes its late act harmless.
 
-Decisions, all without I/O: `jobs.py` who owns what (a part of the group's state, the same at each member),
-`choice.py` who is next, `expiry.py` when the leader may say that a candidate is gone, `leases.py` when an
-owner may act and when it asks anew, `fence.py` which token is accepted. `holder.py` carries them out in a
-process that wants jobs.
+Modules without I/O: `lease_state` (the replicated state), `placement` (which candidate gets a job),
+`candidate_expiry` (when the leader may expire a candidate), `held_leases` (what a candidate may do and until
+when), `fencing` (which tokens a receiver accepts), `messages` (commands and replies).
+
+Modules on the reactor: `lease_client` (the client of a process that takes on jobs), `leader_task` (a task
+that runs under a lease), `periodic_proposer` (the loop below the clients), `interfaces` (what they use).
 """
--- a/lichencleat/leases/lease_client.py
+++ b/lichencleat/leases/lease_client.py
@@ -13,10 +13,16 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
+from lichencleat.leases.held_leases import HeldLeases
 from lichencleat.leases.interfaces import GroupClient, Logger, ReactorTime
-from lichencleat.leases.leases import Leases
+from lichencleat.leases.messages import (
+    LEASE_DURATION_US,
+    MAX_CLOCK_DRIFT,
+    Leave,
+    ReleaseJob,
+    RenewalReply,
+)
 from lichencleat.leases.periodic_proposer import MICROSECONDS_PER_SECOND, PeriodicProposer, Proposal
-from lichencleat.leases.terms import DRIFT, LEASE, Leave, Owned, Release
 
 PART = "owners"  # the part of the replicated state that holds the leases
 LEAVE_TIMEOUT_S = 2.0  # without a reply the lease runs out by itself
@@ -58,49 +64,49 @@
         listener: LeaseListener,
         rng: random.Random,
         log: Logger,
-        lease: int = LEASE,
-        drift: float = DRIFT,
+        lease: int = LEASE_DURATION_US,
+        drift: float = MAX_CLOCK_DRIFT,
     ) -> None:
         super().__init__(reactor, client, PART, log)
         self.listener = listener
-        self.leases = Leases(name, zone, rng.getrandbits(48), lease, drift)
+        self.leases = HeldLeases(name, zone, rng.getrandbits(48), lease, drift)
         self.timeout_s = lease / MICROSECONDS_PER_SECOND
 
     def fencing_token(self, job: str) -> int | None:
         """The token to send with an act on `job`; None: the process must not act. Ask before each act."""
-        return self.leases.may_act(self.now(), job)
+        return self.leases.fencing_token(self.now(), job)
 
     def next_proposal(self, now: int) -> Proposal | None:
         """End jobs whose lease is over, then return the renewal that is due."""
-        for job in self.leases.lapse(now):
+        for job in self.leases.drop_expired(now):
             self.notify_lost(job, "the lease is over")
         renewal = self.leases.next_renewal(now)
         return Proposal(renewal, self.timeout_s) if renewal is not None else None
 
     def next_round_at(self, now: int) -> int:
         """When the lease ends or its next renewal is due, in µs."""
-        return self.leases.deadline()
+        return self.leases.next_action_at()
 
     def on_reply(self, reply: object) -> None:
         """Handle the reply to a renewal: jobs lost first, then jobs won, then jobs to hand over."""
-        before = dict(self.leases.held)
-        owned = msgspec.convert(reply, Owned)
-        acquired = self.leases.answered(self.now(), owned)
-        if owned.refused:
-            self.log.warning("refused", reason=owned.refused)
-        held = self.leases.held
-        for job in [each for each in before if each not in held or each in acquired]:
-            self.notify_lost(job, owned.refused or "another one has it")
+        held_before = dict(self.leases.held_tokens)
+        renewed = msgspec.convert(reply, RenewalReply)
+        acquired = self.leases.on_renewed(self.now(), renewed)
+        if renewed.rejection:
+            self.log.warning("refused", reason=renewed.rejection)
+        held = self.leases.held_tokens
+        for job in [each for each in held_before if each not in held or each in acquired]:
+            self.notify_lost(job, renewed.rejection or "another one has it")
         for job, token in acquired.items():
             self.log.info("begins", job=job, token=token)
             self.listener.on_lease_acquired(job, token)
-        for job in list(self.leases.let_go):
+        for job in list(self.leases.to_release):
             self.release(job, crashed=False)
         self.schedule_round()
 
     def on_failure(self, failure: Failure) -> None:
         """Renew again soon; the lease counts from the renewal before."""
-        self.leases.failed(self.now())
+        self.leases.on_renewal_failed(self.now())
         self.log.warning("not renewed", reason=failure.getErrorMessage())
         self.schedule_round()
 
@@ -110,7 +116,7 @@
 
     def release(self, job: str, crashed: bool) -> None:
         """Stop acting on `job`, then give its lease back."""
-        token = self.leases.released(job)
+        token = self.leases.start_release(job)
         if token is not None:
             self.notify_lost(job, "it failed here" if crashed else "it goes to another")
             self.propose_release(job, token, crashed)
@@ -119,10 +125,10 @@
         """Propose the release until it is committed; the job is not acquired under that token meanwhile."""
         if self.stopped or self.leases.releasing.get(job) != token:
             return
-        command = Release(self.leases.name, job, token, crashed)
+        command = ReleaseJob(self.leases.name, job, token, crashed)
         reply = self.client.propose(PART, command, self.timeout_s)
         reply.addCallbacks(
-            lambda _: self.leases.is_released(job), lambda _: self.propose_release(job, token, crashed)
+            lambda _: self.leases.on_released(job), lambda _: self.propose_release(job, token, crashed)
         )
 
     def notify_lost(self, job: str, reason: str) -> None:
@@ -138,10 +144,10 @@
         """
         if self.stopped:
             return succeed(None)
-        for job in list(self.leases.held):
+        for job in list(self.leases.held_tokens):
             self.notify_lost(job, "this process leaves")
-        self.leases.leaves()
+        self.leases.leave()
         self.stop()
-        reply = self.client.propose(PART, Leave(self.leases.name, self.leases.life), LEAVE_TIMEOUT_S)
+        reply = self.client.propose(PART, Leave(self.leases.name, self.leases.incarnation), LEAVE_TIMEOUT_S)
         reply.addErrback(lambda failure: self.log.warning("left untold", reason=failure.getErrorMessage()))
         return reply.addCallback(lambda _: None)
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -16,8 +16,8 @@
 from lichencleat.consensus.client import Client
 from lichencleat.leases.lease_client import LeaseClient, LeaseListener
 from lichencleat.quotas.allocator_task import AllocatorTask
-from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.quota_client import QuotaClient
+from lichencleat.quotas.quota_grant import QuotaGrant
 from lichencleat.recovery.boot import Clock
 from lichencleat.recovery.seat import Planning, Record, Return
 from lichencleat.recovery.waking import Waking
@@ -74,7 +74,7 @@
         shares, life = self.chosen.shares, self.rng.getrandbits(48)
         assert shares is not None
         term = round(shares.term_s * SECOND)
-        grants = Grants(shares.pool, self.name, life, shares.floor, term, self.now())
+        grants = QuotaGrant(shares.pool, self.name, life, shares.floor, term, self.now())
         seat = QuotaClient(self.reactor, self.client(), grants, host.calls_wanted, host.may_call, self.log)
         host.call_span = seat.max_call_duration
         return seat
@@ -103,7 +103,7 @@
         for each in works:
             each.lease_client = holder
         # a node whose file names no part of it would own a job and do nothing
-        holder.leases.knows = [each.job for each in works] or ["none"]
+        holder.leases.job_prefixes = [each.job for each in works] or ["none"]
         return holder
 
     def start(self) -> None:
@@ -127,5 +127,5 @@
     def beliefs(self) -> str:
         said = [self.seat.describe()] if self.seat is not None else []
         said += [self.back.beliefs()] if self.back is not None else []
-        jobs = ", ".join(sorted(self.holder.leases.held)) if self.holder is not None else ""
+        jobs = ", ".join(sorted(self.holder.leases.held_tokens)) if self.holder is not None else ""
         return "; ".join(said + ([f"owns {jobs}"] if jobs else [])) or "alone"
--- a/lichencleat/quotas/__init__.py
+++ b/lichencleat/quotas/__init__.py
@@ -1,11 +1,14 @@
-"""Parts of a dependency that all nodes call, dealt out by one owner: docs/shares.md.
+"""Quotas of a dependency that all nodes call, allocated by the holder of a lease: docs/shares.md.
 
-Promised: the sum of what all nodes together may have in hand never exceeds the pool's limit, whichever
-owners are alive, stopped or cut off, as long as clocks keep the stated drift; a deal of an old owner is
-refused by its token. A node that hears from nobody keeps its floor, which is set aside for it at all times.
-Not promised: that a call already written is taken back; so a call under a grant is told to end with it.
+Guaranteed: the sum of the calls that all nodes may have in flight never exceeds the pool's limit, whichever
+allocators are alive, paused or partitioned, as long as clocks keep the stated drift; an allocation by an
+earlier lease holder is rejected by its fencing token. A node that reaches nobody keeps its floor, which is
+reserved for it at all times. Not guaranteed: that a call that was sent is cancelled; so a call under a grant
+has a deadline at the grant's end.
 
-Decisions, all without I/O: `pools.py` who holds how much (a part of the group's state), `deal.py` how much
-to whom, `dealer.py` what the owner proposes and when a grant must be over, `grants.py` what a node may use
-and until when. `seat.py` carries them out in a node.
+Modules without I/O: `quota_state` (the replicated state), `allocation` (how much each node should have),
+`allocator` (what the lease holder proposes, and when a grant has expired), `quota_grant` (what a node may use
+and until when), `messages` (commands and replies).
+
+Modules on the reactor: `quota_client` (a node's side), `allocator_task` (the lease holder's side).
 """
--- a/lichencleat/quotas/allocator_task.py
+++ b/lichencleat/quotas/allocator_task.py
@@ -7,20 +7,21 @@
 
 from lichencleat.leases.interfaces import GroupClient, Logger, ReactorTime
 from lichencleat.leases.leader_task import MICROSECONDS_PER_SECOND, LeaderTask
-from lichencleat.quotas.dealer import LOOK, Dealer
+from lichencleat.leases.messages import CommandReply
+from lichencleat.quotas.allocator import POLL_INTERVAL_TERMS, Allocator
+from lichencleat.quotas.messages import GrantExpired, Pool, allocator_job
 from lichencleat.quotas.quota_client import PART
-from lichencleat.quotas.terms import Done, Over, Pool, job_of
 
 
 def is_accepted(reply: object) -> bool:
     """Whether the reply says that the command was carried out."""
     try:
-        return msgspec.convert(reply, Done).done
+        return msgspec.convert(reply, CommandReply).accepted
     except msgspec.ValidationError:  # voters of an older version know no pools
         return False
 
 
-class AllocatorTask(LeaderTask[Dealer]):
+class AllocatorTask(LeaderTask[Allocator]):
     """Allocates one pool while this process holds the lease of the pool's job.
 
     Args:
@@ -31,34 +32,34 @@
     """
 
     def __init__(self, reactor: ReactorTime, client: GroupClient, pool: str, log: Logger) -> None:
-        super().__init__(reactor, client, PART, job_of(pool), log)
+        super().__init__(reactor, client, PART, allocator_job(pool), log)
         self.pool = pool
         self.query = pool
 
-    def create_decider(self, fencing_token: int) -> Dealer:
+    def create_decider(self, fencing_token: int) -> Allocator:
         """Return the allocator of a lease that was just acquired."""
-        return Dealer(self.pool, fencing_token)
+        return Allocator(self.pool, fencing_token)
 
-    def on_read_failed(self, failure: Failure, decider: Dealer) -> None:
+    def on_read_failed(self, failure: Failure, decider: Allocator) -> None:
         """Log the failure and poll again."""
         self.log.warning("pool not read", pool=self.pool, reason=failure.getErrorMessage())
         super().on_read_failed(failure, decider)
 
-    def on_state(self, state: object, decider: Dealer) -> None:
+    def on_state(self, state: object, decider: Allocator) -> None:
         """Propose what the allocator decides on the pool that was read."""
         if state is None:
             self.log.warning("no such pool", pool=self.pool)
             self.schedule_poll(decider, self.poll_interval_s)
             return
         pool = msgspec.convert(state, Pool)
-        for command in decider.looks(self.now(), pool):
+        for command in decider.decide(self.now(), pool):
             self.propose(PART, command)
-        self.schedule_poll(decider, pool.term * LOOK / MICROSECONDS_PER_SECOND)
+        self.schedule_poll(decider, pool.term * POLL_INTERVAL_TERMS / MICROSECONDS_PER_SECOND)
 
     def on_propose(self, command: object) -> None:
         """Log that a grant has expired."""
-        if isinstance(command, Over):
-            self.log.info("grant over", pool=self.pool, node=command.node, token=command.token)
+        if isinstance(command, GrantExpired):
+            self.log.info("grant over", pool=self.pool, node=command.node, token=command.fencing_token)
 
     def on_reply(self, reply: object) -> None:
         """Log a command that was rejected, for example under an old fencing token."""
--- /dev/null
+++ b/lichencleat/quotas/messages.py
@@ -0,0 +1,157 @@
+"""Pools, node quotas, the commands on them and the replies.
+
+All structs are stored in the consensus log and snapshots or sent as msgpack arrays: the order of the fields
+and the tags must not change. Limits, floors, demands and grants count calls in flight; times are in µs.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+DEFAULT_TERM_US = 5_000_000  # how long a node may use a grant on one renewal; calls under it end within it
+RENEWALS_PER_TERM = 3  # two renewals in a row may be lost
+MAX_POOLS = 64
+MAX_NODES = 1_024  # of one pool
+MAX_LIMIT = 1_000_000
+# A shorter term leaves time for renewals only; with a longer one a lost node's calls are missed for too long.
+MIN_TERM_US = 300_000
+MAX_TERM_US = 600_000_000
+RECOVERY_JOB = "revive"  # the job whose lease holder may set the allocatable share
+
+
+class NodeQuota(msgspec.Struct, array_like=True):
+    """What one node has of a pool. `reserved` and `reserved_until_expiry` count against the limit.
+
+    Attributes:
+        incarnation: Drawn at the node's start.
+        request_number: Number of its last renewal; an older one that arrives late changes nothing.
+        reserved: Calls that it may have in flight until it reports fewer or its grant expires.
+        target: Calls that the allocator wants it to have.
+        demand: Calls that it last reported it could use.
+        renewal_index: Index of the log entry of its last renewal.
+        reserved_until_expiry: Calls that earlier incarnations may have in flight; together with `reserved`
+            never below the floor.
+        previous_renewal_index: Index of the log entry of the last renewal of those incarnations.
+    """
+
+    incarnation: int
+    request_number: int
+    reserved: int
+    target: int
+    demand: int
+    renewal_index: int
+    reserved_until_expiry: int = 0
+    previous_renewal_index: int = 0
+
+
+class Pool(msgspec.Struct, array_like=True):
+    """A dependency's capacity and how it is divided among the nodes.
+
+    Attributes:
+        limit: Calls in flight that the dependency survives.
+        floor: Calls that each node may have in flight without a grant, once it has run for a term.
+        max_nodes: How many nodes there may be; the floor is reserved for each, present or not.
+        term: How long a grant lasts, in µs.
+        fencing_token: Of the lease holder that allocated last; 0: nobody has yet.
+        node_quotas: The nodes that have asked for a grant.
+        allocatable_share: Share of the limit beyond all floors that may be allocated; below 1 while the fleet
+            recovers.
+    """
+
+    limit: int
+    floor: int
+    max_nodes: int
+    term: int
+    fencing_token: int = 0
+    node_quotas: dict[str, NodeQuota] = {}
+    allocatable_share: float = 1.0
+
+
+class DefinePool(msgspec.Struct, frozen=True, array_like=True, tag="define"):
+    """Create a pool or change it; see `Pool`."""
+
+    pool: str
+    limit: int
+    floor: int
+    max_nodes: int
+    term: int = DEFAULT_TERM_US
+
+
+class DropPool(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
+    """Delete a pool that no node has a quota in."""
+
+    pool: str
+
+
+class ForgetNode(msgspec.Struct, frozen=True, array_like=True, tag="forget"):
+    """An operator states that a node is gone for good and uses not even its floor."""
+
+    pool: str
+    node: str
+
+
+class QuotaRequest(msgspec.Struct, frozen=True, array_like=True, tag="ask"):
+    """A node renews its grant.
+
+    Attributes:
+        floor: The pool's floor as the node is configured.
+        term: The pool's term as the node is configured, in µs.
+        in_use: Calls that the node has at most in flight, from before the request until the reply.
+        demand: Calls that it could use.
+    """
+
+    pool: str
+    node: str
+    incarnation: int
+    request_number: int
+    floor: int
+    term: int
+    in_use: int
+    demand: int
+
+
+class Allocate(msgspec.Struct, frozen=True, array_like=True, tag="deal"):
+    """The allocator sets the targets of some nodes; rejected under an old fencing token."""
+
+    pool: str
+    fencing_token: int
+    targets: dict[str, int]
+
+
+class GrantExpired(msgspec.Struct, frozen=True, array_like=True, tag="over"):
+    """The allocator states that a grant has expired; without effect if the node has renewed since."""
+
+    pool: str
+    fencing_token: int
+    node: str
+    renewal_index: int
+
+
+class SetAllocatableShare(msgspec.Struct, frozen=True, array_like=True, tag="part"):
+    """The recovery planner limits what may be allocated of every pool; see `Pool.allocatable_share`."""
+
+    fencing_token: int  # of RECOVERY_JOB
+    share: float
+
+
+FencedCommand = Allocate | GrantExpired
+Command = DefinePool | DropPool | ForgetNode | QuotaRequest | FencedCommand | SetAllocatableShare
+
+
+class QuotaReply(msgspec.Struct, frozen=True, array_like=True):
+    """The reply to a request.
+
+    Attributes:
+        amount: Calls that the node may have in flight.
+        fencing_token: Of the lease holder that allocated last; 0: nobody has yet.
+        rejection: Why there is no grant; empty if there is one.
+    """
+
+    amount: int
+    fencing_token: int
+    rejection: str = ""
+
+
+def allocator_job(pool: str) -> str:
+    """The job whose lease holder allocates that pool."""
+    return f"shares/{pool}"
--- a/lichencleat/quotas/quota_client.py
+++ b/lichencleat/quotas/quota_client.py
@@ -1,6 +1,6 @@
 """The client of a node in a pool: renews its grant and tells the node how many calls it may have in flight.
 
-What the grant allows and until when is decided by `Grants`; this module carries that out on the reactor.
+What the grant allows and until when is decided by `QuotaGrant`; this module carries that out on the reactor.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 
 from lichencleat.leases.interfaces import GroupClient, Logger, ReactorTime
 from lichencleat.leases.periodic_proposer import MICROSECONDS_PER_SECOND, PeriodicProposer, Proposal
-from lichencleat.quotas.grants import Grants
-from lichencleat.quotas.terms import Granted
+from lichencleat.quotas.messages import QuotaReply
+from lichencleat.quotas.quota_grant import QuotaGrant
 
 PART = "shares"  # the part of the replicated state that holds the pools
 
@@ -24,7 +24,7 @@
     Args:
         reactor: Source of the monotonic clock and of the timer.
         client: Client of the consensus group.
-        grants: State of the grant.
+        grant: State of the grant.
         count_calls: Returns how many calls are in flight, and how many would be with no bound.
         on_limit_changed: Called with each new bound on the calls in flight.
         log: Logger of the process.
@@ -36,70 +36,74 @@
         self,
         reactor: ReactorTime,
         client: GroupClient,
-        grants: Grants,
+        grant: QuotaGrant,
         count_calls: Callable[[], tuple[int, int]],
         on_limit_changed: Callable[[int], None],
         log: Logger,
     ) -> None:
         super().__init__(reactor, client, PART, log)
-        self.grants = grants
+        self.grant = grant
         self.count_calls = count_calls
         self.on_limit_changed = on_limit_changed
         self.limit: int | None = None  # the bound that the node was told last
-        self.logged_refusal = ""
+        self.logged_rejection = ""
 
     def max_call_duration(self, duration: int) -> int:
         """The time in µs that a call sent now may take: `duration` at most, and no longer than the grant."""
-        return max(1, min(duration, self.grants.span(self.now())))
+        return max(1, min(duration, self.grant.max_call_duration(self.now())))
 
     def next_proposal(self, now: int) -> Proposal | None:
         """Notify the node of a changed bound, then return the renewal that is due."""
         self.update_limit(now)
         in_flight, wanted = self.count_calls()
-        self.grants.wants(wanted)
-        request = self.grants.next_ask(now, in_flight)
+        self.grant.note_demand(wanted)
+        request = self.grant.next_request(now, in_flight)
         if request is None:
             return None
-        return Proposal(request, self.grants.patience() / MICROSECONDS_PER_SECOND)
+        return Proposal(request, self.grant.reply_timeout() / MICROSECONDS_PER_SECOND)
 
     def next_round_at(self, now: int) -> int:
         """When the grant ends or its next renewal is due, in µs."""
-        return self.grants.deadline(now)
+        return self.grant.next_action_at(now)
 
     def update_limit(self, now: int) -> None:
         """Tell the node how many calls it may have in flight, if that has changed."""
-        usable = self.grants.usable(now)
+        usable = self.grant.usable_calls(now)
         if usable == self.limit:
             return
         self.limit = usable
         self.log.info(
-            "grant", pool=self.grants.pool, usable=usable, floor=self.grants.floor, token=self.grants.token
+            "grant",
+            pool=self.grant.pool,
+            usable=usable,
+            floor=self.grant.floor,
+            token=self.grant.fencing_token,
         )
         self.on_limit_changed(usable)
 
     def on_reply(self, reply: object) -> None:
-        """Handle the reply to a renewal; a refusal is logged once."""
+        """Handle the reply to a renewal; a rejection is logged once."""
         try:
-            granted = msgspec.convert(reply, Granted)
+            renewed = msgspec.convert(reply, QuotaReply)
         except msgspec.ValidationError:  # voters of an older version know no pools
-            granted = Granted(0, 0, refused="the voters know no pools")
-        self.grants.answered(self.now(), granted)
-        if granted.refused and granted.refused != self.logged_refusal:
-            self.log.warning("no seat", pool=self.grants.pool, reason=granted.refused)
-        self.logged_refusal = granted.refused
+            renewed = QuotaReply(0, 0, "the voters know no pools")
+        self.grant.on_reply(self.now(), renewed)
+        if renewed.rejection and renewed.rejection != self.logged_rejection:
+            self.log.warning("no seat", pool=self.grant.pool, reason=renewed.rejection)
+        self.logged_rejection = renewed.rejection
         self.update_limit(self.now())
         self.schedule_round()
 
     def on_failure(self, failure: Failure) -> None:
         """Renew again soon; the grant counts from the renewal before."""
-        self.grants.failed(self.now())
-        self.log.warning("grant not renewed", pool=self.grants.pool, reason=failure.getErrorMessage())
+        self.grant.on_failure(self.now())
+        self.log.warning("grant not renewed", pool=self.grant.pool, reason=failure.getErrorMessage())
         self.schedule_round()
 
     def describe(self) -> str:
         """One line on the grant, for the status of the node."""
         now = self.now()
-        left = (self.grants.until - now) // 1000
+        left = (self.grant.valid_until - now) // 1000
         until = f"for {left} ms" if left > 0 else "as its floor"
-        refused = f", refused: {self.grants.refused}" if self.grants.refused else ""
-        return f"{self.grants.pool}: {self.grants.usable(now)} calls {until}{refused}"
+        rejected = f", refused: {self.grant.rejection}" if self.grant.rejection else ""
+        return f"{self.grant.pool}: {self.grant.usable_calls(now)} calls {until}{rejected}"
--- /dev/null
+++ b/lichencleat/quotas/quota_grant.py
@@ -0,0 +1,122 @@
+"""A node's grant in a pool: how many calls it may have in flight, and until when by its own monotonic clock.
+
+A grant counts from the moment before its renewal was requested, less the drift of clocks. After it the floor
+holds, which is reserved for the node at all times; where the group has rejected the node, nothing does.
+"""
+
+from __future__ import annotations
+
+from lichencleat.leases.messages import MAX_CLOCK_DRIFT
+from lichencleat.quotas.messages import RENEWALS_PER_TERM, QuotaReply, QuotaRequest
+
+REPLY_TIMEOUT_TERMS = 0.3  # of a term: another request fits in after one that was lost
+
+
+class QuotaGrant:
+    """State of one node in one pool, without I/O.
+
+    The caller sends what `next_request` returns, passes the reply to `on_reply` or the failure to
+    `on_failure`, and sends calls only within `usable_calls`, each for no longer than `max_call_duration`.
+
+    Args:
+        pool: Name of the pool.
+        node: Name of the node.
+        incarnation: Drawn at the node's start.
+        floor: The pool's floor.
+        term: The pool's term in µs.
+        now: When the node has started, in µs.
+        drift: Largest relative difference between the rates of two machines' clocks.
+    """
+
+    def __init__(
+        self,
+        pool: str,
+        node: str,
+        incarnation: int,
+        floor: int,
+        term: int,
+        now: int,
+        drift: float = MAX_CLOCK_DRIFT,
+    ) -> None:
+        self.pool = pool
+        self.node = node
+        self.incarnation = incarnation
+        self.floor = floor
+        self.term = term
+        self.drift = drift
+        self.amount = 0
+        self.valid_until = 0  # µs: the amount holds before, the floor after
+        self.floor_from = now + round(
+            term * (1 + drift)
+        )  # calls of an earlier incarnation have ended by then
+        self.fencing_token = 0
+        self.request_number = 0
+        self.requested_at: int | None = None  # µs: when the request under way was sent
+        self.next_request_at = now  # µs
+        self.rejection = ""
+        self.demand = 0  # the most that the node could have used since the last request
+
+    def usable_calls(self, now: int) -> int:
+        """How many calls may be in flight; none may be sent while there are as many or more."""
+        if now < self.valid_until:
+            return self.amount
+        return 0 if self.rejection or now < self.floor_from else self.floor
+
+    def note_demand(self, demand: int) -> None:
+        """Note how many calls the node could use."""
+        self.demand = max(self.demand, demand)
+
+    def max_call_duration(self, now: int) -> int:
+        """µs that a call sent now may take: it ends within the grant, and in any case within a term."""
+        return self.valid_until - now if now < self.valid_until else round(self.term * (1 - self.drift))
+
+    def next_request(self, now: int, in_flight: int) -> QuotaRequest | None:
+        """Return the request to send at `now` (µs), None if it is not due or another one is under way."""
+        if self.requested_at is not None or now < self.next_request_at:
+            return None
+        self.requested_at = now
+        self.request_number += 1
+        in_use = max(self.usable_calls(now), in_flight)
+        demand = max(self.demand, in_flight)
+        self.demand = 0
+        return QuotaRequest(
+            self.pool,
+            self.node,
+            self.incarnation,
+            self.request_number,
+            self.floor,
+            self.term,
+            in_use,
+            demand,
+        )
+
+    def on_reply(self, now: int, reply: QuotaReply) -> None:
+        """Handle the reply to the request under way; a rejected node keeps its grant to the end."""
+        requested_at = self.requested_at
+        assert requested_at is not None
+        self.requested_at = None
+        self.next_request_at = requested_at + self.term // RENEWALS_PER_TERM
+        self.rejection = reply.rejection
+        if reply.rejection:
+            return
+        valid_until = requested_at + round(self.term * (1 - self.drift))
+        if now < valid_until:
+            self.amount = reply.amount
+            self.valid_until = valid_until
+            self.fencing_token = reply.fencing_token
+
+    def on_failure(self, now: int) -> None:
+        """Handle that no reply came: the grant counts from the renewal before, and the next one is soon."""
+        self.requested_at = None
+        self.next_request_at = now + self.term // RENEWALS_PER_TERM // RENEWALS_PER_TERM
+
+    def reply_timeout(self) -> int:
+        """How long to wait for a reply, in µs."""
+        return round(self.term * REPLY_TIMEOUT_TERMS)
+
+    def next_action_at(self, now: int) -> int:
+        """When the grant ends or its next renewal is due, in µs."""
+        times = [self.valid_until] if now < self.valid_until else []
+        if self.requested_at is None:
+            times.append(self.next_request_at)
+        return min(times, default=now + self.reply_timeout())
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -7,7 +7,7 @@
 
 from __future__ import annotations
 
-from lichencleat.quotas.terms import Part
+from lichencleat.quotas.messages import SetAllocatableShare
 from lichencleat.recovery.terms import Door, Lost, NewEpoch, Node, Plan, Wave
 
 MISSED = 5_000_000  # µs without a report from a node that is called gone: an open one reports each 2 s
@@ -121,7 +121,10 @@
             first = max(1.0, len(nodes) * FIRST)
             why = f"wave 1: {first:.0f} nodes first, the others after them"
             plan = Plan(first, 1, plan.held, plan.relapses, PART_FIRST, why)
-            return [Part(self.token, plan.part), Wave(self.token, self.fill(nodes, plan, len(open_)), plan)]
+            return [
+                SetAllocatableShare(self.token, plan.part),
+                Wave(self.token, self.fill(nodes, plan, len(open_)), plan),
+            ]
         fallen = [name for name, each in open_.items() if not each.ready]
         strain = strain_of(list(open_.values()))
         if len(fallen) * 2 > len(open_) > 0:
@@ -130,7 +133,7 @@
         whole = not shut and not moving
         part = self.part(plan, strain, bool(open_))
         if whole and all(each.share >= 1.0 for each in open_.values()) and open_ and part >= 1.0:
-            return [Part(self.token, 1.0), Wave(self.token, {}, None)]
+            return [SetAllocatableShare(self.token, 1.0), Wave(self.token, {}, None)]
         self.stands = self.stands + 1 if strain <= REFERENCE and not fallen else 0
         cap = plan.cap * (1 + GAIN * max(-1.0, min(1.0, REFERENCE - strain)))
         why = f"wave {plan.wave}: {len(open_)} open at strain {strain:.2f}, {cap:.0f} may be; part {part:.2f}"
@@ -139,7 +142,7 @@
             new.wave += 1
             self.stands = 0
             moving |= more
-        return [Part(self.token, part), Wave(self.token, moving, new)]
+        return [SetAllocatableShare(self.token, part), Wave(self.token, moving, new)]
 
     def part(self, plan: Plan, strain: float, known: bool) -> float:
         """Of what is shared below: up while calls come back, down as soon as some don't."""
--- a/lichencleat/recovery/seat.py
+++ b/lichencleat/recovery/seat.py
@@ -11,7 +11,7 @@
 from lichencleat.consensus.client import Client
 from lichencleat.decide import RUNS_FEW
 from lichencleat.leases.lease_client import LeaseClient
-from lichencleat.quotas.terms import Part
+from lichencleat.quotas.messages import SetAllocatableShare
 from lichencleat.recovery import boot as boots
 from lichencleat.recovery import figures
 from lichencleat.recovery.planner import Planner
@@ -214,7 +214,7 @@
             if self.lease_client is None or self.lease_client.fencing_token(JOB) is None:
                 return
             self.tell(what)
-            part = "shares" if isinstance(what, Part) else "revive"
+            part = "shares" if isinstance(what, SetAllocatableShare) else "revive"
             self.client.propose(part, what, PATIENCE).addErrback(
                 lambda failure: self.log.warning("plan not told", reason=failure.getErrorMessage())
             )
--- a/lichencleat/recovery/state.py
+++ b/lichencleat/recovery/state.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.lease_state import LeaseState
 from lichencleat.recovery.terms import (
     JOB,
     NODES_MOST,
@@ -60,7 +60,7 @@
 class Fleet:
     """A `state.Part`. Doors are opened in `open` alone."""
 
-    def __init__(self, jobs: Jobs) -> None:
+    def __init__(self, jobs: LeaseState) -> None:
         """`jobs`: the part of the same state; its newest token is what the owner says is held against."""
         self.jobs = jobs
         self.epoch = 1
@@ -85,7 +85,9 @@
             return self.open(what.node, 1.0)
         if isinstance(what, Forget):
             return Done(self.nodes.pop(what.node, None) is not None, "no such node")
-        if not self.jobs.is_owner(JOB, what.token):  # stopped since before the cut, it goes on with its plan
+        if not self.jobs.is_current_token(
+            JOB, what.token
+        ):  # stopped since before the cut, it goes on with its plan
             return Done(False, "an older owner's")
         if isinstance(what, Lost):
             return self.lost(what)
@@ -112,7 +114,7 @@
 
     def planned(self) -> bool:
         job = self.jobs.jobs.get(JOB)
-        return job is not None and bool(job.owner)
+        return job is not None and bool(job.holder)
 
     def clock_off(self, index: int, node: Node) -> int:
         """µs that its clock is ahead of the others', 0 where that may be chance, or nobody can say."""
--- a/lichencleat/recovery/terms.py
+++ b/lichencleat/recovery/terms.py
@@ -6,9 +6,9 @@
 
 import msgspec
 
-from lichencleat.quotas.terms import RETURN
+from lichencleat.quotas.messages import RECOVERY_JOB
 
-JOB = RETURN  # of the fleet: its owner plans
+JOB = RECOVERY_JOB  # of the fleet: its owner plans
 NODES_MOST = 2_048
 REASON_MOST = 200  # characters
 
--- a/lichencleat/router/seat.py
+++ b/lichencleat/router/seat.py
@@ -78,7 +78,7 @@
 
 
 class Judging:
-    """The owner's work: a look at the evidence every so often, and what follows from it. A `LeaseListener`."""
+    """The owner's work: a look at the evidence every so often, and what follows from it; a `LeaseListener`"""
 
     def __init__(self, reactor: Any, client: Client, log: Any) -> None:
         self.reactor, self.client, self.log = reactor, client, log
--- a/lichencleat/testkit/cluster/receiver.py
+++ b/lichencleat/testkit/cluster/receiver.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Factory
 from twisted.protocols.basic import LineOnlyReceiver
 
-from lichencleat.leases.fence import Fence
+from lichencleat.leases.fencing import Fence
 from lichencleat.testkit.checkers.owners import OwnersWatch
 from lichencleat.testkit.cluster.relay import LOCAL
 
@@ -35,7 +35,7 @@
         self.port = reactor.listenTCP(0, self, interface=LOCAL)
 
     def acts(self, job: str, token: int, who: str) -> None:
-        accepted = self.fence.accepts(job, token)
+        accepted = self.fence.accept(job, token)
         self.watch.acts(job, token, who, accepted, time.monotonic_ns() // 1000)
         if accepted:
             self.last[job] = who
--- a/lichencleat/testkit/explore_revive.py
+++ b/lichencleat/testkit/explore_revive.py
@@ -18,13 +18,12 @@
 
 from lichencleat.idempotency.book import Book, Told
 from lichencleat.idempotency.records import Entry, State
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Gone, Renew
-from lichencleat.quotas.dealer import Dealer
-from lichencleat.quotas.grants import Grants
-from lichencleat.quotas.pools import Pools, reserved
-from lichencleat.quotas.terms import Ask, Define, Granted, job_of
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
+from lichencleat.quotas.allocator import Allocator
+from lichencleat.quotas.messages import DefinePool, QuotaReply, QuotaRequest, allocator_job
+from lichencleat.quotas.quota_grant import QuotaGrant
+from lichencleat.quotas.quota_state import QuotaState, reserved_calls
 from lichencleat.recovery.boot import Clock
 from lichencleat.recovery.state import Fleet
 from lichencleat.recovery.terms import JOB, Door, NewEpoch, Plan, Report, Wave
@@ -39,14 +38,19 @@
 HOUR = 3_600_000_000  # µs by which the clock of node b is ahead after its first cut
 
 
+def token_of(command: Any) -> int:
+    """The fencing token of what an owner proposes."""
+    return command.token if isinstance(command, Wave) else command.fencing_token
+
+
 @dataclass
 class Node:
     """One process, or what it left: its calls below, its disk."""
 
     up: bool = False
     life: int = 0
-    grants: Grants | None = None
-    flying: Granted | None = None  # an answer on its way
+    grants: QuotaGrant | None = None
+    flying: QuotaReply | None = None  # an answer on its way
     out: tuple[int, ...] = ()  # ends of its calls, also of lives before
     mine: int = 0  # of them, of this life
     waking: Waking | None = None
@@ -60,7 +64,7 @@
 class World:
     """The setting at one moment."""
 
-    jobs: Jobs = field(default_factory=Jobs)
+    jobs: LeaseState = field(default_factory=LeaseState)
     now: int = 0
     index: int = 0
     ticks: int = TICKS
@@ -69,33 +73,33 @@
     asks: int = ASKS
     stale_left: int = STALE
     nodes: dict[str, Node] = field(default_factory=lambda: {name: Node() for name in NAMES})
-    dealer: Dealer | None = None
+    dealer: Allocator | None = None
     stale: tuple[Any, ...] = ()  # proposals of an owner that was stopped before it sent them
     epoch_token: int = 0  # of the owner that began the epoch
     opened_by: dict[str, int] = field(default_factory=dict)  # node -> token that opened it
     wrong: str | None = None
 
-    pools_kind = Pools
+    pools_kind = QuotaState
     fleet_kind = Fleet
-    grants_kind = Grants
+    grants_kind = QuotaGrant
     book_kind = Book
     waits_for_proof = True
     only = None  # of what may happen, and then to node a alone: that reaches deeper
 
     def __post_init__(self) -> None:
         self.pools, self.fleet = self.pools_kind(self.jobs), self.fleet_kind(self.jobs)
-        self.enter(self.jobs, Renew("o0", "", 1, True, {}))
-        for job in (JOB, job_of(POOL)):
+        self.enter(self.jobs, RenewLease("o0", "", 1, True, {}))
+        for job in (JOB, allocator_job(POOL)):
             self.enter(self.jobs, DefineJob(job))
-        self.enter(self.pools, Define(POOL, LIMIT, FLOOR, len(NAMES), TERM))
-        self.dealer = Dealer(POOL, self.token(job_of(POOL)))
+        self.enter(self.pools, DefinePool(POOL, LIMIT, FLOOR, len(NAMES), TERM))
+        self.dealer = Allocator(POOL, self.token(allocator_job(POOL)))
         self.epoch_token = self.token(JOB)
         for name in NAMES:
             self.wake(name)
         self.check()
 
     def token(self, job: str) -> int:
-        return self.jobs.jobs[job].token
+        return self.jobs.jobs[job].fencing_token
 
     def enter(self, part: Any, what: Any) -> Any:
         self.index += 1
@@ -114,30 +118,37 @@
 
     def key(self) -> Hashable:
         """Places in the log only count by their order: histories that differ in nothing else are one."""
-        seats = self.pools.pools[POOL].seats
-        places = {self.token(JOB), self.token(job_of(POOL)), self.epoch_token, self.pools.pools[POOL].token}
+        seats = self.pools.pools[POOL].node_quotas
+        places = {
+            self.token(JOB),
+            self.token(allocator_job(POOL)),
+            self.epoch_token,
+            self.pools.pools[POOL].fencing_token,
+        }
         for seat in seats.values():
-            places |= {seat.renewed, seat.ghost_at}
+            places |= {seat.renewal_index, seat.previous_renewal_index}
         assert self.dealer is not None
-        places |= {at for _, at in self.dealer.seen} | {getattr(each, "renewed", 0) for each in self.stale}
-        places |= {each.token for each in self.stale} | set(self.opened_by.values())
+        places |= {at for _, at in self.dealer.seen_at} | {
+            getattr(each, "renewal_index", 0) for each in self.stale
+        }
+        places |= {token_of(each) for each in self.stale} | set(self.opened_by.values())
         rank = {place: at for at, place in enumerate(sorted(places))}
         table = tuple(
             (
                 name,
-                each.life,
-                each.turn,
-                each.held,
+                each.incarnation,
+                each.request_number,
+                each.reserved,
                 each.target,
-                rank[each.renewed],
-                each.ghost,
-                rank[each.ghost_at],
+                rank[each.renewal_index],
+                each.reserved_until_expiry,
+                rank[each.previous_renewal_index],
             )
             for name, each in sorted(seats.items())
         )
-        dealer = tuple(sorted((name, rank[at], since) for (name, at), since in self.dealer.seen.items()))
+        dealer = tuple(sorted((name, rank[at], since) for (name, at), since in self.dealer.seen_at.items()))
         stale = tuple(
-            (type(each).__name__, rank[each.token], rank.get(getattr(each, "renewed", -1)))
+            (type(each).__name__, rank[token_of(each)], rank.get(getattr(each, "renewal_index", -1)))
             for each in self.stale
         )
         nodes = tuple(self.node_key(self.nodes[name]) for name in NAMES)
@@ -146,16 +157,28 @@
         )
         left = (self.now, self.ticks, self.cuts, self.owners, self.asks, self.stale_left, self.fleet.epoch)
         by = tuple((name, rank[at]) for name, at in sorted(self.opened_by.items()))
-        return (left, table, dealer, stale, nodes, doors, by, rank[self.token(JOB)], rank[self.dealer.token])
+        return (
+            left,
+            table,
+            dealer,
+            stale,
+            nodes,
+            doors,
+            by,
+            rank[self.token(JOB)],
+            rank[self.dealer.fencing_token],
+        )
 
     @staticmethod
     def node_key(node: Node) -> Hashable:
         grants, waking = node.grants, node.waking
         held = (
-            (grants.amount, grants.until, grants.asked_at, grants.turn, grants.floor_from) if grants else None
+            (grants.amount, grants.valid_until, grants.requested_at, grants.request_number, grants.floor_from)
+            if grants
+            else None
         )
         word = (waking.epoch, waking.share, waking.heard, waking.clock_off) if waking else None
-        flying = (node.flying.amount, node.flying.refused) if node.flying else None
+        flying = (node.flying.amount, node.flying.rejection) if node.flying else None
         book = (node.book.stands, tuple(node.book.known.items())) if node.book else None
         return (
             node.up,
@@ -172,14 +195,16 @@
         )
 
     def check(self) -> None:
-        usable = sum(each.grants.usable(self.now) for each in self.nodes.values() if each.up and each.grants)
+        usable = sum(
+            each.grants.usable_calls(self.now) for each in self.nodes.values() if each.up and each.grants
+        )
         out = sum(end > self.now for each in self.nodes.values() for end in each.out)
         if usable > LIMIT:
             self.wrong = f"{usable} usable of {LIMIT}"
         elif out > LIMIT:
             self.wrong = f"{out} in hand below of {LIMIT}"
-        elif reserved(self.pools.pools[POOL]) > LIMIT:
-            self.wrong = f"{reserved(self.pools.pools[POOL])} reserved of {LIMIT}"
+        elif reserved_calls(self.pools.pools[POOL]) > LIMIT:
+            self.wrong = f"{reserved_calls(self.pools.pools[POOL])} reserved of {LIMIT}"
         elif any(each.begun > 1 for each in self.nodes.values()):
             self.wrong = "a key ran twice on its node"
         for name, each in self.fleet.nodes.items():
@@ -214,9 +239,9 @@
             if node.flying is not None:
                 yield ("hear", name)
                 yield ("lose", name)
-            elif self.asks and node.grants.asked_at is None:
+            elif self.asks and node.grants.requested_at is None:
                 yield ("ask", name)
-            if node.mine < node.grants.usable(self.now):
+            if node.mine < node.grants.usable_calls(self.now):
                 yield ("call", name)
             if not node.book.stands:
                 yield ("stand", name)
@@ -244,9 +269,9 @@
         """Another one; what the old one had on its way may come yet. It finds the power lost: a new epoch."""
         self.owners -= 1
         for name, known in list(self.jobs.candidates.items()):
-            self.enter(self.jobs, Gone(name, known.renewed))
-        self.enter(self.jobs, Renew(f"o{self.index}", "", self.index, True, {}))
-        self.dealer = Dealer(POOL, self.token(job_of(POOL)))
+            self.enter(self.jobs, CandidateExpired(name, known.renewal_index))
+        self.enter(self.jobs, RenewLease(f"o{self.index}", "", self.index, True, {}))
+        self.dealer = Allocator(POOL, self.token(allocator_job(POOL)))
         if self.enter(self.fleet, NewEpoch(self.token(JOB), self.fleet.epoch)).done:
             self.epoch_token = self.token(JOB)
             for node in self.fleet.nodes.values():
@@ -254,7 +279,7 @@
 
     def proposals(self) -> list[Any]:
         assert self.dealer is not None
-        said: list[Any] = list(self.dealer.looks(self.now, copy.deepcopy(self.pools.pools[POOL])))
+        said: list[Any] = list(self.dealer.decide(self.now, copy.deepcopy(self.pools.pools[POOL])))
         shut = [name for name, each in self.fleet.nodes.items() if each.door == Door.SHUT]
         return said + ([Wave(self.token(JOB), dict.fromkeys(shut, 1.0), Plan(9.0))] if shut else [])
 
@@ -306,28 +331,28 @@
         self.asks -= 1
         node = self.nodes[name]
         assert node.grants is not None
-        node.grants.ask_at = self.now
-        node.grants.wants(LIMIT)
-        what = node.grants.next_ask(self.now, node.mine)
-        assert isinstance(what, Ask)
+        node.grants.next_request_at = self.now
+        node.grants.note_demand(LIMIT)
+        what = node.grants.next_request(self.now, node.mine)
+        assert isinstance(what, QuotaRequest)
         node.flying = self.enter(self.pools, what)
 
     def hear(self, name: str) -> None:
         node = self.nodes[name]
         assert node.grants is not None and node.flying is not None
         told, node.flying = node.flying, None
-        node.grants.answered(self.now, told)
+        node.grants.on_reply(self.now, told)
 
     def lose(self, name: str) -> None:
         node = self.nodes[name]
         assert node.grants is not None
         node.flying = None
-        node.grants.failed(self.now)
+        node.grants.on_failure(self.now)
 
     def call(self, name: str) -> None:
         node = self.nodes[name]
         assert node.grants is not None
-        node.out = tuple(sorted((*node.out, self.now + node.grants.span(self.now))))
+        node.out = tuple(sorted((*node.out, self.now + node.grants.max_call_duration(self.now))))
         node.mine += 1
 
     def stand(self, name: str) -> None:
@@ -355,12 +380,12 @@
 # -- mistakes that must be caught ------------------------------------------------------------------
 
 
-class NoGhostPools(Pools):
+class NoGhostPools(QuotaState):
     """Honours an earlier life's grant no more, though its calls go on."""
 
-    def ask(self, index: int, what: Ask) -> Granted:
-        told = super().ask(index, what)
-        self.pools[what.pool].seats[what.node].ghost = 0
+    def renew(self, index: int, request: QuotaRequest) -> QuotaReply:
+        told = super().renew(index, request)
+        self.pools[request.pool].node_quotas[request.node].reserved_until_expiry = 0
         return told
 
 
@@ -368,15 +393,15 @@
     """Takes any owner's plan."""
 
     def apply(self, index: int, command: msgspec.Raw) -> Any:
-        known = self.jobs.is_owner
-        self.jobs.is_owner = lambda job, token: True  # type: ignore[method-assign]
+        known = self.jobs.is_current_token
+        self.jobs.is_current_token = lambda job, token: True  # type: ignore[method-assign]
         try:
             return super().apply(index, command)
         finally:
-            self.jobs.is_owner = known  # type: ignore[method-assign]
+            self.jobs.is_current_token = known  # type: ignore[method-assign]
 
 
-class FloorAtOnce(Grants):
+class FloorAtOnce(QuotaGrant):
     """Counts on its floor from its first moment."""
 
     def __init__(self, *args: Any) -> None:
@@ -424,7 +449,7 @@
         world.look()
         world.ask(name)
         world.hear(name)
-    for _ in range(world.nodes["a"].grants.usable(0)):  # type: ignore[union-attr]
+    for _ in range(world.nodes["a"].grants.usable_calls(0)):  # type: ignore[union-attr]
         world.call("a")
     world.asks = ASKS
     world.check()
--- a/lichencleat/testkit/simulation/owners.py
+++ b/lichencleat/testkit/simulation/owners.py
@@ -15,11 +15,20 @@
 import click
 import msgspec
 
-from lichencleat.leases.expiry import Expiry
-from lichencleat.leases.fence import Fence
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.leases import Leases
-from lichencleat.leases.terms import Define, Leave, Move, Owned, Release
+from lichencleat.leases.candidate_expiry import CandidateExpiry
+from lichencleat.leases.fencing import Fence
+from lichencleat.leases.held_leases import HeldLeases
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import (
+    CandidateExpired,
+    CommandReply,
+    DefineJob,
+    Job,
+    Leave,
+    MoveJob,
+    ReleaseJob,
+    RenewalReply,
+)
 from lichencleat.testkit.checkers.owners import OwnersWatch
 from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock
 from lichencleat.testkit.simulation.many import many
@@ -37,9 +46,9 @@
 class Kinds:
     """The modules under test, or ones with a mistake planted."""
 
-    jobs: type[Jobs] = Jobs
-    expiry: type[Expiry] = Expiry
-    leases: type[Leases] = Leases
+    jobs: type[LeaseState] = LeaseState
+    expiry: type[CandidateExpiry] = CandidateExpiry
+    leases: type[HeldLeases] = HeldLeases
     fence: type[Fence] = Fence
 
 
@@ -74,11 +83,11 @@
     def look(self) -> None:
         self.clockwork.after(self.look_each, self.look)
         if not self.down:
-            for each in self.expiry.due(self.clock(), self.jobs.candidates):
+            for each in self.expiry.find_expired(self.clock(), self.jobs.candidates):
                 self.propose(each, lambda told: None)
 
     def new_leader(self, rate: float) -> None:
-        self.expiry.leads_no_more()
+        self.expiry.reset()
         self.clock.runs(rate)
 
 
@@ -135,7 +144,7 @@
 
     def step(self) -> None:
         now = self.clock()
-        self.leases.lapse(now)
+        self.leases.drop_expired(now)
         renewal = self.leases.next_renewal(now)
         if renewal is not None:
             self.asked += 1
@@ -143,41 +152,41 @@
             self.propose(renewal, lambda told: self.answered(mark, told))
             self.later(TRY, self.silent, mark)
         self.world.look()
-        span = max(1_000, min(self.clock.until(self.leases.deadline()), 100_000))
+        span = max(1_000, min(self.clock.until(self.leases.next_action_at()), 100_000))
         self.later(span, self.step)
 
-    def answered(self, mark: int, told: Owned) -> None:
-        if mark != self.asked or self.leases.asked_at is None:
+    def answered(self, mark: int, told: RenewalReply) -> None:
+        if mark != self.asked or self.leases.requested_at is None:
             return
-        for job, token in self.leases.answered(self.clock(), told).items():
+        for job, token in self.leases.on_renewed(self.clock(), told).items():
             self.world.watch.begins(job, token, (self.name, self.life))
-        for job in list(self.leases.let_go):
+        for job in list(self.leases.to_release):
             self.release(job, False)
 
     def silent(self, mark: int) -> None:
-        if mark == self.asked and self.leases.asked_at is not None:
-            self.leases.failed(self.clock())
+        if mark == self.asked and self.leases.requested_at is not None:
+            self.leases.on_renewal_failed(self.clock())
 
     def release(self, job: str, crashed: bool) -> None:
-        token = self.leases.released(job)
+        token = self.leases.start_release(job)
         if token is not None:
             self.send_release(job, token, crashed)
 
     def send_release(self, job: str, token: int, crashed: bool) -> None:
         if self.leases.releasing.get(job) == token:
-            what = Release(self.name, job, token, crashed)
-            self.propose(what, lambda told: self.leases.is_released(job))
+            what = ReleaseJob(self.name, job, token, crashed)
+            self.propose(what, lambda told: self.leases.on_released(job))
             self.later(TRY, self.send_release, job, token, crashed)
 
     def leave(self) -> None:
-        self.leases.leaves()
-        self.propose(Leave(self.name, self.leases.life), lambda told: None)
+        self.leases.leave()
+        self.propose(Leave(self.name, self.leases.incarnation), lambda told: None)
 
     # -- the work ------------------------------------------------------------------------------------
 
     def act(self, job: str) -> None:
         """Looks at its lease, may be held up, and acts: the token goes with the act."""
-        token = self.leases.may_act(self.clock(), job)
+        token = self.leases.fencing_token(self.clock(), job)
         if token is not None:
             held_up = 0 if self.rng.random() < 0.9 else self.rng.randrange(3_000_000)
             self.later(held_up, self.reaches, job, token)
@@ -200,7 +209,7 @@
         for name in NAMES:
             self.candidates.append(SimCandidate(self, name, random.Random(self.rng.randrange(1 << 60))))
         for at, job in enumerate(JOBS):
-            self.log.enter(Define(job, ["", *ZONES][at]), lambda told: None)
+            self.log.enter(DefineJob(job, ["", *ZONES][at]), lambda told: None)
 
     def look(self) -> None:
         """With clocks that keep the drift, no two may believe that a job is theirs."""
@@ -208,13 +217,15 @@
             return
         for job in JOBS:
             believe = [
-                each.name for each in self.candidates if each.up and each.leases.may_act(each.clock(), job)
+                each.name
+                for each in self.candidates
+                if each.up and each.leases.fencing_token(each.clock(), job)
             ]
             self.watch.believe(job, believe)
 
     def receive(self, job: str, token: int, who: SimCandidate) -> None:
         self.look()
-        self.watch.acts(job, token, (who.name, who.life), self.fence.accepts(job, token), self.clockwork.now)
+        self.watch.acts(job, token, (who.name, who.life), self.fence.accept(job, token), self.clockwork.now)
 
     # -- faults --------------------------------------------------------------------------------------
 
@@ -251,7 +262,7 @@
             self.log.loss = rng.uniform(0, 0.5)
             after(span, lambda: setattr(self.log, "loss", 0.02))
         elif kind == "move":
-            self.log.propose(Move(rng.choice(JOBS), rng.choice(NAMES)), lambda told: None)
+            self.log.propose(MoveJob(rng.choice(JOBS), rng.choice(NAMES)), lambda told: None)
         return kind
 
 
@@ -283,66 +294,66 @@
     return Ran(seed, watch.wrong, watch.accepted, watch.refused, len(watch.given), watch.gaps)
 
 
-class FromTheAnswer(Leases):
+class FromTheAnswer(HeldLeases):
     """Counts its lease from the answer, not from before it asked."""
 
-    def answered(self, now: int, owned: Owned) -> dict[str, int]:
-        self.asked_at = now
-        return super().answered(now, owned)
+    def on_renewed(self, now: int, reply: RenewalReply) -> dict[str, int]:
+        self.requested_at = now
+        return super().on_renewed(now, reply)
 
 
-class NoDrift(Leases):
+class NoDrift(HeldLeases):
     """Believes that all clocks run alike; so does the leader."""
 
     def __init__(self, name: str, zone: str, life: int) -> None:
         super().__init__(name, zone, life, drift=0.0)
 
 
-class NoDriftEither(Expiry):
+class NoDriftEither(CandidateExpiry):
     def __init__(self) -> None:
         super().__init__(drift=0.0)
 
 
-class BeginsAgain(Leases):
+class BeginsAgain(HeldLeases):
     """Lets an older renewal's answer begin what it is releasing."""
 
-    def released(self, job: str) -> int | None:
-        token = super().released(job)
+    def start_release(self, job: str) -> int | None:
+        token = super().start_release(job)
         if token is not None:
             self.releasing[job] = -token
         return token
 
 
-class Impatient(Expiry):
+class Impatient(CandidateExpiry):
     """A leader that gives a lease away as soon as the lease itself is over."""
 
     def __init__(self) -> None:
         super().__init__(drift=-0.3)
 
 
-class OldCount(Jobs):
+class OldCount(LeaseState):
     """Believes a leader that has not seen the last renewal."""
 
-    def do(self, index: int, what: Any) -> Any:
-        known = self.candidates.get(getattr(what, "name", ""))
-        if type(what).__name__ == "Gone" and known is not None:
-            what = type(what)(what.name, known.renewed)
-        return super().do(index, what)
+    def expire(self, command: CandidateExpired) -> CommandReply:
+        known = self.candidates.get(command.name)
+        if known is not None:
+            command = CandidateExpired(command.name, known.renewal_index)
+        return super().expire(command)
 
 
-class SameToken(Jobs):
+class SameToken(LeaseState):
     """Gives a job away under the token that it had."""
 
-    def give(self, name: str, job: Any, to: str, index: int) -> None:
-        token = job.token
-        super().give(name, job, to, index)
-        job.token = token or index
+    def grant(self, name: str, job: Job, holder: str, index: int) -> None:
+        token = job.fencing_token
+        super().grant(name, job, holder, index)
+        job.fencing_token = token or index
 
 
 class NoFence(Fence):
     """A receiver that does not look at the token."""
 
-    def accepts(self, job: str, token: int) -> bool:
+    def accept(self, job: str, token: int) -> bool:
         return True
 
 
--- a/lichencleat/testkit/simulation/revive.py
+++ b/lichencleat/testkit/simulation/revive.py
@@ -18,11 +18,10 @@
 import click
 import msgspec
 
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Gone, Renew
-from lichencleat.quotas.pools import Pools
-from lichencleat.quotas.terms import Part, Pool
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
+from lichencleat.quotas.messages import Pool, SetAllocatableShare
+from lichencleat.quotas.quota_state import QuotaState
 from lichencleat.recovery.boot import Clock
 from lichencleat.recovery.planner import Planner
 from lichencleat.recovery.state import Fleet
@@ -103,9 +102,9 @@
         self.told = 0.0  # share of those that come again who were told when
         self.below_warm, self.below_down = BELOW_COLD, 0.0
         self.ran = Ran(policy, seed)
-        self.jobs = Jobs()
+        self.jobs = LeaseState()
         self.fleet = Fleet(self.jobs)
-        self.pools = Pools(self.jobs)
+        self.pools = QuotaState(self.jobs)
         self.pools.pools["below"] = Pool(1_000, 0, nodes, SECOND)
         self.index = 0
         self.planner: Planner | None = None
@@ -129,9 +128,9 @@
 
     def owner_comes(self, life: int = 1) -> None:
         for name, known in list(self.jobs.candidates.items()):
-            self.enter(self.jobs, Gone(name, known.renewed))
-        self.enter(self.jobs, Renew(f"o{life}", "", life, True, {}))
-        self.planner = Planner(self.jobs.jobs[JOB].token)
+            self.enter(self.jobs, CandidateExpired(name, known.renewal_index))
+        self.enter(self.jobs, RenewLease(f"o{life}", "", life, True, {}))
+        self.planner = Planner(self.jobs.jobs[JOB].fencing_token)
         self.clockwork.after(LOOK, self.look, self.planner)
 
     def look(self, planner: Planner) -> None:
@@ -141,7 +140,7 @@
         nodes = msgspec.convert(msgspec.to_builtins(fleet.nodes), dict[str, Node])
         plan = msgspec.convert(msgspec.to_builtins(fleet.plan), type(fleet.plan)) if fleet.plan else None
         for what in planner.looks(self.clockwork.now, fleet.epoch, nodes, plan):
-            part = self.pools if isinstance(what, Part) else fleet
+            part = self.pools if isinstance(what, SetAllocatableShare) else fleet
             self.clockwork.after(self.rng.randint(*COMMIT), self.enter, part, what)
         self.clockwork.after(LOOK, self.look, planner)
 
@@ -209,7 +208,7 @@
 
     def dealt(self, wanted: list[tuple[Machine, float]]) -> list[tuple[Machine, float]]:
         """As the pool's owner deals: all that is wanted, or as much of the part as falls to each."""
-        room = self.pools.pools["below"].part * BELOW_ROOM * self.offered
+        room = self.pools.pools["below"].allocatable_share * BELOW_ROOM * self.offered
         total = sum(amount for _, amount in wanted)
         return wanted if total <= room else [(each, amount * room / total) for each, amount in wanted]
 
--- a/lichencleat/testkit/simulation/shares.py
+++ b/lichencleat/testkit/simulation/shares.py
@@ -16,13 +16,20 @@
 import click
 import msgspec
 
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Gone, Renew
-from lichencleat.quotas.dealer import LOOK, Dealer
-from lichencleat.quotas.grants import Grants
-from lichencleat.quotas.pools import Pools, reserved
-from lichencleat.quotas.terms import Ask, Define, Granted, Over, job_of
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import CandidateExpired, CommandReply, DefineJob, RenewLease
+from lichencleat.quotas.allocator import POLL_INTERVAL_TERMS, Allocator
+from lichencleat.quotas.messages import (
+    Allocate,
+    DefinePool,
+    GrantExpired,
+    Pool,
+    QuotaReply,
+    QuotaRequest,
+    allocator_job,
+)
+from lichencleat.quotas.quota_grant import QuotaGrant
+from lichencleat.quotas.quota_state import QuotaState, reserved_calls
 from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock
 from lichencleat.testkit.simulation.many import many
 
@@ -38,15 +45,15 @@
 class Kinds:
     """The modules under test, or ones with a mistake planted."""
 
-    pools: type[Pools] = Pools
-    grants: type[Grants] = Grants
-    dealer: type[Dealer] = Dealer
+    pools: type[QuotaState] = QuotaState
+    grants: type[QuotaGrant] = QuotaGrant
+    dealer: type[Allocator] = Allocator
 
 
 class LogModel:
     def __init__(self, world: SharesWorld, rng: random.Random) -> None:
         self.clockwork, self.rng = world.clockwork, rng
-        self.jobs = Jobs()
+        self.jobs = LeaseState()
         self.pools = world.kinds.pools(self.jobs)
         self.index = 0
         self.loss, self.late, self.down = 0.02, 0.03, False
@@ -112,35 +119,35 @@
 
     def step(self) -> None:
         now = self.clock()
-        self.grants.wants(max(self.wants, len(self.out)))
-        ask = self.grants.next_ask(now, len(self.out))
+        self.grants.note_demand(max(self.wants, len(self.out)))
+        ask = self.grants.next_request(now, len(self.out))
         if ask is not None:
             self.asked += 1
             mark, life = self.asked, self.life
 
-            def back(told: Granted) -> None:
+            def back(told: QuotaReply) -> None:
                 if not self.cut:
                     self.alive(life, self.answered, (mark, told))
 
             if not self.cut:
                 self.world.log.propose(ask, back)
-            self.later(self.clock.until(now + self.grants.patience()), self.silent, mark)
+            self.later(self.clock.until(now + self.grants.reply_timeout()), self.silent, mark)
         self.later(self.rng.randint(5_000, 40_000), self.step)
 
-    def answered(self, mark: int, told: Granted) -> None:
-        if mark == self.asked and self.grants.asked_at is not None:
-            self.grants.answered(self.clock(), told)
+    def answered(self, mark: int, told: QuotaReply) -> None:
+        if mark == self.asked and self.grants.requested_at is not None:
+            self.grants.on_reply(self.clock(), told)
         self.world.look()
 
     def silent(self, mark: int) -> None:
-        if mark == self.asked and self.grants.asked_at is not None:
-            self.grants.failed(self.clock())
+        if mark == self.asked and self.grants.requested_at is not None:
+            self.grants.on_failure(self.clock())
 
     def work(self) -> None:
         """Lets out what it may; each call ends at its own time, or at the one that it was told."""
         now = self.clock()
-        while len(self.out) < min(self.wants, self.grants.usable(now)):
-            span = self.clock.until(now + self.grants.span(now))
+        while len(self.out) < min(self.wants, self.grants.usable_calls(now)):
+            span = self.clock.until(now + self.grants.max_call_duration(now))
             takes = self.rng.randint(*CALL) if self.rng.random() < 0.9 else 60_000_000
             number = self.world.calls
             self.world.calls += 1
@@ -169,14 +176,14 @@
         if not self.on:
             return
         clockwork, rng = self.world.clockwork, self.world.rng
-        clockwork.after(round(TERM * LOOK), self.look)
+        clockwork.after(round(TERM * POLL_INTERVAL_TERMS), self.look)
         if self.world.log.down:
             return
         seen = msgspec.convert(msgspec.to_builtins(self.world.log.pools.pools[POOL]), type(self.world.pool))
         clockwork.after(rng.randint(*COMMIT), self.sees, seen)
 
     def sees(self, pool: Any) -> None:
-        for each in self.dealer.looks(self.clock(), pool):
+        for each in self.dealer.decide(self.clock(), pool):
             self.world.log.propose(each)
 
 
@@ -195,10 +202,10 @@
         seats = count + rng.randint(0, 1)
         self.limit = rng.randint(self.floor * seats + 1, 40 + self.floor * seats)
         self.log.pools.apply(
-            0, msgspec.Raw(msgspec.msgpack.encode(Define(POOL, self.limit, self.floor, seats, TERM)))
+            0, msgspec.Raw(msgspec.msgpack.encode(DefinePool(POOL, self.limit, self.floor, seats, TERM)))
         )
         self.pool = self.log.pools.pools[POOL]
-        self.log.own(DefineJob(job_of(POOL)))
+        self.log.own(DefineJob(allocator_job(POOL)))
         self.owners = 0
         self.dealers: list[SimDealer] = []
         self.new_owner()
@@ -213,25 +220,25 @@
     def new_owner(self) -> None:
         """The old one hears of it late, if at all."""
         for name, each in list(self.log.jobs.candidates.items()):
-            self.log.own(Gone(name, each.renewed))
+            self.log.own(CandidateExpired(name, each.renewal_index))
         self.owners += 1
-        self.log.own(Renew(f"d{self.owners}", "", self.owners, True, {}))
+        self.log.own(RenewLease(f"d{self.owners}", "", self.owners, True, {}))
         for old in self.dealers:
             self.clockwork.after(self.rng.randrange(4 * TERM), setattr, old, "on", False)
-        token = self.log.jobs.jobs[job_of(POOL)].token
+        token = self.log.jobs.jobs[allocator_job(POOL)].fencing_token
         self.clockwork.after(self.rng.randrange(TERM), lambda: self.dealers.append(SimDealer(self, token)))
 
     def look(self) -> None:
         if self.wrong is not None:
             return
-        usable = sum(each.grants.usable(each.clock()) for each in self.nodes if each.up)
+        usable = sum(each.grants.usable_calls(each.clock()) for each in self.nodes if each.up)
         self.most = max(self.most, len(self.out))
         if usable > self.limit and not self.wild:
             self.wrong = f"{usable} believed usable of {self.limit} at {self.clockwork.now}"
         elif len(self.out) > self.limit and not self.wild:
             self.wrong = f"{len(self.out)} in hand below of {self.limit} at {self.clockwork.now}"
-        elif reserved(self.pool) > self.limit:
-            self.wrong = f"{reserved(self.pool)} reserved of {self.limit} at {self.clockwork.now}"
+        elif reserved_calls(self.pool) > self.limit:
+            self.wrong = f"{reserved_calls(self.pool)} reserved of {self.limit} at {self.clockwork.now}"
 
     def fault(self) -> None:
         rng, after = self.rng, self.clockwork.after
@@ -301,9 +308,9 @@
             each.start()
     world.new_owner()
     world.clockwork.run(world.clockwork.now + CALM, lambda: world.wrong is not None)
-    usable = [each.grants.usable(each.clock()) for each in world.nodes]
+    usable = [each.grants.usable_calls(each.clock()) for each in world.nodes]
     if world.wrong is None and not wild:
-        could = world.limit - world.floor * (world.pool.nodes - len(world.nodes))
+        could = world.limit - world.floor * (world.pool.max_nodes - len(world.nodes))
         if sum(usable) < FILLED * could:
             world.wrong = f"only {sum(usable)} of {could} given in calm: {usable}"
         elif max(usable) - min(usable) > 1:
@@ -314,22 +321,22 @@
 # -- mistakes that must be caught ------------------------------------------------------------------
 
 
-class FromTheAnswer(Grants):
+class FromTheAnswer(QuotaGrant):
     """Counts its grant from the answer, not from before it asked."""
 
-    def answered(self, now: int, granted: Granted) -> None:
-        self.asked_at = now
-        super().answered(now, granted)
+    def on_reply(self, now: int, reply: QuotaReply) -> None:
+        self.requested_at = now
+        super().on_reply(now, reply)
 
 
-class NoEnd(Grants):
+class NoEnd(QuotaGrant):
     """Lets calls out that outlast its grant."""
 
-    def span(self, now: int) -> int:
+    def max_call_duration(self, now: int) -> int:
         return 20 * TERM
 
 
-class FloorAtOnce(Grants):
+class FloorAtOnce(QuotaGrant):
     """Counts on its floor from its first moment."""
 
     def __init__(self, *args: Any) -> None:
@@ -337,55 +344,56 @@
         self.floor_from = 0
 
 
-class SaysLess(Grants):
+class SaysLess(QuotaGrant):
     """Tells what it may have, not what it has."""
 
-    def next_ask(self, now: int, in_hand: int) -> Ask | None:
-        return super().next_ask(now, 0)
+    def next_request(self, now: int, in_flight: int) -> QuotaRequest | None:
+        return super().next_request(now, 0)
 
 
-class Hasty(Dealer):
+class Hasty(Allocator):
     """Does not wait for a term's end."""
 
-    def __init__(self, pool: str, token: int) -> None:
-        super().__init__(pool, token, drift=-0.4)
+    def __init__(self, pool: str, fencing_token: int) -> None:
+        super().__init__(pool, fencing_token, drift=-0.4)
 
 
-class NoTurns(Pools):
+class NoTurns(QuotaState):
     """Takes an older renewal after a newer one."""
 
-    def ask(self, index: int, what: Ask) -> Granted:
-        seat = self.pools[what.pool].seats.get(what.node)
-        if seat is not None and seat.life == what.life:
-            seat.turn = min(seat.turn, what.turn - 1)
-        return super().ask(index, what)
+    def renew(self, index: int, request: QuotaRequest) -> QuotaReply:
+        seat = self.pools[request.pool].node_quotas.get(request.node)
+        if seat is not None and seat.incarnation == request.incarnation:
+            seat.request_number = min(seat.request_number, request.request_number - 1)
+        return super().renew(index, request)
 
 
-class NoGhost(Pools):
+class NoGhost(QuotaState):
     """Forgets what an earlier life held."""
 
-    def ask(self, index: int, what: Ask) -> Granted:
-        told = super().ask(index, what)
-        self.pools[what.pool].seats[what.node].ghost = 0
+    def renew(self, index: int, request: QuotaRequest) -> QuotaReply:
+        told = super().renew(index, request)
+        self.pools[request.pool].node_quotas[request.node].reserved_until_expiry = 0
         return told
 
 
-class AtOnce(Pools):
+class AtOnce(QuotaState):
     """Frees what the owner takes back before its holder has said so."""
 
-    def deal(self, what: Any, pool: Any) -> Any:
-        told = super().deal(what, pool)
-        for each in pool.seats.values():
-            each.held = min(each.held, max(each.target, pool.floor))
+    def allocate(self, command: Allocate, pool: Pool) -> CommandReply:
+        told = super().allocate(command, pool)
+        for each in pool.node_quotas.values():
+            each.reserved = min(each.reserved, max(each.target, pool.floor))
         return told
 
 
-class AnyRenewal(Pools):
+class AnyRenewal(QuotaState):
     """Believes that a term is over, whichever renewal was meant."""
 
-    def over(self, what: Over, pool: Any) -> Any:
-        seat = pool.seats[what.node]
-        return super().over(Over(what.pool, what.token, what.node, seat.renewed), pool)
+    def expire_grant(self, command: GrantExpired, pool: Pool) -> CommandReply:
+        quota = pool.node_quotas[command.node]
+        newest = GrantExpired(command.pool, command.fencing_token, command.node, quota.renewal_index)
+        return super().expire_grant(newest, pool)
 
 
 VARIANTS = {
--- a/lichencleat/testkit/simulation/zones.py
+++ b/lichencleat/testkit/simulation/zones.py
@@ -22,9 +22,8 @@
 from lichencleat.failover.near import SPAN, Near, Span
 from lichencleat.failover.state import Zones
 from lichencleat.failover.terms import JOB, Define, Duty, Order, Seen, Tell
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Gone, Renew
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
 from lichencleat.testkit.simulation.clockwork import Clockwork
 
 SECOND = 1_000_000  # µs
@@ -75,7 +74,7 @@
         self.rng = rng = random.Random(f"zones {scene} {seed}")
         self.policy, self.scene = policy, scene
         self.clockwork = Clockwork()
-        self.jobs = Jobs()
+        self.jobs = LeaseState()
         self.part = Zones(self.jobs)
         self.index = 0
         self.places = {
@@ -84,12 +83,12 @@
         self.cuts: set[tuple[str, str]] = set()  # from a zone's routers to a zone
         self.mute: set[str] = set()  # zones whose routers do not reach the voters
         self.offers(rng)
-        self.enter(self.jobs, Renew("o1", "", 1, True, {}))
+        self.enter(self.jobs, RenewLease("o1", "", 1, True, {}))
         self.enter(self.jobs, DefineJob(JOB))
         for each in self.places.values():
             far = {other.name: self.trip(each, other) for other in self.places.values() if other is not each}
             self.enter(self.part, Define(each.name, f"r{each.region}", CARRIES, far))
-        self.judge: Judge | None = Judge(self.jobs.jobs[JOB].token)
+        self.judge: Judge | None = Judge(self.jobs.jobs[JOB].fencing_token)
         self.routers: list[SimRouter] = []
         for name in self.places:
             for number in range(routers):
@@ -164,9 +163,9 @@
 
     def new_owner(self) -> None:
         for name, known in list(self.jobs.candidates.items()):
-            self.enter(self.jobs, Gone(name, known.renewed))
-        self.enter(self.jobs, Renew(f"o{self.index}", "", self.index, True, {}))
-        self.judge = Judge(self.jobs.jobs[JOB].token)
+            self.enter(self.jobs, CandidateExpired(name, known.renewal_index))
+        self.enter(self.jobs, RenewLease(f"o{self.index}", "", self.index, True, {}))
+        self.judge = Judge(self.jobs.jobs[JOB].fencing_token)
 
     # -- the group -------------------------------------------------------------------------------------
 
--- a/tests/capacity/test_benchmarks.py
+++ b/tests/capacity/test_benchmarks.py
@@ -68,11 +68,20 @@
 
 def test_renewals_are_taken_by_the_pool():
     _, pools = state.dealt(16, random.Random(1))
-    before = pools.pools[state.POOL].seats["node-00003"].turn
-    seat = pools.pools[state.POOL].seats["node-00003"]
-    ask = state.Ask(state.POOL, "node-00003", seat.life, before + 1, state.FLOOR, state.TERM, seat.held, 30)
-    assert not pools.apply(1, state.raw(ask)).refused
-    assert seat.turn == before + 1
+    before = pools.pools[state.POOL].node_quotas["node-00003"].request_number
+    seat = pools.pools[state.POOL].node_quotas["node-00003"]
+    ask = state.QuotaRequest(
+        state.POOL,
+        "node-00003",
+        seat.incarnation,
+        before + 1,
+        state.FLOOR,
+        state.DEFAULT_TERM_US,
+        seat.reserved,
+        30,
+    )
+    assert not pools.apply(1, state.raw(ask)).rejection
+    assert seat.request_number == before + 1
 
 
 def test_values_come_in_the_order_of_their_sizes():
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -14,9 +14,9 @@
 from lichencleat.consensus.state import State, command
 from lichencleat.consensus.terms import Entry, What
 from lichencleat.failover.terms import Define as DefineZone
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.quotas.terms import Define as DefinePool
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import DefineJob
+from lichencleat.quotas.messages import DefinePool
 from lichencleat.recovery.terms import Report
 
 COMMANDS = {
@@ -52,7 +52,7 @@
 def test_an_entry_that_no_part_can_read_stays_in_the_log_and_changes_nothing(name):
     """Each member applies it at each start: one that raised would take the whole group along, for good."""
     state = State({**parts(), "distribution": Source()})
-    assert set(state.parts) == set(COMMANDS) and isinstance(state.parts["owners"], Jobs)
+    assert set(state.parts) == set(COMMANDS) and isinstance(state.parts["owners"], LeaseState)
     before = state.dump()
     for index, data in enumerate(no_text(command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
         state.apply(index, Entry(1, What.COMMAND, data))
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -25,9 +25,8 @@
     Wish,
     Zone,
 )
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Gone, Renew
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
 from lichencleat.testkit.simulation.zones import World
 
 SECOND = 1_000_000
@@ -35,7 +34,7 @@
 
 class Group:
     def __init__(self):
-        self.jobs, self.index = Jobs(), 0
+        self.jobs, self.index = LeaseState(), 0
         self.zones = Zones(self.jobs)
         self.owner("o1", 1)
         for name, far in (("x", {"y": 30_000}), ("y", {"x": 30_000})):
@@ -50,13 +49,13 @@
 
     def owner(self, name, life):
         for each, known in list(self.jobs.candidates.items()):
-            self.enter(self.jobs, Gone(each, known.renewed))
-        self.enter(self.jobs, Renew(name, "", life, True, {}))
+            self.enter(self.jobs, CandidateExpired(each, known.renewal_index))
+        self.enter(self.jobs, RenewLease(name, "", life, True, {}))
         self.enter(self.jobs, DefineJob(JOB))
 
     @property
     def token(self):
-        return self.jobs.jobs[JOB].token
+        return self.jobs.jobs[JOB].fencing_token
 
     def tell(self, router, zone, offered=40.0, **seen):
         known = {name: Seen(*told, 300_000) for name, told in seen.items()}
--- a/tests/recovery/test_revive.py
+++ b/tests/recovery/test_revive.py
@@ -3,10 +3,10 @@
 import msgspec
 import pytest
 
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define, Gone, Renew
-from lichencleat.quotas.pools import Pools
-from lichencleat.quotas.terms import Part
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
+from lichencleat.quotas.messages import SetAllocatableShare
+from lichencleat.quotas.quota_state import QuotaState
 from lichencleat.recovery import boot as boots
 from lichencleat.recovery.boot import Boot, Clock, WrongBootError
 from lichencleat.recovery.planner import FIRST, MISSED, PART_FIRST, STEP, WAIT, Planner, turns
@@ -38,8 +38,8 @@
     """The parts of a group's state, with an owner of the return; each command is the next entry."""
 
     def __init__(self):
-        self.jobs, self.index = Jobs(), 0
-        self.fleet, self.pools = Fleet(self.jobs), Pools(self.jobs)
+        self.jobs, self.index = LeaseState(), 0
+        self.fleet, self.pools = Fleet(self.jobs), QuotaState(self.jobs)
         self.owner("o1", 1)
 
     def enter(self, part, what):
@@ -47,17 +47,17 @@
         return part.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(what)))
 
     def __call__(self, what):
-        return self.enter(self.pools if isinstance(what, Part) else self.fleet, what)
+        return self.enter(self.pools if isinstance(what, SetAllocatableShare) else self.fleet, what)
 
     def owner(self, name, life):
         for each, known in list(self.jobs.candidates.items()):
-            self.enter(self.jobs, Gone(each, known.renewed))
-        self.enter(self.jobs, Renew(name, "", life, True, {}))
-        self.enter(self.jobs, Define(JOB))
+            self.enter(self.jobs, CandidateExpired(each, known.renewal_index))
+        self.enter(self.jobs, RenewLease(name, "", life, True, {}))
+        self.enter(self.jobs, DefineJob(JOB))
 
     @property
     def token(self):
-        return self.jobs.jobs[JOB].token
+        return self.jobs.jobs[JOB].fencing_token
 
     def report(self, node, life=1, zone="x", epoch=1, unix=0, **more):
         told = {"ready": True, "proof": True, "strain": 0.3} | more
@@ -138,11 +138,15 @@
     group.report("a")
     old = group.token
     group.owner("o2", 2)
-    refused = (False, "an older owner's")
+    refused = [False, "an older owner's"]
     beat = group.fleet.nodes["a"].beat
-    for what in (Wave(old, {"a": 1.0}, None), NewEpoch(old, 1), Lost(old, "a", beat), Part(old, 0.5)):
-        told = group(what)
-        assert (told.done, told.why) == refused
+    for what in (
+        Wave(old, {"a": 1.0}, None),
+        NewEpoch(old, 1),
+        Lost(old, "a", beat),
+        SetAllocatableShare(old, 0.5),
+    ):
+        assert msgspec.to_builtins(group(what)) == refused
     assert group(NewEpoch(group.token, 1)).done and group.fleet.epoch == 2
     assert not group(NewEpoch(group.token, 1)).done  # it has begun already
 
@@ -212,7 +216,7 @@
     (new,), _ = group.looks(planner, WAIT)
     assert isinstance(new, NewEpoch) and group.fleet.epoch == 2 and group.fleet.plan.cap == 0
     said, _ = group.looks(planner, WAIT + 300_000)
-    assert said[0] == Part(group.token, PART_FIRST)
+    assert said[0] == SetAllocatableShare(group.token, PART_FIRST)
     assert len(said[1].shares) == 0 and said[1].plan.cap == 8 * FIRST  # the four that stayed open are enough
 
 
@@ -270,7 +274,7 @@
     go_on(group, names, planner, 3, strain=0.2)
     cap, epoch = group.fleet.plan.cap, group.fleet.epoch
     group.owner("o2", 2)
-    assert all(not done.done for done in group.looks(planner, 4 * 300_000)[1])
+    assert all(not msgspec.to_builtins(done)[0] for done in group.looks(planner, 4 * 300_000)[1])
     go_on(group, names, Planner(group.token), 2, 5, strain=0.2)
     assert group.fleet.plan.cap > cap and group.fleet.epoch == epoch
 
@@ -328,7 +332,7 @@
     mine.answered(ALONE, word(3, 0.0))
     assert mine.may(ALONE + 4 * SECOND).share == 0.0
     assert not group.report("a").unowned
-    group.enter(group.jobs, Gone("o1", group.jobs.candidates["o1"].renewed))
+    group.enter(group.jobs, CandidateExpired("o1", group.jobs.candidates["o1"].renewal_index))
     assert group.report("a").unowned
 
 
