--- a/lichencleat/cli/quorum.py
+++ b/lichencleat/cli/consensus.py
@@ -1,4 +1,4 @@
-"""`lichencleat quorum`: a group of voters made, run, looked at and changed."""
+"""`lichencleat consensus`: a group of voters made, run, looked at and changed."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
 
 
-@click.group("quorum", no_args_is_help=True)
+@click.group("consensus", no_args_is_help=True)
 def group() -> None:
     """A few voters that agree on small facts."""
 
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import inlineCallbacks
 
 from lichencleat.cli import output, relays
-from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
 from lichencleat.config.file import WrongFileError
 from lichencleat.config_distribution.published import Summary, check_file, read_changes, split
 from lichencleat.config_distribution.source import (
--- a/lichencleat/cli/zones.py
+++ b/lichencleat/cli/failover.py
@@ -1,4 +1,4 @@
-"""`lichencleat zones`: which zone serves what, an operator's word on it, and what that would do."""
+"""`lichencleat failover`: which zone serves what, an operator's word on it, and what that would do."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
 from lichencleat.failover.preview import preview
 from lichencleat.failover.terms import (
     JOB,
@@ -34,7 +34,7 @@
 )
 
 
-@click.group("zones", no_args_is_help=True)
+@click.group("failover", no_args_is_help=True)
 def group() -> None:
     """The order of zones: who serves, who takes guests, and why."""
 
--- a/lichencleat/cli/fleet.py
+++ b/lichencleat/cli/fleet.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
 from lichencleat.recovery.state import reason
 from lichencleat.recovery.terms import Done, Door, Forget, Hold, Node, Plan, Skip
 
--- a/lichencleat/cli/keyed.py
+++ b/lichencleat/cli/idempotency.py
@@ -1,4 +1,4 @@
-"""`lichencleat keyed`: what a node's directory knows of its receipted requests; for a node that is down."""
+"""`lichencleat idempotency`: what a stopped node's directory knows of its keyed requests."""
 
 from __future__ import annotations
 
@@ -72,7 +72,7 @@
             yield key[1:].hex(), None
 
 
-@click.group("keyed", no_args_is_help=True)
+@click.group("idempotency", no_args_is_help=True)
 def group() -> None:
     """Receipts and results of one node that outlive its restarts."""
 
--- a/lichencleat/cli/owners.py
+++ b/lichencleat/cli/leases.py
@@ -1,4 +1,4 @@
-"""`lichencleat owners`: who owns which job of the fleet, and why."""
+"""`lichencleat leases`: who owns which job of the fleet, and why."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
 from lichencleat.leases.choice import heir
 from lichencleat.leases.terms import CRASHES_MOST, Candidate, Define, Done, Drop, Job, Move
 
 
-@click.group("owners", no_args_is_help=True)
+@click.group("leases", no_args_is_help=True)
 def group() -> None:
     """Jobs of the fleet, each done by one process at a time."""
 
--- a/lichencleat/cli/members.py
+++ b/lichencleat/cli/membership.py
@@ -1,4 +1,4 @@
-"""`lichencleat members`: who is there, by gossip."""
+"""`lichencleat membership`: who is there, by gossip."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lichencleat.membership import program
 
 
-@click.group("members", no_args_is_help=True)
+@click.group("membership", no_args_is_help=True)
 def group() -> None:
     """Who is there, among many instances."""
 
--- a/lichencleat/cli/shares.py
+++ b/lichencleat/cli/quotas.py
@@ -1,4 +1,4 @@
-"""`lichencleat shares`: pools of calls that the fleet's nodes share, and who may use how much."""
+"""`lichencleat quotas`: pools of calls that the fleet's nodes share, and who may use how much."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Drop as DropJob
 from lichencleat.leases.terms import Job
@@ -19,7 +19,7 @@
 POOL = click.argument("pool")
 
 
-@click.group("shares", no_args_is_help=True)
+@click.group("quotas", no_args_is_help=True)
 def group() -> None:
     """Calls in hand below that all nodes share, each pool dealt out by one owner."""
 
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -8,7 +8,7 @@
 import click
 
 from lichencleat.cli import output
-from lichencleat.cli.quorum import ask_all, on_reactor
+from lichencleat.cli.consensus import ask_all, on_reactor
 from lichencleat.config.file import WrongFileError
 from lichencleat.config_distribution.counts import OLDEST, merged
 from lichencleat.config_distribution.terms import IN_FORCE, Count
--- a/tests/fleet/test_quorum.py
+++ b/tests/fleet/test_quorum.py
@@ -141,7 +141,7 @@
 def test_a_wrong_file_is_one_line_and_exit_code_2(tmp_path, text, said):
     from click.testing import CliRunner
 
-    from lichencleat.cli.quorum import group
+    from lichencleat.cli.consensus import group
 
     file = tmp_path / "f.yaml"
     file.write_text(text)
