--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -18,7 +18,7 @@
 from lichencleat.quotas.dealer import LOOK as DEAL
 from lichencleat.recovery.seat import PLAN
 
-CONFIG = "distribution: relays in tiers ([distribution.md](distribution.md))"
+CONFIG = "distribution: relays in tiers ([config_distribution.md](config_distribution.md))"
 SOME = "a few are members: relays and voters, not nodes"
 APART = "a group for each subject: no node follows that log"
 
--- a/lichencleat/cli/consensus.py
+++ b/lichencleat/cli/consensus.py
@@ -153,7 +153,7 @@
                 rows.append(["", address, "", "", each, "", "", "", "", ""])
         output.table(HEAD, rows, False)
     if leader is None:
-        raise output.WrongData("quorum: nobody leads; see docs/operate-owners.md, 'A lost majority'")
+        raise output.WrongData("quorum: nobody leads; see docs/operate-leases.md, 'A lost majority'")
 
 
 @group.command()
@@ -163,7 +163,7 @@
     """The group as its leader knows it."""
     _, leader = look(chosen(file))
     if leader is None:
-        raise output.WrongData("quorum: nobody leads; see docs/operate-owners.md, 'A lost majority'")
+        raise output.WrongData("quorum: nobody leads; see docs/operate-leases.md, 'A lost majority'")
     head = ["name", "address", "zone", "votes", "has", "heard_ms", "seat"]
     rows = [[each[key] if each[key] is not None else "" for key in head] for each in leader["members"]]
     output.table(head, rows, as_json)
--- a/lichencleat/config_distribution/__init__.py
+++ b/lichencleat/config_distribution/__init__.py
@@ -8,6 +8,6 @@
 A group of voters numbers the batches (`source.py`), relays in tiers hand them down, each subscriber asks
 the one above it and is answered, so nothing waits for anybody who is slow. Decided without I/O: what a
 subscriber is sent next (`feed.py`), which relay is followed and what may be taken over (`follow.py`), what
-is counted up the tree (`counts.py`). Design: docs/distribution.md. Off unless the operators' file names it;
-off means not imported.
+is counted up the tree (`counts.py`). Design: docs/config_distribution.md.
+Off unless the operators' file names it; off means not imported.
 """
--- a/lichencleat/failover/__init__.py
+++ b/lichencleat/failover/__init__.py
@@ -1,4 +1,4 @@
-"""Which zone serves, decided in common, and how far a router keeps traffic near: docs/zones.md.
+"""Which zone serves, decided in common, and how far a router keeps traffic near: docs/failover.md.
 
 Promised: every order of zones has a number and one owner that gave it; who knows a newer one refuses an
 older one; no order sends more to a zone than it is known to carry. What a router does by itself is bounded:
--- a/lichencleat/idempotency/__init__.py
+++ b/lichencleat/idempotency/__init__.py
@@ -1,4 +1,4 @@
-"""Receipts and results that outlive a restart: docs/keyed.md.
+"""Receipts and results that outlive a restart: docs/idempotency.md.
 
 Promised: a receipted request is handed to the interpreter only once its intent survives a cut, and is
 honoured only once its result does; so in its window no restart makes it run a second time, and a repeat is
--- a/lichencleat/quotas/__init__.py
+++ b/lichencleat/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""Parts of a dependency that all nodes call, dealt out by one owner: docs/shares.md.
+"""Parts of a dependency that all nodes call, dealt out by one owner: docs/quotas.md.
 
 Promised: the sum of what all nodes together may have in hand never exceeds the pool's limit, whichever
 owners are alive, stopped or cut off, as long as clocks keep the stated drift; a deal of an old owner is
--- a/lichencleat/recovery/__init__.py
+++ b/lichencleat/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""The fleet after a power loss: docs/revive.md.
+"""The fleet after a power loss: docs/recovery.md.
 
 Promised: a node takes part in what is common only under the fleet's present epoch; it counts no window on a
 clock that the fleet contradicts; service returns in waves that grow while the last one stands, by one owner's
--- a/lichencleat/recovery/trust.py
+++ b/lichencleat/recovery/trust.py
@@ -1,6 +1,6 @@
 """What a node trusts from before its start, item by item, and the proof that it asks; no I/O.
 
-The table of docs/revive.md, as code: whatever is not in it is not trusted.
+The table of docs/recovery.md, as code: whatever is not in it is not trusted.
 """
 
 from __future__ import annotations
@@ -57,6 +57,6 @@
 def may_serve_receipted(known: Known) -> bool:
     """By rule 2, each node alone: its own receipts have to stand, and tries have to be dated rightly.
 
-    A key that ran elsewhere is no matter of this node's: see docs/revive.md.
+    A key that ran elsewhere is no matter of this node's: see docs/recovery.md.
     """
     return trusted(Item.RECEIPTS, known) and trusted(Item.WINDOWS, known) and known.clock_right
