--- /dev/null
+++ b/tests/compatibility/messages.py
@@ -0,0 +1,218 @@
+"""What the golden names stand for in the current tree: the one place to edit when a class moves.
+
+The keys name module, class or constant as they were at commit 3273848 and never change; the values are the
+current ones.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+from types import UnionType
+from typing import Any
+
+import msgspec
+
+from lichencleat.config_distribution import kept as distribution_kept
+from lichencleat.config_distribution import program as distribution_program
+from lichencleat.config_distribution import source as distribution_source
+from lichencleat.config_distribution import terms as distribution_terms
+from lichencleat.config_distribution import voting as distribution_voting
+from lichencleat.consensus import facts, journal, parts, process, program, seats, sessions, state, wire
+from lichencleat.consensus import terms as consensus_terms
+from lichencleat.failover import state as failover_state
+from lichencleat.failover import terms as failover_terms
+from lichencleat.idempotency import records
+from lichencleat.leases import jobs
+from lichencleat.leases import terms as leases_terms
+from lichencleat.membership import terms as membership_terms
+from lichencleat.quotas import terms as quotas_terms
+from lichencleat.recovery import boot, figures
+from lichencleat.recovery import seat as recovery_seat
+from lichencleat.recovery import state as recovery_state
+from lichencleat.recovery import terms as recovery_terms
+from lichencleat.store import checkpoint, frames, segments
+from lichencleat.store import recovery as store_recovery
+
+MESSAGES: dict[str, type[msgspec.Struct]] = {
+    "distribution.kept.Head": distribution_kept.Head,
+    "distribution.source.Diff": distribution_source.Diff,
+    "distribution.source.Difference": distribution_source.Difference,
+    "distribution.source.Dumped": distribution_source.Dumped,
+    "distribution.source.Find": distribution_source.Find,
+    "distribution.source.Found": distribution_source.Found,
+    "distribution.source.Publish": distribution_source.Publish,
+    "distribution.source.Published": distribution_source.Published,
+    "distribution.source.Standing": distribution_source.Standing,
+    "distribution.source.Stands": distribution_source.Stands,
+    "distribution.terms.Batch": distribution_terms.Batch,
+    "distribution.terms.Change": distribution_terms.Change,
+    "distribution.terms.Count": distribution_terms.Count,
+    "distribution.terms.Digests": distribution_terms.Digests,
+    "distribution.terms.Fed": distribution_terms.Fed,
+    "distribution.terms.Follow": distribution_terms.Follow,
+    "distribution.terms.Pages": distribution_terms.Pages,
+    "distribution.terms.Wanted": distribution_terms.Wanted,
+    "distribution.terms.Wanting": distribution_terms.Wanting,
+    "keyed.records.Entry": records.Entry,
+    "keyed.records.Seen": records.Seen,
+    "keyed.records.Whose": records.Whose,
+    "members.terms.Datagram": membership_terms.Datagram,
+    "members.terms.Word": membership_terms.Word,
+    "owners.jobs.Dumped": jobs.Dumped,
+    "owners.terms.Candidate": leases_terms.Candidate,
+    "owners.terms.Define": leases_terms.Define,
+    "owners.terms.Done": leases_terms.Done,
+    "owners.terms.Drop": leases_terms.Drop,
+    "owners.terms.Gone": leases_terms.Gone,
+    "owners.terms.Job": leases_terms.Job,
+    "owners.terms.Leave": leases_terms.Leave,
+    "owners.terms.Move": leases_terms.Move,
+    "owners.terms.Owned": leases_terms.Owned,
+    "owners.terms.Release": leases_terms.Release,
+    "owners.terms.Renew": leases_terms.Renew,
+    "quorum.facts.Changed": facts.Changed,
+    "quorum.facts.Fact": facts.Fact,
+    "quorum.facts.Set": facts.Set,
+    "quorum.journal.Head": journal.Head,
+    "quorum.seats.Identity": seats.Identity,
+    "quorum.seats.Life": seats.Life,
+    "quorum.sessions.Held": sessions.Held,
+    "quorum.state.Dumped": state.Dumped,
+    "quorum.terms.Entry": consensus_terms.Entry,
+    "quorum.terms.Group": consensus_terms.Group,
+    "quorum.terms.Member": consensus_terms.Member,
+    "quorum.terms.Message": consensus_terms.Message,
+    "quorum.terms.Snapshot": consensus_terms.Snapshot,
+    "quorum.wire.Carried": wire.Carried,
+    "quorum.wire.Greeted": wire.Greeted,
+    "quorum.wire.Greeting": wire.Greeting,
+    "quorum.wire.Proposal": wire.Proposal,
+    "quorum.wire.Reply": wire.Reply,
+    "quorum.wire.Request": wire.Request,
+    "quorum.wire.WhoItIs": wire.WhoItIs,
+    "revive.boot.Boot": boot.Boot,
+    "revive.figures.Figures": figures.Figures,
+    "revive.state.Dumped": recovery_state.Dumped,
+    "revive.terms.Done": recovery_terms.Done,
+    "revive.terms.Forget": recovery_terms.Forget,
+    "revive.terms.Hold": recovery_terms.Hold,
+    "revive.terms.Leave": recovery_terms.Leave,
+    "revive.terms.Lost": recovery_terms.Lost,
+    "revive.terms.NewEpoch": recovery_terms.NewEpoch,
+    "revive.terms.Node": recovery_terms.Node,
+    "revive.terms.Plan": recovery_terms.Plan,
+    "revive.terms.Report": recovery_terms.Report,
+    "revive.terms.Skip": recovery_terms.Skip,
+    "revive.terms.Wave": recovery_terms.Wave,
+    "revive.terms.Word": recovery_terms.Word,
+    "shares.terms.Ask": quotas_terms.Ask,
+    "shares.terms.Deal": quotas_terms.Deal,
+    "shares.terms.Define": quotas_terms.Define,
+    "shares.terms.Done": quotas_terms.Done,
+    "shares.terms.Drop": quotas_terms.Drop,
+    "shares.terms.Forget": quotas_terms.Forget,
+    "shares.terms.Granted": quotas_terms.Granted,
+    "shares.terms.Over": quotas_terms.Over,
+    "shares.terms.Part": quotas_terms.Part,
+    "shares.terms.Pool": quotas_terms.Pool,
+    "shares.terms.Seat": quotas_terms.Seat,
+    "zones.state.Dumped": failover_state.Dumped,
+    "zones.terms.Define": failover_terms.Define,
+    "zones.terms.Done": failover_terms.Done,
+    "zones.terms.Drop": failover_terms.Drop,
+    "zones.terms.Give": failover_terms.Give,
+    "zones.terms.Learn": failover_terms.Learn,
+    "zones.terms.Order": failover_terms.Order,
+    "zones.terms.Seen": failover_terms.Seen,
+    "zones.terms.Source": failover_terms.Source,
+    "zones.terms.Tell": failover_terms.Tell,
+    "zones.terms.Unwish": failover_terms.Unwish,
+    "zones.terms.Wish": failover_terms.Wish,
+    "zones.terms.Wished": failover_terms.Wished,
+    "zones.terms.Zone": failover_terms.Zone,
+}
+
+UNIONS: dict[str, UnionType] = {
+    "quorum.wire.Frame": wire.Frame,
+    "owners.terms.Command": leases_terms.Command,
+    "shares.terms.Command": quotas_terms.Command,
+    "revive.terms.Command": recovery_terms.Command,
+    "zones.terms.Command": failover_terms.Command,
+    "distribution.source.Query": distribution_source.Query,
+}
+
+ENUMS: dict[str, type[Enum]] = {
+    "distribution.terms.Say": distribution_terms.Say,
+    "keyed.records.State": records.State,
+    "members.terms.Kind": membership_terms.Kind,
+    "members.terms.State": membership_terms.State,
+    "quorum.seats.Welcome": seats.Welcome,
+    "quorum.sessions.Verdict": sessions.Verdict,
+    "quorum.terms.Kind": consensus_terms.Kind,
+    "quorum.terms.Reason": consensus_terms.Reason,
+    "quorum.terms.What": consensus_terms.What,
+    "revive.terms.Door": recovery_terms.Door,
+    "zones.terms.Duty": failover_terms.Duty,
+}
+
+CONSTANTS: dict[str, Any] = {
+    "distribution.kept.BATCH": distribution_kept.BATCH,
+    "distribution.kept.FORMAT": distribution_kept.FORMAT,
+    "distribution.kept.HEAD": distribution_kept.HEAD,
+    "distribution.kept.PAGE": distribution_kept.PAGE,
+    "distribution.kept.RECENT_MOST": distribution_kept.RECENT_MOST,
+    "distribution.program.STOPPED": distribution_program.STOPPED,
+    "distribution.program.WRONG": distribution_program.WRONG,
+    "distribution.terms.DIGEST": distribution_terms.DIGEST,
+    "distribution.terms.DIGESTS": distribution_terms.DIGESTS,
+    "distribution.terms.FIND": distribution_terms.FIND,
+    "distribution.terms.FOLLOW": distribution_terms.FOLLOW,
+    "distribution.terms.IN_FORCE": distribution_terms.IN_FORCE,
+    "distribution.terms.PAGES": distribution_terms.PAGES,
+    "distribution.terms.PAGES_OF": distribution_terms.PAGES_OF,
+    "distribution.voting.PART": distribution_voting.PART,
+    "keyed.records.ENTRY": records.ENTRY,
+    "keyed.records.FORMAT": records.FORMAT,
+    "keyed.records.MARK": records.MARK,
+    "keyed.records.SEEN": records.SEEN,
+    "keyed.records.WHOSE": records.WHOSE,
+    "quorum.journal.ENTRY": journal.ENTRY,
+    "quorum.journal.NO_PIECES": journal.NO_PIECES,
+    "quorum.journal.PIECE": journal.PIECE,
+    "quorum.journal.SNAPSHOT": journal.SNAPSHOT,
+    "quorum.journal.TOP": journal.TOP,
+    "quorum.journal.UNDER_WAY": journal.UNDER_WAY,
+    "quorum.parts.BEFORE": parts.BEFORE,
+    "quorum.parts.USES": parts.USES,
+    "quorum.process.LIFE": process.LIFE,
+    "quorum.program.LEFT": program.LEFT,
+    "quorum.program.STOPPED": program.STOPPED,
+    "quorum.program.WRONG": program.WRONG,
+    "quorum.program.distribution_parts": list(program.distribution_parts()),
+    "quorum.program.parts": list(program.parts()),
+    "quorum.seats.IDENTITY": seats.IDENTITY,
+    "quorum.terms.NOBODY": consensus_terms.NOBODY,
+    "quorum.wire.FORMAT": wire.FORMAT,
+    "quorum.wire.FRAME_MOST": wire.FRAME_MOST,
+    "revive.boot.FORMAT": boot.FORMAT,
+    "revive.figures.FORMAT": figures.FORMAT,
+    "revive.seat.BOOT": recovery_seat.BOOT,
+    "revive.seat.FIGURES": recovery_seat.FIGURES,
+    "revive.terms.JOB": recovery_terms.JOB,
+    "shares.terms.RETURN": quotas_terms.RETURN,
+    "shares.terms.job_of": quotas_terms.job_of("a pool"),
+    "store.checkpoint.NAME": checkpoint.NAME,
+    "store.checkpoint.NEW": checkpoint.NEW,
+    "store.frames.BODY_BEGINS": frames.BODY_BEGINS,
+    "store.frames.FORMAT": frames.FORMAT,
+    "store.frames.LOG_MAGIC": frames.LOG_MAGIC,
+    "store.frames.MARKER": frames.MARKER,
+    "store.frames.POINT_MAGIC": frames.POINT_MAGIC,
+    "store.frames.STORE_MAGIC": frames.STORE_MAGIC,
+    "store.recovery.RESERVE": store_recovery.RESERVE,
+    "store.recovery.STORE": store_recovery.STORE,
+    "store.recovery.STORE_NEW": store_recovery.STORE_NEW,
+    "store.segments.NAME": segments.NAME,
+    "store.segments.NEW": segments.NEW,
+    "zones.terms.JOB": failover_terms.JOB,
+}
