--- a/tests/compatibility/generate.py
+++ b/tests/compatibility/generate.py
@@ -26,7 +26,7 @@
 import msgspec
 from msgspec import inspect as types
 
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).resolve().parent / "data"
 
 MESSAGE_MODULES = (
     "quorum.wire",
--- /dev/null
+++ b/tests/compatibility/settings_files.py
@@ -0,0 +1,29 @@
+"""Loaders of the operators' files in the current tree: the one place of these tests that names them."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+import msgspec
+
+from lichencleat.capacity.target import read_target
+from lichencleat.config.file import read_file
+from lichencleat.config_distribution.file import read_relay
+from lichencleat.consensus.file import read_quorum
+from lichencleat.membership.program import read_members
+from lichencleat.router.file import read_router
+
+LOADERS: dict[str, Callable[[str], Any]] = {
+    "node": read_file,
+    "quorum": read_quorum,
+    "relay": read_relay,
+    "router": lambda path: read_router(path)[0],
+    "members": read_members,
+    "target": read_target,
+}
+
+
+def decoded(kind: str, path: str) -> Any:
+    """What the loader makes of the file, by the names of its keys, defaults included."""
+    return msgspec.to_builtins(LOADERS[kind](path))
