--- a/tests/compatibility/conversation.py
+++ b/tests/compatibility/conversation.py
@@ -161,6 +161,55 @@
 CONVERSATIONS = {"control": CONTROL, "distribution": DISTRIBUTION, "members": MEMBERS}
 
 
+# -- gossip ----------------------------------------------------------------------------------------------
+
+PING, ACK, ASK, NO_ACK, JOIN, LIST = 1, 2, 3, 4, 5, 6  # kinds of datagrams
+HERE, SUSPECT, GONE, LEFT = 0, 1, 2, 3  # states of members
+NUMBER = 2  # position in a datagram: of the probe, drawn by its prober
+PERIOD_US = 1_000_000
+OWN_WORD = ["n1", HERE, 5, "10.0.0.1", 7_001, "north", "node"]
+SEEDS = [("10.0.0.2", 7_002)]
+
+
+def word(number: int, state: int, incarnation: int) -> list[Any]:
+    """What is said of the member n2, n3, ..."""
+    return [f"n{number}", state, incarnation, f"10.0.0.{number}", 7_000 + number, "south", "relay"]
+
+
+def datagram(kind: int, number: int, target: str, words: list[Any], digest: int = 0) -> list[Any]:
+    """What n2 says."""
+    return ["fleet", kind, number, "n2", target, digest, words]
+
+
+GOSSIP: tuple[list[Any], ...] = (
+    ["another group", PING, 1, "n2", "", 0, [word(2, HERE, 3)]],
+    datagram(PING, 77, "", [word(2, HERE, 3)]),
+    datagram(LIST, 0, "", [word(3, HERE, 4), word(4, SUSPECT, 2), word(5, GONE, 9), word(6, LEFT, 1)]),
+    datagram(ASK, 78, "n3", []),
+    datagram(ASK, 79, "unknown", []),
+    datagram(JOIN, 0, "", [], 12_345),
+    datagram(PING, 80, "", [["n1", SUSPECT, 5, "10.0.0.1", 7_001, "north", "node"]]),
+    datagram(PING, 81, "", [["n1", GONE, 6, "10.0.0.1", 7_001, "north", "node"]]),
+    datagram(PING, 82, "", [word(3, GONE, 4)]),
+    datagram(NO_ACK, 83, "n3", []),
+    datagram(ACK, 84, "", [word(4, HERE, 3)]),
+)
+
+
+def shown_sends(sends: list[tuple[str, int, Any]]) -> list[Any]:
+    """Datagrams and where they go; the numbers of own probes are drawn."""
+    shown = []
+    for host, port, message_ in sends:
+        values = decode(encode(message_))
+        if values[1] == PING:
+            values[NUMBER] = None
+        shown.append([host, port, values])
+    return shown
+
+
+# -- connections -----------------------------------------------------------------------------------------
+
+
 class Transport(StringTransport):
     """A connection, with the calls that StringTransport lacks."""
 
--- a/tests/compatibility/generate_conversations.py
+++ b/tests/compatibility/generate_conversations.py
@@ -15,7 +15,7 @@
 from unittest.mock import MagicMock
 
 import msgspec
-from conversation import CONVERSATIONS, MARK, converse
+from conversation import CONVERSATIONS, GOSSIP, MARK, OWN_WORD, PERIOD_US, SEEDS, converse, shown_sends
 from generate import module, plain, write_json
 from generate_directories import at_once, commit, open_engine
 from twisted.internet.testing import MemoryReactorClock
@@ -40,8 +40,34 @@
     )
 
 
+def gossip() -> list[list[Any]]:
+    """What a member sends at its start, after each datagram, at its next probe, and as it leaves."""
+    terms, now = module("members.terms"), PERIOD_US
+    own, rng = terms.Word(*OWN_WORD), random.Random(23)
+    member = module("members.gossip").Gossip("fleet", own, SEEDS, terms.Choice(), rng, now)
+    sent = [sends_of(member)]
+    for values in GOSSIP:
+        received = msgspec.msgpack.decode(msgspec.msgpack.encode(values), type=terms.Datagram)
+        member.hears(now, "10.0.0.2", 7_002, received)
+        sent.append(sends_of(member))
+    member.wakes(now + PERIOD_US)
+    sent.append(sends_of(member))
+    member.leaves(now + PERIOD_US)
+    sent.append(sends_of(member))
+    return sent
+
+
+def sends_of(member: Any) -> list[Any]:
+    """Datagrams that it has to send now."""
+    found = []
+    while (decision := member.next_decision()) is not None:
+        if isinstance(decision, module("members.gossip").Send):
+            found.append((decision.host, decision.port, decision.datagram))
+    return shown_sends(found)
+
+
 def main() -> None:
-    """A conversation with a member of each kind of group."""
+    """A conversation with a member of each kind of group, and with one that gossips."""
     found = {}
     for group, steps in CONVERSATIONS.items():
         reactor = MemoryReactorClock()
@@ -54,6 +80,7 @@
             for step, each in zip(steps, answers, strict=True)
         ]
     write_json("conversations.json", found)
+    write_json("gossip.json", gossip())
 
 
 if __name__ == "__main__":
--- a/tests/compatibility/running_member.py
+++ b/tests/compatibility/running_member.py
@@ -4,10 +4,11 @@
 
 import random
 from pathlib import Path
+from typing import Any
 from unittest.mock import MagicMock
 
 import msgspec
-from conversation import MARK
+from conversation import GOSSIP, MARK, OWN_WORD, PERIOD_US, SEEDS, shown_sends
 from directories import BOUNDS, NOW_US, PARTS
 from twisted.internet.defer import execute
 from twisted.internet.testing import MemoryReactorClock
@@ -18,6 +19,8 @@
 from lichencleat.consensus.seats import IDENTITY, Identity
 from lichencleat.consensus.state import founded
 from lichencleat.consensus.terms import Group, Member
+from lichencleat.membership.gossip import Gossip, Send
+from lichencleat.membership.terms import Choice, Datagram, Word
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.store import Store
@@ -44,3 +47,28 @@
         zone="north",
         serves=serves,
     )
+
+
+def gossip() -> list[list[Any]]:
+    """What a member sends at its start, after each golden datagram, at its next probe, and as it leaves."""
+    now = PERIOD_US
+    member = Gossip("fleet", Word(*OWN_WORD), SEEDS, Choice(), random.Random(23), now)
+    sent = [sends_of(member)]
+    for values in GOSSIP:
+        received = msgspec.msgpack.decode(msgspec.msgpack.encode(values), type=Datagram)
+        member.hears(now, "10.0.0.2", 7_002, received)
+        sent.append(sends_of(member))
+    member.wakes(now + PERIOD_US)
+    sent.append(sends_of(member))
+    member.leaves(now + PERIOD_US)
+    sent.append(sends_of(member))
+    return sent
+
+
+def sends_of(member: Gossip) -> list[Any]:
+    """Datagrams that it has to send now."""
+    found = []
+    while (decision := member.next_decision()) is not None:
+        if isinstance(decision, Send):
+            found.append((decision.host, decision.port, decision.datagram))
+    return shown_sends(found)
--- a/tests/compatibility/test_commands.py
+++ b/tests/compatibility/test_commands.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import json
+import re
 from pathlib import Path
 from typing import Any
 
@@ -13,6 +14,8 @@
 DATA = Path(__file__).parent / "data"
 GOLDEN = json.loads((DATA / "commands.json").read_text(encoding="utf-8"))
 GOLDEN_FILES = json.loads((DATA / "settings_files.json").read_text(encoding="utf-8"))
+PAGES = Path(__file__).parents[2] / "docs"
+PAGE_LINK = re.compile(r"\[([\w-]+\.md)\]\(([\w-]+\.md)\)")
 SUB_COMMANDS = [(noun, name) for noun, commands in GOLDEN["nouns"].items() for name in commands]
 MISTAKES = [
     pytest.param(each, id="-".join(each["arguments"]))
@@ -57,6 +60,16 @@
     assert found["stdout"].startswith(f"Usage: lichencleat {noun} {name} ")
 
 
+def unlinked(text: str) -> str:
+    """The text without the names of the pages that it links: a page may get another name."""
+    return PAGE_LINK.sub("[page](page)", text)
+
+
+def missing_pages(text: str) -> list[str]:
+    """Pages that the text links and that do not exist."""
+    return [page for _, page in PAGE_LINK.findall(text) if not (PAGES / page).is_file()]
+
+
 def test_table_of_runs_is_the_golden_one() -> None:
     assert [tuple(each["arguments"]) for each in GOLDEN["runs"]] == list(COMMANDS)
 
@@ -67,7 +80,8 @@
         found = run_command(tuple(golden["arguments"]))
         line = " ".join(golden["arguments"])
         assert found["exit"] == golden["exit"], line
-        assert found["stdout"] == golden["stdout"], line
+        assert unlinked(found["stdout"]) == unlinked(golden["stdout"]), line
+        assert not missing_pages(found["stdout"]), line
         assert bool(found["stderr"]) == bool(golden["stderr"]), line
         assert found["stderr"].count("\n") == golden["stderr"].count("\n"), line
 
--- a/tests/compatibility/test_conversations.py
+++ b/tests/compatibility/test_conversations.py
@@ -8,10 +8,12 @@
 
 import pytest
 from conversation import CONVERSATIONS, converse
-from running_member import start_member
+from running_member import gossip, start_member
 from twisted.internet.testing import MemoryReactorClock
 
-GOLDEN = json.loads((Path(__file__).parent / "data/conversations.json").read_text(encoding="utf-8"))
+DATA = Path(__file__).parent / "data"
+GOLDEN = json.loads((DATA / "conversations.json").read_text(encoding="utf-8"))
+GOLDEN_GOSSIP = json.loads((DATA / "gossip.json").read_text(encoding="utf-8"))
 
 
 def plain(value: Any) -> Any:
@@ -33,3 +35,8 @@
     assert [plain(step.frame) for step in steps] == [each["sent"] for each in GOLDEN[group]]
     for step, answer, golden in zip(steps, answers, GOLDEN[group], strict=True):
         assert plain(answer) == golden["answers"], step.frame
+
+
+def test_gossip_sends_the_same_datagrams() -> None:
+    for number, (sent, golden) in enumerate(zip(gossip(), GOLDEN_GOSSIP, strict=True)):
+        assert sent == golden, f"after {number} datagrams"
