--- a/lichencleat/quotas/__init__.py
+++ b/lichencleat/quotas/__init__.py
@@ -1,4 +1,4 @@
-"""Quotas of a dependency that all nodes call, allocated by the holder of a lease: docs/shares.md.
+"""Quotas of a dependency that all nodes call, allocated by the holder of a lease: docs/quotas.md.
 
 Guaranteed: the sum of the calls that all nodes may have in flight never exceeds the pool's limit, whichever
 allocators are alive, paused or partitioned, as long as clocks keep the stated drift; an allocation by an
