--- a/tests/leases/test_owners_sim.py
+++ b/tests/leases/test_lease_simulation.py
@@ -1,4 +1,4 @@
-"""Owners through drawn faults, a few seeds: the full length is `python -m
+"""Leases through random faults in simulated time, a few seeds; the full length is `python -m
 lichencleat.testkit.simulation.owners`."""
 
 import pytest
@@ -6,7 +6,7 @@
 from lichencleat.testkit.checkers.owners import OwnersWatch
 from lichencleat.testkit.simulation.owners import VARIANTS, run
 
-CAUGHT = {
+SEED_THAT_CATCHES = {
     "FromTheAnswer": 165,
     "NoDrift": 28,
     "BeginsAgain": 1,
@@ -17,27 +17,27 @@
 }
 
 
-def test_drawn_runs_have_one_owner_and_get_well_again():
+def test_random_runs_have_one_holder_and_recover():
     for seed in range(1, 41):
         ran = run(seed)
         assert ran.wrong is None, (seed, ran.wrong)
         assert ran.acts > 500
 
 
-def test_clocks_beyond_any_drift_leave_the_tokens_right():
+def test_tokens_stay_correct_with_clocks_beyond_the_drift():
     assert [run(seed, wild=True).wrong for seed in range(1, 21)] == [None] * 20
 
 
-def test_a_seed_gives_the_same_run():
+def test_run_is_reproducible_from_its_seed():
     assert run(3) == run(3)
 
 
-@pytest.mark.parametrize("variant", CAUGHT)
-def test_a_planted_mistake_is_caught(variant):
-    assert run(CAUGHT[variant], VARIANTS[variant]).wrong is not None
+@pytest.mark.parametrize("variant", SEED_THAT_CATCHES)
+def test_injected_bug_is_caught(variant):
+    assert run(SEED_THAT_CATCHES[variant], VARIANTS[variant]).wrong is not None
 
 
-def test_the_watch_finds_each_planted_violation():
+def test_watch_finds_each_violation():
     def watched(*said):
         watch = OwnersWatch()
         for name, *what in said:
