--- a/lichencleat/cli/quotas.py
+++ b/lichencleat/cli/quotas.py
@@ -9,8 +9,8 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.leases.messages import CommandReply, DefineJob, DropJob, Job
-from lichencleat.quotas.messages import DefinePool, DropPool, ForgetNode, Pool, allocator_job
+from lichencleat.leases.messages import DefineJob, DropJob, Job
+from lichencleat.quotas.messages import CommandReply, DefinePool, DropPool, ForgetNode, Pool, allocator_job
 from lichencleat.quotas.quota_state import reserved_calls
 
 SECOND = 1_000_000  # µs
--- a/lichencleat/quotas/allocator_task.py
+++ b/lichencleat/quotas/allocator_task.py
@@ -7,9 +7,8 @@
 
 from lichencleat.leases.interfaces import GroupClient, Logger, ReactorTime
 from lichencleat.leases.leader_task import MICROSECONDS_PER_SECOND, LeaderTask
-from lichencleat.leases.messages import CommandReply
 from lichencleat.quotas.allocator import POLL_INTERVAL_TERMS, Allocator
-from lichencleat.quotas.messages import GrantExpired, Pool, allocator_job
+from lichencleat.quotas.messages import CommandReply, GrantExpired, Pool, allocator_job
 from lichencleat.quotas.quota_client import PART
 
 
--- a/lichencleat/quotas/messages.py
+++ b/lichencleat/quotas/messages.py
@@ -152,6 +152,13 @@
     rejection: str = ""
 
 
+class CommandReply(msgspec.Struct, frozen=True, array_like=True):
+    """The reply to any other command: whether it took effect, and if not, the reason."""
+
+    accepted: bool
+    reason: str = ""
+
+
 def allocator_job(pool: str) -> str:
     """The job whose lease holder allocates that pool."""
     return f"shares/{pool}"
--- a/lichencleat/quotas/quota_state.py
+++ b/lichencleat/quotas/quota_state.py
@@ -13,7 +13,6 @@
 
 from lichencleat.decoding import UNDECODABLE
 from lichencleat.leases.lease_state import LeaseState
-from lichencleat.leases.messages import CommandReply
 from lichencleat.quotas.messages import (
     MAX_LIMIT,
     MAX_NODES,
@@ -23,6 +22,7 @@
     RECOVERY_JOB,
     Allocate,
     Command,
+    CommandReply,
     DefinePool,
     DropPool,
     FencedCommand,
--- a/lichencleat/testkit/simulation/shares.py
+++ b/lichencleat/testkit/simulation/shares.py
@@ -17,10 +17,11 @@
 import msgspec
 
 from lichencleat.leases.lease_state import LeaseState
-from lichencleat.leases.messages import CandidateExpired, CommandReply, DefineJob, RenewLease
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
 from lichencleat.quotas.allocator import POLL_INTERVAL_TERMS, Allocator
 from lichencleat.quotas.messages import (
     Allocate,
+    CommandReply,
     DefinePool,
     GrantExpired,
     Pool,
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -22,10 +22,10 @@
 from lichencleat.failover import state as failover_state
 from lichencleat.failover import terms as failover_terms
 from lichencleat.idempotency import records
-from lichencleat.leases import jobs
-from lichencleat.leases import terms as leases_terms
+from lichencleat.leases import lease_state
+from lichencleat.leases import messages as leases_messages
 from lichencleat.membership import terms as membership_terms
-from lichencleat.quotas import terms as quotas_terms
+from lichencleat.quotas import messages as quotas_messages
 from lichencleat.recovery import boot, figures
 from lichencleat.recovery import seat as recovery_seat
 from lichencleat.recovery import state as recovery_state
@@ -58,18 +58,18 @@
     "keyed.records.Whose": records.Whose,
     "members.terms.Datagram": membership_terms.Datagram,
     "members.terms.Word": membership_terms.Word,
-    "owners.jobs.Dumped": jobs.Dumped,
-    "owners.terms.Candidate": leases_terms.Candidate,
-    "owners.terms.Define": leases_terms.Define,
-    "owners.terms.Done": leases_terms.Done,
-    "owners.terms.Drop": leases_terms.Drop,
-    "owners.terms.Gone": leases_terms.Gone,
-    "owners.terms.Job": leases_terms.Job,
-    "owners.terms.Leave": leases_terms.Leave,
-    "owners.terms.Move": leases_terms.Move,
-    "owners.terms.Owned": leases_terms.Owned,
-    "owners.terms.Release": leases_terms.Release,
-    "owners.terms.Renew": leases_terms.Renew,
+    "owners.jobs.Dumped": lease_state.Snapshot,
+    "owners.terms.Candidate": leases_messages.Candidate,
+    "owners.terms.Define": leases_messages.DefineJob,
+    "owners.terms.Done": leases_messages.CommandReply,
+    "owners.terms.Drop": leases_messages.DropJob,
+    "owners.terms.Gone": leases_messages.CandidateExpired,
+    "owners.terms.Job": leases_messages.Job,
+    "owners.terms.Leave": leases_messages.Leave,
+    "owners.terms.Move": leases_messages.MoveJob,
+    "owners.terms.Owned": leases_messages.RenewalReply,
+    "owners.terms.Release": leases_messages.ReleaseJob,
+    "owners.terms.Renew": leases_messages.RenewLease,
     "quorum.facts.Changed": facts.Changed,
     "quorum.facts.Fact": facts.Fact,
     "quorum.facts.Set": facts.Set,
@@ -105,17 +105,17 @@
     "revive.terms.Skip": recovery_terms.Skip,
     "revive.terms.Wave": recovery_terms.Wave,
     "revive.terms.Word": recovery_terms.Word,
-    "shares.terms.Ask": quotas_terms.Ask,
-    "shares.terms.Deal": quotas_terms.Deal,
-    "shares.terms.Define": quotas_terms.Define,
-    "shares.terms.Done": quotas_terms.Done,
-    "shares.terms.Drop": quotas_terms.Drop,
-    "shares.terms.Forget": quotas_terms.Forget,
-    "shares.terms.Granted": quotas_terms.Granted,
-    "shares.terms.Over": quotas_terms.Over,
-    "shares.terms.Part": quotas_terms.Part,
-    "shares.terms.Pool": quotas_terms.Pool,
-    "shares.terms.Seat": quotas_terms.Seat,
+    "shares.terms.Ask": quotas_messages.QuotaRequest,
+    "shares.terms.Deal": quotas_messages.Allocate,
+    "shares.terms.Define": quotas_messages.DefinePool,
+    "shares.terms.Done": quotas_messages.CommandReply,
+    "shares.terms.Drop": quotas_messages.DropPool,
+    "shares.terms.Forget": quotas_messages.ForgetNode,
+    "shares.terms.Granted": quotas_messages.QuotaReply,
+    "shares.terms.Over": quotas_messages.GrantExpired,
+    "shares.terms.Part": quotas_messages.SetAllocatableShare,
+    "shares.terms.Pool": quotas_messages.Pool,
+    "shares.terms.Seat": quotas_messages.NodeQuota,
     "zones.state.Dumped": failover_state.Dumped,
     "zones.terms.Define": failover_terms.Define,
     "zones.terms.Done": failover_terms.Done,
@@ -134,8 +134,8 @@
 
 UNIONS: dict[str, UnionType] = {
     "quorum.wire.Frame": wire.Frame,
-    "owners.terms.Command": leases_terms.Command,
-    "shares.terms.Command": quotas_terms.Command,
+    "owners.terms.Command": leases_messages.Command,
+    "shares.terms.Command": quotas_messages.Command,
     "revive.terms.Command": recovery_terms.Command,
     "zones.terms.Command": failover_terms.Command,
     "distribution.source.Query": distribution_source.Query,
@@ -199,8 +199,8 @@
     "revive.seat.BOOT": recovery_seat.BOOT,
     "revive.seat.FIGURES": recovery_seat.FIGURES,
     "revive.terms.JOB": recovery_terms.JOB,
-    "shares.terms.RETURN": quotas_terms.RETURN,
-    "shares.terms.job_of": quotas_terms.job_of("a pool"),
+    "shares.terms.RETURN": quotas_messages.RECOVERY_JOB,
+    "shares.terms.job_of": quotas_messages.allocator_job("a pool"),
     "store.checkpoint.NAME": checkpoint.NAME,
     "store.checkpoint.NEW": checkpoint.NEW,
     "store.frames.BODY_BEGINS": frames.BODY_BEGINS,
--- a/tests/quotas/quota_state_driver.py
+++ b/tests/quotas/quota_state_driver.py
@@ -3,8 +3,9 @@
 import msgspec
 
 from lichencleat.leases.lease_state import LeaseState
-from lichencleat.leases.messages import CandidateExpired, CommandReply, DefineJob, RenewLease
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
 from lichencleat.quotas.messages import (
+    CommandReply,
     DefinePool,
     QuotaRequest,
     allocator_job,
--- a/tests/quotas/test_quota_state.py
+++ b/tests/quotas/test_quota_state.py
@@ -4,9 +4,9 @@
 import pytest
 from quotas.quota_state_driver import TERM
 
-from lichencleat.leases.messages import CommandReply
 from lichencleat.quotas.messages import (
     Allocate,
+    CommandReply,
     DefinePool,
     DropPool,
     ForgetNode,
