--- a/lichencleat/quotas/allocator.py
+++ b/lichencleat/quotas/allocator.py
@@ -14,7 +14,7 @@
 POLL_INTERVAL_TERMS = 0.1  # of a term: a demand is met within about half a renewal interval
 
 
-def renewals_that_expire(pool: Pool, quota: NodeQuota) -> list[int]:
+def find_expirable_renewals(pool: Pool, quota: NodeQuota) -> list[int]:
     """Return the log indexes of the renewals of a node under which more than its floor is reserved."""
     indexes = []
     if quota.reserved > pool.floor or quota.target > pool.floor:
@@ -61,7 +61,7 @@
         expired = []
         delay = round(pool.term * (1 + self.drift))
         for node, quota in pool.node_quotas.items():
-            for index in renewals_that_expire(pool, quota):
+            for index in find_expirable_renewals(pool, quota):
                 since = self.seen_at.get((node, index), now)
                 seen_at[node, index] = since
                 if now - since >= delay:
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -54,7 +54,7 @@
     os.kill(workers[old].pid, signal.SIGSTOP)
     passed_on(rig, receiver, "deal", old)
     rig.relays.call(receiver.acts, "deal", token, old)  # the act that it was about to do when it was stopped
-    assert receiver.fence.refused == 1 and receiver.fence.tokens["deal"] > token
+    assert receiver.fence.rejected == 1 and receiver.fence.tokens["deal"] > token
     os.kill(workers[old].pid, signal.SIGCONT)
     log = rig.path / f"{old.split('-')[0]}.log"
     rig.until(lambda: "the lease is over" in log.read_text(), "it to notice and say so")
