--- a/lichencleat/decide.py
+++ b/lichencleat/admission/controller.py
@@ -2,7 +2,7 @@
 
 A host makes one `Node` at each start, tells it what happens (`arrives`, `run_ended`, `wants_call`,
 `call_ended`, `caller_left`, `must_leave`, `wakes`), which only updates what is known, and after each lot
-pulls `next_decision` until it gives None. The types of that interface stand in `lichencleat/terms.py`.
+pulls `next_decision` until it gives None. The types of that interface stand in `admission/types.py`.
 
 The design (docs/design.md) decides the ordinary path: a cap on held and running requests, moved each
 period by integral feedback on the length of the hold, and a running limit. Beside it stand:
@@ -22,7 +22,7 @@
 from math import exp
 from statistics import median
 
-from lichencleat.terms import (
+from lichencleat.admission.types import (
     Act,
     Below,
     Decision,
--- a/lichencleat/machine.py
+++ b/lichencleat/admission/node_spec.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from lichencleat.terms import Below, Effect, Gauges, Halt, Machine, Tariff, Told
+from lichencleat.admission.types import Below, Effect, Gauges, Halt, Machine, Tariff, Told
 
 EFFECTS = {"free": Effect.PURE, "guarded": Effect.RECEIPTED, "single_shot": Effect.EFFECTFUL}
 HALTS = {"none": Halt.NONE, "abort": Halt.DROP, "suspend": Halt.PAUSE}
--- a/lichencleat/bench_adapter/wire.py
+++ b/lichencleat/bench_adapter/wire.py
@@ -10,9 +10,16 @@
 from typing import Any
 from weakref import WeakKeyDictionary, WeakValueDictionary
 
-from lichencleat.decide import Node
-from lichencleat.machine import BadInputError, choose, decode_gauges, decode_machine, micros, read_gauges
-from lichencleat.terms import Act, Decision, Outcome, Request
+from lichencleat.admission.controller import Node
+from lichencleat.admission.node_spec import (
+    BadInputError,
+    choose,
+    decode_gauges,
+    decode_machine,
+    micros,
+    read_gauges,
+)
+from lichencleat.admission.types import Act, Decision, Outcome, Request
 
 OUTCOMES = {
     "completed": Outcome.COMPLETED,
--- a/lichencleat/cli/router.py
+++ b/lichencleat/cli/router.py
@@ -4,10 +4,10 @@
 
 import click
 
+from lichencleat.admission.types import Machine
 from lichencleat.cli import output
 from lichencleat.config.file import WrongFileError
 from lichencleat.router.file import RouterFile, read_router
-from lichencleat.terms import Machine
 
 FILE = click.argument("file", type=click.Path(dir_okay=False))
 
--- a/lichencleat/idempotency/keeper.py
+++ b/lichencleat/idempotency/keeper.py
@@ -16,6 +16,7 @@
 import msgspec
 from twisted.internet.defer import Deferred, inlineCallbacks
 
+from lichencleat.admission.types import Outcome, Request
 from lichencleat.decoding import UNDECODABLE
 from lichencleat.idempotency.book import Book, Told
 from lichencleat.idempotency.records import (
@@ -35,7 +36,6 @@
 from lichencleat.store.batch import Batch
 from lichencleat.store.errors import StoreError
 from lichencleat.store.store import Store
-from lichencleat.terms import Outcome, Request
 
 BEAT = 1_000_000  # µs between two signs of life, which also tell whether a disk that failed works again
 SLOW = 250_000  # µs that a write may wait: then nothing more is begun on it; a disk flushes in a few ms
--- a/lichencleat/node/catalogue.py
+++ b/lichencleat/node/catalogue.py
@@ -12,11 +12,11 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 
+from lichencleat.admission.types import Outcome
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.framing import BrokenFramingError
 from lichencleat.node.lines import LineReader, line, line_with_body
 from lichencleat.node.report import Report
-from lichencleat.terms import Outcome
 
 IDLE = 500_000  # µs: one left idle for longer may be forgotten by the other side, and the next call be lost
 LINKS_MOST = 48  # connections, busy ones included: more calls at once than a machine of few cores makes
--- a/lichencleat/node/config.py
+++ b/lichencleat/node/config.py
@@ -8,8 +8,8 @@
 from typing import Any
 from zlib import crc32
 
-from lichencleat.machine import AMOUNT_MOST, BadInputError, decode_gauges, decode_machine
-from lichencleat.terms import Machine
+from lichencleat.admission.node_spec import AMOUNT_MOST, BadInputError, decode_gauges, decode_machine
+from lichencleat.admission.types import Machine
 
 MB = 1 << 20  # bytes
 PORT_MOST = 65_535  # the last one there is
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -11,6 +11,7 @@
 from twisted.internet.tcp import Port
 from zope.interface import implementer
 
+from lichencleat.admission.types import Request
 from lichencleat.node.catalogue import links_most
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.framing import BrokenFramingError
@@ -19,7 +20,6 @@
 from lichencleat.node.requests import BadRequestError, read_request
 from lichencleat.node.resp import ArrayReader, array
 from lichencleat.node.slots import Slots
-from lichencleat.terms import Request
 
 READ_MOST = 16_384  # bytes read at once: a flood on one connection holds the others up for some ms at most
 OPEN_MOST = 32  # requests open on one connection, by the protocol
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -13,15 +13,15 @@
 from functools import partial
 from typing import Any, Protocol
 
-from lichencleat.decide import Node
-from lichencleat.machine import read_gauges
+from lichencleat.admission.controller import Node
+from lichencleat.admission.node_spec import read_gauges
+from lichencleat.admission.types import Act, Decision, Effect, Gauges, Machine, Outcome, Request, State
 from lichencleat.node.catalogue import Call, Catalogue
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.interpreter import Interpreter, Run
 from lichencleat.node.receipts import Receipts
 from lichencleat.node.report import Report
 from lichencleat.node.slots import Slots
-from lichencleat.terms import Act, Decision, Effect, Gauges, Machine, Outcome, Request, State
 
 GAUGES_WAIT = 40_000  # µs for the gauges at a wake-up: well under its period, and far over a usual answer
 STRAIN_CALLS, STRAIN_FAILED = 16, 6.0  # last calls, and strain for all of them failed: few are told early
--- a/lichencleat/node/interpreter.py
+++ b/lichencleat/node/interpreter.py
@@ -8,11 +8,11 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, Protocol, connectionDone
 
+from lichencleat.admission.types import Outcome
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.framing import BrokenFramingError
 from lichencleat.node.lines import LineReader, line, line_with_body
 from lichencleat.node.report import Report
-from lichencleat.terms import Outcome
 
 AGAIN = 50_000  # µs after a try to connect that failed: a lost link itself is renewed at once
 CONNECT_WAIT = 1_000_000  # µs for a connection on the same machine
--- a/lichencleat/node/program.py
+++ b/lichencleat/node/program.py
@@ -12,8 +12,8 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import globalLogBeginner
 
+from lichencleat.admission.node_spec import BadInputError
 from lichencleat.clocks import make_reactor
-from lichencleat.machine import BadInputError
 from lichencleat.node.assembly import RealNode, UnixClock
 from lichencleat.node.config import read_told
 from lichencleat.node.deadlines import Deadlines
--- a/lichencleat/node/receipts.py
+++ b/lichencleat/node/receipts.py
@@ -4,8 +4,8 @@
 
 from typing import Any
 
+from lichencleat.admission.types import Request, State
 from lichencleat.node.deadlines import Deadline, Deadlines
-from lichencleat.terms import Request, State
 
 READ_LATE = 10_000_000  # µs, and the hard limit: as late as a try that came in time may be read, or a run end
 
--- a/lichencleat/node/requests.py
+++ b/lichencleat/node/requests.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Container
 from hashlib import blake2b
 
+from lichencleat.admission.types import Effect, Request
 from lichencleat.node.host import Case, Host
-from lichencleat.terms import Effect, Request
 
 BODY_MOST = 2_048  # bytes, by the protocol
 AHEAD_MOST = 1_000_000  # µs that an arrival may lie ahead of our clock, which is the same machine's
--- a/lichencleat/recovery/seat.py
+++ b/lichencleat/recovery/seat.py
@@ -8,8 +8,8 @@
 import msgspec
 from twisted.python.failure import Failure
 
+from lichencleat.admission.controller import RUNS_FEW
 from lichencleat.consensus.client import Client
-from lichencleat.decide import RUNS_FEW
 from lichencleat.leases.holder import Holder
 from lichencleat.quotas.terms import Part
 from lichencleat.recovery import boot as boots
--- a/lichencleat/router/core.py
+++ b/lichencleat/router/core.py
@@ -14,13 +14,13 @@
 from collections import Counter, deque
 from collections.abc import Iterator
 
+from lichencleat.admission.types import Effect, Told
 from lichencleat.failover.budget import Budget
 from lichencleat.failover.near import SPAN, Near, Span
 from lichencleat.failover.terms import Order, Seen, Zone
 from lichencleat.router.keys import Keys
 from lichencleat.router.nodes import Nodes
 from lichencleat.router.terms import Act, Came, Carried, Decision
-from lichencleat.terms import Effect, Told
 
 GUARD = 30_000  # µs before a request is due: a node answers some 100 before, and the way back takes a few
 IN_HAND_MOST = 4_096  # requests: some 20 MB with their bodies; what comes beyond is deferred at once
--- a/lichencleat/router/door.py
+++ b/lichencleat/router/door.py
@@ -10,6 +10,7 @@
 from functools import partial
 from typing import Any
 
+from lichencleat.admission.types import Machine
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.dispatchers import OPEN_MOST, Connection, Dispatchers
 from lichencleat.node.host import Answer, Case
@@ -19,7 +20,6 @@
 from lichencleat.router.core import Router
 from lichencleat.router.links import NodeLinks, Told, Try
 from lichencleat.router.terms import Act, Came, Carried, Decision
-from lichencleat.terms import Machine
 
 TELL = 100_000  # µs between looks at what callers are to be told: as often as a node's
 IDENT_BITS = 64  # of a try's name, by the protocol
--- a/lichencleat/router/file.py
+++ b/lichencleat/router/file.py
@@ -7,6 +7,8 @@
 
 from msgspec import Meta, Struct
 
+from lichencleat.admission.node_spec import BadInputError, decode_machine
+from lichencleat.admission.types import Machine
 from lichencleat.config.file import (
     Address,
     LogChoice,
@@ -18,8 +20,6 @@
     load,
     read_as,
 )
-from lichencleat.machine import BadInputError, decode_machine
-from lichencleat.terms import Machine
 
 __all__ = ["RouterChoice", "RouterFile", "ZoneChoice", "host_port", "read_router"]
 
--- a/lichencleat/router/nodes.py
+++ b/lichencleat/router/nodes.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass, field
 from statistics import median
 
+from lichencleat.admission.types import Told
 from lichencleat.failover.leave_out import LeaveOut
 from lichencleat.router.terms import Came
-from lichencleat.terms import Told
 
 TOOK_KEPT = 64  # last answers of a zone: some hundred ms of a busy one
 TOOK_FEW = 8  # of them tell how long an answer takes
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -9,6 +9,7 @@
 
 from twisted.internet.error import CannotListenError
 
+from lichencleat.admission.types import Machine
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config.file import WrongFileError
 from lichencleat.consensus.client import Client
@@ -24,7 +25,6 @@
 from lichencleat.router.file import RouterChoice, RouterFile, host_port, read_router
 from lichencleat.router.links import LINKS_MOST
 from lichencleat.router.seat import Judging, Telling
-from lichencleat.terms import Machine
 
 STOPPED, WRONG = 0, 2  # exit codes
 BELIEFS = 10_000_000  # µs between lines that tell what the router believes
--- a/lichencleat/router/terms.py
+++ b/lichencleat/router/terms.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from lichencleat.terms import Tariff
+from lichencleat.admission.types import Tariff
 
 
 class Came(Enum):
--- a/lichencleat/testkit/explore_router.py
+++ b/lichencleat/testkit/explore_router.py
@@ -12,10 +12,10 @@
 
 import click
 
+from lichencleat.admission.types import Effect, Tariff, Told
 from lichencleat.failover.terms import Duty, Order, Zone
 from lichencleat.router.core import GUARD, TRIES_MOST, Router
 from lichencleat.router.terms import Act, Came, Carried, Decision
-from lichencleat.terms import Effect, Tariff, Told
 from lichencleat.testkit.explore import Explored, explore
 
 SECOND = 1_000_000
--- a/tests/test_decide.py
+++ b/tests/admission/test_controller.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from lichencleat.decide import BESIDE, GAIN, Node
-from lichencleat.terms import Act, Below, Effect, Gauges, Machine, Outcome, Request, State, Tariff
+from lichencleat.admission.controller import BESIDE, GAIN, Node
+from lichencleat.admission.types import Act, Below, Effect, Gauges, Machine, Outcome, Request, State, Tariff
 
 SECOND = 1_000_000
 
--- a/tests/test_settings.py
+++ b/tests/admission/test_node_spec.py
@@ -7,10 +7,10 @@
 import pytest
 from standins import SETTINGS
 
-from lichencleat.decide import Node
-from lichencleat.machine import BadInputError, decode_machine
+from lichencleat.admission.controller import Node
+from lichencleat.admission.node_spec import BadInputError, decode_machine
+from lichencleat.admission.types import Gauges, Request
 from lichencleat.node.config import read_told
-from lichencleat.terms import Gauges, Request
 
 ODD = [
     None,
--- a/tests/idempotency/keyed_life.py
+++ b/tests/idempotency/keyed_life.py
@@ -5,6 +5,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
+from lichencleat.admission.types import Effect, Machine, Outcome, Request, Tariff
 from lichencleat.idempotency.book import Book
 from lichencleat.idempotency.keeper import Keeper
 from lichencleat.idempotency.whose import NotOursError
@@ -16,7 +17,6 @@
 from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
 from lichencleat.store.room import Bounds
 from lichencleat.store.store import Store
-from lichencleat.terms import Effect, Machine, Outcome, Request, Tariff
 
 SECOND = 1_000_000
 LOOK = Tariff("look", soft_limit=2 * SECOND, hard_limit=6 * SECOND)
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -5,14 +5,14 @@
 import pytest
 from net_parts import ID, SECOND, Reactor, Transport
 
-from lichencleat.decide import Node
+from lichencleat.admission.controller import Node
+from lichencleat.admission.types import Effect, Machine, Request, Tariff
 from lichencleat.node.catalogue import Catalogue
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.dispatchers import Connection, Dispatchers
 from lichencleat.node.host import Case, Host
 from lichencleat.node.interpreter import Interpreter, Link, Run
 from lichencleat.node.report import Report
-from lichencleat.terms import Effect, Machine, Request, Tariff
 
 
 @pytest.fixture
--- a/tests/node/test_calls.py
+++ b/tests/node/test_calls.py
@@ -3,8 +3,8 @@
 import pytest
 from net_parts import ID, SECOND
 
+from lichencleat.admission.types import Outcome
 from lichencleat.node.catalogue import BEYOND, IDLE, LINKS_MOST
-from lichencleat.terms import Outcome
 
 
 def test_a_refused_connection_proves_that_no_call_ran(reactor, place):
--- a/tests/node/test_host.py
+++ b/tests/node/test_host.py
@@ -3,9 +3,9 @@
 import pytest
 from net_parts import ID, SECOND
 
+from lichencleat.admission.types import Act, Decision, Outcome, Request
 from lichencleat.node.host import Answer, Case
 from lichencleat.node.interpreter import Run
-from lichencleat.terms import Act, Decision, Outcome, Request
 
 
 def test_the_host_tells_what_it_believes(host, case):
--- a/tests/node/test_interpreter_link.py
+++ b/tests/node/test_interpreter_link.py
@@ -3,8 +3,8 @@
 import pytest
 from net_parts import ID, SECOND
 
+from lichencleat.admission.types import Outcome
 from lichencleat.node.interpreter import KEPT_MOST, SILENT
-from lichencleat.terms import Outcome
 
 
 def test_a_notice_that_comes_again_is_passed_over(link, run):
--- a/tests/node/test_records_of_keys.py
+++ b/tests/node/test_records_of_keys.py
@@ -2,9 +2,9 @@
 
 from net_parts import SECOND
 
+from lichencleat.admission.types import Request, State
 from lichencleat.node.receipts import READ_LATE, Receipts
 from lichencleat.node.requests import BEHIND_MOST
-from lichencleat.terms import Request, State
 
 
 def test_an_entry_leads_tries_that_came_before_it_ran_out(reactor, deadlines, receipted):
--- a/tests/node/test_windows.py
+++ b/tests/node/test_windows.py
@@ -5,13 +5,13 @@
 import pytest
 from net_parts import SECOND, Reactor
 
-from lichencleat.decide import Node
+from lichencleat.admission.controller import Node
+from lichencleat.admission.types import Effect, Halt, Machine, Outcome, Request, Tariff
 from lichencleat.node.catalogue import Catalogue
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.host import Answer, Case, Host
 from lichencleat.node.interpreter import Interpreter
 from lichencleat.node.report import Report
-from lichencleat.terms import Effect, Halt, Machine, Outcome, Request, Tariff
 
 DEADLINE = 1_500_000  # µs
 SLACK = 50_000  # µs that every limit is longer on sockets, by the protocol
--- a/tests/recovery/test_figures.py
+++ b/tests/recovery/test_figures.py
@@ -8,14 +8,14 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from lichencleat.decide import RUNS_FEW, Node
+from lichencleat.admission.controller import RUNS_FEW, Node
+from lichencleat.admission.types import Machine, Outcome, Request, State, Tariff
 from lichencleat.node.host import Host
 from lichencleat.recovery import boot as boots
 from lichencleat.recovery.figures import FORMAT, TARIFFS_MOST, Figures, encode, recalled, to_keep
 from lichencleat.recovery.seat import FIGURES, Learned, Record, Return
 from lichencleat.recovery.trust import TABLE, Item, Proof
 from lichencleat.recovery.waking import Waking
-from lichencleat.terms import Machine, Outcome, Request, State, Tariff
 
 SECOND = 1_000_000
 LONGEST = {"look": 5 * SECOND, "save": 9 * SECOND}
--- a/tests/router/router_life.py
+++ b/tests/router/router_life.py
@@ -7,10 +7,10 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
+from lichencleat.admission.types import Effect, Tariff, Told
 from lichencleat.failover.terms import Duty, Order, Zone
 from lichencleat.router.core import GUARD, Router
 from lichencleat.router.terms import Act, Came, Carried
-from lichencleat.terms import Effect, Tariff, Told
 
 SECOND = 1_000_000
 LOOK = Tariff("look", Effect.PURE, soft_limit=SECOND, hard_limit=4 * SECOND)
--- a/tests/router/test_core.py
+++ b/tests/router/test_core.py
@@ -6,13 +6,13 @@
 import pytest
 from router_life import GUARD, LOOK, NODES, SAVE, SECOND, World
 
+from lichencleat.admission.types import Effect, Tariff, Told
 from lichencleat.failover.near import STALE
 from lichencleat.failover.terms import Duty, Order, Zone
 from lichencleat.router.core import IN_HAND_MOST, REPEAT_SPAN, TRIES_MOST, Router
 from lichencleat.router.keys import SLACK, Keys
 from lichencleat.router.nodes import UNREACHED
 from lichencleat.router.terms import Act, Came, Carried
-from lichencleat.terms import Effect, Tariff, Told
 from lichencleat.testkit.explore_router import Forgets, SaysThatNothingRan, TrustsFurtherTries
 
 NOW = 1_000 * SECOND
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -7,6 +7,8 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
+from lichencleat.admission.types import Effect, Machine, Tariff
+from lichencleat.admission.types import Told as Value
 from lichencleat.config.file import WrongFileError
 from lichencleat.failover.terms import Zone
 from lichencleat.node.deadlines import Deadlines
@@ -17,8 +19,6 @@
 from lichencleat.router.file import read_router
 from lichencleat.router.links import CONNECT_WAIT, LINKS_MOST, OPEN_MOST, NodeLinks, Told, Try, read_answer
 from lichencleat.router.terms import Came
-from lichencleat.terms import Effect, Machine, Tariff
-from lichencleat.terms import Told as Value
 
 SECOND = 1_000_000
 KEY = b"5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -8,8 +8,8 @@
 
 import pytest
 
-from lichencleat.decide import PERIOD, Node
-from lichencleat.terms import Act, Below, Effect, Gauges, Machine, Outcome, Request, Tariff, Told
+from lichencleat.admission.controller import PERIOD, Node
+from lichencleat.admission.types import Act, Below, Effect, Gauges, Machine, Outcome, Request, Tariff, Told
 
 SECOND = 1_000_000
 LOOK = Tariff("look", soft_limit=2 * SECOND, hard_limit=5 * SECOND, calls=True)
