--- a/benchmarks/keyed.py
+++ b/benchmarks/keyed.py
@@ -19,9 +19,9 @@
 from lichencleat.idempotency.records import ENTRY, FORMAT, WHOSE, Entry, Seen, State, Whose, encode
 from lichencleat.idempotency.records import SEEN as SEEN_KEY
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
-from lichencleat.store.room import Bounds
 from lichencleat.testkit.cluster.nodes import HARD_LIMIT, RigNode, settings, unix_time
 from lichencleat.testkit.cluster.rig import Rig, wait_until
 
@@ -96,7 +96,7 @@
 
 def prepared(directory: str, entries: int, now: int) -> None:
     rng = random.Random(1)
-    engine = Engine.open(RealDisk(directory, create=True), unix_time, rng, Bounds(), True, directory)
+    engine = Engine.open(RealDisk(directory, create=True), unix_time, rng, StoreLimits(), True, directory)
     whose = Whose(FORMAT, "n1", os.stat(directory).st_ino)
     head = Batch().put(WHOSE, encode(whose)).put(SEEN_KEY, encode(Seen(now, now)))
     batches = [head]
--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -18,13 +18,15 @@
 from lichencleat.cli import output
 from lichencleat.store import bench
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
-from lichencleat.store.room import Bounds
 
 VALUE = 128  # bytes
 SECONDS = 2.0  # of each measurement of a rate
-LARGE = Bounds(disk_bytes=8 << 30, entries=20_000_000, memory_bytes=8 << 30, reserve=False)
+LARGE = StoreLimits(
+    max_disk_bytes=8 << 30, max_entries=20_000_000, max_memory_bytes=8 << 30, keep_reserve=False
+)
 
 
 class SlowFlush(RealDisk):
@@ -61,9 +63,9 @@
         store.close().addCallback(lambda _: reactor.stop())
 
     def start():
-        open_store(reactor, path, bench.now, random.Random(1), most, disk=disk, upkeep=upkeep).addCallbacks(
-            opened, lambda why: (why.printTraceback(), reactor.stop())
-        )
+        open_store(
+            reactor, path, bench.now, random.Random(1), most, disk=disk, maintenance=upkeep
+        ).addCallbacks(opened, lambda why: (why.printTraceback(), reactor.stop()))
 
     reactor.callWhenRunning(start)
     reactor.run()
@@ -146,7 +148,7 @@
     waits.
     """
     keys = [b"%016d" % n for n in range(50_000)]
-    most = Bounds(segment_bytes=4 << 20, disk_bytes=8 << 30, reserve=False)
+    most = StoreLimits(segment_bytes=4 << 20, max_disk_bytes=8 << 30, keep_reserve=False)
     engine = bench.open_engine(path, most)
     value = random.Random(1).randbytes(VALUE)
     for turn in range(2):  # twice: half of it is garbage
@@ -205,7 +207,7 @@
     engine = bench.open_engine(path, LARGE)
     spent = time.perf_counter() - at
     count = len(engine.log.index)
-    engine.give_back()
+    engine.release_resources()
     return spent, count
 
 
@@ -265,7 +267,7 @@
 
 def overwritten(path, share):
     """Written over asked for, where rewriting at random keeps that share of the bytes garbage."""
-    most = Bounds(segment_bytes=4 << 20, disk_bytes=8 << 30, reserve=False)
+    most = StoreLimits(segment_bytes=4 << 20, max_disk_bytes=8 << 30, keep_reserve=False)
     engine = bench.open_engine(path, most)
     rng, keys = random.Random(3), [b"%016d" % n for n in range(40_000)]
     value = rng.randbytes(1_000)
@@ -292,7 +294,7 @@
 
 def rewritten(path):
     """One key, a million times: bytes on disk at the end, the most while it went on, seconds."""
-    engine = bench.open_engine(path, Bounds(disk_bytes=256 << 20, reserve=False))
+    engine = bench.open_engine(path, StoreLimits(max_disk_bytes=256 << 20, keep_reserve=False))
     begun, most = time.monotonic(), 0
     for at in range(0, 1_000_000, 250):
         for verdict in engine.commit([Batch().put(b"key", b"%0128d" % n) for n in range(at, at + 250)]):
--- a/lichencleat/cli/keyed.py
+++ b/lichencleat/cli/keyed.py
@@ -29,10 +29,10 @@
     encode,
 )
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
-from lichencleat.store.errors import StoreError, UnfitError
-from lichencleat.store.room import Bounds
+from lichencleat.store.errors import CannotOpenError, StoreError
 
 SECOND = 1_000_000  # µs
 LONGEST = 3600 * SECOND  # a window or a due time beyond it is no entry's
@@ -50,12 +50,12 @@
     engine = None
     try:
         if not os.path.isdir(path):
-            raise UnfitError(f"{path}: no such directory; name the one of the node's file")
-        engine = Engine.open(RealDisk(path), now, random.Random(os.urandom(16)), Bounds(), False, path)
+            raise CannotOpenError(f"{path}: no such directory; name the one of the node's file")
+        engine = Engine.open(RealDisk(path), now, random.Random(os.urandom(16)), StoreLimits(), False, path)
         if engine.get(WHOSE) is None and not any(True for _ in engine.scan(b"")):
-            raise UnfitError(f"{path}: no node has used it yet")
+            raise CannotOpenError(f"{path}: no node has used it yet")
         yield engine
-    except UnfitError as wrong:
+    except CannotOpenError as wrong:
         raise output.WrongInput(f"keyed: {wrong}") from wrong
     except StoreError as wrong:
         raise output.WrongData(f"keyed: {wrong}") from wrong
--- a/lichencleat/cli/store.py
+++ b/lichencleat/cli/store.py
@@ -18,12 +18,12 @@
 
 from lichencleat.cli import output
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
-from lichencleat.store.errors import BadRecordError, StoreError, UnfitError
+from lichencleat.store.errors import BadRecordError, CannotOpenError, StoreError
 from lichencleat.store.inspect import check as check_store
 from lichencleat.store.inspect import salvage as salvage_store
-from lichencleat.store.room import Bounds
 
 READ = 65_536  # bytes of standard input taken at once: the lines in them are confirmed by one flush
 LINE_MOST = 32 << 20  # bytes: the largest value, with room for what JSON adds
@@ -52,17 +52,17 @@
     """The store's errors as a command tells them."""
     try:
         yield
-    except (UnfitError, BadRecordError) as wrong:
+    except (CannotOpenError, BadRecordError) as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     except StoreError as wrong:
         raise output.WrongData(str(wrong)) from wrong
 
 
 @contextmanager
-def opened(directory: str, create: bool = False, most: Bounds | None = None) -> Iterator[Engine]:
+def opened(directory: str, create: bool = False, most: StoreLimits | None = None) -> Iterator[Engine]:
     with told():
         rng = random.Random(os.urandom(16))
-        engine = Engine.open(RealDisk(directory, create), now, rng, most or Bounds(), create, directory)
+        engine = Engine.open(RealDisk(directory, create), now, rng, most or StoreLimits(), create, directory)
         try:
             yield engine
         finally:
@@ -87,7 +87,7 @@
 
     DIR is made if it is missing. Keys and values that are no text: "key_base64", "value_base64".
     """
-    most = Bounds(disk_bytes=disk_mb << 20, entries=entries)
+    most = StoreLimits(max_disk_bytes=disk_mb << 20, max_entries=entries)
     groups = read_groups()
     first = next(groups, None)  # wrong input is told before anything is made
     if first is None:
@@ -261,7 +261,7 @@
     with opened(directory) as engine:
         before = engine.stat()
         if everything:
-            engine.clean_all()
+            engine.compact_everything()
         begun = before["bytes of garbage"]
         while engine.step():
             left = engine.stat()["bytes of garbage"]
@@ -281,7 +281,7 @@
     with told():
         old = RealDisk(directory)
         if os.path.isdir(new) and os.listdir(new):
-            raise UnfitError(f"{new}: not empty; name a directory that is new")
+            raise CannotOpenError(f"{new}: not empty; name a directory that is new")
         saved = salvage_store(
             old,
             RealDisk(new, create=True),
@@ -289,7 +289,9 @@
             random.Random(os.urandom(16)),
             directory,
             new,
-            Bounds(disk_bytes=1 << 40, entries=1 << 40, memory_bytes=1 << 40, segments=1 << 20),
+            StoreLimits(
+                max_disk_bytes=1 << 40, max_entries=1 << 40, max_memory_bytes=1 << 40, max_segments=1 << 20
+            ),
             output.progress("salvage"),
         )
     for each in saved.findings:
@@ -319,6 +321,6 @@
 
     with told():
         if os.path.isdir(directory) and os.listdir(directory):
-            raise UnfitError(f"{directory}: not empty; name a directory that is new")
+            raise CannotOpenError(f"{directory}: not empty; name a directory that is new")
         rows = measure.puts(directory, [1, 16, 256], seconds, value_bytes)
     output.table(measure.PUT_HEAD, rows, as_json)
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -35,9 +35,9 @@
 from lichencleat.config_distribution.table import Table, View
 from lichencleat.config_distribution.terms import DIGEST, PAGES, Batch, decode_batch, encode
 from lichencleat.store import batch as stored
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk
-from lichencleat.store.errors import DamagedError, StoreError, UnfitError
-from lichencleat.store.room import Bounds
+from lichencleat.store.errors import CannotOpenError, CorruptDataError, StoreError
 from lichencleat.store.store import Store, open_store
 
 FORMAT = 1
@@ -49,8 +49,12 @@
 READ_PAGES = 8  # read in one call of a thread: some 300 µs
 LOOK_PAGES = 2  # looked through in one slice: some 300 µs
 AGAIN = 10.0  # s until it is tried again after a failure
-STORE = Bounds(  # a full table of values that can't be packed, twice, with cleaning's share
-    segment_bytes=4 << 20, disk_bytes=512 << 20, entries=16_384, memory_bytes=16 << 20, undo_entries=16_384
+STORE = StoreLimits(  # a full table of values that can't be packed, twice, with cleaning's share
+    segment_bytes=4 << 20,
+    max_disk_bytes=512 << 20,
+    max_entries=16_384,
+    max_memory_bytes=16 << 20,
+    max_undo_entries=16_384,
 )
 
 HEAD, PAGE, BATCH = b"head", b"p", b"b"
@@ -185,24 +189,24 @@
         """The table, the group's mark, the batches that led to it. An empty one where `trouble` says why."""
         try:
             return (yield from self.read())
-        except (SpoiltError, DamagedError, msgspec.DecodeError) as wrong:
+        except (SpoiltError, CorruptDataError, msgspec.DecodeError) as wrong:
             self.trouble = f"what was kept is spoilt and not used: {wrong}"
             self.tell(self.trouble)
             self.digests, self.anew = [-1] * PAGES, True
             return Table(), b"", []
 
     def read(self) -> Any:
-        head = decode_head((yield self.store.reading(self.store.engine.get, HEAD)))
+        head = decode_head((yield self.store.submit_read(self.store.engine.get, HEAD)))
         if len(head.slots) != PAGES // 8 or not 0 <= head.next - head.first <= RECENT_MOST:
             raise SpoiltError("its head can't be one")
         self.slots, self.next = head.slots, head.next
-        data = yield self.store.reading(self.read_batches, range(head.first, head.next))
+        data = yield self.store.submit_read(self.read_batches, range(head.first, head.next))
         self.recent.extend(map(len, data))
         whole: list[bytes] = []
         digests: list[int] = []
         records = 0
         for begin in range(0, PAGES, READ_PAGES):
-            raw = yield self.store.reading(self.read_pages, range(begin, begin + READ_PAGES))
+            raw = yield self.store.submit_read(self.read_pages, range(begin, begin + READ_PAGES))
             for number, each in enumerate(raw, begin):
                 if number % LOOK_PAGES == 0:
                     yield self.turn()
@@ -222,7 +226,7 @@
         for number in numbers:
             try:
                 found.append(self.store.engine.get(batch_key(number)) or b"")
-            except DamagedError:
+            except CorruptDataError:
                 found.append(b"")
         return found
 
@@ -325,11 +329,11 @@
         if self.table is None:  # the mark alone is known: it goes with the first table
             return
         view, past = self.table.view(), self.slots
-        planned = yield self.store.reading(plan, view, self.digests, past)
+        planned = yield self.store.submit_read(plan, view, self.digests, past)
         last = stored.Batch()
         for piece in planned.pieces:
             batch = stored.Batch() if planned.beside else last
-            for number, data in (yield self.store.reading(pack, view, piece)):
+            for number, data in (yield self.store.submit_read(pack, view, piece)):
                 batch.put(page_key(number, slot_of(planned.slots, number)), data)
             if planned.beside:
                 yield self.commit(batch)
@@ -421,16 +425,18 @@
     said = store.engine.get(HEAD)
     if said is None:
         if store.stat()["entries"]:
-            raise UnfitError("it holds something else than a configuration; name another directory")
+            raise CannotOpenError("it holds something else than a configuration; name another directory")
         return False
     try:
         head = decode_head(said)
     except msgspec.DecodeError as wrong:
-        raise UnfitError("it holds something else than a configuration; name another directory") from wrong
+        raise CannotOpenError(
+            "it holds something else than a configuration; name another directory"
+        ) from wrong
     if head.format != FORMAT:
-        raise UnfitError(f"it has format {head.format}, and this program's is {FORMAT}; empty it")
+        raise CannotOpenError(f"it has format {head.format}, and this program's is {FORMAT}; empty it")
     if group and head.group and head.group != group:
-        raise UnfitError(f"it belongs to the group {head.group!r}, and this is {group!r}; name its own")
+        raise CannotOpenError(f"it belongs to the group {head.group!r}, and this is {group!r}; name its own")
     return True
 
 
@@ -438,7 +444,7 @@
 def made_kept(reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> Any:
     kept = Kept(reactor, store, group, tell)
     try:
-        if not (yield store.reading(check_ours, store, group)):
+        if not (yield store.submit_read(check_ours, store, group)):
             yield kept.commit(stored.Batch().put(HEAD, kept.head(Table().view(), kept.slots, 0, 0)))
     except BaseException:
         yield store.close()
--- a/lichencleat/consensus/journal.py
+++ b/lichencleat/consensus/journal.py
@@ -17,7 +17,7 @@
 
 from lichencleat.consensus.terms import Durable, Entry, Group, Save, Snapshot
 from lichencleat.store.batch import Batch
-from lichencleat.store.errors import DamagedError, Finding
+from lichencleat.store.errors import CorruptDataError, Finding
 
 TOP, SNAPSHOT, ENTRY, PIECE, UNDER_WAY = b"t", b"s", b"e", b"p", b"w"
 PIECE_MOST = 4 << 20  # bytes: what the store's writer holds at once, far under a value's 16 MiB
@@ -82,7 +82,7 @@
         for index in range(self.base + 1, self.last + 1):
             data = get(entry_key(index))
             if data is None:
-                raise DamagedError([Finding("the log", index, "an entry that was confirmed is missing")])
+                raise CorruptDataError([Finding("the log", index, "an entry that was confirmed is missing")])
             entries.append(decode_entry(data))
         return Durable(term, vote, snapshot, entries)
 
@@ -97,7 +97,7 @@
         pieces = [get(key) for key in keys_of(self.counting)]
         data = b"".join(each for each in pieces if each is not None)
         if None in pieces or len(data) != head.size:
-            raise DamagedError([Finding("the snapshot", head.index, "a confirmed piece is missing")])
+            raise CorruptDataError([Finding("the snapshot", head.index, "a confirmed piece is missing")])
         return Snapshot(head.index, head.term, head.group, data)
 
     def pieces(self, save: Save) -> Iterator[Batch]:
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -79,7 +79,7 @@
         command, from the state and µs of its clock; asked a few times a second, and with None as state once
         it leads no more.
 
-        Raises CannotListenError, DamagedError.
+        Raises CannotListenError, CorruptDataError.
         """
         self.reactor, self.store, self.identity, self.log, self.rng = reactor, store, identity, log, rng
         self.parts, self.tend, self.zone = parts, tend, zone
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -26,16 +26,18 @@
 from lichencleat.programs import run_program
 from lichencleat.quotas.pools import Pools
 from lichencleat.recovery.state import Fleet
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
-from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
 
-BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=256 << 20, entries=200_000)  # logs are cut at snapshots
+BOUNDS = StoreLimits(
+    segment_bytes=8 << 20, max_disk_bytes=256 << 20, max_entries=200_000
+)  # logs are cut at snapshots
 # two snapshots of up to 160 MiB (the one that stands, the one that is written), two lots of the log of 32 MiB
 # each, and as much again that is not cleaned yet
-DISTRIBUTION_BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=1 << 30, entries=200_000)
+DISTRIBUTION_BOUNDS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=1 << 30, max_entries=200_000)
 STOPPED, WRONG, LEFT = 0, 2, 3  # exit codes
 
 
@@ -43,7 +45,7 @@
     """What, where and what to do, in one line."""
 
 
-def bounds_of(chosen: QuorumChoice) -> Bounds:
+def bounds_of(chosen: QuorumChoice) -> StoreLimits:
     return DISTRIBUTION_BOUNDS if chosen.distribution else BOUNDS
 
 
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -13,9 +13,9 @@
 from lichencleat.idempotency.book import Book
 from lichencleat.idempotency.keeper import Keeper
 from lichencleat.idempotency.whose import NotOursError
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.errors import StoreError
-from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
 
 SEGMENT = 4 << 20  # bytes: an entry lives some ten seconds, so whole segments are soon free
@@ -47,8 +47,10 @@
 @inlineCallbacks
 def start_keeper(reactor: Any, keeper: Keeper, chosen: KeyedChoice, clock: Callable[[], int]) -> Any:
     """Fails with CantStartError."""
-    bounds = Bounds(
-        segment_bytes=SEGMENT, disk_bytes=round(chosen.disk_mb * (1 << 20)), entries=chosen.entries + MORE
+    bounds = StoreLimits(
+        segment_bytes=SEGMENT,
+        max_disk_bytes=round(chosen.disk_mb * (1 << 20)),
+        max_entries=chosen.entries + MORE,
     )
     rng = random.Random(os.urandom(16))
     where = f"keyed.directory: {chosen.directory}"
--- a/lichencleat/store/batch.py
+++ b/lichencleat/store/batch.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-from lichencleat.store import frames
+from lichencleat.store import framing
 from lichencleat.store.errors import BadRecordError
 from lichencleat.store.segments import Record
 
-BATCH_MOST = 32 << 20  # bytes of one batch's frames: it is written, and in doubt, at once
+MAX_BATCH_BYTES = 32 << 20  # bytes of one batch's frames: it is written, and in doubt, at once
 
 
 class Batch:
@@ -21,8 +21,8 @@
 
     def put(self, key: bytes, value: bytes, expiry: int = 0) -> Batch:
         """`expiry`: µs of Unix time from which the entry is not there any more; 0: it stays."""
-        if len(value) > frames.VALUE_MOST:
-            raise BadRecordError(f"a value has at most {frames.VALUE_MOST} bytes, not {len(value)}")
+        if len(value) > framing.MAX_VALUE_BYTES:
+            raise BadRecordError(f"a value has at most {framing.MAX_VALUE_BYTES} bytes, not {len(value)}")
         if not 0 <= expiry < 1 << 63:
             raise BadRecordError(f"an expiry is µs of Unix time, not {expiry}")
         self.puts = True
@@ -32,11 +32,11 @@
         return self.add(key, None, 0, 0)
 
     def add(self, key: bytes, value: bytes | None, expiry: int, size: int) -> Batch:
-        if not 0 < len(key) <= frames.KEY_MOST:
-            raise BadRecordError(f"a key has 1 to {frames.KEY_MOST} bytes, not {len(key)}")
-        self.bytes += frames.FRAME_EXTRA + len(key) + size
-        if self.bytes > BATCH_MOST:
-            raise BadRecordError(f"a batch has at most {BATCH_MOST} bytes")
+        if not 0 < len(key) <= framing.MAX_KEY_BYTES:
+            raise BadRecordError(f"a key has 1 to {framing.MAX_KEY_BYTES} bytes, not {len(key)}")
+        self.bytes += framing.MAX_FRAME_OVERHEAD_BYTES + len(key) + size
+        if self.bytes > MAX_BATCH_BYTES:
+            raise BadRecordError(f"a batch has at most {MAX_BATCH_BYTES} bytes")
         self.changes.append((key, value, expiry))
         return self
 
@@ -44,12 +44,12 @@
         if len(self.changes) == 1:
             ((key, value, expiry),) = self.changes
             if value is None:
-                return [Record(frames.DELETE, 0, key)]
-            return [Record(frames.PUT, expiry, key, value)]
+                return [Record(framing.DELETE, 0, key)]
+            return [Record(framing.PUT, expiry, key, value)]
         made = [
-            Record(frames.BATCH_DELETE, 0, key)
+            Record(framing.BATCH_DELETE, 0, key)
             if value is None
-            else Record(frames.BATCH_PUT, expiry, key, value)
+            else Record(framing.BATCH_PUT, expiry, key, value)
             for key, value, expiry in self.changes
         ]
-        return [*made, Record(frames.COMMIT, len(made), b"")]
+        return [*made, Record(framing.COMMIT, len(made), b"")]
--- a/lichencleat/store/bench.py
+++ b/lichencleat/store/bench.py
@@ -11,9 +11,9 @@
 from hdrh.histogram import HdrHistogram
 
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
-from lichencleat.store.room import Bounds
 
 LOWEST, HIGHEST, DIGITS = 1, 60_000_000, 3  # ns/1000: latencies from 1 µs to a minute, to three digits
 PUT_HEAD = ["way", "callers", "puts_per_s", "p50_us", "p99_us", "p999_us"]
@@ -31,8 +31,8 @@
     return [int(seen.get_value_at_percentile(each)) for each in (50, 99, 99.9)]
 
 
-def open_engine(path: str, most: Bounds | None = None) -> Engine:
-    return Engine.open(RealDisk(path, create=True), now, random.Random(1), most or Bounds(), create=True)
+def open_engine(path: str, most: StoreLimits | None = None) -> Engine:
+    return Engine.open(RealDisk(path, create=True), now, random.Random(1), most or StoreLimits(), create=True)
 
 
 def flushed_each(path: str, seconds: float, value: bytes) -> list:
--- a/lichencleat/store/checkpoint.py
+++ b/lichencleat/store/checkpoint.py
@@ -12,11 +12,11 @@
 import msgspec
 from crc32c import crc32c
 
-from lichencleat.store import frames
-from lichencleat.store.index import BITS, expiry_of, length_of, offset_of, segment_of
+from lichencleat.store import framing
+from lichencleat.store.index import FIELD_BITS, expiry_of, length_of, offset_of, segment_of
 
 NAME, NEW = "checkpoint", "checkpoint.new"
-ROWS = 4_096  # entries a frame: some 150 KB
+ROWS_PER_FRAME = 4_096  # entries a frame: some 150 KB
 FOUR = "I"  # array's word for four bytes; eight are "Q"
 EIGHT = "Q"
 
@@ -40,11 +40,11 @@
         self.count = 0
 
     def begin(
-        self, store: bytes, sequence: int, time: int, newest: tuple[int, int], tombs: Sequence
+        self, store: bytes, sequence: int, time: int, newest: tuple[int, int], tombstone_bytes: Sequence
     ) -> bytes:
-        head = frames.file_head(frames.POINT_MAGIC, self.salt)
+        head = framing.encode_file_header(framing.CHECKPOINT_MAGIC, self.salt)
         self.size = len(head)
-        return head + self.frame((store, sequence, time, *newest, list(tombs)))
+        return head + self.frame((store, sequence, time, *newest, list(tombstone_bytes)))
 
     def rows(self, entries: Sequence[tuple[bytes, int]]) -> bytes:
         self.count += len(entries)
@@ -61,7 +61,7 @@
         return self.frame(self.count)
 
     def frame(self, content: object) -> bytes:
-        data = frames.frame(self.salt_sum, self.size, msgspec.msgpack.encode(content))
+        data = framing.frame(self.salt_sum, self.size, msgspec.msgpack.encode(content))
         self.size += len(data)
         return data
 
@@ -79,32 +79,32 @@
     return read
 
 
-class Point:
+class Checkpoint:
     """A checkpoint as read: what it covers, and the entries."""
 
-    __slots__ = ("sequence", "time", "newest", "offset", "tombs", "places")
+    __slots__ = ("sequence", "time", "newest", "offset", "tombstone_bytes", "locations")
 
-    def __init__(self, top: Top, places: dict[bytes, int]) -> None:
-        _, self.sequence, self.time, self.newest, self.offset, tombs = top
-        self.tombs = dict(tombs)
-        self.places = places
+    def __init__(self, top: Top, locations: dict[bytes, int]) -> None:
+        _, self.sequence, self.time, self.newest, self.offset, tombstone_bytes = top
+        self.tombstone_bytes = dict(tombstone_bytes)
+        self.locations = locations
 
 
-def read_point(read: frames.Read, size: int, store: bytes) -> Point | None:
+def decode_checkpoint(read: framing.Read, size: int, store: bytes) -> Checkpoint | None:
     """The checkpoint in the file, or None where it is not whole or not this store's."""
-    salt = frames.read_file_head(read(0, frames.FILE_HEAD), frames.POINT_MAGIC, NAME)
+    salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.CHECKPOINT_MAGIC, NAME)
     if salt is None:
         return None
-    walk = frames.bodies(read, frames.FILE_HEAD, size, crc32c(salt))
-    places: dict[bytes, int] = {}
+    walk = framing.iter_frames(read, framing.FILE_HEADER_BYTES, size, crc32c(salt))
+    locations: dict[bytes, int] = {}
     try:
         top = decode_top(next(walk)[2])
         if top[0] != store:
             return None
         for _, _, body in walk:
             if body[0] != 0x95:  # msgpack's array of five: rows; else the count, which ends it
-                return Point(top, places) if decode_count(body) == len(places) else None
-            places.update(entries(decode_rows(body)))
+                return Checkpoint(top, locations) if decode_count(body) == len(locations) else None
+            locations.update(entries(decode_rows(body)))
     except (StopIteration, msgspec.MsgspecError, ValueError):
         return None  # ValueError: a column's bytes are no whole numbers
     return None  # no count: it is torn
@@ -115,10 +115,13 @@
     segments, offsets, lengths = (column(FOUR, each) for each in columns[:3])
     expiries = column(EIGHT, columns[3])
     if not any(expiries):  # the usual case, and a third faster
-        wheres = [(s << BITS | o) << BITS | n for s, o, n in zip(segments, offsets, lengths, strict=True)]
+        wheres = [
+            (s << FIELD_BITS | o) << FIELD_BITS | n
+            for s, o, n in zip(segments, offsets, lengths, strict=True)
+        ]
     else:
         wheres = [
-            ((e << BITS | s) << BITS | o) << BITS | n
+            ((e << FIELD_BITS | s) << FIELD_BITS | o) << FIELD_BITS | n
             for s, o, n, e in zip(segments, offsets, lengths, expiries, strict=True)
         ]
     return zip(keys, wheres, strict=True)
--- a/lichencleat/store/cleaner.py
+++ b/lichencleat/store/compactor.py
@@ -5,16 +5,16 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from lichencleat.store import frames, upkeep
-from lichencleat.store.errors import DamagedError, Finding
-from lichencleat.store.index import expired, place
+from lichencleat.store import framing, maintenance
+from lichencleat.store.errors import CorruptDataError, Finding
+from lichencleat.store.index import expired, pack_location
 from lichencleat.store.log import Log
 from lichencleat.store.reserve import Reserve
 from lichencleat.store.segments import Record, Segment
 
 
 @dataclass(slots=True)
-class Cleaning:
+class Compaction:
     """A segment on its way out, and how far it was copied. The rest is read from `offset` on."""
 
     segment: Segment
@@ -22,90 +22,90 @@
     sequence: int
 
 
-class Cleaner:
+class Compactor:
     """Owns the cleaning under way: one at a time, begun anew from its start after an error."""
 
     def __init__(self, log: Log, reserve: Reserve) -> None:
         self.log, self.reserve = log, reserve
-        self.cleaning: Cleaning | None = None
+        self.in_progress: Compaction | None = None
 
     def begin(self, segment: Segment | None) -> None:
         if segment is not None:
-            self.cleaning = Cleaning(segment, segment.start, segment.first)
+            self.in_progress = Compaction(segment, segment.data_start, segment.first_sequence)
 
-    def left(self, cleaning: Cleaning) -> int:
-        return cleaning.segment.size - cleaning.offset
+    def left(self, in_progress: Compaction) -> int:
+        return in_progress.segment.size - in_progress.offset
 
-    def step(self, cleaning: Cleaning, budget: int) -> None:
+    def step(self, in_progress: Compaction, budget: int) -> None:
         """Copies what the segment still holds to the log's end; at its end the segment goes."""
-        log, segment = self.log, cleaning.segment
+        log, segment = self.log, in_progress.segment
         others = [each for each in log.segments.values() if each is not segment]
         oldest = all(each.number > segment.number for each in others)
         keep: list[Record] = []
         # key and old place of what is copied, None for other records
         moves: list[tuple[bytes, int] | None] = []
         # else nothing of it is needed, tombstones included
-        if not oldest or log.index.live.get(segment.number, 0):
-            self.gather(cleaning, budget, others, keep, moves)
-            done = cleaning.offset >= segment.size
+        if not oldest or log.index.live_bytes.get(segment.number, 0):
+            self.gather(in_progress, budget, others, keep, moves)
+            done = in_progress.offset >= segment.size
         else:
             done = True
         if done:
-            keep.append(Record(frames.GONE, segment.number, b""))
+            keep.append(Record(framing.SEGMENT_REMOVED, segment.number, b""))
             moves.append(None)
         if keep:
             self.copy(keep, moves)
         if done:
-            self.cleaning = None
+            self.in_progress = None
             log.drop(segment)
             log.disk_full = False  # some room was given back; the next write tells
             log.counts["segments cleaned"] += 1
 
     def gather(
         self,
-        cleaning: Cleaning,
+        in_progress: Compaction,
         budget: int,
         others: Sequence[Segment],
         keep: list[Record],
         moves: list[tuple[bytes, int] | None],
     ) -> None:
         """Reads on through the segment, some `budget` bytes, and adds what has to be kept of it."""
-        segment = cleaning.segment
+        segment = in_progress.segment
         spent = 0
         read = self.reader(segment)
-        for offset, length, body in frames.bodies(read, cleaning.offset, segment.size, segment.salt):
-            sequence, kind, _, number, key, value = frames.decode_body(body)
-            if sequence != cleaning.sequence:
-                raise self.spoilt(
-                    segment, offset, f"record {sequence} stands where {cleaning.sequence} belongs"
+        for offset, length, body in framing.iter_frames(read, in_progress.offset, segment.size, segment.salt):
+            sequence, kind, _, number, key, value = framing.decode_body(body)
+            if sequence != in_progress.sequence:
+                raise self.corrupt(
+                    segment, offset, f"record {sequence} stands where {in_progress.sequence} belongs"
                 )
-            where = place(segment.number, offset, length, number)
+            where = pack_location(segment.number, offset, length, number)
             record = self.kept(kind, sequence, number, key, value, where, others)
             if record is not None:
                 keep.append(record)
-                moves.append((key, where) if record.kind == frames.PUT else None)
+                moves.append((key, where) if record.kind == framing.PUT else None)
                 spent += length
             spent += length
-            cleaning.offset, cleaning.sequence = offset + length, sequence + 1
+            in_progress.offset, in_progress.sequence = offset + length, sequence + 1
             if spent >= budget:
                 return
-        if cleaning.offset < segment.size:
-            raise self.spoilt(segment, cleaning.offset, "a confirmed record is not whole")
+        if in_progress.offset < segment.size:
+            raise self.corrupt(segment, in_progress.offset, "a confirmed record is not whole")
 
-    def reader(self, segment: Segment) -> frames.Read:
+    def reader(self, segment: Segment) -> framing.Read:
         def read(offset: int, length: int) -> bytes:
             try:
                 return self.log.disk.read(segment.file, offset, length)
             except OSError as wrong:
-                raise self.spoilt(segment, offset, f"can't be read: {wrong.strerror}") from wrong
+                raise self.corrupt(segment, offset, f"can't be read: {wrong.strerror}") from wrong
 
         return read
 
-    def spoilt(self, segment: Segment, offset: int, what: str) -> DamagedError:
+    def corrupt(self, segment: Segment, offset: int, what: str) -> CorruptDataError:
         """The segment is left as it is, for `check` and `salvage`; cleaning goes on with others."""
-        self.cleaning = None
-        segment.damaged = True
-        return DamagedError([Finding(segment.name, offset, what)])
+        self.in_progress = None
+        segment.is_damaged = True
+        return CorruptDataError([Finding(segment.name, offset, what)])
 
     def kept(
         self,
@@ -119,37 +119,37 @@
     ) -> Record | None:
         """What has to stand for this record once its segment is gone."""
         index = self.log.index
-        if kind in (frames.PUT, frames.BATCH_PUT):
-            if index.places.get(key) == where:
+        if kind in (framing.PUT, framing.BATCH_PUT):
+            if index.locations.get(key) == where:
                 if not expired(where, self.log.time):
-                    return Record(frames.PUT, number, key, value)
+                    return Record(framing.PUT, number, key, value)
                 with self.log.guard:
                     index.delete(key)
-            elif not number or key in index.places:
+            elif not number or key in index.locations:
                 return None  # a newer value or tombstone stands for it
             born = sequence  # it has expired; what it replaced in an older segment must not come back
-        elif kind in (frames.DELETE, frames.BATCH_DELETE):
+        elif kind in (framing.DELETE, framing.BATCH_DELETE):
             born = number or sequence
         else:
             return None
-        if key in index.places:
+        if key in index.locations:
             return None
-        return Record(frames.DELETE, born, key) if upkeep.tomb_needed(born, others) else None
+        return Record(framing.DELETE, born, key) if maintenance.is_tombstone_needed(born, others) else None
 
     def copy(self, keep: list[Record], moves: list[tuple[bytes, int] | None]) -> None:
         """One write and one flush; the reserve's room is used where the disk is full. Raises OSError."""
         log = self.log
         written = log.counts["bytes written"]
         try:
-            segment, places = self.reserve.lend(log.append, keep)
+            segment, locations = self.reserve.run_with_reserve(log.append, keep)
         except OSError:
-            self.cleaning = None  # begun anew another time: nothing was taken away
+            self.in_progress = None  # begun anew another time: nothing was taken away
             raise
         log.counts["bytes copied"] += log.counts["bytes written"] - written
         with log.guard:
-            for record, move, (offset, length) in zip(keep, moves, places, strict=True):
+            for record, move, (offset, length) in zip(keep, moves, locations, strict=True):
                 if move is not None:
                     key, old = move
-                    log.index.move(key, old, place(segment.number, offset, length, record.number))
-                elif record.kind == frames.DELETE:
-                    segment.tombs += length
+                    log.index.move(key, old, pack_location(segment.number, offset, length, record.number))
+                elif record.kind == framing.DELETE:
+                    segment.tombstone_bytes += length
--- a/lichencleat/store/disk.py
+++ b/lichencleat/store/disk.py
@@ -8,7 +8,7 @@
 import os
 from typing import Any, Protocol
 
-from lichencleat.store.errors import UnfitError
+from lichencleat.store.errors import CannotOpenError
 
 MODE = 0o600  # of the files: what is stored is its owner's alone
 
@@ -62,7 +62,7 @@
                 self.flush_path(os.path.dirname(os.path.abspath(path)))
             self.directory = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         except OSError as wrong:
-            raise UnfitError(f"{path}: {wrong.strerror}; name a directory that is a store") from wrong
+            raise CannotOpenError(f"{path}: {wrong.strerror}; name a directory that is a store") from wrong
 
     @staticmethod
     def flush_path(path: str) -> None:
@@ -117,8 +117,10 @@
             fcntl.flock(self.directory, fcntl.LOCK_EX | fcntl.LOCK_NB)  # of the directory: no file of its own
         except OSError as wrong:
             if isinstance(wrong, BlockingIOError):
-                raise UnfitError(f"{self.path}: in use by another process; end that one first") from wrong
-            raise UnfitError(f"{self.path}: can't be locked: {wrong.strerror}") from wrong
+                raise CannotOpenError(
+                    f"{self.path}: in use by another process; end that one first"
+                ) from wrong
+            raise CannotOpenError(f"{self.path}: can't be locked: {wrong.strerror}") from wrong
 
     def unlock(self) -> None:
         """Gives the directory back, too: the disk is of no further use."""
--- a/lichencleat/store/errors.py
+++ b/lichencleat/store/errors.py
@@ -39,7 +39,7 @@
     """
 
 
-class DamagedError(StoreError):
+class CorruptDataError(StoreError):
     """Confirmed records can't be read: bytes on disk are not those that were flushed."""
 
     def __init__(self, findings: list[Finding]) -> None:
@@ -48,7 +48,7 @@
         self.findings = findings
 
 
-class UnfitError(StoreError):
+class CannotOpenError(StoreError):
     """The directory can't be opened as it is: no store, a newer format, or in use by another process."""
 
 
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -14,124 +14,124 @@
 from sortedcontainers import SortedDict, SortedList
 
 ENTRY_BYTES = 150  # bytes of memory an entry costs besides its key: dict, order, place, the objects' heads
-BITS = 32  # of an offset, a length, a segment's number
-LOW = (1 << BITS) - 1
-UNDO_MOST = 1_000_000  # changes that a snapshot outlives: some 150 MB; behind them it is ended
+FIELD_BITS = 32  # of an offset, a length, a segment's number
+FIELD_MASK = (1 << FIELD_BITS) - 1
+MAX_UNDO_ENTRIES = 1_000_000  # changes that a snapshot outlives: some 150 MB; behind them it is ended
 
 
-def place(segment: int, offset: int, length: int, expiry: int) -> int:
-    return ((expiry << BITS | segment) << BITS | offset) << BITS | length
+def pack_location(segment: int, offset: int, length: int, expiry: int) -> int:
+    return ((expiry << FIELD_BITS | segment) << FIELD_BITS | offset) << FIELD_BITS | length
 
 
 def segment_of(where: int) -> int:
-    return where >> 2 * BITS & LOW
+    return where >> 2 * FIELD_BITS & FIELD_MASK
 
 
 def offset_of(where: int) -> int:
-    return where >> BITS & LOW
+    return where >> FIELD_BITS & FIELD_MASK
 
 
 def length_of(where: int) -> int:
-    return where & LOW
+    return where & FIELD_MASK
 
 
 def expiry_of(where: int) -> int:
     """µs of Unix time, 0 for none."""
-    return where >> 3 * BITS
+    return where >> 3 * FIELD_BITS
 
 
 def expired(where: int, now: int) -> bool:
-    return 0 < where >> 3 * BITS <= now
+    return 0 < where >> 3 * FIELD_BITS <= now
 
 
 @dataclass(slots=True)
-class Sums:
+class LocationTotals:
     """What a start has to know of all entries, from one pass over them."""
 
-    live: dict[int, int]  # segment -> bytes of the frames that entries point at
+    live_bytes: dict[int, int]  # segment -> bytes of the frames that entries point at
     ends: dict[int, int]  # segment -> where the last of these ends
-    earliest: int  # µs: the earliest expiry, 0 where none
+    earliest_expiry: int  # µs: the earliest expiry, 0 where none
 
 
-def sum_up(places: dict[bytes, int]) -> Sums:
-    live: dict[int, int] = {}
+def total_locations(locations: dict[bytes, int]) -> LocationTotals:
+    live_bytes: dict[int, int] = {}
     ends: dict[int, int] = {}
-    earliest = 0
-    for where in places.values():
-        segment, length = where >> 2 * BITS & LOW, where & LOW
-        end = (where >> BITS & LOW) + length
-        if segment in live:
-            live[segment] += length
+    earliest_expiry = 0
+    for where in locations.values():
+        segment, length = where >> 2 * FIELD_BITS & FIELD_MASK, where & FIELD_MASK
+        end = (where >> FIELD_BITS & FIELD_MASK) + length
+        if segment in live_bytes:
+            live_bytes[segment] += length
             if end > ends[segment]:
                 ends[segment] = end
         else:
-            live[segment], ends[segment] = length, end
-        expiry = where >> 3 * BITS
-        if expiry and (expiry < earliest or not earliest):
-            earliest = expiry
-    return Sums(live, ends, earliest)
+            live_bytes[segment], ends[segment] = length, end
+        expiry = where >> 3 * FIELD_BITS
+        if expiry and (expiry < earliest_expiry or not earliest_expiry):
+            earliest_expiry = expiry
+    return LocationTotals(live_bytes, ends, earliest_expiry)
 
 
 class Index:
-    def __init__(self, undo_most: int = UNDO_MOST) -> None:
-        self.places: dict[bytes, int] = {}
+    def __init__(self, max_undo_entries: int = MAX_UNDO_ENTRIES) -> None:
+        self.locations: dict[bytes, int] = {}
         self.order: SortedList = SortedList()
         self.memory = 0  # bytes, estimated
-        self.live: dict[int, int] = {}  # segment -> bytes of the frames that entries point at
-        self.earliest = 0  # µs: no entry expires before it; 0 where none expires
-        self.undo_most = undo_most
+        self.live_bytes: dict[int, int] = {}  # segment -> bytes of the frames that entries point at
+        self.earliest_expiry = 0  # µs: no entry expires before it; 0 where none expires
+        self.max_undo_entries = max_undo_entries
         self.snapshots: dict[Snapshot, None] = {}
 
     def __len__(self) -> int:
-        return len(self.places)
+        return len(self.locations)
 
-    def load(self, places: dict[bytes, int], sums: Sums) -> None:
-        """Takes over all entries at once, as a start finds them, with what `sum_up` says of them."""
-        self.places = places
-        self.order = SortedList(places)
-        self.memory = sum(map(len, places)) + ENTRY_BYTES * len(places)
-        self.live, self.earliest = sums.live, sums.earliest
+    def load(self, locations: dict[bytes, int], sums: LocationTotals) -> None:
+        """Takes over all entries at once, as a start finds them, with what `total_locations` says of them."""
+        self.locations = locations
+        self.order = SortedList(locations)
+        self.memory = sum(map(len, locations)) + ENTRY_BYTES * len(locations)
+        self.live_bytes, self.earliest_expiry = sums.live_bytes, sums.earliest_expiry
 
     def get(self, key: bytes, now: int) -> int | None:
-        where = self.places.get(key)
+        where = self.locations.get(key)
         return None if where is None or expired(where, now) else where
 
     def put(self, key: bytes, where: int) -> None:
-        old = self.places.get(key)
+        old = self.locations.get(key)
         if old is None:
             self.order.add(key)
             self.memory += len(key) + ENTRY_BYTES
         else:
-            self.live[segment_of(old)] -= length_of(old)
+            self.live_bytes[segment_of(old)] -= length_of(old)
         if self.snapshots:
-            self.remember(key, old)
+            self.record_undo(key, old)
         self.enter(key, where)
 
     def move(self, key: bytes, old: int, where: int) -> bool:
         """The same value at another place: no change to any snapshot. Is `old` still its place?"""
-        if self.places.get(key) != old:
+        if self.locations.get(key) != old:
             return False
-        self.live[segment_of(old)] -= length_of(old)
+        self.live_bytes[segment_of(old)] -= length_of(old)
         self.enter(key, where)
         return True
 
     def enter(self, key: bytes, where: int) -> None:
-        self.places[key] = where
-        segment, expiry = where >> 2 * BITS & LOW, where >> 3 * BITS
-        self.live[segment] = self.live.get(segment, 0) + (where & LOW)
-        if expiry and (expiry < self.earliest or not self.earliest):
-            self.earliest = expiry
+        self.locations[key] = where
+        segment, expiry = where >> 2 * FIELD_BITS & FIELD_MASK, where >> 3 * FIELD_BITS
+        self.live_bytes[segment] = self.live_bytes.get(segment, 0) + (where & FIELD_MASK)
+        if expiry and (expiry < self.earliest_expiry or not self.earliest_expiry):
+            self.earliest_expiry = expiry
 
     def delete(self, key: bytes) -> None:
-        old = self.places.pop(key, None)
+        old = self.locations.pop(key, None)
         if old is None:
             return
         self.order.remove(key)
         self.memory -= len(key) + ENTRY_BYTES
-        self.live[segment_of(old)] -= length_of(old)
-        self.remember(key, old)
+        self.live_bytes[segment_of(old)] -= length_of(old)
+        self.record_undo(key, old)
 
-    def remember(self, key: bytes, old: int | None) -> None:
+    def record_undo(self, key: bytes, old: int | None) -> None:
         for snapshot in list(self.snapshots):
             snapshot.before(key, old)
 
@@ -140,14 +140,14 @@
         expiry left.
         """
         keys = list(islice(self.order.irange(cursor), most + 1))
-        earliest = 0
+        earliest_expiry = 0
         for key in keys[:most]:
-            where = self.places[key]
+            where = self.locations[key]
             if expired(where, now):
                 self.delete(key)
-            elif (expiry := expiry_of(where)) and (expiry < earliest or not earliest):
-                earliest = expiry
-        return (keys[most] if len(keys) > most else None), earliest
+            elif (expiry := expiry_of(where)) and (expiry < earliest_expiry or not earliest_expiry):
+                earliest_expiry = expiry
+        return (keys[most] if len(keys) > most else None), earliest_expiry
 
     def snapshot(self, sequence: int) -> Snapshot:
         """Owned by who asks; given back by `Snapshot.close`."""
@@ -163,22 +163,22 @@
         self.index = index
         self.sequence = sequence  # of the last change that it knows
         self.undo: SortedDict = SortedDict()  # key -> place then, None where there was none
-        self.open = True
+        self.is_open = True
 
     def before(self, key: bytes, old: int | None) -> None:
         if key not in self.undo:
-            if len(self.undo) >= self.index.undo_most:
+            if len(self.undo) >= self.index.max_undo_entries:
                 self.close()  # the bound of its memory: who reads it is told, the writer goes on
                 return
             self.undo[key] = old
 
     def close(self) -> None:
-        self.open = False
+        self.is_open = False
         self.undo.clear()
         self.index.snapshots.pop(self, None)
 
     def get(self, key: bytes) -> int | None:
-        return self.undo[key] if key in self.undo else self.index.places.get(key)
+        return self.undo[key] if key in self.undo else self.index.locations.get(key)
 
     def chunk(self, cursor: bytes, prefix: bytes, most: int) -> list[tuple[bytes, int]]:
         """Up to `most` entries from `cursor` on, in order, while keys begin with `prefix`; the last chunk is
@@ -193,7 +193,7 @@
             )
 
         found: list[tuple[bytes, int]] = []
-        while self.open and not found:
+        while self.is_open and not found:
             now = list(keys(self.index.order))
             then = list(keys(self.undo))
             merged = sorted({*now, *then})[:most]
--- a/lichencleat/store/log.py
+++ b/lichencleat/store/log.py
@@ -15,15 +15,15 @@
 from crc32c import crc32c
 
 from lichencleat.store import errors as bounds
-from lichencleat.store import frames, segments
+from lichencleat.store import framing, segments
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk
 from lichencleat.store.errors import FullError, NotConfirmedError, StoreError
-from lichencleat.store.index import Index, Snapshot, place
-from lichencleat.store.room import Bounds
+from lichencleat.store.index import Index, Snapshot, pack_location
 from lichencleat.store.segments import NEW, Record, Segment
 
 # µs between marks of the time in the log: by so much a clock that goes back may be believed
-MARK_EACH = 1_000_000
+TIME_MARK_INTERVAL_US = 1_000_000
 DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
 COUNTS = (
     "commits",
@@ -51,12 +51,12 @@
 
 
 class Log:
-    """Owns the segments' files; each is given back in `give_back`, `drop` or `leave` alone."""
+    """Owns the segments' files; each is given back in `release_resources`, `drop` or `leave` alone."""
 
-    def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, most: Bounds) -> None:
+    def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, most: StoreLimits) -> None:
         self.disk, self.clock, self.rng, self.most = disk, clock, rng, most
         self.guard = threading.Lock()
-        self.index = Index(most.undo_entries)
+        self.index = Index(most.max_undo_entries)
         self.store = b""
         self.segments: dict[int, Segment] = {}  # by number, oldest first
         self.active: Segment | None = None  # the one written to; None: the next write begins one
@@ -77,7 +77,7 @@
     def load(self, found: Iterable[Segment]) -> None:
         """Takes over the segments that a start has found, oldest first."""
         self.segments = {each.number: each for each in found}
-        self.sequence = self.newest().end
+        self.sequence = self.newest().last_sequence
 
     def newest(self) -> Segment:
         return self.active or next(reversed(self.segments.values()))
@@ -93,14 +93,14 @@
         with contextlib.suppress(FileNotFoundError):
             self.disk.remove(NEW)  # what an earlier try left
         number = max(self.segments, default=0) + 1
-        salt = self.rng.randbytes(frames.SALT)
+        salt = self.rng.randbytes(framing.SALT)
         file = self.disk.open(NEW, create=True)
         try:
             segment = Segment(number, file, crc32c(salt), 0, self.sequence + 1)
-            segment.through = self.sequence + len(carried)
+            segment.flushed_through = self.sequence + len(carried)
             head = segments.head(self.store, segment, salt, self.time, list(self.segments.values()))
-            segment.start = segment.size = len(head)
-            data, places = segments.encode(carried, segment, self.sequence + 1, self.sequence)
+            segment.data_start = segment.size = len(head)
+            data, locations = segments.encode(carried, segment, self.sequence + 1, self.sequence)
             self.disk.append(file, head + data)
             self.disk.flush(file)
             self.disk.rename(NEW, segment.name)
@@ -115,8 +115,8 @@
         with self.guard:
             self.active = self.segments[number] = segment
         self.marked = self.time
-        self.sequence = segment.end = segment.through
-        self.enter(carried, places, segment)
+        self.sequence = segment.last_sequence = segment.flushed_through
+        self.enter(carried, locations, segment)
         return segment
 
     def needs_segment(self) -> bool:
@@ -127,13 +127,13 @@
         through.
         """
         with self.guard:
-            segment.gone = True
+            segment.is_removed = True
             del self.segments[segment.number]
-            self.index.live.pop(segment.number, None)
+            self.index.live_bytes.pop(segment.number, None)
             for pinned in self.pins.values():  # what a snapshot still points at may be in it
                 pinned[segment.number] = segment
-                segment.users += 1
-            free = segment.users == 0
+                segment.reference_count += 1
+            free = segment.reference_count == 0
         with contextlib.suppress(OSError):  # the log says that it is gone: a start removes what is left of it
             self.disk.remove(segment.name)
             self.disk.flush_directory()
@@ -142,8 +142,8 @@
 
     def leave(self, segment: Segment) -> None:
         """A reader or snapshot is through with it; the guard is held."""
-        segment.users -= 1
-        if segment.gone and segment.users == 0:
+        segment.reference_count -= 1
+        if segment.is_removed and segment.reference_count == 0:
             self.disk.close(segment.file)
 
     def unpin(self, snapshot: Snapshot) -> None:
@@ -155,24 +155,24 @@
     def total(self) -> int:
         """Bytes of all segments; those that are gone and still read count too."""
         held = {each for pinned in list(self.pins.values()) for each in list(pinned.values())}
-        return sum(each.size + each.waste for each in (*self.segments.values(), *held))
+        return sum(each.size + each.void_bytes for each in (*self.segments.values(), *held))
 
     def shed(self, needed: int) -> None:
         """Ends the oldest snapshots while the files that they hold keep the store from so many bytes more."""
-        while self.total() + needed > self.most.disk_bytes - self.most.reserve_bytes and any(
+        while self.total() + needed > self.most.max_disk_bytes - self.most.reserve_bytes and any(
             self.pins.values()
         ):
             with self.guard:
                 self.unpin(next(snapshot for snapshot, pinned in self.pins.items() if pinned))
             self.counts["snapshots ended"] += 1
 
-    def give_back(self) -> None:
+    def release_resources(self) -> None:
         """The guard is held: no reader may find some of it gone and some still there."""
         for snapshot in list(self.pins):
             self.unpin(snapshot)
         for segment in self.segments.values():
-            segment.gone = True  # a reader that is at it closes it
-            if not segment.users:
+            segment.is_removed = True  # a reader that is at it closes it
+            if not segment.reference_count:
                 self.disk.close(segment.file)
         self.segments, self.active = {}, None
 
@@ -182,17 +182,17 @@
         """Appends and flushes the records, then enters them; or none of them, and the segment is not trusted
         again. No records: a mark of the time alone, which proves all before it.
         """
-        if self.time - self.marked >= MARK_EACH or not records:
-            records = [Record(frames.MARK, self.time, b""), *records]
+        if self.time - self.marked >= TIME_MARK_INTERVAL_US or not records:
+            records = [Record(framing.TIME_MARK, self.time, b""), *records]
         try:
-            segment, places = self.append(records)
+            segment, locations = self.append(records)
         except OSError as wrong:
             return told(wrong)
         self.disk_full = False
-        if records[0].kind == frames.MARK:
+        if records[0].kind == framing.TIME_MARK:
             self.marked = self.time
         self.counts["records"] += len(records)
-        self.enter(records, places, segment)
+        self.enter(records, locations, segment)
         return None
 
     def append(self, records: Sequence[Record]) -> tuple[Segment, list[tuple[int, int]]]:
@@ -202,39 +202,41 @@
                 self.active = None
                 self.begin()
             segment = self.newest()
-            data, places = segments.encode(records, segment, self.sequence + 1, self.sequence)
+            data, locations = segments.encode(records, segment, self.sequence + 1, self.sequence)
             self.disk.append(segment.file, data)
             self.disk.flush(segment.file)
         except OSError as wrong:
-            self.distrust(wrong)
+            self.abandon_active_segment(wrong)
             raise
         segment.size += len(data)
         self.count_written(len(data))
         self.counts["flushes"] += 1
         self.sequence += len(records)
-        segment.end = self.sequence
-        return segment, places
+        segment.last_sequence = self.sequence
+        return segment, locations
 
-    def distrust(self, wrong: OSError) -> None:
+    def abandon_active_segment(self, wrong: OSError) -> None:
         """The segment is never written to again: behind its size stands what may be there, or not, or
         torn.
         """
         if self.active is not None:
             with contextlib.suppress(OSError):
-                self.active.waste = max(0, self.disk.size(self.active.file) - self.active.size)
+                self.active.void_bytes = max(0, self.disk.size(self.active.file) - self.active.size)
             self.active = None
         self.counts["writes failed"] += 1
         self.disk_full = self.disk_full or wrong.errno in DISK_FULL
 
-    def enter(self, records: Sequence[Record], places: Sequence[tuple[int, int]], segment: Segment) -> None:
+    def enter(
+        self, records: Sequence[Record], locations: Sequence[tuple[int, int]], segment: Segment
+    ) -> None:
         with self.guard:
             index, number = self.index, segment.number
-            for record, (offset, length) in zip(records, places, strict=True):
-                if record.kind in (frames.PUT, frames.BATCH_PUT):
-                    index.put(record.key, place(number, offset, length, record.number))
-                elif record.kind in (frames.DELETE, frames.BATCH_DELETE):
+            for record, (offset, length) in zip(records, locations, strict=True):
+                if record.kind in (framing.PUT, framing.BATCH_PUT):
+                    index.put(record.key, pack_location(number, offset, length, record.number))
+                elif record.kind in (framing.DELETE, framing.BATCH_DELETE):
                     index.delete(record.key)
-                    segment.tombs += length
+                    segment.tombstone_bytes += length
 
     def count_written(self, size: int) -> None:
         self.written += size
--- a/lichencleat/store/tail.py
+++ b/lichencleat/store/log_tail.py
@@ -11,10 +11,10 @@
 
 from collections import deque
 
-from lichencleat.store import frames
+from lichencleat.store import framing
 
 
-class Tail:
+class LogTail:
     """Reads the newest segment's frames in their order; tells what is proved and what is in doubt."""
 
     def __init__(self, first: int, through: int, offset: int) -> None:
@@ -24,7 +24,7 @@
         self.sequence = first - 1  # of the last frame read
         self.proved = max(through, first - 1)
         self.proved_end = offset  # bytes: where the frames proved so far end
-        self.doubt: deque[tuple[int, int, int, int]] = deque()  # sequence, kind, offset, length
+        self.unproved: deque[tuple[int, int, int, int]] = deque()  # sequence, kind, offset, length
         self.gone: list[tuple[int, int]] = []  # sequence and number of the segments that are gone
         self.time = 0  # µs: the latest time that a mark tells
 
@@ -33,19 +33,19 @@
         if sequence != self.sequence + 1 or not 0 < back <= sequence:
             return False
         self.sequence = sequence
-        self.doubt.append((sequence, kind, offset, length))
-        self.proves(sequence - back)
-        if kind == frames.GONE:
+        self.unproved.append((sequence, kind, offset, length))
+        self.mark_proved(sequence - back)
+        if kind == framing.SEGMENT_REMOVED:
             self.gone.append((sequence, number))
-        elif kind == frames.MARK:
+        elif kind == framing.TIME_MARK:
             self.time = max(self.time, number)
         return True
 
-    def proves(self, floor: int) -> None:
+    def mark_proved(self, floor: int) -> None:
         self.proved = max(self.proved, floor)
-        doubt = self.doubt
-        while doubt and doubt[0][0] <= self.proved:
-            _, _, offset, length = doubt.popleft()
+        unproved = self.unproved
+        while unproved and unproved[0][0] <= self.proved:
+            _, _, offset, length = unproved.popleft()
             self.proved_end = offset + length
 
     def lost(self, sequence: int, back: int) -> bool:
@@ -58,12 +58,12 @@
         """
         kept: list[tuple[int, int]] = []
         batch: list[tuple[int, int]] = []
-        for _, kind, offset, length in self.doubt:
-            if kind in (frames.BATCH_PUT, frames.BATCH_DELETE):
+        for _, kind, offset, length in self.unproved:
+            if kind in (framing.BATCH_PUT, framing.BATCH_DELETE):
                 batch.append((offset, length))
-            elif kind == frames.COMMIT:
+            elif kind == framing.COMMIT:
                 kept += [*batch, (offset, length)]
                 batch = []
-            elif kind in (frames.PUT, frames.DELETE):
+            elif kind in (framing.PUT, framing.DELETE):
                 kept.append((offset, length))
         return kept
--- a/lichencleat/store/reads.py
+++ b/lichencleat/store/reader.py
@@ -5,17 +5,17 @@
 from collections.abc import Iterator
 
 from lichencleat.store import errors as bounds
-from lichencleat.store import frames
-from lichencleat.store.errors import ClosedError, DamagedError, Finding, FullError, SnapshotGoneError
+from lichencleat.store import framing
+from lichencleat.store.errors import ClosedError, CorruptDataError, Finding, FullError, SnapshotGoneError
 from lichencleat.store.index import Snapshot, expired, length_of, offset_of, segment_of
 from lichencleat.store.log import Log
 from lichencleat.store.segments import Segment
 
-CHUNK = 256  # entries looked up at once by a scan: the lock is held for some 0.1 ms
-SNAPSHOTS_MOST = 64  # each may hold files that cleaning would give back, and an undo list
+CHUNK_ENTRIES = 256  # entries looked up at once by a scan: the lock is held for some 0.1 ms
+MAX_SNAPSHOTS = 64  # each may hold files that cleaning would give back, and an undo list
 
 
-class Reads:
+class Reader:
     def __init__(self, log: Log) -> None:
         self.log = log
         self.closed = False
@@ -33,7 +33,7 @@
             if where is None:
                 return None
             segment = log.segments[segment_of(where)]
-            segment.users += 1
+            segment.reference_count += 1
         try:
             return self.read(segment, key, where)
         finally:
@@ -46,14 +46,16 @@
             data = self.log.disk.read(segment.file, offset, length)
         except OSError as wrong:
             self.log.counts["damaged reads"] += 1
-            raise DamagedError([Finding(segment.name, offset, f"can't be read: {wrong.strerror}")]) from wrong
-        body = frames.whole_frame(data, segment.salt, offset)
+            raise CorruptDataError(
+                [Finding(segment.name, offset, f"can't be read: {wrong.strerror}")]
+            ) from wrong
+        body = framing.decode_frame(data, segment.salt, offset)
         if body is not None:
-            found = frames.decode_body(body)
+            found = framing.decode_body(body)
             if found[4] == key:
                 return bytes(found[5])
         self.log.counts["damaged reads"] += 1
-        raise DamagedError([Finding(segment.name, offset, "a confirmed record is not whole")])
+        raise CorruptDataError([Finding(segment.name, offset, "a confirmed record is not whole")])
 
     def snapshot(self) -> Snapshot:
         """The entries as they are now; `release` gives it back. Raises FullError at the bound on
@@ -62,8 +64,8 @@
         log = self.log
         with log.guard:
             self.check_open()
-            if len(log.pins) >= SNAPSHOTS_MOST:
-                raise FullError(bounds.SNAPSHOTS, f" ({SNAPSHOTS_MOST})")
+            if len(log.pins) >= MAX_SNAPSHOTS:
+                raise FullError(bounds.SNAPSHOTS, f" ({MAX_SNAPSHOTS})")
             snapshot = log.index.snapshot(log.sequence)
             log.pins[snapshot] = {}
             return snapshot
@@ -73,7 +75,7 @@
             self.log.unpin(snapshot)
 
     def chunk(
-        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, most: int = CHUNK
+        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, most: int = CHUNK_ENTRIES
     ) -> list[tuple[bytes, bytes]]:
         """Up to `most` keys and values of the snapshot from `cursor` on, in order; the last chunk is empty.
 
@@ -82,7 +84,7 @@
         log = self.log
         while True:
             with log.guard:
-                if not snapshot.open:
+                if not snapshot.is_open:
                     raise SnapshotGoneError(
                         "the snapshot is over: closed, or too much was changed since it was taken"
                     )
@@ -96,7 +98,7 @@
                     if not expired(where, now):
                         number = segment_of(where)
                         segment = log.segments.get(number) or pinned[number]
-                        segment.users += 1
+                        segment.reference_count += 1
                         held.append((key, where, segment))
             try:
                 found = [(key, self.read(segment, key, where)) for key, where, segment in held]
--- a/lichencleat/store/recovery.py
+++ b/lichencleat/store/recovery.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.store import checkpoint, frames
+from lichencleat.store import checkpoint, framing
 from lichencleat.store.disk import Disk
-from lichencleat.store.errors import DamagedError, Finding, UnfitError
-from lichencleat.store.index import BITS, Sums, expired, segment_of, sum_up
+from lichencleat.store.errors import CannotOpenError, CorruptDataError, Finding
+from lichencleat.store.index import FIELD_BITS, LocationTotals, expired, segment_of, total_locations
+from lichencleat.store.log_tail import LogTail
 from lichencleat.store.segments import NAME, NEW, Segment, read_head
-from lichencleat.store.tail import Tail
 
 STORE, STORE_NEW = "STORE", "STORE.new"  # the mark that a directory is a store: written last when one is made
 RESERVE = "reserve"  # a file of zeros that gives its room to cleaning when the disk is full
@@ -30,7 +30,7 @@
     return digits != name and digits.isdecimal() and NAME.format(int(digits)) == name
 
 
-class Survey:
+class RecoveryScan:
     """Opens the files; they are handed to the engine, or given back by `close`."""
 
     def __init__(self, disk: Disk, where: str = "the directory") -> None:
@@ -42,8 +42,8 @@
         self.leftovers: list[str] = []  # files that count for nothing any more
         self.torn = 0  # bytes behind the newest segment's last whole frame: a cut's traces
         self.time = 0  # µs: no earlier than any time at which this store was written to
-        self.tail: Tail | None = None
-        self.point: checkpoint.Point | None = None
+        self.tail: LogTail | None = None
+        self.point: checkpoint.Checkpoint | None = None
 
     # -- reading -----------------------------------------------------------------------------------
 
@@ -77,12 +77,14 @@
 
     def read_mark(self, names: list[str], logs: list[str]) -> None:
         if STORE not in names:
-            raise UnfitError(f"{self.where}: no store (it has no file {STORE}); name a directory that is one")
+            raise CannotOpenError(
+                f"{self.where}: no store (it has no file {STORE}); name a directory that is one"
+            )
         data = self.whole(STORE)
-        salt = frames.read_file_head(data, frames.STORE_MAGIC, f"{self.where}: {STORE}")
-        if salt is None or len(data) != frames.FILE_HEAD:
+        salt = framing.decode_file_header(data, framing.STORE_MAGIC, f"{self.where}: {STORE}")
+        if salt is None or len(data) != framing.FILE_HEADER_BYTES:
             if not logs:
-                raise UnfitError(f"{self.where}: no store (its file {STORE} reads otherwise)")
+                raise CannotOpenError(f"{self.where}: no store (its file {STORE} reads otherwise)")
             self.finds(STORE, 0, "is not whole")
         else:
             self.store = salt
@@ -90,7 +92,7 @@
     def whole(self, name: str) -> bytes:
         file = self.disk.open(name)
         try:
-            return self.disk.read(file, 0, frames.FILE_HEAD + 1)
+            return self.disk.read(file, 0, framing.FILE_HEADER_BYTES + 1)
         finally:
             self.disk.close(file)
 
@@ -104,15 +106,15 @@
                 self.disk.close(file)
         return found
 
-    def reader(self, file: Any) -> frames.Read:
+    def reader(self, file: Any) -> framing.Read:
         return lambda offset, length: self.disk.read(file, offset, length)
 
     def read_checkpoint(self) -> None:
         # one that can't be read, or is missing, costs time only
-        with contextlib.suppress(OSError, UnfitError):
+        with contextlib.suppress(OSError, CannotOpenError):
             file = self.disk.open(checkpoint.NAME)
             try:
-                self.point = checkpoint.read_point(self.reader(file), self.disk.size(file), self.store)
+                self.point = checkpoint.decode_checkpoint(self.reader(file), self.disk.size(file), self.store)
             finally:
                 self.disk.close(file)
 
@@ -120,42 +122,42 @@
         """Finds how far it counts. Bad bytes are a cut's traces, unless something proves that they were
         flushed.
         """
-        tail = self.tail = Tail(segment.first, segment.through, segment.start)
+        tail = self.tail = LogTail(segment.first_sequence, segment.flushed_through, segment.data_start)
         size = self.disk.size(segment.file)
         read = self.reader(segment.file)
-        end = segment.start
-        for offset, length, body in frames.bodies(read, segment.start, size, segment.salt):
+        end = segment.data_start
+        for offset, length, body in framing.iter_frames(read, segment.data_start, size, segment.salt):
             try:
-                sequence, kind, back, number, _, _ = frames.decode_body(body)
+                sequence, kind, back, number, _, _ = framing.decode_body(body)
             except UNDECODABLE:
                 break
             if not tail.reads(offset, length, sequence, kind, back, number):
                 break
             end = offset + length
         if self.point is not None and self.point.newest == segment.number:
-            tail.proves(self.point.sequence)
+            tail.mark_proved(self.point.sequence)
         if tail.proved > tail.sequence:
             lost = tail.proved - tail.sequence
             self.finds(segment.name, end, f"{lost} confirmed records are not whole")
         elif end < size:
             self.torn = size - end
-            for at, _, body in frames.islands(read, end, size, segment.salt):
+            for at, _, body in framing.iter_frames_past_gaps(read, end, size, segment.salt):
                 with contextlib.suppress(*UNDECODABLE):
-                    sequence, _, back, _, _, _ = frames.decode_body(body)
+                    sequence, _, back, _, _, _ = framing.decode_body(body)
                     if tail.lost(sequence, back):
                         self.finds(
                             segment.name, end, f"a confirmed record is not whole; whole ones follow at {at}"
                         )
                         break
         self.time = max(self.time, tail.time)
-        segment.size, segment.end = tail.proved_end, min(tail.proved, tail.sequence)
-        segment.waste = size - segment.size
+        segment.size, segment.last_sequence = tail.proved_end, min(tail.proved, tail.sequence)
+        segment.void_bytes = size - segment.size
         self.segments = [segment]
 
     def read_older(self, older: list[tuple[int, int, int, int]], newest: Segment) -> None:
         gone = {number for _, number in self.tail.gone} if self.tail else set()
         found: list[Segment] = []
-        for number, end, size, tombs in older:
+        for number, end, size, tombstone_bytes in older:
             if number in gone:
                 continue
             name = NAME.format(number)
@@ -168,10 +170,10 @@
                 self.finds(name, 0, "its head is not whole")
                 continue
             segment = opened[0]
-            segment.end, segment.size, segment.tombs = end, size, tombs
+            segment.last_sequence, segment.size, segment.tombstone_bytes = end, size, tombstone_bytes
             if (there := self.disk.size(segment.file)) < size:
                 self.finds(name, there, f"ends {size - there} bytes early")
-            segment.waste = max(0, there - size)
+            segment.void_bytes = max(0, there - size)
             found.append(segment)
         self.segments = [*found, newest]
 
@@ -186,10 +188,12 @@
         Begins at that frame. Bytes that are no frame are a finding, and the walk's end.
         """
         batch: list[tuple[int, int, int, int, int, bytes]] = []
-        decode = frames.decode_body
+        decode = framing.decode_body
         end = offset
-        batched, single = (frames.BATCH_PUT, frames.BATCH_DELETE), (frames.PUT, frames.DELETE)
-        for at, length, body in frames.bodies(self.reader(segment.file), offset, segment.size, segment.salt):
+        batched, single = (framing.BATCH_PUT, framing.BATCH_DELETE), (framing.PUT, framing.DELETE)
+        for at, length, body in framing.iter_frames(
+            self.reader(segment.file), offset, segment.size, segment.salt
+        ):
             try:
                 found, kind, _, number, key, _ = decode(body)
             except UNDECODABLE:
@@ -200,7 +204,7 @@
                 yield at, length, found, kind, number, key
             elif kind in batched:
                 batch.append((at, length, found, kind, number, key))
-            elif kind == frames.COMMIT:
+            elif kind == framing.COMMIT:
                 if number == len(batch):
                     yield from batch
                 batch = []
@@ -213,44 +217,48 @@
         """Every record that counts and that the checkpoint does not cover, in order, with its segment."""
         point = self.point
         for segment in self.segments:
-            offset, sequence = segment.start, segment.first
+            offset, sequence = segment.data_start, segment.first_sequence
             if point is not None:
-                if segment.end <= point.sequence:
-                    segment.tombs = max(segment.tombs, point.tombs.get(segment.number, 0))
+                if segment.last_sequence <= point.sequence:
+                    segment.tombstone_bytes = max(
+                        segment.tombstone_bytes, point.tombstone_bytes.get(segment.number, 0)
+                    )
                     continue
                 if segment.number == point.newest:
                     offset, sequence = point.offset, point.sequence + 1
-                    segment.tombs = point.tombs.get(segment.number, 0)
+                    segment.tombstone_bytes = point.tombstone_bytes.get(segment.number, 0)
             for record in self.walk(segment, offset, sequence):
                 yield segment, *record
 
-    def entries(self, now: int) -> tuple[dict[bytes, int], Sums]:
+    def entries(self, now: int) -> tuple[dict[bytes, int], LocationTotals]:
         """All entries: the checkpoint's and what came since. A checkpoint that does not fit is left alone."""
         point = self.point
-        places: dict[bytes, int] = point.places if point is not None else {}
+        locations: dict[bytes, int] = point.locations if point is not None else {}
         newest = self.segments[-1]
-        newest.tombs = 0
-        puts = (frames.PUT, frames.BATCH_PUT)
+        newest.tombstone_bytes = 0
+        puts = (framing.PUT, framing.BATCH_PUT)
         for segment, at, length, _, kind, number, key in self.replay():
             if kind in puts:
-                places[key] = ((number << BITS | segment.number) << BITS | at) << BITS | length
+                locations[key] = (
+                    (number << FIELD_BITS | segment.number) << FIELD_BITS | at
+                ) << FIELD_BITS | length
             else:
-                places.pop(key, None)
+                locations.pop(key, None)
                 if segment is newest:  # of sealed ones, a newer head or the checkpoint tells
-                    segment.tombs += length
-        sums = sum_up(places)
+                    segment.tombstone_bytes += length
+        sums = total_locations(locations)
         if point is not None:
             sizes = {each.number: each.size for each in self.segments}
-            if not sums.live.keys() <= sizes.keys():
-                strays = [key for key, where in places.items() if segment_of(where) not in sizes]
+            if not sums.live_bytes.keys() <= sizes.keys():
+                strays = [key for key, where in locations.items() if segment_of(where) not in sizes]
                 for key in strays:  # their segment went since: a value that had expired is dropped with it
-                    if expired(places[key], now):
-                        del places[key]
-                sums = sum_up(places)
+                    if expired(locations[key], now):
+                        del locations[key]
+                sums = total_locations(locations)
             if any(end > sizes.get(number, -1) for number, end in sums.ends.items()):
                 self.point = None
                 return self.entries(now)
-        return places, sums
+        return locations, sums
 
     def unsealed(self) -> bool:
         """Must what is in doubt be written anew before anything else rests on it? So with a segment's going,
@@ -268,10 +276,10 @@
         newest = self.segments[-1]
         kept = []
         for offset, length in self.tail.in_doubt() if self.tail else []:
-            body = frames.whole_frame(self.disk.read(newest.file, offset, length), newest.salt, offset)
+            body = framing.decode_frame(self.disk.read(newest.file, offset, length), newest.salt, offset)
             if body is None:
-                raise DamagedError([Finding(newest.name, offset, "reads otherwise than a moment ago")])
-            _, kind, _, number, key, value = frames.decode_body(body)
+                raise CorruptDataError([Finding(newest.name, offset, "reads otherwise than a moment ago")])
+            _, kind, _, number, key, value = framing.decode_body(body)
             kept.append((kind, number, key, bytes(value)))
         return kept
 
--- a/lichencleat/store/reserve.py
+++ b/lichencleat/store/reserve.py
@@ -9,7 +9,7 @@
 from lichencleat.store import recovery
 from lichencleat.store.log import DISK_FULL, Log
 
-AGAIN = 30_000_000  # µs between tries to take the room again
+RETRY_INTERVAL_US = 30_000_000  # µs between tries to take the room again
 ZEROS = bytes(1 << 20)  # what it is written with, a piece at a time
 
 
@@ -19,7 +19,7 @@
     def __init__(self, log: Log) -> None:
         self.log = log
         self.file: Any = None  # while it is being written
-        self.tried = -AGAIN  # µs: when that was begun last
+        self.tried = -RETRY_INTERVAL_US  # µs: when that was begun last
         self.held = 0  # bytes of the file that gives its room when the disk is full
 
     def find(self, names: Sequence[str]) -> None:
@@ -32,7 +32,7 @@
             finally:
                 disk.close(file)
 
-    def lend(self, call: Callable[..., Any], *args: Any) -> Any:
+    def run_with_reserve(self, call: Callable[..., Any], *args: Any) -> Any:
         """Does the call; where it finds the disk full, once more with the reserve's room. Raises OSError."""
         try:
             return call(*args)
@@ -52,7 +52,11 @@
 
     def missing(self) -> bool:
         most = self.log.most
-        return most.reserve and self.held < most.reserve_bytes and self.log.time - self.tried >= AGAIN
+        return (
+            most.keep_reserve
+            and self.held < most.reserve_bytes
+            and self.log.time - self.tried >= RETRY_INTERVAL_US
+        )
 
     def begin(self) -> None:
         with contextlib.suppress(FileNotFoundError):
--- a/lichencleat/store/segments.py
+++ b/lichencleat/store/segments.py
@@ -9,7 +9,7 @@
 from crc32c import crc32c
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.store import frames
+from lichencleat.store import framing
 
 NAME = "{:012d}.log"  # of a segment's file, by its number
 NEW = "segment.new"  # a segment before it has its name; worth nothing after a cut
@@ -31,7 +31,7 @@
 
     def weight(self) -> int:
         """Bytes of its frame at the most."""
-        return frames.FRAME_EXTRA + len(self.key) + len(self.value)
+        return framing.MAX_FRAME_OVERHEAD_BYTES + len(self.key) + len(self.value)
 
 
 class Segment:
@@ -41,32 +41,32 @@
         "number",
         "file",
         "size",
-        "first",
-        "end",
+        "first_sequence",
+        "last_sequence",
         "salt",
-        "start",
-        "through",
-        "tombs",
-        "users",
-        "gone",
-        "damaged",
-        "waste",
+        "data_start",
+        "flushed_through",
+        "tombstone_bytes",
+        "reference_count",
+        "is_removed",
+        "is_damaged",
+        "void_bytes",
     )
 
     def __init__(self, number: int, file: Any, salt: int, start: int, first: int) -> None:
         self.number = number
         self.file = file
         self.salt = salt  # checksum of the file's salt
-        self.start = start  # bytes: where the frames after the head begin
-        self.first = first  # sequence of its first frame
+        self.data_start = start  # bytes: where the frames after the head begin
+        self.first_sequence = first  # sequence of its first frame
         self.size = start  # bytes that count; what stands behind them is void
-        self.end = first - 1  # sequence of the last frame that counts
-        self.through = first - 1  # what its head says was flushed before it got its name
-        self.tombs = 0  # bytes of tombstones in it
-        self.users = 0  # readers and snapshots that need the file
-        self.gone = False
-        self.damaged = False  # cleaning met bytes that are no frame: it stays as it is
-        self.waste = 0  # bytes behind those that count
+        self.last_sequence = first - 1  # sequence of the last frame that counts
+        self.flushed_through = first - 1  # what its head says was flushed before it got its name
+        self.tombstone_bytes = 0  # bytes of tombstones in it
+        self.reference_count = 0  # readers and snapshots that need the file
+        self.is_removed = False
+        self.is_damaged = False  # cleaning met bytes that are no frame: it stays as it is
+        self.void_bytes = 0  # bytes behind those that count
 
     @property
     def name(self) -> str:
@@ -74,32 +74,41 @@
 
     def older(self) -> tuple[int, int, int, int]:
         """As a newer segment's head tells of it."""
-        return self.number, self.end, self.size, self.tombs
+        return self.number, self.last_sequence, self.size, self.tombstone_bytes
 
 
 def head(store: bytes, segment: Segment, salt: bytes, time: int, older: Sequence[Segment]) -> bytes:
     body = msgspec.msgpack.encode(
-        (store, segment.number, segment.first, segment.through, time, [each.older() for each in older])
+        (
+            store,
+            segment.number,
+            segment.first_sequence,
+            segment.flushed_through,
+            time,
+            [each.older() for each in older],
+        )
+    )
+    return framing.encode_file_header(framing.LOG_MAGIC, salt) + framing.frame(
+        segment.salt, framing.FILE_HEADER_BYTES, body
     )
-    return frames.file_head(frames.LOG_MAGIC, salt) + frames.frame(segment.salt, frames.FILE_HEAD, body)
 
 
-def read_head(read: frames.Read, file: Any, name: str) -> tuple[Segment, Head] | None:
+def read_head(read: framing.Read, file: Any, name: str) -> tuple[Segment, Head] | None:
     """A segment as its own head tells, or None where that is not whole. Raises UnfitError for a newer
     format.
     """
-    salt = frames.read_file_head(read(0, frames.FILE_HEAD), frames.LOG_MAGIC, name)
+    salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.LOG_MAGIC, name)
     if salt is None:
         return None
     salt_sum = crc32c(salt)
-    size = frames.FILE_HEAD + frames.BODY_MOST
-    for offset, length, body in frames.bodies(read, frames.FILE_HEAD, size, salt_sum):
+    size = framing.FILE_HEADER_BYTES + framing.MAX_BODY_BYTES
+    for offset, length, body in framing.iter_frames(read, framing.FILE_HEADER_BYTES, size, salt_sum):
         try:
             told = decode_head(body)
         except UNDECODABLE:
             return None
         segment = Segment(told[1], file, salt_sum, offset + length, told[2])
-        segment.through = told[3]
+        segment.flushed_through = told[3]
         return (segment, told) if segment.name == name else None
     return None
 
@@ -113,14 +122,14 @@
     """
     at, salt = segment.size, segment.salt
     parts: list[bytes] = []
-    places: list[tuple[int, int]] = []
+    locations: list[tuple[int, int]] = []
     for record in records:
-        body = frames.encode_any(
+        body = framing.encode_any(
             (sequence, record.kind, sequence - floor, record.number, record.key, record.value)
         )
-        data = frames.frame(salt, at, body)
+        data = framing.frame(salt, at, body)
         parts.append(data)
-        places.append((at, len(data)))
+        locations.append((at, len(data)))
         at += len(data)
         sequence += 1
-    return b"".join(parts), places
+    return b"".join(parts), locations
--- a/lichencleat/store/store.py
+++ b/lichencleat/store/store.py
@@ -18,21 +18,21 @@
 
 from lichencleat.store import errors as bounds
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk, RealDisk
-from lichencleat.store.engine import STEP, Engine
+from lichencleat.store.engine import STEP_BYTES, Engine
 from lichencleat.store.errors import ClosedError, FullError, StoreError
 from lichencleat.store.index import Snapshot
-from lichencleat.store.reads import CHUNK
-from lichencleat.store.room import Bounds
-
-QUEUE_MOST = 4_096  # batches that wait for the writer: some 20 groups on a disk that flushes in 1 ms
-QUEUE_BYTES = 64 << 20  # of these batches
-GROUP_MOST = 512  # batches that one flush confirms: what one group keeps the next one waiting, some ms
-GROUP_BYTES = 4 << 20  # of these, unless one batch alone has more
-READS_MOST = 1_024  # reads under way or waiting for a thread
-READERS = 2  # threads: more would only wait for the interpreter's lock
-REST = 1.0  # s until upkeep is looked at again when there was none, or when it failed
-BUSY = 16  # groups that are written, at the most, before a step of upkeep has its turn
+from lichencleat.store.reader import CHUNK_ENTRIES
+
+MAX_QUEUED_BATCHES = 4_096  # batches that wait for the writer: some 20 groups on a disk that flushes in 1 ms
+MAX_QUEUED_BYTES = 64 << 20  # of these batches
+MAX_GROUP_BATCHES = 512  # batches that one flush confirms: what one group keeps the next one waiting, some ms
+MAX_GROUP_BYTES = 4 << 20  # of these, unless one batch alone has more
+MAX_READS = 1_024  # reads under way or waiting for a thread
+READER_THREADS = 2  # threads: more would only wait for the interpreter's lock
+MAINTENANCE_INTERVAL_S = 1.0  # s until upkeep is looked at again when there was none, or when it failed
+MAX_GROUPS_BETWEEN_STEPS = 16  # groups that are written, at the most, before a step of upkeep has its turn
 
 Work = Callable[..., "Deferred[Any]"]
 """Calls a function with its arguments where it may wait for the disk; gives what it returns or raises."""
@@ -46,7 +46,7 @@
     def callFromThread(self, call: Callable, *args: Any) -> None: ...
 
 
-class Waiting:
+class QueuedBatch:
     """A batch in the queue. Its Deferred fires once: with None when it is confirmed, with a StoreError when
     not.
     """
@@ -62,15 +62,15 @@
     """Owns the engine; `close` gives everything back. All methods are called in the reactor's thread."""
 
     def __init__(
-        self, reactor: IReactorThreads, engine: Engine, write: Work, read: Work, upkeep: bool = True
+        self, reactor: IReactorThreads, engine: Engine, write: Work, read: Work, maintenance: bool = True
     ) -> None:
-        """`write` does one call after another, `read` may do several at once. Without `upkeep`, who owns it
+        """`write` does one call after another, `read` may do several at once. Without `maintenance`, who owns it
         calls `step`.
         """
         self.reactor, self.engine = reactor, engine
-        self.in_writer, self.in_reader = write, read
-        self.upkeep = upkeep
-        self.queue: deque[Waiting] = deque()
+        self.run_in_writer, self.run_in_reader = write, read
+        self.maintenance = maintenance
+        self.queue: deque[QueuedBatch] = deque()
         self.queued_bytes = 0
         self.reads = 0
         self.writing = False  # a group or a step is under way
@@ -79,8 +79,8 @@
         self.again: Any = None  # the timer of the next look at upkeep
         self.closing: Deferred[None] | None = None
         self.ended: Callable[[], None] = lambda: None  # gives the threads back
-        self.last_trouble = ""  # what upkeep failed with last
-        self.pull()
+        self.last_error = ""  # what upkeep failed with last
+        self.start_next_write()
 
     # -- writing -----------------------------------------------------------------------------------
 
@@ -99,46 +99,50 @@
         """
         if self.closing is not None:
             return fail(ClosedError("the store is closed"))
-        if len(self.queue) >= QUEUE_MOST or self.queued_bytes + batch.bytes > QUEUE_BYTES:
-            return fail(FullError(bounds.QUEUE, f" ({QUEUE_MOST}, {QUEUE_BYTES} bytes)"))
-        waiting = Waiting(batch)
+        if len(self.queue) >= MAX_QUEUED_BATCHES or self.queued_bytes + batch.bytes > MAX_QUEUED_BYTES:
+            return fail(FullError(bounds.QUEUE, f" ({MAX_QUEUED_BATCHES}, {MAX_QUEUED_BYTES} bytes)"))
+        waiting = QueuedBatch(batch)
         self.queue.append(waiting)
         self.queued_bytes += batch.bytes
-        self.pull()
+        self.start_next_write()
         return waiting.told
 
-    def pull(self) -> None:
+    def start_next_write(self) -> None:
         """Gives the writer its next call, if it has none: a group, a step of upkeep, or the closing."""
         if self.writing:
             return
-        turn = self.upkeep and self.groups_since >= BUSY and self.closing is None
+        turn = self.maintenance and self.groups_since >= MAX_GROUPS_BETWEEN_STEPS and self.closing is None
         if self.queue and not turn:
             self.groups_since += 1
             group = self.take()
             self.writing = True
-            self.in_writer(self.engine.commit, [each.batch for each in group]).addBoth(self.settle, group)
+            self.run_in_writer(self.engine.commit, [each.batch for each in group]).addBoth(
+                self.on_group_committed, group
+            )
         elif self.closing is not None:
             self.writing = True
-            self.in_writer(self.engine.close).addBoth(self.end)
-        elif self.upkeep and (turn or not self.idle):
+            self.run_in_writer(self.engine.close).addBoth(self.end)
+        elif self.maintenance and (turn or not self.idle):
             self.groups_since = 0
             self.writing = True
-            self.in_writer(self.engine.step, STEP).addBoth(self.stepped)
+            self.run_in_writer(self.engine.step, STEP_BYTES).addBoth(self.on_step_done)
 
-    def take(self) -> list[Waiting]:
-        group: list[Waiting] = []
+    def take(self) -> list[QueuedBatch]:
+        group: list[QueuedBatch] = []
         size = 0
-        while self.queue and len(group) < GROUP_MOST:
+        while self.queue and len(group) < MAX_GROUP_BATCHES:
             size += self.queue[0].batch.bytes
-            if group and size > GROUP_BYTES:
+            if group and size > MAX_GROUP_BYTES:
                 break
             group.append(self.queue.popleft())
             self.queued_bytes -= group[-1].batch.bytes
         return group
 
-    def settle(self, verdicts: list[StoreError | None] | Failure, group: list[Waiting]) -> None:
+    def on_group_committed(
+        self, verdicts: list[StoreError | None] | Failure, group: list[QueuedBatch]
+    ) -> None:
         self.writing = False
-        self.pull()  # the disk first: who is told now writes again in the next group
+        self.start_next_write()  # the disk first: who is told now writes again in the next group
         for at, each in enumerate(group):
             verdict = verdicts if isinstance(verdicts, Failure) else verdicts[at]
             if verdict is None:
@@ -146,33 +150,33 @@
             else:
                 each.told.errback(verdict)
 
-    def stepped(self, left: int | Failure) -> None:
+    def on_step_done(self, left: int | Failure) -> None:
         self.writing = False
         self.idle = isinstance(left, Failure) or left == 0
         if isinstance(left, Failure):
-            self.last_trouble = left.getErrorMessage()
+            self.last_error = left.getErrorMessage()
         if self.idle and self.again is None and self.closing is None:
-            self.again = self.reactor.callLater(REST, self.look)
-        self.pull()
+            self.again = self.reactor.callLater(MAINTENANCE_INTERVAL_S, self.on_maintenance_timer)
+        self.start_next_write()
 
-    def look(self) -> None:
+    def on_maintenance_timer(self) -> None:
         self.again = None
         self.idle = False
-        self.pull()
+        self.start_next_write()
 
-    def step(self, budget: int = STEP) -> Deferred[int]:
+    def step(self, budget: int = STEP_BYTES) -> Deferred[int]:
         """One piece of upkeep, for an owner that drives it itself; bytes left, 0 where nothing is left to
         do.
         """
         if self.closing is not None:
             return succeed(0)
-        return self.in_writer(self.engine.step, budget)
+        return self.run_in_writer(self.engine.step, budget)
 
     # -- reading -----------------------------------------------------------------------------------
 
     def get(self, key: bytes) -> Deferred[bytes | None]:
         """The value, or None. Fails with DamagedError, or with FullError where too many reads wait."""
-        return self.reading(self.engine.get, key)
+        return self.submit_read(self.engine.get, key)
 
     def snapshot(self) -> Snapshot:
         """The entries as confirmed now; give it back with `release`. Raises FullError, ClosedError."""
@@ -182,24 +186,24 @@
         self.engine.release(snapshot)
 
     def chunk(
-        self, snapshot: Snapshot, cursor: bytes = b"", prefix: bytes = b"", most: int = CHUNK
+        self, snapshot: Snapshot, cursor: bytes = b"", prefix: bytes = b"", most: int = CHUNK_ENTRIES
     ) -> Deferred[list[tuple[bytes, bytes]]]:
         """Up to `most` keys and values in order from `cursor` on; the last chunk is empty."""
-        return self.reading(self.engine.chunk, snapshot, cursor, prefix, most)
+        return self.submit_read(self.engine.chunk, snapshot, cursor, prefix, most)
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
         """All at once, waiting for the disk: for programs without a reactor to keep free."""
         return self.engine.scan(prefix)
 
-    def reading(self, call: Callable, *args: Any) -> Deferred[Any]:
+    def submit_read(self, call: Callable, *args: Any) -> Deferred[Any]:
         if self.closing is not None:
             return fail(ClosedError("the store is closed"))
-        if self.reads >= READS_MOST:
-            return fail(FullError(bounds.READS, f" ({READS_MOST})"))
+        if self.reads >= MAX_READS:
+            return fail(FullError(bounds.READS, f" ({MAX_READS})"))
         self.reads += 1
-        return self.in_reader(call, *args).addBoth(self.has_read)
+        return self.run_in_reader(call, *args).addBoth(self.on_read_done)
 
-    def has_read(self, result: Any) -> Any:
+    def on_read_done(self, result: Any) -> Any:
         self.reads -= 1
         return result
 
@@ -212,7 +216,7 @@
             if self.again is not None:
                 self.again.cancel()
                 self.again = None
-            self.pull()
+            self.start_next_write()
         told: Deferred[None] = Deferred()
         self.closing.addBoth(lambda result: told.callback(None) or result)
         return told
@@ -236,9 +240,9 @@
     path: str,
     clock: Callable[[], int],
     rng: random.Random,
-    most: Bounds | None = None,
+    most: StoreLimits | None = None,
     create: bool = True,
-    upkeep: bool = True,
+    maintenance: bool = True,
     disk: Disk | None = None,
 ) -> Deferred[Store]:
     """The store in that directory, opened off the reactor's thread. Fails with UnfitError, DamagedError,
@@ -248,7 +252,7 @@
     `close`.
     """
     writers = ThreadPool(1, 1, "store-writer")
-    readers = ThreadPool(0, READERS, "store-reader")
+    readers = ThreadPool(0, READER_THREADS, "store-reader")
     writers.start()
     readers.start()
 
@@ -260,7 +264,7 @@
         return Engine.open(disk or RealDisk(path, create), clock, rng, most, create, path)
 
     def made(engine: Engine) -> Store:
-        store = Store(reactor, engine, in_pool(reactor, writers), in_pool(reactor, readers), upkeep)
+        store = Store(reactor, engine, in_pool(reactor, writers), in_pool(reactor, readers), maintenance)
         store.ended = stop
         return store
 
--- a/lichencleat/store/faulty.py
+++ b/lichencleat/testkit/faulty_disk.py
@@ -35,7 +35,7 @@
         self.now += data
 
     def flush(self) -> None:
-        self.flushed = patched(self.flushed, self.pending)
+        self.flushed = apply_writes(self.flushed, self.pending)
         self.pending = []
 
     def after_cut(self, choose: Choose) -> bytes:
@@ -46,10 +46,10 @@
                 kept.append((at, data))
             elif fate == 2 and len(data) > 1:
                 kept.append((at, data[: 1 + choose(len(data) - 1)]))
-        return patched(self.flushed, kept)
+        return apply_writes(self.flushed, kept)
 
 
-def patched(flushed: bytes, writes: list[tuple[int, bytes]]) -> bytes:
+def apply_writes(flushed: bytes, writes: list[tuple[int, bytes]]) -> bytes:
     data = bytearray(flushed)
     for at, piece in writes:
         data.extend(bytes(max(0, at + len(piece) - len(data))))  # a hole reads as zeros
@@ -73,7 +73,9 @@
         self.calls: list[str] = []
         self.off = False
         self.locked = False
-        self.spared: set[str] = set()  # calls that are made to do nothing: a mutant's left-out flush, say
+        self.skipped_calls: set[str] = (
+            set()
+        )  # calls that are made to do nothing: a mutant's left-out flush, say
         self.open_files = 0
 
     # -- faults ------------------------------------------------------------------------------------
@@ -171,7 +173,7 @@
 
     def flush(self, file: Content) -> None:
         fault = self.called("flush")
-        if "flush" in self.spared:
+        if "flush" in self.skipped_calls:
             return
         if fault > 0:
             file.lost += file.pending
@@ -182,7 +184,7 @@
 
     def flush_directory(self) -> None:
         fault = self.called("flush_directory")
-        if "flush_directory" in self.spared:
+        if "flush_directory" in self.skipped_calls:
             return
         for pending in self.pending_names:
             self.apply(self.flushed_names, *pending)
--- a/lichencleat/testkit/simulation/group.py
+++ b/lichencleat/testkit/simulation/group.py
@@ -29,16 +29,16 @@
     What,
 )
 from lichencleat.consensus.voter import Voter
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
-from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
-from lichencleat.store.room import Bounds
 from lichencleat.testkit.checkers.group import GroupWatch
+from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock, Timer
 from lichencleat.testkit.simulation.network import Network
 
 FLUSH = (100, 1_200)  # µs that a write and its flush take on a disk in good health
-SMALL = Bounds(segment_bytes=64 << 10, disk_bytes=4 << 20, reserve=False)
+SMALL = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=4 << 20, keep_reserve=False)
 UPKEEP_EACH = 20  # commits from one round of the store's upkeep to the next
 
 Answer = Callable[[Any], None]
--- a/tests/config_distribution/test_kept.py
+++ b/tests/config_distribution/test_kept.py
@@ -14,14 +14,14 @@
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import PAGES, Batch, Change
 from lichencleat.store.batch import Batch as Stored
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
-from lichencleat.store.errors import DamagedError, Finding, StoreError, UnfitError
-from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
-from lichencleat.store.room import Bounds
+from lichencleat.store.errors import CannotOpenError, CorruptDataError, Finding, StoreError
 from lichencleat.store.store import Store
+from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 
 SECOND = 1_000_000
-BOUNDS = Bounds(segment_bytes=64 << 10, disk_bytes=8 << 20, reserve=False)
+BOUNDS = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=8 << 20, keep_reserve=False)
 
 
 @pytest.fixture(autouse=True)
@@ -61,7 +61,7 @@
     def __init__(self, disk, group="", seed=1):
         self.disk, self.hands, self.clock, self.lines = disk, Hands(), Clock(), []
         engine = Engine.open(disk, lambda: 5 * SECOND, random.Random(seed), BOUNDS, create=True)
-        self.store = Store(self.clock, engine, self.hands, self.hands, upkeep=False)
+        self.store = Store(self.clock, engine, self.hands, self.hands, maintenance=False)
         self.kept: Kept = result(made_kept(self.clock, self.store, group, self.lines.append))
 
     def load(self):
@@ -327,7 +327,7 @@
 
         def broken(key, get=get, lost=lost):
             if key == lost:
-                raise DamagedError([Finding("1.log", 7, "not whole")])
+                raise CorruptDataError([Finding("1.log", 7, "not whole")])
             return get(key)
 
         monkeypatch.setattr(life.store.engine, "get", broken)
@@ -371,18 +371,18 @@
     engine.commit([Stored().put(b"key", b"value")])
     engine.close()
     image = disk.image()
-    with pytest.raises(UnfitError, match="something else"):
+    with pytest.raises(CannotOpenError, match="something else"):
         Life(disk)
     assert disk.image() == image and not disk.locked
     disk = FaultyDisk()
     Life(disk, "fleet").stop()
-    with pytest.raises(UnfitError, match="'fleet'"):
+    with pytest.raises(CannotOpenError, match="'fleet'"):
         Life(disk, "other")
     Life(disk, "fleet").stop()
     life = Life(disk)
     result(life.store.commit(Stored().put(module.HEAD, module.encode((2, "", b"", 0, b"", b"", 0, 0)))))
     life.store.close()
-    with pytest.raises(UnfitError, match="format 2"):
+    with pytest.raises(CannotOpenError, match="format 2"):
         Life(disk)
 
 
@@ -427,7 +427,7 @@
     for version in range(1, 9):
         kept.wrote(table, (step(table, version),))
     reactor.until(kept.close())
-    assert opened("other").check(UnfitError)
+    assert opened("other").check(CannotOpenError)
     again = opened("fleet")
     loaded, _, recent = reactor.until(again.load())
     assert same(loaded, table) and recent[-1].version == 8
--- a/tests/consensus/test_pieces.py
+++ b/tests/consensus/test_pieces.py
@@ -28,15 +28,15 @@
 )
 from lichencleat.consensus.voter import Voter
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
-from lichencleat.store.errors import DamagedError, FullError, StoreError
-from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
-from lichencleat.store.room import Bounds
+from lichencleat.store.errors import CorruptDataError, FullError, StoreError
 from lichencleat.store.store import Store
+from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 
 GROUP = Group((Member(1, "v1", "h", 1),))
 SMALL = 1_000  # bytes of a piece in these tests
-BOUNDS = Bounds(segment_bytes=64 << 10, disk_bytes=4 << 20)
+BOUNDS = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=4 << 20)
 
 
 def opened(disk):
@@ -177,12 +177,12 @@
     write(engine, journal, save)
     assert Journal(SMALL).load(engine.get).snapshot == save.snapshot
     spoil(engine)
-    with pytest.raises(DamagedError, match="piece"):
+    with pytest.raises(CorruptDataError, match="piece"):
         Journal(SMALL).load(engine.get)
 
 
 def test_a_snapshot_larger_than_any_batch_of_the_store_goes_in_and_out():
-    most = Bounds(segment_bytes=8 << 20, disk_bytes=256 << 20)
+    most = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20)
     engine = Engine.open(FaultyDisk(), lambda: 1, random.Random(1), most, create=True)
     large = Snapshot(3, 1, GROUP, random.Random(1).randbytes(1 << 20) * 33)  # 33 MiB; a batch has 32 at most
     write(engine, Journal(), Save(1, 1, 1, 4, (), 3, 3, large))
@@ -247,7 +247,7 @@
         except StoreError as wrong:
             return fail(wrong)
 
-    store = Store(clock, engine, at_once, at_once, upkeep=False)
+    store = Store(clock, engine, at_once, at_once, maintenance=False)
     saves = Saves(store, Journal(SMALL), done.append, failed.append)
     for save in SAVES[:3]:
         saves.write(save)
--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -23,8 +23,8 @@
 from lichencleat.consensus.wire import Request, raw
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, StoreError
-from lichencleat.store.faulty import FaultyDisk
 from lichencleat.store.store import Store
+from lichencleat.testkit.faulty_disk import FaultyDisk
 
 decode = msgspec.msgpack.decode
 
@@ -104,7 +104,7 @@
     me = Member(5, "v1", "10.0.0.1", 1, True, "z1")
     if engine.get(b"t") is None:
         assert engine.commit([Journal().found(founded(Group((me,))))]) == [None]
-    store, said = Store(reactor, engine, at_once, at_once, upkeep=False), []
+    store, said = Store(reactor, engine, at_once, at_once, maintenance=False), []
     log = SimpleNamespace(
         info=lambda event, **more: said.append(event), warning=lambda event, **more: said.append(event)
     )
--- a/tests/consensus/test_state.py
+++ b/tests/consensus/test_state.py
@@ -13,8 +13,8 @@
 from lichencleat.consensus.terms import Entry, Group, Member, Save, Snapshot, What
 from lichencleat.store.batch import Batch
 from lichencleat.store.engine import Engine
-from lichencleat.store.errors import DamagedError
-from lichencleat.store.faulty import FaultyDisk
+from lichencleat.store.errors import CorruptDataError
+from lichencleat.testkit.faulty_disk import FaultyDisk
 
 GROUP = Group((Member(1, "v1", "h", 1),))
 
@@ -116,7 +116,7 @@
     engine, journal = opened(FaultyDisk()), Journal()
     saved(engine, journal, Save(1, 1, 0, 1, (Entry(1, 0), Entry(1, 0)), 2, 0))
     engine.commit([Batch().delete(entry_key(1))])
-    with pytest.raises(DamagedError, match="an entry that was confirmed is missing"):
+    with pytest.raises(CorruptDataError, match="an entry that was confirmed is missing"):
         Journal().load(engine.get)
 
 
--- a/tests/idempotency/keyed_life.py
+++ b/tests/idempotency/keyed_life.py
@@ -11,12 +11,12 @@
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.host import Case, Host
 from lichencleat.node.report import Report
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
-from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
-from lichencleat.store.room import Bounds
 from lichencleat.store.store import Store
 from lichencleat.terms import Effect, Machine, Outcome, Request, Tariff
+from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 
 SECOND = 1_000_000
 LOOK = Tariff("look", soft_limit=2 * SECOND, hard_limit=6 * SECOND)
@@ -111,11 +111,13 @@
         self.host.begin(False)
         self.hands = Hands()
         try:
-            engine = Engine.open(world.disk, self.clock, random.Random(1), Bounds(64 << 10, 8 << 20), True)
+            engine = Engine.open(
+                world.disk, self.clock, random.Random(1), StoreLimits(64 << 10, 8 << 20), True
+            )
         except (StoreError, PowerCutError, OSError):
             self.refused = "no store"
             return
-        self.store = Store(reactor, engine, self.hands, self.hands, upkeep=False)
+        self.store = Store(reactor, engine, self.hands, self.hands, maintenance=False)
         self.started = self.keeper.start(self.store, self.place)
         self.started.addErrback(self.cant)
         self.interpreter_age = interpreter_age
--- a/tests/idempotency/test_keyed.py
+++ b/tests/idempotency/test_keyed.py
@@ -8,9 +8,9 @@
 from lichencleat.idempotency.book import ENTRY_COST, LATE, READ_LATE, Book, Told
 from lichencleat.idempotency.keeper import PARKED_MOST
 from lichencleat.idempotency.records import Entry, State
-from lichencleat.store.faulty import FaultyDisk
 from lichencleat.testkit.explore_keyed import MISTAKES, play
 from lichencleat.testkit.explore_keyed import World as Explored
+from lichencleat.testkit.faulty_disk import FaultyDisk
 
 SECOND = 1_000_000
 KEY, BODY = b"k" * 16, b"b" * 16
--- a/tests/store/every_byte.py
+++ b/tests/store/every_byte.py
@@ -18,16 +18,16 @@
 
 import click
 
-from lichencleat.store.checkers import History
-from lichencleat.store.errors import DamagedError, StoreError, UnfitError
-from lichencleat.store.faulty import FaultyDisk
+from lichencleat.store.capacity import StoreLimits
+from lichencleat.store.errors import CannotOpenError, CorruptDataError, StoreError
 from lichencleat.store.index import length_of, offset_of, segment_of
 from lichencleat.store.inspect import salvage
-from lichencleat.store.room import Bounds
 from lichencleat.store.segments import NAME
+from lichencleat.testkit.checkers.store_history import History
+from lichencleat.testkit.faulty_disk import FaultyDisk
 from tests.store.workload import Day
 
-LARGE = Bounds(segment_bytes=1 << 20, disk_bytes=1 << 30)
+LARGE = StoreLimits(segment_bytes=1 << 20, max_disk_bytes=1 << 30)
 
 
 class Cutter:
@@ -38,7 +38,7 @@
         self.day = Day()
         self.day.open(disk)
         self.day.run(point=point, close=False)
-        self.places = dict(self.day.engine.log.index.places)
+        self.locations = dict(self.day.engine.log.index.locations)
         if close:
             self.day.engine.close()
         self.image = disk.image()
@@ -69,7 +69,7 @@
         history.confirmed = self.confirmed_at(lengths)
         try:
             engine = self.day.open(FaultyDisk(files), create=False)
-        except (DamagedError, UnfitError) as told:
+        except (CorruptDataError, CannotOpenError) as told:
             self.outcomes["told as damaged"] += 1
             # a segment's going is noted in the newest one: with that cut off, the one that went is missing
             went = "is part of the store" in str(told) and self.logs[-1] in lengths
@@ -85,13 +85,13 @@
         into = FaultyDisk()
         try:
             salvage(FaultyDisk(files), into, lambda: self.day.now, random.Random(1), "old", "new", LARGE)
-        except UnfitError:
+        except CannotOpenError:
             return None if not any(length for length in lengths.values()) else f"{lengths}: not salvaged"
         found = dict(self.day.open(into).scan())
         if strangers := set(found.items()) - self.ever:
             return f"{lengths}: salvage made up {strangers}"
         now = self.day.now
-        for key, where in self.places.items():
+        for key, where in self.locations.items():
             name, end = NAME.format(segment_of(where)), offset_of(where) + length_of(where)
             expiry = where >> 96
             if key in self.in_batches:
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -6,11 +6,11 @@
 
 import pytest
 
-from lichencleat.store import frames
-from lichencleat.store.errors import DamagedError, FullError, StoreError, UnfitError
-from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance, every_choice
+from lichencleat.store import framing
+from lichencleat.store.errors import CannotOpenError, CorruptDataError, FullError, StoreError
 from lichencleat.store.index import length_of, offset_of, segment_of
 from lichencleat.store.segments import NAME, Record, encode
+from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance, every_choice
 from tests.store.workload import SECOND, Day, count_calls, start_until_cut
 
 CALLS = count_calls()
@@ -108,12 +108,12 @@
         assert violations(after_cuts(disk, 2), day) == [], disk.calls[call]
 
 
-@pytest.mark.parametrize("spared", ["flush", "flush_directory"])
-def test_the_faulty_disk_shows_a_store_that_leaves_out_a_flush(spared):
+@pytest.mark.parametrize("skipped_calls", ["flush", "flush_directory"])
+def test_the_faulty_disk_shows_a_store_that_leaves_out_a_flush(skipped_calls):
     broken = 0
     for call in range(0, CALLS, 5):
         disk = FaultyDisk()
-        disk.spared = {spared}
+        disk.skipped_calls = {skipped_calls}
         disk.faults = {call: FaultyDisk.CUT}
         day = Day()
         start_until_cut(day, disk)
@@ -181,7 +181,7 @@
                 engine = day.open(flipped, create=False)
             except StoreError as wrong:
                 told += 1
-                if isinstance(wrong, DamagedError):
+                if isinstance(wrong, CorruptDataError):
                     assert wrong.findings[0].file in (name, "STORE")
                 continue
             # the last flush alone can't be told from one that never ended
@@ -195,16 +195,16 @@
     day = Day()
     day.open(disk)
     day.run(close=False)
-    where = day.engine.log.index.places[b"k3"]
+    where = day.engine.log.index.locations[b"k3"]
     name = NAME.format(segment_of(where))
     day.engine.close()
     image = disk.image()
     data = bytearray(image[name])
     data[offset_of(where) + length_of(where) - 1] ^= 4
     engine = day.open(FaultyDisk({**image, name: bytes(data)}))
-    with pytest.raises(DamagedError, match=name):
+    with pytest.raises(CorruptDataError, match=name):
         list(engine.scan())
-    with pytest.raises(DamagedError, match=name):
+    with pytest.raises(CorruptDataError, match=name):
         engine.get(b"k3")
     assert engine.get(b"after") == b"the checkpoint"
 
@@ -230,18 +230,20 @@
     day = Day()
     engine = day.open(disk)
     bodies = [
-        (frames.BATCH_PUT, 0, b"no commit", b""),
-        (frames.COMMIT, 2, b"", b""),
-        (frames.BATCH_PUT, 0, b"whole", b""),
-        (frames.COMMIT, 1, b"", b""),
-        (frames.MARK, day.now, b"", b""),
+        (framing.BATCH_PUT, 0, b"no commit", b""),
+        (framing.COMMIT, 2, b"", b""),
+        (framing.BATCH_PUT, 0, b"whole", b""),
+        (framing.COMMIT, 1, b"", b""),
+        (framing.TIME_MARK, day.now, b"", b""),
     ]
     segment = engine.log.begin()
-    data, _ = encode([Record(*each) for each in bodies], segment, segment.first, segment.first - 1)
+    data, _ = encode(
+        [Record(*each) for each in bodies], segment, segment.first_sequence, segment.first_sequence - 1
+    )
     disk.append(segment.file, data)
-    mark = Record(frames.MARK, day.now, b"")
+    mark = Record(framing.TIME_MARK, day.now, b"")
     segment.size += len(data)
-    last = segment.first + len(bodies)
+    last = segment.first_sequence + len(bodies)
     disk.append(segment.file, encode([mark], segment, last, last - 1)[0])  # proves all before it
     assert [key for key, _ in day.open(FaultyDisk(disk.image())).scan()] == [b"whole"]
 
@@ -261,7 +263,7 @@
             disk.off, disk.faults = False, {}
             try:
                 seen = dict(day.open(disk).scan())
-            except UnfitError:
+            except CannotOpenError:
                 continue  # killed while the store was being made
             if call % 2:
                 day.history.batches = day.history.batches[: day.history.confirmed]
@@ -280,7 +282,7 @@
     day.ask((b"a", b"1", 0))
     day.now += 2 * SECOND  # so that a mark comes first, which is not written anew
     day.ask((b"a", None, 0))
-    day.engine.points.begin()
+    day.engine.checkpoint_writer.begin()
     day.upkeep()
     day.open(FaultyDisk(disk.image()))
     day.ask((b"b", b"2", 0))
--- a/tests/store/test_model.py
+++ b/tests/store/test_model.py
@@ -8,17 +8,22 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from lichencleat.store.checkers import visible
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.errors import SnapshotGoneError
-from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
-from lichencleat.store.room import Bounds
+from lichencleat.testkit.checkers.store_history import visible
+from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 from tests.store.workload import SECOND, Day
 
 keys = st.sampled_from([b"a", b"ab", b"b", b"\x00", b"\xff" * 3, b"abc"])
 values = st.one_of(st.just(b""), st.binary(max_size=60), st.just(b"\xa7\xc5" * 20))
 ttls = st.one_of(st.just(0), st.integers(1, 3 * SECOND))
-SMALL = Bounds(
-    segment_bytes=300, disk_bytes=30_000, entries=50, memory_bytes=100_000, segments=128, undo_entries=8
+SMALL = StoreLimits(
+    segment_bytes=300,
+    max_disk_bytes=30_000,
+    max_entries=50,
+    max_memory_bytes=100_000,
+    max_segments=128,
+    max_undo_entries=8,
 )
 
 
@@ -52,10 +57,10 @@
         for _ in range(steps):
             self.day.engine.step(budget)
 
-    @precondition(lambda self: self.day.engine.points.pointing is None)
+    @precondition(lambda self: self.day.engine.checkpoint_writer.in_progress is None)
     @rule()
     def checkpoint(self):
-        self.day.engine.points.begin()
+        self.day.engine.checkpoint_writer.begin()
 
     @rule(span=st.integers(-SECOND, 2 * SECOND))
     def clock_moves(self, span):
@@ -78,7 +83,7 @@
                 found += rows
                 cursor = rows[-1][0] + b"\0"
         except SnapshotGoneError:
-            assert not taken.open
+            assert not taken.is_open
         else:
             shown = visible(then, self.day.engine.log.time)
             assert found == sorted((key, value) for key, value in shown.items() if key.startswith(prefix))
@@ -90,7 +95,7 @@
             self.day.engine.release(taken)
         self.snapshots = []
         if point:
-            self.day.engine.points.begin()
+            self.day.engine.checkpoint_writer.begin()
             self.day.upkeep()
         self.day.engine.close()
         assert self.disk.open_files == 0 and not self.disk.locked
@@ -131,8 +136,8 @@
         engine = self.day.engine
         engine.log.tick()
         assert dict(engine.scan()) == self.state()
-        assert sum(engine.log.index.live.values()) == sum(
-            each & 0xFFFFFFFF for each in engine.log.index.places.values()
+        assert sum(engine.log.index.live_bytes.values()) == sum(
+            each & 0xFFFFFFFF for each in engine.log.index.locations.values()
         )
 
     def teardown(self):
--- a/tests/store/test_parts.py
+++ b/tests/store/test_parts.py
@@ -7,28 +7,34 @@
 import pytest
 from crc32c import crc32c
 
-from lichencleat.store import frames, upkeep
-from lichencleat.store.batch import BATCH_MOST, Batch
-from lichencleat.store.checkers import History
-from lichencleat.store.cleaner import Cleaning
+from lichencleat.store import framing, maintenance
+from lichencleat.store.batch import MAX_BATCH_BYTES, Batch
+from lichencleat.store.capacity import StoreLimits
+from lichencleat.store.compactor import Compaction
 from lichencleat.store.engine import Engine
-from lichencleat.store.errors import BadRecordError, DamagedError, FullError, SnapshotGoneError, UnfitError
-from lichencleat.store.faulty import FaultyDisk, every_choice
-from lichencleat.store.index import Index, expiry_of, length_of, offset_of, place, segment_of
-from lichencleat.store.reads import SNAPSHOTS_MOST
-from lichencleat.store.room import Bounds
+from lichencleat.store.errors import (
+    BadRecordError,
+    CannotOpenError,
+    CorruptDataError,
+    FullError,
+    SnapshotGoneError,
+)
+from lichencleat.store.index import Index, expiry_of, length_of, offset_of, pack_location, segment_of
+from lichencleat.store.log_tail import LogTail
+from lichencleat.store.maintenance import MaintenanceJob, MaintenanceState
+from lichencleat.store.reader import MAX_SNAPSHOTS
 from lichencleat.store.segments import Segment
-from lichencleat.store.tail import Tail
-from lichencleat.store.upkeep import Facts, Job
+from lichencleat.testkit.checkers.store_history import History
+from lichencleat.testkit.faulty_disk import FaultyDisk, every_choice
 
 SALT = crc32c(b"salt")
 SECOND = 1_000_000
 
 
-def log(*bodies, start=0):
+def log(*iter_frames, start=0):
     data = b""
-    for body in bodies:
-        data += frames.frame(SALT, start + len(data), frames.encode_any(body))
+    for body in iter_frames:
+        data += framing.frame(SALT, start + len(data), framing.encode_any(body))
     return data
 
 
@@ -36,14 +42,16 @@
     return lambda offset, length: data[offset : offset + length]
 
 
-BODIES = [(n, frames.PUT, 1, 0, b"k%d" % n, b"v" * n) for n in range(1, 30)]
+BODIES = [(n, framing.PUT, 1, 0, b"k%d" % n, b"v" * n) for n in range(1, 30)]
 
 
 @pytest.mark.parametrize("window", [12, 40, 1 << 20])
 def test_frames_are_read_whatever_the_window(window, monkeypatch):
-    monkeypatch.setattr(frames, "WINDOW", window)
+    monkeypatch.setattr(framing, "READ_WINDOW_BYTES", window)
     data = log(*BODIES)
-    found = [frames.decode_body(body) for _, _, body in frames.bodies(reader(data), 0, len(data), SALT)]
+    found = [
+        framing.decode_body(body) for _, _, body in framing.iter_frames(reader(data), 0, len(data), SALT)
+    ]
     assert [(*each[:5], bytes(each[5])) for each in found] == BODIES
 
 
@@ -52,43 +60,43 @@
     for bit in range(8 * len(data)):
         bad = bytearray(data)
         bad[bit // 8] ^= 1 << bit % 8
-        assert list(frames.bodies(reader(bytes(bad)), 0, len(bad), SALT)) == []
+        assert list(framing.iter_frames(reader(bytes(bad)), 0, len(bad), SALT)) == []
 
 
 def test_a_frame_at_another_place_or_in_another_file_is_none():
     data = log(BODIES[0])
-    assert frames.whole_frame(data, SALT, 0) is not None
-    assert frames.whole_frame(data, SALT, 1) is None
-    assert frames.whole_frame(data, SALT + 1, 0) is None
+    assert framing.decode_frame(data, SALT, 0) is not None
+    assert framing.decode_frame(data, SALT, 1) is None
+    assert framing.decode_frame(data, SALT + 1, 0) is None
 
 
 @pytest.mark.parametrize("window", [64, 1 << 20])
 def test_a_search_finds_the_frames_behind_bytes_that_are_none(window, monkeypatch):
-    monkeypatch.setattr(frames, "WINDOW", window)
+    monkeypatch.setattr(framing, "READ_WINDOW_BYTES", window)
     first, noise = log(BODIES[0]), b"\xa7\xc5" * 50 + random.Random(1).randbytes(300) + b"\xa7"
     inner = log(BODIES[1])  # a copy within a value: no frame there
     start = len(first) + len(noise) + len(inner)
     data = first + noise + inner + log(*BODIES[2:5], start=start)
-    found = [offset for offset, _, _ in frames.islands(reader(data), 1, len(data), SALT)]
+    found = [offset for offset, _, _ in framing.iter_frames_past_gaps(reader(data), 1, len(data), SALT)]
     assert found[0] == start and len(found) == 3
 
 
 def test_a_tail_proves_what_was_flushed_before_a_frame_was_written():
-    tail = Tail(first=10, through=9, offset=100)
-    assert tail.reads(100, 10, 10, frames.PUT, 1, 0)
-    assert tail.reads(110, 10, 11, frames.PUT, 2, 0)
-    assert (tail.proved, tail.proved_end, len(tail.doubt)) == (9, 100, 2)
-    assert tail.reads(120, 10, 12, frames.BATCH_PUT, 1, 0)
+    tail = LogTail(first=10, through=9, offset=100)
+    assert tail.reads(100, 10, 10, framing.PUT, 1, 0)
+    assert tail.reads(110, 10, 11, framing.PUT, 2, 0)
+    assert (tail.proved, tail.proved_end, len(tail.unproved)) == (9, 100, 2)
+    assert tail.reads(120, 10, 12, framing.BATCH_PUT, 1, 0)
     assert (tail.proved, tail.proved_end) == (11, 120)
     assert tail.in_doubt() == []  # a batch without its commit
-    assert tail.reads(130, 10, 13, frames.COMMIT, 2, 1)
+    assert tail.reads(130, 10, 13, framing.COMMIT, 2, 1)
     assert tail.in_doubt() == [(120, 10), (130, 10)]
-    assert not tail.reads(140, 10, 15, frames.PUT, 1, 0)  # a sequence is missing
+    assert not tail.reads(140, 10, 15, framing.PUT, 1, 0)  # a sequence is missing
     assert tail.lost(20, 6) and not tail.lost(20, 7)
 
 
 def test_a_place_keeps_its_four_numbers():
-    where = place(7, 1 << 31, 1 << 24, 1 << 62)
+    where = pack_location(7, 1 << 31, 1 << 24, 1 << 62)
     assert (segment_of(where), offset_of(where), length_of(where), expiry_of(where)) == (
         7,
         1 << 31,
@@ -98,99 +106,115 @@
 
 
 def test_a_snapshot_outlives_changes_up_to_its_bound():
-    index = Index(undo_most=3)
+    index = Index(max_undo_entries=3)
     for n in range(4):
-        index.put(b"%d" % n, place(1, n, 10, 0))
+        index.put(b"%d" % n, pack_location(1, n, 10, 0))
     taken = index.snapshot(4)
     index.delete(b"0")
-    index.put(b"1", place(2, 0, 10, 0))
-    index.put(b"1", place(3, 0, 10, 0))
-    index.put(b"9", place(3, 0, 10, 0))
-    assert taken.chunk(b"", b"", 9) == [(b"%d" % n, place(1, n, 10, 0)) for n in range(4)]
+    index.put(b"1", pack_location(2, 0, 10, 0))
+    index.put(b"1", pack_location(3, 0, 10, 0))
+    index.put(b"9", pack_location(3, 0, 10, 0))
+    assert taken.chunk(b"", b"", 9) == [(b"%d" % n, pack_location(1, n, 10, 0)) for n in range(4)]
     assert taken.chunk(b"1\0", b"", 9)[0][0] == b"2"
     index.delete(b"3")
-    assert not taken.open and index.snapshots == {}
+    assert not taken.is_open and index.snapshots == {}
 
 
 def test_the_chunks_of_a_snapshot_pass_over_many_newer_keys():
     index = Index()
-    index.put(b"z", place(1, 0, 1, 0))
+    index.put(b"z", pack_location(1, 0, 1, 0))
     taken = index.snapshot(1)
     for n in range(100):
-        index.put(b"a%d" % n, place(1, 0, 1, 0))
-    assert taken.chunk(b"", b"", 2) == [(b"z", place(1, 0, 1, 0))]
+        index.put(b"a%d" % n, pack_location(1, 0, 1, 0))
+    assert taken.chunk(b"", b"", 2) == [(b"z", pack_location(1, 0, 1, 0))]
 
 
-def segment(number, size, tombs=0, waste=0):
+def segment(number, size, tombstone_bytes=0, void_bytes=0):
     made = Segment(number, None, SALT, 10, number * 100)
-    made.size, made.end, made.tombs, made.waste = size, number * 100 + 99, tombs, waste
+    made.size, made.last_sequence, made.tombstone_bytes, made.void_bytes = (
+        size,
+        number * 100 + 99,
+        tombstone_bytes,
+        void_bytes,
+    )
     return made
 
 
-def facts(segments, live, **more):
-    told = {"bytes_most": 1_000_000, "reserve": 2_000, "segment_bytes": 1_000, "entries": 10}
-    told |= dict.fromkeys(("since_point", "earliest", "swept"), 0)
-    told |= dict.fromkeys(("reserve_missing", "disk_full", "thorough"), False)
+def facts(segments, live_bytes, **more):
+    told = {"max_bytes": 1_000_000, "reserve": 2_000, "segment_bytes": 1_000, "entries": 10}
+    told |= dict.fromkeys(("bytes_since_checkpoint", "earliest_expiry", "last_sweep_at"), 0)
+    told |= dict.fromkeys(("reserve_missing", "disk_full", "compact_all"), False)
     total = sum(each.size for each in segments)
-    return Facts(segments=segments, live=live, total=total, **(told | more))
+    return MaintenanceState(segments=segments, live_bytes=live_bytes, total=total, **(told | more))
 
 
 def test_a_segment_without_anything_live_goes_first_and_the_oldest_of_them():
     segments = [segment(1, 1_000), segment(2, 1_000), segment(3, 1_000)]
-    assert upkeep.victim(facts(segments, {1: 900})) is segments[1]
+    assert maintenance.pick_segment(facts(segments, {1: 900})) is segments[1]
 
 
 def test_little_garbage_is_left_alone_until_room_is_short():
     segments = [segment(n, 1_000) for n in range(1, 5)]
-    live = {1: 900, 2: 800, 3: 700, 4: 990}
-    assert upkeep.victim(facts(segments, live)) is None
-    assert upkeep.victim(facts(segments, live, bytes_most=4_500)) in segments[:3]
+    live_bytes = {1: 900, 2: 800, 3: 700, 4: 990}
+    assert maintenance.pick_segment(facts(segments, live_bytes)) is None
+    assert maintenance.pick_segment(facts(segments, live_bytes, max_bytes=4_500)) in segments[:3]
 
 
 def test_of_equal_garbage_the_older_is_cleaned():
     segments = [segment(n, 1_000) for n in range(1, 4)]
-    assert upkeep.victim(facts(segments, {1: 500, 2: 500, 3: 500})) is segments[0]
+    assert maintenance.pick_segment(facts(segments, {1: 500, 2: 500, 3: 500})) is segments[0]
 
 
 def test_many_tombstones_make_the_oldest_go_though_all_of_it_is_live():
-    segments = [segment(1, 1_000), segment(2, 1_000, tombs=400)]
-    assert upkeep.victim(facts(segments, {1: 990, 2: 590})) is segments[0]
+    segments = [segment(1, 1_000), segment(2, 1_000, tombstone_bytes=400)]
+    assert maintenance.pick_segment(facts(segments, {1: 990, 2: 590})) is segments[0]
 
 
 def test_on_a_full_disk_only_what_the_reserve_can_hold_is_cleaned():
     segments = [segment(1, 1_000), segment(2, 1_000)]
-    live = {1: 500, 2: 300}
-    assert upkeep.victim(facts(segments, live, disk_full=True, reserve=400)) is segments[1]
-    assert upkeep.victim(facts(segments, live, disk_full=True, reserve=200)) is None
+    live_bytes = {1: 500, 2: 300}
+    assert maintenance.pick_segment(facts(segments, live_bytes, disk_full=True, reserve=400)) is segments[1]
+    assert maintenance.pick_segment(facts(segments, live_bytes, disk_full=True, reserve=200)) is None
 
 
 def test_a_damaged_segment_is_left_as_it_is():
     segments = [segment(1, 1_000)]
-    segments[0].damaged = True
-    assert upkeep.next_job(facts(segments, {}), 0) is None
+    segments[0].is_damaged = True
+    assert maintenance.next_job(facts(segments, {}), 0) is None
 
 
 def test_many_small_segments_are_merged_smallest_first():
     segments = [segment(n, 20 + n) for n in range(1, 12)]
-    live = {each.number: each.size - 10 for each in segments}
-    assert upkeep.victim(facts(segments, live)) is segments[0]
+    live_bytes = {each.number: each.size - 10 for each in segments}
+    assert maintenance.pick_segment(facts(segments, live_bytes)) is segments[0]
 
 
 def test_the_order_of_jobs():
     full = [segment(1, 1_000)]
-    assert upkeep.next_job(facts(full, {}, earliest=5, entries=0), 5) is Job.SWEEP
+    assert maintenance.next_job(facts(full, {}, earliest_expiry=5, entries=0), 5) is MaintenanceJob.SWEEP
     assert (
-        upkeep.next_job(facts(full, {}, earliest=5, entries=10, swept=1), 50) is Job.CLEAN
+        maintenance.next_job(facts(full, {}, earliest_expiry=5, entries=10, last_sweep_at=1), 50)
+        is MaintenanceJob.CLEAN
     )  # swept just now
-    assert upkeep.next_job(facts(full, {1: 990}, since_point=upkeep.POINT_BYTES + 1), 0) is Job.POINT
-    assert upkeep.next_job(facts(full, {1: 990}, reserve_missing=True), 0) is Job.RESERVE
-    assert upkeep.next_job(facts(full, {1: 990}), 0) is None
-    assert upkeep.next_job(facts(full, {1: 990}, disk_full=True, earliest=1, since_point=1 << 40), 5) is None
+    assert (
+        maintenance.next_job(
+            facts(full, {1: 990}, bytes_since_checkpoint=maintenance.CHECKPOINT_INTERVAL_BYTES + 1), 0
+        )
+        is MaintenanceJob.POINT
+    )
+    assert maintenance.next_job(facts(full, {1: 990}, reserve_missing=True), 0) is MaintenanceJob.RESERVE
+    assert maintenance.next_job(facts(full, {1: 990}), 0) is None
+    assert (
+        maintenance.next_job(
+            facts(full, {1: 990}, disk_full=True, earliest_expiry=1, bytes_since_checkpoint=1 << 40), 5
+        )
+        is None
+    )
 
 
 def test_a_tombstone_is_kept_while_anything_older_is():
-    assert upkeep.tomb_needed(250, [segment(2, 10)])
-    assert not upkeep.tomb_needed(150, [segment(2, 10), segment(3, 10)])
+    assert maintenance.is_tombstone_needed(250, [segment(2, 10)])
+    assert not maintenance.is_tombstone_needed(150, [segment(2, 10), segment(3, 10)])
 
 
 def test_the_checker_sees_what_it_has_to_see():
@@ -236,7 +260,7 @@
 
 
 def opened(disk, clock, **bounds):
-    return Engine.open(disk, clock, random.Random(3), Bounds(**bounds), create=True)
+    return Engine.open(disk, clock, random.Random(3), StoreLimits(**bounds), create=True)
 
 
 def bound(engine, batch):
@@ -246,7 +270,13 @@
 
 def test_each_bound_is_told_by_its_name_and_deletes_go_on(disk, clock):
     engine = opened(
-        disk, clock, entries=3, memory_bytes=2_000, disk_bytes=9_000, segment_bytes=4_000, reserve=False
+        disk,
+        clock,
+        max_entries=3,
+        max_memory_bytes=2_000,
+        max_disk_bytes=9_000,
+        segment_bytes=4_000,
+        keep_reserve=False,
     )
     for n in range(3):
         assert bound(engine, Batch().put(b"%d" % n, b"")) is None
@@ -275,22 +305,22 @@
             make()
     batch = Batch().put(b"k", bytes(16 << 20)).put(b"l", bytes(15 << 20))
     with pytest.raises(BadRecordError):
-        batch.put(b"m", bytes(BATCH_MOST - (31 << 20)))
+        batch.put(b"m", bytes(MAX_BATCH_BYTES - (31 << 20)))
 
 
 def test_values_of_nothing_and_of_sixteen_megabytes(disk, clock):
     large = random.Random(1).randbytes(16 << 20)
-    engine = opened(disk, clock, segment_bytes=1 << 20, reserve=False)
+    engine = opened(disk, clock, segment_bytes=1 << 20, keep_reserve=False)
     for key, value in ((b"\x00", b""), (b"large", large), (b"\xff\n", b"\xa7\xc5" * 9)):
         assert bound(engine, Batch().put(key, value)) is None
     engine.close()
-    engine = opened(disk, clock, segment_bytes=1 << 20, reserve=False)
+    engine = opened(disk, clock, segment_bytes=1 << 20, keep_reserve=False)
     assert engine.get(b"large") == large and engine.get(b"\x00") == b""
     assert [key for key, _ in engine.scan()] == [b"\x00", b"large", b"\xff\n"]
 
 
 def test_one_key_rewritten_for_long_takes_little_room(disk, clock):
-    engine = opened(disk, clock, segment_bytes=4_000, disk_bytes=40_000)
+    engine = opened(disk, clock, segment_bytes=4_000, max_disk_bytes=40_000)
     for n in range(3_000):
         assert bound(engine, Batch().put(b"k", b"%d" % n * 10)) is None
         engine.step()
@@ -299,7 +329,7 @@
 
 
 def test_expired_records_give_their_room_back_and_stay_gone_when_the_clock_goes_back(disk, clock):
-    engine = opened(disk, clock, segment_bytes=8_000, disk_bytes=400_000, reserve=False)
+    engine = opened(disk, clock, segment_bytes=8_000, max_disk_bytes=400_000, keep_reserve=False)
     assert bound(engine, Batch().put(b"k7", b"older, without an end")) is None
     for n in range(1_000):
         assert bound(engine, Batch().put(b"k%d" % n, b"v" * 50, clock.now + SECOND + n)) is None
@@ -316,7 +346,7 @@
 
 def test_a_deleted_value_does_not_come_back_when_segments_go_in_any_order(disk, clock):
     rng = random.Random(2)
-    engine = opened(disk, clock, segment_bytes=300, disk_bytes=1 << 20, reserve=False)
+    engine = opened(disk, clock, segment_bytes=300, max_disk_bytes=1 << 20, keep_reserve=False)
     held = {}
     for turn in range(400):
         key = b"%d" % rng.randrange(12)
@@ -328,18 +358,18 @@
             assert bound(engine, Batch().delete(key)) is None
         sealed = [each for each in engine.log.segments.values() if each is not engine.log.active]
         if (
-            engine.cleaner.cleaning is None and sealed and turn % 7 == 0
+            engine.compactor.in_progress is None and sealed and turn % 7 == 0
         ):  # any segment, not the one that pays best
             each = rng.choice(sealed)
-            engine.cleaner.cleaning = Cleaning(each, each.start, each.first)
+            engine.compactor.in_progress = Compaction(each, each.data_start, each.first_sequence)
         engine.step(100)
         if turn % 20 == 0:
-            assert dict(opened(FaultyDisk(disk.image()), clock, reserve=False).scan()) == held
+            assert dict(opened(FaultyDisk(disk.image()), clock, keep_reserve=False).scan()) == held
 
 
 def test_snapshots_are_bounded_and_end_when_the_disk_is_needed(disk, clock):
-    engine = opened(disk, clock, segment_bytes=1_000, disk_bytes=9_000, reserve=False)
-    taken = [engine.snapshot() for _ in range(SNAPSHOTS_MOST)]
+    engine = opened(disk, clock, segment_bytes=1_000, max_disk_bytes=9_000, keep_reserve=False)
+    taken = [engine.snapshot() for _ in range(MAX_SNAPSHOTS)]
     with pytest.raises(FullError, match="snapshots"):
         engine.snapshot()
     for each in taken[1:]:
@@ -354,23 +384,27 @@
 
 
 def test_a_read_error_is_told_and_cleaning_leaves_the_segment(disk, clock):
-    engine = opened(disk, clock, segment_bytes=300, reserve=False)
+    engine = opened(disk, clock, segment_bytes=300, keep_reserve=False)
     for n in range(30):
         bound(engine, Batch().put(b"k%d" % (n % 4), b"v" * 30))
-    where = engine.log.index.places[b"k1"]
+    where = engine.log.index.locations[b"k1"]
     disk.faults = {len(disk.calls): 5}
-    with pytest.raises(DamagedError, match="can't be read"):
+    with pytest.raises(CorruptDataError, match="can't be read"):
         engine.get(b"k1")
     assert engine.get(b"k1") == b"v" * 30
-    spoilt = engine.log.segments[segment_of(where)]
-    engine.cleaner.cleaning = Cleaning(spoilt, spoilt.start, spoilt.first)
+    corrupt = engine.log.segments[segment_of(where)]
+    engine.compactor.in_progress = Compaction(corrupt, corrupt.data_start, corrupt.first_sequence)
     disk.faults = {len(disk.calls): 5}
-    with pytest.raises(DamagedError):
+    with pytest.raises(CorruptDataError):
         engine.step()
-    assert spoilt.damaged and engine.cleaner.cleaning is None and engine.log.index.places[b"k1"] == where
+    assert (
+        corrupt.is_damaged
+        and engine.compactor.in_progress is None
+        and engine.log.index.locations[b"k1"] == where
+    )
     while engine.step():
         pass
-    assert spoilt.number in engine.log.segments
+    assert corrupt.number in engine.log.segments
 
 
 @pytest.mark.parametrize(
@@ -384,24 +418,24 @@
 )
 def test_what_is_no_store_is_refused_and_left_alone(files, told, clock):
     disk = FaultyDisk(files)
-    with pytest.raises(UnfitError, match=told):
+    with pytest.raises(CannotOpenError, match=told):
         opened(disk, clock)
     assert disk.image() == files and disk.open_files == 0 and not disk.locked
 
 
 def test_a_directory_without_a_store_is_refused_unless_one_is_to_be_made(clock):
-    with pytest.raises(UnfitError, match="no store"):
+    with pytest.raises(CannotOpenError, match="no store"):
         Engine.open(FaultyDisk(), clock, random.Random(1))
 
 
 def test_recovery_on_a_full_disk_uses_the_reserve(disk, clock):
-    engine = opened(disk, clock, segment_bytes=500, disk_bytes=10_000)
+    engine = opened(disk, clock, segment_bytes=500, max_disk_bytes=10_000)
     for n in range(20):
         bound(engine, Batch().put(b"k%d" % (n % 6), b"%d" % n * 20))
     while engine.step():
         pass
     bound(engine, Batch().put(b"last", b"confirmed"))
     after = FaultyDisk(disk.image(), room=disk.used())
-    again = opened(after, clock, segment_bytes=500, disk_bytes=10_000)
+    again = opened(after, clock, segment_bytes=500, max_disk_bytes=10_000)
     assert again.get(b"last") == b"confirmed" and again.reserve.held == 0
     assert again.log.counts["records carried"] == 1
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -10,18 +10,25 @@
 
 from lichencleat.store import store as module
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import (
+    CannotOpenError,
     ClosedError,
-    DamagedError,
+    CorruptDataError,
     FullError,
     NotConfirmedError,
     SnapshotGoneError,
-    UnfitError,
 )
-from lichencleat.store.faulty import FaultyDisk
-from lichencleat.store.room import Bounds
-from lichencleat.store.store import BUSY, QUEUE_MOST, READS_MOST, REST, Store, open_store
+from lichencleat.store.store import (
+    MAINTENANCE_INTERVAL_S,
+    MAX_GROUPS_BETWEEN_STEPS,
+    MAX_QUEUED_BATCHES,
+    MAX_READS,
+    Store,
+    open_store,
+)
+from lichencleat.testkit.faulty_disk import FaultyDisk
 
 SECOND = 1_000_000
 
@@ -81,7 +88,7 @@
 
 @pytest.fixture
 def engine(disk):
-    bounds = Bounds(segment_bytes=4_000, disk_bytes=1 << 20, reserve=False)
+    bounds = StoreLimits(segment_bytes=4_000, max_disk_bytes=1 << 20, keep_reserve=False)
     return Engine.open(disk, lambda: 5 * SECOND, random.Random(1), bounds, create=True)
 
 
@@ -142,23 +149,23 @@
 
 
 def test_at_the_queues_bound_the_caller_is_told_at_once(store, writer):
-    waiting = results(*(store.put(b"k", b"") for _ in range(QUEUE_MOST + 1)))
+    waiting = results(*(store.put(b"k", b"") for _ in range(MAX_QUEUED_BATCHES + 1)))
     assert waiting == []
     (failure,) = results(store.put(b"k", b""))
     assert failure.check(FullError) and failure.value.bound == "waiting writes"
     writer.work(1_000)
-    assert waiting == [None] * (QUEUE_MOST + 1)
+    assert waiting == [None] * (MAX_QUEUED_BATCHES + 1)
     told = results(store.put(b"k", b""))
     writer.work()
     assert told == [None]
 
 
 def test_reads_have_a_bound_too(store, reader):
-    reads = results(*(store.get(b"k") for _ in range(READS_MOST)))
+    reads = results(*(store.get(b"k") for _ in range(MAX_READS)))
     (failure,) = results(store.get(b"k"))
     assert failure.check(FullError) and failure.value.bound == "waiting reads"
-    reader.work(READS_MOST)
-    assert reads == [None] * READS_MOST
+    reader.work(MAX_READS)
+    assert reads == [None] * MAX_READS
     told = results(store.get(b"k"))
     reader.work()
     assert told == [None]
@@ -177,7 +184,7 @@
 
 
 def test_upkeep_has_its_turn_under_constant_writes(store, writer, engine):
-    for n in range(40 * BUSY):
+    for n in range(40 * MAX_GROUPS_BETWEEN_STEPS):
         store.put(b"k", b"%d" % n * 20)
         writer.work()
     assert engine.log.counts["segments cleaned"] > 0
@@ -192,10 +199,10 @@
         raise NotConfirmedError("the disk failed")
 
     engine.step = step
-    reactor.advance(REST)
+    reactor.advance(MAINTENANCE_INTERVAL_S)
     writer.work(50)
-    assert len(failing) == 1 and "failed" in store.last_trouble
-    reactor.advance(REST)
+    assert len(failing) == 1 and "failed" in store.last_error
+    reactor.advance(MAINTENANCE_INTERVAL_S)
     writer.work(50)
     assert len(failing) == 2
 
@@ -213,9 +220,9 @@
 def test_a_read_under_way_when_the_store_closes_is_answered(store, writer, reader, engine, disk):
     store.put(b"k", b"v")
     writer.work()
-    where = engine.log.index.places[b"k"]
+    where = engine.log.index.locations[b"k"]
     segment = engine.log.segments[where >> 64 & 0xFFFFFFFF]
-    segment.users += 1  # as a reader that is at it
+    segment.reference_count += 1  # as a reader that is at it
     store.close()
     writer.work(5)
     assert engine.reads.read(segment, b"k", where) == b"v"
@@ -247,7 +254,7 @@
     assert opened.engine.log.counts["flushes"] < 100
     assert reactor.until(opened.get(b"299")) == b"v" * 299
     second = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(2)))
-    assert second.check(UnfitError) and "in use by another process" in second.getErrorMessage()
+    assert second.check(CannotOpenError) and "in use by another process" in second.getErrorMessage()
     assert reactor.until(opened.close()) is None
     again = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(3)))
     assert len(list(again.scan())) == 300
@@ -261,11 +268,11 @@
     content.now[-2] ^= 1
     told = results(store.get(b"k"))
     reader.work()
-    assert told[0].check(DamagedError)
+    assert told[0].check(CorruptDataError)
 
 
 def test_one_group_is_bounded(store, writer, engine, monkeypatch):
-    monkeypatch.setattr(module, "GROUP_BYTES", 500)
+    monkeypatch.setattr(module, "MAX_GROUP_BYTES", 500)
     store.put(b"first", b"")
     told = results(*(store.put(b"%d" % n, b"x" * 100) for n in range(10)))
     writer.work(2)
--- a/tests/store/workload.py
+++ b/tests/store/workload.py
@@ -4,13 +4,15 @@
 import random
 
 from lichencleat.store.batch import Batch
-from lichencleat.store.checkers import History
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, NotConfirmedError, StoreError
-from lichencleat.store.faulty import FaultyDisk, PowerCutError
-from lichencleat.store.room import Bounds
+from lichencleat.testkit.checkers.store_history import History
+from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError
 
-SMALL = Bounds(segment_bytes=400, disk_bytes=12_000, entries=100, memory_bytes=100_000, segments=64)
+SMALL = StoreLimits(
+    segment_bytes=400, max_disk_bytes=12_000, max_entries=100, max_memory_bytes=100_000, max_segments=64
+)
 SECOND = 1_000_000
 
 
@@ -70,7 +72,7 @@
             self.upkeep()
         if point:
             with contextlib.suppress(OSError):
-                self.engine.points.begin()
+                self.engine.checkpoint_writer.begin()
             self.upkeep()
         self.ask((b"after", b"the checkpoint", 0))
         self.ask((b"and", b"one", 0), (b"more", None, 0), (b"batch", b"", 0))
