--- a/lichencleat/cli/store.py
+++ b/lichencleat/cli/store.py
@@ -19,11 +19,11 @@
 from lichencleat.cli import output
 from lichencleat.store.batch import Batch
 from lichencleat.store.capacity import StoreLimits
+from lichencleat.store.check import check as check_store
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import BadRecordError, CannotOpenError, StoreError
-from lichencleat.store.inspect import check as check_store
-from lichencleat.store.inspect import salvage as salvage_store
+from lichencleat.store.salvage import salvage as salvage_store
 
 READ = 65_536  # bytes of standard input taken at once: the lines in them are confirmed by one flush
 LINE_MOST = 32 << 20  # bytes: the largest value, with room for what JSON adds
@@ -220,14 +220,14 @@
     """
     with told():
         checked = check_store(RealDisk(directory), directory, now(), output.progress("check"))
-    found = [{"file": each.file, "offset": each.offset, "what": each.what} for each in checked.findings]
+    found = [{"file": each.file, "offset": each.offset, "what": each.problem} for each in checked.findings]
     summary: dict[str, Any] = {
         "findings": len(found),
         "entries": checked.entries,
         "segments": checked.segments,
         "bytes read": checked.bytes_read,
-        "torn bytes at the end": checked.torn,
-        "records in doubt at the end": checked.in_doubt,
+        "torn bytes at the end": checked.torn_bytes,
+        "records in doubt at the end": checked.unproved_records,
         "checkpoint": checked.checkpoint,
     }
     if as_json:
@@ -322,5 +322,5 @@
     with told():
         if os.path.isdir(directory) and os.listdir(directory):
             raise CannotOpenError(f"{directory}: not empty; name a directory that is new")
-        rows = measure.puts(directory, [1, 16, 256], seconds, value_bytes)
+        rows = measure.measure_puts(directory, [1, 16, 256], seconds, value_bytes)
     output.table(measure.PUT_HEAD, rows, as_json)
--- a/lichencleat/store/batch.py
+++ b/lichencleat/store/batch.py
@@ -1,55 +1,76 @@
-"""Batches: changes on their way to the store, made into records; no I/O."""
+"""Batches: the changes of one commit, checked and made into records. No I/O."""
 
 from __future__ import annotations
 
 from lichencleat.store import framing
-from lichencleat.store.errors import BadRecordError
+from lichencleat.store.errors import BatchSizeError, InvalidExpiryError, KeySizeError, ValueSizeError
 from lichencleat.store.segments import Record
 
-MAX_BATCH_BYTES = 32 << 20  # bytes of one batch's frames: it is written, and in doubt, at once
+MAX_BATCH_BYTES = 32 << 20  # of one batch's frames: it is written, and unconfirmed, as a whole
+MAX_EXPIRY_US = (1 << 63) - 1
+
+Change = tuple[bytes, bytes | None, int]
+"""Key, value (None: deleted), expiry in µs of Unix time (0: none)."""
 
 
 class Batch:
-    """Changes that are confirmed together or not at all; the last one of a key holds."""
+    """Changes that are confirmed together or not at all; the last change of a key wins.
+
+    Attributes:
+        changes: In the order of the calls.
+        bytes: Upper limit on the size of its frames.
+        has_puts: Whether it adds values; one that only deletes may use more of a full store's space.
+    """
 
-    __slots__ = ("changes", "bytes", "puts")
+    __slots__ = ("changes", "bytes", "has_puts")
 
     def __init__(self) -> None:
-        self.changes: list[tuple[bytes, bytes | None, int]] = []  # key, value (None: deleted), expiry
-        self.bytes = 0  # of its frames at the most
-        self.puts = False
+        self.changes: list[Change] = []
+        self.bytes = 0
+        self.has_puts = False
 
     def put(self, key: bytes, value: bytes, expiry: int = 0) -> Batch:
-        """`expiry`: µs of Unix time from which the entry is not there any more; 0: it stays."""
+        """Set a key's value and return the batch.
+
+        Args:
+            key: 1 to 65,536 bytes.
+            value: Up to 16 MiB.
+            expiry: µs of Unix time from which the entry is gone; 0 for none.
+
+        Raises:
+            BadRecordError: If one of them, or the batch, is outside its limits.
+        """
         if len(value) > framing.MAX_VALUE_BYTES:
-            raise BadRecordError(f"a value has at most {framing.MAX_VALUE_BYTES} bytes, not {len(value)}")
-        if not 0 <= expiry < 1 << 63:
-            raise BadRecordError(f"an expiry is µs of Unix time, not {expiry}")
-        self.puts = True
-        return self.add(key, value, expiry, len(value))
+            raise ValueSizeError(len(value), framing.MAX_VALUE_BYTES)
+        if not 0 <= expiry <= MAX_EXPIRY_US:
+            raise InvalidExpiryError(expiry)
+        self.has_puts = True
+        return self._append(key, value, expiry)
 
     def delete(self, key: bytes) -> Batch:
-        return self.add(key, None, 0, 0)
-
-    def add(self, key: bytes, value: bytes | None, expiry: int, size: int) -> Batch:
-        if not 0 < len(key) <= framing.MAX_KEY_BYTES:
-            raise BadRecordError(f"a key has 1 to {framing.MAX_KEY_BYTES} bytes, not {len(key)}")
-        self.bytes += framing.MAX_FRAME_OVERHEAD_BYTES + len(key) + size
-        if self.bytes > MAX_BATCH_BYTES:
-            raise BadRecordError(f"a batch has at most {MAX_BATCH_BYTES} bytes")
-        self.changes.append((key, value, expiry))
-        return self
+        """Delete a key, which need not exist, and return the batch. Raises BadRecordError."""
+        return self._append(key, None, 0)
 
-    def records(self) -> list[Record]:
+    def to_records(self) -> list[Record]:
+        """The log records of all changes; several are followed by a commit record."""
         if len(self.changes) == 1:
             ((key, value, expiry),) = self.changes
             if value is None:
                 return [Record(framing.DELETE, 0, key)]
             return [Record(framing.PUT, expiry, key, value)]
-        made = [
+        records = [
             Record(framing.BATCH_DELETE, 0, key)
             if value is None
             else Record(framing.BATCH_PUT, expiry, key, value)
             for key, value, expiry in self.changes
         ]
-        return [*made, Record(framing.COMMIT, len(made), b"")]
+        return [*records, Record(framing.COMMIT, len(records), b"")]
+
+    def _append(self, key: bytes, value: bytes | None, expiry: int) -> Batch:
+        if not 0 < len(key) <= framing.MAX_KEY_BYTES:
+            raise KeySizeError(len(key), framing.MAX_KEY_BYTES)
+        self.bytes += framing.MAX_FRAME_OVERHEAD_BYTES + len(key) + len(value or b"")
+        if self.bytes > MAX_BATCH_BYTES:
+            raise BatchSizeError(MAX_BATCH_BYTES)
+        self.changes.append((key, value, expiry))
+        return self
--- /dev/null
+++ b/lichencleat/store/check.py
@@ -0,0 +1,109 @@
+"""Check: reads every byte of a store's files that counts and tells what is lost. Writes nothing."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from lichencleat.store import file_names, framing
+from lichencleat.store.checkpoint import Checkpoint
+from lichencleat.store.disk import Disk
+from lichencleat.store.errors import Finding, UnreadableDirectoryError
+from lichencleat.store.index import is_expired
+from lichencleat.store.recovery import RecoveryScan
+from lichencleat.store.replay import Replay
+from lichencleat.store.segments import Segment
+
+Progress = Callable[[str, int, int], None]
+"""Called now and then with the file at hand, bytes done, bytes in all."""
+
+
+def ignore_progress(file: str, done: int, total: int) -> None:
+    """Show no progress."""
+
+
+@dataclass(slots=True)
+class CheckReport:
+    """What `check` found. `findings` is empty where every confirmed record is there and intact."""
+
+    findings: list[Finding]
+    entries: int = 0
+    segments: int = 0
+    bytes_read: int = 0
+    torn_bytes: int = 0  # left by a power cut at the log's end: no finding
+    unproved_records: int = 0  # at the log's end: the next start writes them anew
+    checkpoint: str = "none"
+
+
+def check(disk: Disk, directory: str, now: int, progress: Progress = ignore_progress) -> CheckReport:
+    """Check the store in a directory, under its lock. `now` is in µs of Unix time.
+
+    Raises CannotOpenError where it is no store, UnreadableDirectoryError where reading fails.
+    """
+    disk.lock()
+    scan = RecoveryScan(disk, directory)
+    try:
+        scan.read()
+        report = CheckReport(scan.findings)
+        _check_segments(scan, report, progress)
+        if not scan.findings and scan.segments:
+            _check_entries(scan, report, now)
+        report.torn_bytes = scan.torn_bytes
+    except OSError as error:
+        raise UnreadableDirectoryError(directory, error) from error
+    finally:
+        scan.close()
+        disk.unlock()
+    return report
+
+
+def _check_segments(scan: RecoveryScan, report: CheckReport, progress: Progress) -> None:
+    total = sum(each.size for each in scan.segments)
+    for segment in scan.segments:
+        progress(segment.name, report.bytes_read, total)
+        scan.findings += _damaged_spans(scan, segment)
+        report.bytes_read += segment.size
+    report.segments = len(scan.segments)
+
+
+def _damaged_spans(scan: RecoveryScan, segment: Segment) -> list[Finding]:
+    """Every span of a segment's bytes that count which is no intact frame."""
+    found: list[Finding] = []
+    read = scan.reader(segment.file)
+    end = segment.data_start
+    for offset, length, _ in framing.iter_frames_past_gaps(read, end, segment.size, segment.salt):
+        if offset > end:
+            found.append(Finding(segment.name, end, f"{offset - end} bytes are no record"))
+        end = offset + length
+    if end < segment.size and not any(each.file == segment.name for each in scan.findings):
+        found.append(Finding(segment.name, end, f"{segment.size - end} bytes are no record"))
+    return [each for each in found if each not in scan.findings]
+
+
+def _check_entries(scan: RecoveryScan, report: CheckReport, now: int) -> None:
+    """Build the index from the whole log, whatever the checkpoint covers, and compare the checkpoint."""
+    report.unproved_records = len(scan.unproved_records())
+    locations, _ = Replay(scan.disk, scan.segments, None, scan.findings).build_index(now)
+    valid = sum(not is_expired(each, now) for each in locations.values())
+    report.entries = valid + report.unproved_records
+    if scan.checkpoint is not None:
+        report.checkpoint = f"covers {scan.checkpoint.sequence}"
+        _check_checkpoint(scan, scan.checkpoint, locations, now)
+
+
+def _check_checkpoint(
+    scan: RecoveryScan, checkpoint: Checkpoint, locations: dict[bytes, int], now: int
+) -> None:
+    """The entries by way of the checkpoint have to be those of the whole log."""
+    for each in scan.segments:
+        each.tombstone_bytes = 0
+    replay = Replay(scan.disk, scan.segments, checkpoint, scan.findings)
+    by_checkpoint, _ = replay.build_index(now)
+    if replay.checkpoint is None:
+        return  # it does not fit this log: old, which costs time only
+    for key in sorted({*locations, *by_checkpoint}):
+        ours, its = locations.get(key), by_checkpoint.get(key)
+        if ours != its and not all(each is None or is_expired(each, now) for each in (ours, its)):
+            problem = f"places key {key!r:.60} otherwise than the log does"
+            scan.findings.append(Finding(file_names.CHECKPOINT, 0, problem))
+            return
--- a/lichencleat/store/checkpoint.py
+++ b/lichencleat/store/checkpoint.py
@@ -1,6 +1,9 @@
-"""Checkpoints: the index at one sequence, so that opening reads keys and places and no value. One that is
-missing, old or torn costs time only. Written in steps from a snapshot, under another name until it is
-flushed; the bytes only, no I/O here.
+"""Checkpoints: the index as of one sequence, encoded and decoded. No I/O.
+
+With a checkpoint, opening reads keys and locations and no value. One that is missing, old or torn costs time
+only. It is written in steps from a snapshot, under another name until it is flushed.
+
+The first frame is a `CheckpointHeader`. Then come frames of `Rows`, and at last the number of entries.
 """
 
 from __future__ import annotations
@@ -8,120 +11,148 @@
 import sys
 from array import array
 from collections.abc import Iterator, Sequence
+from dataclasses import dataclass
 
 import msgspec
 from crc32c import crc32c
 
-from lichencleat.store import framing
+from lichencleat.store import file_names, framing
 from lichencleat.store.index import FIELD_BITS, expiry_of, length_of, offset_of, segment_of
 
-NAME, NEW = "checkpoint", "checkpoint.new"
-ROWS_PER_FRAME = 4_096  # entries a frame: some 150 KB
-FOUR = "I"  # array's word for four bytes; eight are "Q"
-EIGHT = "Q"
+ROWS_PER_FRAME = 4_096  # entries: some 150 KB
+UINT32 = "I"  # type codes of `array`
+UINT64 = "Q"
+ROWS_FIRST_BYTE = 0x95  # msgpack's array of five, with which the body of a frame of rows begins
 
-# First frame: store, sequence, time, newest segment, the offset up to which its frames are covered, (segment,
-# bytes of tombstones) of each. Then frames of rows: keys, and four columns, little-endian: segment, offset,
-# length (4 bytes each), expiry (8). Last: how many entries.
-Top = tuple[bytes, int, int, int, int, list[tuple[int, int]]]
 Rows = tuple[list[bytes], bytes, bytes, bytes, bytes]
-decode_top = msgspec.msgpack.Decoder(Top).decode
-decode_rows = msgspec.msgpack.Decoder(Rows).decode
-decode_count = msgspec.msgpack.Decoder(int).decode
+"""Keys, and four columns, little-endian: segment, offset, length (4 bytes each), expiry (8)."""
+
+
+class CheckpointHeader(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """What a checkpoint covers."""
+
+    store: bytes
+    sequence: int  # the last one covered
+    time: int  # µs
+    newest: int  # number of the newest segment
+    offset: int  # up to which the newest segment's frames are covered
+    tombstone_bytes: list[tuple[int, int]]  # segment, bytes of tombstones in it
+
+
+_decode_header = msgspec.msgpack.Decoder(CheckpointHeader).decode
+_decode_rows = msgspec.msgpack.Decoder(Rows).decode
+_decode_count = msgspec.msgpack.Decoder(int).decode
+
+
+@dataclass(slots=True)
+class Checkpoint:
+    """A checkpoint as read: what it covers, and the location of each key."""
+
+    sequence: int
+    time: int
+    newest: int
+    offset: int
+    tombstone_bytes: dict[int, int]
+    locations: dict[bytes, int]
 
 
-class Writer:
-    """Makes the file's bytes, piece by piece; each is appended where the last one ended."""
+class CheckpointEncoder:
+    """Makes the file's bytes piece by piece; each is appended where the last one ended."""
 
     def __init__(self, salt: bytes) -> None:
         self.salt = salt
-        self.salt_sum = crc32c(salt)
+        self.salt_checksum = crc32c(salt)
         self.size = 0
         self.count = 0
 
-    def begin(
-        self, store: bytes, sequence: int, time: int, newest: tuple[int, int], tombstone_bytes: Sequence
-    ) -> bytes:
+    def encode_header(self, header: CheckpointHeader) -> bytes:
+        """The first piece."""
         head = framing.encode_file_header(framing.CHECKPOINT_MAGIC, self.salt)
         self.size = len(head)
-        return head + self.frame((store, sequence, time, *newest, list(tombstone_bytes)))
+        return head + self._encode_frame(header)
 
-    def rows(self, entries: Sequence[tuple[bytes, int]]) -> bytes:
+    def encode_rows(self, entries: Sequence[tuple[bytes, int]]) -> bytes:
+        """The next piece: keys and their packed locations, in order of keys."""
         self.count += len(entries)
-        wheres = [where for _, where in entries]
+        locations = [location for _, location in entries]
         columns = [
-            array(FOUR, map(segment_of, wheres)),
-            array(FOUR, map(offset_of, wheres)),
-            array(FOUR, map(length_of, wheres)),
-            array(EIGHT, map(expiry_of, wheres)),
+            array(UINT32, map(segment_of, locations)),
+            array(UINT32, map(offset_of, locations)),
+            array(UINT32, map(length_of, locations)),
+            array(UINT64, map(expiry_of, locations)),
         ]
-        return self.frame(([key for key, _ in entries], *map(little, columns)))
+        return self._encode_frame(([key for key, _ in entries], *map(_encode_column, columns)))
 
-    def end(self) -> bytes:
-        return self.frame(self.count)
+    def encode_count(self) -> bytes:
+        """The last piece: without it a checkpoint is torn."""
+        return self._encode_frame(self.count)
 
-    def frame(self, content: object) -> bytes:
-        data = framing.frame(self.salt_sum, self.size, msgspec.msgpack.encode(content))
+    def _encode_frame(self, content: object) -> bytes:
+        data = framing.encode_frame(self.salt_checksum, self.size, msgspec.msgpack.encode(content))
         self.size += len(data)
         return data
 
 
-def little(column: array) -> bytes:
+def _encode_column(column: array[int]) -> bytes:
     if sys.byteorder == "big":  # the file is little-endian on every machine
         column.byteswap()
     return column.tobytes()
 
 
-def column(kind: str, data: bytes) -> array:
-    read = array(kind)
-    read.frombytes(data)
-    little(read)
-    return read
-
-
-class Checkpoint:
-    """A checkpoint as read: what it covers, and the entries."""
-
-    __slots__ = ("sequence", "time", "newest", "offset", "tombstone_bytes", "locations")
-
-    def __init__(self, top: Top, locations: dict[bytes, int]) -> None:
-        _, self.sequence, self.time, self.newest, self.offset, tombstone_bytes = top
-        self.tombstone_bytes = dict(tombstone_bytes)
-        self.locations = locations
+def _decode_column(type_code: str, data: bytes) -> array[int]:
+    column: array[int] = array(type_code)
+    column.frombytes(data)
+    if sys.byteorder == "big":
+        column.byteswap()
+    return column
 
 
 def decode_checkpoint(read: framing.Read, size: int, store: bytes) -> Checkpoint | None:
-    """The checkpoint in the file, or None where it is not whole or not this store's."""
-    salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.CHECKPOINT_MAGIC, NAME)
+    """The checkpoint in the file, or None where it is not complete or not this store's.
+
+    Raises NewerFormatError.
+    """
+    header_bytes = read(0, framing.FILE_HEADER_BYTES)
+    salt = framing.decode_file_header(header_bytes, framing.CHECKPOINT_MAGIC, file_names.CHECKPOINT)
     if salt is None:
         return None
-    walk = framing.iter_frames(read, framing.FILE_HEADER_BYTES, size, crc32c(salt))
+    frames = framing.iter_frames(read, framing.FILE_HEADER_BYTES, size, crc32c(salt))
     locations: dict[bytes, int] = {}
     try:
-        top = decode_top(next(walk)[2])
-        if top[0] != store:
+        header = _decode_header(next(frames)[2])
+        if header.store != store:
             return None
-        for _, _, body in walk:
-            if body[0] != 0x95:  # msgpack's array of five: rows; else the count, which ends it
-                return Checkpoint(top, locations) if decode_count(body) == len(locations) else None
-            locations.update(entries(decode_rows(body)))
+        for _, _, body in frames:
+            if body[0] != ROWS_FIRST_BYTE:  # the count, which ends it
+                complete = _decode_count(body) == len(locations)
+                return _make_checkpoint(header, locations) if complete else None
+            locations.update(_unpack_rows(_decode_rows(body)))
     except (StopIteration, msgspec.MsgspecError, ValueError):
         return None  # ValueError: a column's bytes are no whole numbers
     return None  # no count: it is torn
 
 
-def entries(rows: Rows) -> Iterator[tuple[bytes, int]]:
+def _make_checkpoint(header: CheckpointHeader, locations: dict[bytes, int]) -> Checkpoint:
+    return Checkpoint(
+        sequence=header.sequence,
+        time=header.time,
+        newest=header.newest,
+        offset=header.offset,
+        tombstone_bytes=dict(header.tombstone_bytes),
+        locations=locations,
+    )
+
+
+def _unpack_rows(rows: Rows) -> Iterator[tuple[bytes, int]]:
     keys, *columns = rows
-    segments, offsets, lengths = (column(FOUR, each) for each in columns[:3])
-    expiries = column(EIGHT, columns[3])
+    segments, offsets, lengths = (_decode_column(UINT32, each) for each in columns[:3])
+    expiries = _decode_column(UINT64, columns[3])
+    bits = FIELD_BITS
     if not any(expiries):  # the usual case, and a third faster
-        wheres = [
-            (s << FIELD_BITS | o) << FIELD_BITS | n
-            for s, o, n in zip(segments, offsets, lengths, strict=True)
-        ]
+        locations = [(s << bits | o) << bits | n for s, o, n in zip(segments, offsets, lengths, strict=True)]
     else:
-        wheres = [
-            ((e << FIELD_BITS | s) << FIELD_BITS | o) << FIELD_BITS | n
+        locations = [
+            ((e << bits | s) << bits | o) << bits | n
             for s, o, n, e in zip(segments, offsets, lengths, expiries, strict=True)
         ]
-    return zip(keys, wheres, strict=True)
+    return zip(keys, locations, strict=True)
--- a/lichencleat/store/compactor.py
+++ b/lichencleat/store/compactor.py
@@ -1,13 +1,13 @@
-"""Cleaning a segment: what it still holds is copied to the log's end, then its file goes."""
+"""Compactor: copies what a segment still holds to the log's end, then removes its file."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from dataclasses import dataclass
+from dataclasses import dataclass, field
 
 from lichencleat.store import framing, maintenance
 from lichencleat.store.errors import CorruptDataError, Finding
-from lichencleat.store.index import expired, pack_location
+from lichencleat.store.index import is_expired, pack_location
 from lichencleat.store.log import Log
 from lichencleat.store.reserve import Reserve
 from lichencleat.store.segments import Record, Segment
@@ -15,120 +15,142 @@
 
 @dataclass(slots=True)
 class Compaction:
-    """A segment on its way out, and how far it was copied. The rest is read from `offset` on."""
+    """A segment that is being compacted, and how far: the rest is read from `offset` on."""
 
     segment: Segment
-    offset: int
-    sequence: int
+    offset: int  # bytes
+    sequence: int  # of the frame there
+
+    @property
+    def remaining_bytes(self) -> int:
+        """Bytes of the segment still to be read."""
+        return self.segment.size - self.offset
+
+
+@dataclass(slots=True, frozen=True)
+class EntryMove:
+    """An entry that is copied, and its location before."""
+
+    key: bytes
+    old_location: int
+
+
+@dataclass(slots=True)
+class CopyBatch:
+    """Records to be copied by one step, each with the entry that it moves, if any."""
+
+    records: list[Record] = field(default_factory=list)
+    moves: list[EntryMove | None] = field(default_factory=list)
+
+    def add(self, record: Record, move: EntryMove | None = None) -> None:
+        """Append a record."""
+        self.records.append(record)
+        self.moves.append(move)
 
 
 class Compactor:
-    """Owns the cleaning under way: one at a time, begun anew from its start after an error."""
+    """Owns the compaction under way: one at a time, begun anew from its start after an error."""
 
     def __init__(self, log: Log, reserve: Reserve) -> None:
-        self.log, self.reserve = log, reserve
+        self.log = log
+        self.reserve = reserve
         self.in_progress: Compaction | None = None
 
     def begin(self, segment: Segment | None) -> None:
+        """Begin with that segment, if there is one; the next steps compact it."""
         if segment is not None:
             self.in_progress = Compaction(segment, segment.data_start, segment.first_sequence)
 
-    def left(self, in_progress: Compaction) -> int:
-        return in_progress.segment.size - in_progress.offset
+    def step(self, compaction: Compaction, budget: int) -> None:
+        """Read and copy some `budget` bytes; at its end the segment is removed.
 
-    def step(self, in_progress: Compaction, budget: int) -> None:
-        """Copies what the segment still holds to the log's end; at its end the segment goes."""
-        log, segment = self.log, in_progress.segment
+        Raises:
+            CorruptDataError: If the segment has bytes that are no record; it is then left as it is.
+            OSError: If writing failed; nothing was removed.
+        """
+        log, segment = self.log, compaction.segment
         others = [each for each in log.segments.values() if each is not segment]
-        oldest = all(each.number > segment.number for each in others)
-        keep: list[Record] = []
-        # key and old place of what is copied, None for other records
-        moves: list[tuple[bytes, int] | None] = []
+        is_oldest = all(each.number > segment.number for each in others)
+        copies = CopyBatch()
+        done = True
+        if not is_oldest or log.index.live_bytes.get(segment.number, 0):
+            self._gather(compaction, budget, others, copies)
+            done = compaction.offset >= segment.size
         # else nothing of it is needed, tombstones included
-        if not oldest or log.index.live_bytes.get(segment.number, 0):
-            self.gather(in_progress, budget, others, keep, moves)
-            done = in_progress.offset >= segment.size
-        else:
-            done = True
         if done:
-            keep.append(Record(framing.SEGMENT_REMOVED, segment.number, b""))
-            moves.append(None)
-        if keep:
-            self.copy(keep, moves)
+            copies.add(Record(framing.SEGMENT_REMOVED, segment.number, b""))
+        if copies.records:
+            self._copy(copies)
         if done:
             self.in_progress = None
-            log.drop(segment)
-            log.disk_full = False  # some room was given back; the next write tells
+            log.remove_segment(segment)
+            log.disk_full = False  # some space was given back; the next write tells
             log.counts["segments cleaned"] += 1
 
-    def gather(
-        self,
-        in_progress: Compaction,
-        budget: int,
-        others: Sequence[Segment],
-        keep: list[Record],
-        moves: list[tuple[bytes, int] | None],
+    def _gather(
+        self, compaction: Compaction, budget: int, others: Sequence[Segment], copies: CopyBatch
     ) -> None:
-        """Reads on through the segment, some `budget` bytes, and adds what has to be kept of it."""
-        segment = in_progress.segment
+        """Read on through the segment, some `budget` bytes, and add what has to be kept of it."""
+        segment = compaction.segment
         spent = 0
-        read = self.reader(segment)
-        for offset, length, body in framing.iter_frames(read, in_progress.offset, segment.size, segment.salt):
+        frames = framing.iter_frames(self._reader(segment), compaction.offset, segment.size, segment.salt)
+        for offset, length, body in frames:
             sequence, kind, _, number, key, value = framing.decode_body(body)
-            if sequence != in_progress.sequence:
-                raise self.corrupt(
-                    segment, offset, f"record {sequence} stands where {in_progress.sequence} belongs"
-                )
-            where = pack_location(segment.number, offset, length, number)
-            record = self.kept(kind, sequence, number, key, value, where, others)
+            if sequence != compaction.sequence:
+                problem = f"record {sequence} stands where {compaction.sequence} belongs"
+                raise self._mark_damaged(segment, offset, problem)
+            location = pack_location(segment.number, offset, length, number)
+            record = self._replacement(kind, sequence, number, key, value, location, others)
             if record is not None:
-                keep.append(record)
-                moves.append((key, where) if record.kind == framing.PUT else None)
+                move = EntryMove(key, location) if record.kind == framing.PUT else None
+                copies.add(record, move)
                 spent += length
             spent += length
-            in_progress.offset, in_progress.sequence = offset + length, sequence + 1
+            compaction.offset = offset + length
+            compaction.sequence = sequence + 1
             if spent >= budget:
                 return
-        if in_progress.offset < segment.size:
-            raise self.corrupt(segment, in_progress.offset, "a confirmed record is not whole")
+        if compaction.offset < segment.size:
+            raise self._mark_damaged(segment, compaction.offset, "a confirmed record is not whole")
 
-    def reader(self, segment: Segment) -> framing.Read:
+    def _reader(self, segment: Segment) -> framing.Read:
         def read(offset: int, length: int) -> bytes:
             try:
                 return self.log.disk.read(segment.file, offset, length)
-            except OSError as wrong:
-                raise self.corrupt(segment, offset, f"can't be read: {wrong.strerror}") from wrong
+            except OSError as error:
+                problem = f"can't be read: {error.strerror}"
+                raise self._mark_damaged(segment, offset, problem) from error
 
         return read
 
-    def corrupt(self, segment: Segment, offset: int, what: str) -> CorruptDataError:
-        """The segment is left as it is, for `check` and `salvage`; cleaning goes on with others."""
+    def _mark_damaged(self, segment: Segment, offset: int, problem: str) -> CorruptDataError:
+        """Leave the segment as it is, for `check` and `salvage`; compaction goes on with others."""
         self.in_progress = None
         segment.is_damaged = True
-        return CorruptDataError([Finding(segment.name, offset, what)])
+        return CorruptDataError([Finding(segment.name, offset, problem)])
 
-    def kept(
+    def _replacement(
         self,
         kind: int,
         sequence: int,
         number: int,
         key: bytes,
         value: memoryview,
-        where: int,
+        location: int,
         others: Sequence[Segment],
     ) -> Record | None:
-        """What has to stand for this record once its segment is gone."""
+        """The record that has to stand for this one once its segment is removed, or None."""
         index = self.log.index
-        if kind in (framing.PUT, framing.BATCH_PUT):
-            if index.locations.get(key) == where:
-                if not expired(where, self.log.time):
+        if kind in framing.PUTS:
+            if index.locations.get(key) == location:
+                if not is_expired(location, self.log.time):
                     return Record(framing.PUT, number, key, value)
                 with self.log.guard:
                     index.delete(key)
             elif not number or key in index.locations:
                 return None  # a newer value or tombstone stands for it
             born = sequence  # it has expired; what it replaced in an older segment must not come back
-        elif kind in (framing.DELETE, framing.BATCH_DELETE):
+        elif kind in framing.DELETES:
             born = number or sequence
         else:
             return None
@@ -136,20 +158,20 @@
             return None
         return Record(framing.DELETE, born, key) if maintenance.is_tombstone_needed(born, others) else None
 
-    def copy(self, keep: list[Record], moves: list[tuple[bytes, int] | None]) -> None:
-        """One write and one flush; the reserve's room is used where the disk is full. Raises OSError."""
+    def _copy(self, copies: CopyBatch) -> None:
+        """Write and flush the copies at once, with the reserve's space where the disk is full."""
         log = self.log
         written = log.counts["bytes written"]
         try:
-            segment, locations = self.reserve.run_with_reserve(log.append, keep)
+            segment, spans = self.reserve.run_with_reserve(log.append, copies.records)
         except OSError:
-            self.in_progress = None  # begun anew another time: nothing was taken away
+            self.in_progress = None  # begun anew another time: nothing was removed
             raise
         log.counts["bytes copied"] += log.counts["bytes written"] - written
         with log.guard:
-            for record, move, (offset, length) in zip(keep, moves, locations, strict=True):
+            for record, move, (offset, length) in zip(copies.records, copies.moves, spans, strict=True):
                 if move is not None:
-                    key, old = move
-                    log.index.move(key, old, pack_location(segment.number, offset, length, record.number))
+                    location = pack_location(segment.number, offset, length, record.number)
+                    log.index.move(move.key, move.old_location, location)
                 elif record.kind == framing.DELETE:
                     segment.tombstone_bytes += length
--- a/lichencleat/store/engine.py
+++ b/lichencleat/store/engine.py
@@ -1,9 +1,9 @@
-"""The store itself, one call at a time: opening, commits, the next piece of upkeep, closing; no reactor, no
-thread of its own.
+"""Engine: the store itself, one call at a time. It knows no reactor and starts no thread.
 
-One thread writes (`commit`, `step`, `close`); any other may read meanwhile (`get`, `scan`, `snapshot`). Each
-job has a module and an owner of its own: `log.py` the segments, `reads.py` reading, `room.py` the bounds,
-`compactor.py`, `expiry_sweeper.py`, `checkpoint_writer.py` and `reserve.py` the upkeep, which `maintenance.py` chooses among.
+One thread writes (`commit`, `step`, `close`); any other may read meanwhile (`get`, `scan`, `snapshot`). The
+engine composes owners of one job each: `log.py` the segments, `reader.py` reading, `capacity.py` the
+limits, and for maintenance `compactor.py`, `expiry.py`, `checkpoint_writer.py` and `reserve.py`, among
+which `maintenance.py` chooses.
 """
 
 from __future__ import annotations
@@ -12,36 +12,46 @@
 import random
 from collections.abc import Callable, Sequence
 
-from lichencleat.store import framing, maintenance, recovery, segments
+from lichencleat.store import file_names, framing, maintenance
 from lichencleat.store.batch import Batch
 from lichencleat.store.capacity import CapacityCheck, StoreLimits
 from lichencleat.store.checkpoint_writer import CheckpointWriter
 from lichencleat.store.compactor import Compactor
+from lichencleat.store.creation import check_empty, create_store
 from lichencleat.store.disk import Disk
-from lichencleat.store.errors import CannotOpenError, ClosedError, CorruptDataError, StoreError
+from lichencleat.store.errors import ClosedError, CorruptDataError, StoreError
 from lichencleat.store.expiry import ExpirySweeper
-from lichencleat.store.log import Log, told
+from lichencleat.store.log import Log, to_store_error
+from lichencleat.store.maintenance import MaintenanceJob, MaintenanceState
 from lichencleat.store.reader import Reader
+from lichencleat.store.recovery import RecoveryScan
+from lichencleat.store.replay import Replay
 from lichencleat.store.reserve import Reserve
 from lichencleat.store.segments import Record
 
-STEP_BYTES = 256 << 10  # bytes that one step of upkeep reads or writes
+STEP_BYTES = 256 << 10  # that one step of maintenance reads or writes
 CHECKPOINT_AT_CLOSE_BYTES = 1 << 20  # bytes of log since the last checkpoint that make closing write one
 
 
 class Engine:
-    def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, most: StoreLimits) -> None:
-        self.disk, self.rng, self.most = disk, rng, most
-        self.log = Log(disk, clock, rng, most)
-        self.reads = Reader(self.log)
+    """A store that is open. Made by `open`, given back by `close`."""
+
+    def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, limits: StoreLimits) -> None:
+        self.disk = disk
+        self.limits = limits
+        self.log = Log(disk, clock, rng, limits)
+        self.reader = Reader(self.log)
         self.reserve = Reserve(self.log)
         self.compactor = Compactor(self.log, self.reserve)
         self.checkpoint_writer = CheckpointWriter(self.log)
         self.expiry_sweeper = ExpirySweeper(self.log)
-        self.compact_all = False  # cleaning goes on while there is any garbage
+        self.compact_all = False  # compaction goes on while there is any garbage
         self.closed = False
-        self.get, self.scan, self.chunk = self.reads.get, self.reads.scan, self.reads.chunk
-        self.snapshot, self.release = self.reads.snapshot, self.reads.release
+        self.get = self.reader.get
+        self.scan = self.reader.scan
+        self.chunk = self.reader.chunk
+        self.snapshot = self.reader.snapshot
+        self.release = self.reader.release
 
     # -- opening -----------------------------------------------------------------------------------
 
@@ -51,114 +61,98 @@
         disk: Disk,
         clock: Callable[[], int],
         rng: random.Random,
-        most: StoreLimits | None = None,
+        limits: StoreLimits | None = None,
         create: bool = False,
-        where: str = "the directory",
+        directory: str = "the directory",
     ) -> Engine:
-        """Takes the lock, finds what is confirmed, makes sure that it stays so. Raises UnfitError,
-        DamagedError, FullError.
+        """Take the lock, find what is confirmed and make sure that it stays so.
+
+        Args:
+            disk: The directory.
+            clock: Gives µs of Unix time; it may go back.
+            rng: Gives the salts of new files.
+            limits: How large the store may grow.
+            create: Whether to make a store where the directory is empty.
+            directory: Its name in errors.
 
-        `clock` gives µs of Unix time and may go back; `rng` gives the salts of new files.
+        Raises:
+            CannotOpenError: If it is no store, has a newer format, or is in use.
+            CorruptDataError: If confirmed records can't be read.
+            FullError: If the disk has no space for what a start has to write.
+            NotConfirmedError: If the disk failed.
         """
-        engine = cls(disk, clock, rng, most or StoreLimits())
+        engine = cls(disk, clock, rng, limits or StoreLimits())
         disk.lock()
         try:
-            engine.start(create, where)
-        except OSError as wrong:
+            engine._start(create, directory)
+        except OSError as error:
             engine.release_resources()
-            raise told(wrong) from wrong
+            raise to_store_error(error) from error
         except BaseException:
             engine.release_resources()
             raise
         return engine
 
-    def start(self, create: bool, where: str) -> None:
-        log = self.log
+    def _start(self, create: bool, directory: str) -> None:
         names = self.disk.names()
-        if recovery.STORE not in names and create:
-            self.check_empty(names, where)
-            self.create(names)
+        if create and file_names.STORE_MARKER not in names:
+            check_empty(names, directory)
+            create_store(self.log, names)
             names = self.disk.names()
-        recovery_scan = recovery.RecoveryScan(self.disk, where)
+        scan = RecoveryScan(self.disk, directory)
         try:
-            recovery_scan.read()
-            if recovery_scan.findings:
-                raise CorruptDataError(recovery_scan.findings)
-            log.store = recovery_scan.store
-            log.time = max(log.clock(), recovery_scan.time)
-            locations, sums = recovery_scan.entries(log.time)
-            if recovery_scan.findings:
-                raise CorruptDataError(recovery_scan.findings)
-            carried = [Record(*each) for each in recovery_scan.carried()]
+            carried = self._recover(scan)
         except BaseException:
-            recovery_scan.close()
+            scan.close()
             raise
-        log.load(recovery_scan.segments)
-        log.index.load(locations, sums)
-        log.counts["torn bytes"] = recovery_scan.torn
-        log.counts["records carried"] = len(carried)
-        if recovery_scan.point is not None:
-            self.checkpoint_writer.last = recovery_scan.point.sequence
-        log.written = sum(
-            each.size for each in recovery_scan.segments if each.last_sequence > self.checkpoint_writer.last
-        )
-        self.reserve.find(names)
-        if (
-            recovery_scan.unsealed()
-        ):  # what was in doubt is written anew, in a segment named once all of it is flushed
-            self.reserve.run_with_reserve(log.begin, carried)
-        for name in recovery_scan.leftovers:  # only now: the segment that says they are gone is on the disk
+        self._take_over(scan, carried)
+        self.reserve.load(names)
+        if scan.must_rewrite_tail():
+            # what is unproved is written anew, in a segment that is named once all of it is flushed
+            self.reserve.run_with_reserve(self.log.begin, carried)
+        for name in scan.leftovers:  # only now: the segment that says they are removed is on the disk
             with contextlib.suppress(OSError):
                 self.disk.remove(name)
 
-    @staticmethod
-    def check_empty(names: Sequence[str], where: str) -> None:
-        """Guards what is not the store's own against being taken for the leftovers of one."""
-        others = [each for each in names if each not in recovery.OWN and not recovery.is_segment(each)]
-        if others:
-            raise CannotOpenError(f"{where}: no store, and not empty ({others[0]}); name an empty directory")
-        if any(recovery.is_segment(each) and each != segments.NAME.format(1) for each in names):
-            raise CannotOpenError(
-                f"{where}: segments without their file {recovery.STORE}; try 'store salvage'"
-            )
+    def _recover(self, scan: RecoveryScan) -> list[Record]:
+        """Read all that is confirmed into the index; the records that are to be written anew."""
+        log = self.log
+        scan.read()
+        if scan.findings:
+            raise CorruptDataError(scan.findings)
+        log.store = scan.store
+        log.time = max(log.clock(), scan.time)
+        replay = Replay(self.disk, scan.segments, scan.checkpoint, scan.findings)
+        locations, totals = replay.build_index(log.time)
+        if scan.findings:
+            raise CorruptDataError(scan.findings)
+        if replay.checkpoint is not None:
+            self.checkpoint_writer.last_sequence = replay.checkpoint.sequence
+        carried = scan.unproved_records()
+        log.index.load(locations, totals)
+        return carried
 
-    def create(self, names: Sequence[str]) -> None:
-        """The mark is written last: a cut before it leaves a directory that is made anew."""
+    def _take_over(self, scan: RecoveryScan, carried: Sequence[Record]) -> None:
         log = self.log
-        for name in names:
-            self.disk.remove(name)
-        log.store = self.rng.randbytes(framing.SALT)
-        log.begin()
-        file = self.disk.open(recovery.STORE_NEW, create=True)
-        try:
-            self.disk.append(file, framing.encode_file_header(framing.STORE_MAGIC, log.store))
-            self.disk.flush(file)
-        finally:
-            self.disk.close(file)
-        self.disk.rename(recovery.STORE_NEW, recovery.STORE)
-        self.disk.flush_directory()
-        for segment in log.segments.values():
-            self.disk.close(segment.file)
-        log.segments, log.active = {}, None
+        log.load(scan.segments)
+        log.counts["torn bytes"] = scan.torn_bytes
+        log.counts["records carried"] = len(carried)
+        covered = self.checkpoint_writer.last_sequence
+        log.written = sum(each.size for each in scan.segments if each.last_sequence > covered)
 
     # -- writing -----------------------------------------------------------------------------------
 
     def commit(self, batches: Sequence[Batch]) -> list[StoreError | None]:
-        """Writes and flushes all batches that fit the bounds; for each None (it is confirmed) or why not."""
+        """Write and flush all batches that fit the limits; for each None (it is confirmed) or the error."""
         if self.closed:
-            return [ClosedError("the store is closed")] * len(batches)
+            return [ClosedError()] * len(batches)
         log = self.log
         log.tick()
-        log.shed(sum(each.bytes + framing.MAX_FRAME_OVERHEAD_BYTES for each in batches))
-        room = CapacityCheck(self.most, log.index, log.total(), log.needs_segment(), len(log.segments))
-        room.asked(sum(len(each.changes) for each in batches), sum(each.bytes for each in batches))
-        verdicts: list[StoreError | None] = []
+        verdicts = self._check_capacity(batches)
         records: list[Record] = []
-        for batch in batches:
-            refused = room.take(batch)
-            verdicts.append(refused)
+        for batch, refused in zip(batches, verdicts, strict=True):
             if refused is None and batch.changes:
-                records += batch.records()
+                records += batch.to_records()
         if records:
             failed = log.write(records)
             if failed is not None:
@@ -169,130 +163,145 @@
             )
         return verdicts
 
-    # -- upkeep ------------------------------------------------------------------------------------
-
-    def facts(self) -> maintenance.MaintenanceState:
+    def _check_capacity(self, batches: Sequence[Batch]) -> list[StoreError | None]:
         log = self.log
-        return maintenance.MaintenanceState(
-            segments=log.sealed(),
-            live_bytes=log.index.live_bytes,
-            total=sum(each.size for each in log.segments.values()),
-            max_bytes=self.most.max_disk_bytes,
-            reserve=self.reserve.held if log.disk_full else self.most.reserve_bytes,
-            segment_bytes=self.most.segment_bytes,
-            bytes_since_checkpoint=self.checkpoint_writer.since(),
-            entries=len(log.index),
-            earliest_expiry=log.index.earliest_expiry,
-            last_sweep_at=self.expiry_sweeper.ended,
-            reserve_missing=self.reserve.missing(),
-            disk_full=log.disk_full,
-            compact_all=self.compact_all,
-        )
+        log.end_snapshots_for(sum(each.bytes + framing.MAX_FRAME_OVERHEAD_BYTES for each in batches))
+        check = CapacityCheck(self.limits, log.index, log.total(), log.needs_segment(), len(log.segments))
+        check.expect(sum(len(each.changes) for each in batches), sum(each.bytes for each in batches))
+        return [check.admit(each) for each in batches]
+
+    # -- maintenance -------------------------------------------------------------------------------
 
     def step(self, budget: int = STEP_BYTES) -> int:
-        """One bounded piece of upkeep, some `budget` bytes read and written. Bytes left of the job at hand,
-        by and by 0: nothing is left to do.
+        """Do one bounded piece of maintenance, some `budget` bytes read and written.
 
-        Raises StoreError where the disk fails; what was confirmed stays so, and a later step may go on.
+        Returns the bytes left of the job at hand; 0 once nothing is left to do. Raises StoreError where the
+        disk fails; what was confirmed stays so, and a later step may go on.
         """
         if self.closed:
             return 0
         self.log.tick()
         try:
-            if self.compactor.in_progress is not None:
-                self.compactor.step(self.compactor.in_progress, budget)
-            elif self.expiry_sweeper.cursor is not None:
-                self.expiry_sweeper.step(self.expiry_sweeper.cursor)
-            elif self.reserve.file is not None:
-                self.reserve.step(budget)
-            elif self.checkpoint_writer.in_progress is not None and not self.log.disk_full:
-                self.checkpoint_writer.step(budget)
-            else:
-                job = maintenance.next_job(self.facts(), self.log.time)
+            if not self._step_job_at_hand(budget):
+                job = maintenance.next_job(self._maintenance_state(), self.log.time)
                 if job is None:
                     return 0
-                self.begin_job(job)
-            return self.left()
-        except OSError as wrong:
-            self.checkpoint_writer.failed()
-            self.reserve.give_up()
-            raise told(wrong) from wrong
+                self._begin_job(job)
+            return self._remaining_bytes()
+        except OSError as error:
+            self.checkpoint_writer.on_disk_failed()
+            self.reserve.abort()
+            raise to_store_error(error) from error
+
+    def _step_job_at_hand(self, budget: int) -> bool:
+        """Go on with the job at hand; whether there was one."""
+        if self.compactor.in_progress is not None:
+            self.compactor.step(self.compactor.in_progress, budget)
+        elif self.expiry_sweeper.cursor is not None:
+            self.expiry_sweeper.step(self.expiry_sweeper.cursor)
+        elif self.reserve.file is not None:
+            self.reserve.step(budget)
+        elif self.checkpoint_writer.in_progress is not None and not self.log.disk_full:
+            self.checkpoint_writer.step(budget)
+        else:
+            return False
+        return True
 
-    def left(self) -> int:
+    def _begin_job(self, job: MaintenanceJob) -> None:
+        match job:
+            case MaintenanceJob.COMPACT:
+                self.compactor.begin(maintenance.pick_segment(self._maintenance_state()))
+            case MaintenanceJob.SWEEP_EXPIRED:
+                self.expiry_sweeper.begin()
+            case MaintenanceJob.CHECKPOINT:
+                self.checkpoint_writer.begin()
+            case MaintenanceJob.RENEW_RESERVE:
+                self.reserve.begin()
+
+    def _remaining_bytes(self) -> int:
         """Bytes to read or write until the job at hand is done; 1 where there is one of another kind."""
         if self.compactor.in_progress is not None:
-            return max(1, self.compactor.left(self.compactor.in_progress))
+            return max(1, self.compactor.in_progress.remaining_bytes)
         if self.reserve.file is not None:
-            return max(1, self.reserve.left())
-        in_progress = self.checkpoint_writer.in_progress is not None and not self.log.disk_full
-        if self.expiry_sweeper.cursor is not None or in_progress:
+            return max(1, self.reserve.remaining_bytes())
+        writes_checkpoint = self.checkpoint_writer.in_progress is not None and not self.log.disk_full
+        if self.expiry_sweeper.cursor is not None or writes_checkpoint:
             return max(1, self.log.index.memory)
-        return int(maintenance.next_job(self.facts(), self.log.time) is not None)
+        return int(maintenance.next_job(self._maintenance_state(), self.log.time) is not None)
+
+    def _maintenance_state(self) -> MaintenanceState:
+        log = self.log
+        return MaintenanceState(
+            segments=log.sealed(),
+            live_bytes=log.index.live_bytes,
+            total=sum(each.size for each in log.segments.values()),
+            max_bytes=self.limits.max_disk_bytes,
+            reserve=self.reserve.held_bytes if log.disk_full else self.limits.reserve_bytes,
+            segment_bytes=self.limits.segment_bytes,
+            bytes_since_checkpoint=self.checkpoint_writer.bytes_since_last(),
+            entries=len(log.index),
+            earliest_expiry=log.index.earliest_expiry,
+            last_sweep_at=self.expiry_sweeper.ended_at,
+            reserve_missing=self.reserve.is_missing(),
+            disk_full=log.disk_full,
+            compact_all=self.compact_all,
+        )
 
     def compact_everything(self) -> None:
-        """Every sealed segment with garbage is worth cleaning until none is left: for `store compact
-        --all`.
-        """
+        """Make every sealed segment with garbage worth compacting: for `store compact --all`."""
         self.compact_all = True
 
-    def begin_job(self, job: maintenance.MaintenanceJob) -> None:
-        if job is maintenance.MaintenanceJob.CLEAN:
-            self.compactor.begin(maintenance.pick_segment(self.facts()))
-        elif job is maintenance.MaintenanceJob.SWEEP:
-            self.expiry_sweeper.begin()
-        elif job is maintenance.MaintenanceJob.POINT:
-            self.checkpoint_writer.begin()
-        elif job is maintenance.MaintenanceJob.RESERVE:
-            self.reserve.begin()
-
     # -- ending ------------------------------------------------------------------------------------
 
     def close(self) -> None:
-        """Proves the tail by a last mark, writes a checkpoint where one saves time, gives everything back."""
+        """Prove the tail by a last mark, write a checkpoint where one saves time, give everything back."""
         if self.closed:
             return
-        log = self.log
         try:
             with contextlib.suppress(StoreError):
-                if log.active is not None and log.active.size > log.active.data_start:
-                    log.tick()
-                    log.write([])
-                if self.checkpoint_writer.since() > CHECKPOINT_AT_CLOSE_BYTES and not log.disk_full:
-                    self.checkpoint_writer.give_up()
-                    self.checkpoint_writer.begin()
-                    while self.checkpoint_writer.in_progress is not None:
-                        self.checkpoint_writer.step(STEP_BYTES)
+                self._save_time_at_next_start()
         except OSError:
-            log.counts["writes failed"] += 1  # both only save time at the next start
+            self.log.counts["writes failed"] += 1  # both only save time at the next start
         finally:
             self.release_resources()
 
+    def _save_time_at_next_start(self) -> None:
+        log, writer = self.log, self.checkpoint_writer
+        if log.active is not None and log.active.size > log.active.data_start:
+            log.tick()
+            log.write([])
+        if writer.bytes_since_last() > CHECKPOINT_AT_CLOSE_BYTES and not log.disk_full:
+            writer.abort()
+            writer.begin()
+            while writer.in_progress is not None:
+                writer.step(STEP_BYTES)
+
     def release_resources(self) -> None:
+        """Close all files and unlock the directory, without writing anything."""
         with self.log.guard:
-            self.closed = self.reads.closed = True
+            self.closed = True
+            self.reader.closed = True
             self.log.release_resources()
-        self.checkpoint_writer.give_up()
-        self.reserve.give_up()
+        self.checkpoint_writer.abort()
+        self.reserve.abort()
         self.disk.unlock()
 
     def stat(self) -> dict[str, int]:
-        """Sizes now and counts since the start; docs/operate-store.md says what each means. From any
-        thread.
-        """
+        """Sizes now and counts since the start, from any thread; docs/operate-store.md explains each."""
         log = self.log
         with log.guard:
-            held, live_bytes = list(log.segments.values()), dict(log.index.live_bytes)
+            segments, live_bytes = list(log.segments.values()), dict(log.index.live_bytes)
             return {
                 "entries": len(log.index),
                 "bytes in memory": log.index.memory,
-                "segments": len(held),
-                "bytes on disk": sum(each.size + each.void_bytes for each in held),
+                "segments": len(segments),
+                "bytes on disk": sum(each.size + each.void_bytes for each in segments),
                 "bytes live": sum(live_bytes.values()),
-                "bytes of tombstones": sum(each.tombstone_bytes for each in held),
-                "bytes of garbage": sum(maintenance.garbage(each, live_bytes) for each in held),
-                "bytes of the reserve": self.reserve.held,
+                "bytes of tombstones": sum(each.tombstone_bytes for each in segments),
+                "bytes of garbage": sum(maintenance.garbage_bytes(each, live_bytes) for each in segments),
+                "bytes of the reserve": self.reserve.held_bytes,
                 "last sequence": log.sequence,
-                "last checkpoint": self.checkpoint_writer.last,
+                "last checkpoint": self.checkpoint_writer.last_sequence,
                 "snapshots": len(log.pins),
                 **log.counts,
             }
--- a/lichencleat/store/errors.py
+++ b/lichencleat/store/errors.py
@@ -1,72 +1,212 @@
-"""What the store tells its callers when it can't do as asked; each message says what, where and, if there is,
-a way out.
+"""The store's errors. Each says what went wrong and where, and keeps the facts as attributes.
+
+`StoreError` is the base of all. Errors that report a refusal (`BadRecordError`, `FullError`,
+`CannotOpenError`) guarantee that nothing was written.
 """
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from dataclasses import dataclass
+from enum import StrEnum
+
+
+class Limit(StrEnum):
+    """The limits that `FullError.limit` can name; the values appear in messages and logs."""
+
+    ENTRIES = "entries"
+    MEMORY = "bytes in memory"
+    DISK_BYTES = "bytes on disk"
+    SEGMENTS = "segments"
+    QUEUED_WRITES = "waiting writes"
+    QUEUED_READS = "waiting reads"
+    SNAPSHOTS = "snapshots"
+    DISK_SPACE = "room on the disk itself"
+
+
+@dataclass(slots=True, frozen=True)
+class Finding:
+    """One place where the store's files differ from what was confirmed."""
+
+    file: str
+    offset: int  # bytes from the file's start
+    problem: str
+
+    def __str__(self) -> str:
+        return f"{self.file}, offset {self.offset}: {self.problem}"
 
 
 class StoreError(Exception):
     """Any refusal or failure of the store."""
 
 
-class BadRecordError(StoreError):
-    """A key, value or batch out of its bounds; nothing was written."""
+class ClosedError(StoreError):
+    """The store was closed."""
 
+    def __init__(self) -> None:
+        super().__init__("the store is closed")
 
-class FullError(StoreError):
-    """A bound was reached; nothing was written. `bound` names it: one of the constants below."""
 
-    def __init__(self, bound: str, more: str = "") -> None:
-        super().__init__(f"the store is at its bound on {bound}{more}")
-        self.bound = bound
+class SnapshotGoneError(StoreError):
+    """The snapshot was closed, or ended because the changes since would not fit its limit."""
 
+    def __init__(self) -> None:
+        super().__init__("the snapshot is over: closed, or too much was changed since it was taken")
 
-ENTRIES = "entries"
-MEMORY = "bytes in memory"
-BYTES = "bytes on disk"
-SEGMENTS = "segments"
-QUEUE = "waiting writes"
-READS = "waiting reads"
-SNAPSHOTS = "snapshots"
-DISK = "room on the disk itself"
+
+class FullError(StoreError):
+    """A limit was reached; nothing was written.
+
+    Attributes:
+        limit: Which one, as a `Limit`.
+    """
+
+    def __init__(self, limit: str, detail: str = "") -> None:
+        super().__init__(f"the store is at its bound on {limit}{detail and ' '}{detail}")
+        self.limit = limit
 
 
 class NotConfirmedError(StoreError):
-    """Writing or flushing failed. The records are not visible; a cut before the next confirmed write may
-    bring them back, whole batches only.
+    """Writing or flushing failed.
+
+    The records are not visible. A power cut before the next confirmed write may bring them back, whole
+    batches only.
     """
 
 
 class CorruptDataError(StoreError):
-    """Confirmed records can't be read: bytes on disk are not those that were flushed."""
+    """Confirmed records can't be read: the bytes on disk are not those that were flushed.
+
+    Attributes:
+        findings: Every place known to be wrong; at least one.
+    """
 
-    def __init__(self, findings: list[Finding]) -> None:
+    def __init__(self, findings: Sequence[Finding]) -> None:
         more = f" (+{len(findings) - 1} more)" if len(findings) > 1 else ""
         super().__init__(f"{findings[0]}{more}; see 'lichencleat store check', then 'store salvage'")
         self.findings = findings
 
 
+class UnreadableDirectoryError(StoreError):
+    """Reading the store's directory failed.
+
+    Attributes:
+        directory: Its path.
+    """
+
+    def __init__(self, directory: str, cause: OSError) -> None:
+        super().__init__(f"{directory}: can't be read: {cause.strerror}")
+        self.directory = directory
+
+
+# -- records ---------------------------------------------------------------------------------------
+
+
+class BadRecordError(StoreError):
+    """A key, value, expiry or batch is outside its limits; nothing was written."""
+
+
+class KeySizeError(BadRecordError):
+    """A key is empty or too long. Sizes are in bytes."""
+
+    def __init__(self, size: int, maximum: int) -> None:
+        super().__init__(f"a key has 1 to {maximum} bytes, not {size}")
+        self.size = size
+        self.maximum = maximum
+
+
+class ValueSizeError(BadRecordError):
+    """A value is too long. Sizes are in bytes."""
+
+    def __init__(self, size: int, maximum: int) -> None:
+        super().__init__(f"a value has at most {maximum} bytes, not {size}")
+        self.size = size
+        self.maximum = maximum
+
+
+class BatchSizeError(BadRecordError):
+    """A batch has grown too large. `maximum` is in bytes."""
+
+    def __init__(self, maximum: int) -> None:
+        super().__init__(f"a batch has at most {maximum} bytes")
+        self.maximum = maximum
+
+
+class InvalidExpiryError(BadRecordError):
+    """An expiry is no time in µs of Unix time."""
+
+    def __init__(self, expiry: int) -> None:
+        super().__init__(f"an expiry is µs of Unix time, not {expiry}")
+        self.expiry = expiry
+
+
+# -- opening ---------------------------------------------------------------------------------------
+
+
 class CannotOpenError(StoreError):
     """The directory can't be opened as it is: no store, a newer format, or in use by another process."""
 
 
-class ClosedError(StoreError):
-    """The store was closed."""
+class NotAStoreError(CannotOpenError):
+    """The directory holds no store."""
 
+    def __init__(self, directory: str, reason: str) -> None:
+        super().__init__(f"{directory}: no store {reason}")
+        self.directory = directory
 
-class SnapshotGoneError(StoreError):
-    """The snapshot was closed, or ended because the changes since would not fit its bound."""
 
+class DirectoryNotEmptyError(CannotOpenError):
+    """A new store was to be made in a directory that holds something else."""
 
-@dataclass(slots=True, frozen=True)
-class Finding:
-    """One place where the store's files are not what was confirmed."""
+    def __init__(self, directory: str, file: str | None = None) -> None:
+        if file is None:
+            super().__init__(f"{directory}: not empty; name a directory that is new")
+        else:
+            super().__init__(f"{directory}: no store, and not empty ({file}); name an empty directory")
+        self.directory = directory
+        self.file = file
 
-    file: str
-    offset: int  # bytes from the file's start
-    what: str
 
-    def __str__(self) -> str:
-        return f"{self.file}, offset {self.offset}: {self.what}"
+class MissingMarkerError(CannotOpenError):
+    """The directory holds segments, but not the marker file that says that it is a store."""
+
+    def __init__(self, directory: str, marker: str) -> None:
+        super().__init__(f"{directory}: segments without their file {marker}; try 'store salvage'")
+        self.directory = directory
+
+
+class NewerFormatError(CannotOpenError):
+    """A file was written by a newer version of this program.
+
+    Attributes:
+        file: Its name.
+        version: The version of its format.
+        supported: The newest version that this program reads.
+    """
+
+    def __init__(self, file: str, version: int, supported: int) -> None:
+        super().__init__(
+            f"{file}: format {version}, newer than {supported}; open it with a newer lichencleat"
+        )
+        self.file = file
+        self.version = version
+        self.supported = supported
+
+
+class UnusableDirectoryError(CannotOpenError):
+    """The directory can't be made or opened."""
+
+    def __init__(self, directory: str, cause: OSError) -> None:
+        super().__init__(f"{directory}: {cause.strerror}; name a directory that is a store")
+        self.directory = directory
+
+
+class DirectoryLockError(CannotOpenError):
+    """The directory's lock can't be taken; mostly another process holds it."""
+
+    def __init__(self, directory: str, cause: OSError) -> None:
+        if isinstance(cause, BlockingIOError):
+            super().__init__(f"{directory}: in use by another process; end that one first")
+        else:
+            super().__init__(f"{directory}: can't be locked: {cause.strerror}")
+        self.directory = directory
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -1,8 +1,8 @@
-"""Where each key's value stands, now and in snapshots, in order of keys; no I/O, no lock of its own.
+"""The index: where each key's value is, now and in snapshots, in order of keys. No I/O, no lock of its own.
 
-A place is one whole number: expiry, segment, offset and length packed, as objects of their own would cost
-some 200 bytes a key. Bounds on entries and bytes are the caller's to ask for (`entries`, `memory`); undo
-lists are bounded here.
+A location is one integer into which expiry, segment, offset and length are packed, as objects of their own
+would cost some 200 bytes a key. Limits on entries and memory are for the caller to check; undo lists are
+limited here.
 """
 
 from __future__ import annotations
@@ -13,72 +13,90 @@
 
 from sortedcontainers import SortedDict, SortedList
 
-ENTRY_BYTES = 150  # bytes of memory an entry costs besides its key: dict, order, place, the objects' heads
+ENTRY_BYTES = 150  # of memory that an entry costs besides its key: dict, order, location, object headers
 FIELD_BITS = 32  # of an offset, a length, a segment's number
 FIELD_MASK = (1 << FIELD_BITS) - 1
-MAX_UNDO_ENTRIES = 1_000_000  # changes that a snapshot outlives: some 150 MB; behind them it is ended
+MAX_UNDO_ENTRIES = 1_000_000  # changes that a snapshot outlives: some 150 MB
 
 
 def pack_location(segment: int, offset: int, length: int, expiry: int) -> int:
+    """Pack a location; `expiry` is in µs of Unix time, 0 for none."""
     return ((expiry << FIELD_BITS | segment) << FIELD_BITS | offset) << FIELD_BITS | length
 
 
-def segment_of(where: int) -> int:
-    return where >> 2 * FIELD_BITS & FIELD_MASK
+def segment_of(location: int) -> int:
+    """The segment's number."""
+    return location >> 2 * FIELD_BITS & FIELD_MASK
 
 
-def offset_of(where: int) -> int:
-    return where >> FIELD_BITS & FIELD_MASK
+def offset_of(location: int) -> int:
+    """The frame's offset in the segment's file, in bytes."""
+    return location >> FIELD_BITS & FIELD_MASK
 
 
-def length_of(where: int) -> int:
-    return where & FIELD_MASK
+def length_of(location: int) -> int:
+    """The frame's length in bytes."""
+    return location & FIELD_MASK
 
 
-def expiry_of(where: int) -> int:
-    """µs of Unix time, 0 for none."""
-    return where >> 3 * FIELD_BITS
+def expiry_of(location: int) -> int:
+    """The expiry in µs of Unix time, 0 for none."""
+    return location >> 3 * FIELD_BITS
 
 
-def expired(where: int, now: int) -> bool:
-    return 0 < where >> 3 * FIELD_BITS <= now
+def is_expired(location: int, now: int) -> bool:
+    """Whether the entry has an expiry that is not after `now` (µs)."""
+    return 0 < location >> 3 * FIELD_BITS <= now
 
 
 @dataclass(slots=True)
 class LocationTotals:
     """What a start has to know of all entries, from one pass over them."""
 
-    live_bytes: dict[int, int]  # segment -> bytes of the frames that entries point at
-    ends: dict[int, int]  # segment -> where the last of these ends
+    live_bytes: dict[int, int]  # by segment number: bytes of the frames that entries point at
+    ends: dict[int, int]  # by segment number: offset at which the last of these ends
     earliest_expiry: int  # µs: the earliest expiry, 0 where none
 
 
 def total_locations(locations: dict[bytes, int]) -> LocationTotals:
+    """Sum up all locations of a new index."""
     live_bytes: dict[int, int] = {}
     ends: dict[int, int] = {}
     earliest_expiry = 0
-    for where in locations.values():
-        segment, length = where >> 2 * FIELD_BITS & FIELD_MASK, where & FIELD_MASK
-        end = (where >> FIELD_BITS & FIELD_MASK) + length
+    for location in locations.values():
+        segment, length = location >> 2 * FIELD_BITS & FIELD_MASK, location & FIELD_MASK
+        end = (location >> FIELD_BITS & FIELD_MASK) + length
         if segment in live_bytes:
             live_bytes[segment] += length
             if end > ends[segment]:
                 ends[segment] = end
         else:
             live_bytes[segment], ends[segment] = length, end
-        expiry = where >> 3 * FIELD_BITS
+        expiry = location >> 3 * FIELD_BITS
         if expiry and (expiry < earliest_expiry or not earliest_expiry):
             earliest_expiry = expiry
     return LocationTotals(live_bytes, ends, earliest_expiry)
 
 
 class Index:
+    """The entries, and the snapshots that are open on them.
+
+    Attributes:
+        locations: By key, packed.
+        order: The keys, sorted.
+        memory: Estimated bytes of memory.
+        live_bytes: By segment number, the bytes of the frames that entries point at.
+        earliest_expiry: No entry expires before this time (µs); 0 where none expires.
+        max_undo_entries: Changes that a snapshot outlives.
+        snapshots: Those that are open, oldest first.
+    """
+
     def __init__(self, max_undo_entries: int = MAX_UNDO_ENTRIES) -> None:
         self.locations: dict[bytes, int] = {}
         self.order: SortedList = SortedList()
-        self.memory = 0  # bytes, estimated
-        self.live_bytes: dict[int, int] = {}  # segment -> bytes of the frames that entries point at
-        self.earliest_expiry = 0  # µs: no entry expires before it; 0 where none expires
+        self.memory = 0
+        self.live_bytes: dict[int, int] = {}
+        self.earliest_expiry = 0
         self.max_undo_entries = max_undo_entries
         self.snapshots: dict[Snapshot, None] = {}
 
@@ -86,17 +104,19 @@
         return len(self.locations)
 
     def load(self, locations: dict[bytes, int], sums: LocationTotals) -> None:
-        """Takes over all entries at once, as a start finds them, with what `total_locations` says of them."""
+        """Take over all entries at once, as a start finds them, with their `total_locations`."""
         self.locations = locations
         self.order = SortedList(locations)
         self.memory = sum(map(len, locations)) + ENTRY_BYTES * len(locations)
         self.live_bytes, self.earliest_expiry = sums.live_bytes, sums.earliest_expiry
 
     def get(self, key: bytes, now: int) -> int | None:
-        where = self.locations.get(key)
-        return None if where is None or expired(where, now) else where
+        """The key's location, or None where there is no entry or it has expired."""
+        location = self.locations.get(key)
+        return None if location is None or is_expired(location, now) else location
 
-    def put(self, key: bytes, where: int) -> None:
+    def put(self, key: bytes, location: int) -> None:
+        """Set a key's location to that of a new value."""
         old = self.locations.get(key)
         if old is None:
             self.order.add(key)
@@ -104,101 +124,108 @@
         else:
             self.live_bytes[segment_of(old)] -= length_of(old)
         if self.snapshots:
-            self.record_undo(key, old)
-        self.enter(key, where)
+            self._record_undo(key, old)
+        self._enter(key, location)
+
+    def move(self, key: bytes, old: int, location: int) -> bool:
+        """Note that a value was copied to another location; no snapshot changes.
 
-    def move(self, key: bytes, old: int, where: int) -> bool:
-        """The same value at another place: no change to any snapshot. Is `old` still its place?"""
+        Returns whether `old` was still its location; if not, nothing is done.
+        """
         if self.locations.get(key) != old:
             return False
         self.live_bytes[segment_of(old)] -= length_of(old)
-        self.enter(key, where)
+        self._enter(key, location)
         return True
 
-    def enter(self, key: bytes, where: int) -> None:
-        self.locations[key] = where
-        segment, expiry = where >> 2 * FIELD_BITS & FIELD_MASK, where >> 3 * FIELD_BITS
-        self.live_bytes[segment] = self.live_bytes.get(segment, 0) + (where & FIELD_MASK)
+    def _enter(self, key: bytes, location: int) -> None:
+        self.locations[key] = location
+        segment, expiry = location >> 2 * FIELD_BITS & FIELD_MASK, location >> 3 * FIELD_BITS
+        self.live_bytes[segment] = self.live_bytes.get(segment, 0) + (location & FIELD_MASK)
         if expiry and (expiry < self.earliest_expiry or not self.earliest_expiry):
             self.earliest_expiry = expiry
 
     def delete(self, key: bytes) -> None:
+        """Remove a key, if it is there."""
         old = self.locations.pop(key, None)
         if old is None:
             return
         self.order.remove(key)
         self.memory -= len(key) + ENTRY_BYTES
         self.live_bytes[segment_of(old)] -= length_of(old)
-        self.record_undo(key, old)
+        self._record_undo(key, old)
 
-    def record_undo(self, key: bytes, old: int | None) -> None:
+    def _record_undo(self, key: bytes, old: int | None) -> None:
         for snapshot in list(self.snapshots):
-            snapshot.before(key, old)
+            snapshot.record_previous(key, old)
 
     def drop_expired(self, cursor: bytes, most: int, now: int) -> tuple[bytes | None, int]:
-        """Drops what has expired among the next `most` keys; the next cursor (None at the end), the earliest
-        expiry left.
+        """Drop what has expired among the next `most` keys from the cursor on.
+
+        Returns the next cursor (None at the end) and the earliest expiry left among these keys (0: none).
         """
         keys = list(islice(self.order.irange(cursor), most + 1))
         earliest_expiry = 0
         for key in keys[:most]:
-            where = self.locations[key]
-            if expired(where, now):
+            location = self.locations[key]
+            if is_expired(location, now):
                 self.delete(key)
-            elif (expiry := expiry_of(where)) and (expiry < earliest_expiry or not earliest_expiry):
+            elif (expiry := expiry_of(location)) and (expiry < earliest_expiry or not earliest_expiry):
                 earliest_expiry = expiry
         return (keys[most] if len(keys) > most else None), earliest_expiry
 
     def snapshot(self, sequence: int) -> Snapshot:
-        """Owned by who asks; given back by `Snapshot.close`."""
+        """Take a snapshot of the entries as of that sequence; the caller closes it."""
         snapshot = Snapshot(self, sequence)
         self.snapshots[snapshot] = None
         return snapshot
 
 
 class Snapshot:
-    """The entries as they are now. Changes to come put what was there before them on its undo list."""
+    """The entries as they were when it was taken: each later change adds what it replaced to the undo list."""
 
     def __init__(self, index: Index, sequence: int) -> None:
         self.index = index
-        self.sequence = sequence  # of the last change that it knows
-        self.undo: SortedDict = SortedDict()  # key -> place then, None where there was none
+        self.sequence = sequence  # of the last change that it includes
+        self.undo: SortedDict = SortedDict()  # key -> location then, None where there was none
         self.is_open = True
 
-    def before(self, key: bytes, old: int | None) -> None:
+    def record_previous(self, key: bytes, old: int | None) -> None:
+        """Note what a change is about to replace; at the limit of the undo list the snapshot ends."""
         if key not in self.undo:
             if len(self.undo) >= self.index.max_undo_entries:
-                self.close()  # the bound of its memory: who reads it is told, the writer goes on
+                self.close()  # its readers get an error, the writer goes on
                 return
             self.undo[key] = old
 
     def close(self) -> None:
+        """End the snapshot and free its undo list; may be called again."""
         self.is_open = False
         self.undo.clear()
         self.index.snapshots.pop(self, None)
 
     def get(self, key: bytes) -> int | None:
+        """The key's location when the snapshot was taken, or None; expiry is not looked at."""
         return self.undo[key] if key in self.undo else self.index.locations.get(key)
 
     def chunk(self, cursor: bytes, prefix: bytes, most: int) -> list[tuple[bytes, int]]:
-        """Up to `most` entries from `cursor` on, in order, while keys begin with `prefix`; the last chunk is
-        empty.
+        """Return up to `most` entries from `cursor` on, in order, while keys begin with `prefix`.
 
-        The next chunk begins behind the last key: at that key and a zero byte.
+        The next chunk begins behind the last key: at that key and a zero byte. The last chunk is empty.
         """
 
-        def keys(among: SortedList | SortedDict) -> Iterator[bytes]:
+        def keys_of(among: SortedList | SortedDict) -> Iterator[bytes]:
             return islice(
                 takewhile(lambda key: key.startswith(prefix), among.irange(max(cursor, prefix))), most
             )
 
         found: list[tuple[bytes, int]] = []
         while self.is_open and not found:
-            now = list(keys(self.index.order))
-            then = list(keys(self.undo))
+            now = list(keys_of(self.index.order))
+            then = list(keys_of(self.undo))
             merged = sorted({*now, *then})[:most]
             if not merged:
                 break
-            found = [(key, where) for key in merged if (where := self.get(key)) is not None]
-            cursor = merged[-1] + b"\0"  # all of these were made since: the next ones are looked at
+            found = [(key, location) for key in merged if (location := self.get(key)) is not None]
+            cursor = merged[-1] + b"\0"  # all of these were made since: go on with the next ones
         return found
--- a/lichencleat/store/log.py
+++ b/lichencleat/store/log.py
@@ -1,7 +1,7 @@
 """The log: the segments and their files, what is appended to the newest, and which files are still needed.
 
-One thread writes; any may read meanwhile. The index and the lists of segments are guarded by a lock that is
-held for a chunk's or a commit's entries, never while the disk is asked.
+One thread writes; any may read meanwhile. The index and the lists of segments are protected by the lock
+`guard`, which is held for a chunk's or a commit's entries, never while the disk is used.
 """
 
 from __future__ import annotations
@@ -14,15 +14,14 @@
 
 from crc32c import crc32c
 
-from lichencleat.store import errors as bounds
-from lichencleat.store import framing, segments
+from lichencleat.store import file_names, framing, segments
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk
-from lichencleat.store.errors import FullError, NotConfirmedError, StoreError
+from lichencleat.store.errors import FullError, Limit, NotConfirmedError, StoreError
 from lichencleat.store.index import Index, Snapshot, pack_location
-from lichencleat.store.segments import NEW, Record, Segment
+from lichencleat.store.segments import Record, Segment
 
-# µs between marks of the time in the log: by so much a clock that goes back may be believed
+# Between time marks in the log: a clock that goes back is believed by at most so much.
 TIME_MARK_INTERVAL_US = 1_000_000
 DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
 COUNTS = (
@@ -43,43 +42,48 @@
 )
 
 
-def told(wrong: OSError) -> StoreError:
-    """What a caller is told of an error of the disk's."""
-    if wrong.errno in DISK_FULL:
-        return FullError(bounds.DISK, f" ({wrong.strerror}); nothing is confirmed of what was asked for")
-    return NotConfirmedError(f"the disk failed: {wrong.strerror or wrong}")
+def to_store_error(error: OSError) -> StoreError:
+    """The error that a caller gets for an error of the disk."""
+    if error.errno in DISK_FULL:
+        return FullError(Limit.DISK_SPACE, f"({error.strerror}); nothing is confirmed of what was asked for")
+    return NotConfirmedError(f"the disk failed: {error.strerror or error}")
 
 
 class Log:
-    """Owns the segments' files; each is given back in `release_resources`, `drop` or `leave` alone."""
+    """Owns the files of the segments: `release_resources`, `remove_segment` and `release` close them."""
 
-    def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, most: StoreLimits) -> None:
-        self.disk, self.clock, self.rng, self.most = disk, clock, rng, most
+    def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, limits: StoreLimits) -> None:
+        self.disk = disk
+        self.clock = clock
+        self.rng = rng
+        self.limits = limits
         self.guard = threading.Lock()
-        self.index = Index(most.max_undo_entries)
+        self.index = Index(limits.max_undo_entries)
         self.store = b""
         self.segments: dict[int, Segment] = {}  # by number, oldest first
         self.active: Segment | None = None  # the one written to; None: the next write begins one
         self.sequence = 0  # of the last frame that was flushed
         self.time = 0  # µs: the latest time seen, so that a clock that goes back brings nothing back
         self.marked = 0  # µs: the latest time that stands in the log
-        self.written = 0  # bytes of log since the start, and those before that no checkpoint covers
-        self.disk_full = False  # the last write found no room
-        self.pins: dict[Snapshot, dict[int, Segment]] = {}  # files gone from the log since, by number
+        self.written = 0  # bytes of log since the start, and those before it that no checkpoint covers
+        self.disk_full = False  # the last write found no space
+        self.pins: dict[Snapshot, dict[int, Segment]] = {}  # files removed from the log since, by number
         self.counts = dict.fromkeys(COUNTS, 0)
 
     def tick(self) -> int:
+        """Read the clock; returns the latest time seen, in µs."""
         self.time = max(self.time, self.clock())
         return self.time
 
     # -- segments ----------------------------------------------------------------------------------
 
     def load(self, found: Iterable[Segment]) -> None:
-        """Takes over the segments that a start has found, oldest first."""
+        """Take over the segments that a start has found, oldest first."""
         self.segments = {each.number: each for each in found}
         self.sequence = self.newest().last_sequence
 
     def newest(self) -> Segment:
+        """The segment that was begun last."""
         return self.active or next(reversed(self.segments.values()))
 
     def sealed(self) -> list[Segment]:
@@ -87,45 +91,48 @@
         return [each for each in self.segments.values() if each is not self.active]
 
     def begin(self, carried: Sequence[Record] = ()) -> Segment:
-        """A new segment to write to. Whatever stands in older ones behind what is confirmed is void from then
-        on.
+        """Begin a new segment to write to. Raises OSError.
+
+        From then on, whatever stands in older ones behind what is confirmed is void.
+
+        Args:
+            carried: Records that the new segment holds from the start, flushed before it gets its name.
         """
         with contextlib.suppress(FileNotFoundError):
-            self.disk.remove(NEW)  # what an earlier try left
+            self.disk.remove(file_names.NEW_SEGMENT)  # what an earlier attempt left
         number = max(self.segments, default=0) + 1
-        salt = self.rng.randbytes(framing.SALT)
-        file = self.disk.open(NEW, create=True)
+        salt = self.rng.randbytes(framing.SALT_BYTES)
+        file = self.disk.open(file_names.NEW_SEGMENT, create=True)
         try:
             segment = Segment(number, file, crc32c(salt), 0, self.sequence + 1)
             segment.flushed_through = self.sequence + len(carried)
-            head = segments.head(self.store, segment, salt, self.time, list(self.segments.values()))
+            head = segments.encode_header(self.store, segment, salt, self.time, list(self.segments.values()))
             segment.data_start = segment.size = len(head)
-            data, locations = segments.encode(carried, segment, self.sequence + 1, self.sequence)
+            data, locations = segments.encode_records(carried, segment, self.sequence + 1, self.sequence)
             self.disk.append(file, head + data)
             self.disk.flush(file)
-            self.disk.rename(NEW, segment.name)
+            self.disk.rename(file_names.NEW_SEGMENT, segment.name)
             self.disk.flush_directory()
         except BaseException:
             self.disk.close(file)
-            with contextlib.suppress(OSError):  # it holds room that a full disk may need
-                self.disk.remove(NEW)
+            with contextlib.suppress(OSError):  # it holds space that a full disk may need
+                self.disk.remove(file_names.NEW_SEGMENT)
             raise
         segment.size += len(data)
-        self.count_written(len(head) + len(data))
+        self._count_written(len(head) + len(data))
         with self.guard:
             self.active = self.segments[number] = segment
         self.marked = self.time
         self.sequence = segment.last_sequence = segment.flushed_through
-        self.enter(carried, locations, segment)
+        self._enter(carried, locations, segment)
         return segment
 
     def needs_segment(self) -> bool:
-        return self.active is None or self.active.size >= self.most.segment_bytes
+        """Whether the next write begins a new segment."""
+        return self.active is None or self.active.size >= self.limits.segment_bytes
 
-    def drop(self, segment: Segment) -> None:
-        """Gives a segment's file back; a reader or snapshot that needs it keeps it open until it is
-        through.
-        """
+    def remove_segment(self, segment: Segment) -> None:
+        """Remove a segment's file; a reader or snapshot that needs it keeps it open until it is done."""
         with self.guard:
             segment.is_removed = True
             del self.segments[segment.number]
@@ -134,32 +141,32 @@
                 pinned[segment.number] = segment
                 segment.reference_count += 1
             free = segment.reference_count == 0
-        with contextlib.suppress(OSError):  # the log says that it is gone: a start removes what is left of it
+        with contextlib.suppress(OSError):  # the log says that it is removed: a start cleans up
             self.disk.remove(segment.name)
             self.disk.flush_directory()
         if free:
             self.disk.close(segment.file)
 
-    def leave(self, segment: Segment) -> None:
-        """A reader or snapshot is through with it; the guard is held."""
+    def release(self, segment: Segment) -> None:
+        """Drop one reference of a reader or snapshot; the caller holds the guard."""
         segment.reference_count -= 1
         if segment.is_removed and segment.reference_count == 0:
             self.disk.close(segment.file)
 
     def unpin(self, snapshot: Snapshot) -> None:
-        """The one place where a snapshot and the files kept for it are given back; the guard is held."""
+        """Close a snapshot and release the files kept for it; the caller holds the guard."""
         snapshot.close()
         for segment in self.pins.pop(snapshot, {}).values():
-            self.leave(segment)
+            self.release(segment)
 
     def total(self) -> int:
-        """Bytes of all segments; those that are gone and still read count too."""
+        """Bytes of all segments; those that are removed and still read count too."""
         held = {each for pinned in list(self.pins.values()) for each in list(pinned.values())}
         return sum(each.size + each.void_bytes for each in (*self.segments.values(), *held))
 
-    def shed(self, needed: int) -> None:
-        """Ends the oldest snapshots while the files that they hold keep the store from so many bytes more."""
-        while self.total() + needed > self.most.max_disk_bytes - self.most.reserve_bytes and any(
+    def end_snapshots_for(self, needed: int) -> None:
+        """End the oldest snapshots while the files that they hold leave less than `needed` bytes."""
+        while self.total() + needed > self.limits.max_disk_bytes - self.limits.reserve_bytes and any(
             self.pins.values()
         ):
             with self.guard:
@@ -167,77 +174,88 @@
             self.counts["snapshots ended"] += 1
 
     def release_resources(self) -> None:
-        """The guard is held: no reader may find some of it gone and some still there."""
+        """Close all files. The caller holds the guard: a reader finds all of it or nothing."""
         for snapshot in list(self.pins):
             self.unpin(snapshot)
         for segment in self.segments.values():
-            segment.is_removed = True  # a reader that is at it closes it
+            segment.is_removed = True  # a reader that is using it closes it
             if not segment.reference_count:
                 self.disk.close(segment.file)
-        self.segments, self.active = {}, None
+        self.segments = {}
+        self.active = None
+
+    def close_segments(self) -> None:
+        """Close the files of a store that was just created; a start opens them again."""
+        for segment in self.segments.values():
+            self.disk.close(segment.file)
+        self.segments = {}
+        self.active = None
 
     # -- writing -----------------------------------------------------------------------------------
 
     def write(self, records: list[Record]) -> StoreError | None:
-        """Appends and flushes the records, then enters them; or none of them, and the segment is not trusted
-        again. No records: a mark of the time alone, which proves all before it.
+        """Append and flush the records, then enter them into the index; all of them or none.
+
+        Without records a time mark is written, which proves all before it. Returns None or the error; after
+        an error the segment is not written to again.
         """
         if self.time - self.marked >= TIME_MARK_INTERVAL_US or not records:
             records = [Record(framing.TIME_MARK, self.time, b""), *records]
         try:
             segment, locations = self.append(records)
-        except OSError as wrong:
-            return told(wrong)
+        except OSError as error:
+            return to_store_error(error)
         self.disk_full = False
         if records[0].kind == framing.TIME_MARK:
             self.marked = self.time
         self.counts["records"] += len(records)
-        self.enter(records, locations, segment)
+        self._enter(records, locations, segment)
         return None
 
     def append(self, records: Sequence[Record]) -> tuple[Segment, list[tuple[int, int]]]:
-        """Writes and flushes; offset and length of each. Raises OSError: the segment is then left."""
+        """Write and flush the records; returns the segment, and offset and length of each.
+
+        Raises OSError, and then does not use the segment any more.
+        """
         try:
             if self.needs_segment():
                 self.active = None
                 self.begin()
             segment = self.newest()
-            data, locations = segments.encode(records, segment, self.sequence + 1, self.sequence)
+            data, locations = segments.encode_records(records, segment, self.sequence + 1, self.sequence)
             self.disk.append(segment.file, data)
             self.disk.flush(segment.file)
-        except OSError as wrong:
-            self.abandon_active_segment(wrong)
+        except OSError as error:
+            self._abandon_active_segment(error)
             raise
         segment.size += len(data)
-        self.count_written(len(data))
+        self._count_written(len(data))
         self.counts["flushes"] += 1
         self.sequence += len(records)
         segment.last_sequence = self.sequence
         return segment, locations
 
-    def abandon_active_segment(self, wrong: OSError) -> None:
-        """The segment is never written to again: behind its size stands what may be there, or not, or
-        torn.
-        """
+    def _abandon_active_segment(self, error: OSError) -> None:
+        """Never write to the segment again: what was being written may be there in part."""
         if self.active is not None:
             with contextlib.suppress(OSError):
                 self.active.void_bytes = max(0, self.disk.size(self.active.file) - self.active.size)
             self.active = None
         self.counts["writes failed"] += 1
-        self.disk_full = self.disk_full or wrong.errno in DISK_FULL
+        self.disk_full = self.disk_full or error.errno in DISK_FULL
 
-    def enter(
+    def _enter(
         self, records: Sequence[Record], locations: Sequence[tuple[int, int]], segment: Segment
     ) -> None:
         with self.guard:
             index, number = self.index, segment.number
             for record, (offset, length) in zip(records, locations, strict=True):
-                if record.kind in (framing.PUT, framing.BATCH_PUT):
+                if record.kind in framing.PUTS:
                     index.put(record.key, pack_location(number, offset, length, record.number))
-                elif record.kind in (framing.DELETE, framing.BATCH_DELETE):
+                elif record.kind in framing.DELETES:
                     index.delete(record.key)
                     segment.tombstone_bytes += length
 
-    def count_written(self, size: int) -> None:
+    def _count_written(self, size: int) -> None:
         self.written += size
         self.counts["bytes written"] += size
--- a/lichencleat/store/log_tail.py
+++ b/lichencleat/store/log_tail.py
@@ -1,69 +1,90 @@
-"""What a log's tail proves: which frames were flushed, which are in doubt, whether bad bytes are a cut's or
-damage; no I/O.
+"""Log tail recovery: which frames of the newest segment were flushed, and which are unproved. No I/O.
 
-Every frame says how far back the last flushed frame was when it was written. A group of frames is only
-written after the flush of the one before it, so a frame that says `back` proves all up to its sequence less
-`back`. Bytes that are no frame are a cut's traces while nothing behind them proves that what stood there was
-flushed; else they are damage.
+Every frame says how far back the last flushed frame was when it was written. A group of frames is written
+only after the flush of the group before it, so a frame that says `back` proves all up to its sequence less
+`back`. Bytes that are no frame are what a power cut left, as long as nothing behind them proves that what
+stood there was flushed; otherwise they are corruption.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from dataclasses import dataclass
 
 from lichencleat.store import framing
 
 
+@dataclass(slots=True)
+class TailFrame:
+    """A frame that was read and that nothing proves to be flushed yet."""
+
+    sequence: int
+    kind: int
+    offset: int
+    length: int
+
+
 class LogTail:
-    """Reads the newest segment's frames in their order; tells what is proved and what is in doubt."""
+    """Takes in the newest segment's frames in order and tells what they prove.
+
+    Attributes:
+        sequence: Of the last frame taken in.
+        proved: The last sequence that is proved to be flushed.
+        proved_end: Offset in bytes at which the proved frames end.
+        removed_segments: Sequence of the record and number of each segment that it says is removed.
+        time: The latest time that a time mark tells, in µs.
+    """
 
     def __init__(self, first: int, through: int, offset: int) -> None:
-        """`first` is the first frame's sequence; all up to `through` was flushed before the segment got its
-        name.
+        """Starts before the segment's first frame.
+
+        Args:
+            first: That frame's sequence.
+            through: All up to this sequence was flushed before the segment got its name.
+            offset: Where its frames begin.
         """
-        self.sequence = first - 1  # of the last frame read
+        self.sequence = first - 1
         self.proved = max(through, first - 1)
-        self.proved_end = offset  # bytes: where the frames proved so far end
-        self.unproved: deque[tuple[int, int, int, int]] = deque()  # sequence, kind, offset, length
-        self.gone: list[tuple[int, int]] = []  # sequence and number of the segments that are gone
-        self.time = 0  # µs: the latest time that a mark tells
+        self.proved_end = offset
+        self.unproved: deque[TailFrame] = deque()
+        self.removed_segments: list[tuple[int, int]] = []
+        self.time = 0
 
-    def reads(self, offset: int, length: int, sequence: int, kind: int, back: int, number: int) -> bool:
-        """Is it the frame that has to come here? Then what it proves is known from now on."""
+    def accept(self, offset: int, length: int, sequence: int, kind: int, back: int, number: int) -> bool:
+        """Take the frame in if it is the one that has to come next; returns whether it is."""
         if sequence != self.sequence + 1 or not 0 < back <= sequence:
             return False
         self.sequence = sequence
-        self.unproved.append((sequence, kind, offset, length))
+        self.unproved.append(TailFrame(sequence, kind, offset, length))
         self.mark_proved(sequence - back)
         if kind == framing.SEGMENT_REMOVED:
-            self.gone.append((sequence, number))
+            self.removed_segments.append((sequence, number))
         elif kind == framing.TIME_MARK:
             self.time = max(self.time, number)
         return True
 
-    def mark_proved(self, floor: int) -> None:
-        self.proved = max(self.proved, floor)
-        unproved = self.unproved
-        while unproved and unproved[0][0] <= self.proved:
-            _, _, offset, length = unproved.popleft()
-            self.proved_end = offset + length
+    def mark_proved(self, sequence: int) -> None:
+        """All frames up to that sequence are known to be flushed."""
+        self.proved = max(self.proved, sequence)
+        while self.unproved and self.unproved[0].sequence <= self.proved:
+            frame = self.unproved.popleft()
+            self.proved_end = frame.offset + frame.length
 
-    def lost(self, sequence: int, back: int) -> bool:
-        """A frame found behind bytes that are none: does it prove that something flushed stood there?"""
+    def is_loss_proved_by(self, sequence: int, back: int) -> bool:
+        """Whether a frame behind bytes that are none proves that something flushed stood there."""
         return sequence - back > self.sequence
 
-    def in_doubt(self) -> list[tuple[int, int]]:
-        """Offset and length of the frames in doubt that are worth keeping: no marks, no batch without its
-        commit.
-        """
+    def unproved_records(self) -> list[tuple[int, int]]:
+        """Offset and length of the unproved frames worth keeping: no marks, no batch without its commit."""
         kept: list[tuple[int, int]] = []
         batch: list[tuple[int, int]] = []
-        for _, kind, offset, length in self.unproved:
-            if kind in (framing.BATCH_PUT, framing.BATCH_DELETE):
-                batch.append((offset, length))
-            elif kind == framing.COMMIT:
-                kept += [*batch, (offset, length)]
+        for frame in self.unproved:
+            span = (frame.offset, frame.length)
+            if frame.kind in framing.IN_BATCH:
+                batch.append(span)
+            elif frame.kind == framing.COMMIT:
+                kept += [*batch, span]
                 batch = []
-            elif kind in (framing.PUT, framing.DELETE):
-                kept.append((offset, length))
+            elif frame.kind in framing.SINGLE:
+                kept.append(span)
         return kept
--- a/lichencleat/store/reader.py
+++ b/lichencleat/store/reader.py
@@ -1,117 +1,119 @@
-"""Reading: single values, snapshots, chunks and scans, from any thread, while one writes."""
+"""Reader: single values, snapshots, chunks and scans, from any thread, while one other writes."""
 
 from __future__ import annotations
 
 from collections.abc import Iterator
+from dataclasses import dataclass
 
-from lichencleat.store import errors as bounds
 from lichencleat.store import framing
-from lichencleat.store.errors import ClosedError, CorruptDataError, Finding, FullError, SnapshotGoneError
-from lichencleat.store.index import Snapshot, expired, length_of, offset_of, segment_of
+from lichencleat.store.errors import (
+    ClosedError,
+    CorruptDataError,
+    Finding,
+    FullError,
+    Limit,
+    SnapshotGoneError,
+)
+from lichencleat.store.index import Snapshot, is_expired, length_of, offset_of, segment_of
 from lichencleat.store.log import Log
 from lichencleat.store.segments import Segment
 
-CHUNK_ENTRIES = 256  # entries looked up at once by a scan: the lock is held for some 0.1 ms
-MAX_SNAPSHOTS = 64  # each may hold files that cleaning would give back, and an undo list
+CHUNK_ENTRIES = 256  # looked up at once by a scan: the lock is held for some 0.1 ms
+MAX_SNAPSHOTS = 64  # each may hold files that compaction would remove, and an undo list
+
+
+@dataclass(slots=True)
+class _PinnedEntry:
+    """An entry to be read, and its segment, which is kept open meanwhile."""
+
+    key: bytes
+    location: int
+    segment: Segment
 
 
 class Reader:
+    """Reads values; holds the log's guard only to look locations up, never while the disk is used."""
+
     def __init__(self, log: Log) -> None:
         self.log = log
         self.closed = False
 
-    def check_open(self) -> None:
-        if self.closed:
-            raise ClosedError("the store is closed")
-
     def get(self, key: bytes) -> bytes | None:
-        """The value, or None. Raises DamagedError where its bytes are not those that were confirmed."""
+        """The value, or None. Raises CorruptDataError where its bytes are not those that were confirmed."""
         log = self.log
         with log.guard:
-            self.check_open()
-            where = log.index.get(key, log.tick())
-            if where is None:
+            self._check_open()
+            location = log.index.get(key, log.tick())
+            if location is None:
                 return None
-            segment = log.segments[segment_of(where)]
+            segment = log.segments[segment_of(location)]
             segment.reference_count += 1
         try:
-            return self.read(segment, key, where)
+            return self.read_value(segment, key, location)
         finally:
             with log.guard:
-                log.leave(segment)
+                log.release(segment)
 
-    def read(self, segment: Segment, key: bytes, where: int) -> bytes:
-        offset, length = offset_of(where), length_of(where)
+    def read_value(self, segment: Segment, key: bytes, location: int) -> bytes:
+        """Read the value at a location of a segment that the caller keeps open. Raises CorruptDataError."""
+        offset, length = offset_of(location), length_of(location)
         try:
             data = self.log.disk.read(segment.file, offset, length)
-        except OSError as wrong:
+        except OSError as error:
             self.log.counts["damaged reads"] += 1
-            raise CorruptDataError(
-                [Finding(segment.name, offset, f"can't be read: {wrong.strerror}")]
-            ) from wrong
+            finding = Finding(segment.name, offset, f"can't be read: {error.strerror}")
+            raise CorruptDataError([finding]) from error
         body = framing.decode_frame(data, segment.salt, offset)
         if body is not None:
-            found = framing.decode_body(body)
-            if found[4] == key:
-                return bytes(found[5])
+            _, _, _, _, found_key, value = framing.decode_body(body)
+            if found_key == key:
+                return bytes(value)
         self.log.counts["damaged reads"] += 1
         raise CorruptDataError([Finding(segment.name, offset, "a confirmed record is not whole")])
 
     def snapshot(self) -> Snapshot:
-        """The entries as they are now; `release` gives it back. Raises FullError at the bound on
-        snapshots.
-        """
+        """Take a snapshot of the entries; `release` gives it back. Raises FullError, ClosedError."""
         log = self.log
         with log.guard:
-            self.check_open()
+            self._check_open()
             if len(log.pins) >= MAX_SNAPSHOTS:
-                raise FullError(bounds.SNAPSHOTS, f" ({MAX_SNAPSHOTS})")
+                raise FullError(Limit.SNAPSHOTS, f"({MAX_SNAPSHOTS})")
             snapshot = log.index.snapshot(log.sequence)
             log.pins[snapshot] = {}
             return snapshot
 
     def release(self, snapshot: Snapshot) -> None:
+        """Close a snapshot and the files that were kept for it."""
         with self.log.guard:
             self.log.unpin(snapshot)
 
     def chunk(
         self, snapshot: Snapshot, cursor: bytes, prefix: bytes, most: int = CHUNK_ENTRIES
     ) -> list[tuple[bytes, bytes]]:
-        """Up to `most` keys and values of the snapshot from `cursor` on, in order; the last chunk is empty.
+        """Return up to `most` keys and values of the snapshot from `cursor` on, in order.
+
+        The next chunk begins at the last key and a zero byte. The last chunk is empty.
 
-        The next one begins at the last key and a zero byte. Raises SnapshotGoneError, DamagedError.
+        Raises:
+            SnapshotGoneError: If the snapshot was closed or has ended.
+            CorruptDataError: If a value can't be read.
         """
-        log = self.log
         while True:
-            with log.guard:
-                if not snapshot.is_open:
-                    raise SnapshotGoneError(
-                        "the snapshot is over: closed, or too much was changed since it was taken"
-                    )
-                rows = snapshot.chunk(cursor, prefix, most)
-                if not rows:
-                    return []
-                now = log.tick()
-                pinned = log.pins[snapshot]
-                held = []
-                for key, where in rows:
-                    if not expired(where, now):
-                        number = segment_of(where)
-                        segment = log.segments.get(number) or pinned[number]
-                        segment.reference_count += 1
-                        held.append((key, where, segment))
+            following, pinned = self._pin_entries(snapshot, cursor, prefix, most)
             try:
-                found = [(key, self.read(segment, key, where)) for key, where, segment in held]
+                found = [
+                    (each.key, self.read_value(each.segment, each.key, each.location)) for each in pinned
+                ]
             finally:
-                with log.guard:
-                    for _, _, segment in held:
-                        log.leave(segment)
-            if found:
+                with self.log.guard:
+                    for each in pinned:
+                        self.log.release(each.segment)
+            if found or following is None:
                 return found
-            cursor = rows[-1][0] + b"\0"  # all of these have expired
+            cursor = following  # all of these have expired
 
     def scan(self, prefix: bytes = b"", snapshot: Snapshot | None = None) -> Iterator[tuple[bytes, bytes]]:
-        """Keys and values in order of keys, as they were when the scan began or the snapshot was taken."""
+        """Yield keys and values in order of keys, as of when the scan began or the snapshot was taken."""
         taken = snapshot if snapshot is not None else self.snapshot()
         cursor = prefix
         try:
@@ -121,3 +123,29 @@
         finally:
             if snapshot is None:
                 self.release(taken)
+
+    def _check_open(self) -> None:
+        if self.closed:
+            raise ClosedError
+
+    def _pin_entries(
+        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, most: int
+    ) -> tuple[bytes | None, list[_PinnedEntry]]:
+        """The cursor behind the next rows (None: there are none) and those of them that have not expired."""
+        log = self.log
+        with log.guard:
+            if not snapshot.is_open:
+                raise SnapshotGoneError
+            rows = snapshot.chunk(cursor, prefix, most)
+            if not rows:
+                return None, []
+            now = log.tick()
+            removed = log.pins[snapshot]
+            pinned = []
+            for key, location in rows:
+                if not is_expired(location, now):
+                    number = segment_of(location)
+                    segment = log.segments.get(number) or removed[number]
+                    segment.reference_count += 1
+                    pinned.append(_PinnedEntry(key, location, segment))
+        return rows[-1][0] + b"\0", pinned
--- a/lichencleat/store/recovery.py
+++ b/lichencleat/store/recovery.py
@@ -1,289 +1,229 @@
-"""What a directory holds, found by reading only: the ordinary start, `store check` and `store salvage` all
-begin here.
+"""Recovery scan: what a directory holds, found by reading only.
 
-The newest segment's head is the root: it names every older segment that is part of the store and how far each
-counts.
+The ordinary start, `store check` and `store salvage` all begin here. The newest segment's header is the
+root: it names every older segment that is part of the store and how far each counts.
 """
 
 from __future__ import annotations
 
 import contextlib
-from collections.abc import Iterator
-from typing import Any
+from collections.abc import Sequence
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.store import checkpoint, framing
-from lichencleat.store.disk import Disk
-from lichencleat.store.errors import CannotOpenError, CorruptDataError, Finding
-from lichencleat.store.index import FIELD_BITS, LocationTotals, expired, segment_of, total_locations
+from lichencleat.store import checkpoint, file_names, framing
+from lichencleat.store.disk import Disk, FileHandle
+from lichencleat.store.errors import CannotOpenError, CorruptDataError, Finding, NotAStoreError
 from lichencleat.store.log_tail import LogTail
-from lichencleat.store.segments import NAME, NEW, Segment, read_head
-
-STORE, STORE_NEW = "STORE", "STORE.new"  # the mark that a directory is a store: written last when one is made
-RESERVE = "reserve"  # a file of zeros that gives its room to cleaning when the disk is full
-TEMPORARY = (NEW, STORE_NEW, checkpoint.NEW)
-OWN = frozenset([STORE, RESERVE, checkpoint.NAME, *TEMPORARY])
-
-
-def is_segment(name: str) -> bool:
-    digits = name.removesuffix(".log")
-    return digits != name and digits.isdecimal() and NAME.format(int(digits)) == name
+from lichencleat.store.segments import OlderSegment, Record, Segment, SegmentHeader, read_header
 
 
 class RecoveryScan:
-    """Opens the files; they are handed to the engine, or given back by `close`."""
-
-    def __init__(self, disk: Disk, where: str = "the directory") -> None:
+    """Opens the segments' files; they are handed to the engine, or closed by `close`.
+
+    Attributes:
+        store: The store's identity, from its marker file or its newest segment.
+        segments: Those that count, oldest first.
+        findings: All that is not as it was confirmed.
+        leftovers: Names of files that do not count any more.
+        torn_bytes: Behind the newest segment's last intact frame: what a power cut left.
+        time: No earlier than any time at which this store was written to (µs).
+        tail: What the newest segment's frames prove; None before `read`.
+        checkpoint: The one that was read, if any.
+    """
+
+    def __init__(self, disk: Disk, directory: str = "the directory") -> None:
         self.disk = disk
-        self.where = where
+        self.directory = directory
         self.store = b""
-        self.segments: list[Segment] = []  # those that count, oldest first; the newest last
+        self.segments: list[Segment] = []
         self.findings: list[Finding] = []
-        self.leftovers: list[str] = []  # files that count for nothing any more
-        self.torn = 0  # bytes behind the newest segment's last whole frame: a cut's traces
-        self.time = 0  # µs: no earlier than any time at which this store was written to
+        self.leftovers: list[str] = []
+        self.torn_bytes = 0
+        self.time = 0
         self.tail: LogTail | None = None
-        self.point: checkpoint.Checkpoint | None = None
+        self.checkpoint: checkpoint.Checkpoint | None = None
 
-    # -- reading -----------------------------------------------------------------------------------
+    def read(self, use_checkpoint: bool = True) -> None:
+        """Read the directory; corruption is in `findings` afterwards.
 
-    def read(self, use_point: bool = True) -> None:
-        """Raises UnfitError where this is no store, or one of a newer format; damage is in `findings`
-        afterwards.
+        Raises CannotOpenError where this is no store, or one of a newer format.
         """
         names = self.disk.names()
-        logs = [each for each in names if is_segment(each)]
-        self.read_mark(names, logs)
+        logs = [each for each in names if file_names.is_segment(each)]
+        self._read_marker(names, logs)
         if not logs:
-            self.finds(STORE, 0, "no segment is left of this store")
+            self._add_finding(file_names.STORE_MARKER, 0, "no segment is left of this store")
             return
-        newest = self.open_segment(logs[-1])
+        newest = self._open_segment(logs[-1])
         if newest is None:
-            self.finds(logs[-1], 0, "the newest segment's head is not whole")
+            self._add_finding(logs[-1], 0, "the newest segment's head is not whole")
             return
-        segment, (store, _, _, _, time, older) = newest
-        if self.store and store != self.store:
-            self.finds(segment.name, 0, "belongs to another store")
-        self.store, self.time = store, time
-        if use_point:
-            self.read_checkpoint()
-        self.read_newest(segment)
-        self.read_older(older, segment)
+        segment, header = newest
+        if self.store and header.store != self.store:
+            self._add_finding(segment.name, 0, "belongs to another store")
+        self.store = header.store
+        self.time = header.time
+        if use_checkpoint:
+            self._read_checkpoint()
+        self._read_newest(segment)
+        self._read_older(header.older, segment)
         kept = {each.name for each in self.segments}
-        self.leftovers = [each for each in logs if each not in kept] + [e for e in TEMPORARY if e in names]
+        self.leftovers = [each for each in logs if each not in kept]
+        self.leftovers += [each for each in file_names.TEMPORARY if each in names]
 
-    def finds(self, file: str, offset: int, what: str) -> None:
-        self.findings.append(Finding(file, offset, what))
+    def reader(self, file: FileHandle) -> framing.Read:
+        """A function that reads that file."""
+        return lambda offset, length: self.disk.read(file, offset, length)
 
-    def read_mark(self, names: list[str], logs: list[str]) -> None:
-        if STORE not in names:
-            raise CannotOpenError(
-                f"{self.where}: no store (it has no file {STORE}); name a directory that is one"
-            )
-        data = self.whole(STORE)
-        salt = framing.decode_file_header(data, framing.STORE_MAGIC, f"{self.where}: {STORE}")
-        if salt is None or len(data) != framing.FILE_HEADER_BYTES:
-            if not logs:
-                raise CannotOpenError(f"{self.where}: no store (its file {STORE} reads otherwise)")
-            self.finds(STORE, 0, "is not whole")
-        else:
+    def removed_segments(self) -> set[int]:
+        """Numbers of the segments that the newest one says are removed."""
+        return {number for _, number in self.tail.removed_segments} if self.tail else set()
+
+    def must_rewrite_tail(self) -> bool:
+        """Whether unproved records, or a segment's removal, have to be written anew first.
+
+        Nothing else may rest on them before.
+        """
+        tail = self.tail
+        if tail is None:
+            return False
+        removal_unproved = any(sequence > tail.proved for sequence, _ in tail.removed_segments)
+        return bool(tail.unproved_records()) or removal_unproved
+
+    def unproved_records(self) -> list[Record]:
+        """The records that are intact, but that nothing proves to be flushed. Raises CorruptDataError."""
+        newest = self.segments[-1]
+        records = []
+        for offset, length in self.tail.unproved_records() if self.tail else []:
+            data = self.disk.read(newest.file, offset, length)
+            body = framing.decode_frame(data, newest.salt, offset)
+            if body is None:
+                finding = Finding(newest.name, offset, "reads otherwise than a moment ago")
+                raise CorruptDataError([finding])
+            _, kind, _, number, key, value = framing.decode_body(body)
+            records.append(Record(kind, number, key, bytes(value)))
+        return records
+
+    def close(self) -> None:
+        """Close the segments' files, for a caller that does not hand them on."""
+        for segment in self.segments:
+            self.disk.close(segment.file)
+        self.segments = []
+
+    def _add_finding(self, file: str, offset: int, problem: str) -> None:
+        self.findings.append(Finding(file, offset, problem))
+
+    def _read_marker(self, names: Sequence[str], logs: Sequence[str]) -> None:
+        marker = file_names.STORE_MARKER
+        if marker not in names:
+            reason = f"(it has no file {marker}); name a directory that is one"
+            raise NotAStoreError(self.directory, reason)
+        data = self._read_file_header(marker)
+        name = f"{self.directory}: {marker}"
+        salt = framing.decode_file_header(data, framing.STORE_MAGIC, name)
+        if salt is not None and len(data) == framing.FILE_HEADER_BYTES:
             self.store = salt
+        elif logs:
+            self._add_finding(marker, 0, "is not whole")
+        else:
+            raise NotAStoreError(self.directory, f"(its file {marker} reads otherwise)")
 
-    def whole(self, name: str) -> bytes:
+    def _read_file_header(self, name: str) -> bytes:
+        """The file's header, and one byte more if there is one."""
         file = self.disk.open(name)
         try:
             return self.disk.read(file, 0, framing.FILE_HEADER_BYTES + 1)
         finally:
             self.disk.close(file)
 
-    def open_segment(self, name: str) -> tuple[Segment, Any] | None:
+    def _open_segment(self, name: str) -> tuple[Segment, SegmentHeader] | None:
         file = self.disk.open(name)
         found = None
         try:
-            found = read_head(self.reader(file), file, name)
+            found = read_header(self.reader(file), file, name)
         finally:
             if found is None:
                 self.disk.close(file)
         return found
 
-    def reader(self, file: Any) -> framing.Read:
-        return lambda offset, length: self.disk.read(file, offset, length)
-
-    def read_checkpoint(self) -> None:
+    def _read_checkpoint(self) -> None:
         # one that can't be read, or is missing, costs time only
         with contextlib.suppress(OSError, CannotOpenError):
-            file = self.disk.open(checkpoint.NAME)
+            file = self.disk.open(file_names.CHECKPOINT)
             try:
-                self.point = checkpoint.decode_checkpoint(self.reader(file), self.disk.size(file), self.store)
+                size = self.disk.size(file)
+                self.checkpoint = checkpoint.decode_checkpoint(self.reader(file), size, self.store)
             finally:
                 self.disk.close(file)
 
-    def read_newest(self, segment: Segment) -> None:
-        """Finds how far it counts. Bad bytes are a cut's traces, unless something proves that they were
-        flushed.
+    def _read_newest(self, segment: Segment) -> None:
+        """Find how far the newest segment counts.
+
+        Bytes that are no frame are what a power cut left, unless something proves that they were flushed.
         """
-        tail = self.tail = LogTail(segment.first_sequence, segment.flushed_through, segment.data_start)
         size = self.disk.size(segment.file)
-        read = self.reader(segment.file)
-        end = segment.data_start
-        for offset, length, body in framing.iter_frames(read, segment.data_start, size, segment.salt):
-            try:
-                sequence, kind, back, number, _, _ = framing.decode_body(body)
-            except UNDECODABLE:
-                break
-            if not tail.reads(offset, length, sequence, kind, back, number):
-                break
-            end = offset + length
-        if self.point is not None and self.point.newest == segment.number:
-            tail.mark_proved(self.point.sequence)
+        tail = self.tail = LogTail(segment.first_sequence, segment.flushed_through, segment.data_start)
+        end = self._read_tail(segment, size, tail)
+        if self.checkpoint is not None and self.checkpoint.newest == segment.number:
+            tail.mark_proved(self.checkpoint.sequence)
         if tail.proved > tail.sequence:
             lost = tail.proved - tail.sequence
-            self.finds(segment.name, end, f"{lost} confirmed records are not whole")
+            self._add_finding(segment.name, end, f"{lost} confirmed records are not whole")
         elif end < size:
-            self.torn = size - end
-            for at, _, body in framing.iter_frames_past_gaps(read, end, size, segment.salt):
-                with contextlib.suppress(*UNDECODABLE):
-                    sequence, _, back, _, _, _ = framing.decode_body(body)
-                    if tail.lost(sequence, back):
-                        self.finds(
-                            segment.name, end, f"a confirmed record is not whole; whole ones follow at {at}"
-                        )
-                        break
+            self.torn_bytes = size - end
+            self._find_loss_behind(segment, end, size, tail)
         self.time = max(self.time, tail.time)
-        segment.size, segment.last_sequence = tail.proved_end, min(tail.proved, tail.sequence)
+        segment.size = tail.proved_end
+        segment.last_sequence = min(tail.proved, tail.sequence)
         segment.void_bytes = size - segment.size
         self.segments = [segment]
 
-    def read_older(self, older: list[tuple[int, int, int, int]], newest: Segment) -> None:
-        gone = {number for _, number in self.tail.gone} if self.tail else set()
-        found: list[Segment] = []
-        for number, end, size, tombstone_bytes in older:
-            if number in gone:
-                continue
-            name = NAME.format(number)
-            try:
-                opened = self.open_segment(name)
-            except OSError as wrong:
-                self.finds(name, 0, f"is part of the store and can't be opened: {wrong.strerror}")
-                continue
-            if opened is None or opened[1][0] != self.store:
-                self.finds(name, 0, "its head is not whole")
-                continue
-            segment = opened[0]
-            segment.last_sequence, segment.size, segment.tombstone_bytes = end, size, tombstone_bytes
-            if (there := self.disk.size(segment.file)) < size:
-                self.finds(name, there, f"ends {size - there} bytes early")
-            segment.void_bytes = max(0, there - size)
-            found.append(segment)
-        self.segments = [*found, newest]
-
-    # -- replaying ---------------------------------------------------------------------------------
-
-    def walk(
-        self, segment: Segment, offset: int, sequence: int
-    ) -> Iterator[tuple[int, int, int, int, int, bytes]]:
-        """Offset, length, sequence, kind, number, key of the segment's records that count, whole batches
-        only.
-
-        Begins at that frame. Bytes that are no frame are a finding, and the walk's end.
-        """
-        batch: list[tuple[int, int, int, int, int, bytes]] = []
-        decode = framing.decode_body
-        end = offset
-        batched, single = (framing.BATCH_PUT, framing.BATCH_DELETE), (framing.PUT, framing.DELETE)
-        for at, length, body in framing.iter_frames(
-            self.reader(segment.file), offset, segment.size, segment.salt
-        ):
+    def _read_tail(self, segment: Segment, size: int, tail: LogTail) -> int:
+        """Pass the segment's frames to the tail; the offset at which they end."""
+        end = segment.data_start
+        frames = framing.iter_frames(self.reader(segment.file), end, size, segment.salt)
+        for offset, length, body in frames:
             try:
-                found, kind, _, number, key, _ = decode(body)
+                sequence, kind, back, number, _, _ = framing.decode_body(body)
             except UNDECODABLE:
                 break
-            if found != sequence:
+            if not tail.accept(offset, length, sequence, kind, back, number):
                 break
-            if kind in single:
-                yield at, length, found, kind, number, key
-            elif kind in batched:
-                batch.append((at, length, found, kind, number, key))
-            elif kind == framing.COMMIT:
-                if number == len(batch):
-                    yield from batch
-                batch = []
-            sequence += 1
-            end = at + length
-        if end < segment.size:
-            self.finds(segment.name, end, "bytes that are no frame where confirmed records stood")
-
-    def replay(self) -> Iterator[tuple[Segment, int, int, int, int, int, bytes]]:
-        """Every record that counts and that the checkpoint does not cover, in order, with its segment."""
-        point = self.point
-        for segment in self.segments:
-            offset, sequence = segment.data_start, segment.first_sequence
-            if point is not None:
-                if segment.last_sequence <= point.sequence:
-                    segment.tombstone_bytes = max(
-                        segment.tombstone_bytes, point.tombstone_bytes.get(segment.number, 0)
-                    )
-                    continue
-                if segment.number == point.newest:
-                    offset, sequence = point.offset, point.sequence + 1
-                    segment.tombstone_bytes = point.tombstone_bytes.get(segment.number, 0)
-            for record in self.walk(segment, offset, sequence):
-                yield segment, *record
-
-    def entries(self, now: int) -> tuple[dict[bytes, int], LocationTotals]:
-        """All entries: the checkpoint's and what came since. A checkpoint that does not fit is left alone."""
-        point = self.point
-        locations: dict[bytes, int] = point.locations if point is not None else {}
-        newest = self.segments[-1]
-        newest.tombstone_bytes = 0
-        puts = (framing.PUT, framing.BATCH_PUT)
-        for segment, at, length, _, kind, number, key in self.replay():
-            if kind in puts:
-                locations[key] = (
-                    (number << FIELD_BITS | segment.number) << FIELD_BITS | at
-                ) << FIELD_BITS | length
-            else:
-                locations.pop(key, None)
-                if segment is newest:  # of sealed ones, a newer head or the checkpoint tells
-                    segment.tombstone_bytes += length
-        sums = total_locations(locations)
-        if point is not None:
-            sizes = {each.number: each.size for each in self.segments}
-            if not sums.live_bytes.keys() <= sizes.keys():
-                strays = [key for key, where in locations.items() if segment_of(where) not in sizes]
-                for key in strays:  # their segment went since: a value that had expired is dropped with it
-                    if expired(locations[key], now):
-                        del locations[key]
-                sums = total_locations(locations)
-            if any(end > sizes.get(number, -1) for number, end in sums.ends.items()):
-                self.point = None
-                return self.entries(now)
-        return locations, sums
-
-    def unsealed(self) -> bool:
-        """Must what is in doubt be written anew before anything else rests on it? So with a segment's going,
-        too.
-        """
-        tail = self.tail
-        return tail is not None and (
-            bool(tail.in_doubt()) or any(sequence > tail.proved for sequence, _ in tail.gone)
-        )
-
-    def carried(self) -> list[tuple[int, int, bytes, bytes]]:
-        """Kind, number, key, value of the records in doubt: whole, but nothing proves that they were
-        flushed.
-        """
-        newest = self.segments[-1]
-        kept = []
-        for offset, length in self.tail.in_doubt() if self.tail else []:
-            body = framing.decode_frame(self.disk.read(newest.file, offset, length), newest.salt, offset)
-            if body is None:
-                raise CorruptDataError([Finding(newest.name, offset, "reads otherwise than a moment ago")])
-            _, kind, _, number, key, value = framing.decode_body(body)
-            kept.append((kind, number, key, bytes(value)))
-        return kept
+            end = offset + length
+        return end
 
-    def close(self) -> None:
-        for segment in self.segments:
-            self.disk.close(segment.file)
-        self.segments = []
+    def _find_loss_behind(self, segment: Segment, end: int, size: int, tail: LogTail) -> None:
+        """Search behind the last frame for one that proves that a confirmed record is missing."""
+        read = self.reader(segment.file)
+        for at, _, body in framing.iter_frames_past_gaps(read, end, size, segment.salt):
+            with contextlib.suppress(*UNDECODABLE):
+                sequence, _, back, _, _, _ = framing.decode_body(body)
+                if tail.is_loss_proved_by(sequence, back):
+                    problem = f"a confirmed record is not whole; whole ones follow at {at}"
+                    self._add_finding(segment.name, end, problem)
+                    break
+
+    def _read_older(self, older: Sequence[OlderSegment], newest: Segment) -> None:
+        removed = self.removed_segments()
+        found = [self._read_older_segment(each) for each in older if each.number not in removed]
+        self.segments = [*(each for each in found if each is not None), newest]
+
+    def _read_older_segment(self, summary: OlderSegment) -> Segment | None:
+        name = file_names.SEGMENT.format(summary.number)
+        try:
+            opened = self._open_segment(name)
+        except OSError as error:
+            self._add_finding(name, 0, f"is part of the store and can't be opened: {error.strerror}")
+            return None
+        if opened is None or opened[1].store != self.store:
+            self._add_finding(name, 0, "its head is not whole")
+            return None
+        segment = opened[0]
+        segment.last_sequence = summary.last_sequence
+        segment.size = summary.size
+        segment.tombstone_bytes = summary.tombstone_bytes
+        present = self.disk.size(segment.file)
+        if present < summary.size:
+            self._add_finding(name, present, f"ends {summary.size - present} bytes early")
+        segment.void_bytes = max(0, present - summary.size)
+        return segment
--- /dev/null
+++ b/lichencleat/store/replay.py
@@ -0,0 +1,131 @@
+"""Replay: the index as a start builds it, from a checkpoint and the log's records behind it."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator, Sequence
+from typing import NamedTuple
+
+from lichencleat.decoding import UNDECODABLE
+from lichencleat.store import framing
+from lichencleat.store.checkpoint import Checkpoint
+from lichencleat.store.disk import Disk
+from lichencleat.store.errors import Finding
+from lichencleat.store.index import FIELD_BITS, LocationTotals, is_expired, segment_of, total_locations
+from lichencleat.store.segments import Segment
+
+
+class ReplayedRecord(NamedTuple):
+    """A record that counts, without its value. A NamedTuple, as a start makes one for each record."""
+
+    offset: int
+    length: int
+    kind: int
+    number: int
+    key: bytes
+
+
+class Replay:
+    """Builds the index of a store's segments.
+
+    Attributes:
+        checkpoint: Where to begin; set to None if it turns out not to fit the log.
+        findings: Bytes that are no frame among the records are added to this list.
+    """
+
+    def __init__(
+        self,
+        disk: Disk,
+        segments: Sequence[Segment],
+        checkpoint: Checkpoint | None,
+        findings: list[Finding],
+    ) -> None:
+        self.disk = disk
+        self.segments = segments
+        self.checkpoint = checkpoint
+        self.findings = findings
+
+    def build_index(self, now: int) -> tuple[dict[bytes, int], LocationTotals]:
+        """The location of each key, and their totals. A checkpoint that does not fit the log is left alone.
+
+        Sets the segments' `tombstone_bytes`. The checkpoint's locations are used up. `now` is in µs.
+        """
+        locations = self.checkpoint.locations if self.checkpoint is not None else {}
+        newest = self.segments[-1]
+        newest.tombstone_bytes = 0
+        for segment, record in self._records():
+            if record.kind in framing.PUTS:
+                locations[record.key] = (
+                    (record.number << FIELD_BITS | segment.number) << FIELD_BITS | record.offset
+                ) << FIELD_BITS | record.length
+            else:
+                locations.pop(record.key, None)
+                if segment is newest:  # of sealed ones, a newer header or the checkpoint tells
+                    segment.tombstone_bytes += record.length
+        totals = total_locations(locations)
+        if self.checkpoint is None:
+            return locations, totals
+        sizes = {each.number: each.size for each in self.segments}
+        if not totals.live_bytes.keys() <= sizes.keys():
+            self._drop_expired_strays(locations, sizes, now)
+            totals = total_locations(locations)
+        if any(end > sizes.get(number, -1) for number, end in totals.ends.items()):
+            self.checkpoint = None
+            return self.build_index(now)
+        return locations, totals
+
+    @staticmethod
+    def _drop_expired_strays(locations: dict[bytes, int], sizes: dict[int, int], now: int) -> None:
+        """Drop entries whose segment was removed since: a value that had expired is dropped with it."""
+        strays = [key for key, location in locations.items() if segment_of(location) not in sizes]
+        for key in strays:
+            if is_expired(locations[key], now):
+                del locations[key]
+
+    def _records(self) -> Iterator[tuple[Segment, ReplayedRecord]]:
+        """Every record that counts and that the checkpoint does not cover, in order, with its segment."""
+        checkpoint = self.checkpoint
+        for segment in self.segments:
+            offset, sequence = segment.data_start, segment.first_sequence
+            if checkpoint is not None:
+                covered_tombstones = checkpoint.tombstone_bytes.get(segment.number, 0)
+                if segment.last_sequence <= checkpoint.sequence:
+                    segment.tombstone_bytes = max(segment.tombstone_bytes, covered_tombstones)
+                    continue
+                if segment.number == checkpoint.newest:
+                    offset, sequence = checkpoint.offset, checkpoint.sequence + 1
+                    segment.tombstone_bytes = covered_tombstones
+            for record in self._segment_records(segment, offset, sequence):
+                yield segment, record
+
+    def _segment_records(self, segment: Segment, offset: int, sequence: int) -> Iterator[ReplayedRecord]:
+        """The segment's records that count from that frame on, whole batches only.
+
+        Bytes that are no frame are a finding, and the end.
+        """
+        batch: list[ReplayedRecord] = []
+        end = offset
+        for at, length, body in framing.iter_frames(
+            self._reader(segment), offset, segment.size, segment.salt
+        ):
+            try:
+                found, kind, _, number, key, _ = framing.decode_body(body)
+            except UNDECODABLE:
+                break
+            if found != sequence:
+                break
+            if kind in framing.SINGLE:
+                yield ReplayedRecord(at, length, kind, number, key)
+            elif kind in framing.IN_BATCH:
+                batch.append(ReplayedRecord(at, length, kind, number, key))
+            elif kind == framing.COMMIT:
+                if number == len(batch):
+                    yield from batch
+                batch = []
+            sequence += 1
+            end = at + length
+        if end < segment.size:
+            problem = "bytes that are no frame where confirmed records stood"
+            self.findings.append(Finding(segment.name, end, problem))
+
+    def _reader(self, segment: Segment) -> framing.Read:
+        return lambda offset, length: self.disk.read(segment.file, offset, length)
--- /dev/null
+++ b/lichencleat/store/salvage.py
@@ -0,0 +1,211 @@
+"""Salvage: writes what is intact of a damaged store to a new one. The damaged store is not changed."""
+
+from __future__ import annotations
+
+import contextlib
+import random
+from collections.abc import Callable, Iterator, Sequence
+from dataclasses import dataclass, field
+
+from crc32c import crc32c
+
+from lichencleat.decoding import UNDECODABLE
+from lichencleat.store import file_names, framing
+from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
+from lichencleat.store.check import Progress, ignore_progress
+from lichencleat.store.disk import Disk, FileHandle
+from lichencleat.store.engine import Engine
+from lichencleat.store.errors import (
+    BadRecordError,
+    CannotOpenError,
+    DirectoryNotEmptyError,
+    Finding,
+    UnreadableDirectoryError,
+)
+from lichencleat.store.recovery import RecoveryScan
+from lichencleat.store.segments import Record, read_header
+
+GROUP_BATCHES = 256  # that a salvage confirms at once
+
+
+@dataclass(slots=True)
+class SalvageReport:
+    """What `salvage` saved and what it met."""
+
+    records: int = 0
+    lost: int = 0  # frames that the sequence numbers say were there
+    batches_lost: int = 0  # batches with a frame missing: left out whole
+    entries: int = 0
+    findings: list[Finding] = field(default_factory=list)
+
+
+@dataclass(slots=True, frozen=True)
+class SegmentFile:
+    """A segment's file, opened for reading."""
+
+    name: str
+    file: FileHandle
+    size: int  # bytes
+
+    @property
+    def number(self) -> int:
+        """The segment's number."""
+        return file_names.segment_number(self.name)
+
+
+def salvage(
+    disk: Disk,
+    into: Disk,
+    clock: Callable[[], int],
+    rng: random.Random,
+    directory: str,
+    new_directory: str,
+    limits: StoreLimits,
+    progress: Progress = ignore_progress,
+) -> SalvageReport:
+    """Write every intact record to a new store, in order, batches only whole.
+
+    Where records are lost, keys that they changed show what was written before, or are missing.
+
+    Raises:
+        CannotOpenError: If there is nothing of a store, or the new directory is not empty.
+        UnreadableDirectoryError: If reading fails.
+        StoreError: If writing fails.
+    """
+    if into.names():
+        raise DirectoryNotEmptyError(new_directory)
+    report = SalvageReport()
+    disk.lock()
+    scan = RecoveryScan(disk, directory)
+    try:
+        _read_what_is_left(scan, report)
+        engine = Engine.open(into, clock, rng, limits, create=True, directory=new_directory)
+        try:
+            _write_all(_salvageable_batches(disk, scan, report, progress), engine, report)
+            report.entries = len(engine.log.index)
+        finally:
+            engine.close()
+    except OSError as error:
+        raise UnreadableDirectoryError(directory, error) from error
+    finally:
+        scan.close()
+        disk.unlock()
+    return report
+
+
+def _read_what_is_left(scan: RecoveryScan, report: SalvageReport) -> None:
+    try:
+        scan.read(use_checkpoint=False)
+    except CannotOpenError:
+        if not any(file_names.is_segment(each) for each in scan.disk.names()):
+            raise
+        problem = "is missing or unfit; every segment is read"
+        report.findings.append(Finding(file_names.STORE_MARKER, 0, problem))
+    report.findings += scan.findings
+
+
+def _write_all(batches: Iterator[Batch], engine: Engine, report: SalvageReport) -> None:
+    group: list[Batch] = []
+    for batch in batches:
+        group.append(batch)
+        if len(group) == GROUP_BATCHES:
+            _commit(group, engine, report)
+            group = []
+    _commit(group, engine, report)
+
+
+def _commit(group: Sequence[Batch], engine: Engine, report: SalvageReport) -> None:
+    for verdict in engine.commit(group):
+        if verdict is not None:
+            raise verdict
+    report.records += sum(len(each.changes) for each in group)
+    while engine.step():
+        pass
+
+
+def _salvageable_batches(
+    disk: Disk, scan: RecoveryScan, report: SalvageReport, progress: Progress
+) -> Iterator[Batch]:
+    """The batches of all intact frames that count, as far as what is left of the store tells which do."""
+    files = [
+        SegmentFile(name, file, disk.size(file))
+        for name in disk.names()
+        if file_names.is_segment(name)
+        for file in [disk.open(name)]
+    ]
+    total = sum(each.size for each in files)
+    done = 0
+    try:
+        ends = _last_sequences(scan, files)
+        for each in files:
+            progress(each.name, done, total)
+            done += each.size
+            if not _is_removed(scan, each):  # else what it held is in a newer one
+                yield from _intact_batches(scan.reader(each.file), each, ends.get(each.number), report)
+    finally:
+        for each in files:
+            disk.close(each.file)
+
+
+def _is_removed(scan: RecoveryScan, segment: SegmentFile) -> bool:
+    """Whether the newest segment tells that this one does not count any more."""
+    if segment.number in scan.removed_segments():
+        return True
+    is_rooted = bool(scan.segments) and not any(each.file == segment.name for each in scan.findings)
+    return is_rooted and all(each.number != segment.number for each in scan.segments)
+
+
+def _last_sequences(scan: RecoveryScan, files: Sequence[SegmentFile]) -> dict[int, int]:
+    """The last sequence that counts in each segment, from every intact header of newer ones."""
+    ends: dict[int, int] = {}
+    for each in files:  # in order, so that the newest header wins
+        found = read_header(scan.reader(each.file), each.file, each.name)
+        if found is not None:
+            for older in found[1].older:
+                ends[older.number] = older.last_sequence
+    return ends
+
+
+def _intact_batches(
+    read: framing.Read, segment: SegmentFile, end: int | None, report: SalvageReport
+) -> Iterator[Batch]:
+    """The segment's complete batches, up to the sequence `end` if it is known."""
+    salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.LOG_MAGIC, segment.name)
+    if salt is None:
+        problem = "its salt is lost: nothing in it can be told from chance"
+        report.findings.append(Finding(segment.name, 0, problem))
+        return
+    expected: int | None = None
+    batch: list[Record] = []
+    frames = framing.iter_frames_past_gaps(read, framing.FILE_HEADER_BYTES, segment.size, crc32c(salt))
+    for _, _, body in frames:
+        with contextlib.suppress(*UNDECODABLE, BadRecordError):  # a header's body is no record's
+            sequence, kind, _, number, key, value = framing.decode_body(body)
+            if end is not None and sequence > end:
+                return
+            if expected is not None and sequence != expected:
+                report.lost += max(0, sequence - expected)
+                report.batches_lost += bool(batch)
+                batch = []
+            expected = sequence + 1
+            if kind in framing.IN_BATCH:
+                batch.append(Record(kind, number, key, bytes(value)))
+            elif kind == framing.COMMIT:
+                if number == len(batch):
+                    yield _make_batch(batch)
+                else:
+                    report.batches_lost += 1
+                batch = []
+            elif kind in framing.SINGLE:
+                yield _make_batch([Record(kind, number, key, bytes(value))])
+
+
+def _make_batch(records: Sequence[Record]) -> Batch:
+    batch = Batch()
+    for record in records:
+        if record.kind in framing.PUTS:
+            batch.put(record.key, bytes(record.value), record.number)
+        else:
+            batch.delete(record.key)
+    return batch
--- a/lichencleat/store/segments.py
+++ b/lichencleat/store/segments.py
@@ -1,37 +1,50 @@
-"""Segments: what is known of each, their heads, and records made into frames; no I/O."""
+"""Segments of the log: what is known of each, their headers, and records encoded as frames. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Sequence
-from typing import Any
 
 import msgspec
 from crc32c import crc32c
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.store import framing
+from lichencleat.store import file_names, framing
+from lichencleat.store.disk import FileHandle
 
-NAME = "{:012d}.log"  # of a segment's file, by its number
-NEW = "segment.new"  # a segment before it has its name; worth nothing after a cut
 
-# A head's frame: store, number, first sequence, sequence through which its frames were flushed before it got
-# its name, time, and of each older segment that is part of the store: number, last sequence, bytes that
-# count, bytes of tombstones.
-Head = tuple[bytes, int, int, int, int, list[tuple[int, int, int, int]]]
-decode_head = msgspec.msgpack.Decoder(Head).decode
+class OlderSegment(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """What a segment's header tells of an older segment that is part of the store."""
+
+    number: int
+    last_sequence: int
+    size: int  # bytes that count
+    tombstone_bytes: int
+
+
+class SegmentHeader(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
+    """The body of a segment's first frame."""
+
+    store: bytes
+    number: int
+    first_sequence: int
+    flushed_through: int  # frames up to this sequence were flushed before the segment got its name
+    time: int  # µs
+    older: list[OlderSegment]
+
+
+_decode_header = msgspec.msgpack.Decoder(SegmentHeader).decode
 
 
 class Record:
-    """A change on its way to the log. `number` is what the frame's kind says (docs/store.md)."""
+    """A change on its way to the log. The meaning of `number` depends on the kind, see `framing.Body`."""
 
     __slots__ = ("kind", "number", "key", "value")
 
     def __init__(self, kind: int, number: int, key: bytes, value: bytes | memoryview = b"") -> None:
-        self.kind, self.number, self.key, self.value = kind, number, key, value
-
-    def weight(self) -> int:
-        """Bytes of its frame at the most."""
-        return framing.MAX_FRAME_OVERHEAD_BYTES + len(self.key) + len(self.value)
+        self.kind = kind
+        self.number = number
+        self.key = key
+        self.value = value
 
 
 class Segment:
@@ -53,83 +66,86 @@
         "void_bytes",
     )
 
-    def __init__(self, number: int, file: Any, salt: int, start: int, first: int) -> None:
+    def __init__(
+        self, number: int, file: FileHandle, salt: int, data_start: int, first_sequence: int
+    ) -> None:
         self.number = number
         self.file = file
         self.salt = salt  # checksum of the file's salt
-        self.data_start = start  # bytes: where the frames after the head begin
-        self.first_sequence = first  # sequence of its first frame
-        self.size = start  # bytes that count; what stands behind them is void
-        self.last_sequence = first - 1  # sequence of the last frame that counts
-        self.flushed_through = first - 1  # what its head says was flushed before it got its name
-        self.tombstone_bytes = 0  # bytes of tombstones in it
+        self.data_start = data_start  # bytes: where the frames after the header begin
+        self.first_sequence = first_sequence
+        self.size = data_start  # bytes that count; what stands behind them is void
+        self.last_sequence = first_sequence - 1  # of the last frame that counts
+        self.flushed_through = first_sequence - 1  # see SegmentHeader
+        self.tombstone_bytes = 0
         self.reference_count = 0  # readers and snapshots that need the file
         self.is_removed = False
-        self.is_damaged = False  # cleaning met bytes that are no frame: it stays as it is
-        self.void_bytes = 0  # bytes behind those that count
+        self.is_damaged = False  # compaction met bytes that are no frame: it stays as it is
+        self.void_bytes = 0  # behind those that count
 
     @property
     def name(self) -> str:
-        return NAME.format(self.number)
-
-    def older(self) -> tuple[int, int, int, int]:
-        """As a newer segment's head tells of it."""
-        return self.number, self.last_sequence, self.size, self.tombstone_bytes
-
-
-def head(store: bytes, segment: Segment, salt: bytes, time: int, older: Sequence[Segment]) -> bytes:
-    body = msgspec.msgpack.encode(
-        (
-            store,
-            segment.number,
-            segment.first_sequence,
-            segment.flushed_through,
-            time,
-            [each.older() for each in older],
-        )
-    )
-    return framing.encode_file_header(framing.LOG_MAGIC, salt) + framing.frame(
-        segment.salt, framing.FILE_HEADER_BYTES, body
+        """The name of its file."""
+        return file_names.SEGMENT.format(self.number)
+
+    def summary(self) -> OlderSegment:
+        """What a newer segment's header tells of this one."""
+        return OlderSegment(self.number, self.last_sequence, self.size, self.tombstone_bytes)
+
+
+def encode_header(store: bytes, segment: Segment, salt: bytes, time: int, older: Sequence[Segment]) -> bytes:
+    """A new segment's file header and header frame."""
+    header = SegmentHeader(
+        store,
+        segment.number,
+        segment.first_sequence,
+        segment.flushed_through,
+        time,
+        [each.summary() for each in older],
     )
+    frame = framing.encode_frame(segment.salt, framing.FILE_HEADER_BYTES, framing.encode_body(header))
+    return framing.encode_file_header(framing.LOG_MAGIC, salt) + frame
 
 
-def read_head(read: framing.Read, file: Any, name: str) -> tuple[Segment, Head] | None:
-    """A segment as its own head tells, or None where that is not whole. Raises UnfitError for a newer
-    format.
-    """
+def read_header(read: framing.Read, file: FileHandle, name: str) -> tuple[Segment, SegmentHeader] | None:
+    """A segment as its own header tells, or None where that is not intact. Raises NewerFormatError."""
     salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.LOG_MAGIC, name)
     if salt is None:
         return None
-    salt_sum = crc32c(salt)
+    salt_checksum = crc32c(salt)
     size = framing.FILE_HEADER_BYTES + framing.MAX_BODY_BYTES
-    for offset, length, body in framing.iter_frames(read, framing.FILE_HEADER_BYTES, size, salt_sum):
+    for offset, length, body in framing.iter_frames(read, framing.FILE_HEADER_BYTES, size, salt_checksum):
         try:
-            told = decode_head(body)
+            header = _decode_header(body)
         except UNDECODABLE:
             return None
-        segment = Segment(told[1], file, salt_sum, offset + length, told[2])
-        segment.flushed_through = told[3]
-        return (segment, told) if segment.name == name else None
+        segment = Segment(header.number, file, salt_checksum, offset + length, header.first_sequence)
+        segment.flushed_through = header.flushed_through
+        return (segment, header) if segment.name == name else None
     return None
 
 
-def encode(
-    records: Sequence[Record], segment: Segment, sequence: int, floor: int
+def encode_records(
+    records: Sequence[Record], segment: Segment, sequence: int, flushed: int
 ) -> tuple[bytes, list[tuple[int, int]]]:
     """The frames of these records at the segment's end, and the offset and length of each.
 
-    `sequence` is the first one's; `floor` the last sequence that was flushed.
+    Args:
+        records: What to encode.
+        segment: Where they are to be appended.
+        sequence: Of the first record.
+        flushed: The last sequence that was flushed.
     """
     at, salt = segment.size, segment.salt
     parts: list[bytes] = []
-    locations: list[tuple[int, int]] = []
+    spans: list[tuple[int, int]] = []
     for record in records:
-        body = framing.encode_any(
-            (sequence, record.kind, sequence - floor, record.number, record.key, record.value)
+        body = framing.encode_body(
+            (sequence, record.kind, sequence - flushed, record.number, record.key, record.value)
         )
-        data = framing.frame(salt, at, body)
+        data = framing.encode_frame(salt, at, body)
         parts.append(data)
-        locations.append((at, len(data)))
+        spans.append((at, len(data)))
         at += len(data)
         sequence += 1
-    return b"".join(parts), locations
+    return b"".join(parts), spans
--- a/lichencleat/store/store.py
+++ b/lichencleat/store/store.py
@@ -1,74 +1,105 @@
-"""The store for a program on a reactor: Deferreds, group commit, one writer, upkeep between the writes.
+"""Store: the engine for a program on a reactor, with Deferreds, group commit and maintenance between writes.
 
-What the reactor's thread does here is queue and look up; the disk is asked in other threads, one of which
-writes. A write waits at most for the group under way; what does not fit the queue is refused at once.
+In the reactor's thread the store only queues calls and hands results over. The disk is used in other
+threads, one of which writes. A write waits at most for the group under way; what does not fit the queue is
+refused at once.
 """
 
 from __future__ import annotations
 
 import random
 from collections import deque
-from collections.abc import Callable, Iterator
-from typing import Any, Protocol
+from collections.abc import Callable, Iterator, Sequence
+from typing import ParamSpec, Protocol, TypeVar, cast
 
 from twisted.internet.defer import Deferred, fail, succeed
+from twisted.internet.interfaces import IReactorFromThreads
 from twisted.internet.threads import deferToThreadPool
 from twisted.python.failure import Failure
 from twisted.python.threadpool import ThreadPool
 
-from lichencleat.store import errors as bounds
 from lichencleat.store.batch import Batch
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.engine import STEP_BYTES, Engine
-from lichencleat.store.errors import ClosedError, FullError, StoreError
+from lichencleat.store.errors import ClosedError, FullError, Limit, StoreError
 from lichencleat.store.index import Snapshot
 from lichencleat.store.reader import CHUNK_ENTRIES
 
-MAX_QUEUED_BATCHES = 4_096  # batches that wait for the writer: some 20 groups on a disk that flushes in 1 ms
+MAX_QUEUED_BATCHES = 4_096  # that wait for the writer: some 20 groups on a disk that flushes in 1 ms
 MAX_QUEUED_BYTES = 64 << 20  # of these batches
-MAX_GROUP_BATCHES = 512  # batches that one flush confirms: what one group keeps the next one waiting, some ms
+MAX_GROUP_BATCHES = 512  # that one flush confirms: it keeps the next group waiting for some ms
 MAX_GROUP_BYTES = 4 << 20  # of these, unless one batch alone has more
-MAX_READS = 1_024  # reads under way or waiting for a thread
-READER_THREADS = 2  # threads: more would only wait for the interpreter's lock
-MAINTENANCE_INTERVAL_S = 1.0  # s until upkeep is looked at again when there was none, or when it failed
-MAX_GROUPS_BETWEEN_STEPS = 16  # groups that are written, at the most, before a step of upkeep has its turn
+MAX_READS = 1_024  # under way or waiting for a thread
+READER_THREADS = 2  # more would only wait for the interpreter's lock
+MAINTENANCE_INTERVAL_S = 1.0  # until maintenance is tried again when there was none, or when it failed
+MAX_GROUPS_BETWEEN_STEPS = 16  # groups written, at the most, before a step of maintenance has its turn
 
-Work = Callable[..., "Deferred[Any]"]
-"""Calls a function with its arguments where it may wait for the disk; gives what it returns or raises."""
+P = ParamSpec("P")
+R = TypeVar("R")
 
 
-class IReactorThreads(Protocol):
-    """What is needed of Twisted's reactor."""
+class Executor(Protocol):
+    """Runs a function where it may wait for the disk; the Deferred fires with its result or error."""
 
-    def callLater(self, delay: float, call: Callable, *args: Any) -> Any: ...
+    def __call__(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
+        """Run the call."""
 
-    def callFromThread(self, call: Callable, *args: Any) -> None: ...
+
+class Timer(Protocol):
+    """What the store needs of Twisted's `IDelayedCall`."""
+
+    def cancel(self) -> None:
+        """Stop the timer."""
+
+
+class ThreadedReactor(Protocol):
+    """What the store needs of Twisted's reactor: timers and threads."""
+
+    def callLater(self, delay: float, call: Callable[..., object], *args: object) -> Timer:  # noqa: N802
+        """As `IReactorTime`."""
+
+    def callFromThread(self, call: Callable[..., object], *args: object) -> None:  # noqa: N802
+        """As `IReactorFromThreads`."""
+
+    def callInThread(self, call: Callable[..., object], *args: object) -> None:  # noqa: N802
+        """As `IReactorInThreads`."""
 
 
 class QueuedBatch:
-    """A batch in the queue. Its Deferred fires once: with None when it is confirmed, with a StoreError when
-    not.
-    """
+    """A batch in the queue. `done` fires once: with None when it is confirmed, else with a StoreError."""
 
-    __slots__ = ("batch", "told")
+    __slots__ = ("batch", "done")
 
     def __init__(self, batch: Batch) -> None:
         self.batch = batch
-        self.told: Deferred[None] = Deferred()
+        self.done: Deferred[None] = Deferred()
 
 
 class Store:
     """Owns the engine; `close` gives everything back. All methods are called in the reactor's thread."""
 
     def __init__(
-        self, reactor: IReactorThreads, engine: Engine, write: Work, read: Work, maintenance: bool = True
+        self,
+        reactor: ThreadedReactor,
+        engine: Engine,
+        run_in_writer: Executor,
+        run_in_reader: Executor,
+        maintenance: bool = True,
     ) -> None:
-        """`write` does one call after another, `read` may do several at once. Without `maintenance`, who owns it
-        calls `step`.
+        """Begins with maintenance, if that is not left to the owner.
+
+        Args:
+            reactor: For the timer of maintenance.
+            engine: Is open already.
+            run_in_writer: Runs one call after another.
+            run_in_reader: May run several at once.
+            maintenance: Whether the store runs it by itself; otherwise the owner calls `step`.
         """
-        self.reactor, self.engine = reactor, engine
-        self.run_in_writer, self.run_in_reader = write, read
+        self.reactor = reactor
+        self.engine = engine
+        self.run_in_writer = run_in_writer
+        self.run_in_reader = run_in_reader
         self.maintenance = maintenance
         self.queue: deque[QueuedBatch] = deque()
         self.queued_bytes = 0
@@ -76,58 +107,61 @@
         self.writing = False  # a group or a step is under way
         self.groups_since = 0  # groups since the last step
         self.idle = False  # the last step found nothing to do
-        self.again: Any = None  # the timer of the next look at upkeep
+        self.maintenance_timer: Timer | None = None
         self.closing: Deferred[None] | None = None
-        self.ended: Callable[[], None] = lambda: None  # gives the threads back
-        self.last_error = ""  # what upkeep failed with last
-        self.start_next_write()
+        self.on_closed: Callable[[], None] = lambda: None  # gives the threads back
+        self.last_error = ""  # what maintenance failed with last
+        self._start_next_write()
 
     # -- writing -----------------------------------------------------------------------------------
 
     def put(self, key: bytes, value: bytes, expiry: int = 0) -> Deferred[None]:
-        """Fires once the entry survives a cut. `expiry`: µs of Unix time, 0 for none. Raises
-        BadRecordError.
+        """Set a key's value; fires once the entry survives a power cut.
+
+        `expiry` is in µs of Unix time, 0 for none. Raises BadRecordError; fails as `commit`.
         """
         return self.commit(Batch().put(key, value, expiry))
 
     def delete(self, key: bytes) -> Deferred[None]:
+        """Delete a key, which need not exist. Raises BadRecordError; fails as `commit`."""
         return self.commit(Batch().delete(key))
 
     def commit(self, batch: Batch) -> Deferred[None]:
-        """All changes or none. Fails with FullError, naming the bound, or NotConfirmedError; at once at the
-        queue's bound.
+        """Write all changes or none; fires once they survive a power cut.
+
+        Fails with FullError, at once if it is the queue's limit, with NotConfirmedError or with ClosedError.
         """
         if self.closing is not None:
-            return fail(ClosedError("the store is closed"))
+            return fail(ClosedError())
         if len(self.queue) >= MAX_QUEUED_BATCHES or self.queued_bytes + batch.bytes > MAX_QUEUED_BYTES:
-            return fail(FullError(bounds.QUEUE, f" ({MAX_QUEUED_BATCHES}, {MAX_QUEUED_BYTES} bytes)"))
-        waiting = QueuedBatch(batch)
-        self.queue.append(waiting)
+            detail = f"({MAX_QUEUED_BATCHES}, {MAX_QUEUED_BYTES} bytes)"
+            return fail(FullError(Limit.QUEUED_WRITES, detail))
+        queued = QueuedBatch(batch)
+        self.queue.append(queued)
         self.queued_bytes += batch.bytes
-        self.start_next_write()
-        return waiting.told
+        self._start_next_write()
+        return queued.done
 
-    def start_next_write(self) -> None:
-        """Gives the writer its next call, if it has none: a group, a step of upkeep, or the closing."""
+    def _start_next_write(self) -> None:
+        """Give the writer its next call, if it has none: a group, a step of maintenance, or the closing."""
         if self.writing:
             return
-        turn = self.maintenance and self.groups_since >= MAX_GROUPS_BETWEEN_STEPS and self.closing is None
-        if self.queue and not turn:
+        step_due = self.maintenance and self.groups_since >= MAX_GROUPS_BETWEEN_STEPS and self.closing is None
+        if self.queue and not step_due:
             self.groups_since += 1
-            group = self.take()
+            group = self._take_group()
             self.writing = True
-            self.run_in_writer(self.engine.commit, [each.batch for each in group]).addBoth(
-                self.on_group_committed, group
-            )
+            batches = [each.batch for each in group]
+            self.run_in_writer(self.engine.commit, batches).addBoth(self._on_group_committed, group)
         elif self.closing is not None:
             self.writing = True
-            self.run_in_writer(self.engine.close).addBoth(self.end)
-        elif self.maintenance and (turn or not self.idle):
+            self.run_in_writer(self.engine.close).addBoth(self._on_engine_closed)
+        elif self.maintenance and (step_due or not self.idle):
             self.groups_since = 0
             self.writing = True
-            self.run_in_writer(self.engine.step, STEP_BYTES).addBoth(self.on_step_done)
+            self.run_in_writer(self.engine.step, STEP_BYTES).addBoth(self._on_step_done)
 
-    def take(self) -> list[QueuedBatch]:
+    def _take_group(self) -> list[QueuedBatch]:
         group: list[QueuedBatch] = []
         size = 0
         while self.queue and len(group) < MAX_GROUP_BATCHES:
@@ -138,95 +172,110 @@
             self.queued_bytes -= group[-1].batch.bytes
         return group
 
-    def on_group_committed(
-        self, verdicts: list[StoreError | None] | Failure, group: list[QueuedBatch]
+    def _on_group_committed(
+        self, verdicts: Sequence[StoreError | None] | Failure, group: list[QueuedBatch]
     ) -> None:
         self.writing = False
-        self.start_next_write()  # the disk first: who is told now writes again in the next group
+        self._start_next_write()  # the disk first: who is notified now writes again in the next group
         for at, each in enumerate(group):
             verdict = verdicts if isinstance(verdicts, Failure) else verdicts[at]
             if verdict is None:
-                each.told.callback(None)
+                each.done.callback(None)
             else:
-                each.told.errback(verdict)
+                each.done.errback(verdict)
+
+    # -- maintenance -------------------------------------------------------------------------------
+
+    def step(self, budget: int = STEP_BYTES) -> Deferred[int]:
+        """Do one piece of maintenance, for an owner that runs it; fires with bytes left, 0 if none."""
+        if self.closing is not None:
+            return succeed(0)
+        return self.run_in_writer(self.engine.step, budget)
 
-    def on_step_done(self, left: int | Failure) -> None:
+    def _on_step_done(self, left: int | Failure) -> None:
         self.writing = False
         self.idle = isinstance(left, Failure) or left == 0
         if isinstance(left, Failure):
             self.last_error = left.getErrorMessage()
-        if self.idle and self.again is None and self.closing is None:
-            self.again = self.reactor.callLater(MAINTENANCE_INTERVAL_S, self.on_maintenance_timer)
-        self.start_next_write()
+        if self.idle and self.maintenance_timer is None and self.closing is None:
+            self.maintenance_timer = self.reactor.callLater(
+                MAINTENANCE_INTERVAL_S, self._on_maintenance_timer
+            )
+        self._start_next_write()
 
-    def on_maintenance_timer(self) -> None:
-        self.again = None
+    def _on_maintenance_timer(self) -> None:
+        self.maintenance_timer = None
         self.idle = False
-        self.start_next_write()
-
-    def step(self, budget: int = STEP_BYTES) -> Deferred[int]:
-        """One piece of upkeep, for an owner that drives it itself; bytes left, 0 where nothing is left to
-        do.
-        """
-        if self.closing is not None:
-            return succeed(0)
-        return self.run_in_writer(self.engine.step, budget)
+        self._start_next_write()
 
     # -- reading -----------------------------------------------------------------------------------
 
     def get(self, key: bytes) -> Deferred[bytes | None]:
-        """The value, or None. Fails with DamagedError, or with FullError where too many reads wait."""
+        """Read the value, or None. Fails with CorruptDataError, or FullError where too many reads wait."""
         return self.submit_read(self.engine.get, key)
 
     def snapshot(self) -> Snapshot:
-        """The entries as confirmed now; give it back with `release`. Raises FullError, ClosedError."""
+        """Take a snapshot of what is confirmed; `release` gives it back. Raises FullError, ClosedError."""
         return self.engine.snapshot()
 
     def release(self, snapshot: Snapshot) -> None:
+        """Give a snapshot back."""
         self.engine.release(snapshot)
 
     def chunk(
         self, snapshot: Snapshot, cursor: bytes = b"", prefix: bytes = b"", most: int = CHUNK_ENTRIES
     ) -> Deferred[list[tuple[bytes, bytes]]]:
-        """Up to `most` keys and values in order from `cursor` on; the last chunk is empty."""
+        """Read up to `most` keys and values in order from `cursor` on; the last chunk is empty."""
         return self.submit_read(self.engine.chunk, snapshot, cursor, prefix, most)
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
-        """All at once, waiting for the disk: for programs without a reactor to keep free."""
+        """Yield all at once, waiting for the disk: for programs without a reactor to keep free."""
         return self.engine.scan(prefix)
 
-    def submit_read(self, call: Callable, *args: Any) -> Deferred[Any]:
+    def submit_read(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
+        """Run a call that reads in a reader's thread. Fails with FullError at the limit on reads."""
         if self.closing is not None:
-            return fail(ClosedError("the store is closed"))
+            return fail(ClosedError())
         if self.reads >= MAX_READS:
-            return fail(FullError(bounds.READS, f" ({MAX_READS})"))
+            return fail(FullError(Limit.QUEUED_READS, f"({MAX_READS})"))
         self.reads += 1
-        return self.run_in_reader(call, *args).addBoth(self.on_read_done)
+        return self.run_in_reader(call, *args, **kwargs).addCallbacks(
+            self._on_read_done, self._on_read_failed
+        )
 
-    def on_read_done(self, result: Any) -> Any:
+    def _on_read_done(self, result: R) -> R:
         self.reads -= 1
         return result
 
+    def _on_read_failed(self, failure: Failure) -> Failure:
+        self.reads -= 1
+        return failure
+
     # -- ending ------------------------------------------------------------------------------------
 
     def close(self) -> Deferred[None]:
-        """What was queued is written and told first. Fires once the directory is given back."""
+        """Write and confirm what is queued, then close; fires once the directory is given back."""
         if self.closing is None:
             self.closing = Deferred()
-            if self.again is not None:
-                self.again.cancel()
-                self.again = None
-            self.start_next_write()
-        told: Deferred[None] = Deferred()
-        self.closing.addBoth(lambda result: told.callback(None) or result)
-        return told
-
-    def end(self, result: Any) -> None:
-        self.ended()
+            if self.maintenance_timer is not None:
+                self.maintenance_timer.cancel()
+                self.maintenance_timer = None
+            self._start_next_write()
+        done: Deferred[None] = Deferred()
+
+        def on_closed(result: None) -> None:
+            done.callback(None)
+
+        self.closing.addCallback(on_closed)
+        return done
+
+    def _on_engine_closed(self, result: None | Failure) -> None:
+        self.on_closed()
         assert self.closing is not None
         self.closing.callback(None)
 
     def stat(self) -> dict[str, int]:
+        """The engine's sizes and counts, and what waits here."""
         return {
             **self.engine.stat(),
             "waiting writes": len(self.queue),
@@ -236,20 +285,31 @@
 
 
 def open_store(
-    reactor: Any,
+    reactor: ThreadedReactor,
     path: str,
     clock: Callable[[], int],
     rng: random.Random,
-    most: StoreLimits | None = None,
+    limits: StoreLimits | None = None,
     create: bool = True,
     maintenance: bool = True,
     disk: Disk | None = None,
 ) -> Deferred[Store]:
-    """The store in that directory, opened off the reactor's thread. Fails with UnfitError, DamagedError,
-    FullError.
-
-    `clock` gives µs of Unix time; `rng` gives the salts of new files. Two threads read and one writes until
-    `close`.
+    """Open the store in that directory, off the reactor's thread.
+
+    Two threads read and one writes until `close`.
+
+    Args:
+        reactor: Twisted's.
+        path: The directory.
+        clock: Gives µs of Unix time.
+        rng: Gives the salts of new files.
+        limits: How large the store may grow.
+        create: Whether to make the directory and a store where there is none.
+        maintenance: Whether the store runs it by itself.
+        disk: What to use in place of the directory.
+
+    Returns:
+        Fires with the store; fails with CannotOpenError, CorruptDataError, FullError or NotConfirmedError.
     """
     writers = ThreadPool(1, 1, "store-writer")
     readers = ThreadPool(0, READER_THREADS, "store-reader")
@@ -260,20 +320,26 @@
         reactor.callInThread(readers.stop)
         reactor.callInThread(writers.stop)
 
-    def opened() -> Engine:
-        return Engine.open(disk or RealDisk(path, create), clock, rng, most, create, path)
+    def open_engine() -> Engine:
+        return Engine.open(disk or RealDisk(path, create), clock, rng, limits, create, path)
 
-    def made(engine: Engine) -> Store:
-        store = Store(reactor, engine, in_pool(reactor, writers), in_pool(reactor, readers), maintenance)
-        store.ended = stop
+    def on_opened(engine: Engine) -> Store:
+        run_in_writer, run_in_reader = _pool_executor(reactor, writers), _pool_executor(reactor, readers)
+        store = Store(reactor, engine, run_in_writer, run_in_reader, maintenance)
+        store.on_closed = stop
         return store
 
-    def failed(why: Failure) -> Failure:
+    def on_failed(failure: Failure) -> Failure:
         stop()
-        return why
+        return failure
+
+    return _pool_executor(reactor, writers)(open_engine).addCallbacks(on_opened, on_failed)
+
 
-    return in_pool(reactor, writers)(opened).addCallbacks(made, failed)
+def _pool_executor(reactor: ThreadedReactor, pool: ThreadPool) -> Executor:
+    threads = cast(IReactorFromThreads, reactor)
 
+    def run(call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
+        return deferToThreadPool(threads, pool, call, *args, **kwargs)
 
-def in_pool(reactor: Any, pool: ThreadPool) -> Work:
-    return lambda call, *args: deferToThreadPool(reactor, pool, call, *args)
+    return run
--- a/lichencleat/testkit/checkers/store_history.py
+++ b/lichencleat/testkit/checkers/store_history.py
@@ -1,5 +1,4 @@
-"""What a store must hold after a cut, judged against what it was asked and what it confirmed; written once,
-for all tests.
+"""Checks what a store holds after a power cut against what it was asked for and what it confirmed.
 
 The rule: the entries are those after the first n batches that were not refused, in order, for an n no smaller
 than the number confirmed. So nothing confirmed is missing, no batch is there in half, and nothing is there
@@ -10,8 +9,7 @@
 
 from collections.abc import Iterable
 
-Change = tuple[bytes, bytes | None, int]
-"""Key, value (None: deleted), expiry in µs (0: none)."""
+from lichencleat.store.batch import Change
 
 
 class History:
@@ -20,33 +18,35 @@
     def __init__(self) -> None:
         self.batches: list[list[Change]] = []
         self.confirmed = 0  # this many, from the first on, are confirmed
-        # told as not confirmed since: may be back as whole batches until the next
+        # reported as not confirmed since: may be back as whole batches until the next confirmation
         self.failed: list[list[Change]] = []
 
-    def asked(self, changes: Iterable[Change]) -> None:
-        """A batch on its way; the one before it is confirmed or refused."""
+    def record_request(self, changes: Iterable[Change]) -> None:
+        """Note a batch that is about to be committed; the one before it is confirmed or refused."""
         self.batches.append(list(changes))
 
-    def confirms(self) -> None:
+    def record_confirmation(self) -> None:
+        """Note that all batches so far are confirmed."""
         self.confirmed = len(self.batches)
         self.failed = []
 
-    def refuses(self) -> None:
-        """The last batch was refused before anything was written."""
+    def record_refusal(self) -> None:
+        """Note that the last batch was refused before anything was written."""
         self.batches.pop()
 
-    def fails(self) -> None:
-        """The last batch was told as not confirmed: a cut before the next confirmed one may bring it back."""
+    def record_failure(self) -> None:
+        """Note that the last batch failed: a cut before the next confirmed one may bring it back."""
         self.failed.append(self.batches.pop())
 
-    def after(self, count: int) -> dict[bytes, tuple[bytes, int]]:
-        return entries(self.batches[:count])
+    def state_after(self, count: int) -> dict[bytes, tuple[bytes, int]]:
+        """The entries, with value and expiry, after the first `count` batches."""
+        return apply_batches(self.batches[:count])
 
-    def judge(self, found: dict[bytes, bytes], now: int) -> str | None:
-        """None where the store's entries keep the rule; else the shortest account of how they break it."""
-        states = [self.after(count) for count in range(self.confirmed, len(self.batches) + 1)]
-        states += [entries([*self.batches[: self.confirmed], each]) for each in self.failed]
-        shown = [visible(state, now) for state in states]
+    def check(self, found: dict[bytes, bytes], now: int) -> str | None:
+        """None where the store's entries keep the rule; else how they break it. `now` is in µs."""
+        states = [self.state_after(count) for count in range(self.confirmed, len(self.batches) + 1)]
+        states += [apply_batches([*self.batches[: self.confirmed], each]) for each in self.failed]
+        shown = [visible_entries(state, now) for state in states]
         if found in shown:
             return None
         least = shown[0]
@@ -58,16 +58,18 @@
         )
 
 
-def entries(batches: Iterable[list[Change]]) -> dict[bytes, tuple[bytes, int]]:
-    held: dict[bytes, tuple[bytes, int]] = {}
+def apply_batches(batches: Iterable[list[Change]]) -> dict[bytes, tuple[bytes, int]]:
+    """The entries, with value and expiry, that these batches leave."""
+    state: dict[bytes, tuple[bytes, int]] = {}
     for batch in batches:
         for key, value, expiry in batch:
             if value is None:
-                held.pop(key, None)
+                state.pop(key, None)
             else:
-                held[key] = (value, expiry)
-    return held
+                state[key] = (value, expiry)
+    return state
 
 
-def visible(state: dict[bytes, tuple[bytes, int]], now: int) -> dict[bytes, bytes]:
+def visible_entries(state: dict[bytes, tuple[bytes, int]], now: int) -> dict[bytes, bytes]:
+    """The values of entries that have not expired at `now` (µs)."""
     return {key: value for key, (value, expiry) in state.items() if not 0 < expiry <= now}
--- a/lichencleat/testkit/faulty_disk.py
+++ b/lichencleat/testkit/faulty_disk.py
@@ -1,4 +1,4 @@
-"""A disk of memory that fails on demand: the stand-in for the machine's in tests that cut the power.
+"""Faulty disk: a disk in memory that fails on demand, for tests that cut the power.
 
 It keeps what was written apart from what was flushed. At a cut, what was not flushed may be there, be absent,
 be torn at any byte, leave a hole where it stood, or have reached the disk in another order than it was
@@ -31,14 +31,17 @@
         self.lost: list[tuple[int, bytes]] = []
 
     def write(self, data: bytes) -> None:
+        """Append, without flushing."""
         self.pending.append((len(self.now), data))
         self.now += data
 
     def flush(self) -> None:
+        """Bring all pending writes to the disk."""
         self.flushed = apply_writes(self.flushed, self.pending)
         self.pending = []
 
     def after_cut(self, choose: Choose) -> bytes:
+        """What the file holds after a power cut; `choose` decides for each pending write."""
         kept = []
         for at, data in [*self.lost, *self.pending]:
             fate = choose(3)  # absent, whole, or torn
@@ -50,6 +53,7 @@
 
 
 def apply_writes(flushed: bytes, writes: list[tuple[int, bytes]]) -> bytes:
+    """The bytes after these writes, each an offset and data."""
     data = bytearray(flushed)
     for at, piece in writes:
         data.extend(bytes(max(0, at + len(piece) - len(data))))  # a hole reads as zeros
@@ -58,8 +62,9 @@
 
 
 class FaultyDisk:
-    """As `disk.Disk`. `faults` maps the number of a call, from 0 on, to an errno, or to CUT, CUT_AFTER or
-    SHORT.
+    """A `lichencleat.store.disk.Disk` with faults.
+
+    `faults` maps the number of a call, from 0 on, to an errno, or to CUT, CUT_AFTER or SHORT.
     """
 
     CUT, CUT_AFTER, SHORT = -1, -2, -3
@@ -68,7 +73,7 @@
         self.flushed_names = {name: Content(data) for name, data in (files or {}).items()}
         self.live_names = dict(self.flushed_names)
         self.pending_names: list[tuple[str, str, Content]] = []  # (what, name, content), in order
-        self.room = room  # bytes on the disk in all; None: no end
+        self.room = room  # bytes that the disk can hold; None: no limit
         self.faults: dict[int, int] = {}
         self.calls: list[str] = []
         self.off = False
@@ -80,10 +85,8 @@
 
     # -- faults ------------------------------------------------------------------------------------
 
-    def called(self, what: str) -> int:
-        """Counts the call and lets the fault meant for it happen; a fault that comes after it is given
-        back.
-        """
+    def begin_call(self, what: str) -> int:
+        """Count the call and let the fault meant for it happen; returns a fault that comes after it."""
         if self.off:
             raise PowerCutError(what)
         fault = self.faults.get(len(self.calls), 0)
@@ -95,20 +98,22 @@
             raise OSError(fault, errno.errorcode[fault])
         return fault
 
-    def done(self, fault: int) -> None:
+    def end_call(self, fault: int) -> None:
+        """Let the fault happen that comes after the call."""
         if fault == self.CUT_AFTER:
             self.off = True
             raise PowerCutError("after")
 
     def used(self) -> int:
+        """Bytes of all files."""
         return sum(len(each.now) for each in set(self.live_names.values()))
 
     def after_cut(self, choose: Choose) -> FaultyDisk:
-        """The disk as the next start finds it; everything on it is flushed."""
+        """The disk as the next start finds it after a power cut; everything on it is flushed."""
         names = dict(self.flushed_names)
         for what, name, content in self.pending_names:
             if choose(2):
-                self.apply(names, what, name, content)
+                self._apply(names, what, name, content)
         found: dict[Content, bytes] = {}  # one content under two names is one file
         for content in names.values():
             if content not in found:
@@ -119,7 +124,7 @@
         return after
 
     @staticmethod
-    def apply(names: dict[str, Content], what: str, name: str, content: Content) -> None:
+    def _apply(names: dict[str, Content], what: str, name: str, content: Content) -> None:
         if what == "remove":
             if names.get(name) is content:
                 del names[name]
@@ -130,15 +135,18 @@
         names[name] = content
 
     def image(self) -> dict[str, bytes]:
+        """The bytes of each file, flushed or not."""
         return {name: bytes(content.now) for name, content in self.live_names.items()}
 
     # -- as a Disk ---------------------------------------------------------------------------------
 
     def names(self) -> list[str]:
+        """See `Disk`."""
         return sorted(self.live_names)
 
     def open(self, name: str, create: bool = False) -> Content:
-        fault = self.called("create" if create else "open")
+        """See `Disk`."""
+        fault = self.begin_call("create" if create else "open")
         if create:
             if name in self.live_names:
                 raise FileExistsError(errno.EEXIST, "exists", name)
@@ -146,12 +154,13 @@
             self.pending_names.append(("create", name, self.live_names[name]))
         elif name not in self.live_names:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
-        self.done(fault)
+        self.end_call(fault)
         self.open_files += 1
         return self.live_names[name]
 
     def append(self, file: Content, data: bytes) -> None:
-        fault = self.called("append")
+        """See `Disk`."""
+        fault = self.begin_call("append")
         if not data:
             return
         fits = len(data)
@@ -161,18 +170,20 @@
             fits = min(fits, len(data) // 2)
         if fits:
             file.write(bytes(data[:fits]))
-        self.done(fault)
+        self.end_call(fault)
         if fits < len(data):
             code = fault if fault > 0 else errno.ENOSPC
             raise OSError(code, errno.errorcode[code])
 
     def read(self, file: Content, offset: int, length: int) -> bytes:
-        fault = self.called("read")
-        self.done(fault)
+        """See `Disk`."""
+        fault = self.begin_call("read")
+        self.end_call(fault)
         return bytes(file.now[offset : offset + length])
 
     def flush(self, file: Content) -> None:
-        fault = self.called("flush")
+        """See `Disk`."""
+        fault = self.begin_call("flush")
         if "flush" in self.skipped_calls:
             return
         if fault > 0:
@@ -180,45 +191,53 @@
             file.pending = []
             raise OSError(fault, errno.errorcode[fault])
         file.flush()
-        self.done(fault)
+        self.end_call(fault)
 
     def flush_directory(self) -> None:
-        fault = self.called("flush_directory")
+        """See `Disk`."""
+        fault = self.begin_call("flush_directory")
         if "flush_directory" in self.skipped_calls:
             return
         for pending in self.pending_names:
-            self.apply(self.flushed_names, *pending)
+            self._apply(self.flushed_names, *pending)
         self.pending_names = []
-        self.done(fault)
+        self.end_call(fault)
 
     def rename(self, old: str, new: str) -> None:
-        fault = self.called("rename")
+        """See `Disk`."""
+        fault = self.begin_call("rename")
         content = self.live_names.pop(old)
         self.live_names[new] = content
         self.pending_names.append(("rename", new, content))
-        self.done(fault)
+        self.end_call(fault)
 
     def remove(self, name: str) -> None:
-        fault = self.called("remove")
+        """See `Disk`."""
+        fault = self.begin_call("remove")
         if name not in self.live_names:
             raise FileNotFoundError(errno.ENOENT, "no such file", name)
         self.pending_names.append(("remove", name, self.live_names.pop(name)))
-        self.done(fault)
+        self.end_call(fault)
 
     def size(self, file: Content) -> int:
+        """See `Disk`."""
         return len(file.now)
 
     def close(self, file: Content) -> None:
+        """See `Disk`."""
         self.open_files -= 1
 
     def lock(self) -> None:
+        """See `Disk`."""
         self.locked = True
 
     def unlock(self) -> None:
+        """See `Disk`."""
         self.locked = False
 
 
 def by_chance(rng: random.Random) -> Choose:
+    """A `Choose` that draws at random."""
     return rng.randrange
 
 
--- a/tests/store/every_byte.py
+++ b/tests/store/every_byte.py
@@ -20,9 +20,9 @@
 
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.errors import CannotOpenError, CorruptDataError, StoreError
+from lichencleat.store.file_names import SEGMENT
 from lichencleat.store.index import length_of, offset_of, segment_of
-from lichencleat.store.inspect import salvage
-from lichencleat.store.segments import NAME
+from lichencleat.store.salvage import salvage
 from lichencleat.testkit.checkers.store_history import History
 from lichencleat.testkit.faulty_disk import FaultyDisk
 from tests.store.workload import Day
@@ -42,7 +42,7 @@
         if close:
             self.day.engine.close()
         self.image = disk.image()
-        self.whole = {key: value for key, (value, _) in self.day.history.after(10_000).items()}
+        self.whole = {key: value for key, (value, _) in self.day.history.state_after(10_000).items()}
         self.ever = {(key, value) for batch in self.day.history.batches for key, value, _ in batch}
         self.in_batches = {key for batch in self.day.history.batches if len(batch) > 1 for key, _, _ in batch}
         self.logs = sorted(each for each in self.image if each.endswith(".log"))
@@ -79,7 +79,7 @@
         except StoreError as wrong:
             return f"{lengths}: {wrong!r}"
         self.outcomes["opened"] += 1
-        return history.judge(dict(engine.scan()), self.day.now)
+        return history.check(dict(engine.scan()), self.day.now)
 
     def salvaged(self, files, lengths):
         into = FaultyDisk()
@@ -92,7 +92,7 @@
             return f"{lengths}: salvage made up {strangers}"
         now = self.day.now
         for key, where in self.locations.items():
-            name, end = NAME.format(segment_of(where)), offset_of(where) + length_of(where)
+            name, end = SEGMENT.format(segment_of(where)), offset_of(where) + length_of(where)
             expiry = where >> 96
             if key in self.in_batches:
                 # the batch's last frame stands further on: without it none of it counts
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -8,8 +8,9 @@
 
 from lichencleat.store import framing
 from lichencleat.store.errors import CannotOpenError, CorruptDataError, FullError, StoreError
+from lichencleat.store.file_names import SEGMENT
 from lichencleat.store.index import length_of, offset_of, segment_of
-from lichencleat.store.segments import NAME, Record, encode
+from lichencleat.store.segments import Record, encode_records
 from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance, every_choice
 from tests.store.workload import SECOND, Day, count_calls, start_until_cut
 
@@ -144,7 +145,7 @@
         for n in range(12):
             day.ask((b"k%d" % n, b"%d" % turn * 30, 0))
     day.upkeep()
-    assert day.engine.reserve.held
+    assert day.engine.reserve.held_bytes
     for n in range(12):
         day.ask((b"k%d" % n, b"last" * 5, 0))  # garbage, not yet cleaned
     disk.room = disk.used() + 5
@@ -158,7 +159,7 @@
     disk.room = None
     day.now += 60 * SECOND
     day.upkeep()
-    assert day.engine.reserve.held == day.bounds.reserve_bytes
+    assert day.engine.reserve.held_bytes == day.bounds.reserve_bytes
 
 
 def test_a_flipped_bit_among_confirmed_records_is_told_and_nothing_is_dropped_silently():
@@ -196,7 +197,7 @@
     day.open(disk)
     day.run(close=False)
     where = day.engine.log.index.locations[b"k3"]
-    name = NAME.format(segment_of(where))
+    name = SEGMENT.format(segment_of(where))
     day.engine.close()
     image = disk.image()
     data = bytearray(image[name])
@@ -237,14 +238,14 @@
         (framing.TIME_MARK, day.now, b"", b""),
     ]
     segment = engine.log.begin()
-    data, _ = encode(
+    data, _ = encode_records(
         [Record(*each) for each in bodies], segment, segment.first_sequence, segment.first_sequence - 1
     )
     disk.append(segment.file, data)
     mark = Record(framing.TIME_MARK, day.now, b"")
     segment.size += len(data)
     last = segment.first_sequence + len(bodies)
-    disk.append(segment.file, encode([mark], segment, last, last - 1)[0])  # proves all before it
+    disk.append(segment.file, encode_records([mark], segment, last, last - 1)[0])  # proves all before it
     assert [key for key, _ in day.open(FaultyDisk(disk.image())).scan()] == [b"whole"]
 
 
@@ -267,9 +268,11 @@
                 continue  # killed while the store was being made
             if call % 2:
                 day.history.batches = day.history.batches[: day.history.confirmed]
-                day.history.asked([(key, seen.get(key), 0) for key in {*seen, *day.history.after(1_000)}])
-                day.history.confirms()  # what was read once is there for good
-                day.history.asked([])
+                day.history.record_request(
+                    [(key, seen.get(key), 0) for key in {*seen, *day.history.state_after(1_000)}]
+                )
+                day.history.record_confirmation()  # what was read once is there for good
+                day.history.record_request([])
             for _ in range(3):
                 assert violations([disk.after_cut(by_chance(rng))], day) == [], (call, kind)
 
--- a/tests/store/test_model.py
+++ b/tests/store/test_model.py
@@ -10,7 +10,7 @@
 
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.errors import SnapshotGoneError
-from lichencleat.testkit.checkers.store_history import visible
+from lichencleat.testkit.checkers.store_history import visible_entries
 from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 from tests.store.workload import SECOND, Day
 
@@ -38,7 +38,7 @@
     def state(self):
         """What has to be there; the time that counts is the latest that the store has seen."""
         history = self.day.history
-        return visible(history.after(len(history.batches)), self.day.engine.log.time)
+        return visible_entries(history.state_after(len(history.batches)), self.day.engine.log.time)
 
     @rule(key=keys, value=values, ttl=ttls)
     def put(self, key, value, ttl):
@@ -71,7 +71,7 @@
     def snapshot(self):
         taken = self.day.engine.snapshot()
         history = self.day.history
-        self.snapshots.append((taken, history.after(len(history.batches))))
+        self.snapshots.append((taken, history.state_after(len(history.batches))))
 
     @precondition(lambda self: self.snapshots)
     @rule(prefix=st.sampled_from([b"", b"a", b"\xff"]), most=st.integers(1, 4))
@@ -85,7 +85,7 @@
         except SnapshotGoneError:
             assert not taken.is_open
         else:
-            shown = visible(then, self.day.engine.log.time)
+            shown = visible_entries(then, self.day.engine.log.time)
             assert found == sorted((key, value) for key, value in shown.items() if key.startswith(prefix))
         self.day.engine.release(taken)
 
@@ -126,10 +126,10 @@
         engine = self.day.open(self.disk)
         found = dict(engine.scan())
         history = self.day.history
-        assert history.judge(found, engine.log.time) is None
+        assert history.check(found, engine.log.time) is None
         if found != self.state():  # the one under way is not there: asked for no more
             history.batches = history.batches[: history.confirmed]
-        history.confirms()  # what recovery gave back stays
+        history.record_confirmation()  # what recovery gave back stays
 
     @invariant()
     def entries_are_the_models(self):
