--- a/tests/store/test_parts.py
+++ b/tests/store/test_parts.py
@@ -31,10 +31,10 @@
 SECOND = 1_000_000
 
 
-def log(*iter_frames, start=0):
+def log(*bodies, start=0):
     data = b""
-    for body in iter_frames:
-        data += framing.frame(SALT, start + len(data), framing.encode_any(body))
+    for body in bodies:
+        data += framing.encode_frame(SALT, start + len(data), framing.encode_body(body))
     return data
 
 
@@ -83,16 +83,16 @@
 
 def test_a_tail_proves_what_was_flushed_before_a_frame_was_written():
     tail = LogTail(first=10, through=9, offset=100)
-    assert tail.reads(100, 10, 10, framing.PUT, 1, 0)
-    assert tail.reads(110, 10, 11, framing.PUT, 2, 0)
+    assert tail.accept(100, 10, 10, framing.PUT, 1, 0)
+    assert tail.accept(110, 10, 11, framing.PUT, 2, 0)
     assert (tail.proved, tail.proved_end, len(tail.unproved)) == (9, 100, 2)
-    assert tail.reads(120, 10, 12, framing.BATCH_PUT, 1, 0)
+    assert tail.accept(120, 10, 12, framing.BATCH_PUT, 1, 0)
     assert (tail.proved, tail.proved_end) == (11, 120)
-    assert tail.in_doubt() == []  # a batch without its commit
-    assert tail.reads(130, 10, 13, framing.COMMIT, 2, 1)
-    assert tail.in_doubt() == [(120, 10), (130, 10)]
-    assert not tail.reads(140, 10, 15, framing.PUT, 1, 0)  # a sequence is missing
-    assert tail.lost(20, 6) and not tail.lost(20, 7)
+    assert tail.unproved_records() == []  # a batch without its commit
+    assert tail.accept(130, 10, 13, framing.COMMIT, 2, 1)
+    assert tail.unproved_records() == [(120, 10), (130, 10)]
+    assert not tail.accept(140, 10, 15, framing.PUT, 1, 0)  # a sequence is missing
+    assert tail.is_loss_proved_by(20, 6) and not tail.is_loss_proved_by(20, 7)
 
 
 def test_a_place_keeps_its_four_numbers():
@@ -191,18 +191,22 @@
 
 def test_the_order_of_jobs():
     full = [segment(1, 1_000)]
-    assert maintenance.next_job(facts(full, {}, earliest_expiry=5, entries=0), 5) is MaintenanceJob.SWEEP
+    assert (
+        maintenance.next_job(facts(full, {}, earliest_expiry=5, entries=0), 5) is MaintenanceJob.SWEEP_EXPIRED
+    )
     assert (
         maintenance.next_job(facts(full, {}, earliest_expiry=5, entries=10, last_sweep_at=1), 50)
-        is MaintenanceJob.CLEAN
+        is MaintenanceJob.COMPACT
     )  # swept just now
     assert (
         maintenance.next_job(
             facts(full, {1: 990}, bytes_since_checkpoint=maintenance.CHECKPOINT_INTERVAL_BYTES + 1), 0
         )
-        is MaintenanceJob.POINT
+        is MaintenanceJob.CHECKPOINT
+    )
+    assert (
+        maintenance.next_job(facts(full, {1: 990}, reserve_missing=True), 0) is MaintenanceJob.RENEW_RESERVE
     )
-    assert maintenance.next_job(facts(full, {1: 990}, reserve_missing=True), 0) is MaintenanceJob.RESERVE
     assert maintenance.next_job(facts(full, {1: 990}), 0) is None
     assert (
         maintenance.next_job(
@@ -219,19 +223,19 @@
 
 def test_the_checker_sees_what_it_has_to_see():
     history = History()
-    history.asked([(b"a", b"1", 0), (b"b", b"1", 0)])
-    history.confirms()
-    history.asked([(b"a", b"2", 0), (b"b", b"2", 0)])
-    assert history.judge({b"a": b"1", b"b": b"1"}, 0) is None
-    assert history.judge({b"a": b"2", b"b": b"2"}, 0) is None
-    assert "half" in history.judge({b"a": b"2", b"b": b"1"}, 0)
-    assert "b'b'" in history.judge({b"a": b"1"}, 0)
-    assert "never" in history.judge({b"a": b"1", b"b": b"1", b"c": b"never"}, 0)
-    history.fails()
-    assert history.judge({b"a": b"2", b"b": b"2"}, 0) is None
-    history.asked([])
-    history.confirms()
-    assert history.judge({b"a": b"2", b"b": b"2"}, 0) is not None
+    history.record_request([(b"a", b"1", 0), (b"b", b"1", 0)])
+    history.record_confirmation()
+    history.record_request([(b"a", b"2", 0), (b"b", b"2", 0)])
+    assert history.check({b"a": b"1", b"b": b"1"}, 0) is None
+    assert history.check({b"a": b"2", b"b": b"2"}, 0) is None
+    assert "half" in history.check({b"a": b"2", b"b": b"1"}, 0)
+    assert "b'b'" in history.check({b"a": b"1"}, 0)
+    assert "never" in history.check({b"a": b"1", b"b": b"1", b"c": b"never"}, 0)
+    history.record_failure()
+    assert history.check({b"a": b"2", b"b": b"2"}, 0) is None
+    history.record_request([])
+    history.record_confirmation()
+    assert history.check({b"a": b"2", b"b": b"2"}, 0) is not None
 
 
 def test_every_choice_is_made_once():
@@ -265,7 +269,7 @@
 
 def bound(engine, batch):
     (verdict,) = engine.commit([batch])
-    return None if verdict is None else verdict.bound
+    return None if verdict is None else verdict.limit
 
 
 def test_each_bound_is_told_by_its_name_and_deletes_go_on(disk, clock):
@@ -437,5 +441,5 @@
     bound(engine, Batch().put(b"last", b"confirmed"))
     after = FaultyDisk(disk.image(), room=disk.used())
     again = opened(after, clock, segment_bytes=500, max_disk_bytes=10_000)
-    assert again.get(b"last") == b"confirmed" and again.reserve.held == 0
+    assert again.get(b"last") == b"confirmed" and again.reserve.held_bytes == 0
     assert again.log.counts["records carried"] == 1
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -143,7 +143,7 @@
 def test_a_batch_out_of_bounds_fails_alone(store, writer, engine):
     store.put(b"first", b"")
     good, bad = results(store.put(b"good", b"")), []
-    store.put(b"bad", b"x" * (1 << 20)).addErrback(lambda why: bad.append(why.value.bound))
+    store.put(b"bad", b"x" * (1 << 20)).addErrback(lambda why: bad.append(why.value.limit))
     writer.work(2)
     assert good == [None] and bad == ["bytes on disk"] and engine.get(b"bad") is None
 
@@ -152,7 +152,7 @@
     waiting = results(*(store.put(b"k", b"") for _ in range(MAX_QUEUED_BATCHES + 1)))
     assert waiting == []
     (failure,) = results(store.put(b"k", b""))
-    assert failure.check(FullError) and failure.value.bound == "waiting writes"
+    assert failure.check(FullError) and failure.value.limit == "waiting writes"
     writer.work(1_000)
     assert waiting == [None] * (MAX_QUEUED_BATCHES + 1)
     told = results(store.put(b"k", b""))
@@ -163,7 +163,7 @@
 def test_reads_have_a_bound_too(store, reader):
     reads = results(*(store.get(b"k") for _ in range(MAX_READS)))
     (failure,) = results(store.get(b"k"))
-    assert failure.check(FullError) and failure.value.bound == "waiting reads"
+    assert failure.check(FullError) and failure.value.limit == "waiting reads"
     reader.work(MAX_READS)
     assert reads == [None] * MAX_READS
     told = results(store.get(b"k"))
@@ -225,8 +225,8 @@
     segment.reference_count += 1  # as a reader that is at it
     store.close()
     writer.work(5)
-    assert engine.reads.read(segment, b"k", where) == b"v"
-    engine.log.leave(segment)
+    assert engine.reader.read_value(segment, b"k", where) == b"v"
+    engine.log.release(segment)
     assert disk.open_files == 0
 
 
--- a/tests/store/workload.py
+++ b/tests/store/workload.py
@@ -39,16 +39,16 @@
                 batch.delete(key)
             else:
                 batch.put(key, value, expiry)
-        self.history.asked(changes)
+        self.history.record_request(changes)
         (verdict,) = self.engine.commit([batch])
         if verdict is None:
-            self.history.confirms()
+            self.history.record_confirmation()
             sizes = {each.name: each.size for each in self.engine.log.segments.values()}
             self.confirms.append((self.history.confirmed, sizes))
-        elif isinstance(verdict, FullError) and verdict.bound != "room on the disk itself":
-            self.history.refuses()
+        elif isinstance(verdict, FullError) and verdict.limit != "room on the disk itself":
+            self.history.record_refusal()
         elif isinstance(verdict, FullError | NotConfirmedError):
-            self.history.fails()
+            self.history.record_failure()
         return verdict
 
     def upkeep(self, most=400, budget=200):
@@ -84,7 +84,7 @@
         for key, value in found.items():
             assert engine.get(key) == value
         assert engine.get(b"never asked for") is None
-        return self.history.judge(found, self.now)
+        return self.history.check(found, self.now)
 
 
 def start_until_cut(day, disk):
