--- a/lichencleat/store/errors.py
+++ b/lichencleat/store/errors.py
@@ -47,7 +47,7 @@
         super().__init__("the store is closed")
 
 
-class SnapshotGoneError(StoreError):
+class SnapshotEndedError(StoreError):
     """The snapshot was closed, or ended because the changes since would not fit its limit."""
 
     def __init__(self) -> None:
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -182,7 +182,7 @@
 
 
 class Snapshot:
-    """The entries as they were when it was taken: each later change adds what it replaced to the undo list."""
+    """The entries as of when it was taken: each later change adds what it replaced to the undo list."""
 
     def __init__(self, index: Index, sequence: int) -> None:
         self.index = index
--- a/lichencleat/store/reader.py
+++ b/lichencleat/store/reader.py
@@ -12,7 +12,7 @@
     Finding,
     FullError,
     Limit,
-    SnapshotGoneError,
+    SnapshotEndedError,
 )
 from lichencleat.store.index import Snapshot, is_expired, length_of, offset_of, segment_of
 from lichencleat.store.log import Log
@@ -95,7 +95,7 @@
         The next chunk begins at the last key and a zero byte. The last chunk is empty.
 
         Raises:
-            SnapshotGoneError: If the snapshot was closed or has ended.
+            SnapshotEndedError: If the snapshot was closed or has ended.
             CorruptDataError: If a value can't be read.
         """
         while True:
@@ -135,7 +135,7 @@
         log = self.log
         with log.guard:
             if not snapshot.is_open:
-                raise SnapshotGoneError
+                raise SnapshotEndedError
             rows = snapshot.chunk(cursor, prefix, most)
             if not rows:
                 return None, []
--- a/lichencleat/store/store.py
+++ b/lichencleat/store/store.py
@@ -10,13 +10,10 @@
 import random
 from collections import deque
 from collections.abc import Callable, Iterator, Sequence
-from typing import ParamSpec, Protocol, TypeVar, cast
+from typing import ParamSpec, TypeVar
 
 from twisted.internet.defer import Deferred, fail, succeed
-from twisted.internet.interfaces import IReactorFromThreads
-from twisted.internet.threads import deferToThreadPool
 from twisted.python.failure import Failure
-from twisted.python.threadpool import ThreadPool
 
 from lichencleat.store.batch import Batch
 from lichencleat.store.capacity import StoreLimits
@@ -25,6 +22,7 @@
 from lichencleat.store.errors import ClosedError, FullError, Limit, StoreError
 from lichencleat.store.index import Snapshot
 from lichencleat.store.reader import CHUNK_ENTRIES
+from lichencleat.store.threads import Executor, StoreThreads, ThreadedReactor, Timer
 
 MAX_QUEUED_BATCHES = 4_096  # that wait for the writer: some 20 groups on a disk that flushes in 1 ms
 MAX_QUEUED_BYTES = 64 << 20  # of these batches
@@ -39,33 +37,6 @@
 R = TypeVar("R")
 
 
-class Executor(Protocol):
-    """Runs a function where it may wait for the disk; the Deferred fires with its result or error."""
-
-    def __call__(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
-        """Run the call."""
-
-
-class Timer(Protocol):
-    """What the store needs of Twisted's `IDelayedCall`."""
-
-    def cancel(self) -> None:
-        """Stop the timer."""
-
-
-class ThreadedReactor(Protocol):
-    """What the store needs of Twisted's reactor: timers and threads."""
-
-    def callLater(self, delay: float, call: Callable[..., object], *args: object) -> Timer:  # noqa: N802
-        """As `IReactorTime`."""
-
-    def callFromThread(self, call: Callable[..., object], *args: object) -> None:  # noqa: N802
-        """As `IReactorFromThreads`."""
-
-    def callInThread(self, call: Callable[..., object], *args: object) -> None:  # noqa: N802
-        """As `IReactorInThreads`."""
-
-
 class QueuedBatch:
     """A batch in the queue. `done` fires once: with None when it is confirmed, else with a StoreError."""
 
@@ -311,35 +282,18 @@
     Returns:
         Fires with the store; fails with CannotOpenError, CorruptDataError, FullError or NotConfirmedError.
     """
-    writers = ThreadPool(1, 1, "store-writer")
-    readers = ThreadPool(0, READER_THREADS, "store-reader")
-    writers.start()
-    readers.start()
-
-    def stop() -> None:  # not in the thread that ends: a pool waits for its own threads
-        reactor.callInThread(readers.stop)
-        reactor.callInThread(writers.stop)
+    threads = StoreThreads(reactor, READER_THREADS)
 
     def open_engine() -> Engine:
         return Engine.open(disk or RealDisk(path, create), clock, rng, limits, create, path)
 
     def on_opened(engine: Engine) -> Store:
-        run_in_writer, run_in_reader = _pool_executor(reactor, writers), _pool_executor(reactor, readers)
-        store = Store(reactor, engine, run_in_writer, run_in_reader, maintenance)
-        store.on_closed = stop
+        store = Store(reactor, engine, threads.run_in_writer, threads.run_in_reader, maintenance)
+        store.on_closed = threads.stop
         return store
 
     def on_failed(failure: Failure) -> Failure:
-        stop()
+        threads.stop()
         return failure
 
-    return _pool_executor(reactor, writers)(open_engine).addCallbacks(on_opened, on_failed)
-
-
-def _pool_executor(reactor: ThreadedReactor, pool: ThreadPool) -> Executor:
-    threads = cast(IReactorFromThreads, reactor)
-
-    def run(call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
-        return deferToThreadPool(threads, pool, call, *args, **kwargs)
-
-    return run
+    return threads.run_in_writer(open_engine).addCallbacks(on_opened, on_failed)
--- a/tests/store/test_model.py
+++ b/tests/store/test_model.py
@@ -9,7 +9,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from lichencleat.store.capacity import StoreLimits
-from lichencleat.store.errors import SnapshotGoneError
+from lichencleat.store.errors import SnapshotEndedError
 from lichencleat.testkit.checkers.store_history import visible_entries
 from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 from tests.store.workload import SECOND, Day
@@ -82,7 +82,7 @@
             while rows := self.day.engine.chunk(taken, cursor, prefix, most):
                 found += rows
                 cursor = rows[-1][0] + b"\0"
-        except SnapshotGoneError:
+        except SnapshotEndedError:
             assert not taken.is_open
         else:
             shown = visible_entries(then, self.day.engine.log.time)
--- a/tests/store/test_parts.py
+++ b/tests/store/test_parts.py
@@ -17,7 +17,7 @@
     CannotOpenError,
     CorruptDataError,
     FullError,
-    SnapshotGoneError,
+    SnapshotEndedError,
 )
 from lichencleat.store.index import Index, expiry_of, length_of, offset_of, pack_location, segment_of
 from lichencleat.store.log_tail import LogTail
@@ -382,7 +382,7 @@
         assert bound(engine, Batch().put(b"k", b"%d" % n * 40)) is None
         while engine.step():
             pass
-    with pytest.raises(SnapshotGoneError):
+    with pytest.raises(SnapshotEndedError):
         engine.chunk(taken[0], b"", b"")
     assert engine.log.counts["snapshots ended"] == 1 and disk.open_files == len(engine.log.segments)
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -18,7 +18,7 @@
     CorruptDataError,
     FullError,
     NotConfirmedError,
-    SnapshotGoneError,
+    SnapshotEndedError,
 )
 from lichencleat.store.store import (
     MAINTENANCE_INTERVAL_S,
@@ -243,7 +243,7 @@
     store.release(taken)
     told = results(store.chunk(taken))
     reader.work()
-    assert told[0].check(SnapshotGoneError)
+    assert told[0].check(SnapshotEndedError)
 
 
 def test_in_threads_on_a_real_disk(reactor, tmp_path):
