--- a/tests/store/every_byte.py
+++ b/tests/store/every_byte.py
@@ -25,7 +25,7 @@
 from lichencleat.store.salvage import salvage
 from lichencleat.testkit.checkers.store_history import History
 from lichencleat.testkit.faulty_disk import FaultyDisk
-from tests.store.workload import Day
+from tests.store.workload import StoreWorkload
 
 LARGE = StoreLimits(segment_bytes=1 << 20, max_disk_bytes=1 << 30)
 
@@ -35,16 +35,18 @@
 
     def __init__(self, point, close):
         disk = FaultyDisk()
-        self.day = Day()
-        self.day.open(disk)
-        self.day.run(point=point, close=False)
-        self.locations = dict(self.day.engine.log.index.locations)
+        self.workload = StoreWorkload()
+        self.workload.open(disk)
+        self.workload.run(point=point, close=False)
+        self.locations = dict(self.workload.engine.log.index.locations)
         if close:
-            self.day.engine.close()
+            self.workload.engine.close()
         self.image = disk.image()
-        self.whole = {key: value for key, (value, _) in self.day.history.state_after(10_000).items()}
-        self.ever = {(key, value) for batch in self.day.history.batches for key, value, _ in batch}
-        self.in_batches = {key for batch in self.day.history.batches if len(batch) > 1 for key, _, _ in batch}
+        self.whole = {key: value for key, (value, _) in self.workload.history.state_after(10_000).items()}
+        self.ever = {(key, value) for batch in self.workload.history.batches for key, value, _ in batch}
+        self.in_batches = {
+            key for batch in self.workload.history.batches if len(batch) > 1 for key, _, _ in batch
+        }
         self.logs = sorted(each for each in self.image if each.endswith(".log"))
         self.outcomes = Counter()
 
@@ -53,7 +55,7 @@
         return max(
             (
                 count
-                for count, sizes in self.day.confirms
+                for count, sizes in self.workload.confirmations
                 if all(sizes.get(name, 0) <= length for name, length in lengths.items())
             ),
             default=0,
@@ -65,32 +67,32 @@
         for name, length in lengths.items():
             files[name] = files[name][:length]
         history = History()
-        history.batches = self.day.history.batches
+        history.batches = self.workload.history.batches
         history.confirmed = self.confirmed_at(lengths)
         try:
-            engine = self.day.open(FaultyDisk(files), create=False)
+            engine = self.workload.open(FaultyDisk(files), create=False)
         except (CorruptDataError, CannotOpenError) as told:
             self.outcomes["told as damaged"] += 1
             # a segment's going is noted in the newest one: with that cut off, the one that went is missing
             went = "is part of the store" in str(told) and self.logs[-1] in lengths
             if not any(name in str(told) for name in lengths) and "no segment" not in str(told) and not went:
                 return f"{lengths}: the finding names another file: {told}"
-            return self.salvaged(files, lengths)
+            return self.check_salvage(files, lengths)
         except StoreError as wrong:
             return f"{lengths}: {wrong!r}"
         self.outcomes["opened"] += 1
-        return history.check(dict(engine.scan()), self.day.now)
+        return history.check(dict(engine.scan()), self.workload.now)
 
-    def salvaged(self, files, lengths):
+    def check_salvage(self, files, lengths):
         into = FaultyDisk()
         try:
-            salvage(FaultyDisk(files), into, lambda: self.day.now, random.Random(1), "old", "new", LARGE)
+            salvage(FaultyDisk(files), into, lambda: self.workload.now, random.Random(1), "old", "new", LARGE)
         except CannotOpenError:
-            return None if not any(length for length in lengths.values()) else f"{lengths}: not salvaged"
-        found = dict(self.day.open(into).scan())
+            return None if not any(length for length in lengths.values()) else f"{lengths}: not check_salvage"
+        found = dict(self.workload.open(into).scan())
         if strangers := set(found.items()) - self.ever:
             return f"{lengths}: salvage made up {strangers}"
-        now = self.day.now
+        now = self.workload.now
         for key, where in self.locations.items():
             name, end = SEGMENT.format(segment_of(where)), offset_of(where) + length_of(where)
             expiry = where >> 96
--- a/tests/store/test_model.py
+++ b/tests/store/test_model.py
@@ -12,7 +12,7 @@
 from lichencleat.store.errors import SnapshotEndedError
 from lichencleat.testkit.checkers.store_history import visible_entries
 from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
-from tests.store.workload import SECOND, Day
+from tests.store.workload import SECOND, StoreWorkload
 
 keys = st.sampled_from([b"a", b"ab", b"b", b"\x00", b"\xff" * 3, b"abc"])
 values = st.one_of(st.just(b""), st.binary(max_size=60), st.just(b"\xa7\xc5" * 20))
@@ -31,46 +31,46 @@
     def __init__(self):
         super().__init__()
         self.disk = FaultyDisk()
-        self.day = Day(bounds=SMALL)
-        self.day.open(self.disk)
+        self.workload = StoreWorkload(bounds=SMALL)
+        self.workload.open(self.disk)
         self.snapshots = []  # with what each has to show
 
     def state(self):
         """What has to be there; the time that counts is the latest that the store has seen."""
-        history = self.day.history
-        return visible_entries(history.state_after(len(history.batches)), self.day.engine.log.time)
+        history = self.workload.history
+        return visible_entries(history.state_after(len(history.batches)), self.workload.engine.log.time)
 
     @rule(key=keys, value=values, ttl=ttls)
     def put(self, key, value, ttl):
-        assert self.day.ask((key, value, ttl and self.day.now + ttl)) is None
+        assert self.workload.commit((key, value, ttl and self.workload.now + ttl)) is None
 
     @rule(key=keys)
     def delete(self, key):
-        assert self.day.ask((key, None, 0)) is None
+        assert self.workload.commit((key, None, 0)) is None
 
     @rule(changes=st.lists(st.tuples(keys, st.one_of(st.none(), values), st.just(0)), min_size=2, max_size=5))
     def batch(self, changes):
-        assert self.day.ask(*changes) is None
+        assert self.workload.commit(*changes) is None
 
     @rule(steps=st.integers(1, 30), budget=st.integers(1, 400))
-    def upkeep(self, steps, budget):
+    def run_maintenance(self, steps, budget):
         for _ in range(steps):
-            self.day.engine.step(budget)
+            self.workload.engine.step(budget)
 
-    @precondition(lambda self: self.day.engine.checkpoint_writer.in_progress is None)
+    @precondition(lambda self: self.workload.engine.checkpoint_writer.in_progress is None)
     @rule()
     def checkpoint(self):
-        self.day.engine.checkpoint_writer.begin()
+        self.workload.engine.checkpoint_writer.begin()
 
     @rule(span=st.integers(-SECOND, 2 * SECOND))
     def clock_moves(self, span):
-        self.day.now += span
+        self.workload.now += span
 
     @precondition(lambda self: len(self.snapshots) < 3)
     @rule()
     def snapshot(self):
-        taken = self.day.engine.snapshot()
-        history = self.day.history
+        taken = self.workload.engine.snapshot()
+        history = self.workload.history
         self.snapshots.append((taken, history.state_after(len(history.batches))))
 
     @precondition(lambda self: self.snapshots)
@@ -79,61 +79,61 @@
         taken, then = self.snapshots.pop(0)
         found, cursor = [], b""
         try:
-            while rows := self.day.engine.chunk(taken, cursor, prefix, most):
+            while rows := self.workload.engine.chunk(taken, cursor, prefix, most):
                 found += rows
                 cursor = rows[-1][0] + b"\0"
         except SnapshotEndedError:
             assert not taken.is_open
         else:
-            shown = visible_entries(then, self.day.engine.log.time)
+            shown = visible_entries(then, self.workload.engine.log.time)
             assert found == sorted((key, value) for key, value in shown.items() if key.startswith(prefix))
-        self.day.engine.release(taken)
+        self.workload.engine.release(taken)
 
     @rule(point=st.booleans())
     def close_and_open(self, point):
         for taken, _ in self.snapshots:
-            self.day.engine.release(taken)
+            self.workload.engine.release(taken)
         self.snapshots = []
         if point:
-            self.day.engine.checkpoint_writer.begin()
-            self.day.upkeep()
-        self.day.engine.close()
+            self.workload.engine.checkpoint_writer.begin()
+            self.workload.run_maintenance()
+        self.workload.engine.close()
         assert self.disk.open_files == 0 and not self.disk.locked
-        self.day.open(self.disk)
+        self.workload.open(self.disk)
 
     @rule(seed=st.integers(0, 1 << 16))
     def cut(self, seed):
         self.snapshots = []
         self.disk = self.disk.after_cut(by_chance(random.Random(seed)))
-        self.day.now = max(
-            self.day.now, self.day.engine.log.time
+        self.workload.now = max(
+            self.workload.now, self.workload.engine.log.time
         )  # a cut may forget the last second of marks
-        self.day.open(self.disk)
+        self.workload.open(self.disk)
 
     @rule(calls=st.integers(0, 12), seed=st.integers(0, 1 << 16), key=keys, value=values)
-    def cut_while_writing(self, calls, seed, key, value):
+    def power_cut_while_writing(self, calls, seed, key, value):
         self.snapshots = []
         self.disk.faults = {len(self.disk.calls) + calls: FaultyDisk.CUT}
         try:
             for turn in range(6):
-                self.day.ask((key, value, 0), (b"with", b"%d" % turn, 0))
-                self.day.engine.step(200)
+                self.workload.commit((key, value, 0), (b"with", b"%d" % turn, 0))
+                self.workload.engine.step(200)
         except PowerCutError:
             pass
         self.disk.faults = {}
-        self.day.now = max(self.day.now, self.day.engine.log.time)
+        self.workload.now = max(self.workload.now, self.workload.engine.log.time)
         self.disk = self.disk.after_cut(by_chance(random.Random(seed)))
-        engine = self.day.open(self.disk)
+        engine = self.workload.open(self.disk)
         found = dict(engine.scan())
-        history = self.day.history
+        history = self.workload.history
         assert history.check(found, engine.log.time) is None
         if found != self.state():  # the one under way is not there: asked for no more
             history.batches = history.batches[: history.confirmed]
         history.record_confirmation()  # what recovery gave back stays
 
     @invariant()
-    def entries_are_the_models(self):
-        engine = self.day.engine
+    def entries_match_the_model(self):
+        engine = self.workload.engine
         engine.log.tick()
         assert dict(engine.scan()) == self.state()
         assert sum(engine.log.index.live_bytes.values()) == sum(
@@ -141,7 +141,7 @@
         )
 
     def teardown(self):
-        self.day.engine.close()
+        self.workload.engine.close()
         assert self.disk.open_files == 0
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store on a reactor: group commit, the queue's bounds, upkeep between writes, closing."""
+"""The store on a reactor: group commit, the queue's bounds, maintenance between writes, closing."""
 
 import queue
 import random
@@ -33,7 +33,7 @@
 SECOND = 1_000_000
 
 
-class Hands:
+class ManualExecutor:
     """A thread's stand-in: does its calls one by one, when the test says so."""
 
     def __init__(self):
@@ -99,18 +99,18 @@
 
 @pytest.fixture
 def writer():
-    return Hands()
+    return ManualExecutor()
 
 
 @pytest.fixture
 def reader():
-    return Hands()
+    return ManualExecutor()
 
 
 @pytest.fixture
 def store(reactor, engine, writer, reader):
     made = Store(reactor, engine, writer, reader)
-    writer.work()  # the first look at upkeep finds nothing
+    writer.work()  # the first attempt at maintenance finds nothing
     return made
 
 
@@ -121,7 +121,7 @@
     return seen
 
 
-def test_a_put_is_confirmed_by_the_flush_and_not_before(store, writer, reader, engine):
+def test_put_is_confirmed_by_the_flush_and_not_before(store, writer, reader, engine):
     told = results(store.put(b"k", b"v"))
     assert told == [] and engine.get(b"k") is None
     writer.work()
@@ -131,7 +131,7 @@
     assert read == [b"v"]
 
 
-def test_one_flush_confirms_all_that_waited(store, writer, engine):
+def test_one_flush_confirms_all_queued_writes(store, writer, engine):
     told = results(*(store.put(b"%d" % n, b"v") for n in range(100)))
     writer.work()
     assert len(told) == 1
@@ -140,7 +140,7 @@
     assert len(told) == 100 and engine.log.counts["flushes"] == flushes + 1
 
 
-def test_a_batch_out_of_bounds_fails_alone(store, writer, engine):
+def test_batch_over_a_limit_fails_alone(store, writer, engine):
     store.put(b"first", b"")
     good, bad = results(store.put(b"good", b"")), []
     store.put(b"bad", b"x" * (1 << 20)).addErrback(lambda why: bad.append(why.value.limit))
@@ -148,7 +148,7 @@
     assert good == [None] and bad == ["bytes on disk"] and engine.get(b"bad") is None
 
 
-def test_at_the_queues_bound_the_caller_is_told_at_once(store, writer):
+def test_write_over_the_queue_limit_fails_at_once(store, writer):
     waiting = results(*(store.put(b"k", b"") for _ in range(MAX_QUEUED_BATCHES + 1)))
     assert waiting == []
     (failure,) = results(store.put(b"k", b""))
@@ -160,7 +160,7 @@
     assert told == [None]
 
 
-def test_reads_have_a_bound_too(store, reader):
+def test_read_over_the_limit_fails_at_once(store, reader):
     reads = results(*(store.get(b"k") for _ in range(MAX_READS)))
     (failure,) = results(store.get(b"k"))
     assert failure.check(FullError) and failure.value.limit == "waiting reads"
@@ -171,7 +171,7 @@
     assert told == [None]
 
 
-def test_a_failed_flush_is_told_to_all_that_waited_for_it(store, writer, disk):
+def test_failed_flush_fails_all_writes_of_the_group(store, writer, disk):
     store.put(b"a", b"1")
     writer.work()
     disk.faults = {len(disk.calls) + 1: 5}
@@ -183,7 +183,7 @@
     assert told == [None]
 
 
-def test_upkeep_has_its_turn_under_constant_writes(store, writer, engine):
+def test_maintenance_runs_under_constant_writes(store, writer, engine):
     for n in range(40 * MAX_GROUPS_BETWEEN_STEPS):
         store.put(b"k", b"%d" % n * 20)
         writer.work()
@@ -191,7 +191,7 @@
     assert engine.stat()["bytes on disk"] < 200_000
 
 
-def test_upkeep_that_fails_is_tried_again_later_not_at_once(store, writer, engine, reactor):
+def test_failed_maintenance_is_retried_later_not_at_once(store, writer, engine, reactor):
     failing = []
 
     def step(budget):
@@ -207,7 +207,7 @@
     assert len(failing) == 2
 
 
-def test_closing_writes_what_waits_and_refuses_what_comes(store, writer, reader, disk, reactor):
+def test_close_writes_queued_batches_and_refuses_new_ones(store, writer, reader, disk, reactor):
     told = results(*(store.put(b"%d" % n, b"") for n in range(3)))
     closed = results(store.close(), store.close())
     assert results(store.put(b"k", b""))[0].check(ClosedError)
@@ -217,7 +217,7 @@
     assert disk.open_files == 0 and not disk.locked and not reactor.getDelayedCalls()
 
 
-def test_a_read_under_way_when_the_store_closes_is_answered(store, writer, reader, engine, disk):
+def test_read_under_way_during_close_completes(store, writer, reader, engine, disk):
     store.put(b"k", b"v")
     writer.work()
     where = engine.log.index.locations[b"k"]
@@ -230,7 +230,7 @@
     assert disk.open_files == 0
 
 
-def test_a_snapshot_is_read_in_chunks_while_writes_go_on(store, writer, reader):
+def test_snapshot_chunks_are_unchanged_by_later_writes(store, writer, reader):
     for n in range(5):
         store.put(b"k%d" % n, b"old")
     writer.work(3)
@@ -246,7 +246,7 @@
     assert told[0].check(SnapshotEndedError)
 
 
-def test_in_threads_on_a_real_disk(reactor, tmp_path):
+def test_store_with_threads_on_a_real_disk(reactor, tmp_path):
     clock = lambda: 5 * SECOND  # noqa: E731
     opened = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(1)))
     puts = gatherResults([opened.put(b"%03d" % n, b"v" * n) for n in range(300)])
@@ -261,7 +261,7 @@
     assert reactor.until(again.close()) is None
 
 
-def test_a_reads_damage_reaches_the_caller(store, writer, reader, engine, disk):
+def test_corrupt_value_fails_the_read(store, writer, reader, engine, disk):
     store.put(b"k", b"value")
     writer.work()
     content = disk.live_names[engine.log.active.name]
@@ -271,7 +271,7 @@
     assert told[0].check(CorruptDataError)
 
 
-def test_one_group_is_bounded(store, writer, engine, monkeypatch):
+def test_group_size_is_limited(store, writer, engine, monkeypatch):
     monkeypatch.setattr(module, "MAX_GROUP_BYTES", 500)
     store.put(b"first", b"")
     told = results(*(store.put(b"%d" % n, b"x" * 100) for n in range(10)))
--- a/tests/store/test_store_commands.py
+++ b/tests/store/test_store_commands.py
@@ -32,7 +32,7 @@
     return directory
 
 
-def test_what_is_put_is_dumped_in_order_of_keys(directory):
+def test_dump_prints_entries_in_order_of_keys(directory):
     rows = [
         {"key": "b", "value": ""},
         {"key": "a\n", "value": "é"},
@@ -66,14 +66,14 @@
         (b'{"key_base64": "?", "value": ""}', b"key_base64"),
     ],
 )
-def test_wrong_input_is_one_line_and_writes_nothing(directory, line, told):
+def test_put_reports_wrong_input_in_one_line_and_writes_nothing(directory, line, told):
     put = call("put", directory, stdin=lines({"key": "good", "value": ""}) + line + b"\n")
     assert (put.returncode, put.stdout, put.stderr.count(b"\n")) == (2, b"", 1)
     assert told in put.stderr and b"line 2" in put.stderr and not os.path.exists(directory)
 
 
 @pytest.mark.parametrize("verb", ["get", "dump", "check", "stat", "compact", "delete"])
-def test_a_directory_that_is_no_store_is_refused_and_left_alone(tmp_path, verb):
+def test_commands_refuse_other_directories_unchanged(tmp_path, verb):
     (tmp_path / "notes").write_text("hello")
     more = ["key"] if verb in ("get", "delete") else []
     for place in (str(tmp_path), str(tmp_path / "missing")):
@@ -85,7 +85,7 @@
     assert os.listdir(tmp_path) == ["notes"]
 
 
-def test_a_second_process_is_refused(filled):
+def test_commands_refuse_a_store_in_use(filled):
     with subprocess.Popen([*COMMAND, "put", filled], stdin=subprocess.PIPE, stdout=subprocess.PIPE) as first:
         first.stdin.write(lines({"key": "x", "value": "y"}))
         first.stdin.flush()
@@ -96,7 +96,7 @@
     assert call("get", filled, "x").stdout == b"y"
 
 
-def test_damage_is_told_and_salvaged(filled, tmp_path):
+def test_corruption_is_reported_and_salvaged(filled, tmp_path):
     call("put", filled, stdin=lines(*[{"key": f"m{n}", "value": "v"} for n in range(3)]))
     logs = [each for each in Path(filled).iterdir() if each.suffix == ".log"]
     (damaged,) = [each for each in logs if b"k2" in each.read_bytes()]
@@ -120,7 +120,7 @@
     assert again.returncode == 2 and b"not empty" in again.stderr
 
 
-def test_a_torn_tail_is_no_finding(filled):
+def test_check_accepts_a_torn_tail(filled):
     name = max(each for each in os.listdir(filled) if each.endswith(".log"))
     with open(os.path.join(filled, name), "ab") as file:
         file.write(b"\xa7\xc5 the rest of this never came")
@@ -130,7 +130,7 @@
     assert call("get", filled, "k4").stdout == b"v4"
 
 
-def test_compaction_gives_room_back(filled):
+def test_compact_frees_disk_space(filled):
     for _ in range(3):
         call("put", filled, stdin=lines(*[{"key": f"k{n % 5}", "value": "x" * 500} for n in range(60)]))
     done = call("compact", filled, "--all", "--json")
@@ -139,7 +139,7 @@
     assert call("get", filled, "k4").stdout == b"x" * 500
 
 
-def test_a_measurement_of_this_disk(directory):
+def test_bench_measures_this_disk(directory):
     rows = json.loads(call("bench", directory, "--seconds", "0.1", "--json").stdout)
     assert [row["callers"] for row in rows] == [1, 1, 16, 256] and all(row["puts_per_s"] > 0 for row in rows)
     assert os.listdir(directory) == []
@@ -161,7 +161,7 @@
     assert run(times=5, seed=3) == []
 
 
-def test_the_node_imports_no_commands_libraries_and_keeps_its_exit_code():
+def test_node_imports_no_command_libraries_and_exits_with_its_code():
     listed = subprocess.run(
         [sys.executable, "-c", "import lichencleat.node.program, sys; print(*sys.modules)"],
         capture_output=True,
@@ -174,7 +174,7 @@
     assert (node.returncode, node.stderr) == (2, "lichencleat: BALANCER_CONFIG is not set\n")
 
 
-def test_a_missing_library_is_one_line(tmp_path):
+def test_missing_library_is_reported_in_one_line(tmp_path):
     (tmp_path / "crc32c.py").write_text("raise ModuleNotFoundError('none', name='crc32c')")
     missing = call("dump", "x", env=os.environ | {"PYTHONPATH": str(tmp_path)})
     assert missing.returncode == 2
--- a/tests/store/workload.py
+++ b/tests/store/workload.py
@@ -16,7 +16,7 @@
 SECOND = 1_000_000
 
 
-class Day:
+class StoreWorkload:
     """A clock that the test moves, one disk after another, and what was asked of the stores on them."""
 
     def __init__(self, seed=1, bounds=SMALL):
@@ -25,13 +25,13 @@
         self.history = History()
         self.bounds = bounds
         self.engine = None
-        self.confirms = []  # how many were confirmed, and each segment's size then
+        self.confirmations = []  # how many were confirmed, and each segment's size then
 
     def open(self, disk, create=True):
         self.engine = Engine.open(disk, lambda: self.now, self.rng, self.bounds, create=create)
         return self.engine
 
-    def ask(self, *changes):
+    def commit(self, *changes):
         """One batch: (key, value or None, expiry)."""
         batch = Batch()
         for key, value, expiry in changes:
@@ -44,42 +44,42 @@
         if verdict is None:
             self.history.record_confirmation()
             sizes = {each.name: each.size for each in self.engine.log.segments.values()}
-            self.confirms.append((self.history.confirmed, sizes))
+            self.confirmations.append((self.history.confirmed, sizes))
         elif isinstance(verdict, FullError) and verdict.limit != "room on the disk itself":
             self.history.record_refusal()
         elif isinstance(verdict, FullError | NotConfirmedError):
             self.history.record_failure()
         return verdict
 
-    def upkeep(self, most=400, budget=200):
+    def run_maintenance(self, most=400, budget=200):
         for _ in range(most):
             if not self.engine.step(budget):
                 return
-        raise AssertionError("the upkeep has no end")
+        raise AssertionError("maintenance has no end")
 
     def run(self, rounds=3, point=True, close=True):
         """Puts, rewrites, batches, deletes, expiry, rotation, cleaning; a checkpoint, a clean close."""
         for turn in range(rounds):
             for n in range(4):
-                self.ask((b"k%d" % n, b"v%d.%d" % (turn, n) * 6, 0))
-            self.ask((b"a", b"%d" % turn, 0), (b"b", b"x" * 40 * turn, 0), (b"k1", None, 0))
-            self.ask((b"t%d" % turn, b"soon over", self.now + SECOND))
-            self.ask((b"k%d" % turn, None, 0))
+                self.commit((b"k%d" % n, b"v%d.%d" % (turn, n) * 6, 0))
+            self.commit((b"a", b"%d" % turn, 0), (b"b", b"x" * 40 * turn, 0), (b"k1", None, 0))
+            self.commit((b"t%d" % turn, b"soon over", self.now + SECOND))
+            self.commit((b"k%d" % turn, None, 0))
             self.now += SECOND // 2
-            self.upkeep()
+            self.run_maintenance()
         for n in range(4):  # whole segments without anything that lives: they go without a copy
-            self.ask((b"again", b"%d" % n * 350, 0))
-            self.upkeep()
+            self.commit((b"again", b"%d" % n * 350, 0))
+            self.run_maintenance()
         if point:
             with contextlib.suppress(OSError):
                 self.engine.checkpoint_writer.begin()
-            self.upkeep()
-        self.ask((b"after", b"the checkpoint", 0))
-        self.ask((b"and", b"one", 0), (b"more", None, 0), (b"batch", b"", 0))
+            self.run_maintenance()
+        self.commit((b"after", b"the checkpoint", 0))
+        self.commit((b"and", b"one", 0), (b"more", None, 0), (b"batch", b"", 0))
         if close:
             self.engine.close()
 
-    def judge(self, engine):
+    def check(self, engine):
         found = dict(engine.scan())
         for key, value in found.items():
             assert engine.get(key) == value
@@ -87,11 +87,11 @@
         return self.history.check(found, self.now)
 
 
-def start_until_cut(day, disk):
+def run_until_power_cut(workload, disk):
     """The workload up to a cut that the disk's faults make; True where it was cut."""
     try:
-        day.open(disk)
-        day.run()
+        workload.open(disk)
+        workload.run()
     except PowerCutError:
         return True
     except StoreError:
@@ -102,8 +102,8 @@
 def count_calls():
     """How many calls of the disk the workload makes: each is a place to cut at."""
     disk = FaultyDisk()
-    day = Day()
-    day.open(disk)
-    day.run()
-    assert day.engine.log.counts["segments cleaned"] and day.engine.log.counts["checkpoints"]
+    workload = StoreWorkload()
+    workload.open(disk)
+    workload.run()
+    assert workload.engine.log.counts["segments cleaned"] and workload.engine.log.counts["checkpoints"]
     return len(disk.calls)
