--- a/lichencleat/consensus/journal.py
+++ b/lichencleat/consensus/journal.py
@@ -69,7 +69,7 @@
         self.under_way = NO_PIECES  # written, or in part, and not counting yet
 
     def load(self, get: Callable[[bytes], bytes | None]) -> Durable:
-        """Raises DamagedError where something that was confirmed is not there."""
+        """Raises CorruptDataError where something that was confirmed is not there."""
         begun = get(UNDER_WAY)
         if begun is not None:
             self.under_way = decode_pieces(begun)
--- a/tests/idempotency/keyed_life.py
+++ b/tests/idempotency/keyed_life.py
@@ -5,6 +5,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
+from lichencleat.admission.types import Effect, Machine, Outcome, Request, Tariff
 from lichencleat.idempotency.book import Book
 from lichencleat.idempotency.keeper import Keeper
 from lichencleat.idempotency.whose import NotOursError
@@ -15,7 +16,6 @@
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
 from lichencleat.store.store import Store
-from lichencleat.terms import Effect, Machine, Outcome, Request, Tariff
 from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 
 SECOND = 1_000_000
