--- a/lichencleat/store/checkpoint_writer.py
+++ b/lichencleat/store/checkpoint_writer.py
@@ -33,7 +33,7 @@
 
     def bytes_since_last(self) -> int:
         """Bytes of log since the last checkpoint: what a start would have to read again."""
-        return self.log.written - self.log_position
+        return self.log.bytes_written - self.log_position
 
     def begin(self) -> None:
         """Begin a checkpoint, unless one is under way; the next steps write it. Raises OSError."""
@@ -45,10 +45,10 @@
             log.disk.remove(file_names.NEW_CHECKPOINT)
         encoder = checkpoint.CheckpointEncoder(log.rng.randbytes(framing.SALT_BYTES))
         file = log.disk.open(file_names.NEW_CHECKPOINT, create=True)
-        with log.guard:
+        with log.lock:
             snapshot = log.index.snapshot(log.sequence)
             tombstones = [(each.number, each.tombstone_bytes) for each in log.segments.values()]
-        self.in_progress = CheckpointInProgress(snapshot, encoder, file, b"", log.written)
+        self.in_progress = CheckpointInProgress(snapshot, encoder, file, b"", log.bytes_written)
         header = checkpoint.CheckpointHeader(
             log.store, log.sequence, log.time, newest.number, newest.size, tombstones
         )
@@ -60,7 +60,7 @@
         assert current is not None
         spent = 0
         while spent < budget:
-            with self.log.guard:
+            with self.log.lock:
                 rows = current.snapshot.chunk(current.cursor, b"", checkpoint.ROWS_PER_FRAME)
             if not current.snapshot.is_open:
                 self.abort()  # more was changed meanwhile than the undo list may hold
@@ -88,14 +88,14 @@
     def on_disk_failed(self) -> None:
         """Give up after an error of the disk; the next attempt comes after as much log, not at once."""
         if self.in_progress is not None:
-            self.log_position = self.log.written
+            self.log_position = self.log.bytes_written
             self.abort()
 
     def abort(self) -> None:
         """End the checkpoint under way, if there is one: close its snapshot and file, remove the new name."""
         current, self.in_progress = self.in_progress, None
         if current is not None:
-            with self.log.guard:
+            with self.log.lock:
                 current.snapshot.close()
             self.log.disk.close(current.file)
             with contextlib.suppress(OSError):
--- a/lichencleat/store/compactor.py
+++ b/lichencleat/store/compactor.py
@@ -145,7 +145,7 @@
             if index.locations.get(key) == location:
                 if not is_expired(location, self.log.time):
                     return Record(framing.PUT, number, key, value)
-                with self.log.guard:
+                with self.log.lock:
                     index.delete(key)
             elif not number or key in index.locations:
                 return None  # a newer value or tombstone stands for it
@@ -168,7 +168,7 @@
             self.in_progress = None  # begun anew another time: nothing was removed
             raise
         log.counts["bytes copied"] += log.counts["bytes written"] - written
-        with log.guard:
+        with log.lock:
             for record, move, (offset, length) in zip(copies.records, copies.moves, spans, strict=True):
                 if move is not None:
                     location = pack_location(segment.number, offset, length, record.number)
--- a/lichencleat/store/engine.py
+++ b/lichencleat/store/engine.py
@@ -138,7 +138,7 @@
         log.counts["torn bytes"] = scan.torn_bytes
         log.counts["records carried"] = len(carried)
         covered = self.checkpoint_writer.last_sequence
-        log.written = sum(each.size for each in scan.segments if each.last_sequence > covered)
+        log.bytes_written = sum(each.size for each in scan.segments if each.last_sequence > covered)
 
     # -- writing -----------------------------------------------------------------------------------
 
@@ -278,7 +278,7 @@
 
     def release_resources(self) -> None:
         """Close all files and unlock the directory, without writing anything."""
-        with self.log.guard:
+        with self.log.lock:
             self.closed = True
             self.reader.closed = True
             self.log.release_resources()
@@ -289,7 +289,7 @@
     def stat(self) -> dict[str, int]:
         """Sizes now and counts since the start, from any thread; docs/operate-store.md explains each."""
         log = self.log
-        with log.guard:
+        with log.lock:
             segments, live_bytes = list(log.segments.values()), dict(log.index.live_bytes)
             return {
                 "entries": len(log.index),
--- a/lichencleat/store/expiry.py
+++ b/lichencleat/store/expiry.py
@@ -25,7 +25,7 @@
     def step(self, cursor: bytes) -> None:
         """Sweep the next entries from the cursor on. At the end of a sweep a time mark is written."""
         log = self.log
-        with log.guard:
+        with log.lock:
             before = len(log.index)
             following, earliest = log.index.drop_expired(cursor, ENTRIES_PER_STEP, log.time)
             log.counts["entries expired"] += before - len(log.index)
@@ -36,5 +36,5 @@
                 known = [each for each in (self.earliest_expiry, log.index.earliest_expiry) if each]
                 log.index.earliest_expiry = min(known, default=0)
                 self.ended_at = log.time
-        if following is None and log.time > log.marked:
+        if following is None and log.time > log.last_time_mark:
             log.write([])  # what was dropped stays so, whatever the clock says after a power cut
--- a/lichencleat/store/framing.py
+++ b/lichencleat/store/framing.py
@@ -102,7 +102,7 @@
     """
     base, data = start, b""
     at = start
-    head, most = FRAME_HEADER.size, MAX_BODY_BYTES
+    head, max_length = FRAME_HEADER.size, MAX_BODY_BYTES
     unpack = FRAME_HEADER.unpack_from
     view = memoryview(data)
     while at + head <= size:
@@ -113,7 +113,7 @@
             if len(data) < head:
                 return
         marker, length, check = unpack(data, here)
-        if marker != MARKER or length > most or at + head + length > size:
+        if marker != MARKER or length > max_length or at + head + length > size:
             return
         end = here + head + length
         if end > len(data):
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -159,20 +159,20 @@
         for snapshot in list(self.snapshots):
             snapshot.record_previous(key, old)
 
-    def drop_expired(self, cursor: bytes, most: int, now: int) -> tuple[bytes | None, int]:
-        """Drop what has expired among the next `most` keys from the cursor on.
+    def drop_expired(self, cursor: bytes, limit: int, now: int) -> tuple[bytes | None, int]:
+        """Drop what has expired among the next `limit` keys from the cursor on.
 
         Returns the next cursor (None at the end) and the earliest expiry left among these keys (0: none).
         """
-        keys = list(islice(self.order.irange(cursor), most + 1))
+        keys = list(islice(self.order.irange(cursor), limit + 1))
         earliest_expiry = 0
-        for key in keys[:most]:
+        for key in keys[:limit]:
             location = self.locations[key]
             if is_expired(location, now):
                 self.delete(key)
             elif (expiry := expiry_of(location)) and (expiry < earliest_expiry or not earliest_expiry):
                 earliest_expiry = expiry
-        return (keys[most] if len(keys) > most else None), earliest_expiry
+        return (keys[limit] if len(keys) > limit else None), earliest_expiry
 
     def snapshot(self, sequence: int) -> Snapshot:
         """Take a snapshot of the entries as of that sequence; the caller closes it."""
@@ -208,22 +208,22 @@
         """The key's location when the snapshot was taken, or None; expiry is not looked at."""
         return self.undo[key] if key in self.undo else self.index.locations.get(key)
 
-    def chunk(self, cursor: bytes, prefix: bytes, most: int) -> list[tuple[bytes, int]]:
-        """Return up to `most` entries from `cursor` on, in order, while keys begin with `prefix`.
+    def chunk(self, cursor: bytes, prefix: bytes, limit: int) -> list[tuple[bytes, int]]:
+        """Return up to `limit` entries from `cursor` on, in order, while keys begin with `prefix`.
 
         The next chunk begins behind the last key: at that key and a zero byte. The last chunk is empty.
         """
 
         def keys_of(among: SortedList | SortedDict) -> Iterator[bytes]:
             return islice(
-                takewhile(lambda key: key.startswith(prefix), among.irange(max(cursor, prefix))), most
+                takewhile(lambda key: key.startswith(prefix), among.irange(max(cursor, prefix))), limit
             )
 
         found: list[tuple[bytes, int]] = []
         while self.is_open and not found:
             now = list(keys_of(self.index.order))
             then = list(keys_of(self.undo))
-            merged = sorted({*now, *then})[:most]
+            merged = sorted({*now, *then})[:limit]
             if not merged:
                 break
             found = [(key, location) for key in merged if (location := self.get(key)) is not None]
--- a/lichencleat/store/log.py
+++ b/lichencleat/store/log.py
@@ -1,7 +1,7 @@
 """The log: the segments and their files, what is appended to the newest, and which files are still needed.
 
 One thread writes; any may read meanwhile. The index and the lists of segments are protected by the lock
-`guard`, which is held for a chunk's or a commit's entries, never while the disk is used.
+`lock`, which is held for a chunk's or a commit's entries, never while the disk is used.
 """
 
 from __future__ import annotations
@@ -57,15 +57,15 @@
         self.clock = clock
         self.rng = rng
         self.limits = limits
-        self.guard = threading.Lock()
+        self.lock = threading.Lock()
         self.index = Index(limits.max_undo_entries)
         self.store = b""
         self.segments: dict[int, Segment] = {}  # by number, oldest first
         self.active: Segment | None = None  # the one written to; None: the next write begins one
         self.sequence = 0  # of the last frame that was flushed
         self.time = 0  # µs: the latest time seen, so that a clock that goes back brings nothing back
-        self.marked = 0  # µs: the latest time that stands in the log
-        self.written = 0  # bytes of log since the start, and those before it that no checkpoint covers
+        self.last_time_mark = 0  # µs: the latest time that stands in the log
+        self.bytes_written = 0  # bytes of log since the start, and those before it that no checkpoint covers
         self.disk_full = False  # the last write found no space
         self.pins: dict[Snapshot, dict[int, Segment]] = {}  # files removed from the log since, by number
         self.counts = dict.fromkeys(COUNTS, 0)
@@ -108,7 +108,7 @@
             segment.flushed_through = self.sequence + len(carried)
             head = segments.encode_header(self.store, segment, salt, self.time, list(self.segments.values()))
             segment.data_start = segment.size = len(head)
-            data, locations = segments.encode_records(carried, segment, self.sequence + 1, self.sequence)
+            data, spans = segments.encode_records(carried, segment, self.sequence + 1, self.sequence)
             self.disk.append(file, head + data)
             self.disk.flush(file)
             self.disk.rename(file_names.NEW_SEGMENT, segment.name)
@@ -120,11 +120,11 @@
             raise
         segment.size += len(data)
         self._count_written(len(head) + len(data))
-        with self.guard:
+        with self.lock:
             self.active = self.segments[number] = segment
-        self.marked = self.time
+        self.last_time_mark = self.time
         self.sequence = segment.last_sequence = segment.flushed_through
-        self._enter(carried, locations, segment)
+        self._enter(carried, spans, segment)
         return segment
 
     def needs_segment(self) -> bool:
@@ -133,7 +133,7 @@
 
     def remove_segment(self, segment: Segment) -> None:
         """Remove a segment's file; a reader or snapshot that needs it keeps it open until it is done."""
-        with self.guard:
+        with self.lock:
             segment.is_removed = True
             del self.segments[segment.number]
             self.index.live_bytes.pop(segment.number, None)
@@ -148,13 +148,13 @@
             self.disk.close(segment.file)
 
     def release(self, segment: Segment) -> None:
-        """Drop one reference of a reader or snapshot; the caller holds the guard."""
+        """Drop one reference of a reader or snapshot; the caller holds the lock."""
         segment.reference_count -= 1
         if segment.is_removed and segment.reference_count == 0:
             self.disk.close(segment.file)
 
     def unpin(self, snapshot: Snapshot) -> None:
-        """Close a snapshot and release the files kept for it; the caller holds the guard."""
+        """Close a snapshot and release the files kept for it; the caller holds the lock."""
         snapshot.close()
         for segment in self.pins.pop(snapshot, {}).values():
             self.release(segment)
@@ -169,12 +169,12 @@
         while self.total() + needed > self.limits.max_disk_bytes - self.limits.reserve_bytes and any(
             self.pins.values()
         ):
-            with self.guard:
+            with self.lock:
                 self.unpin(next(snapshot for snapshot, pinned in self.pins.items() if pinned))
             self.counts["snapshots ended"] += 1
 
     def release_resources(self) -> None:
-        """Close all files. The caller holds the guard: a reader finds all of it or nothing."""
+        """Close all files. The caller holds the lock: a reader finds all of it or nothing."""
         for snapshot in list(self.pins):
             self.unpin(snapshot)
         for segment in self.segments.values():
@@ -199,17 +199,17 @@
         Without records a time mark is written, which proves all before it. Returns None or the error; after
         an error the segment is not written to again.
         """
-        if self.time - self.marked >= TIME_MARK_INTERVAL_US or not records:
+        if self.time - self.last_time_mark >= TIME_MARK_INTERVAL_US or not records:
             records = [Record(framing.TIME_MARK, self.time, b""), *records]
         try:
-            segment, locations = self.append(records)
+            segment, spans = self.append(records)
         except OSError as error:
             return to_store_error(error)
         self.disk_full = False
         if records[0].kind == framing.TIME_MARK:
-            self.marked = self.time
+            self.last_time_mark = self.time
         self.counts["records"] += len(records)
-        self._enter(records, locations, segment)
+        self._enter(records, spans, segment)
         return None
 
     def append(self, records: Sequence[Record]) -> tuple[Segment, list[tuple[int, int]]]:
@@ -222,7 +222,7 @@
                 self.active = None
                 self.begin()
             segment = self.newest()
-            data, locations = segments.encode_records(records, segment, self.sequence + 1, self.sequence)
+            data, spans = segments.encode_records(records, segment, self.sequence + 1, self.sequence)
             self.disk.append(segment.file, data)
             self.disk.flush(segment.file)
         except OSError as error:
@@ -233,7 +233,7 @@
         self.counts["flushes"] += 1
         self.sequence += len(records)
         segment.last_sequence = self.sequence
-        return segment, locations
+        return segment, spans
 
     def _abandon_active_segment(self, error: OSError) -> None:
         """Never write to the segment again: what was being written may be there in part."""
@@ -244,12 +244,10 @@
         self.counts["writes failed"] += 1
         self.disk_full = self.disk_full or error.errno in DISK_FULL
 
-    def _enter(
-        self, records: Sequence[Record], locations: Sequence[tuple[int, int]], segment: Segment
-    ) -> None:
-        with self.guard:
+    def _enter(self, records: Sequence[Record], spans: Sequence[tuple[int, int]], segment: Segment) -> None:
+        with self.lock:
             index, number = self.index, segment.number
-            for record, (offset, length) in zip(records, locations, strict=True):
+            for record, (offset, length) in zip(records, spans, strict=True):
                 if record.kind in framing.PUTS:
                     index.put(record.key, pack_location(number, offset, length, record.number))
                 elif record.kind in framing.DELETES:
@@ -257,5 +255,5 @@
                     segment.tombstone_bytes += length
 
     def _count_written(self, size: int) -> None:
-        self.written += size
+        self.bytes_written += size
         self.counts["bytes written"] += size
--- a/lichencleat/store/reader.py
+++ b/lichencleat/store/reader.py
@@ -32,7 +32,7 @@
 
 
 class Reader:
-    """Reads values; holds the log's guard only to look locations up, never while the disk is used."""
+    """Reads values; holds the log's lock only to look locations up, never while the disk is used."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
@@ -41,7 +41,7 @@
     def get(self, key: bytes) -> bytes | None:
         """The value, or None. Raises CorruptDataError where its bytes are not those that were confirmed."""
         log = self.log
-        with log.guard:
+        with log.lock:
             self._check_open()
             location = log.index.get(key, log.tick())
             if location is None:
@@ -51,7 +51,7 @@
         try:
             return self.read_value(segment, key, location)
         finally:
-            with log.guard:
+            with log.lock:
                 log.release(segment)
 
     def read_value(self, segment: Segment, key: bytes, location: int) -> bytes:
@@ -74,7 +74,7 @@
     def snapshot(self) -> Snapshot:
         """Take a snapshot of the entries; `release` gives it back. Raises FullError, ClosedError."""
         log = self.log
-        with log.guard:
+        with log.lock:
             self._check_open()
             if len(log.pins) >= MAX_SNAPSHOTS:
                 raise FullError(Limit.SNAPSHOTS, f"({MAX_SNAPSHOTS})")
@@ -84,13 +84,13 @@
 
     def release(self, snapshot: Snapshot) -> None:
         """Close a snapshot and the files that were kept for it."""
-        with self.log.guard:
+        with self.log.lock:
             self.log.unpin(snapshot)
 
     def chunk(
-        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, most: int = CHUNK_ENTRIES
+        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, limit: int = CHUNK_ENTRIES
     ) -> list[tuple[bytes, bytes]]:
-        """Return up to `most` keys and values of the snapshot from `cursor` on, in order.
+        """Return up to `limit` keys and values of the snapshot from `cursor` on, in order.
 
         The next chunk begins at the last key and a zero byte. The last chunk is empty.
 
@@ -99,13 +99,13 @@
             CorruptDataError: If a value can't be read.
         """
         while True:
-            following, pinned = self._pin_entries(snapshot, cursor, prefix, most)
+            following, pinned = self._pin_entries(snapshot, cursor, prefix, limit)
             try:
                 found = [
                     (each.key, self.read_value(each.segment, each.key, each.location)) for each in pinned
                 ]
             finally:
-                with self.log.guard:
+                with self.log.lock:
                     for each in pinned:
                         self.log.release(each.segment)
             if found or following is None:
@@ -129,14 +129,14 @@
             raise ClosedError
 
     def _pin_entries(
-        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, most: int
+        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, limit: int
     ) -> tuple[bytes | None, list[_PinnedEntry]]:
         """The cursor behind the next rows (None: there are none) and those of them that have not expired."""
         log = self.log
-        with log.guard:
+        with log.lock:
             if not snapshot.is_open:
                 raise SnapshotEndedError
-            rows = snapshot.chunk(cursor, prefix, most)
+            rows = snapshot.chunk(cursor, prefix, limit)
             if not rows:
                 return None, []
             now = log.tick()
--- a/lichencleat/store/store.py
+++ b/lichencleat/store/store.py
@@ -194,10 +194,10 @@
         self.engine.release(snapshot)
 
     def chunk(
-        self, snapshot: Snapshot, cursor: bytes = b"", prefix: bytes = b"", most: int = CHUNK_ENTRIES
+        self, snapshot: Snapshot, cursor: bytes = b"", prefix: bytes = b"", limit: int = CHUNK_ENTRIES
     ) -> Deferred[list[tuple[bytes, bytes]]]:
-        """Read up to `most` keys and values in order from `cursor` on; the last chunk is empty."""
-        return self.submit_read(self.engine.chunk, snapshot, cursor, prefix, most)
+        """Read up to `limit` keys and values in order from `cursor` on; the last chunk is empty."""
+        return self.submit_read(self.engine.chunk, snapshot, cursor, prefix, limit)
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
         """Yield all at once, waiting for the disk: for programs without a reactor to keep free."""
--- a/tests/store/every_byte.py
+++ b/tests/store/every_byte.py
@@ -6,7 +6,7 @@
 
 A file cut off behind what was flushed is what a cut of power leaves; the store opens, and holds a whole
 number of the batches, all those that were confirmed before the offset among them. One cut off before that is
-damage: it is told, and a salvage gives nothing but what was confirmed, and all of it that stood whole.
+corruption: it is reported, and a salvage gives nothing but what was confirmed, and all of it that was intact.
 """
 
 import itertools
@@ -71,12 +71,16 @@
         history.confirmed = self.confirmed_at(lengths)
         try:
             engine = self.workload.open(FaultyDisk(files), create=False)
-        except (CorruptDataError, CannotOpenError) as told:
-            self.outcomes["told as damaged"] += 1
+        except (CorruptDataError, CannotOpenError) as reported:
+            self.outcomes["reported as corrupt"] += 1
             # a segment's going is noted in the newest one: with that cut off, the one that went is missing
-            went = "is part of the store" in str(told) and self.logs[-1] in lengths
-            if not any(name in str(told) for name in lengths) and "no segment" not in str(told) and not went:
-                return f"{lengths}: the finding names another file: {told}"
+            went = "is part of the store" in str(reported) and self.logs[-1] in lengths
+            if (
+                not any(name in str(reported) for name in lengths)
+                and "no segment" not in str(reported)
+                and not went
+            ):
+                return f"{lengths}: the finding names another file: {reported}"
             return self.check_salvage(files, lengths)
         except StoreError as wrong:
             return f"{lengths}: {wrong!r}"
@@ -93,9 +97,9 @@
         if strangers := set(found.items()) - self.ever:
             return f"{lengths}: salvage made up {strangers}"
         now = self.workload.now
-        for key, where in self.locations.items():
-            name, end = SEGMENT.format(segment_of(where)), offset_of(where) + length_of(where)
-            expiry = where >> 96
+        for key, location in self.locations.items():
+            name, end = SEGMENT.format(segment_of(location)), offset_of(location) + length_of(location)
+            expiry = location >> 96
             if key in self.in_batches:
                 # the batch's last frame stands further on: without it none of it counts
                 end = len(self.image[name])
@@ -124,11 +128,11 @@
 
 
 def run(point, close, what, share, part=0, parts=1):
-    """Every `parts`th of the cuts: offsets tried, opened, damage told, and all that was wrong."""
+    """Every `parts`th of the cuts: offsets tried, opened, corruption reported, and all that was wrong."""
     cutter = Cutter(point, close)
     cuts = cutter.single(max(1, share // 10)) if what == "one file" else cutter.pairs(share)
     verdicts = [cutter.cut(lengths) for lengths in itertools.islice(cuts, part, None, parts)]
-    counts = [len(verdicts), cutter.outcomes["opened"], cutter.outcomes["told as damaged"]]
+    counts = [len(verdicts), cutter.outcomes["opened"], cutter.outcomes["reported as corrupt"]]
     return counts, [each for each in verdicts if each]
 
 
@@ -138,16 +142,16 @@
 def main(share, processes):
     begun = time.monotonic()
     wrong = []
-    click.echo("checkpoint  closed  what was cut off     offsets  opened  told as damaged")
+    click.echo("checkpoint  closed  what was cut off     offsets  opened  reported as corrupt")
     with ProcessPoolExecutor(processes) as pool:
         for point, close, what in WAYS:
             jobs = [pool.submit(run, point, close, what, share, at, processes) for at in range(processes)]
             done = [each.result() for each in jobs]
-            tried, opened, told = (
+            tried, opened, reported = (
                 sum(column) for column in zip(*(counts for counts, _ in done), strict=True)
             )
             wrong += [each for _, found in done for each in found]
-            click.echo(f"{point!s:10}  {close!s:6}  {what:18}  {tried:8}  {opened:6}  {told:15}")
+            click.echo(f"{point!s:10}  {close!s:6}  {what:18}  {tried:8}  {opened:6}  {reported:15}")
     for each in wrong[:10]:
         click.echo(f"WRONG {each}")
     click.echo(f"{len(wrong)} wrong, {time.monotonic() - begun:.0f} s, {processes} processes")
--- a/tests/store/kill.py
+++ b/tests/store/kill.py
@@ -53,7 +53,7 @@
     return printed, fed
 
 
-def run(times, seed, told=lambda turn, printed: None):
+def run(times, seed, on_turn=lambda turn, printed: None):
     """What was printed and is not there, over so many kills."""
     rng = random.Random(seed)
     wrong, confirmed = [], {}
@@ -72,7 +72,7 @@
                 if there != value and not later:  # one behind the last printed may be there, confirmed or not
                     wrong.append(f"turn {turn}: {key} reads {there:.30}, confirmed {value:.30}")
             confirmed = found
-            told(turn, len(printed))
+            on_turn(turn, len(printed))
         check = subprocess.run([*COMMAND, "check", directory], capture_output=True, text=True)
         if check.returncode:
             wrong.append(check.stdout)
@@ -85,12 +85,12 @@
 def main(times, seed):
     total = 0
 
-    def told(turn, printed):
+    def on_turn(turn, printed):
         nonlocal total
         total += printed
         click.echo(f"\r{turn + 1} kills, {total} keys printed", nl=False, err=True)
 
-    wrong = run(times, seed, told)
+    wrong = run(times, seed, on_turn)
     for each in wrong[:10]:
         click.echo(f"WRONG {each}")
     click.echo(f"{times} kills, {total} keys printed as confirmed, {len(wrong)} wrong")
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -171,7 +171,7 @@
     newest = max(each for each in image if each.endswith(".log"))
     confirmed = workload.engine.log.segments[int(newest[:-4])]
     last = workload.confirmations[-2][1].get(newest, 0)
-    told = silent = 0
+    reported = silent = 0
     for name in [each for each in image if each.endswith(".log")]:
         known = workload.engine.log.segments.get(int(name[:-4]))
         for at in range(known.size if known else 0):
@@ -181,14 +181,14 @@
             try:
                 engine = workload.open(flipped, create=False)
             except StoreError as wrong:
-                told += 1
+                reported += 1
                 if isinstance(wrong, CorruptDataError):
                     assert wrong.findings[0].file in (name, "STORE")
                 continue
             # the last flush alone can't be told from one that never ended
             assert name == newest and at >= last, (name, at, dict(engine.scan()))
             silent += 1
-    assert told > 300 and silent <= confirmed.size - last
+    assert reported > 300 and silent <= confirmed.size - last
 
 
 def test_corruption_behind_a_checkpoint_is_reported_by_the_read():
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize(
-    ("files", "told"),
+    ("files", "message"),
     [
         ({"notes.txt": b"hello"}, "not empty"),
         ({"STORE": b"lcststo\x02" + bytes(8), "000000000001.log": b""}, "newer than 1"),
@@ -180,9 +180,9 @@
         ({"000000000007.log": b"lcstlog"}, "salvage"),
     ],
 )
-def test_open_refuses_other_directories_unchanged(files, told, clock):
+def test_open_refuses_other_directories_unchanged(files, message, clock):
     disk = FaultyDisk(files)
-    with pytest.raises(CannotOpenError, match=told):
+    with pytest.raises(CannotOpenError, match=message):
         opened(disk, clock)
     assert disk.image() == files and disk.open_files == 0 and not disk.locked
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -40,20 +40,20 @@
         self.calls = []
 
     def __call__(self, call, *args):
-        told = Deferred()
-        self.calls.append((told, call, args))
-        return told
-
-    def work(self, most=1):
-        while self.calls and most > 0:
-            most -= 1
-            told, call, args = self.calls.pop(0)
+        done = Deferred()
+        self.calls.append((done, call, args))
+        return done
+
+    def work(self, limit=1):
+        while self.calls and limit > 0:
+            limit -= 1
+            done, call, args = self.calls.pop(0)
             try:
                 result = call(*args)
             except Exception:
-                told.errback()
+                done.errback()
             else:
-                told.callback(result)
+                done.callback(result)
 
 
 class Reactor(Clock):
@@ -71,10 +71,10 @@
         thread.start()
         self.callFromThread(thread.join)
 
-    def until(self, told):
+    def until(self, done):
         """The Deferred's result; other threads have 20 s for it."""
         results = []
-        told.addBoth(results.append)
+        done.addBoth(results.append)
         while not results:
             call, args = self.handed.get(timeout=20)
             call(*args)
@@ -122,28 +122,28 @@
 
 
 def test_put_is_confirmed_by_the_flush_and_not_before(store, writer, reader, engine):
-    told = results(store.put(b"k", b"v"))
-    assert told == [] and engine.get(b"k") is None
+    outcomes = results(store.put(b"k", b"v"))
+    assert outcomes == [] and engine.get(b"k") is None
     writer.work()
-    assert told == [None]
+    assert outcomes == [None]
     read = results(store.get(b"k"))
     reader.work()
     assert read == [b"v"]
 
 
 def test_one_flush_confirms_all_queued_writes(store, writer, engine):
-    told = results(*(store.put(b"%d" % n, b"v") for n in range(100)))
+    outcomes = results(*(store.put(b"%d" % n, b"v") for n in range(100)))
     writer.work()
-    assert len(told) == 1
+    assert len(outcomes) == 1
     flushes = engine.log.counts["flushes"]
     writer.work()
-    assert len(told) == 100 and engine.log.counts["flushes"] == flushes + 1
+    assert len(outcomes) == 100 and engine.log.counts["flushes"] == flushes + 1
 
 
 def test_batch_over_a_limit_fails_alone(store, writer, engine):
     store.put(b"first", b"")
     good, bad = results(store.put(b"good", b"")), []
-    store.put(b"bad", b"x" * (1 << 20)).addErrback(lambda why: bad.append(why.value.limit))
+    store.put(b"bad", b"x" * (1 << 20)).addErrback(lambda failure: bad.append(failure.value.limit))
     writer.work(2)
     assert good == [None] and bad == ["bytes on disk"] and engine.get(b"bad") is None
 
@@ -155,9 +155,9 @@
     assert failure.check(FullError) and failure.value.limit == "waiting writes"
     writer.work(1_000)
     assert waiting == [None] * (MAX_QUEUED_BATCHES + 1)
-    told = results(store.put(b"k", b""))
+    outcomes = results(store.put(b"k", b""))
     writer.work()
-    assert told == [None]
+    assert outcomes == [None]
 
 
 def test_read_over_the_limit_fails_at_once(store, reader):
@@ -166,21 +166,21 @@
     assert failure.check(FullError) and failure.value.limit == "waiting reads"
     reader.work(MAX_READS)
     assert reads == [None] * MAX_READS
-    told = results(store.get(b"k"))
+    outcomes = results(store.get(b"k"))
     reader.work()
-    assert told == [None]
+    assert outcomes == [None]
 
 
 def test_failed_flush_fails_all_writes_of_the_group(store, writer, disk):
     store.put(b"a", b"1")
     writer.work()
     disk.faults = {len(disk.calls) + 1: 5}
-    told = results(store.put(b"a", b"2"))
+    outcomes = results(store.put(b"a", b"2"))
     writer.work()
-    assert told[0].check(NotConfirmedError)
-    told = results(store.put(b"a", b"3"))
+    assert outcomes[0].check(NotConfirmedError)
+    outcomes = results(store.put(b"a", b"3"))
     writer.work()
-    assert told == [None]
+    assert outcomes == [None]
 
 
 def test_maintenance_runs_under_constant_writes(store, writer, engine):
@@ -208,12 +208,12 @@
 
 
 def test_close_writes_queued_batches_and_refuses_new_ones(store, writer, reader, disk, reactor):
-    told = results(*(store.put(b"%d" % n, b"") for n in range(3)))
+    outcomes = results(*(store.put(b"%d" % n, b"") for n in range(3)))
     closed = results(store.close(), store.close())
     assert results(store.put(b"k", b""))[0].check(ClosedError)
     assert results(store.get(b"k"))[0].check(ClosedError)
     writer.work(50)
-    assert told == [None] * 3 and closed == [None, None]
+    assert outcomes == [None] * 3 and closed == [None, None]
     assert disk.open_files == 0 and not disk.locked and not reactor.getDelayedCalls()
 
 
@@ -241,9 +241,9 @@
     reader.work(2)
     assert rows[0] + rows[1] == [(b"k%d" % n, b"old") for n in range(5)]
     store.release(taken)
-    told = results(store.chunk(taken))
+    outcomes = results(store.chunk(taken))
     reader.work()
-    assert told[0].check(SnapshotEndedError)
+    assert outcomes[0].check(SnapshotEndedError)
 
 
 def test_store_with_threads_on_a_real_disk(reactor, tmp_path):
@@ -266,14 +266,14 @@
     writer.work()
     content = disk.live_names[engine.log.active.name]
     content.now[-2] ^= 1
-    told = results(store.get(b"k"))
+    outcomes = results(store.get(b"k"))
     reader.work()
-    assert told[0].check(CorruptDataError)
+    assert outcomes[0].check(CorruptDataError)
 
 
 def test_group_size_is_limited(store, writer, engine, monkeypatch):
     monkeypatch.setattr(module, "MAX_GROUP_BYTES", 500)
     store.put(b"first", b"")
-    told = results(*(store.put(b"%d" % n, b"x" * 100) for n in range(10)))
+    outcomes = results(*(store.put(b"%d" % n, b"x" * 100) for n in range(10)))
     writer.work(2)
-    assert 0 < len(told) < 5
+    assert 0 < len(outcomes) < 5
--- a/tests/store/test_store_commands.py
+++ b/tests/store/test_store_commands.py
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "told"),
+    ("line", "message"),
     [
         (b"{", b"line 2"),
         (b'{"key": 1, "value": ""}', b"$.key"),
@@ -66,10 +66,10 @@
         (b'{"key_base64": "?", "value": ""}', b"key_base64"),
     ],
 )
-def test_put_reports_wrong_input_in_one_line_and_writes_nothing(directory, line, told):
+def test_put_reports_wrong_input_in_one_line_and_writes_nothing(directory, line, message):
     put = call("put", directory, stdin=lines({"key": "good", "value": ""}) + line + b"\n")
     assert (put.returncode, put.stdout, put.stderr.count(b"\n")) == (2, b"", 1)
-    assert told in put.stderr and b"line 2" in put.stderr and not os.path.exists(directory)
+    assert message in put.stderr and b"line 2" in put.stderr and not os.path.exists(directory)
 
 
 @pytest.mark.parametrize("verb", ["get", "dump", "check", "stat", "compact", "delete"])
--- a/tests/store/workload.py
+++ b/tests/store/workload.py
@@ -51,8 +51,8 @@
             self.history.record_failure()
         return verdict
 
-    def run_maintenance(self, most=400, budget=200):
-        for _ in range(most):
+    def run_maintenance(self, limit=400, budget=200):
+        for _ in range(limit):
             if not self.engine.step(budget):
                 return
         raise AssertionError("maintenance has no end")
