--- a/tests/compatibility/directories.py
+++ b/tests/compatibility/directories.py
@@ -27,14 +27,14 @@
 from lichencleat.consensus.terms import Entry, Snapshot
 from lichencleat.idempotency.records import decode_entry, decode_seen, decode_whose, mark
 from lichencleat.recovery import boot, figures
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
-from lichencleat.store.room import Bounds
 from lichencleat.store.store import Store
 
 NOW_US = 1_780_000_000_000_000  # Unix time at which the golden directories were written
 PARTS = {"control": parts, "distribution": distribution_parts}
-BOUNDS = Bounds(segment_bytes=64 << 10, disk_bytes=8 << 20, reserve=False)
+BOUNDS = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=8 << 20, keep_reserve=False)
 
 
 @contextmanager
@@ -168,7 +168,7 @@
     """Version, digest, sizes, the group's mark, kept batches, and the records of these names."""
     clock: Any = Clock()  # of its calls from threads none is made: all work is done at once
     with open_engine(path) as engine:
-        store = Store(clock, engine, execute, execute, upkeep=False)
+        store = Store(clock, engine, execute, execute, maintenance=False)
         kept = wait(made_kept(clock, store, "fleet", print), clock)
         table, group_mark, batches = wait(kept.load(), clock)
         return {
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -30,8 +30,7 @@
 from lichencleat.recovery import seat as recovery_seat
 from lichencleat.recovery import state as recovery_state
 from lichencleat.recovery import terms as recovery_terms
-from lichencleat.store import checkpoint, frames, segments
-from lichencleat.store import recovery as store_recovery
+from lichencleat.store import file_names, framing
 
 MESSAGES: dict[str, type[msgspec.Struct]] = {
     "distribution.kept.Head": distribution_kept.Head,
@@ -201,18 +200,18 @@
     "revive.terms.JOB": recovery_terms.JOB,
     "shares.terms.RETURN": quotas_messages.RECOVERY_JOB,
     "shares.terms.job_of": quotas_messages.allocator_job("a pool"),
-    "store.checkpoint.NAME": checkpoint.NAME,
-    "store.checkpoint.NEW": checkpoint.NEW,
-    "store.frames.BODY_BEGINS": frames.BODY_BEGINS,
-    "store.frames.FORMAT": frames.FORMAT,
-    "store.frames.LOG_MAGIC": frames.LOG_MAGIC,
-    "store.frames.MARKER": frames.MARKER,
-    "store.frames.POINT_MAGIC": frames.POINT_MAGIC,
-    "store.frames.STORE_MAGIC": frames.STORE_MAGIC,
-    "store.recovery.RESERVE": store_recovery.RESERVE,
-    "store.recovery.STORE": store_recovery.STORE,
-    "store.recovery.STORE_NEW": store_recovery.STORE_NEW,
-    "store.segments.NAME": segments.NAME,
-    "store.segments.NEW": segments.NEW,
+    "store.checkpoint.NAME": file_names.CHECKPOINT,
+    "store.checkpoint.NEW": file_names.NEW_CHECKPOINT,
+    "store.frames.BODY_BEGINS": framing.BODY_FIRST_BYTE,
+    "store.frames.FORMAT": framing.FORMAT,
+    "store.frames.LOG_MAGIC": framing.LOG_MAGIC,
+    "store.frames.MARKER": framing.MARKER,
+    "store.frames.POINT_MAGIC": framing.CHECKPOINT_MAGIC,
+    "store.frames.STORE_MAGIC": framing.STORE_MAGIC,
+    "store.recovery.RESERVE": file_names.RESERVE,
+    "store.recovery.STORE": file_names.STORE_MARKER,
+    "store.recovery.STORE_NEW": file_names.NEW_STORE_MARKER,
+    "store.segments.NAME": file_names.SEGMENT,
+    "store.segments.NEW": file_names.NEW_SEGMENT,
     "zones.terms.JOB": failover_terms.JOB,
 }
