--- a/benchmarks/capacity/state.py
+++ b/benchmarks/capacity/state.py
@@ -18,7 +18,7 @@
 
 from benchmarks.capacity import Effort, Lines, enough, took
 from lichencleat.capacity.slopes import Line
-from lichencleat.config.file import read_as
+from lichencleat.config.loading import parse_config
 from lichencleat.consensus.facts import Fact, Facts
 from lichencleat.failover.judge import JOB, Judge
 from lichencleat.failover.state import Dumped, Zones
@@ -101,7 +101,7 @@
         text = json.dumps({"records": rows}, indent=0)
         lines.add("file.bytes", count, len(text))
         for _ in range(effort.runs(3)):
-            lines.add("file.read_s", count, took(lambda text=text: read_as("f", text, Listed), 1))
+            lines.add("file.read_s", count, took(lambda text=text: parse_config("f", text, Listed), 1))
     return lines.made()
 
 
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -10,7 +10,7 @@
 from lichencleat.capacity import sizes as of
 from lichencleat.capacity.sizes import SECOND, Size, Times, look_bytes, looks, once
 from lichencleat.capacity.target import Target
-from lichencleat.config.file import SIZE_MOST
+from lichencleat.config.loading import MAX_CONFIG_CHARACTERS
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
 from lichencleat.failover import judge
 from lichencleat.leases import terms as owners
@@ -41,7 +41,7 @@
 RENEWED = Budget("one of three renewals in a term", lambda t: shares.TERM / shares.RENEW / 1e3)
 TURN_US = Budget("a turn of the reactor", lambda t: t.turn_ms * 1e3)
 BACK = Budget("back after a power loss (supposed)", lambda t: t.back_in_s)
-FILE = Budget("the file's most characters", lambda t: SIZE_MOST)
+FILE = Budget("the file's most characters", lambda t: MAX_CONFIG_CHARACTERS)
 SNAPSHOT = Budget("a snapshot's most bytes", lambda t: SNAPSHOT_MOST / 1e6)
 
 
--- a/lichencleat/capacity/target.py
+++ b/lichencleat/capacity/target.py
@@ -7,7 +7,8 @@
 from msgspec import Meta, Struct
 
 from lichencleat.capacity.slopes import Slopes, WrongSlopesError, decode
-from lichencleat.config.file import WrongFileError, load, read_as
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.loading import parse_config, read_config_text
 
 SLOPES_MOST = 4 << 20  # bytes of a file of slopes: it has some 50 KB
 DAY = 86_400  # s
@@ -91,34 +92,36 @@
 
 
 def read_target(path: str) -> Target:
-    """Raises WrongFileError: one line with file, line and what is wrong."""
-    text = load(path)
-    target, place = read_as(path, text, Target)
+    """Raises InvalidConfigError: one line with file, line and what is wrong."""
+    text = read_config_text(path)
+    target, place = parse_config(path, text, Target)
     if target.zones < target.regions:
-        line = place.line("$.zones")
-        raise WrongFileError(
+        line = place.line_of("$.zones")
+        raise InvalidConfigError(
             f"{path}, line {line}: zones: {target.zones} in {target.regions} regions; each has one"
         )
     if target.nodes < target.zones:
-        line = place.line("$.nodes")
-        raise WrongFileError(
+        line = place.line_of("$.nodes")
+        raise InvalidConfigError(
             f"{path}, line {line}: nodes: {target.nodes} in {target.zones} zones; each has one"
         )
     return target
 
 
 def read_slopes(path: str) -> Slopes:
-    """Raises WrongFileError: one line with the file and what is wrong."""
+    """Raises InvalidConfigError: one line with the file and what is wrong."""
     try:
         with open(path, "rb") as file:
             data = file.read(SLOPES_MOST + 1)
     except OSError as wrong:
-        raise WrongFileError(f"{path}: {wrong.strerror}; name a file of slopes that can be read") from wrong
+        raise InvalidConfigError(
+            f"{path}: {wrong.strerror}; name a file of slopes that can be read"
+        ) from wrong
     if len(data) > SLOPES_MOST:
-        raise WrongFileError(f"{path}: longer than {SLOPES_MOST} bytes; slopes take some thousand")
+        raise InvalidConfigError(f"{path}: longer than {SLOPES_MOST} bytes; slopes take some thousand")
     try:
         return decode(data)
     except WrongSlopesError as wrong:
-        raise WrongFileError(
+        raise InvalidConfigError(
             f"{path}: {wrong}; make it by python -m benchmarks.capacity --json FILE"
         ) from wrong
--- a/lichencleat/cli/capacity.py
+++ b/lichencleat/cli/capacity.py
@@ -10,7 +10,7 @@
 from lichencleat.capacity import page, plan
 from lichencleat.capacity.target import read_slopes, read_target
 from lichencleat.cli import output
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 
 
 @click.group("capacity", no_args_is_help=True)
@@ -28,7 +28,7 @@
     """Each role at the target, beside its budget; what does not hold, in order."""
     try:
         known, wanted = read_slopes(slopes), read_target(target)
-    except WrongFileError as wrong:
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     made = plan.made(known, wanted)
     if as_json:
--- a/lichencleat/cli/chosen.py
+++ b/lichencleat/cli/chosen.py
@@ -5,7 +5,9 @@
 import click
 
 from lichencleat.cli import output
-from lichencleat.config.file import WrongFileError, read_file, show
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.listing import list_settings
+from lichencleat.config.loading import read_node_config
 
 
 @click.group("config", no_args_is_help=True)
@@ -21,8 +23,8 @@
 def check(file: str) -> None:
     """Exit 0 if a node would take FILE; else one line with the place and what would be right, exit 2."""
     try:
-        read_file(file)
-    except WrongFileError as wrong:
+        read_node_config(file)
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     click.echo(f"{file}: good")
 
@@ -33,8 +35,8 @@
 def show_values(file: str, as_json: bool) -> None:
     """Every value in force, and whether it is FILE's or the default."""
     try:
-        rows = show(file)
-    except WrongFileError as wrong:
+        rows = list_settings(file)
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     output.table(
         ["setting", "value", "from"], [[each.path, each.value, each.origin] for each in rows], as_json
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -14,7 +14,7 @@
 
 from lichencleat.cli import output, relays
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config_distribution.published import Summary, check_file, read_changes, split
 from lichencleat.config_distribution.source import (
     Changed,
@@ -47,7 +47,7 @@
 def read(path: str) -> Summary:
     try:
         return check_file(path)
-    except WrongFileError as wrong:
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
 
 
@@ -181,7 +181,7 @@
             progress.changed += said.changed
             progress.done += len(batch)
             progress.show()
-    except (GroupError, WrongFileError) as wrong:  # a file that was changed meanwhile
+    except (GroupError, InvalidConfigError) as wrong:  # a file that was changed meanwhile
         progress.why = str(wrong)
 
 
--- a/lichencleat/cli/members.py
+++ b/lichencleat/cli/members.py
@@ -5,7 +5,7 @@
 import click
 
 from lichencleat.cli import output
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.membership import program
 
 
@@ -20,6 +20,6 @@
     """Take part as FILE says until SIGTERM; each change is a line of the log."""
     try:
         chosen = program.read_members(file)
-    except WrongFileError as wrong:
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     raise click.exceptions.Exit(program.run(chosen))
--- a/lichencleat/cli/quorum.py
+++ b/lichencleat/cli/quorum.py
@@ -14,10 +14,10 @@
 from twisted.internet.task import deferLater
 
 from lichencleat.cli import output
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.consensus import program
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.file import QuorumChoice, host_port, read_quorum
+from lichencleat.consensus.file import QuorumChoice, parse_address, read_quorum
 from lichencleat.consensus.terms import Reason
 from lichencleat.store.errors import StoreError
 
@@ -37,7 +37,7 @@
 def chosen(path: str, member: bool = False) -> QuorumChoice:
     try:
         return read_quorum(path, member)
-    except WrongFileError as wrong:
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
 
 
@@ -79,7 +79,7 @@
 
     @inlineCallbacks
     def main(reactor: Any) -> Any:
-        places = [host_port(each) for each in addresses or quorum.members]
+        places = [parse_address(each) for each in addresses or quorum.members]
         client = Client(reactor, quorum.group, places, random.Random(os.urandom(16)))
         try:
             told.append((yield what(reactor, client)))
@@ -101,7 +101,7 @@
     """What each member answers, or why it does not."""
     found: dict[str, Any] = {}
     clients = {
-        each: Client(reactor, quorum.group, [host_port(each)], random.Random(os.urandom(16)))
+        each: Client(reactor, quorum.group, [parse_address(each)], random.Random(os.urandom(16)))
         for each in addresses
     }
     asked = {each: client.call(what, None, 2.0) for each, client in clients.items()}
@@ -184,7 +184,7 @@
             f"quorum: {address} decides on {', '.join(new['parts'])}, and the group on "
             f"{', '.join(there['parts'])}; quorum.distribution is to be the same in the files of all"
         )
-    host, port = host_port(address)
+    host, port = parse_address(address)
     who = [new["seat"], new["member"], host, port, new["zone"]]
 
     @inlineCallbacks
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -9,7 +9,7 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import ask_all, on_reactor
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config_distribution.counts import OLDEST, merged
 from lichencleat.config_distribution.terms import IN_FORCE, Count
 from lichencleat.consensus.file import read_quorum
@@ -28,7 +28,7 @@
 
     try:
         chosen = read_relay(file)
-    except WrongFileError as wrong:
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     raise click.exceptions.Exit(program.run(chosen))
 
@@ -41,7 +41,7 @@
     """Which version is in force where, by zone, as the voters of FILE know. Exit code 1: nobody answers."""
     try:
         quorum = read_quorum(file)
-    except WrongFileError as wrong:
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     addresses = [at] if at else list(quorum.members)
     told: list[dict[str, Any]] = []
--- a/lichencleat/cli/router.py
+++ b/lichencleat/cli/router.py
@@ -5,7 +5,7 @@
 import click
 
 from lichencleat.cli import output
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.router.file import RouterFile, read_router
 from lichencleat.terms import Machine
 
@@ -20,7 +20,7 @@
 def read(file: str) -> tuple[RouterFile, Machine, frozenset[bytes]]:
     try:
         return read_router(file)
-    except WrongFileError as wrong:
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
 
 
--- a/lichencleat/config/__init__.py
+++ b/lichencleat/config/__init__.py
@@ -1,7 +1,9 @@
-"""What the operators chose for the subsystems that are off by default: one YAML file of their own, checked
-before use.
+"""The operator's YAML file for the subsystems that are off by default, validated before use.
 
-Its job: to read the file, say what is wrong with it by line, path and what would be right, and hand plain
-values to the subsystems. It promises that an unknown key is a mistake and that a file with one is used in no
-part. Not imported by a node that is told of no such file.
+The package reads the file, reports a mistake in it by line, path and what would be right, and hands plain
+values to the subsystems. An unknown key is a mistake, and no part of a file with a mistake is used. A node
+without such a file does not import this package.
+
+`schema` holds the types of the settings, `loading` reads and decodes a file, `validation` checks values
+against each other, `document` finds the line of a setting, `listing` lists the settings in force.
 """
--- /dev/null
+++ b/lichencleat/config/listing.py
@@ -0,0 +1,45 @@
+"""Lists the settings in force with the origin of each."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from msgspec import Struct
+
+from lichencleat.config.loading import parse_node_config, read_config_text
+
+
+@dataclass(frozen=True, slots=True)
+class Setting:
+    """One value in force, and where it comes from."""
+
+    path: str
+    value: object
+    origin: str  # "line N" of the file, or "default"
+
+
+def list_settings(path: str) -> list[Setting]:
+    """Returns every value in force, defaults included.
+
+    Raises:
+        InvalidConfigError: the file can't be read or holds a mistake.
+    """
+    config, document = parse_node_config(path, read_config_text(path))
+    settings = []
+    for setting, value in _walk_values(config, "$"):
+        line = document.line_of(setting) if document.states(setting) else None
+        settings.append(Setting(setting.removeprefix("$."), value, f"line {line}" if line else "default"))
+    return settings
+
+
+def _walk_values(value: object, path: str) -> Iterator[tuple[str, object]]:
+    """Yields path and value of each leaf."""
+    if isinstance(value, Struct):
+        for name in value.__struct_fields__:
+            yield from _walk_values(getattr(value, name), f"{path}.{name}")
+    elif isinstance(value, list):
+        for index, item in enumerate(value):
+            yield from _walk_values(item, f"{path}[{index}]")
+    else:
+        yield path, value
--- /dev/null
+++ b/lichencleat/config/schema.py
@@ -0,0 +1,100 @@
+"""Types and defaults of the settings in the operator's file. Field names are the file's keys."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+from msgspec import Meta, Struct
+
+from lichencleat.config.addresses import parse_address
+
+MAX_RELAY_ADDRESSES = 32  # of all tiers together
+MAX_RELAY_TIERS = 8  # groups of relays, from near to far
+
+Name = Annotated[str, Meta(min_length=1, max_length=64)]
+Address = Annotated[str, Meta(pattern=r"^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-fA-F:]+\]):\d{1,5}$")]
+Seconds = Annotated[float, Meta(gt=0, le=86_400)]
+RelayTier = Annotated[list[Address], Meta(min_length=1, max_length=MAX_RELAY_ADDRESSES)]
+RelayTiers = Annotated[list[RelayTier], Meta(min_length=1, max_length=MAX_RELAY_TIERS)]
+
+
+class CollectorConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """One collector of flow records."""
+
+    address: Address
+    wire: Literal["ipfix-udp", "ipfix-tcp", "netflow9-udp"] = "ipfix-udp"
+    name: Name | None = None
+
+    @property
+    def endpoint(self) -> tuple[str, int]:
+        """Host and port of the collector."""
+        return parse_address(self.address)
+
+
+class FlowExportConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """Flow export. Absent: it is off."""
+
+    collectors: Annotated[list[CollectorConfig], Meta(min_length=1, max_length=8)]
+    enterprise: Annotated[int, Meta(ge=1, le=0xFFFFFFFF)] = 32_473
+    domain: Annotated[int, Meta(ge=0, le=0xFFFFFFFF)] = 1
+    to: Literal["all", "first that lives"] = "all"
+    active_s: Seconds = 60.0
+    idle_s: Seconds = 15.0
+    waiting: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000
+    message_bytes: Annotated[int, Meta(ge=512, le=65_000)] = 1_400
+    flush_s: Annotated[float, Meta(ge=0, le=60)] = 0.2
+    links: bool = False  # also meter the connections to the interpreter and the downstream calls
+
+
+class QuotaConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """A quota of the dependency that this node's downstream calls go to, allocated by the fleet."""
+
+    pool: Name
+    floor: Annotated[int, Meta(ge=0, le=1_000_000)] = 0  # both as the pool was defined with
+    term_s: Annotated[float, Meta(ge=0.3, le=600)] = 5.0
+
+
+class FleetConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """This node as a client of a group of voters. Absent: it stands alone."""
+
+    group: Name
+    members: Annotated[list[Address], Meta(min_length=1, max_length=64)]  # where to look for the voters
+    zone: str = ""
+    candidate: bool = False  # it may hold leases on jobs of the fleet
+    shares: QuotaConfig | None = None
+    revive: bool = False  # it takes part in the fleet's recovery after a power loss
+
+
+class DistributionConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """The fleet's configuration, from the relays of its zone. Absent: it has none but its own files."""
+
+    group: Name  # of the voters for configuration
+    sources: RelayTiers  # nearest first
+    zone: str = ""
+    directory: Annotated[str, Meta(min_length=1)] | None = None  # where the last version is persisted
+    tenants: bool = False  # tenants come from the distributed table, not from the settings
+
+
+class IdempotencyConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """Idempotency records and results that outlive a restart. Absent: they end with the process."""
+
+    directory: Annotated[str, Meta(min_length=1)]  # of this node alone, on durable storage
+    entries: Annotated[int, Meta(ge=100, le=10_000_000)] = 100_000  # keys in their windows
+    disk_mb: Annotated[float, Meta(ge=32, le=1_000_000)] = 256.0
+    disk: Literal["real", "held back"] = "real"  # held back: for tests, a kill loses unflushed writes
+
+
+class LogConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """Structured log lines."""
+
+    form: Literal["logfmt", "json"] = "logfmt"
+
+
+class NodeConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """The whole file of a node."""
+
+    flows: FlowExportConfig | None = None
+    keyed: IdempotencyConfig | None = None
+    fleet: FleetConfig | None = None
+    distribution: DistributionConfig | None = None
+    log: LogConfig | None = None  # absent: the node's plain lines
--- /dev/null
+++ b/lichencleat/config/validation.py
@@ -0,0 +1,69 @@
+"""Checks of values that have their form each but are out of range or do not fit together."""
+
+from __future__ import annotations
+
+from lichencleat.config.addresses import is_valid_address
+from lichencleat.config.document import YamlDocument
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.schema import MAX_RELAY_ADDRESSES, FlowExportConfig, NodeConfig
+
+
+def validate_node_config(path: str, document: YamlDocument, config: NodeConfig) -> None:
+    """Checks a node's settings against each other.
+
+    Raises:
+        InvalidConfigError: some do not fit.
+    """
+    if config.distribution is not None:
+        check_relay_tiers(path, document, config.distribution.sources)
+    if config.flows is not None:
+        _check_flow_export(path, document, config.flows)
+
+
+def _check_flow_export(path: str, document: YamlDocument, flows: FlowExportConfig) -> None:
+    if flows.idle_s > flows.active_s:
+        line = document.line_of("$.flows.idle_s") or document.line_of("$.flows.active_s")
+        problem = (
+            f"flows.idle_s: {flows.idle_s:g} is over active_s ({flows.active_s:g}); "
+            "a quiet flow has to be told before an open one, so make it smaller"
+        )
+        raise InvalidConfigError.at(path, line, problem)
+    for index, collector in enumerate(flows.collectors):
+        setting = f"flows.collectors[{index}].address"
+        check_address(path, document, setting, collector.address, "192.0.2.7:4739")
+
+
+def check_address(path: str, document: YamlDocument, setting: str, address: str, example: str) -> None:
+    """Checks an address that has the right form; `setting` is its path without `$.`.
+
+    Raises:
+        InvalidConfigError: port or octets are out of range.
+    """
+    if not is_valid_address(address):
+        problem = f"{setting}: {address} is none; write it as {example} (names are not looked up)"
+        raise InvalidConfigError.at(path, document.line_of(f"$.{setting}"), problem)
+
+
+def check_relay_tiers(path: str, document: YamlDocument, tiers: list[list[str]], listen: str = "") -> None:
+    """Checks `distribution.sources`; `listen` is the process's own address, which is no source.
+
+    Raises:
+        InvalidConfigError: an address is wrong, occurs twice or is `listen`, or there are too many.
+    """
+    seen = {listen}
+    for tier, addresses in enumerate(tiers):
+        for index, address in enumerate(addresses):
+            setting = f"distribution.sources[{tier}][{index}]"
+            check_address(path, document, setting, address, "192.0.2.7:7901")
+            if address in seen:
+                reason = "is this process itself" if address == listen else "stands twice"
+                line = document.line_of(f"$.{setting}")
+                raise InvalidConfigError.at(path, line, f"{setting}: {address} {reason}; leave it out")
+            seen.add(address)
+    count = len(seen) - 1
+    if count > MAX_RELAY_ADDRESSES:
+        problem = (
+            f"distribution.sources: {count} addresses; {MAX_RELAY_ADDRESSES} at the "
+            "most, and two of a tier are enough"
+        )
+        raise InvalidConfigError.at(path, document.line_of("$.distribution.sources"), problem)
--- a/lichencleat/config_distribution/file.py
+++ b/lichencleat/config_distribution/file.py
@@ -6,27 +6,20 @@
 
 from msgspec import Struct
 
-from lichencleat.config.file import (
-    Address,
-    LogChoice,
-    Name,
-    Sources,
-    check_address,
-    check_sources,
-    load,
-    read_as,
-)
+from lichencleat.config.loading import parse_config, read_config_text
+from lichencleat.config.schema import Address, LogConfig, Name, RelayTiers
+from lichencleat.config.validation import check_address, check_relay_tiers
 
 
 class RelayChoice(Struct, forbid_unknown_fields=True, frozen=True):
     group: Name  # of the voters for configuration; the same at all that hang on them
     name: Name  # of this relay: `status` names it
     listen: Address
-    sources: Sources  # nearest first
+    sources: RelayTiers  # nearest first
     zone: str = ""
     directory: str | None = None  # its last version is kept there; absent: a start fetches all anew
     disk: Literal["real", "held back"] = "real"  # held back: for tests, a kill loses what was not flushed
-    log: LogChoice = LogChoice()
+    log: LogConfig = LogConfig()
 
 
 class RelayFile(Struct, forbid_unknown_fields=True, frozen=True):
@@ -36,9 +29,9 @@
 
 
 def read_relay(path: str) -> RelayChoice:
-    """Raises WrongFileError."""
-    chosen, place = read_as(path, load(path), RelayFile)
+    """Raises InvalidConfigError."""
+    chosen, place = parse_config(path, read_config_text(path), RelayFile)
     relay: RelayChoice = chosen.distribution
     check_address(path, place, "distribution.listen", relay.listen, "192.0.2.7:7931")
-    check_sources(path, place, relay.sources, relay.listen)
+    check_relay_tiers(path, place, relay.sources, relay.listen)
     return relay
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -13,7 +13,7 @@
 from lichencleat.config_distribution.file import RelayChoice
 from lichencleat.config_distribution.relay import RelayProcess
 from lichencleat.config_distribution.table import Table
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.programs import run_program
 from lichencleat.store.errors import StoreError
 
@@ -30,7 +30,7 @@
         self.code = STOPPED
         self.relay: RelayProcess | None = None
         self.stopping = self.stopped = False
-        self.log = make_log(
+        self.log = create_logger(
             unix_time,
             chosen.log.form,
             process=chosen.name,
--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -17,7 +17,9 @@
 import msgspec
 from msgspec import UNSET, Meta, Struct
 
-from lichencleat.config.file import Place, WrongFileError, load, read_as
+from lichencleat.config.document import YamlDocument
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.loading import parse_config, read_config_text
 from lichencleat.config_distribution.pages import key_of
 from lichencleat.config_distribution.table import unfit_change
 from lichencleat.config_distribution.terms import (
@@ -76,7 +78,7 @@
 
 
 def check_file(path: str) -> Summary:
-    """All of it. Raises WrongFileError, one line, for the first mistake."""
+    """All of it. Raises InvalidConfigError, one line, for the first mistake."""
     summary = Summary()
 
     def counted() -> Iterator[Change]:
@@ -84,12 +86,12 @@
         for line, change in read_changes(path):
             key = key_of(change.kind, change.name)
             if key in seen:
-                raise WrongFileError(
+                raise InvalidConfigError(
                     f"{path}, line {line}: {change.kind} {change.name!r} stands in line {seen[key]} already; "
                     "leave one of them out"
                 )
             if len(seen) >= RECORDS_MOST:
-                raise WrongFileError(
+                raise InvalidConfigError(
                     f"{path}, line {line}: more than {RECORDS_MOST} records; no table has more"
                 )
             seen[key] = line
@@ -104,7 +106,7 @@
         if summary.batches == 1:
             summary.changes = batch
     if not summary.batches:
-        raise WrongFileError(f"{path}: no records; write one a line")
+        raise InvalidConfigError(f"{path}: no records; write one a line")
     return summary
 
 
@@ -124,7 +126,7 @@
 
 
 def read_changes(path: str) -> Iterator[tuple[int, Change]]:
-    """Line, from 1, and change. Raises WrongFileError where the file is wrong."""
+    """Line, from 1, and change. Raises InvalidConfigError where the file is wrong."""
     return read_lines(path) if path.endswith(LINES) else read_yaml(path)
 
 
@@ -138,13 +140,13 @@
             while line := file.readline(LINE_MOST + 1):
                 number += 1
                 if len(line) > LINE_MOST:
-                    raise WrongFileError(
+                    raise InvalidConfigError(
                         f"{path}, line {number}: longer than {LINE_MOST} bytes; no record is"
                     )
                 if line.strip():
                     yield number, of_line(path, number, line)
     except OSError as wrong:
-        raise WrongFileError(f"{path}: {wrong.strerror}; name a file that can be read") from wrong
+        raise InvalidConfigError(f"{path}: {wrong.strerror}; name a file that can be read") from wrong
 
 
 def of_line(path: str, number: int, line: bytes) -> Change:
@@ -153,11 +155,11 @@
         record = decode_line(line)
         json.loads(line, object_pairs_hook=once)
     except TwiceError as wrong:
-        raise WrongFileError(f"{place}: {wrong}") from wrong
+        raise InvalidConfigError(f"{place}: {wrong}") from wrong
     except msgspec.ValidationError as wrong:
-        raise WrongFileError(f"{place}: {said(str(wrong))}") from wrong
+        raise InvalidConfigError(f"{place}: {said(str(wrong))}") from wrong
     except (msgspec.DecodeError, ValueError, RecursionError) as wrong:  # what is no JSON, or no UTF-8
-        raise WrongFileError(f"{place}: not JSON: {wrong}; write one record a line") from wrong
+        raise InvalidConfigError(f"{place}: not JSON: {wrong}; write one record a line") from wrong
     return change_of(place, "", record)
 
 
@@ -179,21 +181,21 @@
 
 
 def read_yaml(path: str) -> Iterator[tuple[int, Change]]:
-    chosen, place = read_as(path, load(path), RecordsFile)
+    chosen, place = parse_config(path, read_config_text(path), RecordsFile)
     for at, record in enumerate(chosen.records):
         where = f"$.records[{at}]"
-        line = place.line(where) or 1
+        line = place.line_of(where) or 1
         if record.value is not UNSET:
             wrong = no_json(record.value, [VALUE_MOST])
             if wrong:
-                raise WrongFileError(
+                raise InvalidConfigError(
                     f"{path}, line {line_of(place, where, line)}: records[{at}].value: {wrong}"
                 )
         yield line, change_of(f"{path}, line {line}", f"records[{at}].", record)
 
 
-def line_of(place: Place, where: str, line: int) -> int:
-    return place.line(f"{where}.value") or line
+def line_of(place: YamlDocument, where: str, line: int) -> int:
+    return place.line_of(f"{where}.value") or line
 
 
 def no_json(value: Any, room: list[int]) -> str:
@@ -222,13 +224,13 @@
 
 def change_of(place: str, where: str, record: Record) -> Change:
     if record.gone == (record.value is not UNSET):
-        raise WrongFileError(f"{place}: {where}value: give a value, or 'gone: true', and not both")
+        raise InvalidConfigError(f"{place}: {where}value: give a value, or 'gone: true', and not both")
     try:
         value = None if record.gone else encode_value(record.value)
     except (OverflowError, ValueError, RecursionError) as wrong:
-        raise WrongFileError(f"{place}: {where}value: {wrong}; write it as a text") from wrong
+        raise InvalidConfigError(f"{place}: {where}value: {wrong}; write it as a text") from wrong
     change = Change(record.kind, record.name, value)
     wrong = unfit_change(change)
     if wrong:
-        raise WrongFileError(f"{place}: {record.kind} {record.name[:NAME_MOST]!r}: {wrong}")
+        raise InvalidConfigError(f"{place}: {record.kind} {record.name[:NAME_MOST]!r}: {wrong}")
     return change
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from lichencleat.config.file import host_port
+from lichencleat.config.addresses import parse_address
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.feed import Feeder
 from lichencleat.config_distribution.file import RelayChoice
@@ -74,7 +74,7 @@
             self.heard,
             self.before,
         )
-        self.door = Door(reactor, self, *host_port(chosen.listen))
+        self.door = Door(reactor, self, *parse_address(chosen.listen))
         self.sweeping = reactor.callLater(SWEEP, self.sweep)
 
     def now(self) -> int:
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -14,7 +14,7 @@
 import msgspec
 from twisted.internet.protocol import ClientFactory
 
-from lichencleat.config.file import host_port
+from lichencleat.config.addresses import parse_address
 from lichencleat.config_distribution.acts import Act, Decision
 from lichencleat.config_distribution.copy import Copy
 from lichencleat.config_distribution.counts import OLDEST
@@ -90,7 +90,7 @@
         self.number = 0  # of the last question
         self.what = ""  # of the open question
         self.ended = False
-        where, port = host_port(relay)
+        where, port = parse_address(relay)
         self.connector = host.reactor.connectTCP(where, port, self, timeout=CALL)
 
     def buildProtocol(self, address: Any) -> Upward:
--- a/lichencleat/consensus/file.py
+++ b/lichencleat/consensus/file.py
@@ -6,10 +6,14 @@
 
 from msgspec import Meta, Struct
 
-from lichencleat.config.file import Address, LogChoice, Name, Place, WrongFileError, host_port, load, read_as
+from lichencleat.config.addresses import parse_address
+from lichencleat.config.document import YamlDocument
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.loading import parse_config, read_config_text
+from lichencleat.config.schema import Address, LogConfig, Name
 from lichencleat.consensus.terms import Times
 
-__all__ = ["QuorumChoice", "QuorumFile", "host_port", "read_quorum"]
+__all__ = ["QuorumChoice", "QuorumFile", "parse_address", "read_quorum"]
 
 Milliseconds = Annotated[int, Meta(ge=1, le=600_000)]
 
@@ -37,7 +41,7 @@
     directory: str | None = None  # a store of its own
     zone: str = ""
     times: TimesChoice = TimesChoice()
-    log: LogChoice = LogChoice()
+    log: LogConfig = LogConfig()
     distribution: bool = False  # of configuration, and of nothing else but facts
     disk: Literal["real", "held back"] = "real"  # held back: for tests, a kill loses what was not flushed
 
@@ -49,22 +53,22 @@
 
 
 def read_quorum(path: str, member: bool = False) -> QuorumChoice:
-    """Raises WrongFileError. `member`: of a process that is to be one, not of a client."""
-    chosen, place = read_as(path, load(path), QuorumFile)
+    """Raises InvalidConfigError. `member`: of a process that is to be one, not of a client."""
+    chosen, place = parse_config(path, read_config_text(path), QuorumFile)
     quorum: QuorumChoice = chosen.quorum
     sense(path, place, quorum, member)
     return quorum
 
 
-def sense(path: str, place: Place, quorum: QuorumChoice, member: bool) -> None:
+def sense(path: str, place: YamlDocument, quorum: QuorumChoice, member: bool) -> None:
     times = quorum.times
     if times.election_ms < 3 * times.beat_ms:
-        line = place.line("$.quorum.times.election_ms") or place.line("$.quorum.times.beat_ms")
-        raise WrongFileError(
+        line = place.line_of("$.quorum.times.election_ms") or place.line_of("$.quorum.times.beat_ms")
+        raise InvalidConfigError(
             f"{path}, line {line}: quorum.times.election_ms: {times.election_ms} is under three beats "
             f"({times.beat_ms} each); one late message would end a leadership, so make it larger"
         )
     for key in ("name", "listen", "directory"):
         if member and getattr(quorum, key) is None:
-            line = place.line("$.quorum")
-            raise WrongFileError(f"{path}, line {line}: quorum.{key}: is missing; a member needs it")
+            line = place.line_of("$.quorum")
+            raise InvalidConfigError(f"{path}, line {line}: quorum.{key}: is missing; a member needs it")
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -12,7 +12,7 @@
 
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.consensus.facts import Facts
-from lichencleat.consensus.file import QuorumChoice, host_port
+from lichencleat.consensus.file import QuorumChoice, parse_address
 from lichencleat.consensus.journal import TOP, Journal
 from lichencleat.consensus.process import Process
 from lichencleat.consensus.seats import IDENTITY, Identity, wake_up
@@ -22,7 +22,7 @@
 from lichencleat.failover.state import Zones
 from lichencleat.leases.expiry import Expiry
 from lichencleat.leases.jobs import Jobs
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.programs import run_program
 from lichencleat.quotas.pools import Pools
 from lichencleat.recovery.state import Fleet
@@ -68,7 +68,7 @@
             )
         identity = wake_up(lambda key: None, rng, chosen.group, chosen.name, chosen.distribution)
         identity.group, identity.start = rng.randbytes(8), 0
-        host, port = host_port(chosen.address or chosen.listen)
+        host, port = parse_address(chosen.address or chosen.listen)
         group = Group((Member(identity.seat, chosen.name, host, port, True, chosen.zone),))
         batch = Journal().found(founded(group)).put(IDENTITY, msgspec.msgpack.encode(identity))
         (wrong,) = engine.commit([batch])
@@ -122,7 +122,7 @@
         self.code = STOPPED
         self.process: Process | None = None
         self.stopping = False
-        self.log = make_log(
+        self.log = create_logger(
             unix_time,
             chosen.log.form,
             process=chosen.name,
@@ -157,7 +157,7 @@
                 )
                 return
             yield store.put(IDENTITY, msgspec.msgpack.encode(identity))
-            listen = host_port(chosen.listen)
+            listen = parse_address(chosen.listen)
             serves: Serves | None = None
             own: tuple[Any, Any] = (parts, ExpiryTender().tend)
             if chosen.distribution:
--- a/lichencleat/flows/assembly.py
+++ b/lichencleat/flows/assembly.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred
 from twisted.protocols.policies import ProtocolWrapper, WrappingFactory
 
-from lichencleat.config.file import FlowsChoice
+from lichencleat.config.schema import FlowExportConfig
 from lichencleat.flows.channel import Channel, Wire
 from lichencleat.flows.elements import Elements
 from lichencleat.flows.exporter import Exporter, Link, Report, Timers
@@ -35,7 +35,7 @@
         timers: Timers,
         report: Report,
         seed: str,
-        chosen: FlowsChoice,
+        chosen: FlowExportConfig,
     ) -> None:
         self.clock, self.report = clock, report
         self.budget = round(chosen.flush_s * SECOND)
@@ -48,7 +48,7 @@
                 Wire(each.wire), elements, chosen.domain, chosen.message_bytes, chosen.waiting, clock()
             )
             name = each.name or f"collector {at + 1}"
-            links.append(Link(reactor, clock, timers, report, rng, name, each.host_port(), channel))
+            links.append(Link(reactor, clock, timers, report, rng, name, each.endpoint, channel))
         self.exporter = Exporter(self.meter, links, clock, timers, to_all=chosen.to == "all")
         self.chosen = chosen
 
@@ -80,7 +80,7 @@
         """The same factory for connections that the node begins, each metered as a flow."""
         return Metering(self, factory)
 
-    def reload(self, chosen: FlowsChoice | None) -> str:
+    def reload(self, chosen: FlowExportConfig | None) -> str:
         """Takes over the collectors' addresses; what waits goes there. In words what was done, and what needs
         a restart.
         """
@@ -88,8 +88,8 @@
             return "flows changed, which needs a restart"
         moved = 0
         for link, each in zip(self.exporter.links, chosen.collectors, strict=True):
-            moved += link.address != each.host_port()
-            link.move(each.host_port())
+            moved += link.address != each.endpoint
+            link.move(each.endpoint)
         fixed = [
             (self.chosen, chosen, [n for n in chosen.__struct_fields__ if n != "collectors"]),
             *(
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.defer import inlineCallbacks
 
-from lichencleat.config.file import KeyedChoice
+from lichencleat.config.schema import IdempotencyConfig
 from lichencleat.idempotency.book import Book
 from lichencleat.idempotency.keeper import Keeper
 from lichencleat.idempotency.whose import NotOursError
@@ -27,7 +27,7 @@
     """What, where, what to do, in one line."""
 
 
-def disk_of(chosen: KeyedChoice) -> Disk:
+def disk_of(chosen: IdempotencyConfig) -> Disk:
     if chosen.disk == "held back":
         from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
 
@@ -35,7 +35,7 @@
     return RealDisk(chosen.directory, create=True)
 
 
-def make_keeper(node: Any, name: str, chosen: KeyedChoice, clock: Callable[[], int]) -> Keeper:
+def make_keeper(node: Any, name: str, chosen: IdempotencyConfig, clock: Callable[[], int]) -> Keeper:
     """Of a net.assembly.RealNode. It parks what is receipted until it has started."""
     book = Book(chosen.entries, round(chosen.disk_mb * (1 << 20) * FILLED))
     keeper = Keeper(name, node.host, node.deadlines, node.report, clock, book)
@@ -45,7 +45,7 @@
 
 
 @inlineCallbacks
-def start_keeper(reactor: Any, keeper: Keeper, chosen: KeyedChoice, clock: Callable[[], int]) -> Any:
+def start_keeper(reactor: Any, keeper: Keeper, chosen: IdempotencyConfig, clock: Callable[[], int]) -> Any:
     """Fails with CantStartError."""
     bounds = Bounds(
         segment_bytes=SEGMENT, disk_bytes=round(chosen.disk_mb * (1 << 20)), entries=chosen.entries + MORE
--- a/lichencleat/log/__init__.py
+++ b/lichencleat/log/__init__.py
@@ -1,6 +1,5 @@
-"""Logs of the program's processes: one event a line with its fields, limited by kind, and put in order
-afterwards.
+"""Structured logs of the program's processes, and the merge of many logs into one order.
 
-`lines.py` sets structlog up; `merge.py` reads what many processes wrote. Decides nothing but which lines are
-left out.
+`structured` creates loggers that write one event a line with its fields and limit the rate of each event;
+`merge` orders the lines that many processes wrote.
 """
--- a/lichencleat/log/merge.py
+++ b/lichencleat/log/merge.py
@@ -1,8 +1,7 @@
-"""The logs of many processes in one order: by the time of each line, and in a file never against its own
-order.
+"""Merges the logs of many processes by the time of each line, without any I/O.
 
-A process whose clock stepped back keeps its lines in the order that it wrote them: a line counts as no
-earlier than the one before it in its file. No I/O: lines in, lines out.
+Lines of one file keep their order: a line counts as no earlier than the one before it in its file, also where
+the process's clock stepped back.
 """
 
 from __future__ import annotations
@@ -11,37 +10,53 @@
 import json
 import re
 from collections.abc import Iterable, Iterator
+from typing import NamedTuple
 
-AT = re.compile(r"(?:^|\s)at=(\d+)\.(\d{6})(?:\s|$)")
-ORDINARY = re.compile(r"^\S+ (\d+)\.(\d{3}) ")  # a node's own line, where structured logging is off
+SECOND_US = 1_000_000
+MILLISECOND_US = 1_000
 
+JSON_TIME = re.compile(r"(\d+)\.(\d{6})")
+LOGFMT_TIME = re.compile(r"(?:^|\s)at=(\d+)\.(\d{6})(?:\s|$)")
+PLAIN_TIME = re.compile(r"^\S+ (\d+)\.(\d{3}) ")  # a node's own line, where structured logging is off
 
-def moment(line: str) -> int | None:
-    """µs of Unix time at which the line was written, or None where it does not say."""
-    if line.startswith("{"):
-        try:
-            at = json.loads(line).get("at", "")
-        except (ValueError, AttributeError):
-            return None
-        found = re.fullmatch(r"(\d+)\.(\d{6})", str(at))
-    else:
-        found = AT.search(line)
+
+class TimedLine(NamedTuple):
+    """A line with the keys that order it."""
+
+    time_us: int  # of Unix time
+    file_index: int
+    name: str
+    line: str
+
+
+def timestamp_of(line: str) -> int | None:
+    """Returns when the line was written, in µs of Unix time, or None where it does not say."""
+    found = _match_json_time(line) if line.startswith("{") else LOGFMT_TIME.search(line)
     if found:
-        return int(found[1]) * 1_000_000 + int(found[2])
-    found = ORDINARY.match(line)
-    return int(found[1]) * 1_000_000 + int(found[2]) * 1_000 if found else None
+        return int(found[1]) * SECOND_US + int(found[2])
+    if found := PLAIN_TIME.match(line):
+        return int(found[1]) * SECOND_US + int(found[2]) * MILLISECOND_US
+    return None
+
+
+def _match_json_time(line: str) -> re.Match[str] | None:
+    try:
+        return JSON_TIME.fullmatch(str(json.loads(line).get("at", "")))
+    except (ValueError, AttributeError):
+        return None
 
 
-def timed(lines: Iterable[str], name: str, at: int) -> Iterator[tuple[int, int, str, str]]:
+def _add_times(lines: Iterable[str], name: str, file_index: int) -> Iterator[TimedLine]:
+    """Yields the lines with times that never fall; a line without a time has that of the one before."""
     last = 0
     for line in lines:
-        line = line.rstrip("\n")
-        last = max(last, moment(line) or last)
-        yield last, at, name, line
+        text = line.rstrip("\n")
+        last = max(last, timestamp_of(text) or last)
+        yield TimedLine(last, file_index, name, text)
 
 
 def merge(files: Iterable[tuple[str, Iterable[str]]]) -> Iterator[tuple[str, str]]:
-    """Name and line, of each file's lines; what does not say its time follows the line before it."""
-    streams = [timed(lines, name, at) for at, (name, lines) in enumerate(files)]
-    for _, _, name, line in heapq.merge(*streams, key=lambda each: each[:2]):
-        yield name, line
+    """Merges files, given as name and lines; yields name and line in the order of time."""
+    streams = [_add_times(lines, name, index) for index, (name, lines) in enumerate(files)]
+    for each in heapq.merge(*streams, key=lambda each: (each.time_us, each.file_index)):
+        yield each.name, each.line
--- a/lichencleat/membership/program.py
+++ b/lichencleat/membership/program.py
@@ -11,8 +11,10 @@
 from twisted.internet.error import CannotListenError
 
 from lichencleat.clocks import make_reactor, unix_time
-from lichencleat.config.file import Name, WrongFileError, load, read_as
-from lichencleat.log.lines import make_log
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.loading import parse_config, read_config_text
+from lichencleat.config.schema import Name
+from lichencleat.log.structured import create_logger
 from lichencleat.membership.gossip import Gossip
 from lichencleat.membership.port import Port
 from lichencleat.membership.terms import Choice, State, Word
@@ -37,12 +39,12 @@
 
 
 def read_members(path: str) -> MembersChoice:
-    """Raises WrongFileError."""
-    chosen, place = read_as(path, load(path), MembersFile)
+    """Raises InvalidConfigError."""
+    chosen, place = parse_config(path, read_config_text(path), MembersFile)
     members: MembersChoice = chosen.members
     if members.answer_ms * 2 > members.period_ms:
-        line = place.line("$.members.answer_ms") or place.line("$.members.period_ms")
-        raise WrongFileError(
+        line = place.line_of("$.members.answer_ms") or place.line_of("$.members.period_ms")
+        raise InvalidConfigError(
             f"{path}, line {line}: members.answer_ms: {members.answer_ms} is over half a period "
             f"({members.period_ms}); others need the other half to try, so make it smaller"
         )
@@ -58,7 +60,7 @@
     """Until SIGTERM; the exit code."""
     twisted: Any = make_reactor()
     unix = unix_time()
-    log = make_log(
+    log = create_logger(
         unix_time,
         process=chosen.name,
         role="members",
--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -40,7 +40,7 @@
 
 class RealNode:
     def __init__(self, reactor: Any, clock: Any, told: Told, chosen: Any = None) -> None:
-        """`chosen`: the operators' file, as chosen.file.Chosen, where the node is told of one."""
+        """`chosen`: the operators' file, as config.schema.NodeConfig, where the node is told of one."""
         self.reactor, self.clock, self.told = reactor, clock, told
         self.report = self.make_report(chosen)
         self.deadlines = Deadlines(reactor, self.report.trouble)
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -12,7 +12,8 @@
 
 from twisted.internet.defer import Deferred, succeed
 
-from lichencleat.config.file import FleetChoice, host_port
+from lichencleat.config.addresses import parse_address
+from lichencleat.config.schema import FleetConfig
 from lichencleat.consensus.client import Client
 from lichencleat.leases.holder import Holder, Work
 from lichencleat.quotas.grants import Grants
@@ -46,7 +47,7 @@
         self,
         reactor: Any,
         name: str,
-        chosen: FleetChoice,
+        chosen: FleetConfig,
         host: Any,
         keyed: Any,
         unix: Callable[[], int],
@@ -61,7 +62,7 @@
         self.holder = self.make_holder() if chosen.candidate else None
 
     def client(self) -> Client:
-        addresses = [host_port(each) for each in self.chosen.members]
+        addresses = [parse_address(each) for each in self.chosen.members]
         made = Client(self.reactor, self.chosen.group, addresses, self.rng, self.name)
         self.clients.append(made)
         return made
--- a/lichencleat/node/program.py
+++ b/lichencleat/node/program.py
@@ -59,14 +59,15 @@
     if not path:
         return None
     try:
-        from lichencleat.config.file import WrongFileError, read_file
+        from lichencleat.config.errors import InvalidConfigError
+        from lichencleat.config.loading import read_node_config
     except ModuleNotFoundError as missing:
         raise BadInputError(
             f"LICHENCLEAT_FILE: needs {missing.name}: pip install 'lichencleat[file]'"
         ) from missing
     try:
-        return read_file(path)
-    except WrongFileError as wrong:
+        return read_node_config(path)
+    except InvalidConfigError as wrong:
         raise BadInputError(f"LICHENCLEAT_FILE: {wrong}") from wrong
 
 
--- a/lichencleat/node/structured.py
+++ b/lichencleat/node/structured.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.node.report import Report
 
 
@@ -15,7 +15,7 @@
 
     def __init__(self, name: str, clock: Callable[[], int], form: str) -> None:
         super().__init__(name, clock)
-        self.log = make_log(clock, form, process=name, role="node", pid=os.getpid())
+        self.log = create_logger(clock, form, process=name, role="node", pid=os.getpid())
 
     def note(self, text: str) -> None:
         event, _, detail = text.partition(": ")
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -77,7 +77,7 @@
         rng: random.Random,
         report: Any,
     ) -> None:
-        """`chosen`: as chosen.file.DistributionChoice; `settings`: the tenants that the node's settings name;
+        """`chosen`: as config.schema.DistributionConfig; `settings`: the tenants that the settings name;
         `unix`: µs; `report`: as net.report.Report.
         """
         self.reactor, self.name, self.chosen, self.unix, self.rng = reactor, name, chosen, unix, rng
--- a/lichencleat/router/file.py
+++ b/lichencleat/router/file.py
@@ -7,21 +7,16 @@
 
 from msgspec import Meta, Struct
 
-from lichencleat.config.file import (
-    Address,
-    LogChoice,
-    Name,
-    Place,
-    WrongFileError,
-    check_address,
-    host_port,
-    load,
-    read_as,
-)
+from lichencleat.config.addresses import parse_address
+from lichencleat.config.document import YamlDocument
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.loading import parse_config, read_config_text
+from lichencleat.config.schema import Address, LogConfig, Name
+from lichencleat.config.validation import check_address
 from lichencleat.machine import BadInputError, decode_machine
 from lichencleat.terms import Machine
 
-__all__ = ["RouterChoice", "RouterFile", "ZoneChoice", "host_port", "read_router"]
+__all__ = ["RouterChoice", "RouterFile", "ZoneChoice", "parse_address", "read_router"]
 
 NODES_MOST = 4_096  # of all zones
 Milliseconds = Annotated[float, Meta(ge=0, le=10_000)]
@@ -51,53 +46,57 @@
     """The whole file."""
 
     router: RouterChoice
-    log: LogChoice = LogChoice()
+    log: LogConfig = LogConfig()
 
 
 def read_router(path: str) -> tuple[RouterFile, Machine, frozenset[bytes]]:
-    """The file, and of the settings that it names the classes and tenants. Raises WrongFileError."""
-    chosen, place = read_as(path, load(path), RouterFile)
+    """The file, and of the settings that it names the classes and tenants. Raises InvalidConfigError."""
+    chosen, place = parse_config(path, read_config_text(path), RouterFile)
     sense(path, place, chosen.router)
-    line = place.line("$.router.settings")
+    line = place.line_of("$.router.settings")
     try:
-        settings = json.loads(load(chosen.router.settings))
+        settings = json.loads(read_config_text(chosen.router.settings))
         settings = settings.get("settings", settings)  # the platform's whole configuration does as well
         machine = decode_machine(settings)
         tenants = frozenset(each["name"].encode() for each in settings.get("orgs") or [])
         if not machine.tariffs or any(each.hard_limit <= 0 for each in machine.tariffs):
             raise BadInputError("no classes, or one without its deadline")
-    except (WrongFileError, BadInputError, ValueError, KeyError, TypeError, AttributeError) as wrong:
-        raise WrongFileError(
+    except (InvalidConfigError, BadInputError, ValueError, KeyError, TypeError, AttributeError) as wrong:
+        raise InvalidConfigError(
             f"{path}, line {line}: router.settings: {chosen.router.settings}: {wrong!s:.200}; "
             "name a JSON file with the nodes' settings"
         ) from wrong
     return chosen, machine, tenants
 
 
-def sense(path: str, place: Place, router: RouterChoice) -> None:
+def sense(path: str, place: YamlDocument, router: RouterChoice) -> None:
     """Values that are each in their form and do not fit together."""
     if router.zone not in router.zones:
-        line = place.line("$.router.zone")
+        line = place.line_of("$.router.zone")
         there = ", ".join(sorted(router.zones))
-        raise WrongFileError(f"{path}, line {line}: router.zone: {router.zone!r} is none of zones ({there})")
+        raise InvalidConfigError(
+            f"{path}, line {line}: router.zone: {router.zone!r} is none of zones ({there})"
+        )
     seen: dict[str, str] = {}
     for zone, choice in router.zones.items():
         for name, address in choice.nodes.items():
             where = f"router.zones.{zone}.nodes.{name}"
             check_address(path, place, where, address, "192.0.2.7:6000")
             if name in seen:
-                raise WrongFileError(
-                    f"{path}, line {place.line('$.' + where)}: {where}: the node {name!r} stands in "
+                raise InvalidConfigError(
+                    f"{path}, line {place.line_of('$.' + where)}: {where}: the node {name!r} stands in "
                     f"{seen[name]!r} as well; each has a name of its own"
                 )
             seen[name] = zone
     if len(seen) > NODES_MOST:
-        raise WrongFileError(f"{path}: router.zones: {len(seen)} nodes; {NODES_MOST} at the most")
+        raise InvalidConfigError(f"{path}: router.zones: {len(seen)} nodes; {NODES_MOST} at the most")
     if router.group is None and (router.members or router.candidate):
-        line = place.line("$.router.members") or place.line("$.router.candidate")
-        raise WrongFileError(
+        line = place.line_of("$.router.members") or place.line_of("$.router.candidate")
+        raise InvalidConfigError(
             f"{path}, line {line}: router.group: is missing; members and candidate are of a group of voters"
         )
     if router.group is not None and not router.members:
-        line = place.line("$.router.group")
-        raise WrongFileError(f"{path}, line {line}: router.members: is missing; name the voters' addresses")
+        line = place.line_of("$.router.group")
+        raise InvalidConfigError(
+            f"{path}, line {line}: router.members: is missing; name the voters' addresses"
+        )
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -10,18 +10,18 @@
 from twisted.internet.error import CannotListenError
 
 from lichencleat.clocks import make_reactor, unix_time
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.consensus.client import Client
 from lichencleat.failover.terms import Zone
 from lichencleat.leases.holder import Holder
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.node.assembly import UnixClock
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.structured import StructuredReport
 from lichencleat.programs import run_program
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterHost
-from lichencleat.router.file import RouterChoice, RouterFile, host_port, read_router
+from lichencleat.router.file import RouterChoice, RouterFile, parse_address, read_router
 from lichencleat.router.links import LINKS_MOST
 from lichencleat.router.seat import Judging, Telling
 from lichencleat.terms import Machine
@@ -45,7 +45,7 @@
         chosen = file.router
         self.code = STOPPED
         self.clock = UnixClock()
-        self.log = make_log(
+        self.log = create_logger(
             unix_time, file.log.form, process=chosen.name, role="router", zone=chosen.zone, pid=os.getpid()
         )
         self.report = StructuredReport(chosen.name, self.clock, file.log.form)
@@ -89,7 +89,7 @@
         self.ended = False
 
     def start(self) -> None:
-        host, port = host_port(self.chosen.listen)
+        host, port = parse_address(self.chosen.listen)
         try:
             self.callers.listen(self.reactor, (host, port))
         except CannotListenError as wrong:
@@ -117,7 +117,7 @@
             self.holder.start()
 
     def client(self, group: str) -> Client:
-        addresses = [host_port(each) for each in self.chosen.members]
+        addresses = [parse_address(each) for each in self.chosen.members]
         made = Client(self.reactor, group, addresses, self.rng, self.chosen.name)
         self.clients.append(made)
         return made
@@ -135,7 +135,7 @@
         """
         try:
             file, _, _ = read_router(self.path)
-        except WrongFileError as wrong:
+        except InvalidConfigError as wrong:
             self.report.count("router", "files refused")
             self.log.warning("the file before stays in force", reason=str(wrong))
             return
@@ -218,7 +218,7 @@
 
 def addresses_of(chosen: RouterChoice) -> dict[str, tuple[str, int]]:
     return {
-        name: host_port(address) for zone in chosen.zones.values() for name, address in zone.nodes.items()
+        name: parse_address(address) for zone in chosen.zones.values() for name, address in zone.nodes.items()
     }
 
 
--- a/lichencleat/testkit/cluster/hollow_nodes.py
+++ b/lichencleat/testkit/cluster/hollow_nodes.py
@@ -28,7 +28,7 @@
 from lichencleat.config_distribution.subscriber import Subscriber, Upward
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.testkit.cluster.tap import moment
 from lichencleat.testkit.hollow import Shared, SharedCopy
 
@@ -54,7 +54,7 @@
         nothing; else `version`: what the first has to have.
         """
         self.reactor, self.chosen = reactor, chosen
-        self.log = make_log(unix_time, process=chosen["name"], role="hollow", group=chosen["group"])
+        self.log = create_logger(unix_time, process=chosen["name"], role="hollow", group=chosen["group"])
         self.said = os.open(chosen["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
         self.shared: Shared | None = None
         self.takes: list[tuple[int, int, int]] = []  # node, version, µs
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -30,7 +30,7 @@
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch, Digests, Pages
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.store.errors import StoreError
 from lichencleat.testkit.cluster.heldback import HeldBackDisk
 from lichencleat.testkit.cluster.tap import moment
@@ -86,7 +86,7 @@
     def __init__(self, reactor: Any, chosen: dict[str, Any], mistake: str) -> None:
         self.reactor, self.chosen, self.mistake = reactor, chosen, mistake
         self.rng = random.Random(os.urandom(16))
-        self.log = make_log(unix_time, process=chosen["name"], role="watcher", group=chosen["group"])
+        self.log = create_logger(unix_time, process=chosen["name"], role="watcher", group=chosen["group"])
         self.said = os.open(chosen["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
         self.looks_at = [tuple(name.partition("/")[::2]) for name in chosen["looks_at"]]
         self.last: tuple[Any, ...] = ()
--- a/lichencleat/testkit/cluster/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -17,9 +17,9 @@
 
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.consensus.client import Client
-from lichencleat.consensus.file import host_port, read_quorum
+from lichencleat.consensus.file import parse_address, read_quorum
 from lichencleat.leases.holder import Holder
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 
 ACT = 0.01  # s between two acts on a job
 
@@ -65,8 +65,8 @@
     path, name, zone, port = sys.argv[1:]
     chosen = read_quorum(path)
     rng = random.Random(os.urandom(16))
-    log = make_log(unix_time, process=name, role="candidate", group=chosen.group)
-    client = Client(reactor, chosen.group, [host_port(each) for each in chosen.members], rng)
+    log = create_logger(unix_time, process=name, role="candidate", group=chosen.group)
+    client = Client(reactor, chosen.group, [parse_address(each) for each in chosen.members], rng)
     acts = Acts()
     acts.maxDelay = 0.2
     worker = Worker(reactor, name, acts)
--- a/tests/test_chosen.py
+++ b/tests/config/test_loading.py
@@ -1,4 +1,4 @@
-"""The operators' file: mistakes are told with their place, and what is in force with where it is from."""
+"""Loading of the operator's file: mistakes are reported with their line, settings with their origin."""
 
 import json
 import subprocess
@@ -6,7 +6,9 @@
 
 import pytest
 
-from lichencleat.config.file import WrongFileError, read_file, show
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.listing import list_settings
+from lichencleat.config.loading import read_node_config
 
 GOOD = """flows:
   collectors:
@@ -18,24 +20,26 @@
 
 
 @pytest.fixture
-def file(tmp_path):
+def config_file(tmp_path):
     def write(text):
-        path = tmp_path / "chosen.yaml"
+        path = tmp_path / "node.yaml"
         path.write_bytes(text.encode() if isinstance(text, str) else text)
         return str(path)
 
     return write
 
 
-def test_a_good_file_is_read_with_its_defaults(file):
-    flows = read_file(file(GOOD)).flows
-    assert [each.host_port() for each in flows.collectors] == [("127.0.0.1", 4739), ("::1", 4740)]
+def test_read_node_config_fills_in_defaults(config_file):
+    flows = read_node_config(config_file(GOOD)).flows
+    assert [each.endpoint for each in flows.collectors] == [("127.0.0.1", 4739), ("::1", 4740)]
     assert (flows.to, flows.active_s, flows.collectors[1].wire) == ("first that lives", 60.0, "ipfix-udp")
-    assert read_file(file("")).flows is None and read_file(file("{}")).flows is None
+    assert (
+        read_node_config(config_file("")).flows is None and read_node_config(config_file("{}")).flows is None
+    )
 
 
 @pytest.mark.parametrize(
-    ("old", "new", "told"),
+    ("old", "new", "message"),
     [
         ("  to: first that lives", "  too: all", "line 6: flows: unknown key 'too'; known here: active_s"),
         ("netflow9-udp", "netflow5", "line 4: flows.collectors[0].wire: Invalid enum value 'netflow5'"),
@@ -71,40 +75,40 @@
         (GOOD, "[" * 2_000, "not YAML"),
     ],
 )
-def test_a_mistake_is_told_with_its_place(file, old, new, told):
-    path = file(GOOD.replace(old, new))
-    with pytest.raises(WrongFileError) as wrong:
-        read_file(path)
-    assert told in str(wrong.value) and str(wrong.value).startswith(path) and "\n" not in str(wrong.value)
+def test_read_node_config_reports_a_mistake_with_its_line(config_file, old, new, message):
+    path = config_file(GOOD.replace(old, new))
+    with pytest.raises(InvalidConfigError) as error:
+        read_node_config(path)
+    assert message in str(error.value) and str(error.value).startswith(path) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize("text", [b"\xff\xfe\x00", b"a" * 2_000_000])
-def test_what_is_no_settings_file_is_refused(file, text):
-    with pytest.raises(WrongFileError):
-        read_file(file(text))
+def test_read_node_config_rejects_binary_and_oversized_files(config_file, text):
+    with pytest.raises(InvalidConfigError):
+        read_node_config(config_file(text))
 
 
-def test_a_missing_file_is_refused(tmp_path):
-    with pytest.raises(WrongFileError, match="No such file"):
-        read_file(str(tmp_path / "none.yaml"))
+def test_read_node_config_rejects_a_missing_file(tmp_path):
+    with pytest.raises(InvalidConfigError, match="No such file"):
+        read_node_config(str(tmp_path / "none.yaml"))
 
 
-def test_what_is_in_force_is_shown_with_where_it_comes_from(file):
-    shown = {each.path: (each.value, each.origin) for each in show(file(GOOD))}
-    assert shown["flows.collectors[0].wire"] == ("netflow9-udp", "line 4")
-    assert shown["flows.collectors[1].wire"] == ("ipfix-udp", "default")
-    assert shown["flows.to"] == ("first that lives", "line 6")
-    assert shown["flows.active_s"] == (60.0, "default")
+def test_list_settings_names_the_origin_of_each_value(config_file):
+    settings = {each.path: (each.value, each.origin) for each in list_settings(config_file(GOOD))}
+    assert settings["flows.collectors[0].wire"] == ("netflow9-udp", "line 4")
+    assert settings["flows.collectors[1].wire"] == ("ipfix-udp", "default")
+    assert settings["flows.to"] == ("first that lives", "line 6")
+    assert settings["flows.active_s"] == (60.0, "default")
 
 
-def test_the_commands(file):
+def test_config_commands_check_and_show_a_file(config_file):
     def call(*arguments):
         command = [sys.executable, "-m", "lichencleat", "config", *arguments]
         return subprocess.run(command, capture_output=True, text=True)
 
-    good = file(GOOD)
+    good = config_file(GOOD)
     assert call("check", good).returncode == 0
     rows = json.loads(call("show", good, "--json").stdout)
     assert {"setting": "flows.domain", "value": 1, "from": "default"} in rows
-    wrong = call("check", file("flowz: 1\n"))
-    assert wrong.returncode == 2 and wrong.stderr.count("\n") == 1 and "flowz" in wrong.stderr
+    rejected = call("check", config_file("flowz: 1\n"))
+    assert rejected.returncode == 2 and rejected.stderr.count("\n") == 1 and "flowz" in rejected.stderr
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -9,7 +9,7 @@
 
 from lichencleat.cli import distribution as commands
 from lichencleat.cli.main import lichencleat
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config_distribution.published import LINE_MOST, check_file, read_changes, split
 from lichencleat.config_distribution.source import Source
 from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change, encode
@@ -68,7 +68,7 @@
 )
 def test_a_wrong_line_is_told_with_its_place_and_nothing_is_taken(tmp_path, said, told):
     path = lines(tmp_path / "a.jsonl", GOOD % "good", said, b"\n")
-    with pytest.raises(WrongFileError) as wrong:
+    with pytest.raises(InvalidConfigError) as wrong:
         check_file(path)
     assert told in str(wrong.value) and str(wrong.value).startswith(f"{path}, line 2: ")
     assert "\n" not in str(wrong.value)
@@ -97,7 +97,7 @@
 )
 def test_a_wrong_record_of_yaml_too(tmp_path, said, told):
     path = lines(tmp_path / "a.yaml", "records:\n- {kind: tenant, name: a, value: 1}\n", said, "\n")
-    with pytest.raises(WrongFileError) as wrong:
+    with pytest.raises(InvalidConfigError) as wrong:
         check_file(path)
     assert told in str(wrong.value) and "\n" not in str(wrong.value)
 
@@ -105,10 +105,10 @@
 def test_a_file_that_is_not_there_or_holds_nothing(tmp_path):
     (tmp_path / "directory.jsonl").mkdir()
     for name, told in (("no.jsonl", "No such file"), ("directory.jsonl", "Is a directory")):
-        with pytest.raises(WrongFileError, match=told):
+        with pytest.raises(InvalidConfigError, match=told):
             check_file(str(tmp_path / name))
     for name, said in (("a.jsonl", "\n\n"), ("a.yaml", "records: []\n")):
-        with pytest.raises(WrongFileError, match="no records"):
+        with pytest.raises(InvalidConfigError, match="no records"):
             check_file(lines(tmp_path / name, said))
 
 
--- a/tests/config_distribution/test_relay_file.py
+++ b/tests/config_distribution/test_relay_file.py
@@ -4,7 +4,9 @@
 
 import pytest
 
-from lichencleat.config.file import SOURCES_MOST, WrongFileError, read_file
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.loading import read_node_config
+from lichencleat.config.schema import MAX_RELAY_ADDRESSES
 from lichencleat.config_distribution.file import read_relay
 from lichencleat.config_distribution.terms import RELAYS_MOST
 from lichencleat.consensus.file import read_quorum
@@ -45,9 +47,9 @@
 
 
 def test_a_node_s_section_is_read_and_its_mistakes_are_told(file):
-    chosen = read_file(f"{EXAMPLES}/node.yaml").distribution
+    chosen = read_node_config(f"{EXAMPLES}/node.yaml").distribution
     assert (chosen.zone, chosen.tenants, chosen.directory) == ("north-a", True, None)
-    assert read_file(file("")).distribution is None and SOURCES_MOST == RELAYS_MOST
+    assert read_node_config(file("")).distribution is None and MAX_RELAY_ADDRESSES == RELAYS_MOST
     for text, told in (
         (
             "distribution: {group: g, sources: [[1.1.1.1:7, 1.1.1.1:7]]}",
@@ -64,8 +66,8 @@
             "distribution.tenants: Expected `bool`",
         ),
     ):
-        with pytest.raises(WrongFileError) as wrong:
-            read_file(file(text))
+        with pytest.raises(InvalidConfigError) as wrong:
+            read_node_config(file(text))
         assert told in str(wrong.value)
 
 
@@ -99,6 +101,6 @@
 )
 def test_a_mistake_is_told_with_its_place(file, old, new, told):
     assert old in GOOD
-    with pytest.raises(WrongFileError) as wrong:
+    with pytest.raises(InvalidConfigError) as wrong:
         read_relay(file(GOOD.replace(old, new)))
     assert told in str(wrong.value)
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import Deferred, fail, succeed
 from twisted.internet.testing import MemoryReactorClock
 
-from lichencleat.config.file import read_text
+from lichencleat.config.loading import parse_node_config
 from lichencleat.config_distribution import kept
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.table import Table
@@ -160,7 +160,7 @@
         config.write_text(json.dumps(told))
         reactor = Machine()
         reactor.advance(1_000)
-        chosen, _ = read_text("f", text)
+        chosen, _ = parse_node_config("f", text)
         told = read_told({"BALANCER_CONFIG": str(config)})
         node = RealNode(reactor, lambda: int(reactor.seconds() * SECOND), told, chosen)
         node.told_lines = []
@@ -175,14 +175,14 @@
 def test_a_changed_section_needs_a_restart_and_a_hangup_leaves_what_runs(whole_node):
     node = whole_node(FILE)
     subscriber = node.distributed.subscriber
-    node.reload(node.told, read_text("f", FILE)[0])
+    node.reload(node.told, parse_node_config("f", FILE)[0])
     assert "distribution" not in node.told_lines[-1]
     for text in (FILE.replace("zone: z", "zone: y"), ""):
-        node.reload(node.told, read_text("f", text)[0])
+        node.reload(node.told, parse_node_config("f", text)[0])
         assert "distribution changed, which needs a restart" in node.told_lines[-1]
     assert node.distributed.subscriber is subscriber and not subscriber.stopped
     plain = whole_node("")
-    plain.reload(plain.told, read_text("f", FILE)[0])
+    plain.reload(plain.told, parse_node_config("f", FILE)[0])
     assert "distribution changed, which needs a restart" in plain.told_lines[-1]
     assert plain.distributed is None and plain.dispatchers.tenants == frozenset([b"old"])
 
@@ -203,7 +203,7 @@
 
 def test_off_means_not_imported():
     text = "from lichencleat.config.file import read_text; import lichencleat.node.assembly, sys; "
-    text += "assert read_text('f', 'log: {form: json}')[0].log; print(*sys.modules)"
+    text += "assert parse_node_config('f', 'log: {form: json}')[0].log; print(*sys.modules)"
     ran = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True)
     assert "lichencleat.node.assembly" in ran.stdout.split()
     assert not [each for each in ran.stdout.split() if "distribution" in each or each == "xxhash"]
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -7,7 +7,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.failover.terms import Zone
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.report import Report
@@ -357,7 +357,7 @@
     ],
 )
 def test_a_mistake_in_the_file_is_one_line_with_its_place(written, change, said):
-    with pytest.raises(WrongFileError) as wrong:
+    with pytest.raises(InvalidConfigError) as wrong:
         read_router(written(change))
     assert said in str(wrong.value) and "\n" not in str(wrong.value)
 
@@ -366,5 +366,5 @@
     "settings", [[], {}, {"classes": []}, {"classes": [{"name": "x"}]}, "x", {"settings": 1}]
 )
 def test_settings_that_are_none_are_told_with_the_line_that_names_them(written, settings):
-    with pytest.raises(WrongFileError, match="line 5: router.settings"):
+    with pytest.raises(InvalidConfigError, match="line 5: router.settings"):
         read_router(written(settings=settings))
