--- a/benchmarks/keyed.py
+++ b/benchmarks/keyed.py
@@ -15,9 +15,18 @@
 
 import click
 
-from lichencleat.idempotency.book import READ_LATE
-from lichencleat.idempotency.records import ENTRY, FORMAT, WHOSE, Entry, Seen, State, Whose, encode
-from lichencleat.idempotency.records import SEEN as SEEN_KEY
+from lichencleat.idempotency.index import READ_DELAY_US
+from lichencleat.idempotency.records import (
+    FORMAT_VERSION,
+    HEARTBEAT_KEY,
+    OWNERSHIP_KEY,
+    RECORD_PREFIX,
+    Heartbeat,
+    IdempotencyRecord,
+    Ownership,
+    RecordState,
+    encode,
+)
 from lichencleat.store.batch import Batch
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
@@ -97,13 +106,15 @@
 def prepared(directory: str, entries: int, now: int) -> None:
     rng = random.Random(1)
     engine = Engine.open(RealDisk(directory, create=True), unix_time, rng, Bounds(), True, directory)
-    whose = Whose(FORMAT, "n1", os.stat(directory).st_ino)
-    head = Batch().put(WHOSE, encode(whose)).put(SEEN_KEY, encode(Seen(now, now)))
+    whose = Ownership(FORMAT_VERSION, "n1", os.stat(directory).st_ino)
+    head = Batch().put(OWNERSHIP_KEY, encode(whose)).put(HEARTBEAT_KEY, encode(Heartbeat(now, now)))
     batches = [head]
     for number in range(entries):
-        ident, until = b"%016x" % number, now + READ_LATE
-        made = Entry(State.DONE, "save", now, until, now + HARD_LIMIT, ident, rng.randbytes(16), RESULT)
-        batches.append(Batch().put(ENTRY + rng.randbytes(16), encode(made)))
+        ident, until = b"%016x" % number, now + READ_DELAY_US
+        made = IdempotencyRecord(
+            RecordState.DONE, "save", now, until, now + HARD_LIMIT, ident, rng.randbytes(16), RESULT
+        )
+        batches.append(Batch().put(RECORD_PREFIX + rng.randbytes(16), encode(made)))
     for at in range(0, len(batches), 512):
         engine.commit(batches[at : at + 512])
     engine.close()
--- a/lichencleat/cli/keyed.py
+++ b/lichencleat/cli/keyed.py
@@ -13,19 +13,19 @@
 
 from lichencleat.cli import output
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.idempotency.book import READ_LATE
+from lichencleat.idempotency.index import READ_DELAY_US
 from lichencleat.idempotency.records import (
-    ENTRY,
-    FORMAT,
-    SEEN,
-    WHOSE,
-    Entry,
-    Seen,
-    State,
-    Whose,
-    decode_entry,
-    decode_seen,
-    decode_whose,
+    FORMAT_VERSION,
+    HEARTBEAT_KEY,
+    OWNERSHIP_KEY,
+    RECORD_PREFIX,
+    Heartbeat,
+    IdempotencyRecord,
+    Ownership,
+    RecordState,
+    decode_heartbeat,
+    decode_ownership,
+    decode_record,
     encode,
 )
 from lichencleat.store.batch import Batch
@@ -52,7 +52,7 @@
         if not os.path.isdir(path):
             raise UnfitError(f"{path}: no such directory; name the one of the node's file")
         engine = Engine.open(RealDisk(path), now, random.Random(os.urandom(16)), Bounds(), False, path)
-        if engine.get(WHOSE) is None and not any(True for _ in engine.scan(b"")):
+        if engine.get(OWNERSHIP_KEY) is None and not any(True for _ in engine.scan(b"")):
             raise UnfitError(f"{path}: no node has used it yet")
         yield engine
     except UnfitError as wrong:
@@ -64,10 +64,10 @@
             engine.close()
 
 
-def entries(engine: Engine) -> Iterator[tuple[str, Entry | None]]:
-    for key, value in engine.scan(ENTRY):
+def entries(engine: Engine) -> Iterator[tuple[str, IdempotencyRecord | None]]:
+    for key, value in engine.scan(RECORD_PREFIX):
         try:
-            yield key[1:].hex(), decode_entry(value)
+            yield key[1:].hex(), decode_record(value)
         except UNDECODABLE:
             yield key[1:].hex(), None
 
@@ -84,19 +84,19 @@
 def list_entries(directory: str, as_json: bool, only_open: bool) -> None:
     """Each key's mark, state, and age and what was left of its window at the node's last sign of life."""
     with opened(directory) as engine:
-        said = engine.get(SEEN)
-        seen = decode_seen(said).own if said is not None else 0
+        said = engine.get(HEARTBEAT_KEY)
+        seen = decode_heartbeat(said).node_time if said is not None else 0
         rows = [
             [
                 key,
-                State(each.state).name.lower(),
-                each.tariff,
+                RecordState(each.state).name.lower(),
+                each.request_class,
                 (seen - each.arrived) / SECOND,
-                (each.until - seen) / SECOND,
+                (each.expires - seen) / SECOND,
                 len(each.result),
             ]
             for key, each in entries(engine)
-            if each is not None and (not only_open or each.state == State.OPEN)
+            if each is not None and (not only_open or each.state == RecordState.OPEN)
         ]
     output.table(["key", "state", "tariff", "age_s", "window_left_s", "result_bytes"], rows, as_json)
 
@@ -107,19 +107,19 @@
 def show(directory: str, as_json: bool) -> None:
     """Whose it is, its last sign of life, how many entries of each kind."""
     with opened(directory) as engine:
-        said, seen = engine.get(WHOSE), engine.get(SEEN)
-        whose = decode_whose(said) if said is not None else Whose(0, "", 0)
-        last = decode_seen(seen) if seen is not None else Seen(0, now())
+        said, seen = engine.get(OWNERSHIP_KEY), engine.get(HEARTBEAT_KEY)
+        whose = decode_ownership(said) if said is not None else Ownership(0, "", 0)
+        last = decode_heartbeat(seen) if seen is not None else Heartbeat(0, now())
         known = [each for _, each in entries(engine) if each is not None]
         stat = engine.stat()
     pairs = {
         "node": whose.node,
         "format": whose.format,
-        "last_sign_s_ago": round((now() - last.unix) / SECOND, 3),
+        "last_sign_s_ago": round((now() - last.unix_time) / SECOND, 3),
         "entries": len(known),
-        "without_result": sum(each.state == State.OPEN for each in known),
-        "ran_to_nothing": sum(each.state == State.FAILED for each in known),
-        "past_their_window": sum(each.until + READ_LATE < last.own for each in known),
+        "without_result": sum(each.state == RecordState.OPEN for each in known),
+        "ran_to_nothing": sum(each.state == RecordState.FAILED for each in known),
+        "past_their_window": sum(each.expires + READ_DELAY_US < last.node_time for each in known),
         "result_bytes": sum(len(each.result) for each in known),
     }
     output.pairs(
@@ -133,19 +133,21 @@
     """What cannot be: entries unreadable, windows or due times that no node writes. Exit code 1 on any."""
     found = []
     with opened(directory) as engine:
-        said = engine.get(WHOSE)
+        said = engine.get(OWNERSHIP_KEY)
         if said is None:
             found.append("it says of no node")
-        elif decode_whose(said).format != FORMAT:
-            found.append(f"format {decode_whose(said).format}, and this program's is {FORMAT}")
+        elif decode_ownership(said).format != FORMAT_VERSION:
+            found.append(f"format {decode_ownership(said).format}, and this program's is {FORMAT_VERSION}")
         count = 0
         for key, each in entries(engine):
             count += 1
-            if each is None or each.state not in list(State):
+            if each is None or each.state not in list(RecordState):
                 found.append(f"{key}: unreadable")
-            elif not (0 <= each.until - each.arrived <= LONGEST and 0 <= each.due - each.arrived <= LONGEST):
+            elif not (
+                0 <= each.expires - each.arrived <= LONGEST and 0 <= each.due - each.arrived <= LONGEST
+            ):
                 found.append(f"{key}: window or due time out of range")
-            elif each.result and each.state != State.DONE:
+            elif each.result and each.state != RecordState.DONE:
                 found.append(f"{key}: a result of a run that made none")
     for each in found:
         click.echo(each)
@@ -161,11 +163,11 @@
     Wrong for an older copy: what ran since then would run again.
     """
     with opened(directory) as engine:
-        said = engine.get(WHOSE)
+        said = engine.get(OWNERSHIP_KEY)
         if said is None:
             raise output.WrongInput(f"keyed: {directory}: it says of no node, so nothing is to be taken on")
-        whose = msgspec.structs.replace(decode_whose(said), place=os.stat(directory).st_ino)
-        (wrong,) = engine.commit([Batch().put(WHOSE, encode(whose))])
+        whose = msgspec.structs.replace(decode_ownership(said), directory_id=os.stat(directory).st_ino)
+        (wrong,) = engine.commit([Batch().put(OWNERSHIP_KEY, encode(whose))])
         if wrong is not None:
             raise wrong
     click.echo(f"{directory}: taken on for the node {whose.node!r}")
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -1,63 +1,87 @@
-"""A node's keeper put together: directory, store, book; and what can't be, in one line."""
+"""Builds a node's idempotency service: directory, store, index."""
 
 from __future__ import annotations
 
 import os
 import random
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Generator
+from typing import Any, Protocol
 
-from twisted.internet.defer import inlineCallbacks
+from twisted.internet.defer import Deferred, inlineCallbacks
+from twisted.internet.interfaces import IReactorFromThreads
 
 from lichencleat.config.schema import IdempotencyConfig
-from lichencleat.idempotency.book import Book
-from lichencleat.idempotency.keeper import Keeper
-from lichencleat.idempotency.whose import NotOursError
+from lichencleat.idempotency.errors import ForeignDirectoryError, ServiceStartError
+from lichencleat.idempotency.index import RecordIndex
+from lichencleat.idempotency.interfaces import Report, RequestEngine, Timers
+from lichencleat.idempotency.service import IdempotencyService
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.errors import StoreError
 from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
 
-SEGMENT = 4 << 20  # bytes: an entry lives some ten seconds, so whole segments are soon free
-FILLED = 0.5  # of the disk's bytes for what counts: cleaning needs the rest
-MORE = 16  # entries beside those of keys
+MEGABYTE = 1 << 20
+SEGMENT_BYTES = 4 << 20  # a record lives some ten seconds, so whole segments are soon free
+LIVE_SHARE = 0.5  # of the disk's bytes for live records: compaction needs the rest
+EXTRA_ENTRIES = 16  # of the store, beside those of idempotency keys
 
 
-class CantStartError(Exception):
-    """What, where, what to do, in one line."""
+class Interpreter(Protocol):
+    """The interpreter's connection, as far as the service has to know it."""
 
+    early: dict[bytes, Any] | None  # ends of runs that nobody asked for yet, where they are kept
+    began: Callable[[int], None] | None  # called with the interpreter's age, µs
 
-def disk_of(chosen: IdempotencyConfig) -> Disk:
-    if chosen.disk == "held back":
-        from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
 
-        return HeldBackDisk(chosen.directory, create=True)
-    return RealDisk(chosen.directory, create=True)
+class NodeParts(Protocol):
+    """The parts of a node that the service works with."""
+
+    host: RequestEngine
+    deadlines: Timers
+    report: Report
+    interpreter: Interpreter
 
 
-def make_keeper(node: Any, name: str, chosen: IdempotencyConfig, clock: Callable[[], int]) -> Keeper:
-    """Of a net.assembly.RealNode. It parks what is receipted until it has started."""
-    book = Book(chosen.entries, round(chosen.disk_mb * (1 << 20) * FILLED))
-    keeper = Keeper(name, node.host, node.deadlines, node.report, clock, book)
+def create_service(
+    node: NodeParts, name: str, config: IdempotencyConfig, clock: Callable[[], int]
+) -> IdempotencyService:
+    """Creates the service of a node; requests with a key wait until it is started."""
+    index = RecordIndex(config.entries, round(config.disk_mb * MEGABYTE * LIVE_SHARE))
+    service = IdempotencyService(name, node.host, node.deadlines, node.report, clock, index)
     node.interpreter.early = {}
-    node.interpreter.began = keeper.interpreter_began
-    return keeper
+    node.interpreter.began = service.on_interpreter_started
+    return service
 
 
 @inlineCallbacks
-def start_keeper(reactor: Any, keeper: Keeper, chosen: IdempotencyConfig, clock: Callable[[], int]) -> Any:
-    """Fails with CantStartError."""
+def start_service(
+    reactor: IReactorFromThreads,
+    service: IdempotencyService,
+    config: IdempotencyConfig,
+    clock: Callable[[], int],
+) -> Generator[Deferred[Any], Any, None]:
+    """Opens the store and starts the service on it. Fails with ServiceStartError."""
+    directory = config.directory
     bounds = Bounds(
-        segment_bytes=SEGMENT, disk_bytes=round(chosen.disk_mb * (1 << 20)), entries=chosen.entries + MORE
+        segment_bytes=SEGMENT_BYTES,
+        disk_bytes=round(config.disk_mb * MEGABYTE),
+        entries=config.entries + EXTRA_ENTRIES,
     )
     rng = random.Random(os.urandom(16))
-    where = f"keyed.directory: {chosen.directory}"
     try:
-        store = yield open_store(reactor, chosen.directory, clock, rng, bounds, disk=disk_of(chosen))
-    except (StoreError, OSError) as wrong:
-        raise CantStartError(f"{where}: {wrong}") from wrong
+        store = yield open_store(reactor, directory, clock, rng, bounds, disk=_open_disk(config))
+    except (StoreError, OSError) as error:
+        raise ServiceStartError(directory, error) from error
     try:
-        yield keeper.start(store, os.stat(chosen.directory).st_ino)
-    except (NotOursError, StoreError, ValueError) as wrong:
+        yield service.start(store, os.stat(directory).st_ino)
+    except (ForeignDirectoryError, StoreError, ValueError) as error:
         yield store.close()
-        raise CantStartError(f"{where}: {wrong}") from wrong
+        raise ServiceStartError(directory, error) from error
+
+
+def _open_disk(config: IdempotencyConfig) -> Disk:
+    if config.disk == "held back":
+        from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
+
+        return HeldBackDisk(config.directory, create=True)
+    return RealDisk(config.directory, create=True)
--- /dev/null
+++ b/lichencleat/idempotency/earlier_runs.py
@@ -0,0 +1,94 @@
+"""Runs of an earlier incarnation: repeats wait until the interpreter reports them, or can't any more."""
+
+from __future__ import annotations
+
+from functools import partial
+
+from lichencleat.idempotency.index import RecordIndex
+from lichencleat.idempotency.intents import complete_record
+from lichencleat.idempotency.interfaces import PendingRequest, Report, RequestEngine, Timers
+from lichencleat.idempotency.node_time import NodeTime
+from lichencleat.idempotency.writer import RecordWriter
+from lichencleat.terms import Outcome
+
+# After the last heartbeat by the system's clock: an interpreter that started later knows no earlier run.
+HEARTBEAT_MARGIN_US = 2_000_000
+
+
+class EarlierRuns:
+    """Adopts the runs of an earlier incarnation and answers the repeats that wait for them."""
+
+    def __init__(
+        self,
+        index: RecordIndex,
+        writer: RecordWriter,
+        time: NodeTime,
+        engine: RequestEngine,
+        timers: Timers,
+        report: Report,
+    ) -> None:
+        self._index = index
+        self._writer = writer
+        self._time = time
+        self._engine = engine
+        self._timers = timers
+        self._report = report
+        self._waiting: dict[bytes, list[PendingRequest]] = {}  # by record key
+        self._interpreter_started_at: int | None = None  # µs of the monotonic clock
+
+    def adopt_all(self) -> None:
+        """Subscribes to the reports of all earlier runs, once the index is loaded."""
+        for run_id in list(self._index.earlier_runs):
+            self._engine.adopts(run_id, partial(self._on_run_ended, run_id))
+        self._engine.adopts_no_more()
+        self._discard_if_interpreter_is_new()
+
+    def wait_for(self, key: bytes, case: PendingRequest) -> None:
+        """Answers a repeat once the run of its key is reported."""
+        self._waiting.setdefault(key, []).append(case)
+
+    def on_interpreter_started(self, age: int) -> None:
+        """The interpreter started `age` µs ago; called on each connection, also before loading."""
+        self._interpreter_started_at = self._timers.now() - age
+        if self._index.is_loaded:
+            self._discard_if_interpreter_is_new()
+
+    def discard_overdue(self) -> None:
+        """Ends the wait for runs past their deadline."""
+        for key in self._index.discard_overdue_runs(self._time.now()):
+            self._answer_waiting(key, None)
+
+    def _on_run_ended(self, run_id: bytes, outcome: Outcome, took: int, result: bytes) -> None:
+        run = self._index.resolve_earlier_run(run_id)
+        if run is None:
+            return
+        self._report.count("keyed", f"earlier runs told of: {outcome.name.lower()}")
+        if outcome not in (Outcome.COMPLETED, Outcome.ERRED):
+            self._answer_waiting(run.key, None)
+            return
+        completed = complete_record(run.record, outcome, result)
+        answer = result if outcome is Outcome.COMPLETED else None
+        written = self._writer.write_result(run.key, completed)
+        written.addBoth(lambda _: self._answer_waiting(run.key, answer))
+
+    def _answer_waiting(self, key: bytes, result: bytes | None) -> None:
+        for case in self._waiting.pop(key, ()):
+            self._engine.end_share(case, result)
+
+    def _discard_if_interpreter_is_new(self) -> None:
+        """Ends all waits where the interpreter started after the earlier runs.
+
+        That is: in this incarnation, or by the system's clock after the last heartbeat of the earlier one. A
+        clock that was set can at worst end a wait too early.
+        """
+        started_at = self._interpreter_started_at
+        if started_at is None or not self._index.earlier_runs:
+            return
+        started_unix = self._time.unix_now() - (self._timers.now() - started_at)
+        started_here = started_at >= self._time.started_at
+        if started_here or started_unix > self._time.last_heartbeat_unix + HEARTBEAT_MARGIN_US:
+            count = len(self._index.earlier_runs)
+            self._report.note(f"keyed: a new interpreter: {count} intents stay without a result")
+            self._index.discard_earlier_runs()
+            for key in list(self._waiting):
+                self._answer_waiting(key, None)
--- /dev/null
+++ b/lichencleat/idempotency/errors.py
@@ -0,0 +1,20 @@
+"""Errors of durable idempotency."""
+
+from __future__ import annotations
+
+
+class IdempotencyError(Exception):
+    """Base of this package's errors: one line that says what is wrong and what to do."""
+
+
+class ForeignDirectoryError(IdempotencyError):
+    """The directory belongs to another node, or is a copy."""
+
+
+class ServiceStartError(IdempotencyError):
+    """The service can't start on its directory."""
+
+    def __init__(self, directory: str, reason: Exception) -> None:
+        super().__init__(f"keyed.directory: {directory}: {reason}")
+        self.directory = directory
+        self.reason = reason
--- /dev/null
+++ b/lichencleat/idempotency/intents.py
@@ -0,0 +1,171 @@
+"""Intents before runs, results before answers: the records of requests that this incarnation runs."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import msgspec
+from twisted.python.failure import Failure
+
+from lichencleat.idempotency.index import RecordIndex
+from lichencleat.idempotency.interfaces import PendingRequest, Report, RequestEngine, Timers
+from lichencleat.idempotency.node_time import NodeTime
+from lichencleat.idempotency.records import IdempotencyRecord, RecordState, encode, split_request_key
+from lichencleat.idempotency.writer import SLOW_WRITE_US, RecordWriter
+from lichencleat.store.batch import Batch
+from lichencleat.terms import Outcome, Request
+
+
+@dataclass(slots=True)
+class PendingStart:
+    """A run that waits for its intent to be durable."""
+
+    case: PendingRequest
+    since: int  # µs of the monotonic clock when the intent was written
+    is_confirmed: bool = False
+    is_requested: bool = False  # the admission controller has started it
+
+
+@dataclass(frozen=True, slots=True)
+class OpenRecord:
+    """The intent of a run that is not over."""
+
+    key: bytes
+    record: IdempotencyRecord
+
+
+def complete_record(record: IdempotencyRecord, outcome: Outcome, result: bytes) -> IdempotencyRecord:
+    """Returns the record of an intent whose run is over, with the result if it completed."""
+    is_completed = outcome is Outcome.COMPLETED
+    return msgspec.structs.replace(
+        record,
+        state=RecordState.DONE if is_completed else RecordState.FAILED,
+        result=result if is_completed else b"",
+    )
+
+
+class IntentLog:
+    """Runs from their intent to their result."""
+
+    def __init__(
+        self,
+        index: RecordIndex,
+        writer: RecordWriter,
+        time: NodeTime,
+        engine: RequestEngine,
+        timers: Timers,
+        report: Report,
+        on_capacity_changed: Callable[[], None],
+    ) -> None:
+        self._index = index
+        self._writer = writer
+        self._time = time
+        self._engine = engine
+        self._timers = timers
+        self._report = report
+        self._on_capacity_changed = on_capacity_changed
+        self._open_records: dict[Request, OpenRecord] = {}
+        self.pending_starts: dict[Request, PendingStart] = {}  # at most what the node lets run
+
+    def record_intent(self, case: PendingRequest, window: int) -> None:
+        """Writes an intent; what arrives in the next `window` µs is a repeat of this request."""
+        request = case.request
+        key, body_digest = split_request_key(case.key)
+        record = IdempotencyRecord(
+            RecordState.OPEN,
+            request.tariff.name,
+            arrived=self._time.from_unix(request.arrived),
+            expires=self._time.now() + window,
+            due=self._time.from_unix(request.due),
+            run_id=case.ident,
+            body_digest=body_digest,
+        )
+        start = PendingStart(case, self._timers.now())
+        self._open_records[request] = OpenRecord(key, record)
+        self.pending_starts[request] = start
+        self._index.put(key, record)
+        written = self._writer.write(Batch().put(key, encode(record)))
+        written.addCallbacks(
+            self._on_intent_written, self._on_intent_failed, callbackArgs=(start,), errbackArgs=(start,)
+        )
+        self._on_capacity_changed()
+
+    def start_run(self, case: PendingRequest) -> None:
+        """Starts a run as soon as its intent is confirmed."""
+        start = self.pending_starts.get(case.request)
+        if start is None:  # withdrawn in the same turn
+            self._timers.after(0, self._engine.not_begun, case)
+            return
+        start.is_requested = True
+        if start.is_confirmed:
+            self._begin_run(start)
+
+    def delete_intent(self, request: Request) -> None:
+        """Deletes the record of a request that ended without a run: a repeat of it is new."""
+        self.pending_starts.pop(request, None)
+        self._delete_record(request)
+
+    def withdraw_late_starts(self, now: int) -> None:
+        """Gives up starts whose intent takes too long; `now` is of the monotonic clock."""
+        late = [start for start in self.pending_starts.values() if now - start.since > SLOW_WRITE_US]
+        for start in late:
+            if not start.is_confirmed:
+                self._withdraw(start)
+
+    def on_run_completed(
+        self, case: PendingRequest, outcome: Outcome, result: bytes, on_recorded: Callable[[], None]
+    ) -> None:
+        """Records a run's result; `on_recorded` is called once it is durable, or can't be.
+
+        Where the disk fails, the result is answered all the same: the run happened, and to hold the answer
+        back helps nobody. A repeat after a restart then gets an error.
+        """
+        known = self._open_records.pop(case.request, None)
+        if known is None:
+            on_recorded()
+            return
+        completed = complete_record(known.record, outcome, result)
+        self._writer.write_result(known.key, completed).addBoth(lambda _: on_recorded())
+
+    def on_run_lost(self, case: PendingRequest) -> None:
+        """Keeps the intent of a run whose end proves nothing."""
+        self._open_records.pop(case.request, None)
+
+    def _on_intent_written(self, _: None, start: PendingStart) -> None:
+        if self.pending_starts.get(start.case.request) is not start:
+            return  # it was withdrawn meanwhile, and its record is deleted
+        start.is_confirmed = True
+        if start.is_requested:
+            self._begin_run(start)
+
+    def _on_intent_failed(self, failure: Failure, start: PendingStart) -> None:
+        self._timers.after(0, self._withdraw, start)  # the engine takes inputs after the current round
+
+    def _begin_run(self, start: PendingStart) -> None:
+        del self.pending_starts[start.case.request]
+        if start.case.open:
+            self._engine.begin_run(start.case)
+        else:  # its caller has gone, or had its answer: nothing ran
+            self._engine.never_began(start.case)
+
+    def _withdraw(self, start: PendingStart) -> None:
+        """Gives up a start whose intent is not confirmed in time: nothing ran, and the record is deleted."""
+        case = start.case
+        if self.pending_starts.get(case.request) is not start:
+            return
+        del self.pending_starts[case.request]
+        self._report.count("keyed", "intents withdrawn")
+        self._delete_record(case.request)
+        if case.open:
+            self._engine.not_begun(case)
+        elif start.is_requested:
+            self._engine.never_began(case)
+
+    def _delete_record(self, request: Request) -> None:
+        known = self._open_records.pop(request, None)
+        if known is None:
+            return
+        self._index.remove(known.key)
+        self._writer.delete([known.key])
+        self._on_capacity_changed()
--- /dev/null
+++ b/lichencleat/idempotency/node_time.py
@@ -0,0 +1,47 @@
+"""The node's own time: it continues from its last heartbeat and stands still while the node is down.
+
+Whatever the system's clock did meanwhile, no idempotency window ends too early; records stay longer by the
+time that the node was down.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from lichencleat.idempotency.interfaces import Timers
+from lichencleat.idempotency.records import Heartbeat
+
+
+class NodeTime:
+    """Derives the node's own time from the monotonic clock and the last heartbeat. All times are µs."""
+
+    def __init__(self, timers: Timers, unix_clock: Callable[[], int]) -> None:
+        self._timers = timers
+        self._unix_clock = unix_clock
+        self._origin = 0  # own time at `started_at`
+        self.started_at = timers.now()  # of the monotonic clock
+        self.last_heartbeat_unix = 0  # of the earlier incarnation
+
+    def resume(self, last: Heartbeat | None) -> None:
+        """Continues from the last heartbeat of the earlier incarnation; without one, from Unix time."""
+        if last is None:
+            last = Heartbeat(self._unix_clock(), self._unix_clock())
+        self._origin = last.node_time
+        self.last_heartbeat_unix = last.unix_time
+        self.started_at = self._timers.now()
+
+    def now(self) -> int:
+        """The node's own time."""
+        return self._origin + self._timers.now() - self.started_at
+
+    def unix_now(self) -> int:
+        """Unix time by the system's clock."""
+        return self._unix_clock()
+
+    def from_unix(self, unix_time: int) -> int:
+        """Converts a Unix time, by the system's clock as it is now."""
+        return self.now() - (self._unix_clock() - unix_time)
+
+    def heartbeat(self) -> Heartbeat:
+        """Returns the heartbeat to store now."""
+        return Heartbeat(self.now(), self._unix_clock())
--- a/lichencleat/idempotency/records.py
+++ b/lichencleat/idempotency/records.py
@@ -1,4 +1,7 @@
-"""What stands on disk: one record a key, written anew as more is known, and whose directory it is; no I/O."""
+"""Codec of the stored records: one a key, written anew as more is known; the owner; the last heartbeat.
+
+The structs are arrays on disk: fields may be renamed, but never moved or dropped.
+"""
 
 from __future__ import annotations
 
@@ -7,56 +10,66 @@
 
 import msgspec
 
-FORMAT = 1  # of these records; a directory of another one is refused
-ENTRY, WHOSE, SEEN = b"e", b"w", b"s"  # first byte of a key: an entry, the owner, the last time seen
-MARK = 16  # bytes of a key's mark and of a body's: no two meet by chance, nor by a hostile caller's choice
+FORMAT_VERSION = 1  # of these records; a directory of another version is refused
+
+# First byte of a key in the store.
+RECORD_PREFIX = b"e"
+OWNERSHIP_KEY = b"w"
+HEARTBEAT_KEY = b"s"
 
+DIGEST_BYTES = 16  # of keys and bodies: no two collide by chance, nor by a hostile caller's choice
 
-class State(IntEnum):
-    """What is known of a try that was let run. The numbers are the format's: never given anew."""
 
-    OPEN = 1  # its intent stands: it may have run
+class RecordState(IntEnum):
+    """What is known of a request that was admitted to run. The numbers are stored."""
+
+    OPEN = 1  # only its intent is recorded: it may have run
     DONE = 2  # it ran, and this is its result
-    FAILED = 3  # it ran and came to nothing
+    FAILED = 3  # it ran and failed
+
 
+class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
+    """What is stored of one key. Times are µs of the node's own time (see `node_time`)."""
 
-class Entry(msgspec.Struct, frozen=True, array_like=True):
     state: int
-    tariff: str
-    arrived: int  # µs of the node's own time, of the try that was let run
-    until: int  # what arrives up to then is a repeat of it
+    request_class: str
+    arrived: int  # of the request that was admitted to run
+    expires: int  # what arrives up to then is a repeat of it
     due: int
-    ident: bytes  # its name at the interpreter
-    body: bytes  # mark of the tariff and the body
+    run_id: bytes  # at the interpreter
+    body_digest: bytes  # of the request class and the body
     result: bytes = b""
 
 
-class Whose(msgspec.Struct, frozen=True, array_like=True):
-    """Whose directory it is, and where it lay when that was written."""
+class Ownership(msgspec.Struct, frozen=True, array_like=True):
+    """Whose directory it is, and where it was when that was written."""
 
     format: int
     node: str
-    place: int  # the directory's number in its file system: a copy has another
+    directory_id: int  # inode of the directory: a copy has another
 
 
-decode_entry = msgspec.msgpack.Decoder(Entry).decode
-decode_whose = msgspec.msgpack.Decoder(Whose).decode
-encode = msgspec.msgpack.encode
+class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
+    """When the node was last alive."""
 
+    node_time: int  # µs of the node's own time
+    unix_time: int  # µs, by the system's clock
 
-def mark(key: bytes) -> bytes:
-    """Where a caller's key, whatever its length, stands in the store and in the book.
 
-    A quick hash would let a hostile caller make two keys meet.
-    """
-    return ENTRY + blake2b(key, digest_size=MARK).digest()
+encode = msgspec.msgpack.encode
+decode_record = msgspec.msgpack.Decoder(IdempotencyRecord).decode
+decode_ownership = msgspec.msgpack.Decoder(Ownership).decode
+decode_heartbeat = msgspec.msgpack.Decoder(Heartbeat).decode
 
 
-class Seen(msgspec.Struct, frozen=True, array_like=True):
-    """The last sign of life."""
+def record_key(caller_key: bytes) -> bytes:
+    """Returns where a caller's key, whatever its length, stands in the store and in the index.
 
-    own: int  # µs of the node's own time
-    unix: int  # µs, as the system's clock had it then
+    The digest is cryptographic: with a quick hash a hostile caller could make two keys collide.
+    """
+    return RECORD_PREFIX + blake2b(caller_key, digest_size=DIGEST_BYTES).digest()
 
 
-decode_seen = msgspec.msgpack.Decoder(Seen).decode
+def split_request_key(key: bytes) -> tuple[bytes, bytes]:
+    """Returns record key and body digest of a pending request's key."""
+    return record_key(key[:-DIGEST_BYTES]), key[-DIGEST_BYTES:]
--- /dev/null
+++ b/lichencleat/idempotency/service.py
@@ -0,0 +1,239 @@
+"""The idempotency service of a node: loads the records, holds arrivals meanwhile, keeps the heartbeat.
+
+Every wait for the disk ends: by the disk's answer, by the bound for a slow disk, or by the request's own
+deadline.
+"""
+
+from __future__ import annotations
+
+from collections import deque
+from collections.abc import Callable, Generator
+from typing import Any, NamedTuple
+
+from twisted.internet.defer import Deferred, inlineCallbacks, succeed
+
+from lichencleat.decoding import UNDECODABLE
+from lichencleat.idempotency.earlier_runs import EarlierRuns
+from lichencleat.idempotency.index import RecordIndex
+from lichencleat.idempotency.intents import IntentLog
+from lichencleat.idempotency.interfaces import PendingRequest, Report, RequestEngine, Timers
+from lichencleat.idempotency.lookups import RecordLookup
+from lichencleat.idempotency.node_time import NodeTime
+from lichencleat.idempotency.ownership import check_ownership
+from lichencleat.idempotency.records import (
+    HEARTBEAT_KEY,
+    OWNERSHIP_KEY,
+    RECORD_PREFIX,
+    decode_heartbeat,
+    decode_record,
+    encode,
+)
+from lichencleat.idempotency.writer import RecordWriter
+from lichencleat.store.batch import Batch
+from lichencleat.store.store import Store
+
+HEARTBEAT_INTERVAL_US = 1_000_000  # also shows whether a disk that failed works again
+POLL_INTERVAL_US = 50_000  # between looks at what waits, while something does
+MAX_PENDING_ARRIVALS = 4_096  # requests that wait for the index, over all connections: some MB
+MAX_ARRIVAL_WAIT_US = 1_500_000  # for the index: most are loaded by then
+LOAD_CHUNK = 4_000  # records read at once at the start: the reactor is held up for some 15 ms
+
+Get = Callable[[bytes], bytes | None]
+
+
+class PendingArrival(NamedTuple):
+    """A request that waits for the index to be loaded."""
+
+    case: PendingRequest
+    since: int  # µs of the monotonic clock
+
+
+class IdempotencyService:
+    """Owns the store and everything that waits for it; `close` gives all back."""
+
+    def __init__(
+        self,
+        node: str,
+        engine: RequestEngine,
+        timers: Timers,
+        report: Report,
+        clock: Callable[[], int],
+        index: RecordIndex,
+    ) -> None:
+        """`clock` gives µs of Unix time."""
+        self._node = node
+        self._engine = engine
+        self._timers = timers
+        self._report = report
+        self._time = NodeTime(timers, clock)
+        self._writer = RecordWriter(index, timers, report, self._schedule_poll, self._update_availability)
+        self._earlier_runs = EarlierRuns(index, self._writer, self._time, engine, timers, report)
+        self._lookup = RecordLookup(
+            index, self._writer, self._earlier_runs, self._time, engine, timers, report
+        )
+        self.intents = IntentLog(
+            index, self._writer, self._time, engine, timers, report, self._update_availability
+        )
+        self.index = index
+        self.pending_arrivals: deque[PendingArrival] = deque()
+        # Others' records in the same store: read at the start, written with each heartbeat (True: the last).
+        self.on_opened: list[Callable[[Get], None]] = []
+        self.heartbeat_records: list[Callable[[bool], tuple[bytes, bytes]]] = []
+        self._is_available: bool | None = None  # as the engine was told
+        self._is_polling = False
+        self._is_closed = False
+        self._unwritten_ownership: bytes | None = None  # to be written with the next heartbeat
+
+    @inlineCallbacks
+    def start(self, store: Store, directory_id: int) -> Generator[Deferred[Any], Any, None]:
+        """Loads the records while the node serves; `directory_id` is the directory's inode.
+
+        Fails with ForeignDirectoryError before anything is written.
+        """
+        self._writer.store = store
+        self._unwritten_ownership = check_ownership(store, self._node, directory_id)
+        for on_opened in self.on_opened:
+            on_opened(store.engine.get)
+        stored = store.engine.get(HEARTBEAT_KEY)
+        self._time.resume(None if stored is None else decode_heartbeat(stored))
+        yield self._load_index(store)
+        self._on_index_loaded()
+
+    def on_arrival(self, case: PendingRequest) -> bool:
+        """Returns whether the engine goes on with a request now; else it is answered or held here."""
+        if self.index.is_loaded:
+            return self._lookup.admit(case)
+        if len(self.pending_arrivals) >= MAX_PENDING_ARRIVALS or self._is_closed:
+            self._engine.refuses(case)
+        else:
+            self.pending_arrivals.append(PendingArrival(case, self._timers.now()))
+            self._schedule_poll()
+        return False
+
+    def answer_repeat(self, case: PendingRequest) -> None:
+        """Answers a repeat whose first request is not in flight here."""
+        self._lookup.answer_repeat(case)
+
+    def on_interpreter_started(self, age: int) -> None:
+        """The interpreter started `age` µs ago."""
+        self._earlier_runs.on_interpreter_started(age)
+
+    def close(self) -> Deferred[None]:
+        """Closes after all answers; fires when all writes are durable and the directory is given back."""
+        self._is_closed = True
+        store = self._writer.store
+        if store is None:
+            return succeed(None)
+        if self.index.is_loaded and not self._writer.failure:
+            self._writer.write_and_forget(self._heartbeat_batch(True))
+        return store.close()
+
+    def describe(self) -> str:
+        """Returns the state in one line, for the log."""
+        index, writer = self.index, self._writer
+        return (
+            f"{len(index.rows)} entries, {index.disk_bytes >> 10} KB, "
+            f"{len(index.earlier_runs)} open of before; "
+            f"{len(self.intents.pending_starts)} starts and {len(writer.in_flight)} writes wait, "
+            f"the last took {writer.last_write_us // 1000} ms; disk {self._describe_disk()}"
+        )
+
+    def _describe_disk(self) -> str:
+        if not self.index.is_loaded:
+            return "not read yet"
+        return self._writer.failure or ("slow" if self._writer.is_slow else "well")
+
+    @inlineCallbacks
+    def _load_index(self, store: Store) -> Generator[Deferred[Any], Any, None]:
+        now = self._time.now()
+        snapshot = store.snapshot()
+        cursor = RECORD_PREFIX
+        while not self._is_closed:
+            chunk = yield store.chunk(snapshot, cursor, RECORD_PREFIX, LOAD_CHUNK)
+            if not chunk:
+                break
+            expired = [key for key, value in chunk if not self._restore(key, value, now)]
+            if expired:
+                self._writer.delete(expired)
+            cursor = chunk[-1][0] + b"\0"
+        store.release(snapshot)
+
+    def _restore(self, key: bytes, value: bytes, now: int) -> bool:
+        """Adds a stored record to the index; returns False where it is of no use."""
+        try:
+            return self.index.restore(key, decode_record(value), now)
+        except UNDECODABLE:
+            self._report.count("keyed", "entries unreadable")
+            return False
+
+    def _on_index_loaded(self) -> None:
+        self.index.is_loaded = True
+        records = len(self.index.rows)
+        without_result = len(self.index.earlier_runs)
+        self._earlier_runs.adopt_all()
+        self._report.note(
+            f"keyed: the book stands with {records} entries, {without_result} of them without a result"
+        )
+        self._send_heartbeat()
+        self._update_availability()
+        arrivals = self.pending_arrivals
+        self.pending_arrivals = deque()
+        for case, _ in arrivals:
+            if case.open and self._lookup.admit(case):
+                self._engine.takes(case)
+
+    def _update_availability(self) -> None:
+        """Tells the engine, on a change, whether requests with a key can be admitted."""
+        writer = self._writer
+        is_ready = self.index.is_loaded and not writer.failure
+        is_available = is_ready and not writer.is_slow and self.index.has_capacity()
+        if is_available == self._is_available:
+            return
+        self._is_available = is_available
+        if is_ready and not is_available:
+            reason = "the disk is slow" if writer.is_slow else "there is no room"
+            self._report.note(f"keyed: {reason}; receipted requests are deferred")
+        self._engine.may_record(is_available)
+
+    def _schedule_poll(self) -> None:
+        if not self._is_polling and not self._is_closed:
+            self._is_polling = True
+            self._timers.after(POLL_INTERVAL_US, self._poll)
+
+    def _poll(self) -> None:
+        """Ends the waits that have lasted too long."""
+        self._is_polling = False
+        now = self._timers.now()
+        self._update_availability()
+        self.intents.withdraw_late_starts(now)
+        while self.pending_arrivals and now - self.pending_arrivals[0].since > MAX_ARRIVAL_WAIT_US:
+            self._engine.refuses(self.pending_arrivals.popleft().case)
+        if self._writer.in_flight or self.pending_arrivals:
+            self._schedule_poll()
+
+    def _send_heartbeat(self) -> None:
+        """Writes the heartbeat, and deletes what has expired."""
+        if self._is_closed:
+            return
+        if not self._writer.in_flight:  # behind others it would only wait
+            self._write_heartbeat()
+        self._earlier_runs.discard_overdue()
+        self._update_availability()
+        self._timers.after(HEARTBEAT_INTERVAL_US, self._send_heartbeat)
+
+    def _write_heartbeat(self) -> None:
+        batch = self._heartbeat_batch(False)
+        if self._unwritten_ownership is not None:
+            batch.put(OWNERSHIP_KEY, self._unwritten_ownership)
+        for key in self.index.remove_expired(self._time.now()):
+            batch.delete(key)
+        self._writer.write(batch).addCallbacks(self._on_heartbeat_written, lambda failure: None)
+
+    def _on_heartbeat_written(self, _: None) -> None:
+        self._unwritten_ownership = None
+
+    def _heartbeat_batch(self, is_last: bool) -> Batch:
+        batch = Batch().put(HEARTBEAT_KEY, encode(self._time.heartbeat()))
+        for make_record in self.heartbeat_records:
+            batch.put(*make_record(is_last))
+        return batch
--- /dev/null
+++ b/lichencleat/idempotency/writer.py
@@ -0,0 +1,117 @@
+"""Writes to the store, with the health of the disk: failing, slow or well."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from twisted.internet.defer import Deferred
+from twisted.python.failure import Failure
+
+from lichencleat.idempotency.index import LookupResult, RecordIndex
+from lichencleat.idempotency.interfaces import Report, Timers
+from lichencleat.idempotency.records import IdempotencyRecord, encode
+from lichencleat.store.batch import Batch
+from lichencleat.store.errors import StoreError
+from lichencleat.store.store import Store
+
+SLOW_WRITE_US = 250_000  # after this no new run waits for the disk; one flushes in a few ms
+MAX_UNWRITTEN_RESULTS = 1_024  # kept for a retry; repeats of others get an error after a restart
+
+
+class RecordWriter:
+    """Counts writes in flight and retries results that the disk did not take."""
+
+    def __init__(
+        self,
+        index: RecordIndex,
+        timers: Timers,
+        report: Report,
+        on_write_started: Callable[[], None],
+        on_write_finished: Callable[[], None],
+    ) -> None:
+        self._index = index
+        self._timers = timers
+        self._report = report
+        self._on_write_started = on_write_started
+        self._on_write_finished = on_write_finished
+        self._last_number = 0
+        self._unwritten: dict[bytes, IdempotencyRecord] = {}
+        self.in_flight: dict[int, int] = {}  # number of a write -> since when; at most the store's queue
+        self.failure = ""  # the disk's last error, empty since it works
+        self.last_write_us = 0
+        self.store: Store | None = None
+
+    @property
+    def is_slow(self) -> bool:
+        """Whether the oldest write has been in flight for too long."""
+        oldest = next(iter(self.in_flight.values()), None)
+        return oldest is not None and self._timers.now() - oldest > SLOW_WRITE_US
+
+    def write(self, batch: Batch) -> Deferred[None]:
+        """Commits a batch; fires once it is durable, or fails as the store does."""
+        assert self.store is not None
+        self._last_number += 1
+        number = self._last_number
+        started = self._timers.now()
+        self.in_flight[number] = started
+        committed = self.store.commit(batch)
+        committed.addCallbacks(
+            self._on_written, self._on_write_failed, callbackArgs=(number, started), errbackArgs=(number,)
+        )
+        self._on_write_started()
+        return committed
+
+    def write_and_forget(self, batch: Batch) -> None:
+        """Commits a batch whose loss does no harm."""
+        self.write(batch).addErrback(lambda failure: None)
+
+    def delete(self, keys: list[bytes]) -> None:
+        """Deletes records; where that fails, they are found expired again later."""
+        batch = Batch()
+        for key in keys:
+            batch.delete(key)
+        self.write_and_forget(batch)
+
+    def write_result(self, key: bytes, record: IdempotencyRecord) -> Deferred[None]:
+        """Records a result; fires also where the disk fails, and then retries once it works."""
+        self._index.put(key, record)
+
+        def keep_for_retry(failure: Failure) -> None:
+            if len(self._unwritten) < MAX_UNWRITTEN_RESULTS:
+                self._unwritten[key] = record
+
+        return self.write(Batch().put(key, encode(record))).addErrback(keep_for_retry)
+
+    def on_disk_failure(self, failure: Failure) -> None:
+        """Counts a failure, and logs it when it differs from the last one."""
+        self._report.count("keyed", "disk failures")
+        message = failure.getErrorMessage()
+        if not isinstance(failure.value, StoreError):
+            message = f"{type(failure.value).__name__}: {message}"
+        if message != self.failure:
+            self.failure = message
+            self._report.note(f"keyed: {message}; receipted requests are deferred until it works again")
+
+    def _on_written(self, _: None, number: int, started: int) -> None:
+        del self.in_flight[number]
+        self.last_write_us = self._timers.now() - started
+        if self.failure:
+            self._report.note("keyed: the disk works again")
+            self.failure = ""
+            self._retry_unwritten()
+        self._on_write_finished()
+
+    def _on_write_failed(self, failure: Failure, number: int) -> Failure:
+        del self.in_flight[number]
+        self.on_disk_failure(failure)
+        self._on_write_finished()
+        return failure
+
+    def _retry_unwritten(self) -> None:
+        """Writes results again, where nothing newer is known of their keys."""
+        unwritten = self._unwritten
+        self._unwritten = {}
+        for key, record in unwritten.items():
+            found = self._index.look_up(key, record.body_digest, record.arrived)
+            if found in (LookupResult.COMPLETED, LookupResult.FAILED):
+                self.write_result(key, record)
--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -69,9 +69,11 @@
         self.keyed: Any = None
         self.chosen = chosen
         if chosen is not None and chosen.keyed is not None:
-            from lichencleat.idempotency.assembly import make_keeper  # off means not imported: memory counts
+            from lichencleat.idempotency.assembly import (
+                create_service,  # off means not imported: memory counts
+            )
 
-            self.keyed = self.host.keyed = make_keeper(self, told.name, chosen.keyed, clock)
+            self.keyed = self.host.keyed = create_service(self, told.name, chosen.keyed, clock)
             self.host.able = False
         self.fleet: Any = None
         if chosen is not None and chosen.fleet is not None:
@@ -121,9 +123,9 @@
         if self.distributed is not None:
             self.distributed.start().addErrback(self.cant_follow)
         if self.keyed is not None:
-            from lichencleat.idempotency.assembly import start_keeper
+            from lichencleat.idempotency.assembly import start_service
 
-            started = start_keeper(self.reactor, self.keyed, self.chosen.keyed, self.clock)
+            started = start_service(self.reactor, self.keyed, self.chosen.keyed, self.clock)
             started.addErrback(self.cant_start)
 
     def cant_start(self, failure: Any) -> None:
@@ -148,7 +150,7 @@
         if self.fleet is not None:
             beliefs.append(f"fleet: {self.fleet.beliefs()}")
         if self.keyed is not None:
-            beliefs.append(f"keyed: {self.keyed.beliefs()}")
+            beliefs.append(f"keyed: {self.keyed.describe()}")
         if self.distributed is not None:
             beliefs.append(f"distribution: {self.distributed.beliefs()}")
         self.report.note("believes: " + "; ".join(beliefs))
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -54,7 +54,7 @@
         rng: random.Random,
         log: Any,
     ) -> None:
-        """`host`: as net.host.Host; `keyed`: as keyed.keeper.Keeper, or None."""
+        """`host`: as net.host.Host; `keyed`: as idempotency.service.IdempotencyService, or None."""
         self.reactor, self.name, self.chosen, self.rng, self.log = reactor, name, chosen, rng, log
         self.clients: list[Client] = []
         self.seat = self.make_seat(host) if chosen.shares is not None else None
@@ -85,11 +85,11 @@
         waking = Waking(self.name, self.chosen.zone, life, False, 0, Clock.PLAUSIBLE, self.now())
         waking.wants_proof = keyed is not None
         host.may_serve(0.0, False)  # until there is a word, or a reason to go on without
-        proof = (lambda: keyed.book.stands) if keyed is not None else (lambda: False)
+        proof = (lambda: keyed.index.is_loaded) if keyed is not None else (lambda: False)
         back = Return(self.reactor, self.client(), host, waking, record, proof, unix, self.log)
         if keyed is not None:
-            keyed.opened += [record.opened, back.learned.opened]
-            keyed.signs += [record.sign, back.learned.sign]
+            keyed.on_opened += [record.opened, back.learned.opened]
+            keyed.heartbeat_records += [record.sign, back.learned.sign]
         return back
 
     def make_holder(self) -> Holder:
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -101,7 +101,7 @@
         self.doors: list[Door] = []  # one for each protocol that callers speak
         self.calls_granted: int | None = None  # None: nobody deals them out
         self.call_span: Callable[[int], int] = lambda span: span  # shortened where a grant ends before
-        self.keyed: Any = None  # as keyed.keeper.Keeper, where receipts outlive a restart
+        self.keyed: Any = None  # as idempotency.service.IdempotencyService, where receipts outlive a restart
         self.able = self.trusted = True  # to record receipted requests; both have to hold
         self.open_share = 1.0
         self.carries_out = {
@@ -142,7 +142,7 @@
             return
         case.request.number = self.cases.take(case)
         self.idents.add(case.ident)
-        if self.keyed is None or not case.key or self.keyed.arrives(case):
+        if self.keyed is None or not case.key or self.keyed.on_arrival(case):
             self.takes(case)
 
     def takes(self, case: Case) -> None:
@@ -196,12 +196,12 @@
                 case.unsettled = True
                 self.node.outcome_waits(now, request, took)
                 self.stir()
-                self.keyed.ran(
+                self.keyed.intents.on_run_completed(
                     case, outcome, result, partial(self.tend, case, self.recorded, outcome, took, result)
                 )
                 return
             if outcome is not Outcome.UNREACHED:
-                self.keyed.ended(case)
+                self.keyed.intents.on_run_lost(case)
         if outcome in (Outcome.STOPPED, Outcome.VOID) and not (run and run.stopping):
             self.node.caller_left(now, request)  # it ends by itself only where nobody waits any more
         if outcome is Outcome.UNREACHED:
@@ -373,7 +373,7 @@
     def start_run(self, decision: Decision, case: Case) -> None:
         if self.keyed is not None and case.key:
             case.unsettled = True
-            self.keyed.starts(case)
+            self.keyed.intents.start_run(case)
         else:
             self.begin_run(case)
 
@@ -420,18 +420,18 @@
     def record(self, decision: Decision, case: Case) -> None:
         self.receipts.record(self.clock(), case.key, case.request, decision.span)
         if self.keyed is not None and case.key:
-            self.keyed.intends(case, decision.span)
+            self.keyed.intents.record_intent(case, decision.span)
 
     def strike(self, decision: Decision, case: Case | None) -> None:
         self.receipts.strike(decision.request)
         if self.keyed is not None:
-            self.keyed.strikes(decision.request)
+            self.keyed.intents.delete_intent(decision.request)
 
     def share(self, decision: Decision, case: Case) -> None:
         """An outcome that is there already is answered after this round: inputs wait for its end."""
         first = case.request.repeats
         if first is None and self.keyed is not None:
-            self.keyed.share(case)
+            self.keyed.answer_repeat(case)
             return
         self.receipts.share(first, case)
         if first is None or first.state is State.ENDED:
--- a/lichencleat/testkit/explore_keyed.py
+++ b/lichencleat/testkit/explore_keyed.py
@@ -1,4 +1,4 @@
-"""One key's life in all orders: tries, flushes, runs, notices, cuts, restarts; with the real `Book`.
+"""One key's life in all orders: tries, flushes, runs, notices, cuts, restarts; with the real `RecordIndex`.
 
 `python -m lichencleat.testkit.explore_keyed` says to which depth all was tried, and what mistakes are caught.
 """
@@ -11,8 +11,8 @@
 
 import click
 
-from lichencleat.idempotency.book import Book, Told
-from lichencleat.idempotency.records import Entry, State
+from lichencleat.idempotency.index import LookupResult, RecordIndex
+from lichencleat.idempotency.records import IdempotencyRecord, RecordState
 from lichencleat.testkit.explore import Explored, explore
 
 KEY, BODY = b"k" * 16, b"b" * 16
@@ -32,10 +32,10 @@
     def __init__(self, forgets: bool) -> None:
         self.forgets = forgets  # the interpreter tells a new life nothing of the runs before
         self.tries, self.cuts, self.life = TRIES, CUTS, 0
-        self.disk: Entry | None = None
-        self.queue: list[Entry | None] = []  # writes on their way, None: a delete
+        self.disk: IdempotencyRecord | None = None
+        self.queue: list[IdempotencyRecord | None] = []  # writes on their way, None: a delete
         self.up = False
-        self.book: Book | None = None
+        self.book: RecordIndex | None = None
         self.parked = 0
         self.waits_intent = False  # a start waits for the disk
         self.waits_result: bytes | None = None  # an answer waits for the disk
@@ -56,7 +56,7 @@
     def key(self) -> Hashable:
         book = None
         if self.book is not None:
-            book = (tuple(self.book.known.items()), tuple(self.book.open), self.book.stands)
+            book = (tuple(self.book.rows.items()), tuple(self.book.earlier_runs), self.book.is_loaded)
         held = (
             self.disk,
             tuple(self.queue),
@@ -84,7 +84,7 @@
                 yield ("start",)
         else:
             assert self.book is not None
-            if not self.book.stands:
+            if not self.book.is_loaded:
                 yield ("stand",)
             if self.tries:
                 yield ("asks",)
@@ -103,15 +103,15 @@
     def start(self) -> None:
         self.life += 1
         self.up = True
-        self.book = Book(100, 1 << 20)
+        self.book = RecordIndex(100, 1 << 20)
         if self.forgets:
             self.notices = ()
 
     def stand(self) -> None:
         assert self.book is not None
-        if self.disk is not None and (self.keeps_open or self.disk.state != State.OPEN):
-            self.book.recover(KEY, self.disk, 0)
-        self.book.stands = True
+        if self.disk is not None and (self.keeps_open or self.disk.state != RecordState.OPEN):
+            self.book.restore(KEY, self.disk, 0)
+        self.book.is_loaded = True
         parked, self.parked = self.parked, 0
         for _ in range(parked):
             if self.looks_up_parked:
@@ -122,38 +122,38 @@
     def asks(self) -> None:
         self.tries -= 1
         assert self.book is not None
-        if self.book.stands:
+        if self.book.is_loaded:
             self.look_up()
         else:
             self.parked += 1
 
     def look_up(self) -> None:
         assert self.book is not None
-        told = self.book.told(KEY, BODY, 0)
+        told = self.book.look_up(KEY, BODY, 0)
         mine = self.waits_intent or self.waits_result is not None or self.name() in self.running
         mine = mine or any(name == self.name() for name, _ in self.notices)
-        if told is Told.RESULT and self.waits_result is None:
-            result = self.book.result(KEY)
+        if told is LookupResult.COMPLETED and self.waits_result is None:
+            result = self.book.cached_result(KEY)
             if result is None:  # it is read back
-                assert self.disk is not None and self.disk.state == State.DONE
+                assert self.disk is not None and self.disk.state == RecordState.DONE
                 result = self.disk.result
             self.honoured |= {result}
-        elif told is Told.AWAITED or (told is not Told.NEW and mine):
+        elif told is LookupResult.AWAITED or (told is not LookupResult.NEW and mine):
             self.waiting += 1
-        elif told is Told.NEW:
+        elif told is LookupResult.NEW:
             self.record()
 
     def name(self) -> bytes:
         """Of this life's run at the interpreter."""
         return b"%d" % self.life
 
-    def entry(self, state: State, name: bytes, result: bytes = b"") -> Entry:
-        return Entry(state, "save", 0, FOREVER, FOREVER, name, BODY, result)
+    def entry(self, state: RecordState, name: bytes, result: bytes = b"") -> IdempotencyRecord:
+        return IdempotencyRecord(state, "save", 0, FOREVER, FOREVER, name, BODY, result)
 
     def record(self) -> None:
         assert self.book is not None
-        entry = self.entry(State.OPEN, self.name())
-        self.book.take(KEY, entry)
+        entry = self.entry(RecordState.OPEN, self.name())
+        self.book.put(KEY, entry)
         self.queue.append(entry)
         self.waits_intent = True
         if not self.intent_first:
@@ -169,7 +169,7 @@
         """Before its run was begun: the entry is struck."""
         assert self.book is not None
         self.waits_intent = False
-        self.book.drop(KEY)
+        self.book.remove(KEY)
         self.queue.append(None)
         if self.strikes_begun:
             self.begin()
@@ -177,9 +177,9 @@
     def flush(self) -> None:
         done = self.queue.pop(0)
         self.disk = done
-        if done is not None and done.state == State.OPEN and self.waits_intent and not self.queue:
+        if done is not None and done.state == RecordState.OPEN and self.waits_intent and not self.queue:
             self.begin()
-        elif done is not None and done.state == State.DONE and self.waits_result == done.result:
+        elif done is not None and done.state == RecordState.DONE and self.waits_result == done.result:
             self.honoured |= {done.result}
             self.waits_result = None
             self.waiting = 0
@@ -195,10 +195,10 @@
         (name, result), *rest = self.notices
         self.notices = tuple(rest)
         assert self.book is not None
-        if name != self.name() and self.book.resolved(name) is None:
+        if name != self.name() and self.book.resolve_earlier_run(name) is None:
             return
-        entry = self.entry(State.DONE, name, result)
-        self.book.take(KEY, entry)
+        entry = self.entry(RecordState.DONE, name, result)
+        self.book.put(KEY, entry)
         if self.result_first:
             self.queue.append(entry)
             self.waits_result = result
--- a/lichencleat/testkit/explore_revive.py
+++ b/lichencleat/testkit/explore_revive.py
@@ -16,8 +16,8 @@
 import click
 import msgspec
 
-from lichencleat.idempotency.book import Book, Told
-from lichencleat.idempotency.records import Entry, State
+from lichencleat.idempotency.index import LookupResult, RecordIndex
+from lichencleat.idempotency.records import IdempotencyRecord, RecordState
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
@@ -50,8 +50,8 @@
     out: tuple[int, ...] = ()  # ends of its calls, also of lives before
     mine: int = 0  # of them, of this life
     waking: Waking | None = None
-    book: Book | None = None
-    disk: Entry | None = None
+    book: RecordIndex | None = None
+    disk: IdempotencyRecord | None = None
     own: int = 0  # µs of its own time: it stands still while it is down
     begun: int = 0  # runs of its key
 
@@ -78,7 +78,7 @@
     pools_kind = Pools
     fleet_kind = Fleet
     grants_kind = Grants
-    book_kind = Book
+    book_kind = RecordIndex
     waits_for_proof = True
     only = None  # of what may happen, and then to node a alone: that reaches deeper
 
@@ -156,7 +156,7 @@
         )
         word = (waking.epoch, waking.share, waking.heard, waking.clock_off) if waking else None
         flying = (node.flying.amount, node.flying.refused) if node.flying else None
-        book = (node.book.stands, tuple(node.book.known.items())) if node.book else None
+        book = (node.book.is_loaded, tuple(node.book.rows.items())) if node.book else None
         return (
             node.up,
             node.life,
@@ -218,7 +218,7 @@
                 yield ("ask", name)
             if node.mine < node.grants.usable(self.now):
                 yield ("call", name)
-            if not node.book.stands:
+            if not node.book.is_loaded:
                 yield ("stand", name)
             if self.may_run(node):
                 yield ("run", name)
@@ -286,7 +286,7 @@
         node.waking.ready = True
         node.book = self.book_kind(10, 1 << 20)
         if node.life == 1:
-            node.book.stands = True
+            node.book.is_loaded = True
         self.report(node)
 
     def report(self, node: Node) -> None:
@@ -334,21 +334,23 @@
         node = self.nodes[name]
         assert node.book is not None
         if node.disk is not None:
-            node.book.recover(KEY, node.disk, self.time(node))
-        node.book.stands = True
+            node.book.restore(KEY, node.disk, self.time(node))
+        node.book.is_loaded = True
 
     def may_run(self, node: Node) -> bool:
         assert node.book is not None
-        if node.begun > 1 or (self.waits_for_proof and not node.book.stands):
+        if node.begun > 1 or (self.waits_for_proof and not node.book.is_loaded):
             return False
-        return node.book.told(KEY, BODY, self.time(node)) is Told.NEW
+        return node.book.look_up(KEY, BODY, self.time(node)) is LookupResult.NEW
 
     def run(self, name: str) -> None:
         node = self.nodes[name]
         assert node.book is not None
         now = self.time(node)
-        node.disk = Entry(State.OPEN, "save", now, now + WINDOW, now + WINDOW, b"%d" % node.life, BODY)
-        node.book.take(KEY, node.disk)
+        node.disk = IdempotencyRecord(
+            RecordState.OPEN, "save", now, now + WINDOW, now + WINDOW, b"%d" % node.life, BODY
+        )
+        node.book.put(KEY, node.disk)
         node.begun += 1
 
 
--- a/tests/idempotency/keyed_life.py
+++ b/tests/idempotency/node_lifecycle.py
@@ -1,13 +1,13 @@
-"""A node's lives over one faulty disk and one interpreter, without sockets: real host, decisions, keeper."""
+"""Incarnations of a node over one faulty disk and one interpreter, without sockets; the service is real."""
 
 import random
 
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from lichencleat.idempotency.book import Book
-from lichencleat.idempotency.keeper import Keeper
-from lichencleat.idempotency.whose import NotOursError
+from lichencleat.idempotency.errors import ForeignDirectoryError
+from lichencleat.idempotency.index import RecordIndex
+from lichencleat.idempotency.service import IdempotencyService
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.host import Case, Host
 from lichencleat.node.report import Report
@@ -85,7 +85,7 @@
             told.callback(result)
 
 
-class Life:
+class NodeIncarnation:
     def __init__(self, world, name="n1", place=7, entries=1_000):
         self.world, self.name, self.place, self.entries = world, name, place, entries
         self.answers, self.cases, self.refused = {}, {}, ""
@@ -104,9 +104,9 @@
         machine = Machine(cores=2, crowd=8.0, memory_kb=1e6, advice_most=SECOND, tariffs=[LOOK, SAVE])
         self.host = Host(machine, [], "1", self.clock, self.deadlines, self.interpreter, None, self.report)
         self.host.able = False
-        book = Book(self.entries, 1 << 20)
-        self.keeper = self.host.keyed = Keeper(
-            self.name, self.host, self.deadlines, self.report, self.clock, book
+        index = RecordIndex(self.entries, 1 << 20)
+        self.service = self.host.keyed = IdempotencyService(
+            self.name, self.host, self.deadlines, self.report, self.clock, index
         )
         self.host.begin(False)
         self.hands = Hands()
@@ -116,20 +116,20 @@
             self.refused = "no store"
             return
         self.store = Store(reactor, engine, self.hands, self.hands, upkeep=False)
-        self.started = self.keeper.start(self.store, self.place)
+        self.started = self.service.start(self.store, self.place)
         self.started.addErrback(self.cant)
         self.interpreter_age = interpreter_age
         if stand:
             self.stand()
 
     def cant(self, failure):
-        failure.trap(NotOursError, StoreError)
+        failure.trap(ForeignDirectoryError, StoreError)
         self.refused = failure.getErrorMessage()
 
     def stand(self):
         self.disk_works()
         self.turn()
-        self.keeper.interpreter_began(self.interpreter_age)
+        self.service.on_interpreter_started(self.interpreter_age)
         self.turn()
 
     def turn(self):
@@ -200,4 +200,4 @@
         self.world.disk = self.world.disk.after_cut(by_chance(rng or random.Random(1)))
         if self.world.forgets:
             self.world.going.clear()
-        return Life(self.world, self.name, self.place)
+        return NodeIncarnation(self.world, self.name, self.place)
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -202,7 +202,7 @@
 
 
 def test_off_means_not_imported():
-    text = "from lichencleat.config.file import read_text; import lichencleat.node.assembly, sys; "
+    text = "from lichencleat.config.loading import parse_node_config; import lichencleat.node.assembly, sys; "
     text += "assert parse_node_config('f', 'log: {form: json}')[0].log; print(*sys.modules)"
     ran = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True)
     assert "lichencleat.node.assembly" in ran.stdout.split()
