--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -17,15 +17,15 @@
 
 from benchmarks.capacity import SECOND, Effort, Lines
 from lichencleat.capacity.slopes import Line
-from lichencleat.membership.gossip import Send
-from lichencleat.membership.table import Table
-from lichencleat.membership.terms import Datagram
+from lichencleat.membership.member_table import MemberTable
+from lichencleat.membership.messages import GossipMessage
+from lichencleat.membership.outbox import SendDatagram
 from lichencleat.testkit.simulation.members import MembersWorld, SimInstance
 
 WARM, SPAN = 3, 10  # simulated seconds before, and measured, in calm
 RESTARTS = 20_000 / 86_400 / 3_300  # a second of each member, as at the target
 SEEN = 2  # restarts in what is measured, at each size
-decode = msgspec.msgpack.Decoder(Datagram).decode
+decode = msgspec.msgpack.Decoder(GossipMessage).decode
 clock = time.perf_counter_ns
 
 
@@ -54,35 +54,35 @@
 
 
 class TimedInstance(SimInstance):
-    """As `members.port` does it: datagrams are encoded and decoded, within what is timed."""
+    """As `membership.datagram_transport` does it: datagrams are encoded and decoded, within what is timed."""
 
     timed: Timed
 
     def hears(self, sender: int, datagram: bytes) -> None:  # type: ignore[override]
         if self.up:
             now = self.clock()
-            self.timed.call(lambda: self.gossip.hears(now, "h", sender, decode(datagram)))
+            self.timed.call(lambda: self.gossip.on_message(now, "h", sender, decode(datagram)))
             self.pull()
 
     def wake(self, life: int) -> None:
         if self.up and self.life == life:
-            self.timed.call(self.gossip.wakes, self.clock())
+            self.timed.call(self.gossip.on_timer, self.clock())
             self.pull()
 
     def pull(self) -> None:
-        while (decision := self.timed.call(self.gossip.next_decision)) is not None:
-            if isinstance(decision, Send):
+        while (decision := self.timed.call(self.gossip.next_action)) is not None:
+            if isinstance(decision, SendDatagram):
                 self.send(decision)
             else:
-                self.world.changed(self, decision.word)
+                self.world.changed(self, decision.update)
         if self.timer is not None:
             self.timer.cancel()
-        span = self.clock.until(self.timed.call(self.gossip.deadline))
+        span = self.clock.until(self.timed.call(self.gossip.next_deadline))
         self.timer = self.world.clockwork.after(span, self.wake, self.life)
 
-    def send(self, send: Send) -> None:
+    def send(self, send: SendDatagram) -> None:
         world = self.world
-        data = self.timed.call(msgspec.msgpack.encode, send.datagram)
+        data = self.timed.call(msgspec.msgpack.encode, send.message)
         world.counts["datagrams"] += 1
         world.counts["bytes"] += len(data)
         if send.port < len(world.instances):
@@ -100,8 +100,8 @@
     words = [each.gossip.own for each in world.instances]
     for each in world.instances:
         for word in words:
-            each.gossip.table.hear(each.clock(), word)
-        each.gossip.rumors.waiting.clear()
+            each.gossip.table.apply(each.clock(), word)
+        each.gossip.dissemination.clear()
     return world
 
 
@@ -113,9 +113,9 @@
     gc.collect()
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
-    table = Table()
+    table = MemberTable()
     for each in words:
-        table.hear(0, msgspec.msgpack.decode(each, type=kind))
+        table.apply(0, msgspec.msgpack.decode(each, type=kind))
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (after - before) / 1e6
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -12,7 +12,7 @@
 from lichencleat.failover import terms as zones
 from lichencleat.flows import collector
 from lichencleat.leases import terms as owners
-from lichencleat.membership import table as members
+from lichencleat.membership import member_table
 from lichencleat.quotas import terms as shares
 from lichencleat.recovery import terms as revive
 
@@ -33,7 +33,8 @@
 BOUNDS = (
     Bound("node", "connections: each caller to each node", "node_sockets", None, of.callers),
     Bound("node", "connections: a subset", "node_sockets", None, of.subset),
-    Bound("member", "members: each node", "members.table.MEMBERS_MOST", members.MEMBERS_MOST, of.nodes, SOME),
+    Bound("member", "members: each node", "members.table.MEMBERS_MOST",
+          member_table.MAX_MEMBERS, of.nodes, SOME),
     Bound("voter", "members of a group: each node a learner", "quorum.group.MEMBERS_MOST",
           group.MEMBERS_MOST, of.nodes,
           CONFIG),
--- a/lichencleat/cli/members.py
+++ b/lichencleat/cli/members.py
@@ -19,7 +19,7 @@
 def run(file: str) -> None:
     """Take part as FILE says until SIGTERM; each change is a line of the log."""
     try:
-        chosen = program.read_members(file)
+        chosen = program.read_membership_config(file)
     except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     raise click.exceptions.Exit(program.run(chosen))
--- a/lichencleat/membership/__init__.py
+++ b/lichencleat/membership/__init__.py
@@ -1,12 +1,13 @@
-"""Who is there, among hundreds of instances that may talk to each other; it informs and decides nothing that
-must be single.
+"""SWIM membership by gossip: which of hundreds of instances are alive. It elects nobody.
 
-Promised: who is gone is suspected by somebody within a few periods and known as gone by all some seconds
-later; each instance sends and hears a few small datagrams a second, however many there are; two halves that
-were apart come together by themselves. Not promised: that all see the same at one moment, or that who is
-called gone is. By SWIM (Das, Gupta, Motivala 2002), with the local health of Lifeguard (Dadgar, Phillips,
+Guarantees: a dead member is suspected by some within a few probe intervals and known as dead by all some
+seconds later; each instance sends and receives a few small datagrams a second, however many there are; two
+partitions merge again by themselves. Not guaranteed: that all see the same at one moment, or that a member
+called dead is. After SWIM (Das, Gupta, Motivala 2002), with the local health of Lifeguard (Dadgar, Phillips,
 Currey 2018).
 
-Decisions, all without I/O: `table.py` which word on a member holds, `rumors.py` what is passed on how often,
-`gossip.py` who is probed, suspected, called gone. `port.py` is the socket.
+Without any I/O: `gossip` (one member, composed of the following), `member_table` (which update on a member
+holds), `dissemination` (which updates are passed on, how often), `probing` (direct and indirect probes),
+`suspicion` (timeouts of suspects), `state_sync` (join and anti-entropy), `local_health`, `outbox`.
+`datagram_transport` is the socket, `messages` the wire format, `program` the command.
 """
--- /dev/null
+++ b/lichencleat/membership/datagram_transport.py
@@ -0,0 +1,116 @@
+"""The gossip's UDP socket and timer."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from dataclasses import dataclass
+
+import msgspec
+from twisted.internet.base import DelayedCall, ReactorBase
+from twisted.internet.defer import Deferred
+from twisted.internet.protocol import DatagramProtocol
+from twisted.internet.udp import Port
+
+from lichencleat.decoding import UNDECODABLE
+from lichencleat.membership.dissemination import MAX_DATAGRAM_BYTES
+from lichencleat.membership.gossip import GossipMember
+from lichencleat.membership.messages import GossipMessage, MemberUpdate
+from lichencleat.membership.outbox import SendDatagram
+
+SECOND_US = 1_000_000
+decode_message = msgspec.msgpack.Decoder(GossipMessage).decode
+
+
+@dataclass(slots=True)
+class TransportCounts:
+    """Datagrams since the start."""
+
+    sent: int = 0
+    sent_bytes: int = 0
+    received: int = 0
+    undecodable: int = 0
+    lost: int = 0  # not sent
+
+
+class GossipTransport(DatagramProtocol):
+    """Owns the socket and the timer; both are given back in `stop`."""
+
+    noisy = False
+    transport: Port | None  # type: ignore[assignment]  # an interface without types there
+
+    def __init__(
+        self,
+        reactor: ReactorBase,
+        create_member: Callable[[int], GossipMember],
+        on_member_changed: Callable[[MemberUpdate], None],
+    ) -> None:
+        """`create_member` gets the time by the reactor's clock, µs."""
+        self._reactor = reactor
+        self._on_member_changed = on_member_changed
+        self._timer: DelayedCall | None = None
+        self.member = create_member(self._now())
+        self.counts = TransportCounts()
+
+    def startProtocol(self) -> None:
+        """Sends the first datagrams: the socket is open."""
+        self._run_actions()
+
+    def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
+        """Passes a datagram to the member; counts one that can't be decoded."""
+        try:
+            message = decode_message(data)
+        except UNDECODABLE:
+            self.counts.undecodable += 1
+            return
+        self.counts.received += 1
+        host, port = address
+        self.member.on_message(self._now(), host, port, message)
+        self._run_actions()
+
+    def leave(self) -> None:
+        """Announces that this member leaves."""
+        self.member.leave(self._now())
+        self._run_actions()
+
+    def stop(self) -> Deferred[None] | None:
+        """Closes the socket and cancels the timer."""
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        if self.transport is None:
+            return None
+        stopped: Deferred[None] | None = self.transport.stopListening()  # type: ignore[no-untyped-call]
+        return stopped
+
+    def _now(self) -> int:
+        return int(self._reactor.seconds() * SECOND_US)
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self.member.on_timer(self._now())
+        self._run_actions()
+
+    def _run_actions(self) -> None:
+        """Does what the member wants done, and sets the timer."""
+        while (action := self.member.next_action()) is not None:
+            if isinstance(action, SendDatagram):
+                self._send(action)
+            else:
+                self._on_member_changed(action.update)
+        if self._timer is not None:
+            self._timer.cancel()
+        delay = self.member.next_deadline() - self._now()
+        self._timer = self._reactor.callLater(max(0, delay) / SECOND_US, self._on_timer)
+
+    def _send(self, send: SendDatagram) -> None:
+        data = msgspec.msgpack.encode(send.message)
+        if self.transport is None or len(data) > 2 * MAX_DATAGRAM_BYTES:
+            self.counts.lost += 1
+            return
+        try:
+            self.transport.write(data, (send.host, send.port))
+        except OSError:  # a full buffer, an unreachable host: as a datagram that is lost on its way
+            self.counts.lost += 1
+            return
+        self.counts.sent += 1
+        self.counts.sent_bytes += len(data)
--- a/lichencleat/membership/program.py
+++ b/lichencleat/membership/program.py
@@ -1,29 +1,46 @@
-"""`lichencleat members run`: one instance's membership from its file, its changes as lines of the log."""
+"""`lichencleat members run`: one member's process; its view of the others goes to the log."""
 
 from __future__ import annotations
 
 import os
 import random
 import signal
-from typing import Annotated, Any
+from typing import Annotated
 
 from msgspec import Meta, Struct
+from twisted.internet.base import ReactorBase
 from twisted.internet.error import CannotListenError
 
 from lichencleat.clocks import make_reactor, unix_time
+from lichencleat.config.addresses import parse_address
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config.loading import parse_config, read_config_text
 from lichencleat.config.schema import Name
-from lichencleat.log.structured import create_logger
-from lichencleat.membership.gossip import Gossip
-from lichencleat.membership.port import Port
-from lichencleat.membership.terms import Choice, State, Word
+from lichencleat.log.structured import EventLogger, create_logger
+from lichencleat.membership.datagram_transport import GossipTransport, TransportCounts
+from lichencleat.membership.gossip import GossipMember
+from lichencleat.membership.messages import MemberState, MemberUpdate
+from lichencleat.membership.settings import GossipSettings
 
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
-FAREWELL = 0.2  # s for the word that it leaves
 
+MILLISECOND_US = 1_000
+PROBES_PER_SYNC = 5  # probe intervals in a sync interval
+LEAVE_DELAY_S = 0.2  # for the announcement to go out
+EXIT_CANT_LISTEN = 2
+
+STATE_EVENTS = {
+    MemberState.ALIVE: "here",
+    MemberState.SUSPECT: "suspect",
+    MemberState.DEAD: "gone",
+    MemberState.LEFT: "left",
+}
+"""Log events of a member that is in that state now."""
+
+
+class MembershipConfig(Struct, forbid_unknown_fields=True, frozen=True):
+    """Settings of one member."""
 
-class MembersChoice(Struct, forbid_unknown_fields=True, frozen=True):
     group: Name
     name: Name
     listen: Address
@@ -33,74 +50,94 @@
     period_ms: Annotated[int, Meta(ge=20, le=60_000)] = 1_000
     answer_ms: Annotated[int, Meta(ge=5, le=60_000)] = 300
 
+    def gossip_settings(self) -> GossipSettings:
+        """Returns the protocol's settings."""
+        probe_interval = self.period_ms * MILLISECOND_US
+        return GossipSettings(
+            probe_interval=probe_interval,
+            probe_timeout=self.answer_ms * MILLISECOND_US,
+            sync_interval=PROBES_PER_SYNC * probe_interval,
+        )
+
 
-class MembersFile(Struct, forbid_unknown_fields=True, frozen=True):
-    members: MembersChoice
+class MembershipFile(Struct, forbid_unknown_fields=True, frozen=True):
+    """The whole file."""
 
+    members: MembershipConfig
 
-def read_members(path: str) -> MembersChoice:
-    """Raises InvalidConfigError."""
-    chosen, place = parse_config(path, read_config_text(path), MembersFile)
-    members: MembersChoice = chosen.members
-    if members.answer_ms * 2 > members.period_ms:
-        line = place.line_of("$.members.answer_ms") or place.line_of("$.members.period_ms")
-        raise InvalidConfigError(
-            f"{path}, line {line}: members.answer_ms: {members.answer_ms} is over half a period "
-            f"({members.period_ms}); others need the other half to try, so make it smaller"
+
+def read_membership_config(path: str) -> MembershipConfig:
+    """Reads a member's file.
+
+    Raises:
+        InvalidConfigError: it can't be read or holds a mistake.
+    """
+    file, document = parse_config(path, read_config_text(path), MembershipFile)
+    config = file.members
+    if config.answer_ms * 2 > config.period_ms:
+        line = document.line_of("$.members.answer_ms") or document.line_of("$.members.period_ms")
+        problem = (
+            f"members.answer_ms: {config.answer_ms} is over half a period "
+            f"({config.period_ms}); others need the other half to try, so make it smaller"
         )
-    return members
+        raise InvalidConfigError.at(path, line, problem)
+    return config
 
 
-def place(address: str) -> tuple[str, int]:
-    host, _, port = address.rpartition(":")
-    return host, int(port)
+def run(config: MembershipConfig) -> int:
+    """Takes part until SIGTERM; returns the exit code."""
+    reactor = make_reactor()
+    log = create_logger(unix_time, process=config.name, role="members", group=config.group, pid=os.getpid())
+    transport = create_transport(reactor, config, log)
+    host, port = parse_address(config.listen)
+    try:
+        reactor.listenUDP(port, transport, interface=host)  # type: ignore[no-untyped-call]
+    except CannotListenError as error:
+        log.warning("can't start", reason=str(error))
+        return EXIT_CANT_LISTEN
 
+    def leave() -> None:
+        transport.leave()
+        reactor.callLater(LEAVE_DELAY_S, reactor.stop)
 
-def run(chosen: MembersChoice) -> int:
-    """Until SIGTERM; the exit code."""
-    twisted: Any = make_reactor()
-    unix = unix_time()
-    log = create_logger(
-        unix_time,
-        process=chosen.name,
-        role="members",
-        group=chosen.group,
-        pid=os.getpid(),
-    )
-    host, port = place(chosen.listen)
-    own = Word(chosen.name, State.HERE, unix, host, port, chosen.zone, chosen.role)
-    choice = Choice(
-        period=chosen.period_ms * 1000, answer=chosen.answer_ms * 1000, meet=5 * chosen.period_ms * 1000
-    )
+    signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(leave))
+    log.info("started", listen=config.listen)
+    reactor.run(installSignalHandlers=False)
+    log_counts(log, transport.counts)
+    return 0
+
+
+def create_transport(reactor: ReactorBase, config: MembershipConfig, log: EventLogger) -> GossipTransport:
+    """Creates the member, of a new incarnation, on its transport; changes go to the log."""
+    host, port = parse_address(config.listen)
+    incarnation = unix_time()
+    own = MemberUpdate(config.name, MemberState.ALIVE, incarnation, host, port, config.zone, config.role)
+    seeds = [parse_address(seed) for seed in config.seeds]
     rng = random.Random(os.urandom(16))
 
-    def changed(word: Word) -> None:
-        here = made.gossip.table.count()
+    def create_member(now: int) -> GossipMember:
+        return GossipMember(config.group, own, seeds, config.gossip_settings(), rng, now)
+
+    def log_change(update: MemberUpdate) -> None:
         log.info(
-            State(word.state).name.lower(),
-            member=word.name,
-            zone=word.zone,
-            incarnation=word.incarnation,
-            here=here,
+            STATE_EVENTS[MemberState(update.state)],
+            member=update.name,
+            zone=update.zone,
+            incarnation=update.incarnation,
+            here=transport.member.table.active_count(),
         )
 
-    made = Port(
-        twisted,
-        lambda now: Gossip(chosen.group, own, [place(each) for each in chosen.seeds], choice, rng, now),
-        changed,
-    )
-    try:
-        twisted.listenUDP(port, made, interface=host)
-    except CannotListenError as wrong:
-        log.warning("can't start", reason=str(wrong))
-        return 2
+    transport = GossipTransport(reactor, create_member, log_change)
+    return transport
 
-    def leave() -> None:
-        made.leave()
-        twisted.callLater(FAREWELL, twisted.stop)
 
-    signal.signal(signal.SIGTERM, lambda *_: twisted.callFromThread(leave))
-    log.info("started", listen=chosen.listen)
-    twisted.run(installSignalHandlers=False)
-    log.info("stopped", **{name.replace(" ", "_"): count for name, count in made.counts.items()})
-    return 0
+def log_counts(log: EventLogger, counts: TransportCounts) -> None:
+    """Logs the counts at the end."""
+    log.info(
+        "stopped",
+        sent=counts.sent,
+        sent_bytes=counts.sent_bytes,
+        heard=counts.received,
+        not_understood=counts.undecodable,
+        lost=counts.lost,
+    )
--- /dev/null
+++ b/lichencleat/membership/state_sync.py
@@ -0,0 +1,59 @@
+"""Synchronization of whole tables: joins, merges of partitions, and repair of lost updates."""
+
+from __future__ import annotations
+
+import random
+
+from lichencleat.membership.member_table import MemberTable
+from lichencleat.membership.messages import MemberState, MemberUpdate
+from lichencleat.membership.outbox import Outbox
+from lichencleat.membership.settings import GossipSettings
+
+SEED_PROBABILITY = 0.3  # of synchronizing with a seed: so islands that joined apart find each other
+
+
+class StateSync:
+    """Asks one member now and then for its table."""
+
+    def __init__(
+        self,
+        table: MemberTable,
+        outbox: Outbox,
+        settings: GossipSettings,
+        seeds: list[tuple[str, int]],
+        rng: random.Random,
+    ) -> None:
+        """`seeds`: addresses of members to join by, without this member's own."""
+        self._table = table
+        self._outbox = outbox
+        self._settings = settings
+        self._seeds = seeds
+        self._rng = rng
+        self.next_sync_at = 0  # µs
+
+    def join(self, now: int, own: MemberUpdate) -> None:
+        """Asks a seed for its table; again at the next sync until somebody answers."""
+        half = self._settings.sync_interval // 2
+        self.next_sync_at = now + half + self._rng.randrange(half)
+        if self._seeds:
+            host, port = self._rng.choice(self._seeds)
+            self._outbox.send_sync_request(host, port, own)
+
+    def on_timer(self, now: int, own: MemberUpdate) -> None:
+        """Synchronizes if it is due."""
+        if now >= self.next_sync_at:
+            self._sync(now, own)
+
+    def _sync(self, now: int, own: MemberUpdate) -> None:
+        """Tries a dead member, so that partitions merge; else a seed, or any member, to repair losses."""
+        interval = self._settings.sync_interval
+        self.next_sync_at = now + interval // 2 + self._rng.randrange(interval)
+        dead = [each for each in self._table.members.values() if each.state == MemberState.DEAD]
+        if dead:
+            lost = self._rng.choice(dead)
+            self._outbox.send_sync_request(lost.host, lost.port, own, lost)
+        elif self._table.active_count() == 1 or (self._seeds and self._rng.random() < SEED_PROBABILITY):
+            self.join(now, own)
+        else:
+            peer = self._rng.choice([each for each in self._table.active() if each.name != own.name])
+            self._outbox.send_sync_request(peer.host, peer.port, own)
--- /dev/null
+++ b/lichencleat/membership/suspicion.py
@@ -0,0 +1,66 @@
+"""Suspicion: how long a suspect has to refute it, less the more members suspect it independently."""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+
+from lichencleat.membership.member_table import MemberTable
+from lichencleat.membership.settings import GossipSettings
+
+MAX_CONFIRMATIONS = 3  # independent ones that bring the timeout down to its minimum
+
+
+@dataclass(slots=True)
+class Suspicion:
+    """One suspect."""
+
+    since: int  # µs
+    suspected_by: set[str] = field(default_factory=set)
+
+
+class SuspicionTracker:
+    """The timeouts of all suspects."""
+
+    def __init__(self, table: MemberTable, settings: GossipSettings) -> None:
+        self._table = table
+        self._settings = settings
+        self._suspicions: dict[str, Suspicion] = {}
+
+    def start(self, name: str, now: int, sender: str) -> None:
+        """Starts the timeout of a suspect; `sender` is empty where nobody else says so."""
+        self._suspicions[name] = Suspicion(now, {sender} if sender else set())
+
+    def confirm(self, name: str, sender: str) -> None:
+        """Notes that another member suspects it, too."""
+        self._suspicions[name].suspected_by.add(sender)
+
+    def clear(self, name: str) -> None:
+        """Ends the suspicion of a member, if there is one."""
+        self._suspicions.pop(name, None)
+
+    def is_suspect(self, name: str) -> bool:
+        """Whether a member's timeout is running."""
+        return name in self._suspicions
+
+    def expired(self, now: int) -> Iterator[str]:
+        """Yields suspects that did not refute in time, as the table is when each is looked at."""
+        for name, suspicion in list(self._suspicions.items()):
+            if now - suspicion.since >= self._timeout(suspicion):
+                yield name
+
+    def deadlines(self) -> Iterator[int]:
+        """Yields when each suspicion expires, µs."""
+        return (each.since + self._timeout(each) for each in self._suspicions.values())
+
+    def _timeout(self, suspicion: Suspicion) -> int:
+        settings = self._settings
+        count = self._table.active_count()
+        scale = math.log10(max(10, count))
+        shortest = round(settings.suspicion_multiplier * scale * settings.probe_interval)
+        longest = shortest * settings.max_suspicion_multiplier
+        confirmations = max(0, len(suspicion.suspected_by) - 1)
+        expected = min(MAX_CONFIRMATIONS, max(1, count - 2))
+        share = math.log(confirmations + 1) / math.log(expected + 1)
+        return max(shortest, round(longest - (longest - shortest) * share))
--- a/lichencleat/testkit/simulation/members.py
+++ b/lichencleat/testkit/simulation/members.py
@@ -10,8 +10,10 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.membership.gossip import Gossip, Send
-from lichencleat.membership.terms import Choice, Datagram, State, Word
+from lichencleat.membership.gossip import GossipMember
+from lichencleat.membership.messages import GossipMessage, MemberState, MemberUpdate
+from lichencleat.membership.outbox import SendDatagram
+from lichencleat.membership.settings import GossipSettings
 from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock, Timer
 from lichencleat.testkit.simulation.network import Network
 
@@ -30,9 +32,9 @@
     def start(self) -> None:
         self.up = True
         self.life += 1
-        own = Word(
+        own = MemberUpdate(
             self.name,
-            State.HERE,
+            MemberState.ALIVE,
             self.world.clockwork.now + 1,
             "h",
             self.number,
@@ -41,7 +43,7 @@
         )
         seeds = [("h", 0), ("h", 1), ("h", 2)]
         rng = random.Random(self.world.rng.randrange(1 << 60))
-        self.gossip = Gossip("sim", own, seeds, self.world.choice, rng, self.clock())
+        self.gossip = GossipMember("sim", own, seeds, self.world.choice, rng, self.clock())
         self.pull()
 
     def kill(self) -> None:
@@ -49,36 +51,38 @@
         if self.timer is not None:
             self.timer.cancel()
 
-    def hears(self, sender: int, datagram: Datagram) -> None:
+    def hears(self, sender: int, datagram: GossipMessage) -> None:
         if self.up:
-            self.gossip.hears(self.clock(), "h", sender, datagram)
+            self.gossip.on_message(self.clock(), "h", sender, datagram)
             self.pull()
 
     def wake(self, life: int) -> None:
         if self.up and self.life == life:
-            self.gossip.wakes(self.clock())
+            self.gossip.on_timer(self.clock())
             self.pull()
 
     def pull(self) -> None:
-        while (decision := self.gossip.next_decision()) is not None:
-            if isinstance(decision, Send):
+        while (decision := self.gossip.next_action()) is not None:
+            if isinstance(decision, SendDatagram):
                 self.world.carry(self, decision)
             else:
-                self.world.changed(self, decision.word)
+                self.world.changed(self, decision.update)
         if self.timer is not None:
             self.timer.cancel()
-        span = self.clock.until(self.gossip.deadline())
+        span = self.clock.until(self.gossip.next_deadline())
         self.timer = self.world.clockwork.after(span, self.wake, self.life)
 
     def sees(self) -> set[str]:
-        return {each.name for each in self.gossip.table.here()}
+        return {each.name for each in self.gossip.table.active()}
 
 
 class MembersWorld:
-    def __init__(self, seed: int, count: int, loss: float = 0.0, choice: Choice | None = None) -> None:
+    def __init__(
+        self, seed: int, count: int, loss: float = 0.0, choice: GossipSettings | None = None
+    ) -> None:
         self.rng = random.Random(f"members {seed}")
         self.clockwork = Clockwork()
-        self.choice = choice or Choice()
+        self.choice = choice or GossipSettings()
         self.network = Network(self.clockwork, random.Random(self.rng.randrange(1 << 60)))
         self.network.loss = loss
         self.sent_bytes = 0
@@ -86,18 +90,18 @@
         self.gone_at: dict[str, list[int]] = {}  # µs: when others called it gone
         self.instances = [SimInstance(self, number) for number in range(count)]
 
-    def carry(self, sender: SimInstance, send: Send) -> None:
+    def carry(self, sender: SimInstance, send: SendDatagram) -> None:
         self.counts["datagrams"] += 1
-        self.counts["bytes"] += len(msgspec.msgpack.encode(send.datagram))
+        self.counts["bytes"] += len(msgspec.msgpack.encode(send.message))
         if send.port < len(self.instances):
             to = self.instances[send.port]
-            self.network.send(sender.number, send.port, to.hears, sender.number, send.datagram)
+            self.network.send(sender.number, send.port, to.hears, sender.number, send.message)
 
-    def changed(self, by: SimInstance, word: Word) -> None:
+    def changed(self, by: SimInstance, word: MemberUpdate) -> None:
         known = self.instances[int(word.name[1:])]
-        if word.state == State.SUSPECT and known.up:
+        if word.state == MemberState.SUSPECT and known.up:
             self.counts["suspected wrongly"] += 1
-        if word.state == State.GONE:
+        if word.state == MemberState.DEAD:
             if known.up:
                 self.counts["called gone wrongly"] += 1
             self.gone_at.setdefault(word.name, []).append(self.clockwork.now)
--- a/tests/capacity/test_plan.py
+++ b/tests/capacity/test_plan.py
@@ -13,7 +13,7 @@
 from lichencleat.capacity.plan import at, in_order, largest_within, limit, made, row
 from lichencleat.capacity.target import Target, Tree, read_target
 from lichencleat.consensus import group
-from lichencleat.membership import table as members
+from lichencleat.membership import member_table
 
 ROOT = Path(__file__).resolve().parents[2]
 FIXED = settings(derandomize=True, deadline=None, max_examples=60)
@@ -75,7 +75,7 @@
 
 def test_bounds_are_read_where_they_stand():
     by_name = {each.name: each.bound for each in bounds.BOUNDS}
-    assert by_name["members.table.MEMBERS_MOST"] == members.MEMBERS_MOST
+    assert by_name["members.table.MEMBERS_MOST"] == member_table.MAX_MEMBERS
     assert by_name["quorum.group.MEMBERS_MOST"] == group.MEMBERS_MOST
     for each in bounds.BOUNDS:
         if each.bound is not None:
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,4 +1,4 @@
-"""Words, rumors and one member by hand; drawn groups with faults."""
+"""The member table, dissemination and one member by direct calls; simulated groups with faults."""
 
 import itertools
 import random
@@ -6,162 +6,174 @@
 import msgspec
 import pytest
 
-from lichencleat.membership.gossip import Change, Gossip, Send
-from lichencleat.membership.rumors import DATAGRAM_MOST, Rumors, times
-from lichencleat.membership.table import MEMBERS_MOST, Table
-from lichencleat.membership.terms import Choice, Datagram, Kind, State, Word
+from lichencleat.membership.dissemination import MAX_DATAGRAM_BYTES, DisseminationQueue, retransmit_limit
+from lichencleat.membership.gossip import GossipMember
+from lichencleat.membership.member_table import MAX_MEMBERS, MemberTable
+from lichencleat.membership.messages import GossipMessage, MemberState, MemberUpdate, MessageKind
+from lichencleat.membership.outbox import MemberChanged, SendDatagram
+from lichencleat.membership.settings import GossipSettings
 from lichencleat.testkit.simulation.members import SECOND, MembersWorld
 
 
-def word(name, state=State.HERE, incarnation=1):
-    return Word(name, state, incarnation, "10.0.0.1", 7000, "x", "node")
+def update(name, state=MemberState.ALIVE, incarnation=1):
+    return MemberUpdate(name, state, incarnation, "10.0.0.1", 7000, "x", "node")
 
 
-def test_words_heard_in_any_order_leave_the_same():
-    words = [word("a", state, n) for state in State for n in (1, 2)]
+def test_member_table_is_the_same_for_updates_in_any_order():
+    updates = [update("a", state, n) for state in MemberState for n in (1, 2)]
     results = set()
-    for order in itertools.islice(itertools.permutations(words), 0, 40_000, 97):
-        table = Table()
+    for order in itertools.islice(itertools.permutations(updates), 0, 40_000, 97):
+        table = MemberTable()
         for each in (*order, *order[:3]):
-            table.hear(0, each)
+            table.apply(0, each)
         results.add(table.digest())
     assert len(results) == 1
 
 
-def test_a_datagram_can_not_fill_the_table():
-    table = Table()
-    for number in range(MEMBERS_MOST + 50):
-        table.hear(0, word(f"n{number}"))
-    assert len(table.words) == MEMBERS_MOST
-    assert not Table().hear(0, word("a", 9))
+def test_member_table_is_bounded_and_rejects_unknown_states():
+    table = MemberTable()
+    for number in range(MAX_MEMBERS + 50):
+        table.apply(0, update(f"n{number}"))
+    assert len(table.members) == MAX_MEMBERS
+    assert not MemberTable().apply(0, update("a", 9))
 
 
-def test_who_is_gone_is_forgotten_after_long_and_who_is_there_is_not():
-    table = Table()
-    table.hear(0, word("a"))
-    table.hear(0, word("b", State.GONE))
-    assert table.forget(9, 10) == [] and table.forget(10, 10) == ["b"] and list(table.words) == ["a"]
+def test_member_table_forgets_only_dead_members():
+    table = MemberTable()
+    table.apply(0, update("a"))
+    table.apply(0, update("b", MemberState.DEAD))
+    assert (
+        table.forget_dead(9, 10) == [] and table.forget_dead(10, 10) == ["b"] and list(table.members) == ["a"]
+    )
 
 
-def test_rumors_are_passed_on_a_bounded_number_of_times_least_told_first():
-    rumors = Rumors()
+def test_dissemination_sends_each_update_a_bounded_number_of_times():
+    queue = DisseminationQueue()
     for number in range(100):
-        rumors.add(word(f"n{number}"))
-    told = [each.name for _ in range(200) for each in rumors.take(500, 3)]
-    assert sorted(told) == sorted(f"n{n}" for n in range(100) for _ in range(3))
-    assert rumors.take(500, 3) == () and times(300, 3) < 30
-    rumors.add(word("z"))
-    rumors.add(word("y"))
-    assert rumors.take(70, 3, first="y")[0].name == "y"
+        queue.enqueue(update(f"n{number}"))
+    sent = [each.name for _ in range(200) for each in queue.take(500, 3)]
+    assert sorted(sent) == sorted(f"n{n}" for n in range(100) for _ in range(3))
+    assert queue.take(500, 3) == () and retransmit_limit(300, 3) < 30
+    queue.enqueue(update("z"))
+    queue.enqueue(update("y"))
+    assert queue.take(70, 3, first="y")[0].name == "y"
 
 
-class Hand:
+class SingleMember:
     """One member, with what it does collected."""
 
     def __init__(self, *others, period=1_000_000):
-        self.choice = Choice(period=period)
-        self.gossip = Gossip("g", word("me"), [("10.0.0.9", 7000)], self.choice, random.Random(2), 0)
+        self.settings = GossipSettings(probe_interval=period)
+        self.gossip = GossipMember(
+            "g", update("me"), [("10.0.0.9", 7000)], self.settings, random.Random(2), 0
+        )
         self.now = 0
         for each in others:
-            self.hear(Datagram("g", Kind.LIST, 0, "seed", words=(word(each),)))
-        self.pull()
+            self.receive(GossipMessage("g", MessageKind.SYNC_STATE, 0, "seed", updates=(update(each),)))
+        self.actions()
 
-    def hear(self, datagram):
-        self.gossip.hears(self.now, "10.0.0.2", 7000, datagram)
+    def receive(self, message):
+        self.gossip.on_message(self.now, "10.0.0.2", 7000, message)
 
-    def pull(self):
+    def actions(self):
         found = []
-        while (decision := self.gossip.next_decision()) is not None:
-            found.append(decision)
+        while (action := self.gossip.next_action()) is not None:
+            found.append(action)
         return found
 
     def sent(self, kind):
         return [
-            each.datagram for each in self.pull() if isinstance(each, Send) and each.datagram.kind == kind
+            each.message
+            for each in self.actions()
+            if isinstance(each, SendDatagram) and each.message.kind == kind
         ]
 
     def until(self, kind, most=10_000_000):
         end = self.now + most
         while self.now < end:
-            self.now = max(self.now, self.gossip.deadline())
-            self.gossip.wakes(self.now)
+            self.now = max(self.now, self.gossip.next_deadline())
+            self.gossip.on_timer(self.now)
             if found := self.sent(kind):
                 return found[0]
         raise AssertionError(kind)
 
     def state(self, name):
-        return State(self.gossip.table.words[name].state)
+        return MemberState(self.gossip.table.members[name].state)
 
 
-def test_a_silent_member_is_asked_after_then_suspected_then_called_gone():
-    hand = Hand("a", "b", "c")
-    ping = hand.until(Kind.PING)
-    ask = hand.until(Kind.ASK)
-    assert ask.number == ping.number
-    target = ask.target
+def test_gossip_probes_a_silent_member_indirectly_then_suspects_it_then_calls_it_dead():
+    member = SingleMember("a", "b", "c")
+    ping = member.until(MessageKind.PING)
+    request = member.until(MessageKind.PING_REQUEST)
+    assert request.sequence == ping.sequence
+    target = request.target
     for helper in {"a", "b", "c"} - {target}:
-        hand.hear(Datagram("g", Kind.NO_ACK, ask.number, helper, target))
-    hand.until(Kind.PING)
-    assert hand.state(target) == State.SUSPECT
+        member.receive(GossipMessage("g", MessageKind.NACK, request.sequence, helper, target))
+    member.until(MessageKind.PING)
+    assert member.state(target) == MemberState.SUSPECT
     for _ in range(200):
-        hand.now = hand.gossip.deadline()
-        hand.gossip.wakes(hand.now)
-        hand.pull()
-    assert hand.state(target) == State.GONE
-
-
-def test_an_answer_of_any_helper_clears_the_probe():
-    hand = Hand("a", "b", "c")
-    hand.until(Kind.PING)
-    ask = hand.until(Kind.ASK)
-    hand.hear(Datagram("g", Kind.ACK, ask.number, "b", ask.target))
-    hand.until(Kind.PING)
-    assert hand.state(ask.target) == State.HERE and hand.gossip.health == 0
-
-
-def test_who_is_taken_for_gone_says_otherwise_and_takes_more_time_itself():
-    hand = Hand("a")
-    hand.hear(Datagram("g", Kind.PING, 5, "a", words=(word("me", State.GONE, 7),)))
-    (ack,) = hand.sent(Kind.ACK)
-    assert word("me", State.HERE, 8) in ack.words and hand.gossip.health == 1
-
-
-def test_one_that_asks_for_another_is_told_either_way():
-    hand = Hand("a", "b")
-    hand.hear(Datagram("g", Kind.ASK, 77, "a", "b"))
-    (ping,) = hand.sent(Kind.PING)
-    hand.hear(Datagram("g", Kind.ACK, ping.number, "b"))
-    assert [(each.number, each.target) for each in hand.sent(Kind.ACK)] == [(77, "b")]
-    hand.hear(Datagram("g", Kind.ASK, 78, "a", "b"))
-    hand.pull()
-    assert hand.until(Kind.NO_ACK).number == 78
-
-
-def test_another_group_s_datagrams_count_for_nothing_and_none_is_too_large():
-    hand = Hand()
-    hand.hear(Datagram("other", Kind.PING, 5, "a", words=(word("a"),)))
-    assert hand.sent(Kind.ACK) == [] and "a" not in hand.gossip.table.words
+        member.now = member.gossip.next_deadline()
+        member.gossip.on_timer(member.now)
+        member.actions()
+    assert member.state(target) == MemberState.DEAD
+
+
+def test_gossip_ends_a_probe_by_the_ack_of_any_helper():
+    member = SingleMember("a", "b", "c")
+    member.until(MessageKind.PING)
+    request = member.until(MessageKind.PING_REQUEST)
+    member.receive(GossipMessage("g", MessageKind.ACK, request.sequence, "b", request.target))
+    member.until(MessageKind.PING)
+    assert member.state(request.target) == MemberState.ALIVE and member.gossip.health.score == 0
+
+
+def test_gossip_refutes_its_own_death_and_degrades_its_local_health():
+    member = SingleMember("a")
+    member.receive(GossipMessage("g", MessageKind.PING, 5, "a", updates=(update("me", MemberState.DEAD, 7),)))
+    (ack,) = member.sent(MessageKind.ACK)
+    assert update("me", MemberState.ALIVE, 8) in ack.updates and member.gossip.health.score == 1
+
+
+def test_gossip_replies_to_a_ping_request_with_ack_or_nack():
+    member = SingleMember("a", "b")
+    member.receive(GossipMessage("g", MessageKind.PING_REQUEST, 77, "a", "b"))
+    (ping,) = member.sent(MessageKind.PING)
+    member.receive(GossipMessage("g", MessageKind.ACK, ping.sequence, "b"))
+    assert [(each.sequence, each.target) for each in member.sent(MessageKind.ACK)] == [(77, "b")]
+    member.receive(GossipMessage("g", MessageKind.PING_REQUEST, 78, "a", "b"))
+    member.actions()
+    assert member.until(MessageKind.NACK).sequence == 78
+
+
+def test_gossip_ignores_other_groups_and_bounds_its_datagrams():
+    member = SingleMember()
+    member.receive(GossipMessage("other", MessageKind.PING, 5, "a", updates=(update("a"),)))
+    assert member.sent(MessageKind.ACK) == [] and "a" not in member.gossip.table.members
     for number in range(400):
-        hand.gossip.learn(0, word(f"n{number}"), "a")
-    hand.hear(Datagram("g", Kind.JOIN, 0, "a"))
-    sizes = [len(msgspec.msgpack.encode(each)) for each in hand.sent(Kind.LIST)]
-    assert len(sizes) > 5 and max(sizes) <= DATAGRAM_MOST
+        member.gossip.apply_update(0, update(f"n{number}"), "a")
+    member.receive(GossipMessage("g", MessageKind.SYNC_REQUEST, 0, "a"))
+    sizes = [len(msgspec.msgpack.encode(each)) for each in member.sent(MessageKind.SYNC_STATE)]
+    assert len(sizes) > 5 and max(sizes) <= MAX_DATAGRAM_BYTES
 
 
-def test_leaving_is_told_apart_from_being_lost():
-    hand = Hand("a")
-    hand.gossip.leaves(5)
-    (ping,) = hand.sent(Kind.PING)
-    assert ping.words[0].state == State.LEFT
-    other = Hand()
-    other.hear(Datagram("g", Kind.PING, 0, "me2", words=(word("b"), word("b", State.LEFT))))
-    changes = [each.word.state for each in other.pull() if isinstance(each, Change)]
-    assert changes == [State.HERE, State.LEFT]
+def test_gossip_announces_that_it_leaves():
+    member = SingleMember("a")
+    member.gossip.leave(5)
+    (ping,) = member.sent(MessageKind.PING)
+    assert ping.updates[0].state == MemberState.LEFT
+    other = SingleMember()
+    other.receive(
+        GossipMessage("g", MessageKind.PING, 0, "me2", updates=(update("b"), update("b", MemberState.LEFT)))
+    )
+    changes = [each.update.state for each in other.actions() if isinstance(each, MemberChanged)]
+    assert changes == [MemberState.ALIVE, MemberState.LEFT]
 
 
 @pytest.fixture
 def world():
-    made = MembersWorld(3, 40, choice=Choice(period=200_000, answer=60_000, meet=1_000_000))
+    made = MembersWorld(
+        3, 40, choice=GossipSettings(probe_interval=200_000, probe_timeout=60_000, sync_interval=1_000_000)
+    )
     for each in made.instances:
         made.clockwork.after(made.rng.randrange(SECOND), each.start)
     made.run(SECOND)
@@ -169,14 +181,14 @@
     return made
 
 
-def test_four_in_ten_gone_at_once_are_known_by_all_the_rest(world):
+def test_gossip_detects_four_in_ten_members_killed_at_once(world):
     for each in world.instances[::5] + world.instances[1::5]:
         each.kill()
     assert world.until_together(60 * SECOND) is not None
     assert world.counts["called gone wrongly"] == 0
 
 
-def test_two_halves_that_were_apart_come_together(world):
+def test_gossip_merges_partitions(world):
     here, there = range(20), range(20, 40)
     pairs = [(a, b) for a in here for b in there] + [(b, a) for a in here for b in there]
     world.network.cut(pairs)
@@ -186,13 +198,13 @@
     assert world.until_together(120 * SECOND) is not None
 
 
-def test_loss_makes_suspects_and_calls_nobody_gone(world):
+def test_gossip_calls_nobody_dead_under_datagram_loss(world):
     world.network.loss = 0.05
     world.run(60 * SECOND)
     assert world.counts["called gone wrongly"] == 0
 
 
-def test_one_that_flaps_ends_where_it_is(world):
+def test_gossip_settles_on_a_flapping_member(world):
     flapping = world.instances[7]
     for _ in range(6):
         flapping.kill()
