--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -33,7 +33,7 @@
 BOUNDS = (
     Bound("node", "connections: each caller to each node", "node_sockets", None, of.callers),
     Bound("node", "connections: a subset", "node_sockets", None, of.subset),
-    Bound("member", "members: each node", "members.table.MEMBERS_MOST",
+    Bound("member", "members: each node", "membership.member_table.MAX_MEMBERS",
           member_table.MAX_MEMBERS, of.nodes, SOME),
     Bound("voter", "members of a group: each node a learner", "quorum.group.MEMBERS_MOST",
           group.MEMBERS_MOST, of.nodes,
--- a/tests/capacity/test_plan.py
+++ b/tests/capacity/test_plan.py
@@ -75,7 +75,7 @@
 
 def test_bounds_are_read_where_they_stand():
     by_name = {each.name: each.bound for each in bounds.BOUNDS}
-    assert by_name["members.table.MEMBERS_MOST"] == member_table.MAX_MEMBERS
+    assert by_name["membership.member_table.MAX_MEMBERS"] == member_table.MAX_MEMBERS
     assert by_name["quorum.group.MEMBERS_MOST"] == group.MEMBERS_MOST
     for each in bounds.BOUNDS:
         if each.bound is not None:
