--- a/lichencleat/idempotency/__init__.py
+++ b/lichencleat/idempotency/__init__.py
@@ -15,5 +15,5 @@
 - `node_time`: the clock that the windows are measured with.
 
 `records` is the stored format, `ownership` guards against another node's directory. The design is described
-in docs/keyed.md.
+in docs/idempotency.md.
 """
