--- a/lichencleat/config/document.py
+++ b/lichencleat/config/document.py
@@ -39,8 +39,8 @@
             line = node_line
         return line
 
-    def states(self, path: str) -> bool:
-        """Whether the document itself states the value at a path."""
+    def has_value(self, path: str) -> bool:
+        """Whether the document itself has a value at a path; else the default holds."""
         return sum(1 for _ in self._walk(path)) == len(PATH_STEP.findall(path))
 
     def find_duplicate_key(self) -> tuple[str, int] | None:
--- a/lichencleat/config/listing.py
+++ b/lichencleat/config/listing.py
@@ -28,7 +28,7 @@
     config, document = parse_node_config(path, read_config_text(path))
     settings = []
     for setting, value in _walk_values(config, "$"):
-        line = document.line_of(setting) if document.states(setting) else None
+        line = document.line_of(setting) if document.has_value(setting) else None
         settings.append(Setting(setting.removeprefix("$."), value, f"line {line}" if line else "default"))
     return settings
 
--- a/lichencleat/config/loading.py
+++ b/lichencleat/config/loading.py
@@ -100,7 +100,7 @@
     unknown = re.search(r"unknown field `(.+)`", problem)
     if unknown:
         line = document.line_of(f"{setting}.{unknown[1]}")
-        known = ", ".join(sorted(_keys_at(setting, schema)))
+        known = ", ".join(sorted(_list_keys(setting, schema)))
         problem = f"unknown key {unknown[1]!r}; known here: {known}"
     else:
         line = document.line_of(setting)
@@ -108,7 +108,7 @@
     return InvalidConfigError.at(path, line, f"{name}: {problem}")
 
 
-def _keys_at(setting: str, schema: type[Struct]) -> list[str]:
+def _list_keys(setting: str, schema: type[Struct]) -> list[str]:
     """Returns the keys that the struct at a path has."""
     for key in path_keys(setting):
         field_type = next(field.type for field in msgspec.structs.fields(schema) if field.name == key)
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -19,6 +19,7 @@
 from lichencleat.store.errors import StoreError
 from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
+from lichencleat.terms import Outcome
 
 MEGABYTE = 1 << 20
 SEGMENT_BYTES = 4 << 20  # a record lives some ten seconds, so whole segments are soon free
@@ -29,7 +30,7 @@
 class Interpreter(Protocol):
     """The interpreter's connection, as far as the service has to know it."""
 
-    early: dict[bytes, Any] | None  # ends of runs that nobody asked for yet, where they are kept
+    early: dict[bytes, tuple[Outcome, int, bytes]] | None  # ends of runs not known here yet, where kept
     began: Callable[[int], None] | None  # called with the interpreter's age, µs
 
 
--- a/lichencleat/membership/gossip.py
+++ b/lichencleat/membership/gossip.py
@@ -22,7 +22,16 @@
 
 
 class GossipMember:
-    """This member, and what it knows of the others."""
+    """This member, and what it knows of the others.
+
+    Args:
+        group: Datagrams of other groups are ignored.
+        own: This member; its incarnation is µs of Unix time at its start, to override an earlier one.
+        seeds: Addresses of members to join by; the own one is left out.
+        settings: The same at each member.
+        rng: Draws who is probed, asked and synchronized with.
+        now: µs of the host's clock.
+    """
 
     def __init__(
         self,
@@ -33,17 +42,6 @@
         rng: random.Random,
         now: int,
     ) -> None:
-        """Joins by the seeds.
-
-        Args:
-            group: Datagrams of other groups are ignored.
-            own: This member; its incarnation is µs of Unix time at its start, so that it overrides an
-                earlier one.
-            seeds: Addresses of members to join by; the own one is left out.
-            settings: The same at each member.
-            rng: Draws who is probed, asked and synchronized with.
-            now: µs of the host's clock.
-        """
         self._group = group
         self._settings = settings
         self._rng = rng
@@ -80,9 +78,9 @@
         """When `on_timer` is to be called at the latest, µs."""
         return min(
             self._sync.next_sync_at,
-            *self._prober.deadlines(),
-            *self._indirect_prober.deadlines(),
-            *self._suspicions.deadlines(),
+            *self._prober.iter_deadlines(),
+            *self._indirect_prober.iter_deadlines(),
+            *self._suspicions.iter_deadlines(),
         )
 
     def on_message(self, now: int, host: str, port: int, message: GossipMessage) -> None:
--- a/lichencleat/membership/probing.py
+++ b/lichencleat/membership/probing.py
@@ -66,20 +66,20 @@
     def on_timer(self, now: int) -> None:
         """Asks helpers, or ends the probe and begins the next, as is due."""
         probe = self._probe
-        if probe is not None and not probe.helpers_asked and now >= self._helpers_due(probe):
+        if probe is not None and not probe.helpers_asked and now >= self._helpers_deadline(probe):
             self._ask_helpers(probe)
         if now >= self._next_probe_at:
             if probe is not None:
                 self._fail(now, probe)
             self._begin(now)
 
-    def deadlines(self) -> Iterator[int]:
+    def iter_deadlines(self) -> Iterator[int]:
         """Yields when `on_timer` has something to do, µs."""
         yield self._next_probe_at
         if self._probe is not None and not self._probe.helpers_asked:
-            yield self._helpers_due(self._probe)
+            yield self._helpers_deadline(self._probe)
 
-    def _helpers_due(self, probe: Probe) -> int:
+    def _helpers_deadline(self, probe: Probe) -> int:
         return probe.started_at + self._health.stretch(self._settings.probe_timeout)
 
     def _begin(self, now: int) -> None:
@@ -163,7 +163,7 @@
                 del self._probes[sequence]
                 self._reply(probe, MessageKind.NACK)
 
-    def deadlines(self) -> Iterator[int]:
+    def iter_deadlines(self) -> Iterator[int]:
         """Yields when `on_timer` has something to do, µs."""
         return (probe.started_at + self._settings.probe_timeout for probe in self._probes.values())
 
--- a/lichencleat/membership/suspicion.py
+++ b/lichencleat/membership/suspicion.py
@@ -50,7 +50,7 @@
             if now - suspicion.since >= self._timeout(suspicion):
                 yield name
 
-    def deadlines(self) -> Iterator[int]:
+    def iter_deadlines(self) -> Iterator[int]:
         """Yields when each suspicion expires, µs."""
         return (each.since + self._timeout(each) for each in self._suspicions.values())
 
--- a/tests/idempotency/test_kills.py
+++ b/tests/idempotency/test_kills.py
@@ -12,13 +12,13 @@
 
 
 @pytest.mark.parametrize("forgets", [False, True])
-def test_kills_under_repeated_keys_run_none_twice(forgets):
-    ran = run(2 if forgets else 1, kills=4, forgets=forgets)
-    assert ran.wrong is None and ran.kills == 4
-    assert sum(ran.answers.values()) >= 40 and 0 < ran.runs <= 40
+def test_node_killed_under_repeated_keys_runs_none_twice(forgets):
+    result = run(2 if forgets else 1, kills=4, forgets=forgets)
+    assert result.wrong is None and result.kills == 4
+    assert sum(result.answers.values()) >= 40 and 0 < result.runs <= 40
 
 
-def test_two_nodes_on_one_directory_and_another_s_are_refused_and_the_commands_show_it(tmp_path):
+def test_node_rejects_a_directory_in_use_or_of_another_node_and_commands_inspect_it(tmp_path):
     rig = Rig(tmp_path, voters=0)
     nodes = []
     try:
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,64 +1,19 @@
-"""The member table, dissemination and one member by direct calls; simulated groups with faults."""
+"""One member by direct calls; simulated groups with faults."""
 
-import itertools
 import random
 
 import msgspec
 import pytest
+from membership.updates import update
 
-from lichencleat.membership.dissemination import MAX_DATAGRAM_BYTES, DisseminationQueue, retransmit_limit
+from lichencleat.membership.dissemination import MAX_DATAGRAM_BYTES
 from lichencleat.membership.gossip import GossipMember
-from lichencleat.membership.member_table import MAX_MEMBERS, MemberTable
-from lichencleat.membership.messages import GossipMessage, MemberState, MemberUpdate, MessageKind
+from lichencleat.membership.messages import GossipMessage, MemberState, MessageKind
 from lichencleat.membership.outbox import MemberChanged, SendDatagram
 from lichencleat.membership.settings import GossipSettings
 from lichencleat.testkit.simulation.members import SECOND, MembersWorld
 
 
-def update(name, state=MemberState.ALIVE, incarnation=1):
-    return MemberUpdate(name, state, incarnation, "10.0.0.1", 7000, "x", "node")
-
-
-def test_member_table_is_the_same_for_updates_in_any_order():
-    updates = [update("a", state, n) for state in MemberState for n in (1, 2)]
-    results = set()
-    for order in itertools.islice(itertools.permutations(updates), 0, 40_000, 97):
-        table = MemberTable()
-        for each in (*order, *order[:3]):
-            table.apply(0, each)
-        results.add(table.digest())
-    assert len(results) == 1
-
-
-def test_member_table_is_bounded_and_rejects_unknown_states():
-    table = MemberTable()
-    for number in range(MAX_MEMBERS + 50):
-        table.apply(0, update(f"n{number}"))
-    assert len(table.members) == MAX_MEMBERS
-    assert not MemberTable().apply(0, update("a", 9))
-
-
-def test_member_table_forgets_only_dead_members():
-    table = MemberTable()
-    table.apply(0, update("a"))
-    table.apply(0, update("b", MemberState.DEAD))
-    assert (
-        table.forget_dead(9, 10) == [] and table.forget_dead(10, 10) == ["b"] and list(table.members) == ["a"]
-    )
-
-
-def test_dissemination_sends_each_update_a_bounded_number_of_times():
-    queue = DisseminationQueue()
-    for number in range(100):
-        queue.enqueue(update(f"n{number}"))
-    sent = [each.name for _ in range(200) for each in queue.take(500, 3)]
-    assert sorted(sent) == sorted(f"n{n}" for n in range(100) for _ in range(3))
-    assert queue.take(500, 3) == () and retransmit_limit(300, 3) < 30
-    queue.enqueue(update("z"))
-    queue.enqueue(update("y"))
-    assert queue.take(70, 3, first="y")[0].name == "y"
-
-
 class SingleMember:
     """One member, with what it does collected."""
 
