--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -10,6 +10,7 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.interfaces import IReactorFromThreads
 
+from lichencleat.admission.types import Outcome
 from lichencleat.config.schema import IdempotencyConfig
 from lichencleat.idempotency.errors import ForeignDirectoryError, ServiceStartError
 from lichencleat.idempotency.index import RecordIndex
@@ -19,7 +20,6 @@
 from lichencleat.store.errors import StoreError
 from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
-from lichencleat.terms import Outcome
 
 MEGABYTE = 1 << 20
 SEGMENT_BYTES = 4 << 20  # a record lives some ten seconds, so whole segments are soon free
--- a/lichencleat/idempotency/earlier_runs.py
+++ b/lichencleat/idempotency/earlier_runs.py
@@ -4,12 +4,12 @@
 
 from functools import partial
 
+from lichencleat.admission.types import Outcome
 from lichencleat.idempotency.index import RecordIndex
 from lichencleat.idempotency.intents import complete_record
 from lichencleat.idempotency.interfaces import PendingRequest, Report, RequestEngine, Timers
 from lichencleat.idempotency.node_time import NodeTime
 from lichencleat.idempotency.writer import RecordWriter
-from lichencleat.terms import Outcome
 
 # After the last heartbeat by the system's clock: an interpreter that started later knows no earlier run.
 HEARTBEAT_MARGIN_US = 2_000_000
--- a/lichencleat/idempotency/intents.py
+++ b/lichencleat/idempotency/intents.py
@@ -8,13 +8,13 @@
 import msgspec
 from twisted.python.failure import Failure
 
+from lichencleat.admission.types import Outcome, Request
 from lichencleat.idempotency.index import RecordIndex
 from lichencleat.idempotency.interfaces import PendingRequest, Report, RequestEngine, Timers
 from lichencleat.idempotency.node_time import NodeTime
 from lichencleat.idempotency.records import IdempotencyRecord, RecordState, encode, split_request_key
 from lichencleat.idempotency.writer import SLOW_WRITE_US, RecordWriter
 from lichencleat.store.batch import Batch
-from lichencleat.terms import Outcome, Request
 
 
 @dataclass(slots=True)
--- a/lichencleat/idempotency/interfaces.py
+++ b/lichencleat/idempotency/interfaces.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from lichencleat.terms import Outcome, Request
+from lichencleat.admission.types import Outcome, Request
 
 RunCallback = Callable[[Outcome, int, bytes], None]  # outcome, µs that the run took, result
 
--- a/lichencleat/router/file.py
+++ b/lichencleat/router/file.py
@@ -7,14 +7,14 @@
 
 from msgspec import Meta, Struct
 
+from lichencleat.admission.node_spec import BadInputError, decode_machine
+from lichencleat.admission.types import Machine
 from lichencleat.config.addresses import parse_address
 from lichencleat.config.document import YamlDocument
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config.loading import parse_config, read_config_text
 from lichencleat.config.schema import Address, LogConfig, Name
 from lichencleat.config.validation import check_address
-from lichencleat.machine import BadInputError, decode_machine
-from lichencleat.terms import Machine
 
 __all__ = ["RouterChoice", "RouterFile", "ZoneChoice", "parse_address", "read_router"]
 
