--- a/tests/idempotency/node_lifecycle.py
+++ b/tests/idempotency/node_lifecycle.py
@@ -23,16 +23,16 @@
 SAVE = Tariff("save", Effect.RECEIPTED, 2 * SECOND, 6 * SECOND, window=30 * SECOND)
 
 
-class World:
+class Environment:
     """What outlives the node's process: disk, interpreter, time."""
 
-    def __init__(self, forgets=False):
-        self.disk, self.forgets = FaultyDisk(), forgets
+    def __init__(self, interpreter_forgets=False):
+        self.disk, self.interpreter_forgets = FaultyDisk(), interpreter_forgets
         self.clock_off = 0  # s
         self.reactor = Clock()
         self.reactor.advance(1_000)
         self.runs, self.made = [], []  # what was begun: ident, tariff, body; results
-        self.going = {}  # ident -> body
+        self.running = {}  # ident -> body
 
     def runs_of(self, body):
         return [each for each in self.runs if each[2].startswith(body)]
@@ -45,7 +45,7 @@
     def apply(self, run, tariff, body, pure):
         self.runs[run.ident] = run
         self.world.runs.append((run.ident, tariff, body))
-        self.world.going[run.ident] = body
+        self.world.running[run.ident] = body
 
     def adopt(self, ident, ended):
         if ident in (self.early or {}):
@@ -60,19 +60,19 @@
         return None
 
 
-class Hands:
+class ManualThreads:
     """The store's threads: each call waits until the test lets the disk work."""
 
     def __init__(self):
         self.calls, self.cut = [], False
 
     def __call__(self, call, *args):
-        told = Deferred()
-        self.calls.append((told, call, args))
-        return told
+        finished = Deferred()
+        self.calls.append((finished, call, args))
+        return finished
 
-    def work(self):
-        told, call, args = self.calls.pop(0)
+    def run_next(self):
+        finished, call, args = self.calls.pop(0)
         if self.cut:
             return
         try:
@@ -80,22 +80,22 @@
         except PowerCutError:
             self.cut = True
         except Exception:
-            told.errback()
+            finished.errback()
         else:
-            told.callback(result)
+            finished.callback(result)
 
 
 class NodeIncarnation:
     def __init__(self, world, name="n1", place=7, entries=1_000):
         self.world, self.name, self.place, self.entries = world, name, place, entries
-        self.answers, self.cases, self.refused = {}, {}, ""
+        self.answers, self.cases, self.start_error = {}, {}, ""
         self.reactor = world.reactor
 
     def clock(self):
         """Unix time, as this machine has it."""
         return int((self.reactor.seconds() + self.world.clock_off) * SECOND)
 
-    def start(self, stand=True, interpreter_age=500 * SECOND):
+    def start(self, load=True, interpreter_age=500 * SECOND):
         reactor, world = self.reactor, self.world
         self.report = Report(self.name, self.clock)
         self.report.write = lambda line: None
@@ -109,30 +109,30 @@
             self.name, self.host, self.deadlines, self.report, self.clock, index
         )
         self.host.begin(False)
-        self.hands = Hands()
+        self.threads = ManualThreads()
         try:
             engine = Engine.open(world.disk, self.clock, random.Random(1), Bounds(64 << 10, 8 << 20), True)
         except (StoreError, PowerCutError, OSError):
-            self.refused = "no store"
+            self.start_error = "no store"
             return
-        self.store = Store(reactor, engine, self.hands, self.hands, upkeep=False)
+        self.store = Store(reactor, engine, self.threads, self.threads, upkeep=False)
         self.started = self.service.start(self.store, self.place)
-        self.started.addErrback(self.cant)
+        self.started.addErrback(self.on_start_failed)
         self.interpreter_age = interpreter_age
-        if stand:
-            self.stand()
+        if load:
+            self.load_index()
 
-    def cant(self, failure):
+    def on_start_failed(self, failure):
         failure.trap(ForeignDirectoryError, StoreError)
-        self.refused = failure.getErrorMessage()
+        self.start_error = failure.getErrorMessage()
 
-    def stand(self):
-        self.disk_works()
-        self.turn()
+    def load_index(self):
+        self.run_disk_calls()
+        self.run_turn()
         self.service.on_interpreter_started(self.interpreter_age)
-        self.turn()
+        self.run_turn()
 
-    def turn(self):
+    def run_turn(self):
         for _ in range(4):
             self.reactor.advance(0)
 
@@ -140,17 +140,17 @@
         for _ in range(round(seconds / 0.05)):
             self.reactor.advance(0.05)
 
-    def disk_works(self, most=100):
+    def run_disk_calls(self, max_calls=100):
         """So many calls of the disk are done; true if there was one."""
         did = False
-        while self.hands.calls and most > 0 and not self.hands.cut:
-            most -= 1
+        while self.threads.calls and max_calls > 0 and not self.threads.cut:
+            max_calls -= 1
             did = True
-            self.hands.work()
-            self.turn()
+            self.threads.run_next()
+            self.run_turn()
         return did
 
-    def ask(self, number, body=b"x", key=b"key", pure=False):
+    def send_request(self, number, body=b"x", key=b"key", pure=False):
         from hashlib import blake2b
 
         tariff, now = (LOOK if pure else SAVE), self.clock()
@@ -164,40 +164,40 @@
 
         self.cases[number] = case = Case(request, ident, key + body, whole, reply)
         self.host.arrives(case)
-        self.turn()
+        self.run_turn()
 
-    def caller_goes(self, number):
+    def disconnect_caller(self, number):
         self.host.caller_left(self.cases[number])
-        self.turn()
+        self.run_turn()
 
-    def run_ends(self, number=1):
+    def complete_runs(self, number=1):
         """So many runs at the interpreter come to their end, oldest first."""
         world = self.world
-        for ident in list(world.going)[:number]:
-            del world.going[ident]
+        for ident in list(world.running)[:number]:
+            del world.running[ident]
             result = b"result %d" % (len(world.made) + 1)
             world.made.append(result)
             run = self.interpreter.runs.pop(ident, None)
             if run is not None:
                 run.ended(Outcome.COMPLETED, 1_000, result)
-        self.turn()
+        self.run_turn()
 
-    def script(self, first=0):
+    def run_script(self, first=0):
         """Asked, run, asked again: as far as the disk goes."""
         for number in (first + 1, first + 2):
-            if self.refused:
+            if self.start_error:
                 return
-            self.ask(number, body=b"x")
+            self.send_request(number, body=b"x")
             for _ in range(3):
-                self.disk_works()
-                self.run_ends()
+                self.run_disk_calls()
+                self.complete_runs()
             self.advance(0.1)
 
-    def cut(self, rng=None):
+    def crash(self, rng=None):
         """The power goes; the next life finds what had reached the disk."""
         for each in self.reactor.getDelayedCalls():
             each.cancel()
         self.world.disk = self.world.disk.after_cut(by_chance(rng or random.Random(1)))
-        if self.world.forgets:
-            self.world.going.clear()
+        if self.world.interpreter_forgets:
+            self.world.running.clear()
         return NodeIncarnation(self.world, self.name, self.place)
