--- a/tests/compatibility/directories.py
+++ b/tests/compatibility/directories.py
@@ -25,7 +25,7 @@
 from lichencleat.consensus.seats import Life, wake_up
 from lichencleat.consensus.state import State
 from lichencleat.consensus.terms import Entry, Snapshot
-from lichencleat.idempotency.records import decode_entry, decode_seen, decode_whose, mark
+from lichencleat.idempotency.records import decode_heartbeat, decode_ownership, decode_record, record_key
 from lichencleat.recovery import boot, figures
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
@@ -139,12 +139,12 @@
             assert value is not None, key
             return value
 
-        entries = {key: decode_entry(get(mark(key.encode()))) for key in keys}
+        entries = {key: decode_record(get(record_key(key.encode()))) for key in keys}
         return {
-            "marks": {key: mark(key.encode()).hex() for key in keys},
+            "marks": {key: record_key(key.encode()).hex() for key in keys},
             "entries": {key: msgspec.structs.astuple(entry) for key, entry in entries.items()},
-            "whose": msgspec.structs.astuple(decode_whose(get(CONSTANTS["keyed.records.WHOSE"]))),
-            "seen": msgspec.structs.astuple(decode_seen(get(CONSTANTS["keyed.records.SEEN"]))),
+            "whose": msgspec.structs.astuple(decode_ownership(get(CONSTANTS["keyed.records.WHOSE"]))),
+            "seen": msgspec.structs.astuple(decode_heartbeat(get(CONSTANTS["keyed.records.SEEN"]))),
         }
 
 
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -24,7 +24,7 @@
 from lichencleat.idempotency import records
 from lichencleat.leases import lease_state
 from lichencleat.leases import messages as leases_messages
-from lichencleat.membership import terms as membership_terms
+from lichencleat.membership import messages as membership_messages
 from lichencleat.quotas import messages as quotas_messages
 from lichencleat.recovery import boot, figures
 from lichencleat.recovery import seat as recovery_seat
@@ -52,11 +52,11 @@
     "distribution.terms.Pages": distribution_terms.Pages,
     "distribution.terms.Wanted": distribution_terms.Wanted,
     "distribution.terms.Wanting": distribution_terms.Wanting,
-    "keyed.records.Entry": records.Entry,
-    "keyed.records.Seen": records.Seen,
-    "keyed.records.Whose": records.Whose,
-    "members.terms.Datagram": membership_terms.Datagram,
-    "members.terms.Word": membership_terms.Word,
+    "keyed.records.Entry": records.IdempotencyRecord,
+    "keyed.records.Seen": records.Heartbeat,
+    "keyed.records.Whose": records.Ownership,
+    "members.terms.Datagram": membership_messages.GossipMessage,
+    "members.terms.Word": membership_messages.MemberUpdate,
     "owners.jobs.Dumped": lease_state.Snapshot,
     "owners.terms.Candidate": leases_messages.Candidate,
     "owners.terms.Define": leases_messages.DefineJob,
@@ -142,9 +142,9 @@
 
 ENUMS: dict[str, type[Enum]] = {
     "distribution.terms.Say": distribution_terms.Say,
-    "keyed.records.State": records.State,
-    "members.terms.Kind": membership_terms.Kind,
-    "members.terms.State": membership_terms.State,
+    "keyed.records.State": records.RecordState,
+    "members.terms.Kind": membership_messages.MessageKind,
+    "members.terms.State": membership_messages.MemberState,
     "quorum.seats.Welcome": seats.Welcome,
     "quorum.sessions.Verdict": sessions.Verdict,
     "quorum.terms.Kind": consensus_terms.Kind,
@@ -170,11 +170,11 @@
     "distribution.terms.PAGES": distribution_terms.PAGES,
     "distribution.terms.PAGES_OF": distribution_terms.PAGES_OF,
     "distribution.voting.PART": distribution_voting.PART,
-    "keyed.records.ENTRY": records.ENTRY,
-    "keyed.records.FORMAT": records.FORMAT,
-    "keyed.records.MARK": records.MARK,
-    "keyed.records.SEEN": records.SEEN,
-    "keyed.records.WHOSE": records.WHOSE,
+    "keyed.records.ENTRY": records.RECORD_PREFIX,
+    "keyed.records.FORMAT": records.FORMAT_VERSION,
+    "keyed.records.MARK": records.DIGEST_BYTES,
+    "keyed.records.SEEN": records.HEARTBEAT_KEY,
+    "keyed.records.WHOSE": records.OWNERSHIP_KEY,
     "quorum.journal.ENTRY": journal.ENTRY,
     "quorum.journal.NO_PIECES": journal.NO_PIECES,
     "quorum.journal.PIECE": journal.PIECE,
--- a/tests/compatibility/settings_files.py
+++ b/tests/compatibility/settings_files.py
@@ -8,18 +8,18 @@
 import msgspec
 
 from lichencleat.capacity.target import read_target
-from lichencleat.config.file import read_file
+from lichencleat.config.loading import read_node_config
 from lichencleat.config_distribution.file import read_relay
 from lichencleat.consensus.file import read_quorum
-from lichencleat.membership.program import read_members
+from lichencleat.membership.program import read_membership_config
 from lichencleat.router.file import read_router
 
 LOADERS: dict[str, Callable[[str], Any]] = {
-    "node": read_file,
+    "node": read_node_config,
     "quorum": read_quorum,
     "relay": read_relay,
     "router": lambda path: read_router(path)[0],
-    "members": read_members,
+    "members": read_membership_config,
     "target": read_target,
 }
 
