--- a/benchmarks/capacity/returns.py
+++ b/benchmarks/capacity/returns.py
@@ -12,9 +12,9 @@
 from lichencleat.flows.channel import Channel, Wire
 from lichencleat.flows.collector import Collector
 from lichencleat.flows.elements import Elements
-from lichencleat.recovery.planner import Planner
-from lichencleat.recovery.state import Dumped
-from lichencleat.recovery.terms import Door, Node, Plan, Report
+from lichencleat.recovery.messages import NodeReport, NodeState, NodeStatus, RolloutPlan
+from lichencleat.recovery.planner import RolloutPlanner
+from lichencleat.recovery.state import FleetSnapshot
 from lichencleat.testkit.simulation.revive import SPAN, World
 
 encode = msgspec.msgpack.encode
@@ -28,18 +28,18 @@
     )
     lines.kind("planner.look_kb", "nodes", "KB a look", "of the fleet, from the leader")
     lines.kind("node.report_bytes", "nodes", "bytes a report", "of its entry in the log")
-    decoder = msgspec.msgpack.Decoder(Dumped)
+    decoder = msgspec.msgpack.Decoder(FleetSnapshot)
     for count in effort.sizes((50, 200, 800, 2_000, 3_300), (4, 8, 12, 16)):
         rng = random.Random(effort.seed)
         nodes = {}
         for number in range(count):
             opened = number % 3 == 0
-            door, share = (Door.OPEN, 0.66) if opened else (Door.SHUT, 0.0)
-            nodes[f"node-{number:05d}"] = Node(
+            status, share = (NodeStatus.OPEN, 0.66) if opened else (NodeStatus.SHUT, 0.0)
+            nodes[f"node-{number:05d}"] = NodeState(
                 f"zone-{number % 17:02d}",
                 rng.getrandbits(40),
                 True,
-                door,
+                status,
                 share,
                 1_000_000 + number,
                 1_700_000_000_000_000 + number,
@@ -49,17 +49,17 @@
                 1,
                 rng.uniform(0.8, 1.2),
             )
-        data = encode(Dumped(3, nodes, Plan(count / 3, 1, False, 0, 0.4, "wave 1")))
+        data = encode(FleetSnapshot(3, nodes, RolloutPlan(count / 3, 1, False, 0, 0.4, "wave 1")))
         lines.add("planner.look_kb", count, len(data) / 1e3)
-        report = Report(f"node-{count:05d}", "zone-01", 1 << 39, True, 3, 1 << 50, True, True, 0.5, 1.1)
+        report = NodeReport(f"node-{count:05d}", "zone-01", 1 << 39, True, 3, 1 << 50, True, True, 0.5, 1.1)
         lines.add("node.report_bytes", count, len(encode(("fleet", report))) + 32)
-        planner = Planner(1)
+        planner = RolloutPlanner(1)
         now = [0]
 
-        def look(planner: Planner = planner, data: bytes = data, now: list[int] = now) -> None:
+        def look(planner: RolloutPlanner = planner, data: bytes = data, now: list[int] = now) -> None:
             now[0] += 300_000
             seen = decoder.decode(data)
-            for each in planner.looks(now[0] % 3_000_000, seen.epoch, seen.nodes, seen.plan):
+            for each in planner.plan_next_step(now[0] % 3_000_000, seen.epoch, seen.nodes, seen.plan):
                 encode(each)
 
         for _ in range(effort.runs(5)):
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -14,7 +14,7 @@
 from lichencleat.leases import terms as owners
 from lichencleat.membership import table as members
 from lichencleat.quotas import terms as shares
-from lichencleat.recovery import terms as revive
+from lichencleat.recovery import messages as recovery
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,7 +50,7 @@
     Bound("owner", "candidates: each machine", "owners.terms.CANDIDATES_MOST", owners.CANDIDATES_MOST,
           of.machines),
     Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.NODES_MOST, of.seats),
-    Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", revive.NODES_MOST, of.nodes),
+    Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", recovery.MAX_NODES, of.nodes),
     Bound("zone judge", "zones", "zones.terms.ZONES_MOST", zones.ZONES_MOST, of.zones),
     Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", zones.SOURCES_MOST, of.routers),
     Bound("collector", "senders: each node to one", "flows.collector.SENDERS_MOST", collector.SENDERS_MOST,
--- a/lichencleat/capacity/events.py
+++ b/lichencleat/capacity/events.py
@@ -9,7 +9,7 @@
 from lichencleat.capacity.target import DAY, Target
 from lichencleat.config_distribution.feed import FETCH_RATE
 from lichencleat.config_distribution.terms import WINDOW_BATCHES
-from lichencleat.recovery.terms import NODES_MOST
+from lichencleat.recovery.messages import MAX_NODES
 
 CUT = 300.0  # s that a region is cut off
 LAST = "until the last one that starts or returns has what holds"
@@ -93,7 +93,7 @@
                 *lost("power"),
                 snapshots(slopes, target, target.nodes / relays),
                 Figure("reports a second to one group", reports_waking(target), "", "`revive.waking.OFTEN`"),
-                Figure("nodes that a return knows at most", NODES_MOST, "", "`revive.terms.NODES_MOST`"),
+                Figure("nodes that a return knows at most", MAX_NODES, "", "`revive.terms.NODES_MOST`"),
                 Figure(SERVED, at_nodes(slopes, target), "s", "fleet.to_90_s (return)"),
             ],
         ),
--- a/lichencleat/capacity/sizes.py
+++ b/lichencleat/capacity/sizes.py
@@ -7,7 +7,7 @@
 from lichencleat.capacity.target import Target
 from lichencleat.leases import terms as owners
 from lichencleat.quotas import terms as shares
-from lichencleat.recovery import waking
+from lichencleat.recovery import readiness_gate
 
 SECOND = 1_000_000  # µs
 FLOW_S = 60.0  # s after which an open flow is told again, as the operators' file has it by itself
@@ -86,11 +86,11 @@
 
 def reports(target: Target) -> float:
     """Of nodes that are open, a second, to whoever brings the fleet back."""
-    return target.nodes / (waking.SELDOM / SECOND)
+    return target.nodes / (readiness_gate.REPORT_INTERVAL_US / SECOND)
 
 
 def reports_waking(target: Target) -> float:
-    return target.nodes / (waking.OFTEN / SECOND)
+    return target.nodes / (readiness_gate.FREQUENT_REPORT_INTERVAL_US / SECOND)
 
 
 def leases(target: Target) -> float:
--- a/lichencleat/cli/fleet.py
+++ b/lichencleat/cli/fleet.py
@@ -10,8 +10,16 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.recovery.state import reason
-from lichencleat.recovery.terms import Done, Door, Forget, Hold, Node, Plan, Skip
+from lichencleat.recovery.messages import (
+    CommandResult,
+    ForgetNode,
+    NodeState,
+    NodeStatus,
+    PauseRollout,
+    RolloutPlan,
+    SkipNode,
+)
+from lichencleat.recovery.state import explain_share
 
 LIVE = 0.5  # s between two pictures of `plan --live`
 NODE = click.argument("node")
@@ -22,19 +30,19 @@
     """All nodes as the voters know them, and their return after a power loss."""
 
 
-def state(file: str) -> tuple[int, dict[str, Node], Plan | None]:
+def state(file: str) -> tuple[int, dict[str, NodeState], RolloutPlan | None]:
     told = talk(lambda reactor, client: client.read("revive", None, PATIENCE), chosen(file))
     if not told:
         raise output.WrongData("fleet: these voters know of no fleet; they are of an older version")
-    nodes = msgspec.convert(told["nodes"], dict[str, Node])
-    return told["epoch"], nodes, msgspec.convert(told["plan"], Plan | None)
+    nodes = msgspec.convert(told["nodes"], dict[str, NodeState])
+    return told["epoch"], nodes, msgspec.convert(told["plan"], RolloutPlan | None)
 
 
 def propose(file: str, what: Any) -> None:
     told = talk(lambda reactor, client: client.propose("revive", what, PATIENCE), chosen(file))
-    done = msgspec.convert(told, Done)
-    if not done.done:
-        raise output.WrongData(f"fleet: nothing was changed: {done.why}")
+    done = msgspec.convert(told, CommandResult)
+    if not done.applied:
+        raise output.WrongData(f"fleet: nothing was changed: {done.reason}")
 
 
 @group.command()
@@ -47,12 +55,12 @@
         [
             name,
             each.zone,
-            Door(each.door).name.lower(),
+            NodeStatus(each.status).name.lower(),
             each.share,
             "yes" if each.ready else "no",
-            "yes" if each.proof else "no",
-            round(each.strain, 2),
-            each.wave,
+            "yes" if each.records_verified else "no",
+            round(each.load, 2),
+            each.batch,
         ]
         for name, each in sorted(nodes.items())
     ]
@@ -61,13 +69,13 @@
         click.echo(f"\nepoch {epoch}; {said(plan, nodes)}")
 
 
-def said(plan: Plan | None, nodes: dict[str, Node]) -> str:
-    away = sorted(name for name, each in nodes.items() if each.door == Door.GONE)
+def said(plan: RolloutPlan | None, nodes: dict[str, NodeState]) -> str:
+    away = sorted(name for name, each in nodes.items() if each.status == NodeStatus.GONE)
     waits = f"; nothing is heard of {', '.join(away[:8])}{' ...' if len(away) > 8 else ''}" if away else ""
     if plan is None:
         return f"no return is under way{waits}"
-    held = ", held by an operator" if plan.held else ""
-    return f"a return is under way{held}: {plan.why or 'about to begin'}{waits}"
+    held = ", held by an operator" if plan.paused else ""
+    return f"a return is under way{held}: {plan.reason or 'about to begin'}{waits}"
 
 
 @group.command("plan")
@@ -78,7 +86,7 @@
     """The return under way: its stage, how many may be open, why."""
     while True:
         epoch, nodes, plan = state(file)
-        open_ = sum(each.door == Door.OPEN for each in nodes.values())
+        open_ = sum(each.status == NodeStatus.OPEN for each in nodes.values())
         pairs: dict[str, Any] = {
             "epoch": epoch,
             "open": open_,
@@ -87,12 +95,12 @@
         }
         if plan is not None:
             pairs |= {
-                "wave": plan.wave,
-                "may_be_open": int(plan.cap),
-                "part_below": round(plan.part, 3),
-                "relapses": plan.relapses,
-                "held": plan.held,
-                "why": plan.why,
+                "wave": plan.batch,
+                "may_be_open": int(plan.max_open),
+                "part_below": round(plan.dependency_share, 3),
+                "relapses": plan.rollbacks,
+                "held": plan.paused,
+                "why": plan.reason,
             }
         if not live:
             output.pairs(pairs, as_json)
@@ -107,14 +115,14 @@
 @FILE
 def hold(file: str) -> None:
     """The return stays as it is: no wave more, none taken back."""
-    propose(file, Hold(True))
+    propose(file, PauseRollout(True))
 
 
 @group.command()
 @FILE
 def go(file: str) -> None:
     """The return goes on."""
-    propose(file, Hold(False))
+    propose(file, PauseRollout(False))
 
 
 @group.command()
@@ -122,7 +130,7 @@
 @NODE
 def skip(file: str, node: str) -> None:
     """Open NODE now, out of its turn; its own proofs still hold."""
-    propose(file, Skip(node))
+    propose(file, SkipNode(node))
 
 
 @group.command()
@@ -130,7 +138,7 @@
 @NODE
 def forget(file: str, node: str) -> None:
     """NODE does not come back: nobody waits for it."""
-    propose(file, Forget(node))
+    propose(file, ForgetNode(node))
 
 
 @group.command()
@@ -143,13 +151,12 @@
         there = ", ".join(sorted(nodes)) or "none"
         raise output.WrongInput(f"fleet: {node!r} was never heard of; there are {there}")
     each = nodes[node]
-    click.echo(
-        f"{node}: epoch {epoch}, zone {each.zone or '-'}, {Door(each.door).name.lower()} to {each.share:.2f}"
-    )
-    if each.door == Door.GONE:
+    status = NodeStatus(each.status).name.lower()
+    click.echo(f"{node}: epoch {epoch}, zone {each.zone or '-'}, {status} to {each.share:.2f}")
+    if each.status == NodeStatus.GONE:
         click.echo("nothing is heard of it: it is down, stopped or cut off from the voters")
     if not each.ready:
         click.echo("its interpreter is not up")
-    if not each.proof:
+    if not each.records_verified:
         click.echo("its receipts do not stand: what is receipted waits or is deferred")
-    click.echo(reason(each, plan) or "it serves all that comes")
+    click.echo(explain_share(each, plan) or "it serves all that comes")
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -25,7 +25,7 @@
 from lichencleat.log.lines import make_log
 from lichencleat.programs import run_program
 from lichencleat.quotas.pools import Pools
-from lichencleat.recovery.state import Fleet
+from lichencleat.recovery.state import FleetState
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
@@ -86,7 +86,7 @@
         "facts": Facts(),
         "owners": jobs,
         "shares": Pools(jobs),
-        "revive": Fleet(jobs),
+        "revive": FleetState(jobs),
         "zones": Zones(jobs),
     }
 
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -17,9 +17,9 @@
 from lichencleat.leases.holder import Holder, Work
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.seat import Dealing, Seat
-from lichencleat.recovery.boot import Clock
+from lichencleat.recovery.boot_record import ClockCheck
+from lichencleat.recovery.readiness_gate import ReadinessGate
 from lichencleat.recovery.seat import Planning, Record, Return
-from lichencleat.recovery.waking import Waking
 
 SECOND = 1_000_000  # µs
 
@@ -81,11 +81,11 @@
     def make_return(self, host: Any, keyed: Any, unix: Callable[[], int]) -> Return:
         record = Record(self.chosen.group, unix)
         life = self.rng.getrandbits(48)
-        waking = Waking(self.name, self.chosen.zone, life, False, 0, Clock.PLAUSIBLE, self.now())
-        waking.wants_proof = keyed is not None
+        gate = ReadinessGate(self.name, self.chosen.zone, life, False, 0, ClockCheck.PLAUSIBLE, self.now())
+        gate.has_records = keyed is not None
         host.may_serve(0.0, False)  # until there is a word, or a reason to go on without
         proof = (lambda: keyed.book.stands) if keyed is not None else (lambda: False)
-        back = Return(self.reactor, self.client(), host, waking, record, proof, unix, self.log)
+        back = Return(self.reactor, self.client(), host, gate, record, proof, unix, self.log)
         if keyed is not None:
             keyed.opened += [record.opened, back.learned.opened]
             keyed.signs += [record.sign, back.learned.sign]
--- a/lichencleat/recovery/__init__.py
+++ b/lichencleat/recovery/__init__.py
@@ -1,11 +1,13 @@
-"""The fleet after a power loss: docs/revive.md.
+"""Cold start of the fleet after a power loss; the concepts are described in docs/revive.md.
 
-Promised: a node takes part in what is common only under the fleet's present epoch; it counts no window on a
-clock that the fleet contradicts; service returns in waves that grow while the last one stands, by one owner's
-plan that lies in the log, so that it goes on whoever dies. Not promised: that a node which hears from nobody
-waits for ever; after a while it serves what it can prove alone.
+Guarantees: a node serves under the current epoch of the fleet only; it trusts no idempotency window while its
+clock contradicts that of the fleet; nodes are opened in batches that grow while the open ones are healthy, by
+a rollout plan that is replicated, so that another leader continues it. A node that reaches nobody does not
+wait for ever: after a delay it serves what it can verify alone.
 
-Decisions, all without I/O: `boot.py` what a start found, `trust.py` what is trusted from before and by which
-proof, `state.py` epoch and plan as a part of the group's state, `planner.py` what the owner proposes,
-`waking.py` what a node may serve. `seat.py` carries them out.
+Decisions without I/O: `boot_record` (how the previous process ended), `trust` (what is trusted from before a
+start, and by which proof), `state` (epoch and plan, a part of the replicated state), `planner` (what the
+leader proposes), `readiness_gate` (what a node may serve), `service_times` (learned speed). With I/O:
+`boot_record_store` and `service_time_store` (what is kept on the disk), `reporter` (a node's reports) and
+`planner_task` (the leader's work).
 """
--- /dev/null
+++ b/lichencleat/recovery/boot_record.py
@@ -0,0 +1,113 @@
+"""Boot record: how often a node was started, how its last process ended, when it was last alive; no I/O."""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+
+import msgspec
+
+from lichencleat.decoding import UNDECODABLE
+
+MAX_CLOCK_BEHIND_US = 1_000_000  # a clock may be behind the last record: twice what adjustments amount to
+MAX_CLOCK_AHEAD_US = 366 * 86_400_000_000  # down for longer than a year is a clock that is wrong
+FORMAT = 1
+
+
+class BootRecord(msgspec.Struct, frozen=True, array_like=True):
+    """As stored while the process runs, and after its end. Fields are never moved or dropped."""
+
+    format: int
+    boot_count: int
+    clean_shutdown: bool  # written at a graceful end; false while the process runs
+    last_alive: int  # µs of Unix time
+    group: str  # name of the fleet's consensus group, empty if there is none
+    epoch: int  # the last one that the node took part in
+
+
+class ClockCheck(Enum):
+    """What the boot record says about the machine's clock."""
+
+    PLAUSIBLE = auto()
+    BEHIND = auto()  # before the last record: an empty battery, or an operator's hand
+    AHEAD = auto()  # implausibly long after the last record
+
+
+class InvalidBootRecordError(ValueError):
+    """The boot record can't be used; the message says what an operator can do."""
+
+
+class UnreadableBootRecordError(InvalidBootRecordError):
+    """The boot record can't be decoded."""
+
+    def __init__(self) -> None:
+        super().__init__("its boot record can't be read; see 'lichencleat store check'")
+
+
+class UnknownBootRecordFormatError(InvalidBootRecordError):
+    """The boot record is of another version of the program.
+
+    Attributes:
+        format: The format that the record names.
+    """
+
+    def __init__(self, format: int) -> None:
+        super().__init__(f"its boot record has format {format}, and this program's is {FORMAT}")
+        self.format = format
+
+
+class ForeignBootRecordError(InvalidBootRecordError):
+    """The boot record is of a node of another fleet.
+
+    Attributes:
+        recorded_group: The consensus group that the record names.
+        group: The consensus group of this node.
+    """
+
+    def __init__(self, recorded_group: str, group: str) -> None:
+        super().__init__(f"it took part in the fleet {recorded_group!r}, and this is {group!r}")
+        self.recorded_group = recorded_group
+        self.group = group
+
+
+decode_boot_record = msgspec.msgpack.Decoder(BootRecord).decode
+encode_boot_record = msgspec.msgpack.encode
+
+
+def load_previous(stored: bytes | None, group: str) -> BootRecord | None:
+    """Decode the record of the previous process.
+
+    Args:
+        stored: The bytes of the record, None at a first start.
+        group: The consensus group of this node, empty if there is none.
+
+    Raises:
+        InvalidBootRecordError: The record can't be decoded, is of another format or of another group.
+    """
+    if stored is None:
+        return None
+    try:
+        record = decode_boot_record(stored)
+    except UNDECODABLE as error:
+        raise UnreadableBootRecordError from error
+    if record.format != FORMAT:
+        raise UnknownBootRecordFormatError(record.format)
+    if record.group and group and record.group != group:
+        raise ForeignBootRecordError(record.group, group)
+    return record
+
+
+def create_record(previous: BootRecord | None, unix_time: int, group: str) -> BootRecord:
+    """Return the record of the process that starts; its epoch is the previous one for now."""
+    boot_count = 1 if previous is None else previous.boot_count + 1
+    epoch = 0 if previous is None else previous.epoch
+    return BootRecord(FORMAT, boot_count, False, unix_time, group, epoch)
+
+
+def check_clock(previous: BootRecord | None, unix_time: int) -> ClockCheck:
+    """Compare the machine's clock (µs) with the last record on its own disk."""
+    if previous is None:
+        return ClockCheck.PLAUSIBLE
+    elapsed = unix_time - previous.last_alive
+    if -MAX_CLOCK_BEHIND_US <= elapsed <= MAX_CLOCK_AHEAD_US:
+        return ClockCheck.PLAUSIBLE
+    return ClockCheck.BEHIND if elapsed < 0 else ClockCheck.AHEAD
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -1,161 +1,255 @@
-"""What the owner of a return proposes, at each look at the fleet; no I/O.
+"""Rollout planner: what the leader proposes at each poll of the fleet's state; no I/O.
 
-Service returns in waves. How many nodes may be open is a cap that the design's own controller moves: it grows
-by a share of itself for each look at which the open ones stand with strength to spare, and falls when they
-don't. All that it has learned lies in the plan, so that the next owner goes on where this one ended.
+Service returns in batches. How many nodes may be open is bounded by an integral controller: the bound grows
+by a fraction of itself for each step at which the open nodes have capacity to spare, and falls when they
+don't. All that it has learned is part of the replicated plan, so that another leader continues it.
 """
 
 from __future__ import annotations
 
-from lichencleat.quotas.terms import Part
-from lichencleat.recovery.terms import Door, Lost, NewEpoch, Node, Plan, Wave
+from dataclasses import dataclass
 
-MISSED = 5_000_000  # µs without a report from a node that is called gone: an open one reports each 2 s
-WAIT = (
-    2_000_000  # µs after the first that woke before a loss of power is told from single restarts: most are up
-)
-MANY = 0.5  # of the nodes known, woken or gone at once: then it was the power, and all begin anew
-FEW = 2  # nodes: of so few nobody can tell that
-FIRST = 1 / 3  # of the nodes known, open in the first wave: enough to see how what they share below stands
-PART_FIRST = 0.3  # of what nodes share below, dealt at first: cold, it may fall over at a third of its load
-PART_GAIN = (
-    0.1  # of the part, for each look: 7% a second in strength, less than is heard of too late to matter
+from lichencleat.quotas.terms import Part
+from lichencleat.recovery.messages import (
+    NewEpoch,
+    NodeLost,
+    NodeState,
+    NodeStatus,
+    RolloutBatch,
+    RolloutPlan,
 )
-PART_STRAIN = 0.7  # the strain that the part is moved by: well under the one at which calls fail in numbers
-GAIN = 0.5  # of the cap, for each look at full strength
-REFERENCE = 1.0  # the strain that the open ones should have: all their work, none turned away
-FALL = 0.5  # of the cap, when the open ones fall: the wave is taken back
-STEP = 0.34  # of a node's arrivals, for each look since it was opened: three steps
-SETTLE = 2  # looks that a wave must stand before the next one
-SAID = "every node that came back is open"
 
+PlannerCommand = NodeLost | NewEpoch | RolloutBatch | Part
+
+REPORT_TIMEOUT_US = 5_000_000  # without a report, then a node is gone: an open one reports each 2 s
+# After the first start, before a power loss is told from single restarts: by then most nodes are up.
+EPOCH_DELAY_US = 2_000_000
+POWER_LOSS_FRACTION = 0.5  # of the known nodes, restarted or gone at once: then the power was lost
+MAX_SMALL_FLEET = 2  # nodes: of so few nobody can tell that
+FIRST_BATCH_FRACTION = 1 / 3  # of the known nodes: enough to see how the shared dependencies stand it
+# Fraction of the shared dependencies' capacity that is allocated at first: cold, they may fail at a third of
+# their load.
+INITIAL_DEPENDENCY_SHARE = 0.3
+# Of the dependency share, for each step: 7 % a second at full strength, less than is noticed too late to
+# matter.
+DEPENDENCY_GAIN = 0.1
+DEPENDENCY_REFERENCE_LOAD = 0.7  # well under the load at which calls fail in numbers
+GAIN = 0.5  # of the bound on open nodes, for each step at full strength
+REFERENCE_LOAD = 1.0  # that the open nodes should have: at capacity, shedding none
+UNREADY_LOAD = 2.0  # counted for an open node whose interpreter is down
+ROLLBACK_FACTOR = 0.5  # on the bound, when the open nodes fail: the batch is shut again
+OPENING_STEP = 0.34  # of a node's arrivals, for each step since it was opened: three steps
+SETTLING_STEPS = 2  # steps that a batch must be healthy before the next one
+
+
+@dataclass(frozen=True, slots=True)
+class LastReport:
+    """A node's last report, and when this leader learned of it."""
 
-def strain_of(nodes: list[Node]) -> float:
-    """How the open ones stand together; those without interpreter count as fallen."""
-    return sum(each.strain if each.ready else 2.0 for each in nodes) / len(nodes) if nodes else 0.0
+    index: int  # of the log entry
+    seen_at: int  # µs of the leader's monotonic clock
 
 
-def turns(nodes: dict[str, Node]) -> list[str]:
-    """In which order the shut ones come in: zones in turn, those with proofs first, quick before slow."""
-    shut = [name for name, each in nodes.items() if each.door == Door.SHUT and each.ready]
-    taken: dict[str, int] = {}
+def mean_load(nodes: list[NodeState]) -> float:
+    """The mean load of open nodes; those whose interpreter is down count as overloaded."""
+    if not nodes:
+        return 0.0
+    return sum(each.load if each.ready else UNREADY_LOAD for each in nodes) / len(nodes)
+
+
+def is_partly_open(node: NodeState) -> bool:
+    """Whether a node is open, but not to all of its arrivals."""
+    return node.status == NodeStatus.OPEN and node.share < 1.0
+
+
+def opening_order(nodes: dict[str, NodeState]) -> list[str]:
+    """Order the shut nodes that are ready: zones alternate; verified records first, fast before slow."""
+    open_by_zone: dict[str, int] = {}
     for each in nodes.values():
-        if each.door == Door.OPEN:
-            taken[each.zone] = taken.get(each.zone, 0) + 1
-    by_zone: dict[str, list[str]] = {}
-    for name in sorted(shut, key=lambda name: (not nodes[name].proof, -nodes[name].speed, name)):
-        by_zone.setdefault(nodes[name].zone, []).append(name)
+        if each.status == NodeStatus.OPEN:
+            open_by_zone[each.zone] = open_by_zone.get(each.zone, 0) + 1
+    shut = [name for name, each in nodes.items() if each.status == NodeStatus.SHUT and each.ready]
+    shut.sort(key=lambda name: (not nodes[name].records_verified, -nodes[name].speed, name))
+    shut_by_zone: dict[str, list[str]] = {}
+    for name in shut:
+        shut_by_zone.setdefault(nodes[name].zone, []).append(name)
     order = []
-    while by_zone:
-        zone = min(by_zone, key=lambda each: (taken.get(each, 0), each))
-        order.append(by_zone[zone].pop(0))
-        taken[zone] = taken.get(zone, 0) + 1
-        if not by_zone[zone]:
-            del by_zone[zone]
+    while shut_by_zone:
+        zone = min(shut_by_zone, key=lambda each: (open_by_zone.get(each, 0), each))
+        order.append(shut_by_zone[zone].pop(0))
+        open_by_zone[zone] = open_by_zone.get(zone, 0) + 1
+        if not shut_by_zone[zone]:
+            del shut_by_zone[zone]
     return order
 
 
-class Planner:
-    """Of one owner under one token. `looks` is asked some times a second with what the group holds."""
+class RolloutPlanner:
+    """The planner of one leader, under one fencing token."""
 
     def __init__(self, token: int) -> None:
         self.token = token
-        self.beats: dict[
-            str, tuple[int, int]
-        ] = {}  # node -> its last report, µs at which this owner knew of it
-        self.woke_at: int | None = None  # µs: since when somebody waits
-        self.first: dict[str, int] = {}  # node -> its report that this owner knew of first
-        self.stands = 0  # looks since the last wave at which the open ones stood
-
-    def looks(self, now: int, epoch: int, nodes: dict[str, Node], plan: Plan | None) -> list:
-        """`now`: µs of the owner's monotonic clock. Gives commands, to be proposed in this order."""
-        said: list = [Lost(self.token, name, beat) for name, beat in self.missing(now, nodes)]
-        shut = [each for each in nodes.values() if each.door == Door.SHUT]
+        self.last_reports: dict[str, LastReport] = {}
+        self.waiting_since: int | None = None  # µs: since when a node is shut
+        self.first_reports: dict[str, int] = {}  # node -> log index of the report that was seen first
+        self.healthy_steps = 0  # since the last batch
+
+    def plan_next_step(
+        self, now: int, epoch: int, nodes: dict[str, NodeState], plan: RolloutPlan | None
+    ) -> list[PlannerCommand]:
+        """Return the commands to propose, in this order.
+
+        Args:
+            now: µs of the leader's monotonic clock.
+            epoch: The current epoch.
+            nodes: The nodes as read from the replicated state.
+            plan: The recovery under way, None if there is none.
+        """
+        commands: list[PlannerCommand] = []
+        commands += self.find_lost_nodes(now, nodes)
+        shut = [each for each in nodes.values() if each.status == NodeStatus.SHUT]
         if plan is None:
-            return said + self.at_rest(now, epoch, nodes, shut)
-        if not plan.held:
-            said += self.under_way(nodes, plan, shut)
-        return said
-
-    def missing(self, now: int, nodes: dict[str, Node]) -> list[tuple[str, int]]:
-        """Guards against an owner that was just made: it counts from its own first look."""
-        known, gone = {}, []
+            commands += self.plan_single_restarts(now, epoch, nodes, shut)
+        elif not plan.paused:
+            commands += self.plan_rollout(nodes, plan, shut)
+        return commands
+
+    def find_lost_nodes(self, now: int, nodes: dict[str, NodeState]) -> list[NodeLost]:
+        """Find nodes without a report for long; a new leader counts from its own first step."""
+        last_reports = {}
+        lost = []
         for name, each in nodes.items():
-            self.first.setdefault(name, each.beat)
-            beat, at = self.beats.get(name, (-1, now))
-            known[name] = (each.beat, at if beat == each.beat else now)
-            if each.door != Door.GONE and now - known[name][1] >= MISSED:
-                gone.append((name, each.beat))
-        self.beats = known
-        return gone
-
-    def at_rest(self, now: int, epoch: int, nodes: dict[str, Node], shut: list[Node]) -> list:
-        """Single restarts open by steps, at once; so many that it was the power begin a new epoch."""
-        opening = self.steps(nodes)
+            self.first_reports.setdefault(name, each.last_report)
+            last = self.last_reports.get(name)
+            if last is None or last.index != each.last_report:
+                last = LastReport(each.last_report, now)
+            last_reports[name] = last
+            if each.status != NodeStatus.GONE and now - last.seen_at >= REPORT_TIMEOUT_US:
+                lost.append(NodeLost(self.token, name, each.last_report))
+        self.last_reports = last_reports
+        return lost
+
+    def plan_single_restarts(
+        self, now: int, epoch: int, nodes: dict[str, NodeState], shut: list[NodeState]
+    ) -> list[PlannerCommand]:
+        """Open single restarted nodes by steps, at once; so many that the power was lost begin an epoch."""
+        opening = self.next_shares(nodes)
         if not shut:
-            self.woke_at = None
-            return [Wave(self.token, opening, None)] if opening else []
-        self.woke_at = now if self.woke_at is None else self.woke_at
-        heard = [each.door == Door.OPEN and each.beat > self.first[name] for name, each in nodes.items()]
-        away = len(nodes) - sum(heard)
-        if len(nodes) > FEW and away >= MANY * len(nodes):
-            if now - self.woke_at < WAIT and len(shut) < len(nodes):
-                return []  # more may be heard
-            return [
-                NewEpoch(self.token, epoch, f"{away} of {len(nodes)} nodes lost their power or their way")
-            ]
-        opening |= dict.fromkeys(turns(nodes), STEP)
-        return [Wave(self.token, opening, None)] if opening else []
-
-    def steps(self, nodes: dict[str, Node]) -> dict[str, float]:
-        """Who is open in part opens further while it stands."""
+            self.waiting_since = None
+            return [RolloutBatch(self.token, opening, None)] if opening else []
+        if self.waiting_since is None:
+            self.waiting_since = now
+        away = len(nodes) - self.count_present(nodes)
+        if len(nodes) > MAX_SMALL_FLEET and away >= POWER_LOSS_FRACTION * len(nodes):
+            if now - self.waiting_since < EPOCH_DELAY_US and len(shut) < len(nodes):
+                return []  # more nodes may report
+            reason = f"{away} of {len(nodes)} nodes lost their power or their way"
+            return [NewEpoch(self.token, epoch, reason)]
+        opening |= dict.fromkeys(opening_order(nodes), OPENING_STEP)
+        return [RolloutBatch(self.token, opening, None)] if opening else []
+
+    def count_present(self, nodes: dict[str, NodeState]) -> int:
+        """Count open nodes that have reported to the group while this leader watched."""
+        return sum(
+            each.status == NodeStatus.OPEN and each.last_report > self.first_reports[name]
+            for name, each in nodes.items()
+        )
+
+    def next_shares(self, nodes: dict[str, NodeState]) -> dict[str, float]:
+        """Return the next shares of partly open nodes that are healthy, by name."""
         return {
-            name: round(min(1.0, each.share + STEP), 3)
+            name: round(min(1.0, each.share + OPENING_STEP), 3)
             for name, each in nodes.items()
-            if each.door == Door.OPEN and each.share < 1.0 and each.ready and each.strain <= REFERENCE
+            if is_partly_open(each) and each.ready and each.load <= REFERENCE_LOAD
         }
 
-    def under_way(self, nodes: dict[str, Node], plan: Plan, shut: list[Node]) -> list:
-        open_ = {name: each for name, each in nodes.items() if each.door == Door.OPEN}
-        if not plan.cap:
-            first = max(1.0, len(nodes) * FIRST)
-            why = f"wave 1: {first:.0f} nodes first, the others after them"
-            plan = Plan(first, 1, plan.held, plan.relapses, PART_FIRST, why)
-            return [Part(self.token, plan.part), Wave(self.token, self.fill(nodes, plan, len(open_)), plan)]
-        fallen = [name for name, each in open_.items() if not each.ready]
-        strain = strain_of(list(open_.values()))
-        if len(fallen) * 2 > len(open_) > 0:
-            return [self.take_back(open_, plan)]
-        moving = self.steps(nodes)
-        whole = not shut and not moving
-        part = self.part(plan, strain, bool(open_))
-        if whole and all(each.share >= 1.0 for each in open_.values()) and open_ and part >= 1.0:
-            return [Part(self.token, 1.0), Wave(self.token, {}, None)]
-        self.stands = self.stands + 1 if strain <= REFERENCE and not fallen else 0
-        cap = plan.cap * (1 + GAIN * max(-1.0, min(1.0, REFERENCE - strain)))
-        why = f"wave {plan.wave}: {len(open_)} open at strain {strain:.2f}, {cap:.0f} may be; part {part:.2f}"
-        new = Plan(max(1.0, min(cap, float(len(nodes)))), plan.wave, plan.held, plan.relapses, part, why)
-        if self.stands >= SETTLE and not moving and (more := self.fill(nodes, new, len(open_))):
-            new.wave += 1
-            self.stands = 0
-            moving |= more
-        return [Part(self.token, part), Wave(self.token, moving, new)]
-
-    def part(self, plan: Plan, strain: float, known: bool) -> float:
-        """Of what is shared below: up while calls come back, down as soon as some don't."""
-        if not known:
-            return plan.part
-        moved = plan.part * (1 + PART_GAIN * max(-0.5, min(1.0, PART_STRAIN - strain)))
-        return min(1.0, max(PART_FIRST / 2, moved))
-
-    def fill(self, nodes: dict[str, Node], plan: Plan, open_: int) -> dict[str, float]:
-        return dict.fromkeys(turns(nodes)[: max(0, int(plan.cap) - open_)], STEP)
-
-    def take_back(self, open_: dict[str, Node], plan: Plan) -> Wave:
-        """More than half of the open ones fell: the last wave shuts, and the cap falls with it."""
-        self.stands = 0
-        last = [name for name, each in open_.items() if each.wave == plan.wave]
-        cap = max(1.0, plan.cap * FALL)
-        why = f"wave {plan.wave} fell: {len(last)} nodes shut again, up to {cap:.0f} may be open"
-        new = Plan(cap, max(1, plan.wave - 1), plan.held, plan.relapses + 1, plan.part / 2, why)
-        return Wave(self.token, dict.fromkeys(last, 0.0), new)
+    # -- recovery under way ----------------------------------------------------------------------------
+
+    def plan_rollout(
+        self, nodes: dict[str, NodeState], plan: RolloutPlan, shut: list[NodeState]
+    ) -> list[PlannerCommand]:
+        """Return the next step of a recovery: its first batch, a rollback, its end, or a next batch."""
+        open_nodes = {name: each for name, each in nodes.items() if each.status == NodeStatus.OPEN}
+        if not plan.max_open:
+            return self.begin_rollout(nodes, plan, len(open_nodes))
+        failed = [name for name, each in open_nodes.items() if not each.ready]
+        if len(failed) * 2 > len(open_nodes) > 0:
+            return [self.roll_back(open_nodes, plan)]
+        load = mean_load(list(open_nodes.values()))
+        opening = self.next_shares(nodes)
+        dependency_share = self.next_dependency_share(plan, load, bool(open_nodes))
+        is_all_open = open_nodes and all(each.share >= 1.0 for each in open_nodes.values())
+        if not shut and not opening and is_all_open and dependency_share >= 1.0:
+            return [Part(self.token, 1.0), RolloutBatch(self.token, {}, None)]
+        self.healthy_steps = self.healthy_steps + 1 if load <= REFERENCE_LOAD and not failed else 0
+        next_plan = self.next_plan(plan, len(nodes), len(open_nodes), load, dependency_share)
+        if self.healthy_steps >= SETTLING_STEPS and not opening:
+            batch = self.next_batch(nodes, next_plan, len(open_nodes))
+            if batch:
+                next_plan.batch += 1
+                self.healthy_steps = 0
+                opening = batch
+        return [Part(self.token, dependency_share), RolloutBatch(self.token, opening, next_plan)]
+
+    def begin_rollout(
+        self, nodes: dict[str, NodeState], plan: RolloutPlan, open_count: int
+    ) -> list[PlannerCommand]:
+        """Return the first batch of a recovery."""
+        max_open = max(1.0, len(nodes) * FIRST_BATCH_FRACTION)
+        first_plan = RolloutPlan(
+            max_open=max_open,
+            batch=1,
+            paused=plan.paused,
+            rollbacks=plan.rollbacks,
+            dependency_share=INITIAL_DEPENDENCY_SHARE,
+            reason=f"wave 1: {max_open:.0f} nodes first, the others after them",
+        )
+        batch = self.next_batch(nodes, first_plan, open_count)
+        return [Part(self.token, first_plan.dependency_share), RolloutBatch(self.token, batch, first_plan)]
+
+    def next_plan(
+        self, plan: RolloutPlan, node_count: int, open_count: int, load: float, dependency_share: float
+    ) -> RolloutPlan:
+        """Return the plan with its bound moved by one step of the controller."""
+        error = max(-1.0, min(1.0, REFERENCE_LOAD - load))
+        max_open = plan.max_open * (1 + GAIN * error)
+        reason = (
+            f"wave {plan.batch}: {open_count} open at strain {load:.2f}, {max_open:.0f} may be; "
+            f"part {dependency_share:.2f}"
+        )
+        return RolloutPlan(
+            max_open=max(1.0, min(max_open, float(node_count))),
+            batch=plan.batch,
+            paused=plan.paused,
+            rollbacks=plan.rollbacks,
+            dependency_share=dependency_share,
+            reason=reason,
+        )
+
+    def next_dependency_share(self, plan: RolloutPlan, load: float, has_open_nodes: bool) -> float:
+        """Move the dependency share: up while calls succeed, down as soon as some don't."""
+        if not has_open_nodes:
+            return plan.dependency_share
+        error = max(-0.5, min(1.0, DEPENDENCY_REFERENCE_LOAD - load))
+        moved = plan.dependency_share * (1 + DEPENDENCY_GAIN * error)
+        return min(1.0, max(INITIAL_DEPENDENCY_SHARE / 2, moved))
+
+    def next_batch(self, nodes: dict[str, NodeState], plan: RolloutPlan, open_count: int) -> dict[str, float]:
+        """Return the first shares of as many shut nodes as the bound lets open, by name."""
+        count = max(0, int(plan.max_open) - open_count)
+        return dict.fromkeys(opening_order(nodes)[:count], OPENING_STEP)
+
+    def roll_back(self, open_nodes: dict[str, NodeState], plan: RolloutPlan) -> RolloutBatch:
+        """Shut the last batch, and lower the bound: more than half of the open nodes failed."""
+        self.healthy_steps = 0
+        last_batch = [name for name, each in open_nodes.items() if each.batch == plan.batch]
+        max_open = max(1.0, plan.max_open * ROLLBACK_FACTOR)
+        shut_again = f"{len(last_batch)} nodes shut again"
+        next_plan = RolloutPlan(
+            max_open=max_open,
+            batch=max(1, plan.batch - 1),
+            paused=plan.paused,
+            rollbacks=plan.rollbacks + 1,
+            dependency_share=plan.dependency_share / 2,
+            reason=f"wave {plan.batch} fell: {shut_again}, up to {max_open:.0f} may be open",
+        )
+        return RolloutBatch(self.token, dict.fromkeys(last_batch, 0.0), next_plan)
--- a/lichencleat/recovery/seat.py
+++ b/lichencleat/recovery/seat.py
@@ -12,11 +12,11 @@
 from lichencleat.decide import RUNS_FEW
 from lichencleat.leases.holder import Holder
 from lichencleat.quotas.terms import Part
-from lichencleat.recovery import boot as boots
-from lichencleat.recovery import figures
-from lichencleat.recovery.planner import Planner
-from lichencleat.recovery.terms import JOB, Leave, Node, Plan, Word
-from lichencleat.recovery.waking import Waking
+from lichencleat.recovery import boot_record as boots
+from lichencleat.recovery import service_times
+from lichencleat.recovery.messages import JOB, NodeLeaving, NodeState, ReportReply, RolloutPlan
+from lichencleat.recovery.planner import RolloutPlanner
+from lichencleat.recovery.readiness_gate import ReadinessGate
 
 SECOND = 1_000_000  # µs
 LOOK = 0.1  # s between looks at what may be served
@@ -30,23 +30,23 @@
 
     def __init__(self, group: str, clock: Callable[[], int]) -> None:
         self.group, self.clock = group, clock
-        self.before: boots.Boot | None = None
-        self.now: boots.Boot | None = None
-        self.judged = boots.Clock.PLAUSIBLE
+        self.before: boots.BootRecord | None = None
+        self.now: boots.BootRecord | None = None
+        self.judged = boots.ClockCheck.PLAUSIBLE
         self.epoch = 0
 
     def opened(self, get: Callable[[bytes], bytes | None]) -> None:
         """Raises boot.WrongBootError."""
-        self.before = boots.found(get(BOOT), self.group)
-        self.judged = boots.judge(self.before, self.clock())
-        self.now = boots.begun(self.before, self.clock(), self.group)
+        self.before = boots.load_previous(get(BOOT), self.group)
+        self.judged = boots.check_clock(self.before, self.clock())
+        self.now = boots.create_record(self.before, self.clock(), self.group)
         self.epoch = self.now.epoch
 
     def sign(self, ends: bool) -> tuple[bytes, bytes]:
         """What goes to the disk with a sign of life; `ends`: the last one of a proper end."""
         assert self.now is not None
-        return BOOT, boots.encode(
-            msgspec.structs.replace(self.now, clean=ends, seen=self.clock(), epoch=self.epoch)
+        return BOOT, boots.encode_boot_record(
+            msgspec.structs.replace(self.now, clean_shutdown=ends, last_alive=self.clock(), epoch=self.epoch)
         )
 
 
@@ -61,7 +61,7 @@
     def opened(self, get: Callable[[bytes], bytes | None]) -> None:
         machine = self.host.machine
         longest = {each.name: each.hard_limit for each in machine.tariffs}
-        self.before, why = figures.recalled(get(FIGURES), machine.cores, longest)
+        self.before, why = service_times.load_service_times(get(FIGURES), machine.cores, longest)
         self.to_tell = bool(self.before)
         if self.before or why:
             runs = ", ".join(f"{name} {took / 1000:.1f} ms" for name, took in self.before.items())
@@ -71,7 +71,7 @@
         node = self.host.node
         known = node.run_times.items() if node is not None else ()
         now = {each.name: int(node.usual_run(each)) for each, times in known if len(times) >= RUNS_FEW}
-        return FIGURES, figures.to_keep(self.host.machine.cores, self.before, now)
+        return FIGURES, service_times.encode_merged(self.host.machine.cores, self.before, now)
 
     def tell(self) -> None:
         """The decisions begin once the interpreter is up, the store may be read before or after."""
@@ -89,7 +89,7 @@
         reactor: Any,
         client: Client,
         host: Any,
-        waking: Waking,
+        waking: ReadinessGate,
         record: Record,
         proof: Callable[[], bool],
         unix: Callable[[], int],
@@ -115,10 +115,12 @@
             return
         waking, now = self.waking, self.now()
         self.learned.tell()
-        waking.ready, waking.proof = self.host.ready(), self.proof()
-        if self.record.now is not None and not waking.heard:
+        waking.ready, waking.records_verified = self.host.ready(), self.proof()
+        if self.record.now is not None and not waking.group_answered:
             waking.clock, waking.epoch = self.record.judged, max(waking.epoch, self.record.epoch)
-            waking.clean = self.record.before.clean if self.record.before is not None else False
+            waking.clean_shutdown = (
+                self.record.before.clean_shutdown if self.record.before is not None else False
+            )
         self.tell(now)
         report = waking.next_report(now, self.unix(), self.host.strain(), self.host.speed())
         if report is not None:
@@ -126,35 +128,35 @@
         self.timer = self.reactor.callLater(LOOK, self.step)
 
     def tell(self, now: int) -> None:
-        may = self.waking.may(now)
-        if (may.share, may.receipted) != self.told:
-            self.told = (may.share, may.receipted)
-            self.host.may_serve(may.share, may.receipted)
-        said = f"{may.share:.2f} {may.receipted} {may.why}"
+        may = self.waking.allowance(now)
+        if (may.share, may.keyed) != self.told:
+            self.told = (may.share, may.keyed)
+            self.host.may_serve(may.share, may.keyed)
+        said = f"{may.share:.2f} {may.keyed} {may.reason}"
         if said != self.said:
             self.said = said
             self.log.info(
-                "opens", share=may.share, receipted=may.receipted, epoch=self.waking.epoch, reason=may.why
+                "opens", share=may.share, receipted=may.keyed, epoch=self.waking.epoch, reason=may.reason
             )
 
     def answered(self, told: Any) -> None:
         try:
-            word = msgspec.convert(told, Word)
+            word = msgspec.convert(told, ReportReply)
         except msgspec.ValidationError:  # voters of an older version
-            self.waking.failed(self.now())
+            self.waking.on_report_failed(self.now())
             return
-        if self.waking.answered(self.now(), word):
+        if self.waking.on_reply(self.now(), word):
             self.record.epoch = word.epoch
             self.log.info("epoch", epoch=word.epoch)
         self.tell(self.now())
 
     def failed(self, failure: Failure) -> None:
-        self.waking.failed(self.now())
+        self.waking.on_report_failed(self.now())
 
     def leave(self) -> None:
         """At a drain: the fleet is told that it is no loss."""
         self.stop()
-        what = Leave(self.waking.node, self.waking.life)
+        what = NodeLeaving(self.waking.node, self.waking.incarnation)
         self.client.propose("revive", what, PATIENCE).addErrback(lambda failure: None)
 
     def stop(self) -> None:
@@ -163,9 +165,9 @@
             self.timer.cancel()
 
     def beliefs(self) -> str:
-        may = self.waking.may(self.now())
-        why = f", {may.why}" if may.why else ""
-        receipted = "on" if may.receipted else "off"
+        may = self.waking.allowance(self.now())
+        why = f", {may.reason}" if may.reason else ""
+        receipted = "on" if may.keyed else "off"
         return f"epoch {self.waking.epoch}, open to {may.share:.2f}, receipted {receipted}{why}"
 
 
@@ -176,13 +178,13 @@
         self.reactor, self.client, self.log = reactor, client, log
         self.job = JOB
         self.holder: Holder | None = None
-        self.planner: Planner | None = None
+        self.planner: RolloutPlanner | None = None
         self.timer: Any = None
         self.why = ""
 
     def begins(self, job: str, token: int) -> None:
         if job == JOB:
-            self.planner = Planner(token)
+            self.planner = RolloutPlanner(token)
             self.look()
 
     def ends(self, job: str, reason: str) -> None:
@@ -197,19 +199,19 @@
             told = self.client.read("revive", None, PATIENCE)
             told.addCallbacks(self.sees, lambda failure: self.again(planner), callbackArgs=(planner,))
 
-    def again(self, planner: Planner) -> None:
+    def again(self, planner: RolloutPlanner) -> None:
         if planner is self.planner:
             self.timer = self.reactor.callLater(PLAN, self.look)
 
-    def sees(self, told: Any, planner: Planner) -> None:
+    def sees(self, told: Any, planner: RolloutPlanner) -> None:
         if planner is not self.planner:
             return
         self.again(planner)
         if not told:  # voters of an older version know of no fleet
             return
-        nodes = msgspec.convert(told["nodes"], dict[str, Node])
-        plan = msgspec.convert(told["plan"], Plan | None)
-        said = planner.looks(int(self.reactor.seconds() * SECOND), told["epoch"], nodes, plan)
+        nodes = msgspec.convert(told["nodes"], dict[str, NodeState])
+        plan = msgspec.convert(told["plan"], RolloutPlan | None)
+        said = planner.plan_next_step(int(self.reactor.seconds() * SECOND), told["epoch"], nodes, plan)
         for what in said:
             if self.holder is None or self.holder.token(JOB) is None:
                 return
@@ -222,7 +224,7 @@
     def tell(self, what: Any) -> None:
         """One line for each stage, with its reason."""
         plan = getattr(what, "plan", None)
-        why = plan.why if plan is not None else getattr(what, "why", "")
+        why = plan.reason if plan is not None else getattr(what, "reason", "")
         if why and why != self.why:
             self.why = why
             self.log.info("plan", token=what.token, reason=why)
--- a/lichencleat/recovery/state.py
+++ b/lichencleat/recovery/state.py
@@ -1,179 +1,247 @@
-"""Epoch, nodes and the plan of a return: a part of the group's state, the same at each member; no I/O."""
+"""Replicated state of the recovery: epoch, nodes and rollout plan; the same at each member, no I/O."""
 
 from __future__ import annotations
 
 from statistics import median
-from typing import Any
+from typing import TypedDict
 
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
 from lichencleat.leases.jobs import Jobs
-from lichencleat.recovery.terms import (
+from lichencleat.recovery.messages import (
     JOB,
-    NODES_MOST,
-    REASON_MOST,
+    MAX_NODES,
+    MAX_REASON_LENGTH,
     Command,
-    Done,
-    Door,
-    Forget,
-    Hold,
-    Leave,
-    Lost,
+    CommandResult,
+    ForgetNode,
     NewEpoch,
-    Node,
-    Plan,
-    Report,
-    Skip,
-    Wave,
-    Word,
+    NodeLeaving,
+    NodeLost,
+    NodeReport,
+    NodeState,
+    NodeStatus,
+    PauseRollout,
+    ReportReply,
+    RolloutBatch,
+    RolloutPlan,
+    SkipNode,
 )
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
-RECENT = 64  # entries: clocks told in the last so many are those of now, about
-CLOCKS_LEAST = 3  # clocks, its own among them, by which one is judged: of two nobody knows which is wrong
-CLOCK_OFF = (
-    5_000_000  # µs from the median beyond which a clock is wrong: far over any drift or delay of a report
-)
+RECENT_ENTRIES = 64  # clocks reported in the last so many log entries count as current
+MIN_CLOCKS = 3  # clocks, the node's own among them, to judge one: of two nobody knows which is wrong
+MAX_CLOCK_OFFSET_US = 5_000_000  # from the median: far over any drift of a clock or delay of a report
+
 
+class FleetSnapshot(msgspec.Struct, array_like=True):
+    """The state as stored in a snapshot. Fields are never moved or dropped."""
 
-class Dumped(msgspec.Struct, array_like=True):
     epoch: int
-    nodes: dict[str, Node]
-    plan: Plan | None
+    nodes: dict[str, NodeState]
+    plan: RolloutPlan | None
 
 
-decode_dumped = msgspec.msgpack.Decoder(Dumped).decode
+class FleetView(TypedDict):
+    """The answer to a read."""
+
+    epoch: int
+    nodes: dict[str, NodeState]
+    plan: RolloutPlan | None
 
 
-def reason(node: Node, plan: Plan | None) -> str:
-    """Why it is not open all the way; empty where it is."""
+decode_snapshot = msgspec.msgpack.Decoder(FleetSnapshot).decode
+
+
+def explain_share(node: NodeState, plan: RolloutPlan | None) -> str:
+    """Say why a node is not fully open; empty if it is."""
     if node.share >= 1.0:
         return ""
-    if node.door == Door.OPEN:
+    if node.status == NodeStatus.OPEN:
         return "it opens by steps"
     if plan is None:
         return "it waits for the owner's look"
-    return "an operator holds the plan" if plan.held else f"it waits for its wave: {plan.why}"
+    return "an operator holds the plan" if plan.paused else f"it waits for its wave: {plan.reason}"
+
 
+class FleetState:
+    """The part of the replicated state that `messages.STATE_PART` names.
 
-class Fleet:
-    """A `state.Part`. Doors are opened in `open` alone."""
+    Args:
+        jobs: The part of the same state that knows the leases; a command of the leader is rejected unless it
+            carries the newest fencing token.
+    """
 
     def __init__(self, jobs: Jobs) -> None:
-        """`jobs`: the part of the same state; its newest token is what the owner says is held against."""
         self.jobs = jobs
         self.epoch = 1
-        self.nodes: dict[str, Node] = {}
-        self.plan: Plan | None = None
+        self.nodes: dict[str, NodeState] = {}
+        self.plan: RolloutPlan | None = None
 
-    def apply(self, index: int, command: msgspec.Raw) -> Any:
+    def apply(self, index: int, command: msgspec.Raw) -> ReportReply | CommandResult:
+        """Apply the log entry `index`; the result is the same at each member."""
         try:
-            what = decode_command(command)
+            message = decode_command(command)
         except UNDECODABLE:
-            return Done(False, "no command")
-        if isinstance(what, Report):
-            return self.report(index, what)
-        if isinstance(what, Leave):
-            return self.leave(what)
-        if isinstance(what, Hold):
-            if self.plan is None:
-                return Done(False, "no return is under way")
-            self.plan.held = what.on
-            return Done(True)
-        if isinstance(what, Skip):
-            return self.open(what.node, 1.0)
-        if isinstance(what, Forget):
-            return Done(self.nodes.pop(what.node, None) is not None, "no such node")
-        if not self.jobs.is_owner(JOB, what.token):  # stopped since before the cut, it goes on with its plan
-            return Done(False, "an older owner's")
-        if isinstance(what, Lost):
-            return self.lost(what)
-        return self.new_epoch(what) if isinstance(what, NewEpoch) else self.wave(what)
+            return CommandResult(False, "no command")
+        if isinstance(message, NodeReport):
+            return self.apply_report(index, message)
+        if isinstance(message, NodeLost | NewEpoch | RolloutBatch):
+            return self.apply_leader_command(message)
+        return self.apply_other_command(message)
+
+    def apply_other_command(
+        self, message: NodeLeaving | PauseRollout | SkipNode | ForgetNode
+    ) -> CommandResult:
+        """Apply what a node says at its end, or an operator."""
+        match message:
+            case NodeLeaving():
+                return self.remove_leaving(message)
+            case PauseRollout():
+                return self.pause(message)
+            case SkipNode():
+                return self.set_share(message.node, 1.0)
+            case ForgetNode():
+                return CommandResult(self.nodes.pop(message.node, None) is not None, "no such node")
+
+    def apply_leader_command(self, message: NodeLost | NewEpoch | RolloutBatch) -> CommandResult:
+        """Apply a command of the leader, unless its lease is over."""
+        # A leader that was suspended before a power loss would continue with an outdated plan.
+        if not self.jobs.is_owner(JOB, message.token):
+            return CommandResult(False, "an older owner's")
+        match message:
+            case NodeLost():
+                return self.mark_gone(message)
+            case NewEpoch():
+                return self.begin_epoch(message)
+            case RolloutBatch():
+                return self.apply_batch(message)
 
     # -- nodes -----------------------------------------------------------------------------------------
 
-    def report(self, index: int, what: Report) -> Word:
-        node = self.nodes.get(what.node)
-        if node is None or node.life != what.life:
-            if node is None and len(self.nodes) >= NODES_MOST:
-                return Word(self.epoch, 0.0, why="too many nodes")
-            node = self.nodes[what.node] = Node(
-                what.zone, what.life, what.clean, Door.SHUT, 0.0, index, what.unix
-            )
-        elif node.door == Door.GONE:
-            node.door, node.share = Door.SHUT, 0.0  # it was away: it comes in as one that woke
-        node.zone, node.beat, node.unix = what.zone, index, what.unix
-        node.ready, node.proof, node.strain, node.speed = what.ready, what.proof, what.strain, what.speed
-        often, unowned = self.plan is not None, not self.planned()
-        return Word(
-            self.epoch, node.share, self.clock_off(index, node), reason(node, self.plan), often, unowned
+    def apply_report(self, index: int, report: NodeReport) -> ReportReply:
+        """Record a node's report; the reply says how far it may open."""
+        node = self.nodes.get(report.node)
+        if node is None and len(self.nodes) >= MAX_NODES:
+            return ReportReply(self.epoch, 0.0, reason="too many nodes")
+        if node is None or node.incarnation != report.incarnation:
+            node = self.add_node(index, report)
+        elif node.status == NodeStatus.GONE:  # it was away: it is opened like one that started
+            node.status = NodeStatus.SHUT
+            node.share = 0.0
+        node.zone = report.zone
+        node.last_report = index
+        node.unix_time = report.unix_time
+        node.ready = report.ready
+        node.records_verified = report.records_verified
+        node.load = report.load
+        node.speed = report.speed
+        return ReportReply(
+            epoch=self.epoch,
+            share=node.share,
+            clock_offset=self.clock_offset(index, node),
+            reason=explain_share(node, self.plan),
+            report_often=self.plan is not None,
+            has_no_planner=not self.has_planner(),
         )
 
-    def planned(self) -> bool:
+    def add_node(self, index: int, report: NodeReport) -> NodeState:
+        """Add a node, or replace its previous incarnation; it is shut."""
+        node = NodeState(
+            zone=report.zone,
+            incarnation=report.incarnation,
+            clean_shutdown=report.clean_shutdown,
+            status=NodeStatus.SHUT,
+            share=0.0,
+            last_report=index,
+            unix_time=report.unix_time,
+        )
+        self.nodes[report.node] = node
+        return node
+
+    def has_planner(self) -> bool:
+        """Whether a process holds the lease of the planner's job."""
         job = self.jobs.jobs.get(JOB)
         return job is not None and bool(job.owner)
 
-    def clock_off(self, index: int, node: Node) -> int:
-        """µs that its clock is ahead of the others', 0 where that may be chance, or nobody can say."""
-        told = [each.unix for each in self.nodes.values() if each.beat > index - RECENT]
-        if len(told) < CLOCKS_LEAST:
+    def clock_offset(self, index: int, node: NodeState) -> int:
+        """µs that the node's clock is ahead of the others'; 0 if that may be chance, or too few are known."""
+        clocks = [each.unix_time for each in self.nodes.values() if each.last_report > index - RECENT_ENTRIES]
+        if len(clocks) < MIN_CLOCKS:
             return 0
-        off = node.unix - round(median(told))
-        return off if abs(off) > CLOCK_OFF else 0
-
-    def leave(self, what: Leave) -> Done:
-        node = self.nodes.get(what.node)
-        if node is None or node.life != what.life:
-            return Done(False, "no such node")
-        del self.nodes[what.node]
-        return Done(True)
-
-    def open(self, name: str, share: float) -> Done:
+        offset = node.unix_time - round(median(clocks))
+        return offset if abs(offset) > MAX_CLOCK_OFFSET_US else 0
+
+    def remove_leaving(self, message: NodeLeaving) -> CommandResult:
+        """Remove a node that shuts down gracefully, unless it has started again since."""
+        node = self.nodes.get(message.node)
+        if node is None or node.incarnation != message.incarnation:
+            return CommandResult(False, "no such node")
+        del self.nodes[message.node]
+        return CommandResult(True)
+
+    def set_share(self, name: str, share: float) -> CommandResult:
+        """Open a node to `share` of its arrivals, or shut it at 0."""
         node = self.nodes.get(name)
-        if node is None or node.door == Door.GONE:
-            return Done(False, "nothing is heard of it")
-        if share > 0 and node.door == Door.SHUT:
-            node.wave = self.plan.wave if self.plan is not None else 0
-        node.door = Door.OPEN if share > 0 else Door.SHUT
+        if node is None or node.status == NodeStatus.GONE:
+            return CommandResult(False, "nothing is heard of it")
+        if share > 0 and node.status == NodeStatus.SHUT:
+            node.batch = self.plan.batch if self.plan is not None else 0
+        node.status = NodeStatus.OPEN if share > 0 else NodeStatus.SHUT
         node.share = min(1.0, max(0.0, share))
-        return Done(True)
-
-    # -- the owner -------------------------------------------------------------------------------------
-
-    def lost(self, what: Lost) -> Done:
-        node = self.nodes.get(what.node)
-        if node is None or node.beat != what.beat:
-            return Done(False, "it was heard since")
-        node.door, node.share = Door.GONE, 0.0
-        return Done(True)
-
-    def new_epoch(self, what: NewEpoch) -> Done:
-        """Who kept its power stays open, and learns of the epoch at its next report."""
-        if what.after != self.epoch:
-            return Done(False, "another epoch has begun since")
+        return CommandResult(True)
+
+    # -- the plan --------------------------------------------------------------------------------------
+
+    def pause(self, message: PauseRollout) -> CommandResult:
+        """Pause the recovery under way, or continue it."""
+        if self.plan is None:
+            return CommandResult(False, "no return is under way")
+        self.plan.paused = message.paused
+        return CommandResult(True)
+
+    def mark_gone(self, message: NodeLost) -> CommandResult:
+        """Mark a node as gone, unless it has reported since."""
+        node = self.nodes.get(message.node)
+        if node is None or node.last_report != message.last_report:
+            return CommandResult(False, "it was heard since")
+        node.status = NodeStatus.GONE
+        node.share = 0.0
+        return CommandResult(True)
+
+    def begin_epoch(self, message: NewEpoch) -> CommandResult:
+        """Begin an epoch; nodes that kept their power stay open, and learn of it by their next report."""
+        if message.previous != self.epoch:
+            return CommandResult(False, "another epoch has begun since")
         self.epoch += 1
-        self.plan = Plan(0.0, why=what.why[:REASON_MOST])
-        return Done(True)
-
-    def wave(self, what: Wave) -> Done:
-        if what.plan is not None and self.plan is not None:
-            what.plan.held = self.plan.held  # an operator's word that the owner has not seen yet
-            if what.plan.held:
-                return Done(False, "an operator holds the plan")
-        self.plan = what.plan
-        for name, share in what.shares.items():
-            self.open(name, share)
-        return Done(True)
-
-    # -- the state -------------------------------------------------------------------------------------
-
-    def read(self, query: Any) -> Any:
+        self.plan = RolloutPlan(0.0, reason=message.reason[:MAX_REASON_LENGTH])
+        return CommandResult(True)
+
+    def apply_batch(self, message: RolloutBatch) -> CommandResult:
+        """Take over the plan and open or shut the nodes that the batch names."""
+        if message.plan is not None and self.plan is not None:
+            message.plan.paused = self.plan.paused  # an operator may have paused it since the leader's read
+            if message.plan.paused:
+                return CommandResult(False, "an operator holds the plan")
+        self.plan = message.plan
+        for name, share in message.shares.items():
+            self.set_share(name, share)
+        return CommandResult(True)
+
+    # -- reads and snapshots ---------------------------------------------------------------------------
+
+    def read(self, query: object) -> FleetView:
+        """Return the whole state, whatever the query."""
         return {"epoch": self.epoch, "nodes": self.nodes, "plan": self.plan}
 
-    def dump(self) -> Any:
-        return Dumped(self.epoch, self.nodes, self.plan)
+    def dump(self) -> FleetSnapshot:
+        """Return the state in the form of a snapshot; it shares its parts with the live state."""
+        return FleetSnapshot(self.epoch, self.nodes, self.plan)
 
     def load(self, dumped: msgspec.Raw) -> None:
-        found = decode_dumped(dumped)
-        self.epoch, self.nodes, self.plan = found.epoch, found.nodes, found.plan
+        """Replace the state by that of a snapshot."""
+        snapshot = decode_snapshot(dumped)
+        self.epoch = snapshot.epoch
+        self.nodes = snapshot.nodes
+        self.plan = snapshot.plan
--- a/lichencleat/recovery/trust.py
+++ b/lichencleat/recovery/trust.py
@@ -1,6 +1,6 @@
-"""What a node trusts from before its start, item by item, and the proof that it asks; no I/O.
+"""What a node trusts from before its start, item by item, and the proof that each requires; no I/O.
 
-The table of docs/revive.md, as code: whatever is not in it is not trusted.
+The table of docs/revive.md as code: whatever is not in it is not trusted.
 """
 
 from __future__ import annotations
@@ -10,53 +10,63 @@
 
 
 class Proof(Enum):
-    OWN_DISK = auto()  # its own record, after a check
-    GROUP = auto()  # the voters' word of now
+    """What has to be shown before an item is trusted."""
+
+    OWN_DISK = auto()  # its own record, after verification
+    GROUP = auto()  # an answer of the consensus group since the start
     NEVER = auto()
 
 
 class Item(Enum):
-    NAME = auto()  # its own name and zone
-    RECEIPTS = auto()  # intents and results of its own
-    WINDOWS = auto()  # how much is left of them
+    """Knowledge of a node that may survive a restart."""
+
+    IDENTITY = auto()  # its own name and zone
+    IDEMPOTENCY_RECORDS = auto()  # intents and results of its own
+    KEY_WINDOWS = auto()  # how much is left of the records' windows
     GRANTS = auto()
     LEASES = auto()
     EPOCH = auto()
-    SPEED = auto()  # learned figures of its own
-    OTHERS = auto()  # what it believed of other nodes
+    SERVICE_TIMES = auto()  # learned by itself
+    PEERS = auto()  # what it knew about other nodes
 
 
-TABLE = {
-    Item.NAME: Proof.OWN_DISK,
-    Item.RECEIPTS: Proof.OWN_DISK,
-    Item.WINDOWS: Proof.OWN_DISK,  # as what was left at the last sign: no clock is asked
+REQUIRED_PROOF = {
+    Item.IDENTITY: Proof.OWN_DISK,
+    Item.IDEMPOTENCY_RECORDS: Proof.OWN_DISK,
+    Item.KEY_WINDOWS: Proof.OWN_DISK,  # as the time that was left at the last record: no clock is needed
     Item.GRANTS: Proof.GROUP,
     Item.LEASES: Proof.GROUP,
     Item.EPOCH: Proof.GROUP,
-    Item.SPEED: Proof.OWN_DISK,  # as a first guess that the first runs outweigh
-    Item.OTHERS: Proof.NEVER,
+    Item.SERVICE_TIMES: Proof.OWN_DISK,  # as a first estimate that the first runs outweigh
+    Item.PEERS: Proof.NEVER,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Known:
-    """What a node has to judge by."""
+class Verified:
+    """What a node has verified since its start."""
 
-    disk_whole: bool  # its own store opened, is its own, and reads well
-    group_heard: bool  # the voters have answered since the start
-    clock_right: bool  # neither its disk nor the fleet contradicts its clock
+    disk: bool  # its own store opened, is its own, and passed its checks
+    group: bool  # the consensus group has answered
+    clock: bool  # neither its disk nor the fleet contradicts its clock
 
 
-def trusted(item: Item, known: Known) -> bool:
-    proof = TABLE[item]
+def is_trusted(item: Item, verified: Verified) -> bool:
+    """Whether the proof that `item` requires is there."""
+    proof = REQUIRED_PROOF[item]
     if proof is Proof.OWN_DISK:
-        return known.disk_whole
-    return proof is Proof.GROUP and known.group_heard
+        return verified.disk
+    return proof is Proof.GROUP and verified.group
 
 
-def may_serve_receipted(known: Known) -> bool:
-    """By rule 2, each node alone: its own receipts have to stand, and tries have to be dated rightly.
+def can_serve_keyed(verified: Verified) -> bool:
+    """Whether requests with an idempotency key may be served.
 
-    A key that ran elsewhere is no matter of this node's: see docs/revive.md.
+    By rule 2 of docs/revive.md, each node for itself: its own records have to be verified, and attempts have
+    to be dated correctly. A key that ran on another node is not this node's concern.
     """
-    return trusted(Item.RECEIPTS, known) and trusted(Item.WINDOWS, known) and known.clock_right
+    return (
+        is_trusted(Item.IDEMPOTENCY_RECORDS, verified)
+        and is_trusted(Item.KEY_WINDOWS, verified)
+        and verified.clock
+    )
--- a/lichencleat/testkit/explore_revive.py
+++ b/lichencleat/testkit/explore_revive.py
@@ -25,10 +25,10 @@
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.pools import Pools, reserved
 from lichencleat.quotas.terms import Ask, Define, Granted, job_of
-from lichencleat.recovery.boot import Clock
-from lichencleat.recovery.state import Fleet
-from lichencleat.recovery.terms import JOB, Door, NewEpoch, Plan, Report, Wave
-from lichencleat.recovery.waking import Waking
+from lichencleat.recovery.boot_record import ClockCheck
+from lichencleat.recovery.messages import JOB, NewEpoch, NodeReport, NodeStatus, RolloutBatch, RolloutPlan
+from lichencleat.recovery.readiness_gate import ReadinessGate
+from lichencleat.recovery.state import FleetState
 from lichencleat.testkit.explore import Explored, explore
 
 POOL, LIMIT, FLOOR, TERM = "p", 3, 1, 1_000_000
@@ -49,7 +49,7 @@
     flying: Granted | None = None  # an answer on its way
     out: tuple[int, ...] = ()  # ends of its calls, also of lives before
     mine: int = 0  # of them, of this life
-    waking: Waking | None = None
+    gate: ReadinessGate | None = None
     book: Book | None = None
     disk: Entry | None = None
     own: int = 0  # µs of its own time: it stands still while it is down
@@ -76,7 +76,7 @@
     wrong: str | None = None
 
     pools_kind = Pools
-    fleet_kind = Fleet
+    fleet_kind = FleetState
     grants_kind = Grants
     book_kind = Book
     waits_for_proof = True
@@ -142,7 +142,8 @@
         )
         nodes = tuple(self.node_key(self.nodes[name]) for name in NAMES)
         doors = tuple(
-            (name, each.life, each.door, each.share) for name, each in sorted(self.fleet.nodes.items())
+            (name, each.incarnation, each.status, each.share)
+            for name, each in sorted(self.fleet.nodes.items())
         )
         left = (self.now, self.ticks, self.cuts, self.owners, self.asks, self.stale_left, self.fleet.epoch)
         by = tuple((name, rank[at]) for name, at in sorted(self.opened_by.items()))
@@ -150,11 +151,11 @@
 
     @staticmethod
     def node_key(node: Node) -> Hashable:
-        grants, waking = node.grants, node.waking
+        grants, gate = node.grants, node.gate
         held = (
             (grants.amount, grants.until, grants.asked_at, grants.turn, grants.floor_from) if grants else None
         )
-        word = (waking.epoch, waking.share, waking.heard, waking.clock_off) if waking else None
+        word = (gate.epoch, gate.share, gate.group_answered, gate.clock_offset) if gate else None
         flying = (node.flying.amount, node.flying.refused) if node.flying else None
         book = (node.book.stands, tuple(node.book.known.items())) if node.book else None
         return (
@@ -183,7 +184,7 @@
         elif any(each.begun > 1 for each in self.nodes.values()):
             self.wrong = "a key ran twice on its node"
         for name, each in self.fleet.nodes.items():
-            if each.door == Door.OPEN and self.opened_by.get(name, 0) < self.epoch_token:
+            if each.status == NodeStatus.OPEN and self.opened_by.get(name, 0) < self.epoch_token:
                 self.wrong = f"{name} is open by the word of an owner from before the epoch"
 
     # -- what may happen -------------------------------------------------------------------------------
@@ -247,16 +248,18 @@
             self.enter(self.jobs, Gone(name, known.renewed))
         self.enter(self.jobs, Renew(f"o{self.index}", "", self.index, True, {}))
         self.dealer = Dealer(POOL, self.token(job_of(POOL)))
-        if self.enter(self.fleet, NewEpoch(self.token(JOB), self.fleet.epoch)).done:
+        if self.enter(self.fleet, NewEpoch(self.token(JOB), self.fleet.epoch)).applied:
             self.epoch_token = self.token(JOB)
             for node in self.fleet.nodes.values():
-                node.door, node.share = Door.SHUT, 0.0  # the power was lost by all
+                node.status, node.share = NodeStatus.SHUT, 0.0  # the power was lost by all
 
     def proposals(self) -> list[Any]:
         assert self.dealer is not None
         said: list[Any] = list(self.dealer.looks(self.now, copy.deepcopy(self.pools.pools[POOL])))
-        shut = [name for name, each in self.fleet.nodes.items() if each.door == Door.SHUT]
-        return said + ([Wave(self.token(JOB), dict.fromkeys(shut, 1.0), Plan(9.0))] if shut else [])
+        shut = [name for name, each in self.fleet.nodes.items() if each.status == NodeStatus.SHUT]
+        return said + (
+            [RolloutBatch(self.token(JOB), dict.fromkeys(shut, 1.0), RolloutPlan(9.0))] if shut else []
+        )
 
     def look(self) -> None:
         self.send(self.proposals())
@@ -271,9 +274,9 @@
 
     def send(self, said: list[Any]) -> None:
         for each in said:
-            part = self.fleet if isinstance(each, Wave) else self.pools
+            part = self.fleet if isinstance(each, RolloutBatch) else self.pools
             done = self.enter(part, each)
-            if isinstance(each, Wave) and done.done:
+            if isinstance(each, RolloutBatch) and done.applied:
                 self.opened_by |= dict.fromkeys(each.shares, each.token)
 
     # -- nodes -----------------------------------------------------------------------------------------
@@ -282,20 +285,20 @@
         node = self.nodes[name]
         node.up, node.life, node.mine, node.flying = True, node.life + 1, 0, None
         node.grants = self.grants_kind(POOL, name, node.life, FLOOR, TERM, self.now)
-        node.waking = Waking(name, "", node.life, False, 1, Clock.PLAUSIBLE, self.now)
-        node.waking.ready = True
+        node.gate = ReadinessGate(name, "", node.life, False, 1, ClockCheck.PLAUSIBLE, self.now)
+        node.gate.ready = True
         node.book = self.book_kind(10, 1 << 20)
         if node.life == 1:
             node.book.stands = True
         self.report(node)
 
     def report(self, node: Node) -> None:
-        assert node.waking is not None
-        what = Report(
-            node.waking.node, "", node.life, False, node.waking.epoch, self.unix(node), True, True, 0.0
+        assert node.gate is not None
+        what = NodeReport(
+            node.gate.node, "", node.life, False, node.gate.epoch, self.unix(node), True, True, 0.0
         )
-        node.waking.asked_at = self.now
-        node.waking.answered(self.now, self.enter(self.fleet, what))
+        node.gate.report_sent_at = self.now
+        node.gate.on_reply(self.now, self.enter(self.fleet, what))
 
     def cut(self, name: str) -> None:
         self.cuts -= 1
@@ -364,7 +367,7 @@
         return told
 
 
-class AnyOwnerJobs(Fleet):
+class AnyOwnerJobs(FleetState):
     """Takes any owner's plan."""
 
     def apply(self, index: int, command: msgspec.Raw) -> Any:
--- a/lichencleat/testkit/simulation/revive.py
+++ b/lichencleat/testkit/simulation/revive.py
@@ -23,11 +23,11 @@
 from lichencleat.leases.terms import Gone, Renew
 from lichencleat.quotas.pools import Pools
 from lichencleat.quotas.terms import Part, Pool
-from lichencleat.recovery.boot import Clock
-from lichencleat.recovery.planner import Planner
-from lichencleat.recovery.state import Fleet
-from lichencleat.recovery.terms import JOB, Door, Node, Report
-from lichencleat.recovery.waking import Waking
+from lichencleat.recovery.boot_record import ClockCheck
+from lichencleat.recovery.messages import JOB, NodeReport, NodeState, NodeStatus
+from lichencleat.recovery.planner import RolloutPlanner
+from lichencleat.recovery.readiness_gate import ReadinessGate
+from lichencleat.recovery.state import FleetState
 from lichencleat.testkit.simulation.clockwork import Clockwork
 
 SECOND = 1_000_000  # µs
@@ -67,7 +67,7 @@
     share: float = 0.0
     well: float = 1.0  # share of its calls that came back lately
     cut_at: float = 0.0  # s of the last cut of its bound
-    waking: Waking | None = None
+    gate: ReadinessGate | None = None
     load: float = 0.0  # of what it can do, in the last tick
 
 
@@ -104,11 +104,11 @@
         self.below_warm, self.below_down = BELOW_COLD, 0.0
         self.ran = Ran(policy, seed)
         self.jobs = Jobs()
-        self.fleet = Fleet(self.jobs)
+        self.fleet = FleetState(self.jobs)
         self.pools = Pools(self.jobs)
         self.pools.pools["below"] = Pool(1_000, 0, nodes, SECOND)
         self.index = 0
-        self.planner: Planner | None = None
+        self.planner: RolloutPlanner | None = None
         self.now_served = 0.0
         if policy == "plan":
             self.before_the_cut()
@@ -124,23 +124,25 @@
         self.enter(self.jobs, DefineJob(JOB))
         for each in self.machines:
             self.index += 1
-            self.fleet.nodes[each.name] = Node(each.zone, 1, True, Door.OPEN, 1.0, self.index, 0, True, True)
+            self.fleet.nodes[each.name] = NodeState(
+                each.zone, 1, True, NodeStatus.OPEN, 1.0, self.index, 0, True, True
+            )
         self.clockwork.after(round(VOTERS * SECOND), self.owner_comes)
 
     def owner_comes(self, life: int = 1) -> None:
         for name, known in list(self.jobs.candidates.items()):
             self.enter(self.jobs, Gone(name, known.renewed))
         self.enter(self.jobs, Renew(f"o{life}", "", life, True, {}))
-        self.planner = Planner(self.jobs.jobs[JOB].token)
+        self.planner = RolloutPlanner(self.jobs.jobs[JOB].token)
         self.clockwork.after(LOOK, self.look, self.planner)
 
-    def look(self, planner: Planner) -> None:
+    def look(self, planner: RolloutPlanner) -> None:
         if planner is not self.planner:
             return
         fleet = self.fleet
-        nodes = msgspec.convert(msgspec.to_builtins(fleet.nodes), dict[str, Node])
+        nodes = msgspec.convert(msgspec.to_builtins(fleet.nodes), dict[str, NodeState])
         plan = msgspec.convert(msgspec.to_builtins(fleet.plan), type(fleet.plan)) if fleet.plan else None
-        for what in planner.looks(self.clockwork.now, fleet.epoch, nodes, plan):
+        for what in planner.plan_next_step(self.clockwork.now, fleet.epoch, nodes, plan):
             part = self.pools if isinstance(what, Part) else fleet
             self.clockwork.after(self.rng.randint(*COMMIT), self.enter, part, what)
         self.clockwork.after(LOOK, self.look, planner)
@@ -154,28 +156,28 @@
             each.share = 1.0
         elif self.policy == "plan":
             life = self.rng.getrandbits(40)
-            each.waking = Waking(each.name, each.zone, life, False, 1, Clock.PLAUSIBLE, now)
-            each.waking.ready = each.waking.proof = True
+            each.gate = ReadinessGate(each.name, each.zone, life, False, 1, ClockCheck.PLAUSIBLE, now)
+            each.gate.ready = each.gate.records_verified = True
             self.report(each)
 
     def report(self, each: Machine) -> None:
-        waking = each.waking
-        assert waking is not None
+        gate = each.gate
+        assert gate is not None
         now = self.clockwork.now
-        each.share = waking.may(now).share
+        each.share = gate.allowance(now).share
         strain = 0.5 * each.load + FAILED_STRAIN * (1 - each.well)
-        said = waking.next_report(now, now, strain, each.speed / 10)
+        said = gate.next_report(now, now, strain, each.speed / 10)
         if said is not None:
             if now < VOTERS * SECOND:
-                self.clockwork.after(SECOND, waking.failed, now + SECOND)
+                self.clockwork.after(SECOND, gate.on_report_failed, now + SECOND)
             else:
                 self.clockwork.after(self.rng.randint(*COMMIT), self.reported, each, said)
         self.clockwork.after(100_000, self.report, each)
 
-    def reported(self, each: Machine, said: Report) -> None:
+    def reported(self, each: Machine, said: NodeReport) -> None:
         word = self.enter(self.fleet, said)
-        if each.waking is not None:
-            each.waking.answered(self.clockwork.now, word)
+        if each.gate is not None:
+            each.gate.on_reply(self.clockwork.now, word)
 
     # -- the model -------------------------------------------------------------------------------------
 
@@ -267,7 +269,7 @@
         back = [each for each in self.machines if each.wakes < SPAN]
         ran.full = all(each.share >= 1.0 for each in back)
         ran.epochs = self.fleet.epoch - 1
-        ran.relapses = self.fleet.plan.relapses if self.fleet.plan else 0
+        ran.relapses = self.fleet.plan.rollbacks if self.fleet.plan else 0
         return ran
 
 
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -17,13 +17,13 @@
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.quotas.terms import Define as DefinePool
-from lichencleat.recovery.terms import Report
+from lichencleat.recovery.messages import NodeReport
 
 COMMANDS = {
     "facts": Set("fact", b"v"),
     "owners": DefineJob("job", "zone"),
     "shares": DefinePool("pool", 10, 1, 4),
-    "revive": Report("node", "zone", 1, True, 0, 1, True, True, 0.5),
+    "revive": NodeReport("node", "zone", 1, True, 0, 1, True, True, 0.5),
     "zones": DefineZone("zone", "region", 1.0),
     "distribution": Publish((Change("tenant", "acme", b"{}"),)),
 }
--- a/tests/consensus/test_versions.py
+++ b/tests/consensus/test_versions.py
@@ -12,10 +12,10 @@
 from lichencleat.consensus.seats import Life
 from lichencleat.consensus.state import State, command
 from lichencleat.consensus.terms import Entry, Group, Member, Snapshot, What
-from lichencleat.recovery.terms import Report
+from lichencleat.recovery.messages import NodeReport
 
 GROUP = Group(tuple(Member(seat, f"v{seat}", "h", seat) for seat in range(1, 7)))
-REPORT = Report("n1", "x", 1, True, 0, 1, True, True, 0.5)
+REPORT = NodeReport("n1", "x", 1, True, 0, 1, True, True, 0.5)
 
 
 def entry(name, what, session=0):
--- a/tests/fleet/test_older_voters.py
+++ b/tests/fleet/test_older_voters.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lichencleat.consensus.client import GroupError
-from lichencleat.recovery.terms import Report
+from lichencleat.recovery.messages import NodeReport
 from lichencleat.testkit.cluster.fleet import Fleet
 from lichencleat.testkit.cluster.rig import Rig
 
@@ -22,7 +22,7 @@
 
 
 def report(number):
-    return Report(f"n{number}", "x", number, True, 0, 1, True, True, 0.5)
+    return NodeReport(f"n{number}", "x", number, True, 0, 1, True, True, 0.5)
 
 
 def decided(rig, client, number):
--- a/tests/recovery/test_figures.py
+++ b/tests/recovery/test_figures.py
@@ -10,11 +10,18 @@
 
 from lichencleat.decide import RUNS_FEW, Node
 from lichencleat.node.host import Host
-from lichencleat.recovery import boot as boots
-from lichencleat.recovery.figures import FORMAT, TARIFFS_MOST, Figures, encode, recalled, to_keep
+from lichencleat.recovery.boot_record import ClockCheck
+from lichencleat.recovery.readiness_gate import ReadinessGate
 from lichencleat.recovery.seat import FIGURES, Learned, Record, Return
-from lichencleat.recovery.trust import TABLE, Item, Proof
-from lichencleat.recovery.waking import Waking
+from lichencleat.recovery.service_times import (
+    FORMAT,
+    MAX_CLASSES,
+    ServiceTimes,
+    encode_merged,
+    encode_service_times,
+    load_service_times,
+)
+from lichencleat.recovery.trust import REQUIRED_PROOF, Item, Proof
 from lichencleat.terms import Machine, Outcome, Request, State, Tariff
 
 SECOND = 1_000_000
@@ -23,10 +30,10 @@
 
 
 def test_what_was_kept_is_recalled_and_this_life_outweighs_the_one_before():
-    kept = to_keep(2, {"look": 7, "save": 9}, {"look": 8})
-    assert recalled(kept, 2, LONGEST) == ({"look": 8, "save": 9}, "")
-    assert recalled(None, 2, LONGEST) == ({}, "")
-    assert TABLE[Item.SPEED] is Proof.OWN_DISK
+    kept = encode_merged(2, {"look": 7, "save": 9}, {"look": 8})
+    assert load_service_times(kept, 2, LONGEST) == ({"look": 8, "save": 9}, "")
+    assert load_service_times(None, 2, LONGEST) == ({}, "")
+    assert REQUIRED_PROOF[Item.SERVICE_TIMES] is Proof.OWN_DISK
 
 
 @pytest.mark.parametrize(
@@ -37,25 +44,27 @@
         (msgspec.msgpack.encode([1, 2, {"look": "x"}]), "can't be read"),
         (msgspec.msgpack.encode([1, 2, {"look": 1.5}]), "can't be read"),
         (msgspec.msgpack.encode([1, 2, {b"\xff": 1}]), "can't be read"),
-        (encode(Figures(FORMAT + 1, 2, {"look": 7})), f"have format {FORMAT + 1}"),
-        (encode(Figures(FORMAT, 4, {"look": 7})), "learned on 4 cores, and there are 2"),
+        (encode_service_times(ServiceTimes(FORMAT + 1, 2, {"look": 7})), f"have format {FORMAT + 1}"),
+        (encode_service_times(ServiceTimes(FORMAT, 4, {"look": 7})), "learned on 4 cores, and there are 2"),
     ],
 )
 def test_figures_that_are_none_or_of_another_machine_are_dropped_with_a_reason(said, why):
-    runs, reason = recalled(said, 2, LONGEST)
+    runs, reason = load_service_times(said, 2, LONGEST)
     assert runs == {} and why in reason
 
 
 @pytest.mark.parametrize("took", [0, -1, 5 * SECOND + 1, 2**62])
 def test_a_figure_that_cannot_be_right_or_of_a_class_that_is_gone_is_dropped(took):
-    said = encode(Figures(FORMAT, 2, {"look": took, "save": 3, "gone": 4}))
-    assert recalled(said, 2, LONGEST) == ({"save": 3}, "")
+    said = encode_service_times(ServiceTimes(FORMAT, 2, {"look": took, "save": 3, "gone": 4}))
+    assert load_service_times(said, 2, LONGEST) == ({"save": 3}, "")
 
 
 def test_a_later_format_with_fields_at_the_end_is_read_and_the_record_is_bounded():
-    assert recalled(msgspec.msgpack.encode([1, 2, {"look": 7}, "more"]), 2, LONGEST)[0] == {"look": 7}
-    many = {f"t{number:04}": 1 for number in range(TARIFFS_MOST + 9)}
-    assert len(recalled(to_keep(2, many, {}), 2, dict.fromkeys(many, 9))[0]) == TARIFFS_MOST
+    assert load_service_times(msgspec.msgpack.encode([1, 2, {"look": 7}, "more"]), 2, LONGEST)[0] == {
+        "look": 7
+    }
+    many = {f"t{number:04}": 1 for number in range(MAX_CLASSES + 9)}
+    assert len(load_service_times(encode_merged(2, many, {}), 2, dict.fromkeys(many, 9))[0]) == MAX_CLASSES
 
 
 def ended(node, tariff, took):
@@ -142,10 +151,10 @@
             return Deferred()
 
     reactor = Clock()
-    waking = Waking("n1", "x", 1, False, 0, boots.Clock.PLAUSIBLE, 0)
+    waking = ReadinessGate("n1", "x", 1, False, 0, ClockCheck.PLAUSIBLE, 0)
     record = Record("g", lambda: 0)
     back = Return(reactor, Client(), host, waking, record, lambda: True, lambda: 0, Log())
-    back.learned.opened({FIGURES: to_keep(2, {}, {"look": 20_000})}.get)
+    back.learned.opened({FIGURES: encode_merged(2, {}, {"look": 20_000})}.get)
     host.node = Node(host.machine, random.Random(1))
     back.start()
     assert [each.speed for each in reports] == [50.0] and host.told[0][0] == 0.0
--- a/tests/recovery/test_revive.py
+++ b/tests/recovery/test_revive.py
@@ -2,30 +2,47 @@
 
 import msgspec
 import pytest
+from msgspec.structs import astuple
 
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define, Gone, Renew
 from lichencleat.quotas.pools import Pools
 from lichencleat.quotas.terms import Part
-from lichencleat.recovery import boot as boots
-from lichencleat.recovery.boot import Boot, Clock, WrongBootError
-from lichencleat.recovery.planner import FIRST, MISSED, PART_FIRST, STEP, WAIT, Planner, turns
-from lichencleat.recovery.state import Fleet
-from lichencleat.recovery.terms import (
+from lichencleat.recovery.boot_record import (
+    BootRecord,
+    ClockCheck,
+    InvalidBootRecordError,
+    check_clock,
+    create_record,
+    encode_boot_record,
+    load_previous,
+)
+from lichencleat.recovery.messages import (
     JOB,
-    Door,
-    Forget,
-    Hold,
-    Leave,
-    Lost,
+    ForgetNode,
     NewEpoch,
-    Plan,
-    Report,
-    Skip,
-    Wave,
+    NodeLeaving,
+    NodeLost,
+    NodeReport,
+    NodeStatus,
+    PauseRollout,
+    ReportReply,
+    RolloutBatch,
+    RolloutPlan,
+    SkipNode,
+)
+from lichencleat.recovery.planner import (
+    EPOCH_DELAY_US,
+    FIRST_BATCH_FRACTION,
+    INITIAL_DEPENDENCY_SHARE,
+    OPENING_STEP,
+    REPORT_TIMEOUT_US,
+    RolloutPlanner,
+    opening_order,
 )
-from lichencleat.recovery.trust import TABLE, Item, Known, Proof, may_serve_receipted, trusted
-from lichencleat.recovery.waking import ALONE, Waking
+from lichencleat.recovery.readiness_gate import STANDALONE_DELAY_US, ReadinessGate
+from lichencleat.recovery.state import FleetState
+from lichencleat.recovery.trust import REQUIRED_PROOF, Item, Proof, Verified, can_serve_keyed, is_trusted
 from lichencleat.testkit.explore_revive import MISTAKES, GrantsOfOne, play
 from lichencleat.testkit.explore_revive import World as Explored
 from lichencleat.testkit.simulation.revive import World
@@ -39,7 +56,7 @@
 
     def __init__(self):
         self.jobs, self.index = Jobs(), 0
-        self.fleet, self.pools = Fleet(self.jobs), Pools(self.jobs)
+        self.fleet, self.pools = FleetState(self.jobs), Pools(self.jobs)
         self.owner("o1", 1)
 
     def enter(self, part, what):
@@ -60,11 +77,11 @@
         return self.jobs.jobs[JOB].token
 
     def report(self, node, life=1, zone="x", epoch=1, unix=0, **more):
-        told = {"ready": True, "proof": True, "strain": 0.3} | more
-        return self(Report(node, zone, life, False, epoch, unix, **told))
+        told = {"ready": True, "records_verified": True, "load": 0.3} | more
+        return self(NodeReport(node, zone, life, False, epoch, unix, **told))
 
     def looks(self, planner, now):
-        said = planner.looks(now, self.fleet.epoch, dict(self.fleet.nodes), self.fleet.plan)
+        said = planner.plan_next_step(now, self.fleet.epoch, dict(self.fleet.nodes), self.fleet.plan)
         return said, [self(each) for each in said]
 
 
@@ -77,51 +94,57 @@
 
 
 def test_a_start_finds_how_the_life_before_ended_and_counts():
-    first = boots.begun(None, 5, "g")
-    assert (first.count, first.clean, first.epoch) == (1, False, 0)
-    before = boots.found(boots.encode(msgspec.structs.replace(first, clean=True, epoch=4)), "g")
-    assert before.clean and boots.begun(before, 9, "g") == Boot(1, 2, False, 9, "g", 4)
-    assert boots.found(None, "g") is None
+    first = create_record(None, 5, "g")
+    assert (first.boot_count, first.clean_shutdown, first.epoch) == (1, False, 0)
+    before = load_previous(
+        encode_boot_record(msgspec.structs.replace(first, clean_shutdown=True, epoch=4)), "g"
+    )
+    assert before.clean_shutdown and create_record(before, 9, "g") == BootRecord(1, 2, False, 9, "g", 4)
+    assert load_previous(None, "g") is None
 
 
 @pytest.mark.parametrize(
     ("said", "why"),
     [
         (b"\xc1", "can't be read"),
-        (boots.encode(Boot(9, 1, True, 0, "g", 0)), "format 9"),
-        (boots.encode(Boot(1, 1, True, 0, "h", 0)), "the fleet 'h'"),
+        (encode_boot_record(BootRecord(9, 1, True, 0, "g", 0)), "format 9"),
+        (encode_boot_record(BootRecord(1, 1, True, 0, "h", 0)), "the fleet 'h'"),
     ],
 )
 def test_a_record_that_is_not_this_one_s_is_refused(said, why):
-    with pytest.raises(WrongBootError, match=why):
-        boots.found(said, "g")
+    with pytest.raises(InvalidBootRecordError, match=why):
+        load_previous(said, "g")
 
 
 @pytest.mark.parametrize(
     ("off", "judged"),
     [
-        (0, Clock.PLAUSIBLE),
-        (HOUR, Clock.PLAUSIBLE),
-        (-SECOND // 2, Clock.PLAUSIBLE),
-        (-HOUR, Clock.BACK),
-        (-56 * 366 * 24 * HOUR, Clock.BACK),
-        (400 * 24 * HOUR, Clock.AHEAD),
+        (0, ClockCheck.PLAUSIBLE),
+        (HOUR, ClockCheck.PLAUSIBLE),
+        (-SECOND // 2, ClockCheck.PLAUSIBLE),
+        (-HOUR, ClockCheck.BEHIND),
+        (-56 * 366 * 24 * HOUR, ClockCheck.BEHIND),
+        (400 * 24 * HOUR, ClockCheck.AHEAD),
     ],
 )
 def test_a_clock_is_judged_by_the_last_sign(off, judged):
     seen = 100 * 366 * 24 * HOUR
-    assert boots.judge(Boot(1, 1, False, seen, "g", 0), seen + off) is judged
-    assert boots.judge(None, off) is Clock.PLAUSIBLE
+    assert check_clock(BootRecord(1, 1, False, seen, "g", 0), seen + off) is judged
+    assert check_clock(None, off) is ClockCheck.PLAUSIBLE
 
 
 def test_the_table_of_trust_is_whole_and_asks_its_proofs():
-    assert set(TABLE) == set(Item)
-    nothing, disk, all_ = Known(False, False, False), Known(True, False, True), Known(True, True, True)
-    for item, proof in TABLE.items():
-        assert not trusted(item, nothing)
-        assert trusted(item, disk) == (proof is Proof.OWN_DISK)
-        assert trusted(item, all_) == (proof is not Proof.NEVER)
-    assert may_serve_receipted(disk) and not may_serve_receipted(Known(True, True, False))
+    assert set(REQUIRED_PROOF) == set(Item)
+    nothing, disk, all_ = (
+        Verified(False, False, False),
+        Verified(True, False, True),
+        Verified(True, True, True),
+    )
+    for item, proof in REQUIRED_PROOF.items():
+        assert not is_trusted(item, nothing)
+        assert is_trusted(item, disk) == (proof is Proof.OWN_DISK)
+        assert is_trusted(item, all_) == (proof is not Proof.NEVER)
+    assert can_serve_keyed(disk) and not can_serve_keyed(Verified(True, True, False))
 
 
 # -- the fleet's state -----------------------------------------------------------------------------
@@ -129,9 +152,9 @@
 
 def test_a_node_that_wakes_is_shut_until_it_is_opened_and_one_of_a_new_life_again(group):
     assert group.report("a").share == 0.0
-    assert group(Wave(group.token, {"a": 1.0}, None)).done
+    assert group(RolloutBatch(group.token, {"a": 1.0}, None)).applied
     assert group.report("a").share == 1.0
-    assert group.report("a", life=2).share == 0.0 and group.fleet.nodes["a"].door == Door.SHUT
+    assert group.report("a", life=2).share == 0.0 and group.fleet.nodes["a"].status == NodeStatus.SHUT
 
 
 def test_an_older_owner_s_plan_is_refused(group):
@@ -139,43 +162,51 @@
     old = group.token
     group.owner("o2", 2)
     refused = (False, "an older owner's")
-    beat = group.fleet.nodes["a"].beat
-    for what in (Wave(old, {"a": 1.0}, None), NewEpoch(old, 1), Lost(old, "a", beat), Part(old, 0.5)):
+    beat = group.fleet.nodes["a"].last_report
+    for what in (
+        RolloutBatch(old, {"a": 1.0}, None),
+        NewEpoch(old, 1),
+        NodeLost(old, "a", beat),
+        Part(old, 0.5),
+    ):
         told = group(what)
-        assert (told.done, told.why) == refused
-    assert group(NewEpoch(group.token, 1)).done and group.fleet.epoch == 2
-    assert not group(NewEpoch(group.token, 1)).done  # it has begun already
+        assert astuple(told) == refused
+    assert group(NewEpoch(group.token, 1)).applied and group.fleet.epoch == 2
+    assert not group(NewEpoch(group.token, 1)).applied  # it has begun already
 
 
 def test_a_loss_names_the_report_that_it_means_and_who_comes_again_is_shut(group):
     group.report("a")
-    beat = group.fleet.nodes["a"].beat
-    group(Wave(group.token, {"a": 1.0}, None))
+    beat = group.fleet.nodes["a"].last_report
+    group(RolloutBatch(group.token, {"a": 1.0}, None))
     group.report("a")
-    assert not group(Lost(group.token, "a", beat)).done
-    assert group(Lost(group.token, "a", group.fleet.nodes["a"].beat)).done
-    assert group.fleet.nodes["a"].door == Door.GONE and group.report("a").share == 0.0
-    assert group(Leave("a", 1)).done and "a" not in group.fleet.nodes
+    assert not group(NodeLost(group.token, "a", beat)).applied
+    assert group(NodeLost(group.token, "a", group.fleet.nodes["a"].last_report)).applied
+    assert group.fleet.nodes["a"].status == NodeStatus.GONE and group.report("a").share == 0.0
+    assert group(NodeLeaving("a", 1)).applied and "a" not in group.fleet.nodes
 
 
 def test_a_clock_that_the_others_contradict_is_told_by_how_much(group):
     for name in ("a", "b"):
-        assert group.report(name, unix=HOUR).clock_off == 0
-    assert group.report("c", unix=0).clock_off == -HOUR
-    assert group.report("d", unix=HOUR + SECOND).clock_off == 0
-    assert group.report("c", unix=HOUR).clock_off == 0
+        assert group.report(name, unix=HOUR).clock_offset == 0
+    assert group.report("c", unix=0).clock_offset == -HOUR
+    assert group.report("d", unix=HOUR + SECOND).clock_offset == 0
+    assert group.report("c", unix=HOUR).clock_offset == 0
 
 
 def test_an_operator_holds_goes_on_skips_and_forgets(group):
     group.report("a"), group.report("b")
-    assert not group(Hold(True)).done
+    assert not group(PauseRollout(True)).applied
     group(NewEpoch(group.token, 1, "power"))
-    assert group(Hold(True)).done and "holds" in group.report("a").why
-    assert not group(Wave(group.token, {"a": 1.0}, Plan(2.0))).done
-    assert group(Skip("a")).done and group.report("a").share == 1.0
-    assert group(Hold(False)).done and group(Wave(group.token, {"b": 0.5}, Plan(2.0))).done
-    assert group(Forget("b")).done and not group(Skip("b")).done
-    again = Fleet(group.jobs)
+    assert group(PauseRollout(True)).applied and "holds" in group.report("a").reason
+    assert not group(RolloutBatch(group.token, {"a": 1.0}, RolloutPlan(2.0))).applied
+    assert group(SkipNode("a")).applied and group.report("a").share == 1.0
+    assert (
+        group(PauseRollout(False)).applied
+        and group(RolloutBatch(group.token, {"b": 0.5}, RolloutPlan(2.0))).applied
+    )
+    assert group(ForgetNode("b")).applied and not group(SkipNode("b")).applied
+    again = FleetState(group.jobs)
     again.load(msgspec.Raw(msgspec.msgpack.encode(group.fleet.dump())))
     assert again.nodes == group.fleet.nodes and again.plan == group.fleet.plan
 
@@ -186,12 +217,12 @@
 def opened(group, names):
     for name in names:
         group.report(name)
-    group(Wave(group.token, dict.fromkeys(names, 1.0), None))
+    group(RolloutBatch(group.token, dict.fromkeys(names, 1.0), None))
 
 
 def test_a_single_restart_opens_by_steps_and_is_no_new_epoch(group):
     opened(group, "abcd")
-    planner = Planner(group.token)
+    planner = RolloutPlanner(group.token)
     group.looks(planner, 0)
     for name in "abc":
         group.report(name)
@@ -204,16 +235,18 @@
 
 def test_half_of_the_nodes_gone_or_woken_begin_an_epoch_once_the_others_had_time_to_be_heard(group):
     opened(group, "abcdefgh")
-    planner = Planner(group.token)
+    planner = RolloutPlanner(group.token)
     for name in "abcd":
         group.report(name, life=2)
     assert group.looks(planner, 0)[0] == []
-    assert group.looks(planner, WAIT - 1)[0] == []
-    (new,), _ = group.looks(planner, WAIT)
-    assert isinstance(new, NewEpoch) and group.fleet.epoch == 2 and group.fleet.plan.cap == 0
-    said, _ = group.looks(planner, WAIT + 300_000)
-    assert said[0] == Part(group.token, PART_FIRST)
-    assert len(said[1].shares) == 0 and said[1].plan.cap == 8 * FIRST  # the four that stayed open are enough
+    assert group.looks(planner, EPOCH_DELAY_US - 1)[0] == []
+    (new,), _ = group.looks(planner, EPOCH_DELAY_US)
+    assert isinstance(new, NewEpoch) and group.fleet.epoch == 2 and group.fleet.plan.max_open == 0
+    said, _ = group.looks(planner, EPOCH_DELAY_US + 300_000)
+    assert said[0] == Part(group.token, INITIAL_DEPENDENCY_SHARE)
+    assert (
+        len(said[1].shares) == 0 and said[1].plan.max_open == 8 * FIRST_BATCH_FRACTION
+    )  # the four that stayed open are enough
 
 
 def returning(count=12):
@@ -222,7 +255,7 @@
     for at, name in enumerate(names):
         group.report(name, zone="xy"[at % 2], life=2)
     group(NewEpoch(group.token, 1, "power"))
-    return group, names, Planner(group.token)
+    return group, names, RolloutPlanner(group.token)
 
 
 def go_on(group, names, planner, looks, first=0, **more):
@@ -235,139 +268,147 @@
 def test_waves_grow_while_the_open_ones_stand_and_the_return_ends_when_all_are_open():
     group, names, planner = returning()
     group.looks(planner, 0)
-    first = [name for name, each in group.fleet.nodes.items() if each.door == Door.OPEN]
+    first = [name for name, each in group.fleet.nodes.items() if each.status == NodeStatus.OPEN]
     assert len(first) == 4 and {group.fleet.nodes[name].zone for name in first} == {"x", "y"}
-    assert all(each.share in (0.0, STEP) for each in group.fleet.nodes.values())
-    go_on(group, names, planner, 60, 1, strain=0.2)
+    assert all(each.share in (0.0, OPENING_STEP) for each in group.fleet.nodes.values())
+    go_on(group, names, planner, 60, 1, load=0.2)
     assert group.fleet.plan is None and all(each.share == 1.0 for each in group.fleet.nodes.values())
 
 
 def test_the_part_below_follows_what_stands_and_waves_wait_while_they_do_not():
     group, names, planner = returning()
-    go_on(group, names, planner, 4, strain=1.4)
-    assert group.fleet.plan.part < PART_FIRST
-    assert sum(each.door == Door.OPEN for each in group.fleet.nodes.values()) == 4
-    part = group.fleet.plan.part
-    go_on(group, names, planner, 4, 4, strain=0.3)
-    assert group.fleet.plan.part > part
+    go_on(group, names, planner, 4, load=1.4)
+    assert group.fleet.plan.dependency_share < INITIAL_DEPENDENCY_SHARE
+    assert sum(each.status == NodeStatus.OPEN for each in group.fleet.nodes.values()) == 4
+    part = group.fleet.plan.dependency_share
+    go_on(group, names, planner, 4, 4, load=0.3)
+    assert group.fleet.plan.dependency_share > part
 
 
 def test_a_wave_that_falls_is_taken_back_and_comes_again():
     group, names, planner = returning()
     group.looks(planner, 0)
-    cap = group.fleet.plan.cap
+    cap = group.fleet.plan.max_open
     for name in names:
         group.report(name, life=2, ready=False)
     group.looks(planner, 300_000)
-    assert group.fleet.plan.relapses == 1 and group.fleet.plan.cap < cap
-    assert all(each.door == Door.SHUT for each in group.fleet.nodes.values())
-    go_on(group, names, planner, 60, 2, strain=0.2)
+    assert group.fleet.plan.rollbacks == 1 and group.fleet.plan.max_open < cap
+    assert all(each.status == NodeStatus.SHUT for each in group.fleet.nodes.values())
+    go_on(group, names, planner, 60, 2, load=0.2)
     assert group.fleet.plan is None
 
 
 def test_the_next_owner_goes_on_with_the_plan_that_lies_in_the_log():
     group, names, planner = returning()
-    go_on(group, names, planner, 3, strain=0.2)
-    cap, epoch = group.fleet.plan.cap, group.fleet.epoch
+    go_on(group, names, planner, 3, load=0.2)
+    cap, epoch = group.fleet.plan.max_open, group.fleet.epoch
     group.owner("o2", 2)
-    assert all(not done.done for done in group.looks(planner, 4 * 300_000)[1])
-    go_on(group, names, Planner(group.token), 2, 5, strain=0.2)
-    assert group.fleet.plan.cap > cap and group.fleet.epoch == epoch
+    assert not any(astuple(result)[0] for result in group.looks(planner, 4 * 300_000)[1])
+    go_on(group, names, RolloutPlanner(group.token), 2, 5, load=0.2)
+    assert group.fleet.plan.max_open > cap and group.fleet.epoch == epoch
 
 
 def test_who_is_not_heard_of_is_gone_and_nobody_waits_for_it(group):
     opened(group, "abc")
-    planner = Planner(group.token)
+    planner = RolloutPlanner(group.token)
     group.looks(planner, 0)
     for name in "ab":
         group.report(name)
-    group.looks(planner, MISSED - 1)
+    group.looks(planner, REPORT_TIMEOUT_US - 1)
     for name in "ab":
         group.report(name)
-    (lost,), _ = group.looks(planner, MISSED)
-    assert lost.node == "c" and group.fleet.nodes["c"].door == Door.GONE
+    (lost,), _ = group.looks(planner, REPORT_TIMEOUT_US)
+    assert lost.node == "c" and group.fleet.nodes["c"].status == NodeStatus.GONE
 
 
 def test_zones_take_turns_and_in_each_those_with_proofs_and_the_quick_come_first(group):
-    for name, zone, proof, speed in (
+    for name, zone, verified, speed in (
         ("a", "x", True, 1.0),
         ("b", "x", True, 2.0),
         ("c", "x", False, 9.0),
         ("d", "y", True, 1.0),
         ("e", "y", True, 1.0),
     ):
-        group.report(name, zone=zone, proof=proof, speed=speed)
+        group.report(name, zone=zone, records_verified=verified, speed=speed)
     group.report("f", ready=False)
-    assert turns(group.fleet.nodes) == ["b", "d", "a", "e", "c"]
+    assert opening_order(group.fleet.nodes) == ["b", "d", "a", "e", "c"]
 
 
 # -- a node's waking -------------------------------------------------------------------------------
 
 
-def waking(clock=Clock.PLAUSIBLE, epoch=3):
-    made = Waking("a", "x", 7, False, epoch, clock, 0)
-    made.ready = made.proof = True
+def waking(clock=ClockCheck.PLAUSIBLE, epoch=3):
+    made = ReadinessGate("a", "x", 7, False, epoch, clock, 0)
+    made.ready = made.records_verified = True
     return made
 
 
 def test_a_node_is_shut_until_the_word_comes_and_alone_it_opens_slowly():
     mine = waking()
-    assert mine.may(ALONE - 1).share == 0.0
-    assert mine.may(ALONE).share == 0.05 and mine.may(ALONE).receipted
-    assert mine.may(ALONE + 30 * SECOND).share == 1.0
+    assert mine.allowance(STANDALONE_DELAY_US - 1).share == 0.0
+    assert mine.allowance(STANDALONE_DELAY_US).share == 0.05 and mine.allowance(STANDALONE_DELAY_US).keyed
+    assert mine.allowance(STANDALONE_DELAY_US + 30 * SECOND).share == 1.0
     mine.next_report(0, 0, 0.0, 1.0)
-    assert mine.answered(1, word(4, 0.34)) and mine.may(ALONE + 30 * SECOND).share == 0.34
+    assert (
+        mine.on_reply(1, ReportReply(4, 0.34))
+        and mine.allowance(STANDALONE_DELAY_US + 30 * SECOND).share == 0.34
+    )
 
 
 def test_where_nobody_plans_a_node_goes_on_alone_after_a_while(group):
     mine = waking()
     mine.next_report(0, 0, 0.0, 1.0)
-    mine.answered(1, word(3, 0.0, unowned=True))
-    assert mine.may(ALONE - 1).share == 0.0 and mine.may(ALONE + 4 * SECOND).share == 0.25
-    mine.next_report(mine.ask_at, 0, 0.0, 1.0)
-    mine.answered(ALONE, word(3, 0.0))
-    assert mine.may(ALONE + 4 * SECOND).share == 0.0
-    assert not group.report("a").unowned
+    mine.on_reply(1, ReportReply(3, 0.0, has_no_planner=True))
+    assert (
+        mine.allowance(STANDALONE_DELAY_US - 1).share == 0.0
+        and mine.allowance(STANDALONE_DELAY_US + 4 * SECOND).share == 0.25
+    )
+    mine.next_report(mine.next_report_at, 0, 0.0, 1.0)
+    mine.on_reply(STANDALONE_DELAY_US, ReportReply(3, 0.0))
+    assert mine.allowance(STANDALONE_DELAY_US + 4 * SECOND).share == 0.0
+    assert not group.report("a").has_no_planner
     group.enter(group.jobs, Gone("o1", group.jobs.candidates["o1"].renewed))
-    assert group.report("a").unowned
-
-
-def word(epoch, share, **more):
-    from lichencleat.recovery.terms import Word
-
-    return Word(epoch, share, **more)
+    assert group.report("a").has_no_planner
 
 
 def test_an_older_epoch_s_word_opens_nothing():
     mine = waking(epoch=3)
     mine.next_report(0, 0, 0.0, 1.0)
-    assert not mine.answered(1, word(2, 1.0)) and mine.may(2).share == 0.0 and not mine.heard
+    assert (
+        not mine.on_reply(1, ReportReply(2, 1.0))
+        and mine.allowance(2).share == 0.0
+        and not mine.group_answered
+    )
 
 
 def test_a_wrong_clock_keeps_what_is_receipted_out_until_the_fleet_agrees_with_it():
-    mine = waking(Clock.BACK)
-    assert not mine.may(ALONE).receipted
+    mine = waking(ClockCheck.BEHIND)
+    assert not mine.allowance(STANDALONE_DELAY_US).keyed
     mine.next_report(0, 0, 0.0, 1.0)
-    mine.answered(1, word(3, 1.0, clock_off=-HOUR))
-    assert mine.may(2).share == 1.0 and not mine.may(2).receipted and "off by" in mine.may(2).why
-    mine.next_report(mine.ask_at, 0, 0.0, 1.0)
-    mine.answered(3, word(3, 1.0))
-    assert mine.may(4).receipted
-    mine.proof = False
-    assert not mine.may(4).receipted
+    mine.on_reply(1, ReportReply(3, 1.0, clock_offset=-HOUR))
+    assert (
+        mine.allowance(2).share == 1.0
+        and not mine.allowance(2).keyed
+        and "off by" in mine.allowance(2).reason
+    )
+    mine.next_report(mine.next_report_at, 0, 0.0, 1.0)
+    mine.on_reply(3, ReportReply(3, 1.0))
+    assert mine.allowance(4).keyed
+    mine.records_verified = False
+    assert not mine.allowance(4).keyed
 
 
 def test_reports_go_one_at_a_time_often_while_it_matters():
     mine = waking()
     assert mine.next_report(0, 0, 0.0, 1.0) and mine.next_report(1, 0, 0.0, 1.0) is None
-    mine.answered(1, word(3, 1.0))
-    seldom = mine.ask_at
+    mine.on_reply(1, ReportReply(3, 1.0))
+    seldom = mine.next_report_at
     mine.next_report(seldom, 0, 0.0, 1.0)
-    mine.answered(seldom, word(3, 1.0, often=True))
-    assert mine.ask_at - seldom < seldom - 1
-    mine.next_report(mine.ask_at, 0, 0.0, 1.0)
-    mine.failed(mine.ask_at)
-    assert mine.may(mine.ask_at).share == 1.0
+    mine.on_reply(seldom, ReportReply(3, 1.0, report_often=True))
+    assert mine.next_report_at - seldom < seldom - 1
+    mine.next_report(mine.next_report_at, 0, 0.0, 1.0)
+    mine.on_report_failed(mine.next_report_at)
+    assert mine.allowance(mine.next_report_at).share == 1.0
 
 
 # -- returns, simulated ----------------------------------------------------------------------------
