--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -16,7 +16,7 @@
 from lichencleat.leases import terms as owners
 from lichencleat.quotas import terms as shares
 from lichencleat.quotas.dealer import LOOK as DEAL
-from lichencleat.recovery.seat import PLAN
+from lichencleat.recovery.planner_task import POLL_INTERVAL_S
 
 CONFIG = "distribution: relays in tiers ([distribution.md](distribution.md))"
 SOME = "a few are members: relays and voters, not nodes"
@@ -81,7 +81,7 @@
     return 2 * target.restarts_a_second
 
 
-DEALS, PLANS, JUDGES = DEAL * shares.TERM, PLAN * SECOND, judge.LOOK  # µs between two looks
+DEALS, PLANS, JUDGES = DEAL * shares.TERM, POLL_INTERVAL_S * SECOND, judge.LOOK  # µs between two looks
 ONE = "one process, one reactor"
 PER_CALLER = "a connection a caller"
 EACH = "each caller to each node"
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -19,8 +19,10 @@
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.quota_client import QuotaClient
 from lichencleat.recovery.boot_record import ClockCheck
+from lichencleat.recovery.boot_record_store import BootRecordStore
+from lichencleat.recovery.planner_task import RolloutPlannerTask
 from lichencleat.recovery.readiness_gate import ReadinessGate
-from lichencleat.recovery.seat import Planning, Record, Return
+from lichencleat.recovery.reporter import RecoveryReporter
 
 SECOND = 1_000_000  # µs
 
@@ -79,17 +81,17 @@
         host.call_span = seat.max_call_duration
         return seat
 
-    def make_return(self, host: Any, keyed: Any, unix: Callable[[], int]) -> Return:
-        record = Record(self.chosen.group, unix)
+    def make_return(self, host: Any, keyed: Any, unix: Callable[[], int]) -> RecoveryReporter:
+        boot_records = BootRecordStore(self.chosen.group, unix)
         life = self.rng.getrandbits(48)
         gate = ReadinessGate(self.name, self.chosen.zone, life, False, 0, ClockCheck.PLAUSIBLE, self.now())
         gate.has_records = keyed is not None
         host.may_serve(0.0, False)  # until there is a word, or a reason to go on without
         proof = (lambda: keyed.book.stands) if keyed is not None else (lambda: False)
-        back = Return(self.reactor, self.client(), host, gate, record, proof, unix, self.log)
+        back = RecoveryReporter(self.reactor, self.client(), host, gate, boot_records, proof, unix, self.log)
         if keyed is not None:
-            keyed.opened += [record.opened, back.learned.opened]
-            keyed.signs += [record.sign, back.learned.sign]
+            keyed.opened += [boot_records.on_store_opened, back.service_times.on_store_opened]
+            keyed.signs += [boot_records.to_entry, back.service_times.to_entry]
         return back
 
     def make_holder(self) -> LeaseClient:
@@ -97,7 +99,7 @@
         if self.chosen.shares is not None:
             works.append(AllocatorTask(self.reactor, self.client(), self.chosen.shares.pool, self.log))
         if self.chosen.revive:
-            works.append(Planning(self.reactor, self.client(), self.log))
+            works.append(RolloutPlannerTask(self.reactor, self.client(), self.log))
         zone = self.chosen.zone
         holder = LeaseClient(self.reactor, self.client(), self.name, zone, Works(works), self.rng, self.log)
         for each in works:
@@ -126,6 +128,6 @@
 
     def beliefs(self) -> str:
         said = [self.seat.describe()] if self.seat is not None else []
-        said += [self.back.beliefs()] if self.back is not None else []
+        said += [self.back.describe()] if self.back is not None else []
         jobs = ", ".join(sorted(self.holder.leases.held)) if self.holder is not None else ""
         return "; ".join(said + ([f"owns {jobs}"] if jobs else [])) or "alone"
--- /dev/null
+++ b/lichencleat/recovery/boot_record_store.py
@@ -0,0 +1,59 @@
+"""Boot record of the running process, kept in the store of the node's idempotency records."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+
+from lichencleat.recovery.boot_record import (
+    BootRecord,
+    ClockCheck,
+    check_clock,
+    create_record,
+    encode_boot_record,
+    load_previous,
+)
+from lichencleat.recovery.interfaces import StoreReader
+
+BOOT_RECORD_KEY = b"b"  # in the node's store
+
+
+class BootRecordStore:
+    """Loads the previous boot record, and writes the current one with each of the store's heartbeats.
+
+    Args:
+        group: The consensus group of this node.
+        unix_time: Returns µs of Unix time.
+    """
+
+    def __init__(self, group: str, unix_time: Callable[[], int]) -> None:
+        self.group = group
+        self.unix_time = unix_time
+        self.previous: BootRecord | None = None
+        self.current: BootRecord | None = None
+        self.clock_check = ClockCheck.PLAUSIBLE
+        self.epoch = 0
+
+    def on_store_opened(self, read: StoreReader) -> None:
+        """Load the previous record, and begin the current one.
+
+        Raises:
+            InvalidBootRecordError: The record can't be used.
+        """
+        self.previous = load_previous(read(BOOT_RECORD_KEY), self.group)
+        self.clock_check = check_clock(self.previous, self.unix_time())
+        self.current = create_record(self.previous, self.unix_time(), self.group)
+        self.epoch = self.current.epoch
+
+    def to_entry(self, is_last: bool) -> tuple[bytes, bytes]:
+        """Return key and value to be stored with a heartbeat.
+
+        Args:
+            is_last: Whether it is the last heartbeat, of a graceful shutdown.
+        """
+        assert self.current is not None
+        record = msgspec.structs.replace(
+            self.current, clean_shutdown=is_last, last_alive=self.unix_time(), epoch=self.epoch
+        )
+        return BOOT_RECORD_KEY, encode_boot_record(record)
--- /dev/null
+++ b/lichencleat/recovery/service_time_store.py
@@ -0,0 +1,63 @@
+"""Learned service times, kept in the store of the node's idempotency records across restarts."""
+
+from __future__ import annotations
+
+from lichencleat.decide import RUNS_FEW
+from lichencleat.leases.interfaces import Logger
+from lichencleat.recovery.interfaces import RecoveringHost, StoreReader
+from lichencleat.recovery.service_times import encode_merged, load_service_times
+
+SERVICE_TIMES_KEY = b"f"  # in the node's store
+MICROSECONDS_PER_MILLISECOND = 1_000
+
+
+class ServiceTimeStore:
+    """Hands the previous process's service times to the host, once, and stores those of this process.
+
+    Args:
+        host: The request engine of the node.
+        log: Logger of the process.
+    """
+
+    def __init__(self, host: RecoveringHost, log: Logger) -> None:
+        self.host = host
+        self.log = log
+        self.previous: dict[str, int] = {}  # µs of a usual run, by request class
+        self.is_pending = False  # the host has not got them yet
+
+    def on_store_opened(self, read: StoreReader) -> None:
+        """Load the service times of the previous process."""
+        machine = self.host.machine
+        max_run_times = {each.name: each.hard_limit for each in machine.tariffs}
+        loaded = load_service_times(read(SERVICE_TIMES_KEY), machine.cores, max_run_times)
+        self.previous = loaded.run_times
+        self.is_pending = bool(self.previous)
+        if self.previous or loaded.problem:
+            self.log_loaded(loaded.problem)
+
+    def log_loaded(self, problem: str) -> None:
+        """Log what was loaded, or why nothing was."""
+        run_times = ", ".join(
+            f"{name} {duration / MICROSECONDS_PER_MILLISECOND:.1f} ms"
+            for name, duration in self.previous.items()
+        )
+        self.log.info("recalls", runs=run_times or "nothing", reason=problem or "of its life before")
+
+    def to_entry(self, is_last: bool) -> tuple[bytes, bytes]:
+        """Return key and value to be stored with a heartbeat."""
+        node = self.host.node
+        run_times = node.run_times if node is not None else {}
+        current = {
+            each.name: int(node.usual_run(each))
+            for each, times in run_times.items()
+            if node is not None and len(times) >= RUNS_FEW
+        }
+        return SERVICE_TIMES_KEY, encode_merged(self.host.machine.cores, self.previous, current)
+
+    def apply_pending(self) -> None:
+        """Hand the service times to the host; the store may open before or after its interpreter is up."""
+        node = self.host.node
+        if self.is_pending and node is not None:
+            self.is_pending = False
+            for name, duration in self.previous.items():
+                node.ran_before(self.host.clock(), self.host.tariffs[name.encode()], duration)
--- a/tests/recovery/test_figures.py
+++ b/tests/recovery/test_figures.py
@@ -11,8 +11,10 @@
 from lichencleat.decide import RUNS_FEW, Node
 from lichencleat.node.host import Host
 from lichencleat.recovery.boot_record import ClockCheck
+from lichencleat.recovery.boot_record_store import BootRecordStore
 from lichencleat.recovery.readiness_gate import ReadinessGate
-from lichencleat.recovery.seat import FIGURES, Learned, Record, Return
+from lichencleat.recovery.reporter import RecoveryReporter
+from lichencleat.recovery.service_time_store import SERVICE_TIMES_KEY, ServiceTimeStore
 from lichencleat.recovery.service_times import (
     FORMAT,
     MAX_CLASSES,
@@ -112,32 +114,32 @@
 
 def test_one_life_s_figures_reach_the_next_whether_the_store_or_the_interpreter_is_there_first(host):
     log, store = Log(), Kept()
-    life = Learned(host, log)
-    life.opened(store.get)
+    life = ServiceTimeStore(host, log)
+    life.on_store_opened(store.get)
     assert not log.said  # a first start has nothing to tell
     host.node = Node(host.machine, random.Random(1))
     for took in (100, 200, 200, 900):
         ended(host.node, TARIFFS[0], took)
     ended(host.node, TARIFFS[1], 50)  # one run tells nothing
-    store.update([life.sign(False)])
+    store.update([life.to_entry(False)])
     for node_first in (True, False):
         host.node = Node(host.machine, random.Random(1)) if node_first else None
-        life = Learned(host, log)
+        life = ServiceTimeStore(host, log)
         if node_first:
-            life.tell()
-        life.opened(store.get)
-        life.tell()
+            life.apply_pending()
+        life.on_store_opened(store.get)
+        life.apply_pending()
         host.node = host.node or Node(host.machine, random.Random(1))
-        life.tell()
-        life.tell()
+        life.apply_pending()
+        life.apply_pending()
         assert list(host.node.run_times[TARIFFS[0]]) == [200] and not host.node.run_times[TARIFFS[1]]
-        assert dict([life.sign(True)]) == store  # nothing ran: what was known is kept
+        assert dict([life.to_entry(True)]) == store  # nothing ran: what was known is kept
     assert log.said[-1] == ("recalls", {"runs": "look 0.2 ms", "reason": "of its life before"})
 
 
 def test_spoilt_figures_are_told_once_and_do_not_stop_a_start(host):
     log = Log()
-    Learned(host, log).opened({FIGURES: b"\xc1"}.get)
+    ServiceTimeStore(host, log).on_store_opened({SERVICE_TIMES_KEY: b"\xc1"}.get)
     assert log.said == [("recalls", {"runs": "nothing", "reason": "they can't be read"})]
 
 
@@ -152,9 +154,9 @@
 
     reactor = Clock()
     waking = ReadinessGate("n1", "x", 1, False, 0, ClockCheck.PLAUSIBLE, 0)
-    record = Record("g", lambda: 0)
-    back = Return(reactor, Client(), host, waking, record, lambda: True, lambda: 0, Log())
-    back.learned.opened({FIGURES: encode_merged(2, {}, {"look": 20_000})}.get)
+    record = BootRecordStore("g", lambda: 0)
+    back = RecoveryReporter(reactor, Client(), host, waking, record, lambda: True, lambda: 0, Log())
+    back.service_times.on_store_opened({SERVICE_TIMES_KEY: encode_merged(2, {}, {"look": 20_000})}.get)
     host.node = Node(host.machine, random.Random(1))
     back.start()
     assert [each.speed for each in reports] == [50.0] and host.told[0][0] == 0.0
