--- a/benchmarks/capacity/state.py
+++ b/benchmarks/capacity/state.py
@@ -20,10 +20,9 @@
 from lichencleat.capacity.slopes import Line
 from lichencleat.config.file import read_as
 from lichencleat.consensus.facts import Fact, Facts
-from lichencleat.failover.judge import JOB, Judge
-from lichencleat.failover.state import Dumped, Zones
-from lichencleat.failover.terms import Define as DefineZone
-from lichencleat.failover.terms import Seen, Source, Tell
+from lichencleat.failover.controller import FailoverController
+from lichencleat.failover.messages import JOB, DefineZone, HealthReport, RouterHealth, ZoneObservation
+from lichencleat.failover.state import FailoverSnapshot, FailoverState
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Renew
@@ -189,14 +188,14 @@
 # -- zones -------------------------------------------------------------------------------------------------
 
 
-def told(zones: int, number: int, rng: random.Random) -> Tell:
+def told(zones: int, number: int, rng: random.Random) -> HealthReport:
     seen = {
-        f"zone-{zone:02d}": Seen(
+        f"zone-{zone:02d}": ZoneObservation(
             rng.randint(20, 400), rng.randint(10, 20), 3, 1, rng.randint(200_000, 300_000)
         )
         for zone in range(zones)
     }
-    return Tell(f"router-{number:05d}", f"zone-{number % zones:02d}", 7, 1_234.5, seen)
+    return HealthReport(f"router-{number:05d}", f"zone-{number % zones:02d}", 7, 1_234.5, seen)
 
 
 def judged(zones: int, routers: int, rng: random.Random) -> tuple[int, bytes]:
@@ -204,7 +203,7 @@
     jobs = Jobs()
     jobs.apply(1, raw(Renew("owner", "", 1, True, {})))
     jobs.apply(2, raw(DefineJob(JOB)))
-    part = Zones(jobs)
+    part = FailoverState(jobs)
     names = [f"zone-{zone:02d}" for zone in range(zones)]
     for at, name in enumerate(names):
         far = {other: 30_000 for other in names if other != name}
@@ -212,8 +211,10 @@
     for number in range(routers):
         what = told(zones, number, rng)
         part.apply(100 + number, raw(what))
-        if what.router not in part.sources:  # over the bound of the part: put in beside it
-            part.sources[what.router] = Source(what.zone, what.order, what.offered, what.seen, 100 + number)
+        if what.router not in part.routers:  # over the bound of the part: put in beside it
+            part.routers[what.router] = RouterHealth(
+                what.zone, what.plan_version, what.offered, what.observations, 100 + number
+            )
     return jobs.jobs[JOB].token, encode(part.dump())
 
 
@@ -222,17 +223,21 @@
     lines.kind("judge.look_ms", "routers", "ms a look", "17 zones; the evidence decoded, the order made")
     lines.kind("judge.look_kb", "routers", "KB a look", "17 zones; the evidence, from the leader")
     lines.kind("router.tell_bytes", "zones", "bytes a report")
-    decoder = msgspec.msgpack.Decoder(Dumped)
+    decoder = msgspec.msgpack.Decoder(FailoverSnapshot)
     for count in effort.sizes((17, 51, 200, 600, 1_024, 3_300), (2, 4, 6, 8)):
         token, data = judged(17, count, random.Random(effort.seed))
         lines.add("judge.look_kb", count, len(data) / 1e3)
-        judge_ = Judge(token)
+        controller = FailoverController(token)
         now = [0]
 
-        def look(judge_: Judge = judge_, data: bytes = data, now: list[int] = now) -> None:
+        def look(
+            controller: FailoverController = controller, data: bytes = data, now: list[int] = now
+        ) -> None:
             now[0] += 300_000
             seen = decoder.decode(data)
-            for each in judge_.looks(now[0] % 1_200_000, seen.zones, seen.order, seen.sources, seen.wishes):
+            for each in controller.plan_next_step(
+                now[0] % 1_200_000, seen.zones, seen.plan, seen.routers, seen.overrides
+            ):
                 encode(each)
 
         for _ in range(effort.runs(5)):
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -9,7 +9,7 @@
 from lichencleat.capacity.sizes import Size
 from lichencleat.config_distribution import terms as distribution
 from lichencleat.consensus import facts, group, links, sessions
-from lichencleat.failover import terms as zones
+from lichencleat.failover import messages as failover
 from lichencleat.flows import collector
 from lichencleat.leases import terms as owners
 from lichencleat.membership import table as members
@@ -51,8 +51,8 @@
           of.machines),
     Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.NODES_MOST, of.seats),
     Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", recovery.MAX_NODES, of.nodes),
-    Bound("zone judge", "zones", "zones.terms.ZONES_MOST", zones.ZONES_MOST, of.zones),
-    Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", zones.SOURCES_MOST, of.routers),
+    Bound("zone judge", "zones", "zones.terms.ZONES_MOST", failover.MAX_ZONES, of.zones),
+    Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", failover.MAX_ROUTERS, of.routers),
     Bound("collector", "senders: each node to one", "flows.collector.SENDERS_MOST", collector.SENDERS_MOST,
           of.nodes),
     Bound("collector", "tenants told apart", "flows.collector.TENANTS_MOST", collector.TENANTS_MOST,
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -12,7 +12,7 @@
 from lichencleat.capacity.target import Target
 from lichencleat.config.file import SIZE_MOST
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
-from lichencleat.failover import judge
+from lichencleat.failover import controller
 from lichencleat.leases import terms as owners
 from lichencleat.quotas import terms as shares
 from lichencleat.quotas.dealer import LOOK as DEAL
@@ -81,7 +81,11 @@
     return 2 * target.restarts_a_second
 
 
-DEALS, PLANS, JUDGES = DEAL * shares.TERM, POLL_INTERVAL_S * SECOND, judge.LOOK  # µs between two looks
+DEALS, PLANS, JUDGES = (
+    DEAL * shares.TERM,
+    POLL_INTERVAL_S * SECOND,
+    controller.POLL_INTERVAL_US,
+)  # µs between two looks
 ONE = "one process, one reactor"
 PER_CALLER = "a connection a caller"
 EACH = "each caller to each node"
--- a/lichencleat/cli/zones.py
+++ b/lichencleat/cli/zones.py
@@ -9,20 +9,21 @@
 
 from lichencleat.cli import output
 from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
-from lichencleat.failover.preview import preview
-from lichencleat.failover.terms import (
+from lichencleat.failover.messages import (
+    HISTORY_QUERY,
     JOB,
-    Define,
-    Done,
-    Drop,
-    Duty,
-    Order,
-    Source,
-    Unwish,
-    Wish,
-    Wished,
+    ActiveOverride,
+    ClearOverride,
+    CommandResult,
+    DefineZone,
+    DropZone,
+    OperatorOverride,
+    RouterHealth,
+    RoutingPlan,
     Zone,
+    ZoneRole,
 )
+from lichencleat.failover.preview import preview_override
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Job
 
@@ -39,8 +40,8 @@
     """The order of zones: who serves, who takes guests, and why."""
 
 
-def words(duty: Duty) -> str:
-    return duty.name.lower().replace("_", " ")
+def words(role: ZoneRole) -> str:
+    return role.label.replace("_", " ")
 
 
 class Seen:
@@ -51,9 +52,9 @@
         if not told:
             raise output.WrongData("zones: these voters know of no zones; they are of an older version")
         self.zones = msgspec.convert(told["zones"], dict[str, Zone])
-        self.order = msgspec.convert(told["order"], Order)
-        self.sources = msgspec.convert(told["sources"], dict[str, Source])
-        self.wishes = msgspec.convert(told["wishes"], dict[str, Wished])
+        self.plan = msgspec.convert(told["order"], RoutingPlan)
+        self.router_health = msgspec.convert(told["sources"], dict[str, RouterHealth])
+        self.overrides = msgspec.convert(told["wishes"], dict[str, ActiveOverride])
 
     def named(self, zone: str) -> Zone:
         if zone not in self.zones:
@@ -62,17 +63,17 @@
         return self.zones[zone]
 
     def routers(self, zone: str) -> list[str]:
-        return sorted(name for name, each in self.sources.items() if each.zone == zone)
+        return sorted(name for name, each in self.router_health.items() if each.zone == zone)
 
     def offered(self, zone: str) -> float:
-        return sum(each.offered for each in self.sources.values() if each.zone == zone)
+        return sum(each.offered for each in self.router_health.values() if each.zone == zone)
 
 
 def propose(file: str, part: str, what: Any) -> None:
     told = talk(lambda reactor, client: client.propose(part, what, PATIENCE), chosen(file))
-    done = msgspec.convert(told, Done)
-    if not done.done:
-        raise output.WrongData(f"zones: nothing was changed: {done.why}")
+    done = msgspec.convert(told, CommandResult)
+    if not done.applied:
+        raise output.WrongData(f"zones: nothing was changed: {done.reason}")
 
 
 @group.command()
@@ -99,7 +100,7 @@
     jobs = talk(lambda reactor, client: client.read("owners", None, PATIENCE), chosen(file))
     if JOB not in msgspec.convert(jobs["jobs"], dict[str, Job]):
         propose(file, "owners", DefineJob(JOB))
-    propose(file, "zones", Define(zone, region, carries, ways))
+    propose(file, "zones", DefineZone(zone, region, carries, ways))
 
 
 @group.command()
@@ -107,7 +108,7 @@
 @ZONE
 def drop(file: str, zone: str) -> None:
     """ZONE is no more."""
-    propose(file, "zones", Drop(zone))
+    propose(file, "zones", DropZone(zone))
 
 
 @group.command()
@@ -120,20 +121,20 @@
         [
             name,
             each.region,
-            words(seen.order.duty(name)),
+            words(seen.plan.role(name)),
             round(seen.offered(name), 1),
-            round(each.carries, 1),
-            round(seen.order.guests.get(name, 0.0), 1),
-            round(seen.order.edge.get(name, 0.0), 2),
+            round(each.capacity, 1),
+            round(seen.plan.spillover.get(name, 0.0), 1),
+            round(seen.plan.shed.get(name, 0.0), 2),
             len(seen.routers(name)),
-            min((seen.sources[who].order for who in seen.routers(name)), default=""),
+            min((seen.router_health[who].plan_version for who in seen.routers(name)), default=""),
         ]
         for name, each in sorted(seen.zones.items())
     ]
     head = ["zone", "region", "duty", "offered", "carries", "guests", "deferred", "routers", "oldest_order"]
     output.table(head, rows, as_json)
     if not as_json:
-        click.echo(f"\norder {seen.order.number}: {seen.order.why or 'none was given yet'}")
+        click.echo(f"\norder {seen.plan.version}: {seen.plan.reason or 'none was given yet'}")
 
 
 @group.command()
@@ -141,31 +142,31 @@
 @AS_JSON
 def history(file: str, as_json: bool) -> None:
     """The orders before, the newest last."""
-    told = talk(lambda reactor, client: client.read("zones", "history", PATIENCE), chosen(file))
+    told = talk(lambda reactor, client: client.read("zones", HISTORY_QUERY, PATIENCE), chosen(file))
     rows = [
         [
-            each.number,
-            ", ".join(f"{zone} {Duty(duty).name.lower()}" for zone, duty in sorted(each.duties.items())),
-            ", ".join(f"{zone} {room:g}" for zone, room in sorted(each.guests.items())),
-            each.why,
+            each.version,
+            ", ".join(f"{zone} {ZoneRole(role).label}" for zone, role in sorted(each.roles.items())),
+            ", ".join(f"{zone} {room:g}" for zone, room in sorted(each.spillover.items())),
+            each.reason,
         ]
-        for each in msgspec.convert(told or [], list[Order])
+        for each in msgspec.convert(told or [], list[RoutingPlan])
     ]
     output.table(["number", "duties", "guests", "why"], rows, as_json)
 
 
-def wishes(file: str, zone: str, duty: Duty, seconds: float | None, dry_run: bool) -> None:
+def wishes(file: str, zone: str, role: ZoneRole, seconds: float | None, dry_run: bool) -> None:
     """Tells what it would do, and then has it done."""
     seen = Seen(file)
     seen.named(zone)
-    order = preview(seen.zones, seen.order, seen.sources, seen.wishes, zone, duty)
+    plan = preview_override(seen.zones, seen.plan, seen.router_health, seen.overrides, zone, role)
     moved = seen.offered(zone)
-    taken = sum(room for name, room in order.guests.items() if name != zone)
-    click.echo(f"{zone}: {words(duty)}; {moved:.1f} requests a second come there")
-    if duty in (Duty.DRAINS, Duty.FENCED):
-        click.echo(f"the others have room for {taken:.1f}; {order.edge.get(zone, 0.0):.0%} would be deferred")
+    taken = sum(room for name, room in plan.spillover.items() if name != zone)
+    click.echo(f"{zone}: {words(role)}; {moved:.1f} requests a second come there")
+    if role in (ZoneRole.DRAINING, ZoneRole.FENCED):
+        click.echo(f"the others have room for {taken:.1f}; {plan.shed.get(zone, 0.0):.0%} would be deferred")
     if not dry_run:
-        propose(file, "zones", Wish(zone, duty, round((seconds or 0) * SECOND)))
+        propose(file, "zones", OperatorOverride(zone, role, round((seconds or 0) * SECOND)))
 
 
 @group.command()
@@ -175,7 +176,7 @@
 @DRY
 def drain(file: str, zone: str, seconds: float | None, dry_run: bool) -> None:
     """What comes in ZONE goes elsewhere, as far as others carry it; until `zones open`, or for a span."""
-    wishes(file, zone, Duty.DRAINS, seconds, dry_run)
+    wishes(file, zone, ZoneRole.DRAINING, seconds, dry_run)
 
 
 @group.command()
@@ -185,7 +186,7 @@
 @DRY
 def drill(file: str, zone: str, seconds: float, dry_run: bool) -> None:
     """As drain, for a span that the owner counts: it ends though this terminal dies."""
-    wishes(file, zone, Duty.DRAINS, seconds, dry_run)
+    wishes(file, zone, ZoneRole.DRAINING, seconds, dry_run)
 
 
 @group.command()
@@ -195,7 +196,7 @@
 @DRY
 def fence(file: str, zone: str, seconds: float | None, dry_run: bool) -> None:
     """Nothing at all goes to ZONE."""
-    wishes(file, zone, Duty.FENCED, seconds, dry_run)
+    wishes(file, zone, ZoneRole.FENCED, seconds, dry_run)
 
 
 @group.command("open")
@@ -204,7 +205,7 @@
 def open_zone(file: str, zone: str) -> None:
     """Take back an operator's word on ZONE; what is seen of it counts again."""
     Seen(file).named(zone)
-    propose(file, "zones", Unwish(zone))
+    propose(file, "zones", ClearOverride(zone))
 
 
 @group.command()
@@ -214,17 +215,17 @@
     """Why ZONE does what it does."""
     seen = Seen(file)
     each = seen.named(zone)
-    click.echo(f"{zone}: {words(seen.order.duty(zone))} by order {seen.order.number}")
+    click.echo(f"{zone}: {words(seen.plan.role(zone))} by order {seen.plan.version}")
     click.echo(
-        f"it is known to carry {each.carries:.1f} requests a second; {seen.offered(zone):.1f} come there"
+        f"it is known to carry {each.capacity:.1f} requests a second; {seen.offered(zone):.1f} come there"
     )
-    if zone in seen.wishes:
-        wish = seen.wishes[zone]
-        until = f", for {wish.span / SECOND:g} s from when it was given" if wish.span else ""
-        click.echo(f"an operator's word: {Duty(wish.duty).name.lower()}{until}")
+    if zone in seen.overrides:
+        override = seen.overrides[zone]
+        until = f", for {override.duration / SECOND:g} s from when it was given" if override.duration else ""
+        click.echo(f"an operator's word: {ZoneRole(override.role).label}{until}")
     routers = seen.routers(zone)
-    behind = [who for who in routers if seen.sources[who].order < seen.order.number]
+    behind = [who for who in routers if seen.router_health[who].plan_version < seen.plan.version]
     click.echo(f"routers: {', '.join(routers) or 'none is heard of'}")
     if behind:
         click.echo(f"these had an older order when they told last: {', '.join(behind)}")
-    click.echo(f"the order: {seen.order.why or 'none was given yet'}")
+    click.echo(f"the order: {seen.plan.reason or 'none was given yet'}")
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -19,7 +19,7 @@
 from lichencleat.consensus.serves import Serves
 from lichencleat.consensus.state import Part, State, founded
 from lichencleat.consensus.terms import Group, Member
-from lichencleat.failover.state import Zones
+from lichencleat.failover.state import FailoverState
 from lichencleat.leases.expiry import Expiry
 from lichencleat.leases.jobs import Jobs
 from lichencleat.log.lines import make_log
@@ -87,7 +87,7 @@
         "owners": jobs,
         "shares": Pools(jobs),
         "revive": FleetState(jobs),
-        "zones": Zones(jobs),
+        "zones": FailoverState(jobs),
     }
 
 
--- a/lichencleat/failover/__init__.py
+++ b/lichencleat/failover/__init__.py
@@ -1,11 +1,12 @@
-"""Which zone serves, decided in common, and how far a router keeps traffic near: docs/zones.md.
+"""Zone failover: which zones serve, and how far a router keeps traffic local; see docs/zones.md.
 
-Promised: every order of zones has a number and one owner that gave it; who knows a newer one refuses an
-older one; no order sends more to a zone than it is known to carry. What a router does by itself is bounded:
-a share that spills, a budget for repeats, a part of a zone's nodes left out. Not promised: that all act on
-the newest order at once; a router that hears nothing keeps the last one, and only grows more careful.
+Guarantees: every routing plan has a version and the fencing token of the one leader that published it;
+whoever knows a newer plan rejects an older one; no plan sends more to a zone than its known capacity. What a
+router decides by itself is bounded: a share that spills over, a retry budget, a maximum of ejected nodes. Not
+guaranteed: that all routers follow the newest plan at once; a router that receives none keeps the last one,
+and only gets more careful.
 
-Decisions, all without I/O: `state.py` evidence and orders, a part of the group's state; `judge.py` the
-owner's looks; `near.py` what a router spills; `budget.py` how often it tries again; `leave_out.py` which
-nodes it avoids. The process that carries requests by them is not built yet.
+Decisions without I/O: `state` (health reports and the plan, a part of the replicated state), `controller`
+(what the leader proposes), `preview` (what an operator's override would do), `locality_routing` (what a
+router spills over), `retry_budget` (how often it retries) and `outlier_ejection` (which nodes it avoids).
 """
--- /dev/null
+++ b/lichencleat/failover/controller.py
@@ -0,0 +1,327 @@
+"""Failover controller: what the leader proposes at each poll of the health reports; no I/O.
+
+A zone is judged by what routers observed of it, those of other zones as well as its own; by several polls,
+never by one. It is restored by a ramp that grows while it is healthy, after a quiet period that doubles with
+each relapse. Before any traffic is moved, the capacity of the others is taken into account; what nobody can
+serve is rejected where it arrives.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import dataclass, field
+from typing import NamedTuple
+
+from lichencleat.failover.messages import (
+    ActiveOverride,
+    ClearOverride,
+    PublishPlan,
+    RouterHealth,
+    RoutingPlan,
+    UpdateCapacity,
+    Zone,
+    ZoneObservation,
+    ZoneRole,
+)
+
+ControllerCommand = ClearOverride | PublishPlan | UpdateCapacity
+
+POLL_INTERVAL_US = 300_000  # as often as routers report
+REPORT_TIMEOUT_US = 1_500_000  # without a report of any router of a zone: five of them
+MAX_LOST_FRACTION = 0.4  # of attempts, beyond which a zone is unhealthy
+LIMITED_FRACTION = 0.12  # of attempts rejected or lost, beyond which a zone is at its capacity
+MIN_UNHEALTHY_POLLS = 2  # in a row until a zone is taken out: one may be chance, three would be a second
+MIN_ATTEMPTS = 10  # in a poll, below which a zone is not judged
+QUIET_PERIOD_US = 3_000_000  # without an unhealthy poll until a zone is restored; doubled by each relapse
+MAX_QUIET_PERIOD_US = 120_000_000
+FORGET_RELAPSES_AFTER_US = 600_000_000  # of healthy service
+INITIAL_RAMP = 0.1  # of a zone's spare capacity, for spillover after it was restored
+RAMP_GROWTH = 1.35  # factor on the ramp, for each healthy poll
+MAX_UTILIZATION = 0.95  # of a zone's known capacity, own and spillover: the rest is for its own bursts
+CAPACITY_GAIN = 0.02  # of the difference, for each poll: the known capacity follows the observed one
+MIN_PLAN_CHANGE = 0.15  # of a zone's capacity: smaller changes are no new plan
+MICROSECONDS_PER_SECOND = 1_000_000
+
+
+@dataclass(slots=True)
+class ZoneHealth:
+    """One zone as this leader has observed it."""
+
+    unhealthy_polls: int = 0  # in a row
+    is_out: bool = False  # taken out of service
+    unhealthy_at: int = 0  # µs of the last unhealthy poll
+    restored_at: int = 0  # µs
+    relapses: int = 0
+    ramp: float = 1.0  # fraction of its spare capacity that is offered for spillover
+    reason: str = ""
+
+
+class Verdict(NamedTuple):
+    """The judgement of one zone in one poll."""
+
+    is_healthy: bool
+    reason: str
+
+
+@dataclass(frozen=True, slots=True)
+class LastSeen:
+    """A log entry that this leader knows, and when it learned of it."""
+
+    index: int
+    seen_at: int  # µs of the leader's monotonic clock
+
+
+def offered_load(zones: Mapping[str, Zone], routers: Mapping[str, RouterHealth]) -> dict[str, float]:
+    """Requests a second that arrive in each zone, by the reports of its routers."""
+    offered = dict.fromkeys(zones, 0.0)
+    for each in routers.values():
+        if each.zone in offered:
+            offered[each.zone] += each.offered
+    return offered
+
+
+def observations_of(zone: str, routers: Mapping[str, RouterHealth]) -> list[ZoneObservation]:
+    """What routers of all zones observed of `zone`."""
+    return [each.observations[zone] for each in routers.values() if zone in each.observations]
+
+
+def update_last_seen(
+    last_seen: Mapping[str, LastSeen], indexes: Mapping[str, int], now: int
+) -> dict[str, LastSeen]:
+    """Return when each log entry was seen first; one that is new, or of another index, is seen now."""
+    updated = {}
+    for name, index in indexes.items():
+        last = last_seen.get(name)
+        updated[name] = last if last is not None and last.index == index else LastSeen(index, now)
+    return updated
+
+
+@dataclass(slots=True)
+class FailoverController:
+    """The controller of one leader, under one fencing token."""
+
+    token: int
+    health: dict[str, ZoneHealth] = field(default_factory=dict)
+    last_reports: dict[str, LastSeen] = field(default_factory=dict)  # by router
+    overrides_seen: dict[str, LastSeen] = field(default_factory=dict)  # by zone
+    has_begun: bool = False
+
+    def plan_next_step(
+        self,
+        now: int,
+        zones: dict[str, Zone],
+        plan: RoutingPlan,
+        routers: dict[str, RouterHealth],
+        overrides: dict[str, ActiveOverride],
+    ) -> list[ControllerCommand]:
+        """Return the commands to propose, in this order.
+
+        Args:
+            now: µs of the leader's monotonic clock.
+            zones: The zones, as read from the replicated state like all that follows.
+            plan: The plan in force.
+            routers: The last health report of each router.
+            overrides: The operator's overrides by zone.
+        """
+        if not self.has_begun:
+            self.take_over(now, plan)
+        current = self.current_reports(now, routers)
+        commands: list[ControllerCommand] = []
+        commands += self.expired_overrides(now, overrides)
+        for name, zone in zones.items():
+            health = self.health.setdefault(name, ZoneHealth())
+            self.update_health(now, health, self.judge(name, current, routers))
+            capacity = self.observed_capacity(name, zone, current)
+            if capacity is not None:
+                commands.append(UpdateCapacity(self.token, name, capacity))
+        new_plan = self.create_plan(zones, offered_load(zones, current), overrides, plan)
+        if self.is_significant_change(plan, new_plan, zones):
+            commands.append(PublishPlan(self.token, plan.version, new_plan))
+        return commands
+
+    def take_over(self, now: int, plan: RoutingPlan) -> None:
+        """Begin with the plan in force: a zone that was out stays out for a quiet period."""
+        self.has_begun = True
+        for name, role in plan.roles.items():
+            if role == ZoneRole.STANDBY:
+                self.health[name] = ZoneHealth(
+                    unhealthy_polls=MIN_UNHEALTHY_POLLS,
+                    is_out=True,
+                    unhealthy_at=now,
+                    relapses=1,
+                    ramp=0.0,
+                    reason="out by the owner before",
+                )
+
+    def current_reports(self, now: int, routers: dict[str, RouterHealth]) -> dict[str, RouterHealth]:
+        """The reports that are not timed out; the time counts from when this leader saw the report."""
+        indexes = {name: each.index for name, each in routers.items()}
+        self.last_reports = update_last_seen(self.last_reports, indexes, now)
+        return {
+            name: each
+            for name, each in routers.items()
+            if now - self.last_reports[name].seen_at < REPORT_TIMEOUT_US
+        }
+
+    def expired_overrides(self, now: int, overrides: dict[str, ActiveOverride]) -> list[ClearOverride]:
+        """Clear overrides whose duration is over, even if the terminal that gave them is gone."""
+        indexes = {zone: each.index for zone, each in overrides.items()}
+        self.overrides_seen = update_last_seen(self.overrides_seen, indexes, now)
+        return [
+            ClearOverride(zone, each.index)
+            for zone, each in overrides.items()
+            if each.duration and now - self.overrides_seen[zone].seen_at >= each.duration
+        ]
+
+    # -- one zone --------------------------------------------------------------------------------------
+
+    def update_health(self, now: int, health: ZoneHealth, verdict: Verdict | None) -> None:
+        """Take a zone out, restore it, or ramp it up; without a verdict it stays as it is."""
+        if verdict is None:
+            return
+        health.reason = verdict.reason
+        if verdict.is_healthy:
+            self.record_healthy_poll(now, health)
+        else:
+            self.record_unhealthy_poll(now, health)
+
+    @staticmethod
+    def record_unhealthy_poll(now: int, health: ZoneHealth) -> None:
+        """Take the zone out if it was unhealthy several times in a row."""
+        health.unhealthy_polls += 1
+        health.unhealthy_at = now
+        if health.is_out or health.unhealthy_polls < MIN_UNHEALTHY_POLLS:
+            return
+        is_first = now - health.restored_at > FORGET_RELAPSES_AFTER_US
+        health.relapses = 1 if is_first else health.relapses + 1
+        health.is_out = True
+        health.ramp = 0.0
+
+    @staticmethod
+    def record_healthy_poll(now: int, health: ZoneHealth) -> None:
+        """Restore the zone after its quiet period; ramp it up from then on."""
+        health.unhealthy_polls = 0
+        if not health.is_out:
+            if health.ramp < 1.0:
+                health.ramp = min(1.0, health.ramp * RAMP_GROWTH)
+            return
+        quiet_period = min(MAX_QUIET_PERIOD_US, QUIET_PERIOD_US * 2 ** (health.relapses - 1))
+        if now - health.unhealthy_at >= quiet_period:
+            health.is_out = False
+            health.restored_at = now
+            health.ramp = INITIAL_RAMP
+
+    def judge(
+        self, zone: str, current: dict[str, RouterHealth], routers: dict[str, RouterHealth]
+    ) -> Verdict | None:
+        """Judge a zone by attempts from other zones first, then by its own; None if nothing is known.
+
+        Args:
+            zone: Name of the zone.
+            current: The reports that are not timed out.
+            routers: The last report of each router.
+        """
+        sent, lost = self.count_attempts(zone, current, from_other_zones=True)
+        if sent >= MIN_ATTEMPTS and lost > MAX_LOST_FRACTION * sent:
+            return Verdict(False, f"{lost} of {sent} tries from elsewhere were lost")
+        has_reports = any(each.zone == zone for each in current.values())
+        if not has_reports and any(each.zone == zone for each in routers.values()):
+            return Verdict(False, "no router of it is heard")
+        own_sent, own_lost = self.count_attempts(zone, current, from_other_zones=False)
+        if own_sent >= MIN_ATTEMPTS and own_lost > MAX_LOST_FRACTION * own_sent:
+            return Verdict(False, f"{own_lost} of {own_sent} of its own tries were lost")
+        return Verdict(True, "it stands") if has_reports else None
+
+    @staticmethod
+    def count_attempts(
+        zone: str, current: dict[str, RouterHealth], from_other_zones: bool
+    ) -> tuple[int, int]:
+        """Count attempts sent to a zone and lost there, by the reports of other zones' routers or its own."""
+        reports = {name: each for name, each in current.items() if (each.zone != zone) == from_other_zones}
+        observations = observations_of(zone, reports)
+        return sum(each.sent for each in observations), sum(each.lost for each in observations)
+
+    def observed_capacity(self, name: str, zone: Zone, current: dict[str, RouterHealth]) -> float | None:
+        """Return the capacity of a zone after this poll, None if it stays.
+
+        It follows the rate that succeeded while more was rejected, so that a configured figure that is wrong
+        by now is corrected. It never rises by what was not attempted.
+        """
+        observations = observations_of(name, current)
+        sent = sum(each.sent for each in observations)
+        succeeded = sum(each.succeeded for each in observations)
+        failed = sum(each.rejected + each.lost for each in observations)
+        if sent < MIN_ATTEMPTS or self.health[name].is_out:
+            return None
+        rate = succeeded * MICROSECONDS_PER_SECOND / POLL_INTERVAL_US
+        is_limited = failed > LIMITED_FRACTION * sent
+        if (is_limited and rate < zone.capacity) or rate > zone.capacity:
+            return zone.capacity + CAPACITY_GAIN * (rate - zone.capacity)
+        return None
+
+    # -- the plan --------------------------------------------------------------------------------------
+
+    def create_plan(
+        self,
+        zones: dict[str, Zone],
+        offered: dict[str, float],
+        overrides: dict[str, ActiveOverride],
+        old: RoutingPlan,
+    ) -> RoutingPlan:
+        """Return the plan that follows from the zones' health and the overrides."""
+        roles, reasons = self.assign_roles(zones, overrides)
+        active = [name for name in zones if roles.get(name, ZoneRole.ACTIVE) == ZoneRole.ACTIVE]
+        spillover = {}
+        for name in active:
+            spare = max(0.0, zones[name].capacity * MAX_UTILIZATION - offered[name])
+            spillover[name] = round(spare * self.health[name].ramp, 1)
+        moved = sum(offered[name] for name, role in roles.items() if role != ZoneRole.ACTIVE)
+        available = sum(spillover.values())
+        shed = {}
+        if moved > available:
+            excess = 1 - available / moved
+            rerouted = (ZoneRole.DRAINING, ZoneRole.FENCED)
+            shed = {name: round(excess, 2) for name, role in roles.items() if role in rerouted}
+            reasons.append(f"{excess:.0%} of {moved:.0f} a second is more than the others carry")
+        reason = "; ".join(reasons) or "all serve"
+        return RoutingPlan(old.version, old.token, roles, spillover, shed, reason)
+
+    def assign_roles(
+        self, zones: dict[str, Zone], overrides: dict[str, ActiveOverride]
+    ) -> tuple[dict[str, int], list[str]]:
+        """Return the roles of the zones that are not active, by override or health, and the reasons."""
+        roles: dict[str, int] = {}
+        reasons = []
+        for name, health in self.health.items():
+            if name not in zones:
+                continue
+            if name in overrides:
+                roles[name] = overrides[name].role
+                reasons.append(f"{name}: an operator's word")
+            elif health.is_out:
+                roles[name] = ZoneRole.STANDBY
+                reasons.append(f"{name} out: {health.reason}")
+        return roles, reasons
+
+    @staticmethod
+    def is_significant_change(old: RoutingPlan, new: RoutingPlan, zones: dict[str, Zone]) -> bool:
+        """Whether roles changed, or a spillover or shed fraction by more than a little."""
+        if (
+            old.roles != new.roles
+            or set(old.spillover) != set(new.spillover)
+            or set(old.shed) != set(new.shed)
+        ):
+            return True
+        if any(abs(share - old.shed[name]) > MIN_PLAN_CHANGE for name, share in new.shed.items()):
+            return True
+        return any(
+            is_significant_rate(old.spillover[name], rate, zones[name].capacity)
+            for name, rate in new.spillover.items()
+        )
+
+
+def is_significant_rate(old: float, new: float, capacity: float) -> bool:
+    """Whether a zone's spillover changed by a fraction of its capacity, or grew by a step of a low ramp."""
+    if abs(new - old) > MIN_PLAN_CHANGE * capacity * MAX_UTILIZATION:
+        return True
+    return new > old * RAMP_GROWTH and old < INITIAL_RAMP * capacity
--- a/lichencleat/failover/preview.py
+++ b/lichencleat/failover/preview.py
@@ -1,22 +1,26 @@
-"""What an operator's word would do, before it is given; no I/O."""
+"""Preview of an operator's override: the plan that would follow from it; no I/O."""
 
 from __future__ import annotations
 
-from lichencleat.failover.judge import Judge, Known, offered_in
-from lichencleat.failover.terms import Duty, Order, Source, Wished, Zone
+from lichencleat.failover.controller import FailoverController, ZoneHealth, offered_load
+from lichencleat.failover.messages import ActiveOverride, RouterHealth, RoutingPlan, Zone, ZoneRole
 
 
-def preview(
+def preview_override(
     zones: dict[str, Zone],
-    order: Order,
-    sources: dict[str, Source],
-    wishes: dict[str, Wished],
+    plan: RoutingPlan,
+    routers: dict[str, RouterHealth],
+    overrides: dict[str, ActiveOverride],
     zone: str,
-    duty: Duty,
-) -> Order:
-    """The order that would follow, if nothing else changed: by the judge's own reckoning."""
-    judge = Judge(order.token)
+    role: ZoneRole,
+) -> RoutingPlan:
+    """Return the plan that would follow if `zone` had `role` and nothing else changed.
+
+    Computed by the failover controller itself, from the replicated state that the other arguments give.
+    """
+    controller = FailoverController(plan.token)
     for name in zones:
-        stands_by = order.duty(name) is Duty.STANDS_BY and name not in wishes
-        judge.known[name] = Known(out=stands_by, trickle=0.0 if stands_by else 1.0)
-    return judge.order(zones, offered_in(zones, sources), {**wishes, zone: Wished(duty, 0, 0)}, order)
+        is_out = plan.role(name) is ZoneRole.STANDBY and name not in overrides
+        controller.health[name] = ZoneHealth(is_out=is_out, ramp=0.0 if is_out else 1.0)
+    previewed = {**overrides, zone: ActiveOverride(role, 0, 0)}
+    return controller.create_plan(zones, offered_load(zones, routers), previewed, plan)
--- a/lichencleat/failover/state.py
+++ b/lichencleat/failover/state.py
@@ -1,133 +1,201 @@
-"""Evidence and orders: a part of the group's state, the same at each member; no I/O, no clock."""
+"""Replicated state of the failover: zones, health reports, overrides and the plan; no I/O, no clock."""
 
 from __future__ import annotations
 
-from typing import Any
+from typing import TypedDict
 
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.failover.terms import (
-    HISTORY_MOST,
+from lichencleat.failover.messages import (
+    HISTORY_QUERY,
     JOB,
-    SOURCES_MOST,
-    ZONES_MOST,
+    MAX_HISTORY,
+    MAX_ROUTERS,
+    MAX_ZONES,
+    ActiveOverride,
+    ClearOverride,
     Command,
-    Define,
-    Done,
-    Drop,
-    Duty,
-    Give,
-    Learn,
-    Order,
-    Source,
-    Tell,
-    Unwish,
-    Wish,
-    Wished,
+    CommandResult,
+    DefineZone,
+    DropZone,
+    HealthReport,
+    OperatorOverride,
+    PublishPlan,
+    RouterHealth,
+    RoutingPlan,
+    UpdateCapacity,
     Zone,
+    ZoneRole,
 )
 from lichencleat.leases.jobs import Jobs
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
-SAFE = 1.0  # of what a zone is known to carry, its guests and own together: beyond it an order is refused
+MAX_UTILIZATION = 1.0  # of a zone's capacity that a plan may fill with spillover: beyond it is rejected
 
 
-class Dumped(msgspec.Struct, array_like=True):
+class FailoverSnapshot(msgspec.Struct, array_like=True):
+    """The state as stored in a snapshot. Fields are never moved or dropped."""
+
+    zones: dict[str, Zone]
+    plan: RoutingPlan
+    routers: dict[str, RouterHealth]
+    overrides: dict[str, ActiveOverride]
+    history: list[RoutingPlan]
+
+
+class FailoverView(TypedDict):
+    """The answer to a read; the keys are sent."""
+
     zones: dict[str, Zone]
-    order: Order
-    sources: dict[str, Source]
-    wishes: dict[str, Wished]
-    history: list[Order]
+    order: RoutingPlan
+    sources: dict[str, RouterHealth]
+    wishes: dict[str, ActiveOverride]
 
 
-decode_dumped = msgspec.msgpack.Decoder(Dumped).decode
+decode_snapshot = msgspec.msgpack.Decoder(FailoverSnapshot).decode
 
 
-class Zones:
-    """A `state.Part`. An order comes into force in `give` alone."""
+class FailoverState:
+    """The part of the replicated state that `messages.STATE_PART` names.
+
+    A plan comes into force in `publish_plan` only.
+
+    Args:
+        jobs: The part of the same state that knows the leases; a command of the leader is rejected unless it
+            carries the newest fencing token.
+    """
 
     def __init__(self, jobs: Jobs) -> None:
-        """`jobs`: the part of the same state; its newest token is what the owner says is held against."""
         self.jobs = jobs
         self.zones: dict[str, Zone] = {}
-        self.order = Order()
-        self.sources: dict[str, Source] = {}
-        self.wishes: dict[str, Wished] = {}
-        self.history: list[Order] = []
+        self.plan = RoutingPlan()
+        self.routers: dict[str, RouterHealth] = {}
+        self.overrides: dict[str, ActiveOverride] = {}
+        self.history: list[RoutingPlan] = []
 
-    def apply(self, index: int, command: msgspec.Raw) -> Any:
+    def apply(self, index: int, command: msgspec.Raw) -> RoutingPlan | CommandResult:
+        """Apply the log entry `index`; the result is the same at each member."""
         try:
-            what = decode_command(command)
+            message = decode_command(command)
         except UNDECODABLE:
-            return Done(False, "no command")
-        if isinstance(what, Tell):
-            return self.tell(index, what)
-        if isinstance(what, Define):
-            if what.zone not in self.zones and len(self.zones) >= ZONES_MOST:
-                return Done(False, "too many zones")
-            if what.carries <= 0:
-                return Done(False, "a zone that carries nothing is none")
-            self.zones[what.zone] = Zone(what.region, what.carries, what.far)
-            return Done(True)
-        if what_zone(what) not in self.zones and not isinstance(what, Give):
-            return Done(False, "no such zone")
-        if isinstance(what, Drop):
-            del self.zones[what.zone]
-            self.wishes.pop(what.zone, None)
-            return Done(True)
-        if isinstance(what, Wish):
-            self.wishes[what.zone] = Wished(what.duty, what.span, index)
-            return Done(True)
-        if isinstance(what, Unwish):
-            return self.unwish(what)
-        if not self.jobs.is_owner(JOB, what.token):  # stopped for leases, it goes on with its view
-            return Done(False, "an older owner's")
-        if isinstance(what, Learn):
-            self.zones[what.zone].carries = what.carries
-            return Done(True)
-        return self.give(what)
-
-    def tell(self, index: int, what: Tell) -> Order:
-        if what.router in self.sources or len(self.sources) < SOURCES_MOST:
-            self.sources[what.router] = Source(what.zone, what.order, what.offered, what.seen, index)
-        return self.order
-
-    def unwish(self, what: Unwish) -> Done:
-        known = self.wishes.get(what.zone)
-        if known is None or (what.given and known.given != what.given):
-            return Done(False, "no such wish")
-        del self.wishes[what.zone]
-        return Done(True)
-
-    def give(self, what: Give) -> Done:
-        if what.after != self.order.number:
-            return Done(False, "another order was given since")
-        for zone, guests in what.order.guests.items():
-            if zone not in self.zones or guests > self.zones[zone].carries * SAFE:
-                return Done(False, f"{zone} is not known to carry {guests:.0f} a second")
-        fenced = {name for name, wish in self.wishes.items() if wish.duty == Duty.FENCED}
-        if any(what.order.duty(name) != Duty.FENCED for name in fenced):
-            return Done(False, "an operator has fenced a zone that it opens")
-        self.history = [*self.history, self.order][-HISTORY_MOST:]
-        self.order = msgspec.structs.replace(what.order, number=self.order.number + 1, token=what.token)
-        return Done(True)
-
-    # -- the state -------------------------------------------------------------------------------------
-
-    def read(self, query: Any) -> Any:
-        if query == "history":
+            return CommandResult(False, "no command")
+        match message:
+            case HealthReport():
+                return self.apply_report(index, message)
+            case DefineZone():
+                return self.define_zone(message)
+            case PublishPlan():
+                return self.publish_plan(message)
+        if message.zone not in self.zones:
+            return CommandResult(False, "no such zone")
+        return self.apply_to_zone(index, message)
+
+    def apply_to_zone(
+        self, index: int, message: DropZone | OperatorOverride | ClearOverride | UpdateCapacity
+    ) -> CommandResult:
+        """Apply a command about a zone that is known to exist."""
+        match message:
+            case DropZone():
+                return self.drop_zone(message)
+            case OperatorOverride():
+                self.overrides[message.zone] = ActiveOverride(message.role, message.duration, index)
+                return CommandResult(True)
+            case ClearOverride():
+                return self.clear_override(message)
+            case UpdateCapacity():
+                return self.update_capacity(message)
+
+    def apply_report(self, index: int, report: HealthReport) -> RoutingPlan:
+        """Record a router's report; returns the newest plan."""
+        if report.router in self.routers or len(self.routers) < MAX_ROUTERS:
+            self.routers[report.router] = RouterHealth(
+                zone=report.zone,
+                plan_version=report.plan_version,
+                offered=report.offered,
+                observations=report.observations,
+                index=index,
+            )
+        return self.plan
+
+    # -- operators -------------------------------------------------------------------------------------
+
+    def define_zone(self, message: DefineZone) -> CommandResult:
+        """Add a zone, or change its properties."""
+        if message.zone not in self.zones and len(self.zones) >= MAX_ZONES:
+            return CommandResult(False, "too many zones")
+        if message.capacity <= 0:
+            return CommandResult(False, "a zone that carries nothing is none")
+        self.zones[message.zone] = Zone(message.region, message.capacity, message.round_trips)
+        return CommandResult(True)
+
+    def drop_zone(self, message: DropZone) -> CommandResult:
+        """Remove a zone and its override."""
+        del self.zones[message.zone]
+        self.overrides.pop(message.zone, None)
+        return CommandResult(True)
+
+    def clear_override(self, message: ClearOverride) -> CommandResult:
+        """Clear an override, unless another one than the one meant is in force."""
+        override = self.overrides.get(message.zone)
+        if override is None or (message.index and override.index != message.index):
+            return CommandResult(False, "no such wish")
+        del self.overrides[message.zone]
+        return CommandResult(True)
+
+    # -- the leader ------------------------------------------------------------------------------------
+
+    def is_from_leader(self, message: PublishPlan | UpdateCapacity) -> bool:
+        """Whether the command carries the newest fencing token of the job."""
+        # A leader that was suspended for longer than its lease would continue with an outdated view.
+        return self.jobs.is_owner(JOB, message.token)
+
+    def update_capacity(self, message: UpdateCapacity) -> CommandResult:
+        """Take over the capacity that the leader observed."""
+        if not self.is_from_leader(message):
+            return CommandResult(False, "an older owner's")
+        self.zones[message.zone].capacity = message.capacity
+        return CommandResult(True)
+
+    def publish_plan(self, message: PublishPlan) -> CommandResult:
+        """Put a plan in force if it follows the current one, fits the capacities and keeps fences."""
+        if not self.is_from_leader(message):
+            return CommandResult(False, "an older owner's")
+        if message.previous_version != self.plan.version:
+            return CommandResult(False, "another order was given since")
+        plan = message.plan
+        for zone, rate in plan.spillover.items():
+            if zone not in self.zones or rate > self.zones[zone].capacity * MAX_UTILIZATION:
+                return CommandResult(False, f"{zone} is not known to carry {rate:.0f} a second")
+        fenced = [name for name, each in self.overrides.items() if each.role == ZoneRole.FENCED]
+        if any(plan.role(name) != ZoneRole.FENCED for name in fenced):
+            return CommandResult(False, "an operator has fenced a zone that it opens")
+        self.history = [*self.history, self.plan][-MAX_HISTORY:]
+        self.plan = msgspec.structs.replace(plan, version=self.plan.version + 1, token=message.token)
+        return CommandResult(True)
+
+    # -- reads and snapshots ---------------------------------------------------------------------------
+
+    def read(self, query: object) -> FailoverView | list[RoutingPlan]:
+        """Return the plans before the current one for `HISTORY_QUERY`, the rest of the state otherwise."""
+        if query == HISTORY_QUERY:
             return self.history
-        return {"zones": self.zones, "order": self.order, "sources": self.sources, "wishes": self.wishes}
+        return {
+            "zones": self.zones,
+            "order": self.plan,
+            "sources": self.routers,
+            "wishes": self.overrides,
+        }
 
-    def dump(self) -> Any:
-        return Dumped(self.zones, self.order, self.sources, self.wishes, self.history)
+    def dump(self) -> FailoverSnapshot:
+        """Return the state in the form of a snapshot; it shares its parts with the live state."""
+        return FailoverSnapshot(self.zones, self.plan, self.routers, self.overrides, self.history)
 
     def load(self, dumped: msgspec.Raw) -> None:
-        found = decode_dumped(dumped)
-        self.zones, self.order, self.sources = found.zones, found.order, found.sources
-        self.wishes, self.history = found.wishes, found.history
-
-
-def what_zone(what: Any) -> str:
-    return getattr(what, "zone", "")
+        """Replace the state by that of a snapshot."""
+        snapshot = decode_snapshot(dumped)
+        self.zones = snapshot.zones
+        self.plan = snapshot.plan
+        self.routers = snapshot.routers
+        self.overrides = snapshot.overrides
+        self.history = snapshot.history
--- a/lichencleat/router/core.py
+++ b/lichencleat/router/core.py
@@ -4,7 +4,7 @@
 here: one final answer before the request is due; a receipted request is sent a second time only where no try
 of it can have run, or to the node that it is bound to; nothing is honoured but with what a node sent for it.
 
-Around it: the zone is chosen by `zones.near`, repeats are bounded by `zones.budget`.
+Around it: the zone is chosen by `failover.locality_routing`, retries are bounded by `failover.retry_budget`.
 """
 
 from __future__ import annotations
@@ -14,9 +14,9 @@
 from collections import Counter, deque
 from collections.abc import Iterator
 
-from lichencleat.failover.budget import Budget
-from lichencleat.failover.near import SPAN, Near, Span
-from lichencleat.failover.terms import Order, Seen, Zone
+from lichencleat.failover.locality_routing import UPDATE_INTERVAL_US, AttemptCounts, LocalityRouter
+from lichencleat.failover.messages import RoutingPlan, Zone, ZoneObservation
+from lichencleat.failover.retry_budget import RetryBudget
 from lichencleat.router.keys import Keys
 from lichencleat.router.nodes import Nodes
 from lichencleat.router.terms import Act, Came, Carried, Decision
@@ -49,11 +49,12 @@
     ) -> None:
         """`zones`: with the way to each from this one; `nodes`: names by zone; `routers`: of all zones."""
         self.zone, self.rng, self.grace = zone, rng, grace
-        self.near = Near(zone, zones, rng)
-        self.near.routers, self.near.heard_at = routers, now
+        self.locality = LocalityRouter(zone, zones, rng)
+        self.locality.router_count = routers
+        self.locality.plan_received_at = now
         self.nodes = Nodes(nodes, told, rng)
         self.keys = Keys()
-        self.budget = Budget(now)
+        self.budget = RetryBudget(now)
         self.counts: Counter[str] = Counter()
         self.in_hand: dict[Carried, None] = {}
         self.ready: deque[Carried] = deque()  # to be placed
@@ -61,8 +62,8 @@
         self.dues: list[tuple[int, int, Carried]] = []
         self.waits: list[tuple[int, int, Carried, int]] = []  # patience of pure tries, and which try it was
         self.serial = 0
-        self.step_at = now + SPAN
-        self.sums: dict[str, Span] = {}  # since the voters were told last
+        self.step_at = now + UPDATE_INTERVAL_US
+        self.sums: dict[str, AttemptCounts] = {}  # since the voters were told last
         self.came_lately: deque[int] = deque()
         self.leaves_at: int | None = None
         self.no_send_after: int | None = None
@@ -82,7 +83,7 @@
             heapq.heapify(self.dues)
         self.came_lately.append(now)
         self.forget_arrivals(now)
-        self.budget.first_try(now)
+        self.budget.record_first_attempt(now)
 
     def came(self, now: int, request: Carried, came: Came, span: int = 0, last: bool = False) -> None:
         """The try under way has come to its end. `span`: µs that the node asked to stay away; `last`: it
@@ -119,8 +120,8 @@
 
     def tell_first(self, zone: str, came: Came) -> None:
         well, turned = came is Came.HONOURED, came is Came.DEFERRED
-        self.near.came(zone, well, turned)
-        self.sums.setdefault(zone, Span()).add(well, turned)
+        self.locality.record_attempt(zone, well, turned)
+        self.sums.setdefault(zone, AttemptCounts()).record(well, turned)
 
     def caller_left(self, now: int, request: Carried) -> None:
         """Nobody waits any more. A receipted try that is under way may run: its key stays bound."""
@@ -131,9 +132,9 @@
     def says(self, node: str, value: float) -> None:
         self.nodes.says(node, value)
 
-    def ordered(self, now: int, order: Order) -> bool:
-        """The newest order that somebody told; false for an older one than is known."""
-        return self.near.ordered(now, order, self.near.routers)
+    def apply_plan(self, now: int, plan: RoutingPlan) -> bool:
+        """The newest plan that was received; false for an older one than is known."""
+        return self.locality.apply_plan(now, plan, self.locality.router_count)
 
     def must_leave(self, now: int, at: int) -> None:
         """The notice: from the grace on nothing more is sent, and all is answered before the stop at `at`."""
@@ -155,8 +156,8 @@
 
     def decide(self, now: int) -> Iterator[Decision]:
         if now >= self.step_at:
-            self.step_at = now + SPAN
-            self.near.steps(now)
+            self.step_at = now + UPDATE_INTERVAL_US
+            self.locality.update(now)
         self.give_up_due(now)
         self.lose_patience(now)
         while self.ready or self.closed:
@@ -208,12 +209,12 @@
         """
         left = request.due - GUARD - now
         if request.tries == 0:
-            return self.near.chooses(now, left, self.nodes.usual(self.zone))
+            return self.locality.choose_zone(now, left, self.nodes.usual(self.zone))
         if request.zone in self.nodes.zones and self.nodes.fit(
             now, request.zone, request.place, request.spent
         ):
             return request.zone
-        return self.near.farther(now, left - self.nodes.usual(self.zone))
+        return self.locality.choose_remote_zone(left - self.nodes.usual(self.zone))
 
     def place_in(self, now: int, request: Carried, zone: str | None) -> Decision:
         if zone is None:
@@ -262,7 +263,7 @@
             return False
         if self.no_send_after is not None and now > self.no_send_after:
             return False
-        return self.budget.may_repeat(now, False)
+        return self.budget.acquire(now, False)
 
     def give_up_due(self, now: int) -> None:
         """Guards each answer's time. What may still run there is told that nobody waits."""
@@ -312,12 +313,12 @@
 
     # -- what others are told -----------------------------------------------------------------------------
 
-    def evidence(self, now: int) -> tuple[float, dict[str, Seen]]:
+    def evidence(self, now: int) -> tuple[float, dict[str, ZoneObservation]]:
         """Requests a second that come, and what first tries to each zone came to since the last look."""
         self.forget_arrivals(now)
         sums, self.sums = self.sums, {}
         seen = {
-            zone: Seen(each.sent, each.well, each.turned, each.lost, self.nodes.usual(zone))
+            zone: ZoneObservation(each.sent, each.succeeded, each.rejected, each.lost, self.nodes.usual(zone))
             for zone, each in sums.items()
         }
         return len(self.came_lately) * SECOND / OFFERED_SPAN, seen
@@ -330,8 +331,8 @@
         return self.nodes.value(now, self.zone, callers)
 
     def beliefs(self) -> str:
-        order, near = self.near.order, self.near
+        locality = self.locality
         return (
-            f"{len(self.in_hand)} in hand, order {order.number}, {near.spill:.0%} spilled, "
-            f"{len(self.keys.known)} keys bound, {self.budget.left:.0f} repeats left"
+            f"{len(self.in_hand)} in hand, order {locality.plan.version}, {locality.spill:.0%} spilled, "
+            f"{len(self.keys.known)} keys bound, {self.budget.available:.0f} repeats left"
         )
--- /dev/null
+++ b/lichencleat/router/health_reporter.py
@@ -0,0 +1,99 @@
+"""Health reporter of a router: sends its observations to the consensus group, applies the plan in reply."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+import msgspec
+from twisted.python.failure import Failure
+
+from lichencleat.failover.controller import POLL_INTERVAL_US
+from lichencleat.failover.messages import STATE_PART, HealthReport, RoutingPlan
+from lichencleat.leases.interfaces import DelayedCall, GroupClient, Logger, ReactorTime
+from lichencleat.router.core import Router
+
+REPORT_TIMEOUT_S = 1.0
+MICROSECONDS_PER_SECOND = 1_000_000
+REPORT_INTERVAL_S = POLL_INTERVAL_US / MICROSECONDS_PER_SECOND  # from a reply to the next report
+
+
+class HealthReporter:
+    """Owns the timer of the reports.
+
+    Args:
+        reactor: Source of the timer.
+        client: Client of the consensus group.
+        core: The decisions of the router.
+        name: Name of the router.
+        clock: Returns µs of the router's clock.
+        log: Logger of the process.
+    """
+
+    def __init__(
+        self,
+        reactor: ReactorTime,
+        client: GroupClient,
+        core: Router,
+        name: str,
+        clock: Callable[[], int],
+        log: Logger,
+    ) -> None:
+        self.reactor = reactor
+        self.client = client
+        self.core = core
+        self.name = name
+        self.clock = clock
+        self.log = log
+        self.timer: DelayedCall | None = None
+        self.is_stopped = False
+        self.is_failing = False
+
+    def start(self) -> None:
+        """Send the first report at once."""
+        self.send_report()
+
+    def send_report(self) -> None:
+        """Send a report; the next one follows some time after its reply or failure."""
+        if self.is_stopped:
+            return
+        offered, observations = self.core.evidence(self.clock())
+        plan_version = self.core.locality.plan.version
+        report = HealthReport(self.name, self.core.zone, plan_version, offered, observations)
+        reply = self.client.propose(STATE_PART, report, REPORT_TIMEOUT_S)
+        reply.addCallbacks(self.on_reply, self.on_failure).addBoth(self.schedule_report)
+
+    def schedule_report(self, _: object) -> None:
+        """Schedule the next report."""
+        if not self.is_stopped:
+            self.timer = self.reactor.callLater(REPORT_INTERVAL_S, self.send_report)
+
+    def on_reply(self, reply: object) -> None:
+        """Apply the plan in the reply."""
+        try:
+            plan = msgspec.convert(reply, RoutingPlan)
+        except msgspec.ValidationError:  # voters of a version that knows no zones
+            self.log_failure("the voters know no zones")
+            return
+        previous_version = self.core.locality.plan.version
+        if not self.core.apply_plan(self.clock(), plan):
+            self.log_failure(f"an older order came: {plan.version} after {previous_version}")
+            return
+        if plan.version != previous_version:
+            self.log.info("order", number=plan.version, token=plan.token, reason=plan.reason)
+        self.is_failing = False
+
+    def on_failure(self, failure: Failure) -> None:
+        """Keep the plan before, whose age the router takes into account."""
+        self.log_failure(failure.getErrorMessage())
+
+    def log_failure(self, reason: str) -> None:
+        """Log the first of several failures in a row."""
+        if not self.is_failing:
+            self.log.warning("no word of the order", reason=reason)
+        self.is_failing = True
+
+    def stop(self) -> None:
+        """Send no further reports."""
+        self.is_stopped = True
+        if self.timer is not None and self.timer.active():
+            self.timer.cancel()
--- a/lichencleat/router/nodes.py
+++ b/lichencleat/router/nodes.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from lichencleat.failover.leave_out import LeaveOut
+from lichencleat.failover.outlier_ejection import OutlierEjector
 from lichencleat.router.terms import Came
 from lichencleat.terms import Told
 
@@ -30,7 +30,7 @@
 @dataclass(slots=True)
 class Zone:
     nodes: dict[str, Known]
-    left_out: LeaveOut
+    outliers: OutlierEjector
     took: deque[int] = field(default_factory=lambda: deque(maxlen=TOOK_KEPT))  # µs from try to answer
 
 
@@ -44,9 +44,9 @@
     def members(self, zones: dict[str, list[str]]) -> None:
         """Who there is now. One that goes is sent nothing more; what it has in hand ends as it ends."""
         for name, nodes in zones.items():
-            zone = self.zones.get(name) or Zone({}, LeaveOut())
+            zone = self.zones.get(name) or Zone({}, OutlierEjector())
             zone.nodes = {each: zone.nodes.get(each) or Known() for each in nodes}
-            zone.left_out.members(nodes)
+            zone.outliers.set_nodes(nodes)
             self.zones[name] = zone
         for name in [each for each in self.zones if each not in zones]:
             del self.zones[name]
@@ -75,7 +75,7 @@
         known = zone.nodes[node]
         known.in_hand = max(0, known.in_hand - 1)
         if came is not Came.ABANDONED:
-            zone.left_out.told(now, node, came in (Came.HONOURED, Came.DEFERRED))
+            zone.outliers.record_outcome(now, node, came in (Came.HONOURED, Came.DEFERRED))
         if came is Came.HONOURED:
             zone.took.append(took)
         elif came is Came.DEFERRED:
@@ -88,7 +88,7 @@
         known = self.zones[zone]
         return [
             node
-            for node in known.left_out.fit(now)
+            for node in known.outliers.eligible(now)
             if node not in spent
             and known.nodes[node].away_until <= now
             and self.takes(known.nodes[node], place)
@@ -129,7 +129,7 @@
         known = self.zones.get(zone)
         told = [
             known.nodes[node].value
-            for node in (known.left_out.fit(now) if known is not None else ())
+            for node in (known.outliers.eligible(now) if known is not None else ())
             if known is not None and known.nodes[node].value is not None
         ]
         values = [each for each in told if each is not None]
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -12,7 +12,8 @@
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config.file import WrongFileError
 from lichencleat.consensus.client import Client
-from lichencleat.failover.terms import Zone
+from lichencleat.failover.controller_task import FailoverControllerTask
+from lichencleat.failover.messages import Zone
 from lichencleat.leases.lease_client import LeaseClient
 from lichencleat.log.lines import make_log
 from lichencleat.node.assembly import UnixClock
@@ -22,8 +23,8 @@
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterHost
 from lichencleat.router.file import RouterChoice, RouterFile, host_port, read_router
+from lichencleat.router.health_reporter import HealthReporter
 from lichencleat.router.links import LINKS_MOST
-from lichencleat.router.seat import Judging, Telling
 from lichencleat.terms import Machine
 
 STOPPED, WRONG = 0, 2  # exit codes
@@ -83,7 +84,7 @@
             int(chosen.memory_mb * MB),
         )
         self.clients: list[Client] = []
-        self.telling: Telling | None = None
+        self.telling: HealthReporter | None = None
         self.holder: LeaseClient | None = None
         self.stop_at: int | None = None
         self.ended = False
@@ -104,12 +105,12 @@
         self.deadlines.after(BELIEFS, self.beliefs_again)
 
     def join(self, group: str) -> None:
-        self.telling = Telling(
+        self.telling = HealthReporter(
             self.reactor, self.client(group), self.core, self.chosen.name, self.clock, self.log
         )
         self.telling.start()
         if self.chosen.candidate:
-            work = Judging(self.reactor, self.client(group), self.log)
+            work = FailoverControllerTask(self.reactor, self.client(group), self.log)
             name, zone = self.chosen.name, self.chosen.zone
             self.holder = LeaseClient(self.reactor, self.client(group), name, zone, work, self.rng, self.log)
             work.lease_client = self.holder
@@ -150,7 +151,7 @@
         else:
             self.core.nodes.members({name: list(each.nodes) for name, each in new.zones.items()})
             self.host.members(addresses_of(new))
-            self.core.near.zones = zones_of(new)
+            self.core.locality.zones = zones_of(new)
         late = f"{', '.join(fixed)} changed, which needs a restart" if fixed else ""
         self.log.info("file read again", nodes=len(self.host.nodes), late=late)
 
@@ -211,7 +212,7 @@
 
 
 def zones_of(chosen: RouterChoice) -> dict[str, Zone]:
-    """As `zones.near` has them: the ways from this router's zone."""
+    """As `failover.locality_routing` has them: the ways from this router's zone."""
     far = {name: int(each.far_ms * 1_000) for name, each in chosen.zones.items() if name != chosen.zone}
     return {name: Zone("", 0.0, far if name == chosen.zone else {}) for name in chosen.zones}
 
--- a/lichencleat/testkit/explore_router.py
+++ b/lichencleat/testkit/explore_router.py
@@ -13,7 +13,7 @@
 
 import click
 
-from lichencleat.failover.terms import Duty, Order, Zone
+from lichencleat.failover.messages import RoutingPlan, Zone, ZoneRole
 from lichencleat.router.core import GUARD, TRIES_MOST, Router
 from lichencleat.router.terms import Act, Came, Carried, Decision
 from lichencleat.terms import Effect, Tariff, Told
@@ -25,9 +25,9 @@
 NODES = {"a": ["a1", "a2"], "b": ["b1"]}
 GUESTS = {"a": 1_000.0, "b": 1_000.0}
 ORDERS = [
-    Order(1, 1, {}, GUESTS),
-    Order(2, 1, {"a": Duty.DRAINS}, GUESTS),
-    Order(3, 1, {"b": Duty.FENCED}, GUESTS),
+    RoutingPlan(1, 1, {}, GUESTS),
+    RoutingPlan(2, 1, {"a": ZoneRole.DRAINING}, GUESTS),
+    RoutingPlan(3, 1, {"b": ZoneRole.FENCED}, GUESTS),
 ]
 AGAIN, RESTARTS, TOLD = 2, 1, 3  # further tries, lost routers, and words of an order, at the most
 OUTCOMES = (Came.HONOURED, Came.DEFERRED, Came.UNSENT, Came.LOST)
@@ -46,8 +46,8 @@
 def made(kind: type[Router], zone: str) -> Router:
     ways = {"a": Zone("", 0.0, {"b": 5_000}), "b": Zone("", 0.0, {"a": 5_000})}
     router = kind(zone, ways, NODES, Told.NOTHING, First(), START, 2)  # type: ignore[arg-type]
-    router.ordered(START, Order(0, 1, {}, GUESTS))
-    router.near.fill(START)
+    router.apply_plan(START, RoutingPlan(0, 1, {}, GUESTS))
+    router.locality.refill_spillover(START)
     return router
 
 
@@ -79,9 +79,9 @@
     def key(self) -> Hashable:
         routers = tuple(
             (
-                each.near.order.number,
+                each.locality.plan.version,
                 tuple((known.node, known.open, known.may_have_run) for known in each.keys.known.values()),
-                round(each.budget.left, 1),
+                round(each.budget.available, 1),
                 tuple(
                     tuple(sorted(z.nodes[n].away_until > self.now for n in z.nodes))
                     for z in each.nodes.zones.values()
@@ -125,10 +125,10 @@
 
     def orders(self, zone: str, at: int) -> None:
         self.told -= 1
-        before = self.routers[zone].near.order.number
-        self.routers[zone].ordered(self.now, ORDERS[at])
-        if self.routers[zone].near.order.number < before:
-            self.wrong = f"an older order is followed: {ORDERS[at].number} after {before}"
+        before = self.routers[zone].locality.plan.version
+        self.routers[zone].apply_plan(self.now, ORDERS[at])
+        if self.routers[zone].locality.plan.version < before:
+            self.wrong = f"an older order is followed: {ORDERS[at].version} after {before}"
 
     def comes(self, at: int, came: Came) -> None:
         zone, request = self.open[at]
@@ -215,9 +215,9 @@
 
 
 class TakesAnyOrder(Router):
-    def ordered(self, now: int, order: Order) -> bool:
-        self.near.order = order
-        self.near.fill(now)
+    def apply_plan(self, now: int, plan: RoutingPlan) -> bool:
+        self.locality.plan = plan
+        self.locality.refill_spillover(now)
         return True
 
 
--- a/lichencleat/testkit/simulation/zones.py
+++ b/lichencleat/testkit/simulation/zones.py
@@ -18,10 +18,17 @@
 import click
 import msgspec
 
-from lichencleat.failover.judge import LOOK, Judge
-from lichencleat.failover.near import SPAN, Near, Span
-from lichencleat.failover.state import Zones
-from lichencleat.failover.terms import JOB, Define, Duty, Order, Seen, Tell
+from lichencleat.failover.controller import POLL_INTERVAL_US, FailoverController
+from lichencleat.failover.locality_routing import UPDATE_INTERVAL_US, AttemptCounts, LocalityRouter
+from lichencleat.failover.messages import (
+    JOB,
+    DefineZone,
+    HealthReport,
+    RoutingPlan,
+    ZoneObservation,
+    ZoneRole,
+)
+from lichencleat.failover.state import FailoverState
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
@@ -76,7 +83,7 @@
         self.policy, self.scene = policy, scene
         self.clockwork = Clockwork()
         self.jobs = Jobs()
-        self.part = Zones(self.jobs)
+        self.part = FailoverState(self.jobs)
         self.index = 0
         self.places = {
             f"z{number}": Place(f"z{number}", number // 2, lambda at: 0.0) for number in range(zones)
@@ -88,8 +95,8 @@
         self.enter(self.jobs, DefineJob(JOB))
         for each in self.places.values():
             far = {other.name: self.trip(each, other) for other in self.places.values() if other is not each}
-            self.enter(self.part, Define(each.name, f"r{each.region}", CARRIES, far))
-        self.judge: Judge | None = Judge(self.jobs.jobs[JOB].token)
+            self.enter(self.part, DefineZone(each.name, f"r{each.region}", CARRIES, far))
+        self.controller: FailoverController | None = FailoverController(self.jobs.jobs[JOB].token)
         self.routers: list[SimRouter] = []
         for name in self.places:
             for number in range(routers):
@@ -151,7 +158,7 @@
             at(60, self.mute.discard, first)
         elif self.scene == "owner dies":
             at(20, self.loses, place)
-            at(20.5, setattr, self, "judge", None)
+            at(20.5, setattr, self, "controller", None)
             at(22, self.new_owner)
             at(45, self.returns, place)
 
@@ -166,18 +173,20 @@
         for name, known in list(self.jobs.candidates.items()):
             self.enter(self.jobs, Gone(name, known.renewed))
         self.enter(self.jobs, Renew(f"o{self.index}", "", self.index, True, {}))
-        self.judge = Judge(self.jobs.jobs[JOB].token)
+        self.controller = FailoverController(self.jobs.jobs[JOB].token)
 
     # -- the group -------------------------------------------------------------------------------------
 
     def look(self) -> None:
-        self.clockwork.after(LOOK, self.look)
-        judge = self.judge
-        if judge is None:
+        self.clockwork.after(POLL_INTERVAL_US, self.look)
+        controller = self.controller
+        if controller is None:
             return
         part = self.part
         seen = msgspec.convert(msgspec.to_builtins(part.dump()), type(part.dump()))
-        said = judge.looks(self.clockwork.now, seen.zones, seen.order, seen.sources, seen.wishes)
+        said = controller.plan_next_step(
+            self.clockwork.now, seen.zones, seen.plan, seen.routers, seen.overrides
+        )
         for what in said:
             self.clockwork.after(self.rng.randint(*COMMIT), self.enter, part, what)
 
@@ -274,14 +283,14 @@
     def play(self, seconds: float = SPAN_MOST) -> Ran:
         for number, router in enumerate(self.routers):
             self.clockwork.after(1_000 * number, router.step)
-        self.clockwork.after(LOOK, self.look)
+        self.clockwork.after(POLL_INTERVAL_US, self.look)
         for at in range(round(seconds * SECOND / TICK)):
             self.clockwork.after(at * TICK + 1, self.tick)
         self.clockwork.run(round(seconds * SECOND))
         ran = self.ran
         ran.payoff, ran.near = self.well / self.offered, self.stayed / max(1e-9, self.well)
         ran.peak = max(each.peak for each in self.places.values())
-        ran.orders = self.part.order.number
+        ran.orders = self.part.plan.version
         ran.swings = max(each.swings for each in self.routers)
         return ran
 
@@ -291,7 +300,7 @@
 
     def __init__(self, world: World, name: str, zone: str, rng: random.Random) -> None:
         self.world, self.name, self.zone, self.rng = world, name, zone, rng
-        self.near = Near(zone, world.part.zones, rng)
+        self.locality = LocalityRouter(zone, world.part.zones, rng)
         self.seen: dict[str, list[float]] = {}  # sent, well, turned
         self.told: dict[str, list[float]] = {}
         self.swings = 0
@@ -305,30 +314,35 @@
                 sums[at] += amount
 
     def shares(self, mine: float) -> dict[str, float]:
-        near, order = self.near, self.near.order
-        mine *= 1 - order.edge.get(self.zone, 0.0)
-        spilled = mine * near.spill
+        locality, plan = self.locality, self.locality.plan
+        mine *= 1 - plan.shed.get(self.zone, 0.0)
+        spilled = mine * locality.spill
         shares = {self.zone: mine - spilled}
         own = self.world.part.zones[self.zone]
-        for name, room in sorted(order.guests.items(), key=lambda item: own.far.get(item[0], 0)):
-            if name != self.zone and order.duty(name) is Duty.SERVES:
-                goes = min(spilled, room / max(1, near.routers) * near.careful(self.world.clockwork.now))
+        for name, room in sorted(plan.spillover.items(), key=lambda item: own.round_trips.get(item[0], 0)):
+            if name != self.zone and plan.role(name) is ZoneRole.ACTIVE:
+                goes = min(
+                    spilled,
+                    room
+                    / max(1, locality.router_count)
+                    * locality.staleness_factor(self.world.clockwork.now),
+                )
                 shares[name] = shares.get(name, 0.0) + goes
                 spilled -= goes
-        shares[self.zone] += spilled if order.duty(self.zone) in (Duty.SERVES, Duty.STANDS_BY) else 0.0
+        shares[self.zone] += spilled if plan.role(self.zone) in (ZoneRole.ACTIVE, ZoneRole.STANDBY) else 0.0
         return shares
 
     def step(self) -> None:
         """Each span: the spilled share moves, the evidence goes to the voters, the newest order comes."""
-        world, near = self.world, self.near
-        world.clockwork.after(SPAN, self.step)
+        world, locality = self.world, self.locality
+        world.clockwork.after(UPDATE_INTERVAL_US, self.step)
         for name, (sent, well, turned) in self.seen.items():
-            span = near.spans.setdefault(name, Span())
-            span.sent, span.well, span.turned = round(sent), round(well), round(turned)
-            span.lost = max(0, span.sent - span.well - span.turned)
-        near.steps(world.clockwork.now)
-        self.count_swings(near.spill)
-        if not near.spans:  # it has judged them; else more is waited for
+            span = locality.attempts.setdefault(name, AttemptCounts())
+            span.sent, span.succeeded, span.rejected = round(sent), round(well), round(turned)
+            span.lost = max(0, span.sent - span.succeeded - span.rejected)
+        locality.update(world.clockwork.now)
+        self.count_swings(locality.spill)
+        if not locality.attempts:  # it has judged them; else more is waited for
             self.seen = {}
         if self.zone not in world.mute:
             world.clockwork.after(world.rng.randint(*COMMIT), self.tell)
@@ -348,13 +362,13 @@
         seen = {}
         for name, (sent, well, turned) in self.told.items():
             lost = max(0, round(sent) - round(well) - round(turned))
-            seen[name] = Seen(round(sent), round(well), round(turned), lost, USUAL)
+            seen[name] = ZoneObservation(round(sent), round(well), round(turned), lost, USUAL)
         self.told = {}
-        what = Tell(self.name, self.zone, self.near.order.number, offered / count, seen)
-        order = world.enter(world.part, what)
-        assert isinstance(order, Order)
+        what = HealthReport(self.name, self.zone, self.locality.plan.version, offered / count, seen)
+        plan = world.enter(world.part, what)
+        assert isinstance(plan, RoutingPlan)
         others = sum(each.zone != self.zone for each in world.routers)
-        self.near.ordered(world.clockwork.now, order, max(count, others))
+        self.locality.apply_plan(world.clockwork.now, plan, max(count, others))
 
 
 SCENES = ["calm", "burst", "hover", "both", "lost", "tight", "flaps", "grey", "cut off", "owner dies"]
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -13,7 +13,7 @@
 from lichencleat.consensus.seats import Life
 from lichencleat.consensus.state import State, command
 from lichencleat.consensus.terms import Entry, What
-from lichencleat.failover.terms import Define as DefineZone
+from lichencleat.failover.messages import DefineZone
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.quotas.terms import Define as DefinePool
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -1,30 +1,45 @@
-"""Orders, the judge, a router's spill, its budget, nodes left out, by direct calls; simulated scenes."""
+"""Orders, the controller, a router's spill, its budget, nodes left out, by direct calls; simulated scenes."""
 
 import random
 
 import msgspec
 import pytest
 
-from lichencleat.failover.budget import FLOOR, KEPT, Budget
-from lichencleat.failover.judge import CALM, LOOK, LOOKS, SILENT, TRICKLE, Judge
-from lichencleat.failover.leave_out import SPAN, LeaveOut
-from lichencleat.failover.near import HOLD, PROBE, REST, STALE, UP, Near
-from lichencleat.failover.state import Zones
-from lichencleat.failover.terms import (
+from lichencleat.failover.controller import (
+    INITIAL_RAMP,
+    MIN_UNHEALTHY_POLLS,
+    POLL_INTERVAL_US,
+    QUIET_PERIOD_US,
+    REPORT_TIMEOUT_US,
+    FailoverController,
+)
+from lichencleat.failover.locality_routing import (
+    HOLD_TIME_US,
+    PLAN_STALE_AFTER_US,
+    PROBE_FRACTION,
+    RESTORE_DELAY_US,
+    SPILL_INCREASE,
+    UPDATE_INTERVAL_US,
+    LocalityRouter,
+)
+from lichencleat.failover.messages import (
     JOB,
-    Define,
-    Done,
-    Drop,
-    Duty,
-    Give,
-    Learn,
-    Order,
-    Seen,
-    Tell,
-    Unwish,
-    Wish,
+    ClearOverride,
+    CommandResult,
+    DefineZone,
+    DropZone,
+    HealthReport,
+    OperatorOverride,
+    PublishPlan,
+    RoutingPlan,
+    UpdateCapacity,
     Zone,
+    ZoneObservation,
+    ZoneRole,
 )
+from lichencleat.failover.outlier_ejection import BASE_EJECTION_US, OutlierEjector
+from lichencleat.failover.retry_budget import MIN_RETRIES_PER_SECOND, WINDOW_S, RetryBudget
+from lichencleat.failover.state import FailoverState
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.leases.terms import Gone, Renew
@@ -36,10 +51,10 @@
 class Group:
     def __init__(self):
         self.jobs, self.index = Jobs(), 0
-        self.zones = Zones(self.jobs)
+        self.zones = FailoverState(self.jobs)
         self.owner("o1", 1)
         for name, far in (("x", {"y": 30_000}), ("y", {"x": 30_000})):
-            assert self(Define(name, "r", 100.0, far)) == Done(True)
+            assert self(DefineZone(name, "r", 100.0, far)) == CommandResult(True)
 
     def enter(self, part, what):
         self.index += 1
@@ -59,12 +74,12 @@
         return self.jobs.jobs[JOB].token
 
     def tell(self, router, zone, offered=40.0, **seen):
-        known = {name: Seen(*told, 300_000) for name, told in seen.items()}
-        return self(Tell(router, zone, self.zones.order.number, offered, known))
+        known = {name: ZoneObservation(*told, 300_000) for name, told in seen.items()}
+        return self(HealthReport(router, zone, self.zones.plan.version, offered, known))
 
-    def looks(self, judge, now):
+    def looks(self, controller, now):
         part = self.zones
-        said = judge.looks(now, part.zones, part.order, dict(part.sources), dict(part.wishes))
+        said = controller.plan_next_step(now, part.zones, part.plan, dict(part.routers), dict(part.overrides))
         return said, [self(each) for each in said]
 
 
@@ -77,119 +92,125 @@
 
 
 def test_an_order_has_a_number_and_is_told_to_who_tells(group):
-    assert group.tell("x.0", "x").number == 0
-    given = Order(0, 0, {"x": Duty.STANDS_BY}, {"y": 50.0})
-    assert group(Give(group.token, 0, given)) == Done(True)
+    assert group.tell("x.0", "x").version == 0
+    given = RoutingPlan(0, 0, {"x": ZoneRole.STANDBY}, {"y": 50.0})
+    assert group(PublishPlan(group.token, 0, given)) == CommandResult(True)
     told = group.tell("x.0", "x")
-    assert (told.number, told.token, told.duty("x"), told.duty("y")) == (1, group.token, 3, 1)
-    assert not group(Give(group.token, 0, given)).done  # another was given since
-    assert group.zones.read("history") == [Order()]
-    again = Zones(group.jobs)
+    assert (told.version, told.token, told.role("x"), told.role("y")) == (1, group.token, 3, 1)
+    assert not group(PublishPlan(group.token, 0, given)).applied  # another was given since
+    assert group.zones.read("history") == [RoutingPlan()]
+    again = FailoverState(group.jobs)
     again.load(msgspec.Raw(msgspec.msgpack.encode(group.zones.dump())))
-    assert again.order == group.zones.order and again.sources == group.zones.sources
+    assert again.plan == group.zones.plan and again.routers == group.zones.routers
 
 
 def test_an_older_owner_and_an_order_over_what_a_zone_carries_are_refused(group):
     old = group.token
     group.owner("o2", 2)
-    for what in (Give(old, 0, Order()), Learn(old, "x", 5.0)):
-        assert group(what) == Done(False, "an older owner's")
-    assert "not known to carry" in group(Give(group.token, 0, Order(guests={"y": 101.0}))).why
-    assert "not known to carry" in group(Give(group.token, 0, Order(guests={"z": 1.0}))).why
+    for what in (PublishPlan(old, 0, RoutingPlan()), UpdateCapacity(old, "x", 5.0)):
+        assert group(what) == CommandResult(False, "an older owner's")
+    assert (
+        "not known to carry" in group(PublishPlan(group.token, 0, RoutingPlan(spillover={"y": 101.0}))).reason
+    )
+    assert (
+        "not known to carry" in group(PublishPlan(group.token, 0, RoutingPlan(spillover={"z": 1.0}))).reason
+    )
 
 
 def test_what_an_operator_fenced_stays_fenced_and_words_are_checked(group):
-    assert group(Wish("x", Duty.FENCED)).done
-    assert "fenced" in group(Give(group.token, 0, Order())).why
-    assert group(Give(group.token, 0, Order(duties={"x": Duty.FENCED}))).done
-    assert not group(Wish("z", Duty.DRAINS)).done and not group(Unwish("y")).done
-    assert not group(Unwish("x", given=1)).done and group(Unwish("x")).done
-    assert not group(Define("z", "r", 0.0)).done and group(Drop("y")).done
-    assert group.zones.apply(99, msgspec.Raw(b"\xc0")) == Done(False, "no command")
+    assert group(OperatorOverride("x", ZoneRole.FENCED)).applied
+    assert "fenced" in group(PublishPlan(group.token, 0, RoutingPlan())).reason
+    assert group(PublishPlan(group.token, 0, RoutingPlan(roles={"x": ZoneRole.FENCED}))).applied
+    assert (
+        not group(OperatorOverride("z", ZoneRole.DRAINING)).applied and not group(ClearOverride("y")).applied
+    )
+    assert not group(ClearOverride("x", index=1)).applied and group(ClearOverride("x")).applied
+    assert not group(DefineZone("z", "r", 0.0)).applied and group(DropZone("y")).applied
+    assert group.zones.apply(99, msgspec.Raw(b"\xc0")) == CommandResult(False, "no command")
 
 
-# -- the judge -------------------------------------------------------------------------------------
+# -- the controller -------------------------------------------------------------------------------------
 
 
-def span(group, judge, at, x=WELL, y=WELL, **more):
+def span(group, controller, at, x=WELL, y=WELL, **more):
     """One look, with both zones' routers telling."""
     group.tell("x.0", "x", x=x, **more)
     group.tell("y.0", "y", y=y, x=x)
-    return group.looks(judge, at * LOOK)
+    return group.looks(controller, at * POLL_INTERVAL_US)
 
 
 def test_a_zone_is_taken_out_by_several_bad_looks_and_comes_back_by_a_trickle(group):
-    judge = Judge(group.token)
-    span(group, judge, 0)
-    assert group.zones.order.guests["x"] == pytest.approx(55.0)
-    span(group, judge, 1, x=LOST)
-    assert group.zones.order.duty("x") is Duty.SERVES  # one look may be chance
-    for at in range(2, 1 + LOOKS):
-        span(group, judge, at, x=LOST)
-    assert group.zones.order.duty("x") is Duty.STANDS_BY and "x out" in group.zones.order.why
-    at = 1 + LOOKS
-    while at * LOOK < LOOKS * LOOK + CALM:
-        span(group, judge, at)
-        assert group.zones.order.duty("x") is Duty.STANDS_BY
+    controller = FailoverController(group.token)
+    span(group, controller, 0)
+    assert group.zones.plan.spillover["x"] == pytest.approx(55.0)
+    span(group, controller, 1, x=LOST)
+    assert group.zones.plan.role("x") is ZoneRole.ACTIVE  # one look may be chance
+    for at in range(2, 1 + MIN_UNHEALTHY_POLLS):
+        span(group, controller, at, x=LOST)
+    assert group.zones.plan.role("x") is ZoneRole.STANDBY and "x out" in group.zones.plan.reason
+    at = 1 + MIN_UNHEALTHY_POLLS
+    while at * POLL_INTERVAL_US < MIN_UNHEALTHY_POLLS * POLL_INTERVAL_US + QUIET_PERIOD_US:
+        span(group, controller, at)
+        assert group.zones.plan.role("x") is ZoneRole.STANDBY
         at += 1
-    span(group, judge, at)
-    assert group.zones.order.guests["x"] == pytest.approx(55.0 * TRICKLE, abs=0.2)
+    span(group, controller, at)
+    assert group.zones.plan.spillover["x"] == pytest.approx(55.0 * INITIAL_RAMP, abs=0.2)
     for more in range(1, 12):
-        span(group, judge, at + more)
-    assert group.zones.order.guests["x"] > 45
+        span(group, controller, at + more)
+    assert group.zones.plan.spillover["x"] > 45
 
 
 def test_with_each_relapse_it_stays_out_for_longer(group):
-    judge, at, spans = Judge(group.token), 0, []
+    controller, at, spans = FailoverController(group.token), 0, []
     for _ in range(2):
-        while group.zones.order.duty("x") is Duty.SERVES:
-            span(group, judge, at, x=LOST)
+        while group.zones.plan.role("x") is ZoneRole.ACTIVE:
+            span(group, controller, at, x=LOST)
             at += 1
         began = at
-        while group.zones.order.duty("x") is not Duty.SERVES:
-            span(group, judge, at)
+        while group.zones.plan.role("x") is not ZoneRole.ACTIVE:
+            span(group, controller, at)
             at += 1
         spans.append(at - began)
     assert spans[1] > 1.8 * spans[0]
 
 
 def test_a_zone_of_which_no_router_is_heard_is_out_and_a_new_owner_counts_anew(group):
-    judge = Judge(group.token)
-    span(group, judge, 0)
+    controller = FailoverController(group.token)
+    span(group, controller, 0)
     at = 1
-    while at * LOOK < SILENT + LOOKS * LOOK:
+    while at * POLL_INTERVAL_US < REPORT_TIMEOUT_US + MIN_UNHEALTHY_POLLS * POLL_INTERVAL_US:
         group.tell("y.0", "y", y=WELL)
-        group.looks(judge, at * LOOK)
+        group.looks(controller, at * POLL_INTERVAL_US)
         at += 1
-    assert group.zones.order.duty("x") is Duty.STANDS_BY
+    assert group.zones.plan.role("x") is ZoneRole.STANDBY
     group.owner("o2", 2)
     group.tell("y.0", "y", y=WELL)
-    group.looks(Judge(group.token), 0)
-    assert group.zones.order.duty("x") is Duty.STANDS_BY  # the order that holds is where it begins
+    group.looks(FailoverController(group.token), 0)
+    assert group.zones.plan.role("x") is ZoneRole.STANDBY  # the order that holds is where it begins
 
 
 def test_no_order_sends_more_than_is_known_to_be_carried_and_the_rest_is_deferred_at_the_edge(group):
-    judge = Judge(group.token)
-    assert group(Wish("x", Duty.DRAINS)).done
+    controller = FailoverController(group.token)
+    assert group(OperatorOverride("x", ZoneRole.DRAINING)).applied
     for at in range(3):
         group.tell("x.0", "x", offered=90.0, x=WELL)
         group.tell("y.0", "y", offered=60.0, y=WELL)
-        group.looks(judge, at * LOOK)
-    order = group.zones.order
-    assert order.duty("x") is Duty.DRAINS and order.guests == {"y": 35.0}
-    assert order.edge == {"x": pytest.approx(1 - 35 / 90, abs=0.01)}
+        group.looks(controller, at * POLL_INTERVAL_US)
+    plan = group.zones.plan
+    assert plan.role("x") is ZoneRole.DRAINING and plan.spillover == {"y": 35.0}
+    assert plan.shed == {"x": pytest.approx(1 - 35 / 90, abs=0.01)}
 
 
 def test_a_drill_ends_by_itself_and_the_figure_of_what_is_carried_follows_what_was_seen(group):
-    judge = Judge(group.token)
-    group(Wish("x", Duty.DRAINS, 2 * LOOK))
-    span(group, judge, 0), span(group, judge, 1)
-    assert group.zones.order.duty("x") is Duty.DRAINS
-    span(group, judge, 2), span(group, judge, 3)
-    assert group.zones.order.duty("x") is Duty.SERVES and not group.zones.wishes
-    before = group.zones.zones["y"].carries
-    span(group, judge, 4, y=TURNED)
-    assert group.zones.zones["y"].carries < before
+    controller = FailoverController(group.token)
+    group(OperatorOverride("x", ZoneRole.DRAINING, 2 * POLL_INTERVAL_US))
+    span(group, controller, 0), span(group, controller, 1)
+    assert group.zones.plan.role("x") is ZoneRole.DRAINING
+    span(group, controller, 2), span(group, controller, 3)
+    assert group.zones.plan.role("x") is ZoneRole.ACTIVE and not group.zones.overrides
+    before = group.zones.zones["y"].capacity
+    span(group, controller, 4, y=TURNED)
+    assert group.zones.zones["y"].capacity < before
 
 
 # -- a router --------------------------------------------------------------------------------------
@@ -198,96 +219,99 @@
 @pytest.fixture
 def near():
     zones = {"x": Zone("r", 100.0, {"y": 30_000, "z": 90_000}), "y": Zone("r", 100.0), "z": Zone("q", 100.0)}
-    made = Near("x", zones, random.Random(1))
-    assert made.ordered(0, Order(1, 1, {}, {"x": 50.0, "y": 20.0, "z": 40.0}))
+    made = LocalityRouter("x", zones, random.Random(1))
+    assert made.apply_plan(0, RoutingPlan(1, 1, {}, {"x": 50.0, "y": 20.0, "z": 40.0}))
     return made
 
 
 def tries(near, well=0, turned=0, lost=0):
     for count, kind in ((well, (True, False)), (turned, (False, True)), (lost, (False, False))):
         for _ in range(count):
-            near.came("x", *kind)
+            near.record_attempt("x", *kind)
 
 
 def test_traffic_stays_near_while_that_is_safe(near):
     for at in range(50):
         tries(near, well=20)
-        near.steps(at * LOOK)
-        assert near.chooses(at * LOOK, SECOND, 300_000) == "x"
+        near.update(at * POLL_INTERVAL_US)
+        assert near.choose_zone(at * POLL_INTERVAL_US, SECOND, 300_000) == "x"
     assert near.spill == 0.0
 
 
 def test_a_share_spills_by_bounded_steps_and_comes_back_after_a_hold(near):
     tries(near, well=15, turned=5)
-    near.steps(0)
-    assert near.spill == UP
+    near.update(0)
+    assert near.spill == SPILL_INCREASE
     tries(near, well=20)
-    near.steps(LOOK)
-    assert near.spill == UP
+    near.update(POLL_INTERVAL_US)
+    assert near.spill == SPILL_INCREASE
     tries(near, well=20)
-    near.steps(HOLD)
-    assert 0 < near.spill < UP
+    near.update(HOLD_TIME_US)
+    assert 0 < near.spill < SPILL_INCREASE
 
 
 def test_a_lost_zone_is_left_quickly_but_for_a_probe_and_taken_up_by_a_growing_trickle(near):
     at = 0
-    while near.spill < 1 - PROBE:
+    while near.spill < 1 - PROBE_FRACTION:
         tries(near, lost=10)
-        near.steps(at * LOOK)
+        near.update(at * POLL_INTERVAL_US)
         at += 1
     assert at <= 3
-    steps, began = 0, near.up_at + REST
+    steps, began = 0, near.increased_at + RESTORE_DELAY_US
     while near.spill > 0.5:
         tries(near, well=1)
-        near.steps(began + steps * LOOK)
+        near.update(began + steps * POLL_INTERVAL_US)
         steps += 1
     assert 5 < steps < 15
 
 
 def test_guests_go_to_the_nearest_that_can_be_reached_in_time_and_not_beyond_its_room(near):
     near.spill = 1.0
-    near.steps(0)
-    sent = [near.chooses(0, SECOND, 300_000) for _ in range(30)]
+    near.update(0)
+    sent = [near.choose_zone(0, SECOND, 300_000) for _ in range(30)]
     assert sent[:6] == ["y"] * 6 and sent[6:18] == ["z"] * 12 and set(sent[18:]) == {"x"}
-    near.steps(LOOK)
-    assert near.chooses(LOOK, 310_000, 300_000) == "x"  # no time for the way
+    near.update(POLL_INTERVAL_US)
+    assert near.choose_zone(POLL_INTERVAL_US, 310_000, 300_000) == "x"  # no time for the way
 
 
 def test_an_older_order_is_refused_and_without_word_a_router_grows_more_careful(near):
-    assert not near.ordered(5, Order(0, 1, {}, {"y": 90.0}))
-    assert near.ordered(5, Order(2, 1, {"y": Duty.STANDS_BY}, {"z": 40.0}))
-    assert near.careful(5 + STALE - 1) == 1 and near.careful(5 + STALE) == 0.5
-    assert near.careful(5 + 9 * STALE) == 0.25
-    assert near.ordered(6, Order(3, 1, {"x": Duty.FENCED}, {}, {"x": 1.0}))
-    assert near.chooses(6, SECOND, 300_000) is None
+    assert not near.apply_plan(5, RoutingPlan(0, 1, {}, {"y": 90.0}))
+    assert near.apply_plan(5, RoutingPlan(2, 1, {"y": ZoneRole.STANDBY}, {"z": 40.0}))
+    assert (
+        near.staleness_factor(5 + PLAN_STALE_AFTER_US - 1) == 1
+        and near.staleness_factor(5 + PLAN_STALE_AFTER_US) == 0.5
+    )
+    assert near.staleness_factor(5 + 9 * PLAN_STALE_AFTER_US) == 0.25
+    assert near.apply_plan(6, RoutingPlan(3, 1, {"x": ZoneRole.FENCED}, {}, {"x": 1.0}))
+    assert near.choose_zone(6, SECOND, 300_000) is None
 
 
 def test_repeats_are_a_share_of_first_tries_with_a_floor_and_none_for_what_may_have_run():
-    budget = Budget(0)
-    assert budget.may_repeat(0, False) and not budget.may_repeat(0, False)
-    assert budget.may_repeat(SECOND, False)
+    budget = RetryBudget(0)
+    assert budget.acquire(0, False) and not budget.acquire(0, False)
+    assert budget.acquire(SECOND, False)
     repeats = 0
     for at in range(10_000):
         now = SECOND + at * SECOND // 100
-        budget.first_try(now)
-        repeats += budget.may_repeat(now, False)
-    assert repeats <= 0.1 * 10_000 + FLOOR * 100 + KEPT * 2
-    assert not budget.may_repeat(200 * SECOND, True) and budget.refused
+        budget.record_first_attempt(now)
+        repeats += budget.acquire(now, False)
+    assert repeats <= 0.1 * 10_000 + MIN_RETRIES_PER_SECOND * 100 + WINDOW_S * 2
+    assert not budget.acquire(200 * SECOND, True) and budget.rejected
 
 
 def test_a_failing_node_is_left_out_for_longer_each_time_and_never_too_many():
-    out = LeaveOut()
-    out.members([f"n{number}" for number in range(6)])
+    out = OutlierEjector()
+    out.set_nodes([f"n{number}" for number in range(6)])
     for name in ("n0", "n1", "n2"):
         for _ in range(5):
-            out.told(0, name, False)
-    assert out.fit(0) == ["n2", "n3", "n4", "n5"]  # a third of six
-    assert "n0" in out.fit(SPAN)
+            out.record_outcome(0, name, False)
+    assert out.eligible(0) == ["n2", "n3", "n4", "n5"]  # a third of six
+    assert "n0" in out.eligible(BASE_EJECTION_US)
     for _ in range(5):
-        out.told(SPAN, "n0", False)
-    assert "n0" not in out.fit(2 * SPAN) and "n0" in out.fit(3 * SPAN)
-    out.told(0, "n9", False)
-    out.members(["n1"])
+        out.record_outcome(BASE_EJECTION_US, "n0", False)
+    assert "n0" not in out.eligible(2 * BASE_EJECTION_US) and "n0" in out.eligible(3 * BASE_EJECTION_US)
+    out.record_outcome(0, "n9", False)
+    out.set_nodes(["n1"])
     assert list(out.nodes) == ["n1"]
 
 
@@ -318,17 +342,17 @@
 
 
 def test_a_zone_that_was_drained_is_tried_again_once_the_order_lets_it_serve():
-    near = Near("x", {}, random.Random(1))
-    near.ordered(0, Order(1, 1, {"x": Duty.DRAINS}, {"y": 1_000.0}))
-    near.steps(0)
-    assert near.spill == 1.0 and "x" not in {near.chooses(0, SECOND, 0) for _ in range(50)}
-    near.ordered(0, Order(2, 1, {}, {"y": 1_000.0}))
-    near.steps(SPAN)
-    assert near.spill < 1.0 and "x" in {near.chooses(0, SECOND, 0) for _ in range(500)}
-    now = SPAN
+    near = LocalityRouter("x", {}, random.Random(1))
+    near.apply_plan(0, RoutingPlan(1, 1, {"x": ZoneRole.DRAINING}, {"y": 1_000.0}))
+    near.update(0)
+    assert near.spill == 1.0 and "x" not in {near.choose_zone(0, SECOND, 0) for _ in range(50)}
+    near.apply_plan(0, RoutingPlan(2, 1, {}, {"y": 1_000.0}))
+    near.update(UPDATE_INTERVAL_US)
+    assert near.spill < 1.0 and "x" in {near.choose_zone(0, SECOND, 0) for _ in range(500)}
+    now = UPDATE_INTERVAL_US
     for _ in range(60):
-        now += SPAN
+        now += UPDATE_INTERVAL_US
         for _ in range(20):
-            near.came("x", True, False)
-        near.steps(now)
+            near.record_attempt("x", True, False)
+        near.update(now)
     assert near.spill < 0.1
--- a/tests/router/router_life.py
+++ b/tests/router/router_life.py
@@ -7,7 +7,7 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from lichencleat.failover.terms import Duty, Order, Zone
+from lichencleat.failover.messages import RoutingPlan, Zone, ZoneRole
 from lichencleat.router.core import GUARD, Router
 from lichencleat.router.terms import Act, Came, Carried
 from lichencleat.terms import Effect, Tariff, Told
@@ -112,12 +112,12 @@
         self.bad[name] = not self.bad[name]
 
     def order(self) -> None:
-        order = self.core.near.order
-        duties = {name: self.rng.choice(list(Duty)) for name in NODES if self.rng.random() < 0.4}
+        plan = self.core.locality.plan
+        duties = {name: self.rng.choice(list(ZoneRole)) for name in NODES if self.rng.random() < 0.4}
         guests = {name: self.rng.choice([0.0, 5.0, 500.0]) for name in NODES}
-        number = max(0, order.number + self.rng.choice([-1, 0, 1, 1, 2]))
-        taken = self.core.ordered(self.now, Order(number, 1, duties, guests))
-        if taken != (number >= order.number):
+        number = max(0, plan.version + self.rng.choice([-1, 0, 1, 1, 2]))
+        taken = self.core.apply_plan(self.now, RoutingPlan(number, 1, duties, guests))
+        if taken != (number >= plan.version):
             self.says("an older order was taken")
 
     def leaves(self) -> None:
--- a/tests/router/test_core.py
+++ b/tests/router/test_core.py
@@ -6,8 +6,8 @@
 import pytest
 from router_life import GUARD, LOOK, NODES, SAVE, SECOND, World
 
-from lichencleat.failover.near import STALE
-from lichencleat.failover.terms import Duty, Order, Zone
+from lichencleat.failover.locality_routing import PLAN_STALE_AFTER_US
+from lichencleat.failover.messages import RoutingPlan, Zone, ZoneRole
 from lichencleat.router.core import IN_HAND_MOST, REPEAT_SPAN, TRIES_MOST, Router
 from lichencleat.router.keys import SLACK, Keys
 from lichencleat.router.nodes import UNREACHED
@@ -45,8 +45,8 @@
 
 
 class TakesAnyOrder(Router):
-    def ordered(self, now, order):
-        self.near.order = order
+    def apply_plan(self, now, plan):
+        self.locality.plan = plan
         return True
 
 
@@ -262,19 +262,19 @@
 
     for _ in range(12):
         turn_away(20)
-    assert router.near.spill > 0.5  # it would, and nobody said that there is room
+    assert router.locality.spill > 0.5  # it would, and nobody said that there is room
     now = router.step_at
     assert {one(router, carried(arrived=now), now).node[:1] for _ in range(30)} <= {"a", ""}
-    assert router.ordered(now, Order(1, 1, {}, {"b": 1_000.0}))
+    assert router.apply_plan(now, RoutingPlan(1, 1, {}, {"b": 1_000.0}))
     zones = Counter(one(router, carried(arrived=now), now).node[:1] for _ in range(60))
     assert zones["b"] > 20
-    assert not router.ordered(now, Order(0, 1, {}, {}))
-    drained = Order(2, 2, {"a": Duty.FENCED}, {"b": 1_000.0})
-    assert router.ordered(now, drained)
+    assert not router.apply_plan(now, RoutingPlan(0, 1, {}, {}))
+    drained = RoutingPlan(2, 2, {"a": ZoneRole.FENCED}, {"b": 1_000.0})
+    assert router.apply_plan(now, drained)
     assert {one(router, carried(arrived=now), now).node[:1] for _ in range(30)} == {"b"}
-    room = router.near.guests["b"]
-    router.near.fill(now + STALE + 1)
-    assert router.near.guests["b"] < room  # no word for long: it only grows more careful
+    room = router.locality.spillover_left["b"]
+    router.locality.refill_spillover(now + PLAN_STALE_AFTER_US + 1)
+    assert router.locality.spillover_left["b"] < room  # no word for long: it only grows more careful
 
 
 def test_more_than_are_held_are_deferred_at_once(router):
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -8,7 +8,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
 from lichencleat.config.file import WrongFileError
-from lichencleat.failover.terms import Zone
+from lichencleat.failover.messages import Zone
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.report import Report
 from lichencleat.node.resp import ArrayReader, array
