--- a/lichencleat/cli/fleet.py
+++ b/lichencleat/cli/fleet.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.quorum import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
 from lichencleat.recovery.messages import (
     CommandResult,
     ForgetNode,
--- a/lichencleat/failover/__init__.py
+++ b/lichencleat/failover/__init__.py
@@ -1,4 +1,4 @@
-"""Zone failover: which zones serve, and how far a router keeps traffic local; see docs/zones.md.
+"""Zone failover: which zones serve, and how far a router keeps traffic local; see docs/failover.md.
 
 Guarantees: every routing plan has a version and the fencing token of the one leader that published it;
 whoever knows a newer plan rejects an older one; no plan sends more to a zone than its known capacity. What a
--- a/lichencleat/recovery/__init__.py
+++ b/lichencleat/recovery/__init__.py
@@ -1,4 +1,4 @@
-"""Cold start of the fleet after a power loss; the concepts are described in docs/revive.md.
+"""Cold start of the fleet after a power loss; the concepts are described in docs/recovery.md.
 
 Guarantees: a node serves under the current epoch of the fleet only; it trusts no idempotency window while its
 clock contradicts that of the fleet; nodes are opened in batches that grow while the open ones are healthy, by
--- a/lichencleat/recovery/trust.py
+++ b/lichencleat/recovery/trust.py
@@ -1,6 +1,6 @@
 """What a node trusts from before its start, item by item, and the proof that each requires; no I/O.
 
-The table of docs/revive.md as code: whatever is not in it is not trusted.
+The table of docs/recovery.md as code: whatever is not in it is not trusted.
 """
 
 from __future__ import annotations
@@ -62,8 +62,8 @@
 def can_serve_keyed(verified: Verified) -> bool:
     """Whether requests with an idempotency key may be served.
 
-    By rule 2 of docs/revive.md, each node for itself: its own records have to be verified, and attempts have
-    to be dated correctly. A key that ran on another node is not this node's concern.
+    By rule 2 of docs/recovery.md, each node for itself: its own records have to be verified, and
+    attempts have to be dated correctly. A key that ran on another node is not this node's concern.
     """
     return (
         is_trusted(Item.IDEMPOTENCY_RECORDS, verified)
