--- a/lichencleat/cli/failover.py
+++ b/lichencleat/cli/failover.py
@@ -14,7 +14,7 @@
     JOB,
     ActiveOverride,
     ClearOverride,
-    CommandResult,
+    CommandReply,
     DefineZone,
     DropZone,
     OperatorOverride,
@@ -24,8 +24,7 @@
     ZoneRole,
 )
 from lichencleat.failover.preview import preview_override
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Job
+from lichencleat.leases.messages import DefineJob, Job
 
 SECOND = 1_000_000  # µs
 ZONE = click.argument("zone")
@@ -71,8 +70,8 @@
 
 def propose(file: str, part: str, what: Any) -> None:
     told = talk(lambda reactor, client: client.propose(part, what, PATIENCE), chosen(file))
-    done = msgspec.convert(told, CommandResult)
-    if not done.applied:
+    done = msgspec.convert(told, CommandReply)
+    if not done.accepted:
         raise output.WrongData(f"zones: nothing was changed: {done.reason}")
 
 
--- a/lichencleat/cli/fleet.py
+++ b/lichencleat/cli/fleet.py
@@ -11,7 +11,7 @@
 from lichencleat.cli import output
 from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
 from lichencleat.recovery.messages import (
-    CommandResult,
+    CommandReply,
     ForgetNode,
     NodeState,
     NodeStatus,
@@ -40,8 +40,8 @@
 
 def propose(file: str, what: Any) -> None:
     told = talk(lambda reactor, client: client.propose("revive", what, PATIENCE), chosen(file))
-    done = msgspec.convert(told, CommandResult)
-    if not done.applied:
+    done = msgspec.convert(told, CommandReply)
+    if not done.accepted:
         raise output.WrongData(f"fleet: nothing was changed: {done.reason}")
 
 
--- a/lichencleat/failover/controller.py
+++ b/lichencleat/failover/controller.py
@@ -100,7 +100,7 @@
 class FailoverController:
     """The controller of one leader, under one fencing token."""
 
-    token: int
+    fencing_token: int
     health: dict[str, ZoneHealth] = field(default_factory=dict)
     last_reports: dict[str, LastSeen] = field(default_factory=dict)  # by router
     overrides_seen: dict[str, LastSeen] = field(default_factory=dict)  # by zone
@@ -133,10 +133,10 @@
             self.update_health(now, health, self.judge(name, current, routers))
             capacity = self.observed_capacity(name, zone, current)
             if capacity is not None:
-                commands.append(UpdateCapacity(self.token, name, capacity))
+                commands.append(UpdateCapacity(self.fencing_token, name, capacity))
         new_plan = self.create_plan(zones, offered_load(zones, current), overrides, plan)
         if self.is_significant_change(plan, new_plan, zones):
-            commands.append(PublishPlan(self.token, plan.version, new_plan))
+            commands.append(PublishPlan(self.fencing_token, plan.version, new_plan))
         return commands
 
     def take_over(self, now: int, plan: RoutingPlan) -> None:
@@ -284,7 +284,7 @@
             shed = {name: round(excess, 2) for name, role in roles.items() if role in rerouted}
             reasons.append(f"{excess:.0%} of {moved:.0f} a second is more than the others carry")
         reason = "; ".join(reasons) or "all serve"
-        return RoutingPlan(old.version, old.token, roles, spillover, shed, reason)
+        return RoutingPlan(old.version, old.fencing_token, roles, spillover, shed, reason)
 
     def assign_roles(
         self, zones: dict[str, Zone], overrides: dict[str, ActiveOverride]
--- a/lichencleat/failover/messages.py
+++ b/lichencleat/failover/messages.py
@@ -51,7 +51,7 @@
     """Who serves what. A zone that is not named serves its own callers and gets no spillover."""
 
     version: int = 0
-    token: int = 0  # fencing token of the leader that published it
+    fencing_token: int = 0  # of the leader that published it
     roles: dict[str, int] = {}  # by zone, a `ZoneRole`
     spillover: dict[str, float] = {}  # requests a second that each zone may get from all others together
     shed: dict[str, float] = {}  # fraction of a zone's own arrivals that nobody can serve: rejected there
@@ -115,7 +115,7 @@
 class PublishPlan(msgspec.Struct, frozen=True, array_like=True, tag="give"):
     """From the leader: a plan in place of the one that it has read."""
 
-    token: int
+    fencing_token: int
     previous_version: int  # rejected if another plan was published since
     plan: RoutingPlan
 
@@ -123,7 +123,7 @@
 class UpdateCapacity(msgspec.Struct, frozen=True, array_like=True, tag="learn"):
     """From the leader: the capacity of a zone as observed."""
 
-    token: int
+    fencing_token: int
     zone: str
     capacity: float
 
@@ -151,8 +151,8 @@
     index: int  # of its log entry
 
 
-class CommandResult(msgspec.Struct, frozen=True, array_like=True):
+class CommandReply(msgspec.Struct, frozen=True, array_like=True):
     """Whether a command was applied, and if not, why."""
 
-    applied: bool
+    accepted: bool
     reason: str = ""
--- a/lichencleat/failover/preview.py
+++ b/lichencleat/failover/preview.py
@@ -18,7 +18,7 @@
 
     Computed by the failover controller itself, from the replicated state that the other arguments give.
     """
-    controller = FailoverController(plan.token)
+    controller = FailoverController(plan.fencing_token)
     for name in zones:
         is_out = plan.role(name) is ZoneRole.STANDBY and name not in overrides
         controller.health[name] = ZoneHealth(is_out=is_out, ramp=0.0 if is_out else 1.0)
--- a/lichencleat/failover/state.py
+++ b/lichencleat/failover/state.py
@@ -16,7 +16,7 @@
     ActiveOverride,
     ClearOverride,
     Command,
-    CommandResult,
+    CommandReply,
     DefineZone,
     DropZone,
     HealthReport,
@@ -28,7 +28,7 @@
     Zone,
     ZoneRole,
 )
-from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.lease_state import LeaseState
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
 MAX_UTILIZATION = 1.0  # of a zone's capacity that a plan may fill with spillover: beyond it is rejected
@@ -66,7 +66,7 @@
             carries the newest fencing token.
     """
 
-    def __init__(self, jobs: Jobs) -> None:
+    def __init__(self, jobs: LeaseState) -> None:
         self.jobs = jobs
         self.zones: dict[str, Zone] = {}
         self.plan = RoutingPlan()
@@ -74,12 +74,12 @@
         self.overrides: dict[str, ActiveOverride] = {}
         self.history: list[RoutingPlan] = []
 
-    def apply(self, index: int, command: msgspec.Raw) -> RoutingPlan | CommandResult:
+    def apply(self, index: int, command: msgspec.Raw) -> RoutingPlan | CommandReply:
         """Apply the log entry `index`; the result is the same at each member."""
         try:
             message = decode_command(command)
         except UNDECODABLE:
-            return CommandResult(False, "no command")
+            return CommandReply(False, "no command")
         match message:
             case HealthReport():
                 return self.apply_report(index, message)
@@ -88,19 +88,19 @@
             case PublishPlan():
                 return self.publish_plan(message)
         if message.zone not in self.zones:
-            return CommandResult(False, "no such zone")
+            return CommandReply(False, "no such zone")
         return self.apply_to_zone(index, message)
 
     def apply_to_zone(
         self, index: int, message: DropZone | OperatorOverride | ClearOverride | UpdateCapacity
-    ) -> CommandResult:
+    ) -> CommandReply:
         """Apply a command about a zone that is known to exist."""
         match message:
             case DropZone():
                 return self.drop_zone(message)
             case OperatorOverride():
                 self.overrides[message.zone] = ActiveOverride(message.role, message.duration, index)
-                return CommandResult(True)
+                return CommandReply(True)
             case ClearOverride():
                 return self.clear_override(message)
             case UpdateCapacity():
@@ -120,59 +120,61 @@
 
     # -- operators -------------------------------------------------------------------------------------
 
-    def define_zone(self, message: DefineZone) -> CommandResult:
+    def define_zone(self, message: DefineZone) -> CommandReply:
         """Add a zone, or change its properties."""
         if message.zone not in self.zones and len(self.zones) >= MAX_ZONES:
-            return CommandResult(False, "too many zones")
+            return CommandReply(False, "too many zones")
         if message.capacity <= 0:
-            return CommandResult(False, "a zone that carries nothing is none")
+            return CommandReply(False, "a zone that carries nothing is none")
         self.zones[message.zone] = Zone(message.region, message.capacity, message.round_trips)
-        return CommandResult(True)
+        return CommandReply(True)
 
-    def drop_zone(self, message: DropZone) -> CommandResult:
+    def drop_zone(self, message: DropZone) -> CommandReply:
         """Remove a zone and its override."""
         del self.zones[message.zone]
         self.overrides.pop(message.zone, None)
-        return CommandResult(True)
+        return CommandReply(True)
 
-    def clear_override(self, message: ClearOverride) -> CommandResult:
+    def clear_override(self, message: ClearOverride) -> CommandReply:
         """Clear an override, unless another one than the one meant is in force."""
         override = self.overrides.get(message.zone)
         if override is None or (message.index and override.index != message.index):
-            return CommandResult(False, "no such wish")
+            return CommandReply(False, "no such wish")
         del self.overrides[message.zone]
-        return CommandResult(True)
+        return CommandReply(True)
 
     # -- the leader ------------------------------------------------------------------------------------
 
     def is_from_leader(self, message: PublishPlan | UpdateCapacity) -> bool:
         """Whether the command carries the newest fencing token of the job."""
         # A leader that was suspended for longer than its lease would continue with an outdated view.
-        return self.jobs.is_owner(JOB, message.token)
+        return self.jobs.is_current_token(JOB, message.fencing_token)
 
-    def update_capacity(self, message: UpdateCapacity) -> CommandResult:
+    def update_capacity(self, message: UpdateCapacity) -> CommandReply:
         """Take over the capacity that the leader observed."""
         if not self.is_from_leader(message):
-            return CommandResult(False, "an older owner's")
+            return CommandReply(False, "an older owner's")
         self.zones[message.zone].capacity = message.capacity
-        return CommandResult(True)
+        return CommandReply(True)
 
-    def publish_plan(self, message: PublishPlan) -> CommandResult:
+    def publish_plan(self, message: PublishPlan) -> CommandReply:
         """Put a plan in force if it follows the current one, fits the capacities and keeps fences."""
         if not self.is_from_leader(message):
-            return CommandResult(False, "an older owner's")
+            return CommandReply(False, "an older owner's")
         if message.previous_version != self.plan.version:
-            return CommandResult(False, "another order was given since")
+            return CommandReply(False, "another order was given since")
         plan = message.plan
         for zone, rate in plan.spillover.items():
             if zone not in self.zones or rate > self.zones[zone].capacity * MAX_UTILIZATION:
-                return CommandResult(False, f"{zone} is not known to carry {rate:.0f} a second")
+                return CommandReply(False, f"{zone} is not known to carry {rate:.0f} a second")
         fenced = [name for name, each in self.overrides.items() if each.role == ZoneRole.FENCED]
         if any(plan.role(name) != ZoneRole.FENCED for name in fenced):
-            return CommandResult(False, "an operator has fenced a zone that it opens")
+            return CommandReply(False, "an operator has fenced a zone that it opens")
         self.history = [*self.history, self.plan][-MAX_HISTORY:]
-        self.plan = msgspec.structs.replace(plan, version=self.plan.version + 1, token=message.token)
-        return CommandResult(True)
+        self.plan = msgspec.structs.replace(
+            plan, version=self.plan.version + 1, fencing_token=message.fencing_token
+        )
+        return CommandReply(True)
 
     # -- reads and snapshots ---------------------------------------------------------------------------
 
--- a/lichencleat/recovery/messages.py
+++ b/lichencleat/recovery/messages.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from lichencleat.quotas.terms import RETURN
+from lichencleat.quotas.messages import RECOVERY_JOB
 
-JOB = RETURN  # the job of the fleet whose lease holder plans the rollout
+JOB = RECOVERY_JOB  # the job of the fleet whose lease holder plans the rollout
 STATE_PART = "revive"  # the name of this part of the replicated state
 MAX_NODES = 2_048
 MAX_REASON_LENGTH = 200  # characters
@@ -78,7 +78,7 @@
 class NodeLost(msgspec.Struct, frozen=True, array_like=True, tag="lost"):
     """From the leader: no report has come for long since the named one."""
 
-    token: int
+    fencing_token: int
     node: str
     last_report: int
 
@@ -86,7 +86,7 @@
 class NewEpoch(msgspec.Struct, frozen=True, array_like=True, tag="epoch"):
     """From the leader: so many nodes lost their power that a recovery begins."""
 
-    token: int
+    fencing_token: int
     previous: int  # the epoch that ends; rejected if another one has begun since
     reason: str = ""
 
@@ -94,7 +94,7 @@
 class RolloutBatch(msgspec.Struct, frozen=True, array_like=True, tag="wave"):
     """From the leader: how far nodes are open from now on, and the plan as it has learned since."""
 
-    token: int
+    fencing_token: int
     shares: dict[str, float]  # by node; 0: shut again
     plan: RolloutPlan | None  # None: the recovery is over
 
@@ -131,8 +131,8 @@
     has_no_planner: bool = False  # no process holds the planner's lease, so nobody opens nodes
 
 
-class CommandResult(msgspec.Struct, frozen=True, array_like=True):
+class CommandReply(msgspec.Struct, frozen=True, array_like=True):
     """Whether a command was applied, and if not, why."""
 
-    applied: bool
+    accepted: bool
     reason: str = ""
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -9,7 +9,7 @@
 
 from dataclasses import dataclass
 
-from lichencleat.quotas.terms import Part
+from lichencleat.quotas.messages import SetAllocatableShare
 from lichencleat.recovery.messages import (
     NewEpoch,
     NodeLost,
@@ -19,7 +19,7 @@
     RolloutPlan,
 )
 
-PlannerCommand = NodeLost | NewEpoch | RolloutBatch | Part
+PlannerCommand = NodeLost | NewEpoch | RolloutBatch | SetAllocatableShare
 
 REPORT_TIMEOUT_US = 5_000_000  # without a report, then a node is gone: an open one reports each 2 s
 # After the first start, before a power loss is told from single restarts: by then most nodes are up.
@@ -86,8 +86,8 @@
 class RolloutPlanner:
     """The planner of one leader, under one fencing token."""
 
-    def __init__(self, token: int) -> None:
-        self.token = token
+    def __init__(self, fencing_token: int) -> None:
+        self.fencing_token = fencing_token
         self.last_reports: dict[str, LastReport] = {}
         self.waiting_since: int | None = None  # µs: since when a node is shut
         self.first_reports: dict[str, int] = {}  # node -> log index of the report that was seen first
@@ -124,7 +124,7 @@
                 last = LastReport(each.last_report, now)
             last_reports[name] = last
             if each.status != NodeStatus.GONE and now - last.seen_at >= REPORT_TIMEOUT_US:
-                lost.append(NodeLost(self.token, name, each.last_report))
+                lost.append(NodeLost(self.fencing_token, name, each.last_report))
         self.last_reports = last_reports
         return lost
 
@@ -135,7 +135,7 @@
         opening = self.next_shares(nodes)
         if not shut:
             self.waiting_since = None
-            return [RolloutBatch(self.token, opening, None)] if opening else []
+            return [RolloutBatch(self.fencing_token, opening, None)] if opening else []
         if self.waiting_since is None:
             self.waiting_since = now
         away = len(nodes) - self.count_present(nodes)
@@ -143,9 +143,9 @@
             if now - self.waiting_since < EPOCH_DELAY_US and len(shut) < len(nodes):
                 return []  # more nodes may report
             reason = f"{away} of {len(nodes)} nodes lost their power or their way"
-            return [NewEpoch(self.token, epoch, reason)]
+            return [NewEpoch(self.fencing_token, epoch, reason)]
         opening |= dict.fromkeys(opening_order(nodes), OPENING_STEP)
-        return [RolloutBatch(self.token, opening, None)] if opening else []
+        return [RolloutBatch(self.fencing_token, opening, None)] if opening else []
 
     def count_present(self, nodes: dict[str, NodeState]) -> int:
         """Count open nodes that have reported to the group while this leader watched."""
@@ -179,7 +179,7 @@
         dependency_share = self.next_dependency_share(plan, load, bool(open_nodes))
         is_all_open = open_nodes and all(each.share >= 1.0 for each in open_nodes.values())
         if not shut and not opening and is_all_open and dependency_share >= 1.0:
-            return [Part(self.token, 1.0), RolloutBatch(self.token, {}, None)]
+            return [SetAllocatableShare(self.fencing_token, 1.0), RolloutBatch(self.fencing_token, {}, None)]
         self.healthy_steps = self.healthy_steps + 1 if load <= REFERENCE_LOAD and not failed else 0
         next_plan = self.next_plan(plan, len(nodes), len(open_nodes), load, dependency_share)
         if self.healthy_steps >= SETTLING_STEPS and not opening:
@@ -188,7 +188,10 @@
                 next_plan.batch += 1
                 self.healthy_steps = 0
                 opening = batch
-        return [Part(self.token, dependency_share), RolloutBatch(self.token, opening, next_plan)]
+        return [
+            SetAllocatableShare(self.fencing_token, dependency_share),
+            RolloutBatch(self.fencing_token, opening, next_plan),
+        ]
 
     def begin_rollout(
         self, nodes: dict[str, NodeState], plan: RolloutPlan, open_count: int
@@ -204,7 +207,10 @@
             reason=f"wave 1: {max_open:.0f} nodes first, the others after them",
         )
         batch = self.next_batch(nodes, first_plan, open_count)
-        return [Part(self.token, first_plan.dependency_share), RolloutBatch(self.token, batch, first_plan)]
+        return [
+            SetAllocatableShare(self.fencing_token, first_plan.dependency_share),
+            RolloutBatch(self.fencing_token, batch, first_plan),
+        ]
 
     def next_plan(
         self, plan: RolloutPlan, node_count: int, open_count: int, load: float, dependency_share: float
@@ -252,4 +258,4 @@
             dependency_share=plan.dependency_share / 2,
             reason=f"wave {plan.batch} fell: {shut_again}, up to {max_open:.0f} may be open",
         )
-        return RolloutBatch(self.token, dict.fromkeys(last_batch, 0.0), next_plan)
+        return RolloutBatch(self.fencing_token, dict.fromkeys(last_batch, 0.0), next_plan)
--- a/lichencleat/recovery/planner_task.py
+++ b/lichencleat/recovery/planner_task.py
@@ -9,8 +9,8 @@
 
 from lichencleat.leases.interfaces import GroupClient, Logger, ReactorTime
 from lichencleat.leases.leader_task import LeaderTask
+from lichencleat.quotas.messages import SetAllocatableShare
 from lichencleat.quotas.quota_client import PART as QUOTAS_PART
-from lichencleat.quotas.terms import Part
 from lichencleat.recovery.messages import (
     JOB,
     STATE_PART,
@@ -52,7 +52,7 @@
         nodes = msgspec.convert(view["nodes"], dict[str, NodeState])
         plan = msgspec.convert(view["plan"], RolloutPlan | None)
         for command in decider.plan_next_step(self.now(), view["epoch"], nodes, plan):
-            self.propose(QUOTAS_PART if isinstance(command, Part) else STATE_PART, command)
+            self.propose(QUOTAS_PART if isinstance(command, SetAllocatableShare) else STATE_PART, command)
 
     def on_propose(self, command: object) -> None:
         """Log each stage of the plan once, with its reason."""
@@ -63,7 +63,7 @@
             reason = command.reason
         if isinstance(command, RolloutBatch | NewEpoch) and reason and reason != self.logged_reason:
             self.logged_reason = reason
-            self.log.info("plan", token=command.token, reason=reason)
+            self.log.info("plan", token=command.fencing_token, reason=reason)
 
     def on_proposal_failed(self, failure: Failure) -> None:
         """Log the failure; the next poll repeats what is still needed."""
--- a/lichencleat/recovery/state.py
+++ b/lichencleat/recovery/state.py
@@ -8,13 +8,13 @@
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
-from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.lease_state import LeaseState
 from lichencleat.recovery.messages import (
     JOB,
     MAX_NODES,
     MAX_REASON_LENGTH,
     Command,
-    CommandResult,
+    CommandReply,
     ForgetNode,
     NewEpoch,
     NodeLeaving,
@@ -73,18 +73,18 @@
             carries the newest fencing token.
     """
 
-    def __init__(self, jobs: Jobs) -> None:
+    def __init__(self, jobs: LeaseState) -> None:
         self.jobs = jobs
         self.epoch = 1
         self.nodes: dict[str, NodeState] = {}
         self.plan: RolloutPlan | None = None
 
-    def apply(self, index: int, command: msgspec.Raw) -> ReportReply | CommandResult:
+    def apply(self, index: int, command: msgspec.Raw) -> ReportReply | CommandReply:
         """Apply the log entry `index`; the result is the same at each member."""
         try:
             message = decode_command(command)
         except UNDECODABLE:
-            return CommandResult(False, "no command")
+            return CommandReply(False, "no command")
         if isinstance(message, NodeReport):
             return self.apply_report(index, message)
         if isinstance(message, NodeLost | NewEpoch | RolloutBatch):
@@ -93,7 +93,7 @@
 
     def apply_other_command(
         self, message: NodeLeaving | PauseRollout | SkipNode | ForgetNode
-    ) -> CommandResult:
+    ) -> CommandReply:
         """Apply what a node says at its end, or an operator."""
         match message:
             case NodeLeaving():
@@ -103,13 +103,13 @@
             case SkipNode():
                 return self.set_share(message.node, 1.0)
             case ForgetNode():
-                return CommandResult(self.nodes.pop(message.node, None) is not None, "no such node")
+                return CommandReply(self.nodes.pop(message.node, None) is not None, "no such node")
 
-    def apply_leader_command(self, message: NodeLost | NewEpoch | RolloutBatch) -> CommandResult:
+    def apply_leader_command(self, message: NodeLost | NewEpoch | RolloutBatch) -> CommandReply:
         """Apply a command of the leader, unless its lease is over."""
         # A leader that was suspended before a power loss would continue with an outdated plan.
-        if not self.jobs.is_owner(JOB, message.token):
-            return CommandResult(False, "an older owner's")
+        if not self.jobs.is_current_token(JOB, message.fencing_token):
+            return CommandReply(False, "an older owner's")
         match message:
             case NodeLost():
                 return self.mark_gone(message)
@@ -163,7 +163,7 @@
     def has_planner(self) -> bool:
         """Whether a process holds the lease of the planner's job."""
         job = self.jobs.jobs.get(JOB)
-        return job is not None and bool(job.owner)
+        return job is not None and bool(job.holder)
 
     def clock_offset(self, index: int, node: NodeState) -> int:
         """µs that the node's clock is ahead of the others'; 0 if that may be chance, or too few are known."""
@@ -173,61 +173,61 @@
         offset = node.unix_time - round(median(clocks))
         return offset if abs(offset) > MAX_CLOCK_OFFSET_US else 0
 
-    def remove_leaving(self, message: NodeLeaving) -> CommandResult:
+    def remove_leaving(self, message: NodeLeaving) -> CommandReply:
         """Remove a node that shuts down gracefully, unless it has started again since."""
         node = self.nodes.get(message.node)
         if node is None or node.incarnation != message.incarnation:
-            return CommandResult(False, "no such node")
+            return CommandReply(False, "no such node")
         del self.nodes[message.node]
-        return CommandResult(True)
+        return CommandReply(True)
 
-    def set_share(self, name: str, share: float) -> CommandResult:
+    def set_share(self, name: str, share: float) -> CommandReply:
         """Open a node to `share` of its arrivals, or shut it at 0."""
         node = self.nodes.get(name)
         if node is None or node.status == NodeStatus.GONE:
-            return CommandResult(False, "nothing is heard of it")
+            return CommandReply(False, "nothing is heard of it")
         if share > 0 and node.status == NodeStatus.SHUT:
             node.batch = self.plan.batch if self.plan is not None else 0
         node.status = NodeStatus.OPEN if share > 0 else NodeStatus.SHUT
         node.share = min(1.0, max(0.0, share))
-        return CommandResult(True)
+        return CommandReply(True)
 
     # -- the plan --------------------------------------------------------------------------------------
 
-    def pause(self, message: PauseRollout) -> CommandResult:
+    def pause(self, message: PauseRollout) -> CommandReply:
         """Pause the recovery under way, or continue it."""
         if self.plan is None:
-            return CommandResult(False, "no return is under way")
+            return CommandReply(False, "no return is under way")
         self.plan.paused = message.paused
-        return CommandResult(True)
+        return CommandReply(True)
 
-    def mark_gone(self, message: NodeLost) -> CommandResult:
+    def mark_gone(self, message: NodeLost) -> CommandReply:
         """Mark a node as gone, unless it has reported since."""
         node = self.nodes.get(message.node)
         if node is None or node.last_report != message.last_report:
-            return CommandResult(False, "it was heard since")
+            return CommandReply(False, "it was heard since")
         node.status = NodeStatus.GONE
         node.share = 0.0
-        return CommandResult(True)
+        return CommandReply(True)
 
-    def begin_epoch(self, message: NewEpoch) -> CommandResult:
+    def begin_epoch(self, message: NewEpoch) -> CommandReply:
         """Begin an epoch; nodes that kept their power stay open, and learn of it by their next report."""
         if message.previous != self.epoch:
-            return CommandResult(False, "another epoch has begun since")
+            return CommandReply(False, "another epoch has begun since")
         self.epoch += 1
         self.plan = RolloutPlan(0.0, reason=message.reason[:MAX_REASON_LENGTH])
-        return CommandResult(True)
+        return CommandReply(True)
 
-    def apply_batch(self, message: RolloutBatch) -> CommandResult:
+    def apply_batch(self, message: RolloutBatch) -> CommandReply:
         """Take over the plan and open or shut the nodes that the batch names."""
         if message.plan is not None and self.plan is not None:
             message.plan.paused = self.plan.paused  # an operator may have paused it since the leader's read
             if message.plan.paused:
-                return CommandResult(False, "an operator holds the plan")
+                return CommandReply(False, "an operator holds the plan")
         self.plan = message.plan
         for name, share in message.shares.items():
             self.set_share(name, share)
-        return CommandResult(True)
+        return CommandReply(True)
 
     # -- reads and snapshots ---------------------------------------------------------------------------
 
--- a/lichencleat/router/health_reporter.py
+++ b/lichencleat/router/health_reporter.py
@@ -79,7 +79,7 @@
             self.log_failure(f"an older order came: {plan.version} after {previous_version}")
             return
         if plan.version != previous_version:
-            self.log.info("order", number=plan.version, token=plan.token, reason=plan.reason)
+            self.log.info("order", number=plan.version, token=plan.fencing_token, reason=plan.reason)
         self.is_failing = False
 
     def on_failure(self, failure: Failure) -> None:
--- a/tests/failover/test_zones.py
+++ b/tests/failover/test_zones.py
@@ -25,7 +25,7 @@
 from lichencleat.failover.messages import (
     JOB,
     ClearOverride,
-    CommandResult,
+    CommandReply,
     DefineZone,
     DropZone,
     HealthReport,
@@ -40,9 +40,8 @@
 from lichencleat.failover.outlier_ejection import BASE_EJECTION_US, OutlierEjector
 from lichencleat.failover.retry_budget import MIN_RETRIES_PER_SECOND, WINDOW_S, RetryBudget
 from lichencleat.failover.state import FailoverState
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.leases.terms import Gone, Renew
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
 from lichencleat.testkit.simulation.zones import World
 
 SECOND = 1_000_000
@@ -50,11 +49,11 @@
 
 class Group:
     def __init__(self):
-        self.jobs, self.index = Jobs(), 0
+        self.jobs, self.index = LeaseState(), 0
         self.zones = FailoverState(self.jobs)
         self.owner("o1", 1)
         for name, far in (("x", {"y": 30_000}), ("y", {"x": 30_000})):
-            assert self(DefineZone(name, "r", 100.0, far)) == CommandResult(True)
+            assert self(DefineZone(name, "r", 100.0, far)) == CommandReply(True)
 
     def enter(self, part, what):
         self.index += 1
@@ -65,13 +64,13 @@
 
     def owner(self, name, life):
         for each, known in list(self.jobs.candidates.items()):
-            self.enter(self.jobs, Gone(each, known.renewed))
-        self.enter(self.jobs, Renew(name, "", life, True, {}))
+            self.enter(self.jobs, CandidateExpired(each, known.renewal_index))
+        self.enter(self.jobs, RenewLease(name, "", life, True, {}))
         self.enter(self.jobs, DefineJob(JOB))
 
     @property
     def token(self):
-        return self.jobs.jobs[JOB].token
+        return self.jobs.jobs[JOB].fencing_token
 
     def tell(self, router, zone, offered=40.0, **seen):
         known = {name: ZoneObservation(*told, 300_000) for name, told in seen.items()}
@@ -94,10 +93,10 @@
 def test_an_order_has_a_number_and_is_told_to_who_tells(group):
     assert group.tell("x.0", "x").version == 0
     given = RoutingPlan(0, 0, {"x": ZoneRole.STANDBY}, {"y": 50.0})
-    assert group(PublishPlan(group.token, 0, given)) == CommandResult(True)
+    assert group(PublishPlan(group.token, 0, given)) == CommandReply(True)
     told = group.tell("x.0", "x")
-    assert (told.version, told.token, told.role("x"), told.role("y")) == (1, group.token, 3, 1)
-    assert not group(PublishPlan(group.token, 0, given)).applied  # another was given since
+    assert (told.version, told.fencing_token, told.role("x"), told.role("y")) == (1, group.token, 3, 1)
+    assert not group(PublishPlan(group.token, 0, given)).accepted  # another was given since
     assert group.zones.read("history") == [RoutingPlan()]
     again = FailoverState(group.jobs)
     again.load(msgspec.Raw(msgspec.msgpack.encode(group.zones.dump())))
@@ -108,7 +107,7 @@
     old = group.token
     group.owner("o2", 2)
     for what in (PublishPlan(old, 0, RoutingPlan()), UpdateCapacity(old, "x", 5.0)):
-        assert group(what) == CommandResult(False, "an older owner's")
+        assert group(what) == CommandReply(False, "an older owner's")
     assert (
         "not known to carry" in group(PublishPlan(group.token, 0, RoutingPlan(spillover={"y": 101.0}))).reason
     )
@@ -118,15 +117,16 @@
 
 
 def test_what_an_operator_fenced_stays_fenced_and_words_are_checked(group):
-    assert group(OperatorOverride("x", ZoneRole.FENCED)).applied
+    assert group(OperatorOverride("x", ZoneRole.FENCED)).accepted
     assert "fenced" in group(PublishPlan(group.token, 0, RoutingPlan())).reason
-    assert group(PublishPlan(group.token, 0, RoutingPlan(roles={"x": ZoneRole.FENCED}))).applied
+    assert group(PublishPlan(group.token, 0, RoutingPlan(roles={"x": ZoneRole.FENCED}))).accepted
     assert (
-        not group(OperatorOverride("z", ZoneRole.DRAINING)).applied and not group(ClearOverride("y")).applied
+        not group(OperatorOverride("z", ZoneRole.DRAINING)).accepted
+        and not group(ClearOverride("y")).accepted
     )
-    assert not group(ClearOverride("x", index=1)).applied and group(ClearOverride("x")).applied
-    assert not group(DefineZone("z", "r", 0.0)).applied and group(DropZone("y")).applied
-    assert group.zones.apply(99, msgspec.Raw(b"\xc0")) == CommandResult(False, "no command")
+    assert not group(ClearOverride("x", index=1)).accepted and group(ClearOverride("x")).accepted
+    assert not group(DefineZone("z", "r", 0.0)).accepted and group(DropZone("y")).accepted
+    assert group.zones.apply(99, msgspec.Raw(b"\xc0")) == CommandReply(False, "no command")
 
 
 # -- the controller -------------------------------------------------------------------------------------
@@ -191,7 +191,7 @@
 
 def test_no_order_sends_more_than_is_known_to_be_carried_and_the_rest_is_deferred_at_the_edge(group):
     controller = FailoverController(group.token)
-    assert group(OperatorOverride("x", ZoneRole.DRAINING)).applied
+    assert group(OperatorOverride("x", ZoneRole.DRAINING)).accepted
     for at in range(3):
         group.tell("x.0", "x", offered=90.0, x=WELL)
         group.tell("y.0", "y", offered=60.0, y=WELL)
--- a/tests/recovery/test_revive.py
+++ b/tests/recovery/test_revive.py
@@ -4,10 +4,10 @@
 import pytest
 from msgspec.structs import astuple
 
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define, Gone, Renew
-from lichencleat.quotas.pools import Pools
-from lichencleat.quotas.terms import Part
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import CandidateExpired, DefineJob, RenewLease
+from lichencleat.quotas.messages import SetAllocatableShare
+from lichencleat.quotas.quota_state import QuotaState
 from lichencleat.recovery.boot_record import (
     BootRecord,
     ClockCheck,
@@ -55,8 +55,8 @@
     """The parts of a group's state, with an owner of the return; each command is the next entry."""
 
     def __init__(self):
-        self.jobs, self.index = Jobs(), 0
-        self.fleet, self.pools = FleetState(self.jobs), Pools(self.jobs)
+        self.jobs, self.index = LeaseState(), 0
+        self.fleet, self.pools = FleetState(self.jobs), QuotaState(self.jobs)
         self.owner("o1", 1)
 
     def enter(self, part, what):
@@ -64,17 +64,17 @@
         return part.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(what)))
 
     def __call__(self, what):
-        return self.enter(self.pools if isinstance(what, Part) else self.fleet, what)
+        return self.enter(self.pools if isinstance(what, SetAllocatableShare) else self.fleet, what)
 
     def owner(self, name, life):
         for each, known in list(self.jobs.candidates.items()):
-            self.enter(self.jobs, Gone(each, known.renewed))
-        self.enter(self.jobs, Renew(name, "", life, True, {}))
-        self.enter(self.jobs, Define(JOB))
+            self.enter(self.jobs, CandidateExpired(each, known.renewal_index))
+        self.enter(self.jobs, RenewLease(name, "", life, True, {}))
+        self.enter(self.jobs, DefineJob(JOB))
 
     @property
     def token(self):
-        return self.jobs.jobs[JOB].token
+        return self.jobs.jobs[JOB].fencing_token
 
     def report(self, node, life=1, zone="x", epoch=1, unix=0, **more):
         told = {"ready": True, "records_verified": True, "load": 0.3} | more
@@ -152,7 +152,7 @@
 
 def test_a_node_that_wakes_is_shut_until_it_is_opened_and_one_of_a_new_life_again(group):
     assert group.report("a").share == 0.0
-    assert group(RolloutBatch(group.token, {"a": 1.0}, None)).applied
+    assert group(RolloutBatch(group.token, {"a": 1.0}, None)).accepted
     assert group.report("a").share == 1.0
     assert group.report("a", life=2).share == 0.0 and group.fleet.nodes["a"].status == NodeStatus.SHUT
 
@@ -167,12 +167,12 @@
         RolloutBatch(old, {"a": 1.0}, None),
         NewEpoch(old, 1),
         NodeLost(old, "a", beat),
-        Part(old, 0.5),
+        SetAllocatableShare(old, 0.5),
     ):
         told = group(what)
         assert astuple(told) == refused
-    assert group(NewEpoch(group.token, 1)).applied and group.fleet.epoch == 2
-    assert not group(NewEpoch(group.token, 1)).applied  # it has begun already
+    assert group(NewEpoch(group.token, 1)).accepted and group.fleet.epoch == 2
+    assert not group(NewEpoch(group.token, 1)).accepted  # it has begun already
 
 
 def test_a_loss_names_the_report_that_it_means_and_who_comes_again_is_shut(group):
@@ -180,10 +180,10 @@
     beat = group.fleet.nodes["a"].last_report
     group(RolloutBatch(group.token, {"a": 1.0}, None))
     group.report("a")
-    assert not group(NodeLost(group.token, "a", beat)).applied
-    assert group(NodeLost(group.token, "a", group.fleet.nodes["a"].last_report)).applied
+    assert not group(NodeLost(group.token, "a", beat)).accepted
+    assert group(NodeLost(group.token, "a", group.fleet.nodes["a"].last_report)).accepted
     assert group.fleet.nodes["a"].status == NodeStatus.GONE and group.report("a").share == 0.0
-    assert group(NodeLeaving("a", 1)).applied and "a" not in group.fleet.nodes
+    assert group(NodeLeaving("a", 1)).accepted and "a" not in group.fleet.nodes
 
 
 def test_a_clock_that_the_others_contradict_is_told_by_how_much(group):
@@ -196,16 +196,16 @@
 
 def test_an_operator_holds_goes_on_skips_and_forgets(group):
     group.report("a"), group.report("b")
-    assert not group(PauseRollout(True)).applied
+    assert not group(PauseRollout(True)).accepted
     group(NewEpoch(group.token, 1, "power"))
-    assert group(PauseRollout(True)).applied and "holds" in group.report("a").reason
-    assert not group(RolloutBatch(group.token, {"a": 1.0}, RolloutPlan(2.0))).applied
-    assert group(SkipNode("a")).applied and group.report("a").share == 1.0
+    assert group(PauseRollout(True)).accepted and "holds" in group.report("a").reason
+    assert not group(RolloutBatch(group.token, {"a": 1.0}, RolloutPlan(2.0))).accepted
+    assert group(SkipNode("a")).accepted and group.report("a").share == 1.0
     assert (
-        group(PauseRollout(False)).applied
-        and group(RolloutBatch(group.token, {"b": 0.5}, RolloutPlan(2.0))).applied
+        group(PauseRollout(False)).accepted
+        and group(RolloutBatch(group.token, {"b": 0.5}, RolloutPlan(2.0))).accepted
     )
-    assert group(ForgetNode("b")).applied and not group(SkipNode("b")).applied
+    assert group(ForgetNode("b")).accepted and not group(SkipNode("b")).accepted
     again = FleetState(group.jobs)
     again.load(msgspec.Raw(msgspec.msgpack.encode(group.fleet.dump())))
     assert again.nodes == group.fleet.nodes and again.plan == group.fleet.plan
@@ -243,7 +243,7 @@
     (new,), _ = group.looks(planner, EPOCH_DELAY_US)
     assert isinstance(new, NewEpoch) and group.fleet.epoch == 2 and group.fleet.plan.max_open == 0
     said, _ = group.looks(planner, EPOCH_DELAY_US + 300_000)
-    assert said[0] == Part(group.token, INITIAL_DEPENDENCY_SHARE)
+    assert said[0] == SetAllocatableShare(group.token, INITIAL_DEPENDENCY_SHARE)
     assert (
         len(said[1].shares) == 0 and said[1].plan.max_open == 8 * FIRST_BATCH_FRACTION
     )  # the four that stayed open are enough
@@ -367,7 +367,7 @@
     mine.on_reply(STANDALONE_DELAY_US, ReportReply(3, 0.0))
     assert mine.allowance(STANDALONE_DELAY_US + 4 * SECOND).share == 0.0
     assert not group.report("a").has_no_planner
-    group.enter(group.jobs, Gone("o1", group.jobs.candidates["o1"].renewed))
+    group.enter(group.jobs, CandidateExpired("o1", group.jobs.candidates["o1"].renewal_index))
     assert group.report("a").has_no_planner
 
 
