--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -21,7 +21,7 @@
 class Bound:
     role: str
     what: str
-    name: str  # module and constant, or the target's word
+    name: str  # of the bound in the plan's output, or the target's word
     bound: float | None  # None: the target's own
     size: Size
     answer: str = ""  # what carries it at the target instead, where it does not hold
@@ -45,11 +45,11 @@
     Bound("voter", "sessions: each node asks one group", "quorum.sessions.SESSIONS_MOST",
           sessions.SESSIONS_MOST,
           of.nodes),
-    Bound("owner", "candidates: each node", "leases.messages.MAX_CANDIDATES", owners.MAX_CANDIDATES,
+    Bound("owner", "candidates: each node", "owners.terms.CANDIDATES_MOST", owners.MAX_CANDIDATES,
           of.nodes, CANDIDATES),
-    Bound("owner", "candidates: each machine", "leases.messages.MAX_CANDIDATES", owners.MAX_CANDIDATES,
+    Bound("owner", "candidates: each machine", "owners.terms.CANDIDATES_MOST", owners.MAX_CANDIDATES,
           of.machines),
-    Bound("dealer", "seats of a pool", "quotas.messages.MAX_NODES", shares.MAX_NODES, of.seats),
+    Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.MAX_NODES, of.seats),
     Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", recovery.MAX_NODES, of.nodes),
     Bound("zone judge", "zones", "zones.terms.ZONES_MOST", failover.MAX_ZONES, of.zones),
     Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", failover.MAX_ROUTERS, of.routers),
@@ -64,3 +64,22 @@
     Bound("relay", "zones counted apart", "distribution.terms.ZONES_MOST", distribution.ZONES_MOST, of.zones),
 )
 # fmt: on
+
+SOURCES = {
+    "distribution.terms.RECORDS_MOST": "config_distribution.terms.RECORDS_MOST",
+    "distribution.terms.SUBSCRIBERS_MOST": "config_distribution.terms.SUBSCRIBERS_MOST",
+    "distribution.terms.ZONES_MOST": "config_distribution.terms.ZONES_MOST",
+    "flows.collector.SENDERS_MOST": "flows.collector.SENDERS_MOST",
+    "flows.collector.TENANTS_MOST": "flows.collector.TENANTS_MOST",
+    "members.table.MEMBERS_MOST": "membership.table.MEMBERS_MOST",
+    "owners.terms.CANDIDATES_MOST": "leases.messages.MAX_CANDIDATES",
+    "quorum.facts.FACTS_MOST": "consensus.facts.FACTS_MOST",
+    "quorum.group.MEMBERS_MOST": "consensus.group.MEMBERS_MOST",
+    "quorum.links.CONNECTIONS_MOST": "consensus.links.CONNECTIONS_MOST",
+    "quorum.sessions.SESSIONS_MOST": "consensus.sessions.SESSIONS_MOST",
+    "revive.terms.NODES_MOST": "recovery.messages.MAX_NODES",
+    "shares.terms.NODES_MOST": "quotas.messages.MAX_NODES",
+    "zones.terms.SOURCES_MOST": "failover.messages.MAX_ROUTERS",
+    "zones.terms.ZONES_MOST": "failover.messages.MAX_ZONES",
+}
+"""Where the constant of each name stands now: names are part of `capacity plan --json` and stay."""
