--- a/lichencleat/recovery/interfaces.py
+++ b/lichencleat/recovery/interfaces.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Mapping, Sized
 from typing import Protocol
 
-from lichencleat.terms import Machine, Tariff
+from lichencleat.admission.types import Machine, Tariff
 
 StoreReader = Callable[[bytes], bytes | None]  # the stored value of a key, None if there is none
 
--- a/lichencleat/recovery/service_time_store.py
+++ b/lichencleat/recovery/service_time_store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lichencleat.decide import RUNS_FEW
+from lichencleat.admission.controller import RUNS_FEW
 from lichencleat.leases.interfaces import Logger
 from lichencleat.recovery.interfaces import RecoveringHost, StoreReader
 from lichencleat.recovery.service_times import encode_merged, load_service_times
--- a/tests/recovery/test_figures.py
+++ b/tests/recovery/test_figures.py
@@ -8,7 +8,8 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from lichencleat.decide import RUNS_FEW, Node
+from lichencleat.admission.controller import RUNS_FEW, Node
+from lichencleat.admission.types import Machine, Outcome, Request, State, Tariff
 from lichencleat.node.host import Host
 from lichencleat.recovery.boot_record import ClockCheck
 from lichencleat.recovery.boot_record_store import BootRecordStore
@@ -24,7 +25,6 @@
     load_service_times,
 )
 from lichencleat.recovery.trust import REQUIRED_PROOF, Item, Proof
-from lichencleat.terms import Machine, Outcome, Request, State, Tariff
 
 SECOND = 1_000_000
 LONGEST = {"look": 5 * SECOND, "save": 9 * SECOND}
