--- /dev/null
+++ b/tests/recovery/test_service_times.py
@@ -0,0 +1,69 @@
+"""Learned service times: record, validation, first estimate."""
+
+import random
+
+import msgspec
+import pytest
+from service_time_cases import LONGEST, SECOND, TARIFFS, complete_run
+
+from lichencleat.admission.controller import RUNS_FEW, Node
+from lichencleat.admission.types import Machine
+from lichencleat.recovery.service_times import (
+    FORMAT,
+    MAX_CLASSES,
+    ServiceTimes,
+    encode_merged,
+    encode_service_times,
+    load_service_times,
+)
+from lichencleat.recovery.trust import REQUIRED_PROOF, Item, Proof
+
+
+def test_service_times_of_this_process_outweigh_the_previous_ones():
+    kept = encode_merged(2, {"look": 7, "save": 9}, {"look": 8})
+    assert load_service_times(kept, 2, LONGEST) == ({"look": 8, "save": 9}, "")
+    assert load_service_times(None, 2, LONGEST) == ({}, "")
+    assert REQUIRED_PROOF[Item.SERVICE_TIMES] is Proof.OWN_DISK
+
+
+@pytest.mark.parametrize(
+    ("stored", "why"),
+    [
+        (b"", "can't be read"),
+        (b"\xc1", "can't be read"),
+        (msgspec.msgpack.encode([1, 2, {"look": "x"}]), "can't be read"),
+        (msgspec.msgpack.encode([1, 2, {"look": 1.5}]), "can't be read"),
+        (msgspec.msgpack.encode([1, 2, {b"\xff": 1}]), "can't be read"),
+        (encode_service_times(ServiceTimes(FORMAT + 1, 2, {"look": 7})), f"have format {FORMAT + 1}"),
+        (encode_service_times(ServiceTimes(FORMAT, 4, {"look": 7})), "learned on 4 cores, and there are 2"),
+    ],
+)
+def test_load_service_times_drops_unusable_records_with_a_reason(stored, why):
+    runs, reason = load_service_times(stored, 2, LONGEST)
+    assert runs == {} and why in reason
+
+
+@pytest.mark.parametrize("took", [0, -1, 5 * SECOND + 1, 2**62])
+def test_load_service_times_drops_implausible_times_and_unknown_classes(took):
+    stored = encode_service_times(ServiceTimes(FORMAT, 2, {"look": took, "save": 3, "gone": 4}))
+    assert load_service_times(stored, 2, LONGEST) == ({"save": 3}, "")
+
+
+def test_load_service_times_reads_later_fields_and_the_record_is_bounded():
+    assert load_service_times(msgspec.msgpack.encode([1, 2, {"look": 7}, "more"]), 2, LONGEST)[0] == {
+        "look": 7
+    }
+    many = {f"t{number:04}": 1 for number in range(MAX_CLASSES + 9)}
+    assert len(load_service_times(encode_merged(2, many, {}), 2, dict.fromkeys(many, 9))[0]) == MAX_CLASSES
+
+
+def test_admission_outweighs_the_estimate_by_the_first_runs():
+    look, save = TARIFFS
+    node = Node(Machine(cores=2, tariffs=TARIFFS), random.Random(1))
+    node.ran_before(0, look, 900)
+    assert node.usual_run(look) == node.usual_run(save) == 900
+    for _ in range(RUNS_FEW - 1):
+        complete_run(node, look, 100)
+    assert node.usual_run(look) == 100
+    node.ran_before(0, look, 900)
+    assert list(node.run_times[look]) == [900, 100, 100, 100] and not node.run_times[save]
