--- a/tests/failover/test_controller.py
+++ b/tests/failover/test_failover_controller.py
@@ -1,7 +1,7 @@
 """Failover controller: zones out and back, capacity, overrides."""
 
 import pytest
-from observations import LOST, REJECTED, SUCCEEDED
+from failover_observations import LOST, REJECTED, SUCCEEDED
 
 from lichencleat.failover.controller import (
     INITIAL_RAMP,
