--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -9,12 +9,12 @@
 from lichencleat.capacity.sizes import Size
 from lichencleat.config_distribution import terms as distribution
 from lichencleat.consensus import facts, group, links, sessions
-from lichencleat.failover import terms as zones
+from lichencleat.failover import messages as failover
 from lichencleat.flows import collector
 from lichencleat.leases import messages as owners
 from lichencleat.membership import member_table
 from lichencleat.quotas import messages as shares
-from lichencleat.recovery import terms as revive
+from lichencleat.recovery import messages as recovery
 
 
 @dataclass(frozen=True, slots=True)
@@ -51,9 +51,9 @@
     Bound("owner", "candidates: each machine", "owners.terms.CANDIDATES_MOST", owners.MAX_CANDIDATES,
           of.machines),
     Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.MAX_NODES, of.seats),
-    Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", revive.NODES_MOST, of.nodes),
-    Bound("zone judge", "zones", "zones.terms.ZONES_MOST", zones.ZONES_MOST, of.zones),
-    Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", zones.SOURCES_MOST, of.routers),
+    Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", recovery.MAX_NODES, of.nodes),
+    Bound("zone judge", "zones", "zones.terms.ZONES_MOST", failover.MAX_ZONES, of.zones),
+    Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", failover.MAX_ROUTERS, of.routers),
     Bound("collector", "senders: each node to one", "flows.collector.SENDERS_MOST", collector.SENDERS_MOST,
           of.nodes),
     Bound("collector", "tenants told apart", "flows.collector.TENANTS_MOST", collector.TENANTS_MOST,
@@ -78,9 +78,9 @@
     "quorum.group.MEMBERS_MOST": "consensus.group.MEMBERS_MOST",
     "quorum.links.CONNECTIONS_MOST": "consensus.links.CONNECTIONS_MOST",
     "quorum.sessions.SESSIONS_MOST": "consensus.sessions.SESSIONS_MOST",
-    "revive.terms.NODES_MOST": "recovery.terms.NODES_MOST",
+    "revive.terms.NODES_MOST": "recovery.messages.MAX_NODES",
     "shares.terms.NODES_MOST": "quotas.messages.MAX_NODES",
-    "zones.terms.SOURCES_MOST": "failover.terms.SOURCES_MOST",
-    "zones.terms.ZONES_MOST": "failover.terms.ZONES_MOST",
+    "zones.terms.SOURCES_MOST": "failover.messages.MAX_ROUTERS",
+    "zones.terms.ZONES_MOST": "failover.messages.MAX_ZONES",
 }
 """Where the constant of each name stands now: names are part of `capacity plan --json` and stay."""
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -12,11 +12,11 @@
 from lichencleat.capacity.target import Target
 from lichencleat.config.loading import MAX_CONFIG_CHARACTERS
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
-from lichencleat.failover import judge
+from lichencleat.failover import controller
 from lichencleat.leases import messages as owners
 from lichencleat.quotas import messages as shares
 from lichencleat.quotas.allocator import POLL_INTERVAL_TERMS as DEAL
-from lichencleat.recovery.seat import PLAN
+from lichencleat.recovery.planner_task import POLL_INTERVAL_S
 
 CONFIG = "distribution: relays in tiers ([config_distribution.md](config_distribution.md))"
 SOME = "a few are members: relays and voters, not nodes"
@@ -83,7 +83,11 @@
     return 2 * target.restarts_a_second
 
 
-DEALS, PLANS, JUDGES = DEAL * shares.DEFAULT_TERM_US, PLAN * SECOND, judge.LOOK  # µs between two looks
+DEALS, PLANS, JUDGES = (
+    DEAL * shares.DEFAULT_TERM_US,
+    POLL_INTERVAL_S * SECOND,
+    controller.POLL_INTERVAL_US,
+)  # µs between two looks
 ONE = "one process, one reactor"
 PER_CALLER = "a connection a caller"
 EACH = "each caller to each node"
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -19,13 +19,13 @@
 from lichencleat.consensus.serves import Serves
 from lichencleat.consensus.state import Part, State, founded
 from lichencleat.consensus.terms import Group, Member
-from lichencleat.failover.state import Zones
+from lichencleat.failover.state import FailoverState
 from lichencleat.leases.candidate_expiry import CandidateExpiry
 from lichencleat.leases.lease_state import LeaseState
 from lichencleat.log.structured import create_logger
 from lichencleat.programs import run_program
 from lichencleat.quotas.quota_state import QuotaState
-from lichencleat.recovery.state import Fleet
+from lichencleat.recovery.state import FleetState
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.engine import Engine
@@ -88,8 +88,8 @@
         "facts": Facts(),
         "owners": jobs,
         "shares": QuotaState(jobs),
-        "revive": Fleet(jobs),
-        "zones": Zones(jobs),
+        "revive": FleetState(jobs),
+        "zones": FailoverState(jobs),
     }
 
 
--- a/lichencleat/testkit/explore_revive.py
+++ b/lichencleat/testkit/explore_revive.py
@@ -24,10 +24,10 @@
 from lichencleat.quotas.messages import DefinePool, QuotaReply, QuotaRequest, allocator_job
 from lichencleat.quotas.quota_grant import QuotaGrant
 from lichencleat.quotas.quota_state import QuotaState, reserved_calls
-from lichencleat.recovery.boot import Clock
-from lichencleat.recovery.state import Fleet
-from lichencleat.recovery.terms import JOB, Door, NewEpoch, Plan, Report, Wave
-from lichencleat.recovery.waking import Waking
+from lichencleat.recovery.boot_record import ClockCheck
+from lichencleat.recovery.messages import JOB, NewEpoch, NodeReport, NodeStatus, RolloutBatch, RolloutPlan
+from lichencleat.recovery.readiness_gate import ReadinessGate
+from lichencleat.recovery.state import FleetState
 from lichencleat.testkit.explore import Explored, explore
 
 POOL, LIMIT, FLOOR, TERM = "p", 3, 1, 1_000_000
@@ -38,11 +38,6 @@
 HOUR = 3_600_000_000  # µs by which the clock of node b is ahead after its first cut
 
 
-def token_of(command: Any) -> int:
-    """The fencing token of what an owner proposes."""
-    return command.token if isinstance(command, Wave) else command.fencing_token
-
-
 @dataclass
 class Node:
     """One process, or what it left: its calls below, its disk."""
@@ -53,7 +48,7 @@
     flying: QuotaReply | None = None  # an answer on its way
     out: tuple[int, ...] = ()  # ends of its calls, also of lives before
     mine: int = 0  # of them, of this life
-    waking: Waking | None = None
+    gate: ReadinessGate | None = None
     book: RecordIndex | None = None
     disk: IdempotencyRecord | None = None
     own: int = 0  # µs of its own time: it stands still while it is down
@@ -80,7 +75,7 @@
     wrong: str | None = None
 
     pools_kind = QuotaState
-    fleet_kind = Fleet
+    fleet_kind = FleetState
     grants_kind = QuotaGrant
     book_kind = RecordIndex
     waits_for_proof = True
@@ -131,7 +126,7 @@
         places |= {at for _, at in self.dealer.seen_at} | {
             getattr(each, "renewal_index", 0) for each in self.stale
         }
-        places |= {token_of(each) for each in self.stale} | set(self.opened_by.values())
+        places |= {each.fencing_token for each in self.stale} | set(self.opened_by.values())
         rank = {place: at for at, place in enumerate(sorted(places))}
         table = tuple(
             (
@@ -148,12 +143,13 @@
         )
         dealer = tuple(sorted((name, rank[at], since) for (name, at), since in self.dealer.seen_at.items()))
         stale = tuple(
-            (type(each).__name__, rank[token_of(each)], rank.get(getattr(each, "renewal_index", -1)))
+            (type(each).__name__, rank[each.fencing_token], rank.get(getattr(each, "renewal_index", -1)))
             for each in self.stale
         )
         nodes = tuple(self.node_key(self.nodes[name]) for name in NAMES)
         doors = tuple(
-            (name, each.life, each.door, each.share) for name, each in sorted(self.fleet.nodes.items())
+            (name, each.incarnation, each.status, each.share)
+            for name, each in sorted(self.fleet.nodes.items())
         )
         left = (self.now, self.ticks, self.cuts, self.owners, self.asks, self.stale_left, self.fleet.epoch)
         by = tuple((name, rank[at]) for name, at in sorted(self.opened_by.items()))
@@ -171,13 +167,13 @@
 
     @staticmethod
     def node_key(node: Node) -> Hashable:
-        grants, waking = node.grants, node.waking
+        grants, gate = node.grants, node.gate
         held = (
             (grants.amount, grants.valid_until, grants.requested_at, grants.request_number, grants.floor_from)
             if grants
             else None
         )
-        word = (waking.epoch, waking.share, waking.heard, waking.clock_off) if waking else None
+        word = (gate.epoch, gate.share, gate.group_answered, gate.clock_offset) if gate else None
         flying = (node.flying.amount, node.flying.rejection) if node.flying else None
         book = (node.book.is_loaded, tuple(node.book.rows.items())) if node.book else None
         return (
@@ -208,7 +204,7 @@
         elif any(each.begun > 1 for each in self.nodes.values()):
             self.wrong = "a key ran twice on its node"
         for name, each in self.fleet.nodes.items():
-            if each.door == Door.OPEN and self.opened_by.get(name, 0) < self.epoch_token:
+            if each.status == NodeStatus.OPEN and self.opened_by.get(name, 0) < self.epoch_token:
                 self.wrong = f"{name} is open by the word of an owner from before the epoch"
 
     # -- what may happen -------------------------------------------------------------------------------
@@ -272,16 +268,18 @@
             self.enter(self.jobs, CandidateExpired(name, known.renewal_index))
         self.enter(self.jobs, RenewLease(f"o{self.index}", "", self.index, True, {}))
         self.dealer = Allocator(POOL, self.token(allocator_job(POOL)))
-        if self.enter(self.fleet, NewEpoch(self.token(JOB), self.fleet.epoch)).done:
+        if self.enter(self.fleet, NewEpoch(self.token(JOB), self.fleet.epoch)).accepted:
             self.epoch_token = self.token(JOB)
             for node in self.fleet.nodes.values():
-                node.door, node.share = Door.SHUT, 0.0  # the power was lost by all
+                node.status, node.share = NodeStatus.SHUT, 0.0  # the power was lost by all
 
     def proposals(self) -> list[Any]:
         assert self.dealer is not None
         said: list[Any] = list(self.dealer.decide(self.now, copy.deepcopy(self.pools.pools[POOL])))
-        shut = [name for name, each in self.fleet.nodes.items() if each.door == Door.SHUT]
-        return said + ([Wave(self.token(JOB), dict.fromkeys(shut, 1.0), Plan(9.0))] if shut else [])
+        shut = [name for name, each in self.fleet.nodes.items() if each.status == NodeStatus.SHUT]
+        return said + (
+            [RolloutBatch(self.token(JOB), dict.fromkeys(shut, 1.0), RolloutPlan(9.0))] if shut else []
+        )
 
     def look(self) -> None:
         self.send(self.proposals())
@@ -296,10 +294,10 @@
 
     def send(self, said: list[Any]) -> None:
         for each in said:
-            part = self.fleet if isinstance(each, Wave) else self.pools
+            part = self.fleet if isinstance(each, RolloutBatch) else self.pools
             done = self.enter(part, each)
-            if isinstance(each, Wave) and done.done:
-                self.opened_by |= dict.fromkeys(each.shares, each.token)
+            if isinstance(each, RolloutBatch) and done.accepted:
+                self.opened_by |= dict.fromkeys(each.shares, each.fencing_token)
 
     # -- nodes -----------------------------------------------------------------------------------------
 
@@ -307,20 +305,20 @@
         node = self.nodes[name]
         node.up, node.life, node.mine, node.flying = True, node.life + 1, 0, None
         node.grants = self.grants_kind(POOL, name, node.life, FLOOR, TERM, self.now)
-        node.waking = Waking(name, "", node.life, False, 1, Clock.PLAUSIBLE, self.now)
-        node.waking.ready = True
+        node.gate = ReadinessGate(name, "", node.life, False, 1, ClockCheck.PLAUSIBLE, self.now)
+        node.gate.ready = True
         node.book = self.book_kind(10, 1 << 20)
         if node.life == 1:
             node.book.is_loaded = True
         self.report(node)
 
     def report(self, node: Node) -> None:
-        assert node.waking is not None
-        what = Report(
-            node.waking.node, "", node.life, False, node.waking.epoch, self.unix(node), True, True, 0.0
+        assert node.gate is not None
+        what = NodeReport(
+            node.gate.node, "", node.life, False, node.gate.epoch, self.unix(node), True, True, 0.0
         )
-        node.waking.asked_at = self.now
-        node.waking.answered(self.now, self.enter(self.fleet, what))
+        node.gate.report_sent_at = self.now
+        node.gate.on_reply(self.now, self.enter(self.fleet, what))
 
     def cut(self, name: str) -> None:
         self.cuts -= 1
@@ -391,7 +389,7 @@
         return told
 
 
-class AnyOwnerJobs(Fleet):
+class AnyOwnerJobs(FleetState):
     """Takes any owner's plan."""
 
     def apply(self, index: int, command: msgspec.Raw) -> Any:
--- a/tests/compatibility/directories.py
+++ b/tests/compatibility/directories.py
@@ -26,7 +26,7 @@
 from lichencleat.consensus.state import State
 from lichencleat.consensus.terms import Entry, Snapshot
 from lichencleat.idempotency.records import decode_heartbeat, decode_ownership, decode_record, record_key
-from lichencleat.recovery import boot, figures
+from lichencleat.recovery import boot_record, service_times
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
@@ -151,13 +151,13 @@
 def read_boot_and_figures(path: Path, longest: dict[str, int]) -> dict[str, Any]:
     """What a start finds of the life before, and what it makes of it."""
     with open_engine(path) as engine:
-        before = boot.found(engine.get(CONSTANTS["revive.seat.BOOT"]), "fleet")
+        before = boot_record.load_previous(engine.get(CONSTANTS["revive.seat.BOOT"]), "fleet")
         learned = engine.get(CONSTANTS["revive.seat.FIGURES"])
     assert before is not None and learned is not None
     return {
         "boot": msgspec.structs.astuple(before),
-        "boot_of_the_next_start": msgspec.structs.astuple(boot.begun(before, NOW_US, "fleet")),
-        "recalled": figures.recalled(learned, 2.0, longest)[0],
+        "boot_of_the_next_start": msgspec.structs.astuple(boot_record.create_record(before, NOW_US, "fleet")),
+        "recalled": service_times.load_service_times(learned, 2.0, longest).run_times,
     }
 
 
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -19,17 +19,16 @@
 from lichencleat.config_distribution import voting as distribution_voting
 from lichencleat.consensus import facts, journal, parts, process, program, seats, sessions, state, wire
 from lichencleat.consensus import terms as consensus_terms
+from lichencleat.failover import messages as failover_messages
 from lichencleat.failover import state as failover_state
-from lichencleat.failover import terms as failover_terms
 from lichencleat.idempotency import records
 from lichencleat.leases import lease_state
 from lichencleat.leases import messages as leases_messages
 from lichencleat.membership import messages as membership_messages
 from lichencleat.quotas import messages as quotas_messages
-from lichencleat.recovery import boot, figures
-from lichencleat.recovery import seat as recovery_seat
+from lichencleat.recovery import boot_record, boot_record_store, service_time_store, service_times
+from lichencleat.recovery import messages as recovery_messages
 from lichencleat.recovery import state as recovery_state
-from lichencleat.recovery import terms as recovery_terms
 from lichencleat.store import file_names, framing
 
 MESSAGES: dict[str, type[msgspec.Struct]] = {
@@ -89,21 +88,21 @@
     "quorum.wire.Reply": wire.Reply,
     "quorum.wire.Request": wire.Request,
     "quorum.wire.WhoItIs": wire.WhoItIs,
-    "revive.boot.Boot": boot.Boot,
-    "revive.figures.Figures": figures.Figures,
-    "revive.state.Dumped": recovery_state.Dumped,
-    "revive.terms.Done": recovery_terms.Done,
-    "revive.terms.Forget": recovery_terms.Forget,
-    "revive.terms.Hold": recovery_terms.Hold,
-    "revive.terms.Leave": recovery_terms.Leave,
-    "revive.terms.Lost": recovery_terms.Lost,
-    "revive.terms.NewEpoch": recovery_terms.NewEpoch,
-    "revive.terms.Node": recovery_terms.Node,
-    "revive.terms.Plan": recovery_terms.Plan,
-    "revive.terms.Report": recovery_terms.Report,
-    "revive.terms.Skip": recovery_terms.Skip,
-    "revive.terms.Wave": recovery_terms.Wave,
-    "revive.terms.Word": recovery_terms.Word,
+    "revive.boot.Boot": boot_record.BootRecord,
+    "revive.figures.Figures": service_times.ServiceTimes,
+    "revive.state.Dumped": recovery_state.FleetSnapshot,
+    "revive.terms.Done": recovery_messages.CommandReply,
+    "revive.terms.Forget": recovery_messages.ForgetNode,
+    "revive.terms.Hold": recovery_messages.PauseRollout,
+    "revive.terms.Leave": recovery_messages.NodeLeaving,
+    "revive.terms.Lost": recovery_messages.NodeLost,
+    "revive.terms.NewEpoch": recovery_messages.NewEpoch,
+    "revive.terms.Node": recovery_messages.NodeState,
+    "revive.terms.Plan": recovery_messages.RolloutPlan,
+    "revive.terms.Report": recovery_messages.NodeReport,
+    "revive.terms.Skip": recovery_messages.SkipNode,
+    "revive.terms.Wave": recovery_messages.RolloutBatch,
+    "revive.terms.Word": recovery_messages.ReportReply,
     "shares.terms.Ask": quotas_messages.QuotaRequest,
     "shares.terms.Deal": quotas_messages.Allocate,
     "shares.terms.Define": quotas_messages.DefinePool,
@@ -115,28 +114,28 @@
     "shares.terms.Part": quotas_messages.SetAllocatableShare,
     "shares.terms.Pool": quotas_messages.Pool,
     "shares.terms.Seat": quotas_messages.NodeQuota,
-    "zones.state.Dumped": failover_state.Dumped,
-    "zones.terms.Define": failover_terms.Define,
-    "zones.terms.Done": failover_terms.Done,
-    "zones.terms.Drop": failover_terms.Drop,
-    "zones.terms.Give": failover_terms.Give,
-    "zones.terms.Learn": failover_terms.Learn,
-    "zones.terms.Order": failover_terms.Order,
-    "zones.terms.Seen": failover_terms.Seen,
-    "zones.terms.Source": failover_terms.Source,
-    "zones.terms.Tell": failover_terms.Tell,
-    "zones.terms.Unwish": failover_terms.Unwish,
-    "zones.terms.Wish": failover_terms.Wish,
-    "zones.terms.Wished": failover_terms.Wished,
-    "zones.terms.Zone": failover_terms.Zone,
+    "zones.state.Dumped": failover_state.FailoverSnapshot,
+    "zones.terms.Define": failover_messages.DefineZone,
+    "zones.terms.Done": failover_messages.CommandReply,
+    "zones.terms.Drop": failover_messages.DropZone,
+    "zones.terms.Give": failover_messages.PublishPlan,
+    "zones.terms.Learn": failover_messages.UpdateCapacity,
+    "zones.terms.Order": failover_messages.RoutingPlan,
+    "zones.terms.Seen": failover_messages.ZoneObservation,
+    "zones.terms.Source": failover_messages.RouterHealth,
+    "zones.terms.Tell": failover_messages.HealthReport,
+    "zones.terms.Unwish": failover_messages.ClearOverride,
+    "zones.terms.Wish": failover_messages.OperatorOverride,
+    "zones.terms.Wished": failover_messages.ActiveOverride,
+    "zones.terms.Zone": failover_messages.Zone,
 }
 
 UNIONS: dict[str, UnionType] = {
     "quorum.wire.Frame": wire.Frame,
     "owners.terms.Command": leases_messages.Command,
     "shares.terms.Command": quotas_messages.Command,
-    "revive.terms.Command": recovery_terms.Command,
-    "zones.terms.Command": failover_terms.Command,
+    "revive.terms.Command": recovery_messages.Command,
+    "zones.terms.Command": failover_messages.Command,
     "distribution.source.Query": distribution_source.Query,
 }
 
@@ -150,8 +149,8 @@
     "quorum.terms.Kind": consensus_terms.Kind,
     "quorum.terms.Reason": consensus_terms.Reason,
     "quorum.terms.What": consensus_terms.What,
-    "revive.terms.Door": recovery_terms.Door,
-    "zones.terms.Duty": failover_terms.Duty,
+    "revive.terms.Door": recovery_messages.NodeStatus,
+    "zones.terms.Duty": failover_messages.ZoneRole,
 }
 
 CONSTANTS: dict[str, Any] = {
@@ -193,11 +192,11 @@
     "quorum.terms.NOBODY": consensus_terms.NOBODY,
     "quorum.wire.FORMAT": wire.FORMAT,
     "quorum.wire.FRAME_MOST": wire.FRAME_MOST,
-    "revive.boot.FORMAT": boot.FORMAT,
-    "revive.figures.FORMAT": figures.FORMAT,
-    "revive.seat.BOOT": recovery_seat.BOOT,
-    "revive.seat.FIGURES": recovery_seat.FIGURES,
-    "revive.terms.JOB": recovery_terms.JOB,
+    "revive.boot.FORMAT": boot_record.FORMAT,
+    "revive.figures.FORMAT": service_times.FORMAT,
+    "revive.seat.BOOT": boot_record_store.BOOT_RECORD_KEY,
+    "revive.seat.FIGURES": service_time_store.SERVICE_TIMES_KEY,
+    "revive.terms.JOB": recovery_messages.JOB,
     "shares.terms.RETURN": quotas_messages.RECOVERY_JOB,
     "shares.terms.job_of": quotas_messages.allocator_job("a pool"),
     "store.checkpoint.NAME": file_names.CHECKPOINT,
@@ -213,5 +212,5 @@
     "store.recovery.STORE_NEW": file_names.NEW_STORE_MARKER,
     "store.segments.NAME": file_names.SEGMENT,
     "store.segments.NEW": file_names.NEW_SEGMENT,
-    "zones.terms.JOB": failover_terms.JOB,
+    "zones.terms.JOB": failover_messages.JOB,
 }
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -10,7 +10,7 @@
 from lichencleat.admission.types import Effect, Machine, Tariff
 from lichencleat.admission.types import Told as Value
 from lichencleat.config.errors import InvalidConfigError
-from lichencleat.failover.terms import Zone
+from lichencleat.failover.messages import Zone
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.report import Report
 from lichencleat.node.resp import ArrayReader, array
