--- a/benchmarks/distribution_table.py
+++ b/benchmarks/distribution_table.py
@@ -239,8 +239,8 @@
     from twisted.internet.defer import Deferred, inlineCallbacks
     from twisted.internet.task import LoopingCall
 
-    from lichencleat.clocks import make_reactor, unix_time
     from lichencleat.config_distribution.kept import open_kept
+    from lichencleat.reactor import make_reactor, unix_time
 
     reactor = make_reactor()
     found: dict[str, float] = {}
--- a/lichencleat/__main__.py
+++ b/lichencleat/__main__.py
@@ -6,6 +6,12 @@
 import sys
 
 
+def ignore_early_signals() -> None:
+    """Ignore SIGHUP and exit cleanly at SIGTERM while the node is being imported."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)
+    signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
+
+
 def main() -> int:
     if len(sys.argv) > 1:
         try:
@@ -15,8 +21,7 @@
             return 2
         return run(sys.argv[1:])
     # the imports take a while; what it asks for is read after them, and nothing is owed before
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
+    ignore_early_signals()
     from lichencleat.node.program import main as node
 
     return node()
--- a/lichencleat/capacity/slopes.py
+++ b/lichencleat/capacity/slopes.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 FORMAT = 1  # of the file
 LINES_MOST = 256  # of a file: it has some fifty
--- a/lichencleat/cli/keyed.py
+++ b/lichencleat/cli/keyed.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.idempotency.book import READ_LATE
 from lichencleat.idempotency.records import (
     ENTRY,
--- a/lichencleat/cli/quorum.py
+++ b/lichencleat/cli/quorum.py
@@ -15,10 +15,11 @@
 
 from lichencleat.cli import output
 from lichencleat.config.file import WrongFileError
-from lichencleat.consensus import program
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.file import QuorumChoice, host_port, read_quorum
 from lichencleat.consensus.terms import Reason
+from lichencleat.coordinator.daemon import run_coordinator
+from lichencleat.coordinator.settings import QuorumSettings, host_port, read_quorum_settings
+from lichencleat.coordinator.storage import BootstrapError, bootstrap_group
 from lichencleat.store.errors import StoreError
 
 HEAD = ["name", "address", "zone", "votes", "role", "term", "applied", "last", "start", "seat"]
@@ -34,9 +35,9 @@
     """A few voters that agree on small facts."""
 
 
-def chosen(path: str, member: bool = False) -> QuorumChoice:
+def chosen(path: str, member: bool = False) -> QuorumSettings:
     try:
-        return read_quorum(path, member)
+        return read_quorum_settings(path, member)
     except WrongFileError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
 
@@ -46,8 +47,8 @@
 def found(file: str) -> None:
     """Make a new group, with the member of FILE as its only voter."""
     try:
-        identity = program.found(chosen(file, member=True), random.Random(os.urandom(16)))
-    except (program.NotFoundedError, StoreError) as wrong:
+        identity = bootstrap_group(chosen(file, member=True), random.Random(os.urandom(16)))
+    except (BootstrapError, StoreError) as wrong:
         raise output.WrongInput(f"quorum found: {wrong}") from wrong
     output.pairs({"group": identity.group.hex(), "member": identity.member, "seat": identity.seat}, False)
 
@@ -56,7 +57,7 @@
 @FILE
 def run(file: str) -> None:
     """Run the member of FILE until SIGTERM."""
-    raise click.exceptions.Exit(program.run(chosen(file, member=True)))
+    raise click.exceptions.Exit(run_coordinator(chosen(file, member=True)))
 
 
 def on_reactor(main: Callable[[Any], Any]) -> None:
@@ -73,7 +74,7 @@
         failed[0].raiseException()
 
 
-def talk(what: Callable[[Any, Client], Any], quorum: QuorumChoice, *addresses: str) -> Any:
+def talk(what: Callable[[Any, Client], Any], quorum: QuorumSettings, *addresses: str) -> Any:
     """Runs a conversation with the group on a reactor of its own; a group that fails is one line."""
     told: list[Any] = []
 
@@ -97,7 +98,7 @@
 
 
 @inlineCallbacks
-def ask_all(reactor: Any, quorum: QuorumChoice, addresses: list[str], what: str = "status") -> Any:
+def ask_all(reactor: Any, quorum: QuorumSettings, addresses: list[str], what: str = "status") -> Any:
     """What each member answers, or why it does not."""
     found: dict[str, Any] = {}
     clients = {
@@ -115,7 +116,7 @@
     return found
 
 
-def look(quorum: QuorumChoice) -> tuple[dict[str, Any], dict[str, Any] | None]:
+def look(quorum: QuorumSettings) -> tuple[dict[str, Any], dict[str, Any] | None]:
     """What each member says, and the word of the one that leads in the newest term."""
     told: list[dict[str, Any]] = []
 
@@ -208,7 +209,7 @@
     click.echo(f"{new['member']} is in the group" + (" and follows" if learner else " and votes"))
 
 
-def seat_of(quorum: QuorumChoice, name: str) -> int:
+def seat_of(quorum: QuorumSettings, name: str) -> int:
     _, leader = look(quorum)
     if leader is None:
         raise output.WrongData("quorum: nobody leads; nothing was changed")
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -12,7 +12,7 @@
 from lichencleat.config.file import WrongFileError
 from lichencleat.config_distribution.counts import OLDEST, merged
 from lichencleat.config_distribution.terms import IN_FORCE, Count
-from lichencleat.consensus.file import read_quorum
+from lichencleat.coordinator.settings import read_quorum_settings
 
 ZONE_HEAD = ["zone", "nodes", "lowest", "late", "oldest_s", "by"]
 ASKED_HEAD = ["name", "address", "version", "digest", "age_s", "subscribers", "late_below"]
@@ -40,7 +40,7 @@
 def status(file: str, at: str | None, as_json: bool) -> None:
     """Which version is in force where, by zone, as the voters of FILE know. Exit code 1: nobody answers."""
     try:
-        quorum = read_quorum(file)
+        quorum = read_quorum_settings(file)
     except WrongFileError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     addresses = [at] if at else list(quorum.members)
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -9,15 +9,15 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.error import CannotListenError
 
-from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config_distribution.file import RelayChoice
 from lichencleat.config_distribution.relay import RelayProcess
 from lichencleat.config_distribution.table import Table
+from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
 from lichencleat.log.lines import make_log
-from lichencleat.programs import run_program
+from lichencleat.reactor import make_reactor, unix_time
+from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
 
-STOPPED, WRONG = 0, 2  # exit codes
 STOP_MOST = 5.0  # s for the disk to take what it was given, once told to leave
 
 
@@ -27,7 +27,7 @@
     def __init__(self, reactor: Any, chosen: RelayChoice) -> None:
         self.reactor, self.chosen = reactor, chosen
         self.rng = random.Random(os.urandom(16))
-        self.code = STOPPED
+        self.exit_code = EXIT_STOPPED
         self.relay: RelayProcess | None = None
         self.stopping = self.stopped = False
         self.log = make_log(
@@ -48,8 +48,8 @@
                 open_kept,  # off means not imported: memory counts
             )
 
-            disk = disk_of(chosen)
             try:
+                disk = open_disk(chosen.disk, chosen.directory)
                 kept = yield open_kept(
                     self.reactor, chosen.directory, unix_time, self.rng, disk, chosen.group, self.disk_says
                 )
@@ -61,14 +61,14 @@
                 kept = None
         if self.stopping:
             yield kept.close() if kept is not None else None
-            self.stop(STOPPED)
+            self.stop(EXIT_STOPPED)
             return
         try:
             self.relay = RelayProcess(self.reactor, chosen, self.log, self.rng, table, mark, recent, kept)
         except CannotListenError as wrong:
             if kept is not None:
                 yield kept.close()
-            self.stop(WRONG, str(wrong))
+            self.stop(EXIT_CANNOT_START, str(wrong))
             return
         self.log.info("started", listen=chosen.listen, version=table.version, records=table.records)
         self.relay.start()
@@ -76,18 +76,18 @@
     def disk_says(self, what: str) -> None:
         self.log.warning("disk", says=what)
 
-    def told_to_leave(self) -> None:
+    def request_stop(self) -> None:
         if self.stopping:
             return
         self.stopping = True
-        self.reactor.callLater(STOP_MOST, self.stop, STOPPED)  # guards the end, whatever the disk does
+        self.reactor.callLater(STOP_MOST, self.stop, EXIT_STOPPED)  # guards the end, whatever the disk does
         if self.relay is not None:
-            self.relay.stop().addBoth(lambda _: self.stop(STOPPED))
+            self.relay.stop().addBoth(lambda _: self.stop(EXIT_STOPPED))
 
     def stop(self, code: int, reason: str = "") -> None:
         if self.stopped:
             return
-        self.stopped, self.code = True, code
+        self.stopped, self.exit_code = True, code
         if reason:
             self.log.warning("can't start", reason=reason)
         else:
@@ -96,17 +96,7 @@
         self.reactor.callLater(0, self.reactor.stop)
 
 
-def disk_of(chosen: RelayChoice) -> Any:
-    """None: the directory itself."""
-    if chosen.disk == "held back":
-        from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
-
-        assert chosen.directory is not None
-        return HeldBackDisk(chosen.directory, create=True)
-    return None
-
-
 def run(chosen: RelayChoice) -> int:
     """The exit code: 0 told to leave, 2 could not start."""
     reactor = make_reactor()
-    return run_program(reactor, Running(reactor, chosen))
+    return run_daemon(reactor, Running(reactor, chosen))
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -26,7 +26,7 @@
     encode,
 )
 from lichencleat.consensus.wire import Reply, Request, raw
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 ANSWERS_TURN = 64  # written in one turn of the reactor: what was read meanwhile is not kept waiting for all
 UNREAD = 10_000_000  # µs that an answer may wait to be read: at 13 KB a second the largest one is through
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -33,7 +33,7 @@
     Change,
     encode,
 )
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 PACKED_EACH = 16  # pages compressed at an entry, some 300 µs each: small batches leave none that waits
 PAST_MOST = BATCH_BYTES + BATCH_MOST * (VALUE_MOST + 16)  # bytes of a kept batch, values replaced included
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -33,7 +33,7 @@
 from lichencleat.consensus.links import Framed
 from lichencleat.consensus.seats import Life, Welcome
 from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 CALL = 1.5  # s for a connection to open; the follower's patience is shorter, and counts until it is greeted
 AGAIN = 0.1  # s until decisions are pulled again after one that failed
--- a/lichencleat/consensus/client.py
+++ b/lichencleat/consensus/client.py
@@ -21,7 +21,7 @@
 from lichencleat.consensus.state import command
 from lichencleat.consensus.terms import Reason
 from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 TRY = 1.0  # s for one try at one member: over any election's beat, under a caller's patience
 REST = (0.02, 0.4)  # s before the next try, twice as long each time, with a drawn part
--- a/lichencleat/consensus/facts.py
+++ b/lichencleat/consensus/facts.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 FACTS_MOST = 65_536  # of them
 VALUE_MOST = 65_536  # bytes of one: a snapshot holds them all
--- a/lichencleat/consensus/links.py
+++ b/lichencleat/consensus/links.py
@@ -26,7 +26,7 @@
     decode_frame,
     encode,
 )
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 WAITING_MOST = 8 << 20  # bytes written and not taken by the kernel: a window of snapshots' pieces
 AGAIN = (0.05, 1.0)  # s between tries to open a link, twice as long each time, with a drawn part
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -40,7 +40,7 @@
     decode_who,
     raw,
 )
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store.batch import Batch
 from lichencleat.store.store import Store
 
--- a/lichencleat/consensus/state.py
+++ b/lichencleat/consensus/state.py
@@ -13,7 +13,7 @@
 from lichencleat.consensus.parts import USES, UnknownPartError
 from lichencleat.consensus.sessions import Held, Sessions, Verdict
 from lichencleat.consensus.terms import Entry, Group, Snapshot, What
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 encode = msgspec.msgpack.encode
 Command = tuple[str, msgspec.Raw]  # the part's name, and what is its own
--- /dev/null
+++ b/lichencleat/coordinator/candidate_expiry.py
@@ -0,0 +1,31 @@
+"""The proposals by which a leader expires lease candidates that renew no more."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from lichencleat.consensus.state import State
+from lichencleat.coordinator.states import LEASES
+from lichencleat.leases.expiry import Expiry
+from lichencleat.leases.jobs import Jobs
+
+
+class CandidateExpiryProposer:
+    """Watches the candidates while this member leads; owns the timers of `leases.expiry`."""
+
+    def __init__(self) -> None:
+        self._expiry = Expiry()
+
+    def propose_expired(self, state: State | None, now: int) -> list[tuple[str, Any]]:
+        """Return the commands that are due, each with the name of its part.
+
+        Args:
+            state: of the group; None once this member leads no more.
+            now: in µs of the member's monotonic clock.
+        """
+        if state is None:
+            self._expiry.leads_no_more()
+            return []
+        leases = state.parts[LEASES]
+        assert isinstance(leases, Jobs)
+        return [(LEASES, command) for command in self._expiry.due(now, leases.candidates)]
--- /dev/null
+++ b/lichencleat/coordinator/daemon.py
@@ -0,0 +1,155 @@
+"""The coordinator daemon: one member of a group, from its settings to its exit code."""
+
+from __future__ import annotations
+
+import os
+import random
+from collections.abc import Callable, Generator
+from typing import Any
+
+import msgspec
+from twisted.internet.defer import Deferred, inlineCallbacks
+from twisted.internet.error import CannotListenError
+
+from lichencleat.consensus.process import Process
+from lichencleat.consensus.seats import IDENTITY, Identity, wake_up
+from lichencleat.consensus.serves import Serves
+from lichencleat.consensus.state import Part, State
+from lichencleat.coordinator import states
+from lichencleat.coordinator.candidate_expiry import CandidateExpiryProposer
+from lichencleat.coordinator.settings import QuorumSettings, host_port
+from lichencleat.coordinator.storage import bounds_of, open_member_disk
+from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
+from lichencleat.log.lines import make_log
+from lichencleat.reactor import Reactor, make_reactor, unix_time
+from lichencleat.store.errors import StoreError
+from lichencleat.store.store import Store, open_store
+
+
+class _WrongKindOfGroupError(Exception):
+    """The directory was made for a group that replicates something else."""
+
+    def __init__(self, directory: str | None, was_distribution: bool) -> None:
+        kind = "configuration" if was_distribution else "other things than configuration"
+        super().__init__(f"{directory}: of a group for {kind}; set quorum.distribution as it was")
+
+
+class CoordinatorDaemon:
+    """Brings a member up on the reactor, and down at a signal."""
+
+    def __init__(self, reactor: Reactor, settings: QuorumSettings) -> None:
+        """`settings` are those of a member, not of a client."""
+        self.exit_code = EXIT_STOPPED
+        self.log = make_log(
+            unix_time,
+            settings.log.form,
+            process=settings.name,
+            role="quorum",
+            group=settings.group,
+            pid=os.getpid(),
+        )
+        self._reactor = reactor
+        self._settings = settings
+        self._rng = random.Random(os.urandom(16))
+        self._process: Process | None = None
+        self._stop_requested = False
+
+    @inlineCallbacks
+    def start(self) -> Generator[Any, Any, None]:
+        """Open the store and start the member; stops the reactor where that fails."""
+        try:
+            store = yield self._open_store()
+        except StoreError as error:
+            self._stop(EXIT_CANNOT_START, str(error))
+            return
+        try:
+            identity = yield self._start_life(store)
+            process = self._make_process(store, identity)
+        except (StoreError, CannotListenError, _WrongKindOfGroupError) as error:
+            yield store.close()
+            self._stop(EXIT_CANNOT_START, str(error))
+            return
+        self._process = process
+        self.log.info("started", seat=identity.seat, start=identity.start, listen=self._settings.listen)
+        process.ended.addCallback(self._stop)
+        if self._stop_requested:
+            process.leave()
+
+    def request_stop(self) -> None:
+        """Leave the group's work to the other members, then stop."""
+        self._stop_requested = True
+        if self._process is not None:
+            self._process.leave()
+
+    def _open_store(self) -> Deferred[Store]:
+        settings = self._settings
+        assert settings.directory is not None
+        return open_store(
+            self._reactor,
+            settings.directory,
+            unix_time,
+            self._rng,
+            bounds_of(settings),
+            disk=open_member_disk(settings),
+        )
+
+    @inlineCallbacks
+    def _start_life(self, store: Store) -> Generator[Any, Any, Identity]:
+        """Count this start in the store; fires with the member's identity."""
+        settings = self._settings
+        assert settings.name is not None
+        get = store.engine.get
+        identity = wake_up(get, self._rng, settings.group, settings.name, settings.distribution)
+        if identity.distribution != settings.distribution:
+            raise _WrongKindOfGroupError(settings.directory, identity.distribution)
+        yield store.put(IDENTITY, msgspec.msgpack.encode(identity))
+        return identity
+
+    def _make_process(self, store: Store, identity: Identity) -> Process:
+        settings = self._settings
+        assert settings.listen is not None
+        make_states: Callable[[], dict[str, Part]] = states.make_control_plane_states
+        propose: Callable[[State | None, int], list[tuple[str, Any]]]
+        propose = CandidateExpiryProposer().propose_expired
+        serves: Serves | None = None
+        if settings.distribution:
+            from lichencleat.config_distribution.voting import Voting  # other groups don't load it
+
+            make_states = states.make_config_distribution_states
+            propose = _propose_nothing
+            serves = Voting(self._reactor, identity.member, settings.zone, self.log)
+        return Process(
+            self._reactor,
+            store,
+            identity,
+            host_port(settings.listen),
+            self.log,
+            self._rng,
+            make_states,
+            propose,
+            settings.times.to_times(),
+            settings.zone,
+            serves,
+        )
+
+    def _stop(self, exit_code: int, reason: str = "") -> None:
+        self.exit_code = exit_code
+        if reason:
+            self.log.warning("can't start", reason=reason)
+        else:
+            self.log.info("stopped", code=exit_code)
+        self._reactor.callLater(0, self._reactor.stop)
+
+
+def _propose_nothing(state: State | None, now: int) -> list[tuple[str, Any]]:
+    return []
+
+
+def run_coordinator(settings: QuorumSettings) -> int:
+    """Run one member until it stops.
+
+    Returns:
+        The exit code: 0 told to stop, 2 could not start, 3 left by itself because going on was not safe.
+    """
+    reactor = make_reactor()
+    return run_daemon(reactor, CoordinatorDaemon(reactor, settings))
--- /dev/null
+++ b/lichencleat/coordinator/settings.py
@@ -0,0 +1,110 @@
+"""The settings of a member or client of the group, read from the operator's YAML file and validated."""
+
+from __future__ import annotations
+
+from typing import Annotated, Literal
+
+from msgspec import Meta, Struct
+
+from lichencleat.config.file import Address, LogChoice, Name, Place, WrongFileError, host_port, load, read_as
+from lichencleat.consensus.terms import Times
+
+__all__ = ["ElectionTimings", "QuorumSettings", "QuorumSettingsFile", "host_port", "read_quorum_settings"]
+
+MICROSECONDS_PER_MILLISECOND = 1_000
+MIN_HEARTBEATS_PER_ELECTION = 3  # else one late message would end a leadership
+KEYS_OF_A_MEMBER = ("name", "listen", "directory")
+
+Milliseconds = Annotated[int, Meta(ge=1, le=600_000)]
+
+
+class InvalidQuorumSettingsError(WrongFileError):
+    """A value of the section `quorum` is missing or wrong.
+
+    Attributes:
+        path: of the file.
+        line: at which the mistake is, as far as that is known.
+        key: whose value it is, from the top of the file.
+    """
+
+    def __init__(self, path: str, line: int | None, key: str, explanation: str) -> None:
+        super().__init__(f"{path}, line {line}: {key}: {explanation}")
+        self.path = path
+        self.line = line
+        self.key = key
+
+
+class ElectionTimings(Struct, forbid_unknown_fields=True, frozen=True):
+    """The timings of the group in ms; they must be the same at each member."""
+
+    beat_ms: Milliseconds = 60
+    election_ms: Milliseconds = 400
+    spread_ms: Milliseconds = 400
+    transfer_ms: Milliseconds = 800
+
+    def to_times(self) -> Times:
+        """Return the timings in µs, as the consensus core takes them."""
+        return Times(
+            self.beat_ms * MICROSECONDS_PER_MILLISECOND,
+            self.election_ms * MICROSECONDS_PER_MILLISECOND,
+            self.spread_ms * MICROSECONDS_PER_MILLISECOND,
+            self.transfer_ms * MICROSECONDS_PER_MILLISECOND,
+        )
+
+
+class QuorumSettings(Struct, forbid_unknown_fields=True, frozen=True):
+    """The section `quorum` of the file; a client needs the group and its members only."""
+
+    group: Name  # the same at each member and client
+    members: Annotated[list[Address], Meta(min_length=1, max_length=64)]  # where clients look for the group
+    name: Name | None = None  # of this member
+    listen: Address | None = None
+    address: Address | None = None  # where others reach it, if that is not where it listens
+    directory: str | None = None  # a store of its own
+    zone: str = ""
+    times: ElectionTimings = ElectionTimings()
+    log: LogChoice = LogChoice()
+    distribution: bool = False  # the group replicates configuration, and nothing else but facts
+    disk: Literal["real", "held back"] = "real"  # held back: for tests, a kill loses what was not flushed
+
+
+class QuorumSettingsFile(Struct, forbid_unknown_fields=True, frozen=True):
+    """The whole file."""
+
+    quorum: QuorumSettings
+
+
+def read_quorum_settings(path: str, member: bool = False) -> QuorumSettings:
+    """Read and check the file.
+
+    Args:
+        path: of the YAML file.
+        member: whether the settings are for a member, which needs more than a client.
+
+    Raises:
+        WrongFileError: the file can't be read, or a value in it is missing or wrong.
+    """
+    file, place = read_as(path, load(path), QuorumSettingsFile)
+    settings: QuorumSettings = file.quorum
+    _check_timings(path, place, settings.times)
+    if member:
+        _check_member_keys(path, place, settings)
+    return settings
+
+
+def _check_timings(path: str, place: Place, timings: ElectionTimings) -> None:
+    if timings.election_ms >= MIN_HEARTBEATS_PER_ELECTION * timings.beat_ms:
+        return
+    line = place.line("$.quorum.times.election_ms") or place.line("$.quorum.times.beat_ms")
+    explanation = (
+        f"{timings.election_ms} is under three beats ({timings.beat_ms} each); "
+        "one late message would end a leadership, so make it larger"
+    )
+    raise InvalidQuorumSettingsError(path, line, "quorum.times.election_ms", explanation)
+
+
+def _check_member_keys(path: str, place: Place, settings: QuorumSettings) -> None:
+    for key in KEYS_OF_A_MEMBER:
+        if getattr(settings, key) is None:
+            line = place.line("$.quorum")
+            raise InvalidQuorumSettingsError(path, line, f"quorum.{key}", "is missing; a member needs it")
--- /dev/null
+++ b/lichencleat/coordinator/states.py
@@ -0,0 +1,42 @@
+"""What a group replicates: each part of the state by the name under which it is stored and sent.
+
+All members of a group must be given the same parts. The names are on disk and on the wire: they never change.
+"""
+
+from __future__ import annotations
+
+from lichencleat.consensus.facts import Facts
+from lichencleat.consensus.state import Part
+from lichencleat.failover.state import Zones
+from lichencleat.leases.jobs import Jobs
+from lichencleat.quotas.pools import Pools
+from lichencleat.recovery.state import Fleet
+
+KEY_VALUES = "facts"
+LEASES = "owners"
+QUOTAS = "shares"
+RECOVERY = "revive"
+FAILOVER = "zones"
+CONFIG_DISTRIBUTION = "distribution"
+
+
+def make_control_plane_states() -> dict[str, Part]:
+    """Return the empty state of a group that coordinates a fleet."""
+    leases = Jobs()
+    return {
+        KEY_VALUES: Facts(),
+        LEASES: leases,
+        QUOTAS: Pools(leases),
+        RECOVERY: Fleet(leases),
+        FAILOVER: Zones(leases),
+    }
+
+
+def make_config_distribution_states() -> dict[str, Part]:
+    """Return the empty state of a group that replicates configuration.
+
+    Such a group is a separate one, so that snapshots of large configurations never delay renewals of leases.
+    """
+    from lichencleat.config_distribution.source import Source  # other groups don't load it
+
+    return {KEY_VALUES: Facts(), CONFIG_DISTRIBUTION: Source()}
--- /dev/null
+++ b/lichencleat/coordinator/storage.py
@@ -0,0 +1,88 @@
+"""The directory of a member: its bounds, its kind of disk, and how a new group is bootstrapped in it."""
+
+from __future__ import annotations
+
+import random
+
+import msgspec
+
+from lichencleat.consensus.journal import TOP, Journal
+from lichencleat.consensus.seats import IDENTITY, Identity, wake_up
+from lichencleat.consensus.state import founded
+from lichencleat.consensus.terms import Group, Member
+from lichencleat.coordinator.settings import QuorumSettings, host_port
+from lichencleat.reactor import unix_time
+from lichencleat.store.disk import Disk
+from lichencleat.store.disk_kinds import open_disk
+from lichencleat.store.engine import Engine
+from lichencleat.store.room import Bounds
+
+GROUP_ID_BYTES = 8
+# the log is truncated at snapshots
+CONTROL_PLANE_BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=256 << 20, entries=200_000)
+# two snapshots of up to 160 MiB (the one in force and the one being written), two logs of 32 MiB each, and as
+# much again that compaction has not freed yet
+CONFIG_DISTRIBUTION_BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=1 << 30, entries=200_000)
+
+
+class BootstrapError(Exception):
+    """The directory belongs to a member already.
+
+    Attributes:
+        directory: as it stands in the settings.
+    """
+
+    def __init__(self, directory: str) -> None:
+        super().__init__(
+            f"{directory}: belongs to a member already; name an empty one, or add a voter with "
+            "'lichencleat quorum add'"
+        )
+        self.directory = directory
+
+
+def bounds_of(settings: QuorumSettings) -> Bounds:
+    """Return the bounds of the store of a member of that group."""
+    return CONFIG_DISTRIBUTION_BOUNDS if settings.distribution else CONTROL_PLANE_BOUNDS
+
+
+def open_member_disk(settings: QuorumSettings) -> Disk:
+    """Open the directory of a member.
+
+    Raises:
+        StoreError: it can't be opened, or that kind of disk is not available.
+    """
+    assert settings.directory is not None
+    return open_disk(settings.disk, settings.directory)
+
+
+def bootstrap_group(settings: QuorumSettings, rng: random.Random) -> Identity:
+    """Make a new group with this member as its only voter, and return the member's identity.
+
+    Raises:
+        BootstrapError: the directory belongs to a member already.
+        StoreError: the directory can't be opened or written.
+    """
+    assert settings.directory is not None
+    engine = Engine.open(open_member_disk(settings), unix_time, rng, bounds_of(settings), create=True)
+    try:
+        if engine.get(IDENTITY) is not None or engine.get(TOP) is not None:
+            raise BootstrapError(settings.directory)
+        return _write_first_member(engine, settings, rng)
+    finally:
+        engine.close()
+
+
+def _write_first_member(engine: Engine, settings: QuorumSettings, rng: random.Random) -> Identity:
+    assert settings.name is not None
+    address = settings.address or settings.listen
+    assert address is not None
+    identity = wake_up(lambda key: None, rng, settings.group, settings.name, settings.distribution)
+    identity.group = rng.randbytes(GROUP_ID_BYTES)
+    identity.start = 0
+    host, port = host_port(address)
+    group = Group((Member(identity.seat, settings.name, host, port, True, settings.zone),))
+    batch = Journal().found(founded(group)).put(IDENTITY, msgspec.msgpack.encode(identity))
+    (error,) = engine.commit([batch])
+    if error is not None:
+        raise error
+    return identity
--- /dev/null
+++ b/lichencleat/daemon.py
@@ -0,0 +1,62 @@
+"""Run a daemon on the reactor: signals, unhandled errors as log lines, and the exit code."""
+
+from __future__ import annotations
+
+import signal
+from typing import Protocol
+
+from twisted.logger import LogEvent, globalLogBeginner
+
+from lichencleat.reactor import Reactor
+
+EXIT_STOPPED = 0  # told to stop
+EXIT_CANNOT_START = 2
+
+
+class WarningLog(Protocol):
+    """The part of a structured log that reports unhandled errors."""
+
+    def warning(self, event: str, **fields: object) -> object:
+        """Write one line at level warning."""
+
+
+class Daemon(Protocol):
+    """A program that is brought up on the reactor and stops the reactor itself once it has ended."""
+
+    @property
+    def log(self) -> WarningLog:
+        """Where errors of the reactor are reported."""
+
+    @property
+    def exit_code(self) -> int:
+        """The exit code of the process, valid once the reactor has stopped."""
+
+    def start(self) -> object:
+        """Start; called once the reactor runs."""
+
+    def request_stop(self) -> None:
+        """Begin a graceful shutdown; may be called more than once."""
+
+
+def run_daemon(reactor: Reactor, daemon: Daemon) -> int:
+    """Run the reactor until the daemon stops it; SIGTERM and SIGINT request a stop.
+
+    Returns:
+        The exit code of the process.
+    """
+
+    def log_failure(event: LogEvent) -> None:
+        failure = event.get("log_failure")
+        if failure is not None:
+            daemon.log.warning("error", trace=failure.getBriefTraceback().replace("\n", " | "))
+
+    globalLogBeginner.beginLoggingTo(
+        [log_failure],  # type: ignore[list-item]  # a function that provides the zope interface
+        redirectStandardIO=False,
+        discardBuffer=True,
+    )
+    for number in (signal.SIGTERM, signal.SIGINT):
+        signal.signal(number, lambda *_: reactor.callFromThread(daemon.request_stop))
+    reactor.callWhenRunning(daemon.start)
+    reactor.run(installSignalHandlers=False)
+    return daemon.exit_code
--- a/lichencleat/failover/state.py
+++ b/lichencleat/failover/state.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.failover.terms import (
     HISTORY_MOST,
     JOB,
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -13,7 +13,7 @@
 from lichencleat.idempotency.book import Book
 from lichencleat.idempotency.keeper import Keeper
 from lichencleat.idempotency.whose import NotOursError
-from lichencleat.store.disk import Disk, RealDisk
+from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
 from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
@@ -27,14 +27,6 @@
     """What, where, what to do, in one line."""
 
 
-def disk_of(chosen: KeyedChoice) -> Disk:
-    if chosen.disk == "held back":
-        from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
-
-        return HeldBackDisk(chosen.directory, create=True)
-    return RealDisk(chosen.directory, create=True)
-
-
 def make_keeper(node: Any, name: str, chosen: KeyedChoice, clock: Callable[[], int]) -> Keeper:
     """Of a net.assembly.RealNode. It parks what is receipted until it has started."""
     book = Book(chosen.entries, round(chosen.disk_mb * (1 << 20) * FILLED))
@@ -53,7 +45,8 @@
     rng = random.Random(os.urandom(16))
     where = f"keyed.directory: {chosen.directory}"
     try:
-        store = yield open_store(reactor, chosen.directory, clock, rng, bounds, disk=disk_of(chosen))
+        disk = open_disk(chosen.disk, chosen.directory)
+        store = yield open_store(reactor, chosen.directory, clock, rng, bounds, disk=disk)
     except (StoreError, OSError) as wrong:
         raise CantStartError(f"{where}: {wrong}") from wrong
     try:
--- a/lichencleat/idempotency/keeper.py
+++ b/lichencleat/idempotency/keeper.py
@@ -16,7 +16,7 @@
 import msgspec
 from twisted.internet.defer import Deferred, inlineCallbacks
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.idempotency.book import Book, Told
 from lichencleat.idempotency.records import (
     ENTRY,
--- a/lichencleat/leases/jobs.py
+++ b/lichencleat/leases/jobs.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.leases.choice import better, heir
 from lichencleat.leases.terms import (
     CANDIDATES_MOST,
--- a/lichencleat/membership/port.py
+++ b/lichencleat/membership/port.py
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.internet.protocol import DatagramProtocol
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.membership.gossip import Gossip, Send
 from lichencleat.membership.rumors import DATAGRAM_MOST
 from lichencleat.membership.terms import Datagram, Word
--- a/lichencleat/membership/program.py
+++ b/lichencleat/membership/program.py
@@ -10,12 +10,12 @@
 from msgspec import Meta, Struct
 from twisted.internet.error import CannotListenError
 
-from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config.file import Name, WrongFileError, load, read_as
 from lichencleat.log.lines import make_log
 from lichencleat.membership.gossip import Gossip
 from lichencleat.membership.port import Port
 from lichencleat.membership.terms import Choice, State, Word
+from lichencleat.reactor import make_reactor, unix_time
 
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 FAREWELL = 0.2  # s for the word that it leaves
--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -8,7 +8,6 @@
 
 from twisted.internet.defer import Deferred, DeferredList
 
-from lichencleat.clocks import unix_time
 from lichencleat.node.catalogue import Catalogue, links_most
 from lichencleat.node.config import Told
 from lichencleat.node.deadlines import Deadlines
@@ -17,6 +16,7 @@
 from lichencleat.node.interpreter import Interpreter
 from lichencleat.node.membership import Membership
 from lichencleat.node.report import Report
+from lichencleat.reactor import unix_time
 
 LOOK = 20_000  # µs between looks whether all is answered, while leaving
 BELIEFS = 10_000_000  # µs between lines that tell what the node believes: a log stays readable
--- a/lichencleat/node/program.py
+++ b/lichencleat/node/program.py
@@ -12,12 +12,12 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import globalLogBeginner
 
-from lichencleat.clocks import make_reactor
 from lichencleat.machine import BadInputError
 from lichencleat.node.assembly import RealNode, UnixClock
 from lichencleat.node.config import read_told
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.report import Report
+from lichencleat.reactor import make_reactor
 
 EXTRAS = {"crc32c": "store", "sortedcontainers": "store", "structlog": "fleet", "xxhash": "fleet"}
 TIDY = 10_000_000  # µs between full collections: they take 2 ms, and closed connections are cycles
--- a/lichencleat/quotas/pools.py
+++ b/lichencleat/quotas/pools.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.leases.jobs import Jobs
 from lichencleat.quotas.terms import (
     LIMIT_MOST,
--- /dev/null
+++ b/lichencleat/reactor.py
@@ -0,0 +1,65 @@
+"""The Twisted reactor and the clocks of every process.
+
+Timers and leases run on the monotonic clock, so a step of the system's clock moves neither. Times that other
+processes are told are Unix time.
+"""
+
+from __future__ import annotations
+
+import time
+from typing import Protocol
+
+from twisted.internet.epollreactor import EPollReactor
+from twisted.internet.main import installReactor
+
+NANOSECONDS_PER_MICROSECOND = 1_000
+
+
+class Clock(Protocol):
+    """The two clocks of a process."""
+
+    def monotonic(self) -> float:
+        """Return seconds from an arbitrary start; never goes back."""
+
+    def unix_ns(self) -> int:
+        """Return Unix time in ns; it may step in either direction."""
+
+
+class SystemClock:
+    """The clocks of the machine."""
+
+    monotonic = staticmethod(time.monotonic)
+    unix_ns = staticmethod(time.time_ns)
+
+
+class Reactor(EPollReactor):
+    """An epoll reactor whose timers use the monotonic clock; Twisted's own uses Unix time."""
+
+    def __init__(self, clock: Clock) -> None:
+        """Take the time of all timers from `clock`."""
+        self.seconds = clock.monotonic
+        super().__init__()  # type: ignore[no-untyped-call]
+
+
+_clock: Clock = SystemClock()
+
+
+def install_clock(clock: Clock) -> None:
+    """Replace the clocks of this process; call it before the reactor is made.
+
+    The test kit uses it to run processes whose clocks drift or step.
+    """
+    global _clock
+    _clock = clock
+
+
+def unix_time() -> int:
+    """Return Unix time in µs; it may step in either direction."""
+    return _clock.unix_ns() // NANOSECONDS_PER_MICROSECOND
+
+
+def make_reactor() -> Reactor:
+    """Make and install the reactor of this process; at most one call per process."""
+    reactor = Reactor(_clock)
+    installReactor(reactor)  # type: ignore[no-untyped-call]
+    return reactor
--- a/lichencleat/recovery/boot.py
+++ b/lichencleat/recovery/boot.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 BACK = 1_000_000  # µs that a clock may be behind the last sign: two machines' worth of adjustment
 AHEAD = 366 * 86_400_000_000  # µs: down for longer than a year is a clock that is wrong
--- a/lichencleat/recovery/figures.py
+++ b/lichencleat/recovery/figures.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 FORMAT = 1
 TARIFFS_MOST = 256  # whose figures are kept: more than any settings name, some KB
--- a/lichencleat/recovery/state.py
+++ b/lichencleat/recovery/state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.leases.jobs import Jobs
 from lichencleat.recovery.terms import (
     JOB,
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -9,16 +9,16 @@
 
 from twisted.internet.error import CannotListenError
 
-from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config.file import WrongFileError
 from lichencleat.consensus.client import Client
+from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
 from lichencleat.failover.terms import Zone
 from lichencleat.leases.holder import Holder
 from lichencleat.log.lines import make_log
 from lichencleat.node.assembly import UnixClock
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.structured import StructuredReport
-from lichencleat.programs import run_program
+from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterHost
 from lichencleat.router.file import RouterChoice, RouterFile, host_port, read_router
@@ -26,7 +26,6 @@
 from lichencleat.router.seat import Judging, Telling
 from lichencleat.terms import Machine
 
-STOPPED, WRONG = 0, 2  # exit codes
 BELIEFS = 10_000_000  # µs between lines that tell what the router believes
 LOOK = 20_000  # µs between looks whether all is answered, while leaving
 CROSSING = 300_000  # µs after goaway for what crosses it, and for the last answers to go out
@@ -43,7 +42,7 @@
     ) -> None:
         self.reactor, self.path, self.chosen, self.machine = reactor, path, file.router, machine
         chosen = file.router
-        self.code = STOPPED
+        self.exit_code = EXIT_STOPPED
         self.clock = UnixClock()
         self.log = make_log(
             unix_time, file.log.form, process=chosen.name, role="router", zone=chosen.zone, pid=os.getpid()
@@ -94,7 +93,7 @@
             self.callers.listen(self.reactor, (host, port))
         except CannotListenError as wrong:
             self.log.warning("can't start", reason=str(wrong))
-            self.stop(WRONG)
+            self.stop(EXIT_CANNOT_START)
             return
         for number, call in ((signal.SIGHUP, self.reload), (signal.SIGUSR1, self.tell_beliefs)):
             signal.signal(number, lambda *_, call=call: self.reactor.callFromThread(call))
@@ -156,7 +155,7 @@
 
     # -- leaving -----------------------------------------------------------------------------------------
 
-    def told_to_leave(self) -> None:
+    def request_stop(self) -> None:
         """The notice: only the first one counts. What is in hand is answered, callers are asked to go."""
         if self.stop_at is not None or self.ended:
             return
@@ -193,14 +192,14 @@
         self.log.info("left", unanswered=self.host.owed())
         if len(self.callers.connections):
             self.callers.shut()
-            self.deadlines.after(LAST, self.stop, STOPPED)
+            self.deadlines.after(LAST, self.stop, EXIT_STOPPED)
         else:
-            self.stop(STOPPED)
+            self.stop(EXIT_STOPPED)
 
     def stop(self, code: int) -> None:
         if self.ended:
             return
-        self.ended, self.code = True, code
+        self.ended, self.exit_code = True, code
         self.host.close()
         for client in self.clients:
             client.close()
@@ -225,4 +224,4 @@
 def run(path: str, file: RouterFile, machine: Machine, tenants: frozenset[bytes]) -> int:
     """The exit code: 0 told to leave, 2 could not start."""
     reactor = make_reactor()
-    return run_program(reactor, Running(reactor, path, file, machine, tenants))
+    return run_daemon(reactor, Running(reactor, path, file, machine, tenants))
--- a/lichencleat/store/inspect.py
+++ b/lichencleat/store/inspect.py
@@ -12,7 +12,7 @@
 
 from crc32c import crc32c
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store import frames
 from lichencleat.store.batch import Batch
 from lichencleat.store.checkpoint import Point
--- a/lichencleat/store/recovery.py
+++ b/lichencleat/store/recovery.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from typing import Any
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store import checkpoint, frames
 from lichencleat.store.disk import Disk
 from lichencleat.store.errors import DamagedError, Finding, UnfitError
--- a/lichencleat/store/segments.py
+++ b/lichencleat/store/segments.py
@@ -8,7 +8,7 @@
 import msgspec
 from crc32c import crc32c
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store import frames
 
 NAME = "{:012d}.log"  # of a segment's file, by its number
--- a/lichencleat/testkit/cluster/clock.py
+++ b/lichencleat/testkit/cluster/clock.py
@@ -7,6 +7,7 @@
 import os
 import time
 
+CLOCK_FILE_VARIABLE = "LICHENCLEAT_RIG_CLOCK"  # of the environment: names the file
 LOOK = 0.02  # s between looks at the file
 
 
--- a/lichencleat/testkit/cluster/distribution_parts.py
+++ b/lichencleat/testkit/cluster/distribution_parts.py
@@ -13,15 +13,15 @@
 
 import yaml
 
-from lichencleat.clocks import unix_time
 from lichencleat.config_distribution.kept import PAGE, STORE
+from lichencleat.reactor import unix_time
 from lichencleat.store.batch import Batch
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
 from lichencleat.testkit.cluster.heldback import FULL
 from lichencleat.testkit.cluster.relay import LOCAL
-from lichencleat.testkit.cluster.rig import GROUP, Signalled, free_port
+from lichencleat.testkit.cluster.rig import GROUP, PROGRAM, Signalled, free_port
 
 ROOT = Path(__file__).resolve().parents[3]
 
@@ -136,7 +136,7 @@
         return f"{LOCAL}:{self.before}"
 
     def words(self) -> list[str]:
-        return ["lichencleat", "distribution", "run", str(self.file)]
+        return [PROGRAM, "distribution", "run", str(self.file)]
 
 
 class Watcher(Child):
--- a/lichencleat/testkit/cluster/hollow_nodes.py
+++ b/lichencleat/testkit/cluster/hollow_nodes.py
@@ -20,7 +20,6 @@
 from collections.abc import Callable
 from typing import Any
 
-from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config_distribution import subscriber as subscribing
 from lichencleat.config_distribution.choice import Times
 from lichencleat.config_distribution.copy import Copy, TableCopy
@@ -29,6 +28,8 @@
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
 from lichencleat.log.lines import make_log
+from lichencleat.reactor import make_reactor, unix_time
+from lichencleat.testkit.cluster.process_faults import install_faults
 from lichencleat.testkit.cluster.tap import moment
 from lichencleat.testkit.hollow import Shared, SharedCopy
 
@@ -133,6 +134,7 @@
 
 
 def main() -> None:
+    install_faults()
     reactor = make_reactor()
     subscribing.Upward = CountedUpward  # type: ignore[misc]
     with open(sys.argv[1]) as file:
--- a/lichencleat/testkit/cluster/nodes.py
+++ b/lichencleat/testkit/cluster/nodes.py
@@ -14,7 +14,7 @@
 
 from lichencleat.testkit.cluster.peers import Caller, Dependency, Engine, Listed
 from lichencleat.testkit.cluster.relay import LOCAL
-from lichencleat.testkit.cluster.rig import Rig, Signalled, free_port
+from lichencleat.testkit.cluster.rig import PROGRAM, Rig, Signalled, free_port
 
 HARD_LIMIT = 6_000_000  # µs, of both tariffs
 ROOT = Path(__file__).resolve().parents[3]
@@ -102,7 +102,7 @@
         variables = {"BALANCER_CONFIG": str(self.config), "LICHENCLEAT_FILE": str(self.file)}
         with open(self.log, "ab") as log:
             self.running = subprocess.Popen(
-                [sys.executable, "-m", "lichencleat"],
+                [sys.executable, "-m", PROGRAM],
                 cwd=ROOT,
                 env={**self.rig.variables(self.name), **variables},
                 stderr=log,
--- a/lichencleat/testkit/cluster/older_voter.py
+++ b/lichencleat/testkit/cluster/older_voter.py
@@ -10,21 +10,23 @@
 import sys
 
 from lichencleat.cli.main import run
-from lichencleat.consensus import program
 from lichencleat.consensus.state import Part
+from lichencleat.coordinator import states
+from lichencleat.testkit.cluster.process_faults import install_faults
 
 
 def without(names: set[str]) -> None:
-    known = program.parts
+    known = states.make_control_plane_states
 
     def parts() -> dict[str, Part]:
         return {name: part for name, part in known().items() if name not in names}
 
-    program.parts = parts
+    states.make_control_plane_states = parts
 
 
 def main() -> int:
     missing, *words = sys.argv[1:]
+    install_faults()
     without(set(missing.split(",")))
     return run(words)
 
--- /dev/null
+++ b/lichencleat/testkit/cluster/process_faults.py
@@ -0,0 +1,30 @@
+"""Faults that a process of the test kit installs in itself: a clock that drifts and a volatile write cache.
+
+The environment variable of `clock.py` names the file that controls the clocks; without it they run well.
+"""
+
+from __future__ import annotations
+
+import os
+
+from lichencleat.reactor import install_clock
+from lichencleat.store.disk import Disk
+from lichencleat.store.disk_kinds import register_disk_kind
+from lichencleat.testkit.cluster.clock import CLOCK_FILE_VARIABLE, RigClock
+
+VOLATILE_DISK_KIND = "held back"  # as it stands in the settings
+
+
+def open_volatile_disk(directory: str) -> Disk:
+    """Open a directory whose unflushed bytes a kill loses."""
+    from lichencleat.testkit.cluster.heldback import HeldBackDisk  # few of the processes use one
+
+    return HeldBackDisk(directory, create=True)
+
+
+def install_faults() -> None:
+    """Make both faults available in this process; call it before the reactor is made."""
+    register_disk_kind(VOLATILE_DISK_KIND, open_volatile_disk)
+    clock_file = os.environ.get(CLOCK_FILE_VARIABLE)
+    if clock_file:
+        install_clock(RigClock(clock_file))
--- a/lichencleat/testkit/cluster/relay.py
+++ b/lichencleat/testkit/cluster/relay.py
@@ -17,7 +17,7 @@
 from twisted.internet.threads import blockingCallFromThread
 
 from lichencleat.consensus.wire import Greeting, decode_frame
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 LOCAL = "127.0.0.1"
 CLIENT = "client"  # who greets without a name
--- a/lichencleat/testkit/cluster/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -17,7 +17,6 @@
 
 import yaml
 
-from lichencleat.clocks import RIG
 from lichencleat.consensus.client import Client, GroupError
 from lichencleat.consensus.facts import Changed, Fact
 from lichencleat.testkit.checkers.linear import Call
@@ -25,6 +24,7 @@
 from lichencleat.testkit.cluster.heldback import FULL
 from lichencleat.testkit.cluster.relay import CLIENT, LOCAL, Relays
 
+PROGRAM = "lichencleat.testkit.cluster.run_program"
 OLDER = "lichencleat.testkit.cluster.older_voter"
 PATIENCE = 10.0  # s: only a failing test waits so long
 FAST = {"beat_ms": 30, "election_ms": 180, "spread_ms": 180, "transfer_ms": 400}
@@ -168,7 +168,7 @@
             name = f"v{number}"
             self.voters[name] = Voter(self, name, disk)
 
-    def program(self, words: list[str], module: str = "lichencleat", **more: Any) -> subprocess.Popen:
+    def program(self, words: list[str], module: str = PROGRAM, **more: Any) -> subprocess.Popen:
         root = Path(__file__).resolve().parents[3]
         child = subprocess.Popen([sys.executable, "-m", module, *words], cwd=root, **more)
         self.children.append(child)
@@ -176,7 +176,7 @@
 
     def variables(self, name: str) -> dict[str, str]:
         """The environment of the process of that name: its clocks run by the rig's word."""
-        return {**os.environ, RIG: self.clock_file(name)}
+        return {**os.environ, clock.CLOCK_FILE_VARIABLE: self.clock_file(name)}
 
     def clock_file(self, name: str) -> str:
         return str(self.path / f"{name}.clock")
--- a/lichencleat/testkit/cluster/tap.py
+++ b/lichencleat/testkit/cluster/tap.py
@@ -13,7 +13,7 @@
 
 from lichencleat.config_distribution.terms import FOLLOW, decode_follow
 from lichencleat.consensus.wire import FRAME_MOST, Greeting, Request, decode_frame
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.testkit.checkers.distribution import Acknowledged
 from lichencleat.testkit.cluster.relay import Inward, Link, Relay, Relays
 
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -21,7 +21,6 @@
 import msgspec
 from twisted.internet.defer import inlineCallbacks
 
-from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config_distribution.choice import Times
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.follow import Follower
@@ -31,8 +30,10 @@
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch, Digests, Pages
 from lichencleat.log.lines import make_log
+from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.store.errors import StoreError
 from lichencleat.testkit.cluster.heldback import HeldBackDisk
+from lichencleat.testkit.cluster.process_faults import install_faults
 from lichencleat.testkit.cluster.tap import moment
 
 
@@ -183,6 +184,7 @@
 
 
 def main() -> None:
+    install_faults()
     reactor = make_reactor()
     path, *more = sys.argv[1:]
     mistake = more[1] if more[:1] == ["--mistake"] else ""
--- a/lichencleat/testkit/cluster/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -15,11 +15,12 @@
 from twisted.internet.protocol import ReconnectingClientFactory
 from twisted.protocols.basic import LineOnlyReceiver
 
-from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.consensus.client import Client
-from lichencleat.consensus.file import host_port, read_quorum
+from lichencleat.coordinator.settings import host_port, read_quorum_settings
 from lichencleat.leases.holder import Holder
 from lichencleat.log.lines import make_log
+from lichencleat.reactor import make_reactor, unix_time
+from lichencleat.testkit.cluster.process_faults import install_faults
 
 ACT = 0.01  # s between two acts on a job
 
@@ -61,9 +62,10 @@
 
 
 def main() -> None:
+    install_faults()
     reactor = make_reactor()
     path, name, zone, port = sys.argv[1:]
-    chosen = read_quorum(path)
+    chosen = read_quorum_settings(path)
     rng = random.Random(os.urandom(16))
     log = make_log(unix_time, process=name, role="candidate", group=chosen.group)
     client = Client(reactor, chosen.group, [host_port(each) for each in chosen.members], rng)
--- a/tests/config_distribution/test_relay_file.py
+++ b/tests/config_distribution/test_relay_file.py
@@ -7,7 +7,7 @@
 from lichencleat.config.file import SOURCES_MOST, WrongFileError, read_file
 from lichencleat.config_distribution.file import read_relay
 from lichencleat.config_distribution.terms import RELAYS_MOST
-from lichencleat.consensus.file import read_quorum
+from lichencleat.coordinator.settings import read_quorum_settings
 
 EXAMPLES = Path(__file__).parents[2] / "deploy" / "relays"
 GOOD = """distribution:
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("name", ["region", "zone"])
 def test_the_examples_are_right(name):
     assert read_relay(f"{EXAMPLES}/{name}.yaml").group == "config"
-    voter = read_quorum(f"{EXAMPLES}/voter.yaml", member=True)
+    voter = read_quorum_settings(f"{EXAMPLES}/voter.yaml", member=True)
     assert voter.group == "config" and voter.distribution
 
 
--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -15,12 +15,12 @@
 from lichencleat.consensus.journal import Journal
 from lichencleat.consensus.member import Role
 from lichencleat.consensus.process import Process
-from lichencleat.consensus.program import distribution_parts
 from lichencleat.consensus.seats import Identity, wake_up
 from lichencleat.consensus.serves import Guarded
 from lichencleat.consensus.state import command, founded
 from lichencleat.consensus.terms import Act, Decision, Group, Kind, Member, Message, Reason
 from lichencleat.consensus.wire import Request, raw
+from lichencleat.coordinator.states import make_config_distribution_states
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, StoreError
 from lichencleat.store.faulty import FaultyDisk
@@ -117,7 +117,7 @@
         ("127.0.0.1", 1),
         log,
         random.Random(1),
-        distribution_parts,
+        make_config_distribution_states,
         zone="z1",
         serves=voting,
     )
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -9,10 +9,10 @@
 from lichencleat.consensus import wire
 from lichencleat.consensus.facts import Facts, Set
 from lichencleat.consensus.links import Framed
-from lichencleat.consensus.program import parts
 from lichencleat.consensus.seats import Life
 from lichencleat.consensus.state import State, command
 from lichencleat.consensus.terms import Entry, What
+from lichencleat.coordinator.states import make_control_plane_states
 from lichencleat.failover.terms import Define as DefineZone
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
@@ -51,7 +51,7 @@
 @pytest.mark.parametrize("name", COMMANDS)
 def test_an_entry_that_no_part_can_read_stays_in_the_log_and_changes_nothing(name):
     """Each member applies it at each start: one that raised would take the whole group along, for good."""
-    state = State({**parts(), "distribution": Source()})
+    state = State({**make_control_plane_states(), "distribution": Source()})
     assert set(state.parts) == set(COMMANDS) and isinstance(state.parts["owners"], Jobs)
     before = state.dump()
     for index, data in enumerate(no_text(command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
--- a/tests/consensus/test_versions.py
+++ b/tests/consensus/test_versions.py
@@ -8,10 +8,10 @@
 from lichencleat.consensus import wire
 from lichencleat.consensus.facts import Facts, Set
 from lichencleat.consensus.parts import BEFORE, NAMED_MOST, TOLD_MOST, USES, Known, UnknownPartError
-from lichencleat.consensus.program import distribution_parts, parts
 from lichencleat.consensus.seats import Life
 from lichencleat.consensus.state import State, command
 from lichencleat.consensus.terms import Entry, Group, Member, Snapshot, What
+from lichencleat.coordinator.states import make_config_distribution_states, make_control_plane_states
 from lichencleat.recovery.terms import Report
 
 GROUP = Group(tuple(Member(seat, f"v{seat}", "h", seat) for seat in range(1, 7)))
@@ -23,7 +23,7 @@
 
 
 def older(without="revive"):
-    return State({name: part for name, part in parts().items() if name != without})
+    return State({name: part for name, part in make_control_plane_states().items() if name != without})
 
 
 def test_a_leader_decides_on_a_part_once_each_member_has_said_that_it_knows_it():
@@ -47,7 +47,7 @@
 
 
 def test_what_a_version_knew_that_does_not_say_is_what_there_is_today():
-    assert {*parts(), *distribution_parts()} == BEFORE
+    assert {*make_control_plane_states(), *make_config_distribution_states()} == BEFORE
 
 
 def test_members_that_said_something_are_bounded_and_the_one_heard_least_lately_goes():
@@ -68,14 +68,14 @@
 
 
 def test_a_member_without_the_part_does_not_go_on_from_a_snapshot_in_which_it_is_used():
-    newer = State(parts())
+    newer = State(make_control_plane_states())
     newer.apply(1, entry("revive", REPORT))
     older().restore(Snapshot(1, 1, GROUP, newer.dump()))  # as landed versions wrote it: nothing says so
     newer.apply(2, entry(USES, ["revive"]))
     state = older()
     with pytest.raises(UnknownPartError):
         state.restore(Snapshot(2, 1, GROUP, newer.dump()))
-    again = State(parts())
+    again = State(make_control_plane_states())
     again.restore(Snapshot(2, 1, GROUP, newer.dump()))
     assert again.dump() == newer.dump() and again.used == {"revive"}
 
@@ -85,15 +85,17 @@
         sessions: list
         parts: dict
 
-    state = State(parts())
+    state = State(make_control_plane_states())
     state.apply(1, entry("facts", Set("f", b"v")))
     state.apply(2, entry(USES, ["facts"]))
     found = msgspec.msgpack.decode(state.dump(), type=Before)
-    again = State(parts())
+    again = State(make_control_plane_states())
     again.restore(Snapshot(2, 1, GROUP, msgspec.msgpack.encode(found)))
     assert again.read("facts", "f").value == b"v" and not again.used
-    assert again.decided_on("facts", parts()) and not again.decided_on("revive", parts())
-    assert not again.decided_on("nothing", parts())
+    assert again.decided_on("facts", make_control_plane_states()) and not again.decided_on(
+        "revive", make_control_plane_states()
+    )
+    assert not again.decided_on("nothing", make_control_plane_states())
 
 
 @pytest.mark.parametrize("what", [["nothing known"], "no list", [1], None])
@@ -128,7 +130,9 @@
         known = Known(states[leader].parts)
         for each, state in states.items():
             known.tells(each, state.parts)
-        allowed = known.objection(name, group, leader) is None or states[leader].decided_on(name, parts())
+        allowed = known.objection(name, group, leader) is None or states[leader].decided_on(
+            name, make_control_plane_states()
+        )
         if allowed if gate else name in states[leader].parts:
             if gate and name not in states[leader].used:
                 entries.append(entry(USES, [name]))
@@ -137,13 +141,13 @@
         if rng.random() < 0.5:
             applies(seat)
         if rng.random() < 0.1:  # put up, from its own dump
-            made = State(parts())
+            made = State(make_control_plane_states())
             made.restore(Snapshot(states[seat].applied, 1, group, states[seat].dump()))
             states[seat] = made
     for seat in states:
         applies(seat)
         if "revive" not in states[seat].parts:
-            made = State(parts())
+            made = State(make_control_plane_states())
             made.restore(Snapshot(states[seat].applied, 1, group, states[seat].dump()))
             states[seat] = made
     return {state.dump() for state in states.values()}
