--- a/benchmarks/capacity/group.py
+++ b/benchmarks/capacity/group.py
@@ -20,12 +20,12 @@
 from benchmarks.capacity.members import Timed
 from lichencleat.capacity.slopes import Line
 from lichencleat.consensus.client import Client
-from lichencleat.consensus.entries import encode_group
-from lichencleat.consensus.facts import Facts, Set
-from lichencleat.consensus.member import Role
-from lichencleat.consensus.state import State, command, founded
-from lichencleat.consensus.terms import Act, Durable, Group, Member, Message, Times
-from lichencleat.consensus.voter import Voter
+from lichencleat.consensus.follower import Role
+from lichencleat.consensus.key_value import KeyValueState, SetCommand
+from lichencleat.consensus.messages import ActionType, Configuration, DurableState, Member, Message, Timeouts
+from lichencleat.consensus.raft_log import encode_configuration
+from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.state_machine import StateMachine, bootstrap_snapshot, encode_command
 from lichencleat.consensus.wire import Carried, decode_frame, encode
 from lichencleat.testkit.cluster.relay import LOCAL
 from lichencleat.testkit.cluster.rig import Rig
@@ -37,9 +37,9 @@
 MARK = b"m" * 16
 
 
-def listed(count: int) -> Group:
+def listed(count: int) -> Configuration:
     """Voters and learners, with names and addresses as long as real ones."""
-    return Group(
+    return Configuration(
         tuple(
             Member(1 << 40 | seat, f"node-{seat:05d}", ADDRESS, 7_000, seat < VOTERS, f"zone-{seat % 17:02d}")
             for seat in range(count)
@@ -57,42 +57,42 @@
         self.voters = {}
         self.states = {}
         for each in group.members:
-            durable = Durable(1, 0, founded(group))
-            rng = random.Random(seed * 10_000 + each.seat)
-            self.voters[each.seat] = Voter(each.seat, durable, Times(), rng, 0)
-            self.states[each.seat] = State({"facts": Facts()})
+            durable = DurableState(1, 0, bootstrap_snapshot(group))
+            rng = random.Random(seed * 10_000 + each.member_id)
+            self.voters[each.member_id] = RaftNode(each.member_id, durable, Timeouts(), rng, 0)
+            self.states[each.member_id] = StateMachine({"facts": KeyValueState()})
         self.wire: deque[bytes] = deque()
         self.sent = 0  # bytes
-        self.lead = min(each.seat for each in group.members)
+        self.lead = min(each.member_id for each in group.members)
         self.pull(self.lead)
         while self.voters[self.lead].role is not Role.LEADER:
             self.now += 1_000_000
-            self.voters[self.lead].wakes(self.now)
+            self.voters[self.lead].on_timer(self.now)
             self.settle()
 
     def settle(self) -> None:
         self.pull(self.lead)
         while self.wire:
             data = self.wire.popleft()
-            seat = decode_frame(data).message.to  # whose it is; not counted
+            seat = decode_frame(data).message.recipient  # whose it is; not counted
             self.timed[seat == self.lead].call(self.hears, seat, data)
             self.pull(seat)
 
     def hears(self, seat: int, data: bytes) -> None:
-        self.voters[seat].hears(self.now, decode_frame(data).message)
+        self.voters[seat].receive(self.now, decode_frame(data).message)
 
     def pull(self, seat: int) -> None:
         timed, voter = self.timed[seat == self.lead], self.voters[seat]
-        while (decision := timed.call(voter.next_decision)) is not None:
-            if decision.act is Act.SAVE:
-                timed.call(voter.saved, self.now, decision.save.number)
-            elif decision.act is Act.SEND:
+        while (decision := timed.call(voter.next_action)) is not None:
+            if decision.action_type is ActionType.WRITE:
+                timed.call(voter.on_write_durable, self.now, decision.write.number)
+            elif decision.action_type is ActionType.SEND:
                 data = timed.call(self.carried, decision.message)
                 self.sent += len(data)
                 self.wire.append(data)
-            elif decision.act is Act.RESTORE:
+            elif decision.action_type is ActionType.RESTORE_SNAPSHOT:
                 self.states[seat].restore(decision.snapshot)
-            elif decision.act is Act.APPLY:
+            elif decision.action_type is ActionType.APPLY:
                 timed.call(self.states[seat].apply, decision.index, decision.entry)
 
     @staticmethod
@@ -100,14 +100,14 @@
         return encode(Carried(MARK, message))
 
     def write(self, number: int) -> None:
-        what = command("facts", Set(f"f{number % 50}", VALUE))
+        what = encode_command("facts", SetCommand(f"f{number % 50}", VALUE))
         self.timed[True].call(self.voters[self.lead].propose, self.now, number, what)
         self.settle()
 
     def beat(self) -> None:
         voter = self.voters[self.lead]
         self.now = voter.deadline()
-        self.timed[True].call(voter.wakes, self.now)
+        self.timed[True].call(voter.on_timer, self.now)
         self.settle()
 
 
@@ -143,7 +143,7 @@
     lines = Lines("group changes")
     lines.kind("voter.change_bytes", "members", "bytes", "of one entry that adds or removes a member")
     for count in effort.sizes((8, 50, 100, 200, 350, 512), (8, 16, 24, 32)):
-        lines.add("voter.change_bytes", count, len(encode_group(listed(count))))
+        lines.add("voter.change_bytes", count, len(encode_configuration(listed(count))))
     return lines.made()
 
 
--- a/benchmarks/capacity/state.py
+++ b/benchmarks/capacity/state.py
@@ -19,7 +19,7 @@
 from benchmarks.capacity import Effort, Lines, enough, took
 from lichencleat.capacity.slopes import Line
 from lichencleat.config.file import read_as
-from lichencleat.consensus.facts import Fact, Facts
+from lichencleat.consensus.key_value import KeyValueEntry, KeyValueState
 from lichencleat.failover.judge import JOB, Judge
 from lichencleat.failover.state import Dumped, Zones
 from lichencleat.failover.terms import Define as DefineZone
@@ -68,12 +68,12 @@
     lines.kind("facts.dump_mb", "records", "MB")
     for count in effort.sizes((10_000, 30_000, 65_536, 200_000, 560_000), (100, 200, 300, 400)):
 
-        def made(count: int = count) -> Facts:
+        def made(count: int = count) -> KeyValueState:
             """Past the bound on facts: what they would take."""
-            part = Facts()
+            part = KeyValueState()
             for number in range(count):
                 name, value = record(number)
-                part.facts[name] = Fact(value, number)
+                part.entries[name] = KeyValueEntry(value, number)
             return part
 
         lines.add("facts.memory_mb", count, held_mb(made))
@@ -82,7 +82,7 @@
         lines.add("facts.dump_mb", count, len(data) / 1e6)
         for _ in range(effort.runs(3)):
             lines.add("facts.dump_ms", count, took(lambda part=part: encode(part.dump()), 1) * 1e3)
-            load = partial(Facts().load, msgspec.Raw(data))
+            load = partial(KeyValueState().load, msgspec.Raw(data))
             lines.add("facts.load_ms", count, took(load, 1) * 1e3)
     return lines.made()
 
--- a/benchmarks/quorum_size.py
+++ b/benchmarks/quorum_size.py
@@ -11,9 +11,9 @@
 
 import click
 
-from lichencleat.consensus.facts import Set
-from lichencleat.consensus.state import command
-from lichencleat.consensus.terms import Entry, What
+from lichencleat.consensus.key_value import SetCommand
+from lichencleat.consensus.messages import Entry, EntryType
+from lichencleat.consensus.state_machine import encode_command
 from lichencleat.testkit.simulation.clockwork import Clockwork
 from lichencleat.testkit.simulation.group import SimGroup
 from lichencleat.testkit.simulation.network import Network
@@ -44,7 +44,7 @@
             leader = self.group.leader()
             assert leader is not None
             learner = self.group.members[seat].member
-            learner = type(learner)(learner.seat, learner.name, "", 0, votes=False)
+            learner = type(learner)(learner.member_id, learner.name, "", 0, is_voter=False)
             self.group.ask("op", leader.seat, "add", learner, told.append)
             self.run(0.02)
 
@@ -52,8 +52,8 @@
         leader = self.group.leader()
         self.made += 1
         if leader is not None:
-            what = command("facts", Set(f"f{self.made % 50}", b"%d" % self.made))
-            self.group.ask("op", leader.seat, "propose", Entry(0, What.COMMAND, what), lambda told: None)
+            what = encode_command("facts", SetCommand(f"f{self.made % 50}", b"%d" % self.made))
+            self.group.ask("op", leader.seat, "propose", Entry(0, EntryType.COMMAND, what), lambda told: None)
 
     def term(self) -> int:
         return max(each.voter.term for each in self.group.members.values())
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -8,7 +8,9 @@
 from lichencleat.capacity.needs import CONFIG, SOME
 from lichencleat.capacity.sizes import Size
 from lichencleat.config_distribution import terms as distribution
-from lichencleat.consensus import facts, group, links, sessions
+from lichencleat.consensus import configuration as group
+from lichencleat.consensus import key_value as facts
+from lichencleat.consensus import links, sessions
 from lichencleat.failover import terms as zones
 from lichencleat.flows import collector
 from lichencleat.leases import terms as owners
@@ -35,15 +37,15 @@
     Bound("node", "connections: a subset", "node_sockets", None, of.subset),
     Bound("member", "members: each node", "members.table.MEMBERS_MOST", members.MEMBERS_MOST, of.nodes, SOME),
     Bound("voter", "members of a group: each node a learner", "quorum.group.MEMBERS_MOST",
-          group.MEMBERS_MOST, of.nodes,
+          group.MAX_MEMBERS, of.nodes,
           CONFIG),
-    Bound("voter", "facts: routes and tenants", "quorum.facts.FACTS_MOST", facts.FACTS_MOST, of.records,
+    Bound("voter", "facts: routes and tenants", "quorum.facts.FACTS_MOST", facts.MAX_KEYS, of.records,
           CONFIG),
     Bound("voter", "connections: each node asks one group", "quorum.links.CONNECTIONS_MOST",
           links.CONNECTIONS_MOST,
           of.nodes),
     Bound("voter", "sessions: each node asks one group", "quorum.sessions.SESSIONS_MOST",
-          sessions.SESSIONS_MOST,
+          sessions.MAX_SESSIONS,
           of.nodes),
     Bound("owner", "candidates: each node", "owners.terms.CANDIDATES_MOST", owners.CANDIDATES_MOST,
           of.nodes, CANDIDATES),
--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -11,7 +11,7 @@
 from lichencleat.capacity.sizes import SECOND, Size, Times, look_bytes, looks, once
 from lichencleat.capacity.target import Target
 from lichencleat.config.file import SIZE_MOST
-from lichencleat.consensus.arrival import SNAPSHOT_MOST
+from lichencleat.consensus.snapshot_receiver import MAX_SNAPSHOT_BYTES
 from lichencleat.failover import judge
 from lichencleat.leases import terms as owners
 from lichencleat.quotas import terms as shares
@@ -42,7 +42,7 @@
 TURN_US = Budget("a turn of the reactor", lambda t: t.turn_ms * 1e3)
 BACK = Budget("back after a power loss (supposed)", lambda t: t.back_in_s)
 FILE = Budget("the file's most characters", lambda t: SIZE_MOST)
-SNAPSHOT = Budget("a snapshot's most bytes", lambda t: SNAPSHOT_MOST / 1e6)
+SNAPSHOT = Budget("a snapshot's most bytes", lambda t: MAX_SNAPSHOT_BYTES / 1e6)
 
 
 @dataclass(frozen=True, slots=True)
--- a/lichencleat/cli/quorum.py
+++ b/lichencleat/cli/quorum.py
@@ -18,7 +18,7 @@
 from lichencleat.consensus import program
 from lichencleat.consensus.client import Client, GroupError
 from lichencleat.consensus.file import QuorumChoice, host_port, read_quorum
-from lichencleat.consensus.terms import Reason
+from lichencleat.consensus.messages import RejectReason
 from lichencleat.store.errors import StoreError
 
 HEAD = ["name", "address", "zone", "votes", "role", "term", "applied", "last", "start", "seat"]
@@ -49,7 +49,10 @@
         identity = program.found(chosen(file, member=True), random.Random(os.urandom(16)))
     except (program.NotFoundedError, StoreError) as wrong:
         raise output.WrongInput(f"quorum found: {wrong}") from wrong
-    output.pairs({"group": identity.group.hex(), "member": identity.member, "seat": identity.seat}, False)
+    output.pairs(
+        {"group": identity.cluster_id.hex(), "member": identity.member_name, "seat": identity.member_id},
+        False,
+    )
 
 
 @group.command()
@@ -200,7 +203,7 @@
                 yield client.call("add", [*who, True], PATIENCE)
                 return None
             except GroupError as wrong:
-                if wrong.why != Reason.BEHIND.value or reactor.seconds() > until:
+                if wrong.why != RejectReason.LEARNER_BEHIND.value or reactor.seconds() > until:
                     raise
             yield deferLater(reactor, LOOK, lambda: None)
 
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -21,9 +21,9 @@
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
+from lichencleat.consensus.identity import GreetingResult, Incarnation
 from lichencleat.consensus.links import Called, Door
-from lichencleat.consensus.seats import Life, Welcome
-from lichencleat.consensus.terms import Message
+from lichencleat.consensus.messages import Message
 from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 
 if TYPE_CHECKING:
@@ -142,10 +142,10 @@
             if past:
                 link.transport.loseConnection()
             else:
-                link.send(self.word(Welcome.COME))
+                link.send(self.word(GreetingResult.ACCEPTED))
 
-    def word(self, welcome: Welcome) -> Greeted:
-        return Greeted(welcome, self.mark, 0, self.chosen.name, Life(0, 0))
+    def word(self, welcome: GreetingResult) -> Greeted:
+        return Greeted(welcome, self.mark, 0, self.chosen.name, Incarnation(0, 0))
 
     # -- the door's owner ------------------------------------------------------------------------------
 
@@ -154,7 +154,7 @@
         if greeting.group and self.mark and greeting.group != self.mark:
             mine = False
         link.welcome = mine
-        link.send(self.word(Welcome.COME if mine else Welcome.OTHER_GROUP))
+        link.send(self.word(GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER))
         if not mine:
             self.count("turned away")
             self.log.warning("turns away", who=greeting.member, group=greeting.name)
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -30,8 +30,8 @@
     decode_fed,
     decode_pages,
 )
+from lichencleat.consensus.identity import GreetingResult, Incarnation
 from lichencleat.consensus.links import Framed
-from lichencleat.consensus.seats import Life, Welcome
 from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 from lichencleat.decoding import UNDECODABLE
 
@@ -57,7 +57,7 @@
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
         host = self.way.host
-        self.send(Greeting(FORMAT, host.copy.mark, host.group, 0, 0, Life(0, 0), host.who))
+        self.send(Greeting(FORMAT, host.copy.mark, host.group, 0, 0, Incarnation(0, 0), host.who))
 
     def stringReceived(self, data: bytes) -> None:
         frame = self.read(data)
@@ -100,7 +100,7 @@
         self.end("no connection")
 
     def greeted(self, link: Upward, answer: Greeted) -> None:
-        if answer.welcome != Welcome.COME:
+        if answer.welcome != GreetingResult.ACCEPTED:
             self.end("is of another group", "turned away")
             return
         self.link, self.mark = link, answer.group
@@ -108,7 +108,7 @@
 
     def learned(self, answer: Greeted) -> None:
         """It did not know its group when it was called, and does now."""
-        if answer.welcome != Welcome.COME or (self.host.copy.mark or answer.group) != answer.group:
+        if answer.welcome != GreetingResult.ACCEPTED or (self.host.copy.mark or answer.group) != answer.group:
             self.end("is of another group", "turned away")
             return
         self.mark = answer.group
--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -17,7 +17,7 @@
 from lichencleat.config_distribution.source import Source
 from lichencleat.consensus.links import Called
 from lichencleat.consensus.serves import Asks
-from lichencleat.consensus.state import State
+from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.consensus.wire import Reply, Request, raw
 
 PART = "distribution"  # of the group's state
@@ -91,10 +91,10 @@
 
     # -- what the member has ---------------------------------------------------------------------------
 
-    def applied(self, state: State) -> None:
+    def applied(self, state: StateMachine) -> None:
         self.index = state.applied
         self.fresh.applied(state.applied)
-        source = state.parts[PART]
+        source = state.states[PART]
         assert isinstance(source, Source)
         if source is not self.source:
             self.takes(source)
--- a/lichencleat/consensus/client.py
+++ b/lichencleat/consensus/client.py
@@ -15,18 +15,20 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory
 
+from lichencleat.consensus.identity import GreetingResult, Incarnation
 from lichencleat.consensus.links import Framed
-from lichencleat.consensus.seats import Life, Welcome
-from lichencleat.consensus.sessions import Verdict
-from lichencleat.consensus.state import command
-from lichencleat.consensus.terms import Reason
+from lichencleat.consensus.messages import RejectReason
+from lichencleat.consensus.sessions import SessionOutcome
+from lichencleat.consensus.state_machine import encode_command
 from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 from lichencleat.decoding import UNDECODABLE
 
 TRY = 1.0  # s for one try at one member: over any election's beat, under a caller's patience
 REST = (0.02, 0.4)  # s before the next try, twice as long each time, with a drawn part
 WAITING_MOST = 1_024  # calls that wait here
-FINAL = frozenset([Reason.UNFIT.value, Reason.LAST.value])  # asking again changes nothing
+FINAL = frozenset(
+    [RejectReason.INVALID_REQUEST.value, RejectReason.LAST_VOTER.value]
+)  # asking again changes nothing
 
 
 class GroupError(Exception):
@@ -52,7 +54,7 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         client = self.client
-        self.send(Greeting(FORMAT, b"", client.name, 0, 0, Life(0, 0), client.who))
+        self.send(Greeting(FORMAT, b"", client.name, 0, 0, Incarnation(0, 0), client.who))
 
     def stringReceived(self, data: bytes) -> None:
         frame = self.read(data)
@@ -107,7 +109,7 @@
 
     def propose(self, part: str, what: Any, patience: float = 10.0) -> Deferred[Any]:
         """Fires with what the part answered. Fails with GroupError after `patience` seconds."""
-        return self.call("propose", command(part, what), patience)
+        return self.call("propose", encode_command(part, what), patience)
 
     def read(self, part: str, query: Any, patience: float = 10.0) -> Deferred[Any]:
         """What holds at some moment between this call and its answer."""
@@ -212,7 +214,7 @@
             link.transport.abortConnection()
             return
         self.link = link
-        self.welcome = answer.welcome == Welcome.COME
+        self.welcome = answer.welcome == GreetingResult.ACCEPTED
         if not self.welcome:
             self.last = "{}:{} is of another group".format(*self.at)
             self.move()
@@ -244,7 +246,7 @@
             self.finish(content)
         elif content in FINAL:
             self.finish(GroupError(content, False))
-        elif content in Verdict.__members__:  # the group knows the session no more, or never did
+        elif content in SessionOutcome.__members__:  # the group knows the session no more, or never did
             self.session = 0
             self.finish(GroupError(f"the group has dropped the session ({content.lower()})", call.maybe))
         else:
@@ -252,7 +254,7 @@
             there = (reply.host, reply.port)
             if reply.leader and there != self.at and reply.port:
                 self.move(there)
-            elif content == Reason.NOT_LEADER.value:
+            elif content == RejectReason.NOT_LEADER.value:
                 self.move()
             else:
                 self.again()
--- a/lichencleat/consensus/saves.py
+++ b/lichencleat/consensus/durable_writer.py
@@ -12,41 +12,41 @@
 from collections.abc import Callable, Iterator
 from typing import Any
 
-from lichencleat.consensus.journal import Journal
-from lichencleat.consensus.terms import Save
+from lichencleat.consensus.log_storage import LogStorage
+from lichencleat.consensus.messages import DurableWrite
 from lichencleat.store.batch import Batch
 from lichencleat.store.store import Store
 
 
-class Saves:
+class DurableWriter:
     """Bounded by what a leader takes (`leading.WAITING_MOST`) or sends ahead (`following.AHEAD_MOST`)."""
 
     def __init__(
-        self, store: Store, journal: Journal, saved: Callable[[int], None], failed: Callable[[Any], None]
+        self, store: Store, journal: LogStorage, saved: Callable[[int], None], failed: Callable[[Any], None]
     ) -> None:
         """`saved` is told the number of each, in order; `failed` a Failure, and nothing is written then."""
-        self.store, self.journal, self.saved, self.failed = store, journal, saved, failed
-        self.waiting: deque[tuple[Save, Iterator[Batch]]] = deque()
-        self.broken = False
-
-    def write(self, save: Save) -> None:
-        self.waiting.append((save, self.journal.pieces(save)))
-        if len(self.waiting) == 1:
-            self.go_on()
-
-    def go_on(self) -> None:
-        while self.waiting and not self.broken:
-            save, pieces = self.waiting[0]
+        self.store, self.storage, self.on_durable, self.on_failed = store, journal, saved, failed
+        self.queue: deque[tuple[DurableWrite, Iterator[Batch]]] = deque()
+        self.has_failed = False
+
+    def write(self, save: DurableWrite) -> None:
+        self.queue.append((save, self.storage.chunk_batches(save)))
+        if len(self.queue) == 1:
+            self.write_next()
+
+    def write_next(self) -> None:
+        while self.queue and not self.has_failed:
+            save, pieces = self.queue[0]
             piece = next(pieces, None)
             if piece is not None:
-                self.commit(piece, self.go_on)
+                self.commit(piece, self.write_next)
                 return
-            self.waiting.popleft()
-            self.commit(self.journal.batch(save), lambda number=save.number: self.saved(number))
+            self.queue.popleft()
+            self.commit(self.storage.make_batch(save), lambda number=save.number: self.on_durable(number))
 
     def commit(self, batch: Batch, then: Callable[[], None]) -> None:
-        self.store.commit(batch).addCallback(lambda _: then()).addErrback(self.end)
+        self.store.commit(batch).addCallback(lambda _: then()).addErrback(self.fail)
 
-    def end(self, failure: Any) -> None:
-        self.broken = True
-        self.failed(failure)
+    def fail(self, failure: Any) -> None:
+        self.has_failed = True
+        self.on_failed(failure)
--- a/lichencleat/consensus/file.py
+++ b/lichencleat/consensus/file.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, Struct
 
 from lichencleat.config.file import Address, LogChoice, Name, Place, WrongFileError, host_port, load, read_as
-from lichencleat.consensus.terms import Times
+from lichencleat.consensus.messages import Timeouts
 
 __all__ = ["QuorumChoice", "QuorumFile", "host_port", "read_quorum"]
 
@@ -22,8 +22,8 @@
     spread_ms: Milliseconds = 400
     transfer_ms: Milliseconds = 800
 
-    def times(self) -> Times:
-        return Times(
+    def times(self) -> Timeouts:
+        return Timeouts(
             self.beat_ms * 1000, self.election_ms * 1000, self.spread_ms * 1000, self.transfer_ms * 1000
         )
 
--- a/lichencleat/consensus/links.py
+++ b/lichencleat/consensus/links.py
@@ -14,7 +14,7 @@
 from twisted.internet.protocol import ClientFactory, Factory
 from twisted.protocols.basic import Int32StringReceiver
 
-from lichencleat.consensus.terms import Member, Message
+from lichencleat.consensus.messages import Member, Message
 from lichencleat.consensus.wire import (
     FRAME_MOST,
     Carried,
@@ -90,13 +90,13 @@
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
-        self.send(self.out.owner.greeting(self.out.member.seat))
+        self.send(self.out.owner.greeting(self.out.member.member_id))
 
     def stringReceived(self, data: bytes) -> None:
         frame = self.read(data)
         if isinstance(frame, Greeted):
             self.out.answered(self, frame)
-        elif isinstance(frame, Carried) and frame.message.sender == self.out.member.seat:
+        elif isinstance(frame, Carried) and frame.message.sender == self.out.member.member_id:
             self.out.owner.hears(frame.message)  # of one that does not know yet where this member is
         elif frame is not None:
             self.transport.abortConnection()
@@ -136,7 +136,7 @@
 
     def answered(self, made: Calling, answer: Greeted) -> None:
         self.calm()
-        if self.closed or not self.owner.greeted(self.member.seat, answer):
+        if self.closed or not self.owner.greeted(self.member.member_id, answer):
             made.transport.loseConnection()
             return
         self.link, self.span = made, AGAIN[0]
@@ -150,7 +150,7 @@
         self.calm()
         if self.link is made:
             self.link = None
-            self.owner.link_lost(self.member.seat)
+            self.owner.link_lost(self.member.member_id)
         self.retry()
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -14,19 +14,34 @@
 import msgspec
 from twisted.internet.defer import Deferred
 
-from lichencleat.consensus.facts import Facts
-from lichencleat.consensus.group import changed, without
-from lichencleat.consensus.journal import Journal
+from lichencleat.consensus.configuration import with_member, without_member
+from lichencleat.consensus.durable_writer import DurableWriter
+from lichencleat.consensus.follower import Role
+from lichencleat.consensus.identity import (
+    IDENTITY_KEY,
+    GreetingResult,
+    Identity,
+    Incarnation,
+    PeerIncarnations,
+)
+from lichencleat.consensus.key_value import KeyValueState
 from lichencleat.consensus.links import Called, Door, Out
-from lichencleat.consensus.member import Role
-from lichencleat.consensus.parts import USES, Known, UnknownPartError
-from lichencleat.consensus.saves import Saves
-from lichencleat.consensus.seats import IDENTITY, Identity, Life, Seats, Welcome
+from lichencleat.consensus.log_storage import LogStorage
+from lichencleat.consensus.messages import (
+    Action,
+    ActionType,
+    Configuration,
+    Member,
+    Message,
+    MessageType,
+    RejectReason,
+    Timeouts,
+)
+from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.consensus.serves import Guarded, Log, Serves
-from lichencleat.consensus.sessions import Verdict
-from lichencleat.consensus.state import Part, State, command, decode_command
-from lichencleat.consensus.terms import Act, Decision, Group, Kind, Member, Message, Reason, Times
-from lichencleat.consensus.voter import Voter
+from lichencleat.consensus.sessions import SessionOutcome
+from lichencleat.consensus.state_machine import ReplicatedState, StateMachine, decode_command, encode_command
+from lichencleat.consensus.supported_states import ACTIVATION_COMMAND, SupportedStates, UnknownStateError
 from lichencleat.consensus.wire import (
     FORMAT,
     Carried,
@@ -51,7 +66,7 @@
 LIFE = b"l"  # a key in the store; it goes on with the seat's eight bytes
 SECOND = 1_000_000
 
-decode_life = msgspec.msgpack.Decoder(Life).decode
+decode_life = msgspec.msgpack.Decoder(Incarnation).decode
 
 
 def life_key(seat: int) -> bytes:
@@ -69,9 +84,9 @@
         listen: tuple[str, int],
         log: Log,
         rng: random.Random,
-        parts: Callable[[], dict[str, Part]] = lambda: {"facts": Facts()},
-        tend: Callable[[State | None, int], list[tuple[str, Any]]] = lambda state, now: [],
-        times: Times | None = None,
+        parts: Callable[[], dict[str, ReplicatedState]] = lambda: {"facts": KeyValueState()},
+        tend: Callable[[StateMachine | None, int], list[tuple[str, Any]]] = lambda state, now: [],
+        times: Timeouts | None = None,
         zone: str = "",
         serves: Serves | None = None,
     ) -> None:
@@ -84,22 +99,22 @@
         self.reactor, self.store, self.identity, self.log, self.rng = reactor, store, identity, log, rng
         self.parts, self.tend, self.zone = parts, tend, zone
         self.serves = Guarded(serves, log)
-        self.state = State(parts())
-        self.known = Known(self.state.parts)
-        self.journal = Journal()
+        self.state = StateMachine(parts())
+        self.known = SupportedStates(self.state.states)
+        self.journal = LogStorage()
         get = store.engine.get
         durable = self.journal.load(get)
-        self.saves = Saves(store, self.journal, self.saved, self.disk_failed)
-        self.voter = Voter(identity.seat, durable, times or Times(), rng, self.now())
+        self.saves = DurableWriter(store, self.journal, self.saved, self.disk_failed)
+        self.voter = RaftNode(identity.member_id, durable, times or Timeouts(), rng, self.now())
         known = {int.from_bytes(key[1:], "big"): decode_life(data) for key, data in store.scan(LIFE)}
-        life = Life(identity.start, rng.getrandbits(48))
-        self.seats = Seats(identity.group, identity.seat, life, known)
+        life = Incarnation(identity.start_count, rng.getrandbits(48))
+        self.seats = PeerIncarnations(identity.cluster_id, identity.member_id, life, known)
         self.begun = self.now()
         self.takes_part = False
         self.outs: dict[int, Out] = {}
         # the last link of each that called: a newcomer knows no other way
         self.callers: dict[int, Called] = {}
-        self.linked: Group | None = None  # the group that `outs` are made for
+        self.linked: Configuration | None = None  # the group that `outs` are made for
         self.reads: list[tuple[int, Any, Callable[..., None]]] = []
         self.dumped: tuple[int, bytes] | None = None
         self.since_dump = 0  # bytes of entries applied
@@ -127,90 +142,92 @@
     def look(self) -> None:
         """After a start: may this life speak for its seat yet?"""
         self.looking = None
-        others = self.voter.voters - {self.voter.seat}
-        if self.seats.may_take_part(others, self.now() - self.begun):
+        others = self.voter.voters - {self.voter.member_id}
+        if self.seats.can_participate(others, self.now() - self.begun):
             self.takes_part = True
             self.log.info(
-                "takes part", waited_ms=(self.now() - self.begun) // 1000, vouched=len(self.seats.vouched)
+                "takes part",
+                waited_ms=(self.now() - self.begun) // 1000,
+                vouched=len(self.seats.confirmed_by),
             )
-            self.voter.rest(self.now())
+            self.voter.reset_election_timer(self.now())
             self.stir()
         else:
             self.looking = self.reactor.callLater(LOOK, self.look)
 
     def greeting(self, to: int) -> Greeting:
         who = self.identity
-        said = who.member, self.known.said
-        return Greeting(FORMAT, self.seats.group, who.name, who.seat, to, self.seats.life, *said)
+        said = who.member_name, self.known.advertised
+        return Greeting(
+            FORMAT, self.seats.cluster_id, who.cluster_name, who.member_id, to, self.seats.incarnation, *said
+        )
 
     def greeted(self, seat: int, answer: Greeted) -> bool:
         """Another member's answer to this one's greeting. May messages go to it?"""
-        welcome = Welcome(answer.welcome)
-        reason = self.seats.answered(seat, welcome)
+        welcome = GreetingResult(answer.welcome)
+        reason = self.seats.on_greeting_reply(seat, welcome)
         if reason is not None:
-            self.voter.leave(reason)
+            self.voter.halt(reason)
             self.stir()
-        if welcome is not Welcome.COME:
-            self.log.warning("turned away", by=answer.member, reason=welcome.name.lower().replace("_", " "))
+        if welcome is not GreetingResult.ACCEPTED:
+            self.log.warning("turned away", by=answer.member, reason=welcome.log_reason)
             return False
-        self.known.tells(answer.seat, answer.parts)
+        self.known.record(answer.seat, answer.parts)
         return answer.seat == seat
 
     def called(self, link: Called, greeting: Greeting) -> None:
         """A member or a client says who it is; a member's life is on the disk before it is answered."""
-        if greeting.format != FORMAT or greeting.name != self.identity.name:
-            self.welcome(link, Welcome.OTHER_GROUP)
+        if greeting.format != FORMAT or greeting.name != self.identity.cluster_name:
+            self.welcome(link, GreetingResult.WRONG_CLUSTER)
             return
         if greeting.seat == 0:
-            mine = not greeting.group or greeting.group == self.seats.group
-            self.welcome(link, Welcome.COME if mine else Welcome.OTHER_GROUP)
+            mine = not greeting.group or greeting.group == self.seats.cluster_id
+            self.welcome(link, GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER)
             return
-        welcome, news = self.seats.greeted(greeting.group, greeting.seat, greeting.to, greeting.life)
-        if welcome is not Welcome.COME:
-            self.log.warning(
-                "turns away", name=greeting.member, reason=welcome.name.lower().replace("_", " ")
-            )
+        welcome, news = self.seats.on_greeting(greeting.group, greeting.seat, greeting.to, greeting.life)
+        if welcome is not GreetingResult.ACCEPTED:
+            self.log.warning("turns away", name=greeting.member, reason=welcome.log_reason)
             self.welcome(link, welcome)
             return
-        self.known.tells(greeting.seat, greeting.parts)
+        self.known.record(greeting.seat, greeting.parts)
         batch = Batch()
         if news:
             batch.put(life_key(greeting.seat), msgspec.msgpack.encode(greeting.life))
-        if not self.seats.group and greeting.group:  # the first that calls brings the group with it
-            self.seats.group = self.identity.group = greeting.group
-            batch.put(IDENTITY, msgspec.msgpack.encode(self.identity))
+        if not self.seats.cluster_id and greeting.group:  # the first that calls brings the group with it
+            self.seats.cluster_id = self.identity.cluster_id = greeting.group
+            batch.put(IDENTITY_KEY, msgspec.msgpack.encode(self.identity))
             self.log.info("joins", mark=greeting.group.hex(), by=greeting.member)
         if batch.changes:
             told = self.store.commit(batch)
-            told.addCallbacks(lambda _: self.welcome(link, Welcome.COME), self.disk_failed)
+            told.addCallbacks(lambda _: self.welcome(link, GreetingResult.ACCEPTED), self.disk_failed)
         else:
-            self.welcome(link, Welcome.COME)
+            self.welcome(link, GreetingResult.ACCEPTED)
 
-    def welcome(self, link: Called, welcome: Welcome) -> None:
+    def welcome(self, link: Called, welcome: GreetingResult) -> None:
         who = self.identity
-        link.welcome = welcome is Welcome.COME
+        link.welcome = welcome is GreetingResult.ACCEPTED
         if link.welcome and link.greeting is not None and link.greeting.seat:
             self.callers[link.greeting.seat] = link
-        said = who.member, self.seats.life, self.known.said
-        link.send(Greeted(welcome, self.seats.group, who.seat, *said))
+        said = who.member_name, self.seats.incarnation, self.known.advertised
+        link.send(Greeted(welcome, self.seats.cluster_id, who.member_id, *said))
 
     def disk_failed(self, failure: Any) -> None:
         if not self.ending:
             self.serves.end()
-            self.voter.disk_failed(failure.getErrorMessage())
+            self.voter.on_disk_failed(failure.getErrorMessage())
             self.stir()
 
     # -- what happened -------------------------------------------------------------------------------
 
     def hears(self, message: Message) -> None:
         if self.takes_part:  # else it is lost, as on a link that is not up yet
-            self.voter.hears(self.now(), message)
-            if message.kind == Kind.APPEND and message.term == self.voter.term:
+            self.voter.receive(self.now(), message)
+            if message.message_type == MessageType.APPEND and message.term == self.voter.term:
                 self.serves.tell(lambda serves: serves.word(message.commit))
             self.stir()
 
     def link_lost(self, seat: int) -> None:
-        self.voter.link_lost(seat)
+        self.voter.on_link_lost(seat)
         self.stir()
 
     def hung_up(self, link: Called, seat: int) -> None:
@@ -220,7 +237,7 @@
 
     def wake(self) -> None:
         self.timer = None
-        self.voter.wakes(self.now())
+        self.voter.on_timer(self.now())
         self.stir()
 
     def stir(self) -> None:
@@ -235,9 +252,9 @@
         if self.ending or not self.takes_part:
             return
         try:
-            while not self.ending and (decision := self.voter.next_decision()) is not None:
+            while not self.ending and (decision := self.voter.next_action()) is not None:
                 self.carry_out(decision)
-        except UnknownPartError as wrong:
+        except UnknownStateError as wrong:
             self.log.warning("leaves", reason=str(wrong))
             self.end(3)
         except Exception:
@@ -258,43 +275,43 @@
         left = self.voter.deadline() - self.now()
         self.timer = self.reactor.callLater(max(0, left) / SECOND, self.wake)
 
-    def carry_out(self, decision: Decision) -> None:
-        if decision.act is Act.SAVE:
-            save = decision.save
+    def carry_out(self, decision: Action) -> None:
+        if decision.action_type is ActionType.WRITE:
+            save = decision.write
             assert save is not None
             self.saves.write(save)
-        elif decision.act is Act.SEND:
+        elif decision.action_type is ActionType.SEND:
             message = decision.message
             assert message is not None
-            way = self.outs.get(message.to) or self.callers.get(message.to)
+            way = self.outs.get(message.recipient) or self.callers.get(message.recipient)
             if way is not None:
-                way.send(Carried(self.seats.group, message))
-        elif decision.act is Act.APPLY:
+                way.send(Carried(self.seats.cluster_id, message))
+        elif decision.action_type is ActionType.APPLY:
             self.apply(decision)
-        elif decision.act is Act.RESTORE:
+        elif decision.action_type is ActionType.RESTORE_SNAPSHOT:
             assert decision.snapshot is not None
-            self.state = State(self.parts())
+            self.state = StateMachine(self.parts())
             self.state.restore(decision.snapshot)
             self.dumped, self.since_dump = None, 0
-        elif decision.act is Act.READ:
-            query, answer = decision.ticket
+        elif decision.action_type is ActionType.SERVE_READ:
+            query, answer = decision.context
             self.reads.append((decision.index, query, answer))
-        elif decision.act is Act.REFUSE:
-            if decision.ticket is not None:  # else a proposal of its own, as a leader that is one no more
-                decision.ticket[1](False, decision.reason)
-        elif decision.act is Act.LEAVE:
+        elif decision.action_type is ActionType.REJECT:
+            if decision.context is not None:  # else a proposal of its own, as a leader that is one no more
+                decision.context[1](False, decision.reason)
+        elif decision.action_type is ActionType.HALT:
             self.log.warning("leaves", reason=decision.reason)
             self.end(3)
 
     def saved(self, number: int) -> None:
-        self.voter.saved(self.now(), number)
+        self.voter.on_write_durable(self.now(), number)
         self.stir()
 
-    def apply(self, decision: Decision) -> None:
+    def apply(self, decision: Action) -> None:
         assert decision.entry is not None
         verdict, result = self.state.apply(decision.index, decision.entry)
-        if decision.ticket is not None:
-            decision.ticket[1](True, verdict, result)
+        if decision.context is not None:
+            decision.context[1](True, verdict, result)
         self.since_dump += len(decision.entry.data)
         if decision.index % SNAPSHOT_EACH == 0 or self.since_dump >= SNAPSHOT_BYTES:
             # the dump before: what came since stays for slow followers
@@ -307,15 +324,15 @@
         if ready:
             self.reads = [each for each in self.reads if each[0] > self.state.applied]
             for _, (part, query), answer in ready:
-                answer(True, Verdict.DONE, raw(self.state.read(part, query)))
+                answer(True, SessionOutcome.DONE, raw(self.state.read(part, query)))
 
     def relink(self) -> None:
         """A link to every member of the group as it stands now."""
-        group = self.voter.entries.group
+        group = self.voter.log.configuration
         if group is self.linked:  # as at nearly every pull
             return
         self.linked = group
-        wanted = {each.seat: each for each in group.members if each.seat != self.voter.seat}
+        wanted = {each.member_id: each for each in group.members if each.member_id != self.voter.member_id}
         for seat in [each for each in self.outs if self.outs[each].member != wanted.get(each)]:
             self.outs.pop(seat).close()
         for seat, member in wanted.items():
@@ -345,25 +362,25 @@
         leads = self.role is Role.LEADER
         for part, what in self.tend(self.state if leads else None, self.now()):
             if self.objection(part) is None:
-                self.voter.propose(self.now(), None, command(part, what))
+                self.voter.propose(self.now(), None, encode_command(part, what))
                 self.stir()
         if self.role is Role.LEADER:
             self.tending = self.reactor.callLater(TEND, self.look_after)
 
     def objection(self, part: str) -> str | None:
         """Why nothing can be decided on that part now. Where it can, the log says that it is used."""
-        if part in self.state.used or self.voter.lead is None:
+        if part in self.state.active_states or self.voter.leader_state is None:
             return None
-        why = self.known.objection(part, self.voter.entries.group, self.voter.seat)
-        if why is not None and not self.state.decided_on(part, self.parts()):
+        why = self.known.rejection(part, self.voter.log.configuration, self.voter.member_id)
+        if why is not None and not self.state.has_data(part, self.parts()):
             return why
-        self.voter.propose(self.now(), None, command(USES, [part]))
+        self.voter.propose(self.now(), None, encode_command(ACTIVATION_COMMAND, [part]))
         return None
 
     # -- clients -------------------------------------------------------------------------------------
 
     def mark(self) -> bytes:
-        return self.seats.group
+        return self.seats.cluster_id
 
     def prove(self, told: Callable[[bool], None]) -> None:
         """As `serves.Asks`: a read of nothing, whose round shows that this one leads."""
@@ -380,14 +397,14 @@
             link.reply(
                 Reply(
                     request.number,
-                    done and what is Verdict.DONE,
+                    done and what is SessionOutcome.DONE,
                     msgspec.Raw(result)
                     if result
-                    else raw(what.value if isinstance(what, Reason) else getattr(what, "name", what)),
-                    leader.seat if leader else 0,
+                    else raw(what.value if isinstance(what, RejectReason) else getattr(what, "name", what)),
+                    leader.member_id if leader else 0,
                     leader.host if leader else "",
                     leader.port if leader else 0,
-                    what is Reason.LOST or what is Verdict.UNKNOWN_SESSION,
+                    what is RejectReason.LEADERSHIP_LOST or what is SessionOutcome.UNKNOWN_SESSION,
                 )
             )
 
@@ -395,21 +412,22 @@
             self.ask(request, answer)
         except UNDECODABLE:
             self.count("requests that can't be read")
-            answer(False, Reason.UNFIT)
+            answer(False, RejectReason.INVALID_REQUEST)
         self.stir()
 
     def leader(self) -> Member | None:
         return next(
-            (each for each in self.voter.entries.group.members if each.seat == self.voter.leader), None
+            (each for each in self.voter.log.configuration.members if each.member_id == self.voter.leader_id),
+            None,
         )
 
     def ask(self, request: Request, answer: Callable[..., None]) -> None:
         now, voter, content = self.now(), self.voter, request.content
         ticket = (request.what, answer)
         if request.what == "status":
-            answer(True, Verdict.DONE, raw(self.status()))
+            answer(True, SessionOutcome.DONE, raw(self.status()))
         elif not self.takes_part:
-            answer(False, Reason.NOT_LEADER)
+            answer(False, RejectReason.NOT_LEADER)
         elif request.what == "open":
             voter.propose_session(now, ticket)
         elif request.what == "propose":
@@ -423,50 +441,54 @@
         elif request.what == "add":
             who = decode_who(content)
             member = Member(who.seat, who.name, who.host, who.port, who.votes, who.zone)
-            voter.change(now, ticket, changed(voter.entries.group, member))
+            voter.change_configuration(now, ticket, with_member(voter.log.configuration, member))
         elif request.what == "remove":
-            voter.change(now, ticket, without(voter.entries.group, decode_seat(content)))
+            voter.change_configuration(
+                now, ticket, without_member(voter.log.configuration, decode_seat(content))
+            )
         elif request.what == "transfer":
-            moving = voter.transfer(now, decode_seat(content))
+            moving = voter.transfer_leadership(now, decode_seat(content))
             answer(
                 moving,
-                Verdict.DONE if moving else voter.objection() or Reason.UNFIT,
+                SessionOutcome.DONE if moving else voter.proposal_rejection() or RejectReason.INVALID_REQUEST,
                 raw(True) if moving else b"",
             )
         else:
-            answer(False, Reason.UNFIT)
+            answer(False, RejectReason.INVALID_REQUEST)
 
     def status(self) -> dict[str, Any]:
         voter = self.voter
-        lead = voter.lead
+        lead = voter.leader_state
         return {
-            "member": self.identity.member,
-            "seat": self.identity.seat,
-            "group": self.seats.group.hex(),
-            "start": self.identity.start,
+            "member": self.identity.member_name,
+            "seat": self.identity.member_id,
+            "group": self.seats.cluster_id.hex(),
+            "start": self.identity.start_count,
             "zone": self.zone,
-            "parts": sorted(self.state.parts),
-            "used": sorted(self.state.used),
-            "role": voter.role.name.lower() if self.takes_part else "waits",
+            "parts": sorted(self.state.states),
+            "used": sorted(self.state.active_states),
+            "role": voter.role.value if self.takes_part else "waits",
             "term": voter.term,
-            "leader": voter.leader,
-            "last": voter.entries.last,
-            "commit": voter.commit,
+            "leader": voter.leader_id,
+            "last": voter.log.last_index,
+            "commit": voter.commit_index,
             "applied": self.state.applied,
-            "snapshot": voter.entries.base,
+            "snapshot": voter.log.snapshot_index,
             "members": [
                 {
-                    "seat": each.seat,
+                    "seat": each.member_id,
                     "name": each.name,
                     "address": f"{each.host}:{each.port}",
                     "zone": each.zone,
-                    "votes": each.votes,
-                    "has": lead.progress[each.seat].match if lead and each.seat in lead.progress else None,
-                    "heard_ms": (self.now() - lead.progress[each.seat].heard_at) // 1000
-                    if lead and each.seat in lead.progress
+                    "votes": each.is_voter,
+                    "has": lead.progress[each.member_id].match_index
+                    if lead and each.member_id in lead.progress
+                    else None,
+                    "heard_ms": (self.now() - lead.progress[each.member_id].last_response_at) // 1000
+                    if lead and each.member_id in lead.progress
                     else None,
                 }
-                for each in voter.entries.group.members
+                for each in voter.log.configuration.members
             ],
             "counts": self.counts,
         }
@@ -475,14 +497,14 @@
 
     def leave(self) -> None:
         """The notice to leave: a leader hands over first, as long as that takes at the most."""
-        lead = self.voter.lead
-        heirs = sorted(self.voter.voters - {self.voter.seat})
-        if lead is not None and heirs and not lead.moving:
-            best = max(heirs, key=lead.matched)
+        lead = self.voter.leader_state
+        heirs = sorted(self.voter.voters - {self.voter.member_id})
+        if lead is not None and heirs and not lead.transfer:
+            best = max(heirs, key=lead.match_index)
             self.leaving = True
-            self.voter.transfer(self.now(), best)
+            self.voter.transfer_leadership(self.now(), best)
             self.stir()
-            self.reactor.callLater(self.voter.times.transfer / SECOND, self.end, 0)
+            self.reactor.callLater(self.voter.timeouts.transfer_timeout_us / SECOND, self.end, 0)
         else:
             self.end(0)
 
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -11,14 +11,14 @@
 from twisted.internet.error import CannotListenError
 
 from lichencleat.clocks import make_reactor, unix_time
-from lichencleat.consensus.facts import Facts
 from lichencleat.consensus.file import QuorumChoice, host_port
-from lichencleat.consensus.journal import TOP, Journal
+from lichencleat.consensus.identity import IDENTITY_KEY, Identity, load_identity
+from lichencleat.consensus.key_value import KeyValueState
+from lichencleat.consensus.log_storage import HARD_STATE_KEY, LogStorage
+from lichencleat.consensus.messages import Configuration, Member
 from lichencleat.consensus.process import Process
-from lichencleat.consensus.seats import IDENTITY, Identity, wake_up
 from lichencleat.consensus.serves import Serves
-from lichencleat.consensus.state import Part, State, founded
-from lichencleat.consensus.terms import Group, Member
+from lichencleat.consensus.state_machine import ReplicatedState, StateMachine, bootstrap_snapshot
 from lichencleat.failover.state import Zones
 from lichencleat.leases.expiry import Expiry
 from lichencleat.leases.jobs import Jobs
@@ -61,16 +61,20 @@
     assert chosen.directory is not None and chosen.name is not None and chosen.listen is not None
     engine = Engine.open(disk_of(chosen), unix_time, rng, bounds_of(chosen), create=True)
     try:
-        if engine.get(IDENTITY) is not None or engine.get(TOP) is not None:
+        if engine.get(IDENTITY_KEY) is not None or engine.get(HARD_STATE_KEY) is not None:
             raise NotFoundedError(
                 f"{chosen.directory}: belongs to a member already; name an empty one, or add a voter with "
                 "'lichencleat quorum add'"
             )
-        identity = wake_up(lambda key: None, rng, chosen.group, chosen.name, chosen.distribution)
-        identity.group, identity.start = rng.randbytes(8), 0
+        identity = load_identity(lambda key: None, rng, chosen.group, chosen.name, chosen.distribution)
+        identity.cluster_id, identity.start_count = rng.randbytes(8), 0
         host, port = host_port(chosen.address or chosen.listen)
-        group = Group((Member(identity.seat, chosen.name, host, port, True, chosen.zone),))
-        batch = Journal().found(founded(group)).put(IDENTITY, msgspec.msgpack.encode(identity))
+        group = Configuration((Member(identity.member_id, chosen.name, host, port, True, chosen.zone),))
+        batch = (
+            LogStorage()
+            .bootstrap_batch(bootstrap_snapshot(group))
+            .put(IDENTITY_KEY, msgspec.msgpack.encode(identity))
+        )
         (wrong,) = engine.commit([batch])
         if wrong is not None:
             raise wrong
@@ -79,11 +83,11 @@
         engine.close()
 
 
-def parts() -> dict[str, Part]:
+def parts() -> dict[str, ReplicatedState]:
     """What the group decides on; the same at each member."""
     jobs = Jobs()
     return {
-        "facts": Facts(),
+        "facts": KeyValueState(),
         "owners": jobs,
         "shares": Pools(jobs),
         "revive": Fleet(jobs),
@@ -91,11 +95,11 @@
     }
 
 
-def distribution_parts() -> dict[str, Part]:
+def distribution_parts() -> dict[str, ReplicatedState]:
     """Of a group for configuration: leases and renewals never travel with it."""
     from lichencleat.config_distribution.source import Source  # other groups don't load it
 
-    return {"facts": Facts(), "distribution": Source()}
+    return {"facts": KeyValueState(), "distribution": Source()}
 
 
 class ExpiryTender:
@@ -104,11 +108,11 @@
     def __init__(self) -> None:
         self.expiry = Expiry()
 
-    def tend(self, state: State | None, now: int) -> list[tuple[str, Any]]:
+    def tend(self, state: StateMachine | None, now: int) -> list[tuple[str, Any]]:
         if state is None:
             self.expiry.leads_no_more()
             return []
-        jobs = state.parts["owners"]
+        jobs = state.states["owners"]
         assert isinstance(jobs, Jobs)
         return [("owners", each) for each in self.expiry.due(now, jobs.candidates)]
 
@@ -148,7 +152,7 @@
             return
         try:
             get = store.engine.get
-            identity = wake_up(get, self.rng, chosen.group, chosen.name, chosen.distribution)
+            identity = load_identity(get, self.rng, chosen.group, chosen.name, chosen.distribution)
             if identity.distribution != chosen.distribution:
                 yield store.close()
                 was = "configuration" if identity.distribution else "other things than configuration"
@@ -156,14 +160,14 @@
                     WRONG, f"{chosen.directory}: of a group for {was}; set quorum.distribution as it was"
                 )
                 return
-            yield store.put(IDENTITY, msgspec.msgpack.encode(identity))
+            yield store.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))
             listen = host_port(chosen.listen)
             serves: Serves | None = None
             own: tuple[Any, Any] = (parts, ExpiryTender().tend)
             if chosen.distribution:
                 from lichencleat.config_distribution.voting import Voting
 
-                serves = Voting(self.reactor, identity.member, chosen.zone, self.log)
+                serves = Voting(self.reactor, identity.member_name, chosen.zone, self.log)
                 own = (distribution_parts, lambda state, now: [])
             self.process = Process(
                 self.reactor,
@@ -181,7 +185,7 @@
             yield store.close()
             self.stop(WRONG, str(wrong))
             return
-        self.log.info("started", seat=identity.seat, start=identity.start, listen=chosen.listen)
+        self.log.info("started", seat=identity.member_id, start=identity.start_count, listen=chosen.listen)
         self.process.ended.addCallback(self.stop)
         if self.stopping:
             self.process.leave()
--- a/lichencleat/consensus/serves.py
+++ b/lichencleat/consensus/serves.py
@@ -7,7 +7,7 @@
 from typing import Any, Protocol
 
 from lichencleat.consensus.links import Called
-from lichencleat.consensus.state import State
+from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.consensus.wire import Request
 
 
@@ -46,7 +46,7 @@
 
     def hung_up(self, link: Called) -> None: ...
 
-    def applied(self, state: State) -> None:
+    def applied(self, state: StateMachine) -> None:
         """Some entries may have been, or a snapshot has taken the state's place. Only once it takes part."""
 
     def word(self, commit: int) -> None:
--- a/lichencleat/consensus/sessions.py
+++ b/lichencleat/consensus/sessions.py
@@ -11,10 +11,10 @@
 
 import msgspec
 
-SESSIONS_MOST = 8_192  # some MB with their last results; who came least lately is dropped for a new one
+MAX_SESSIONS = 8_192  # some MB with their last results; who came least lately is dropped for a new one
 
 
-class Verdict(IntEnum):
+class SessionOutcome(IntEnum):
     """What became of a proposal. The numbers are the wire's."""
 
     DONE = 1  # applied, now or before: the result is the first one's
@@ -23,40 +23,40 @@
     GAP = 4  # one before it was never taken
 
 
-class Held(msgspec.Struct, array_like=True):
-    number: int  # of the last proposal applied
-    used: int  # index of the entry that used it last
+class SessionRecord(msgspec.Struct, array_like=True):
+    sequence: int  # of the last proposal applied
+    last_used_index: int  # index of the entry that used it last
     result: bytes
 
 
-class Sessions:
-    def __init__(self, most: int = SESSIONS_MOST) -> None:
-        self.most = most
-        self.held: dict[int, Held] = {}  # by session, in the order of their last use
+class SessionTable:
+    def __init__(self, most: int = MAX_SESSIONS) -> None:
+        self.max_sessions = most
+        self.records: dict[int, SessionRecord] = {}  # by session, in the order of their last use
 
     def open(self, index: int) -> None:
-        if len(self.held) >= self.most:  # the same one at every member: it hangs on the log alone
-            del self.held[next(iter(self.held))]
-        self.held[index] = Held(0, index, b"")
+        if len(self.records) >= self.max_sessions:  # the same one at every member: it hangs on the log alone
+            del self.records[next(iter(self.records))]
+        self.records[index] = SessionRecord(0, index, b"")
 
-    def take(
+    def apply_once(
         self, index: int, session: int, number: int, apply: Callable[[], bytes]
-    ) -> tuple[Verdict, bytes]:
-        held = self.held.get(session)
+    ) -> tuple[SessionOutcome, bytes]:
+        held = self.records.get(session)
         if held is None:
-            return Verdict.UNKNOWN_SESSION, b""
-        if number < held.number:
-            return Verdict.PAST, b""
-        if number > held.number + 1:
-            return Verdict.GAP, b""
-        if number == held.number + 1:
-            held.number, held.result = number, apply()
-        held.used = index
-        self.held[session] = self.held.pop(session)
-        return Verdict.DONE, held.result
-
-    def dump(self) -> list[tuple[int, Held]]:
-        return list(self.held.items())
-
-    def load(self, dumped: list[tuple[int, Held]]) -> None:
-        self.held = dict(dumped)
+            return SessionOutcome.UNKNOWN_SESSION, b""
+        if number < held.sequence:
+            return SessionOutcome.PAST, b""
+        if number > held.sequence + 1:
+            return SessionOutcome.GAP, b""
+        if number == held.sequence + 1:
+            held.sequence, held.result = number, apply()
+        held.last_used_index = index
+        self.records[session] = self.records.pop(session)
+        return SessionOutcome.DONE, held.result
+
+    def dump(self) -> list[tuple[int, SessionRecord]]:
+        return list(self.records.items())
+
+    def load(self, dumped: list[tuple[int, SessionRecord]]) -> None:
+        self.records = dict(dumped)
--- a/lichencleat/consensus/parts.py
+++ b/lichencleat/consensus/supported_states.py
@@ -10,16 +10,16 @@
 
 from collections.abc import Iterable
 
-from lichencleat.consensus.terms import Group
+from lichencleat.consensus.messages import Configuration
 
-USES = "parts"  # under this name a leader writes which part is used from then on
+ACTIVATION_COMMAND = "parts"  # under this name a leader writes which part is used from then on
 # what a version knew that does not say so yet
-BEFORE = frozenset(["facts", "owners", "shares", "revive", "zones", "distribution"])
-TOLD_MOST = 2_048  # members whose word is kept: twice what a leader has connections for
-NAMED_MOST = 3  # members named in a refusal: a line an operator reads
+LEGACY_STATES = frozenset(["facts", "owners", "shares", "revive", "zones", "distribution"])
+MAX_TRACKED_MEMBERS = 2_048  # members whose word is kept: twice what a leader has connections for
+MAX_NAMED_MEMBERS = 3  # members named in a refusal: a line an operator reads
 
 
-class UnknownPartError(Exception):
+class UnknownStateError(Exception):
     """The group decides on something that this program does not know."""
 
     def __init__(self, names: Iterable[str]) -> None:
@@ -27,31 +27,31 @@
         super().__init__(f"the group decides on {which}, which this version does not know: start a newer one")
 
 
-class Known:
+class SupportedStates:
     """What each member has said since this process began; the last word counts."""
 
     def __init__(self, own: Iterable[str]) -> None:
         self.own = frozenset(own)
-        self.said = tuple(sorted(self.own))  # as greetings tell it
-        self.told: dict[int, frozenset[str]] = {}
+        self.advertised = tuple(sorted(self.own))  # as greetings tell it
+        self.by_member: dict[int, frozenset[str]] = {}
 
-    def tells(self, seat: int, parts: Iterable[str] | None) -> None:
+    def record(self, seat: int, parts: Iterable[str] | None) -> None:
         """`parts`: None from a version that does not say."""
-        self.told.pop(seat, None)
-        self.told[seat] = BEFORE if parts is None else frozenset(parts)
-        if len(self.told) > TOLD_MOST:
-            del self.told[next(iter(self.told))]
+        self.by_member.pop(seat, None)
+        self.by_member[seat] = LEGACY_STATES if parts is None else frozenset(parts)
+        if len(self.by_member) > MAX_TRACKED_MEMBERS:
+            del self.by_member[next(iter(self.by_member))]
 
-    def objection(self, part: str, group: Group, seat: int) -> str | None:
+    def rejection(self, part: str, group: Configuration, seat: int) -> str | None:
         """Why the member in `seat` can't decide on the part as the group's leader; None where it can."""
         if part not in self.own:
             return f"the leader does not know {part!r}: it is another group's, or of a later version"
         lacking = [
             each.name
             for each in group.members
-            if each.seat != seat and part not in self.told.get(each.seat, frozenset())
+            if each.member_id != seat and part not in self.by_member.get(each.member_id, frozenset())
         ]
         if not lacking:
             return None
-        more = f" and {len(lacking) - NAMED_MOST} more" if len(lacking) > NAMED_MOST else ""
-        return f"not all members have said that they know {part!r}: {', '.join(lacking[:NAMED_MOST])}{more}"
+        more = f" and {len(lacking) - MAX_NAMED_MEMBERS} more" if len(lacking) > MAX_NAMED_MEMBERS else ""
+        return f"not all members have said that they know {part!r}: {', '.join(lacking[:MAX_NAMED_MEMBERS])}{more}"
--- a/lichencleat/consensus/wire.py
+++ b/lichencleat/consensus/wire.py
@@ -10,8 +10,8 @@
 
 import msgspec
 
-from lichencleat.consensus.seats import Life
-from lichencleat.consensus.terms import Message
+from lichencleat.consensus.identity import Incarnation
+from lichencleat.consensus.messages import Message
 
 FORMAT = 1  # of these frames; another one is turned away
 FRAME_MOST = 1 << 20  # bytes: entries or a snapshot's piece, and the numbers about them
@@ -25,7 +25,7 @@
     name: str  # the group's name
     seat: int
     to: int  # the seat that is called, 0 where it is not known
-    life: Life
+    life: Incarnation
     member: str = ""  # its name in the group
     parts: tuple[str, ...] | None = None  # what its program can decide on; a version before this says none
 
@@ -35,7 +35,7 @@
     group: bytes
     seat: int
     member: str
-    life: Life
+    life: Incarnation
     parts: tuple[str, ...] | None = None  # as in Greeting
 
 
--- a/lichencleat/testkit/cluster/older_voter.py
+++ b/lichencleat/testkit/cluster/older_voter.py
@@ -11,13 +11,13 @@
 
 from lichencleat.cli.main import run
 from lichencleat.consensus import program
-from lichencleat.consensus.state import Part
+from lichencleat.consensus.state_machine import ReplicatedState
 
 
 def without(names: set[str]) -> None:
     known = program.parts
 
-    def parts() -> dict[str, Part]:
+    def parts() -> dict[str, ReplicatedState]:
         return {name: part for name, part in known().items() if name not in names}
 
     program.parts = parts
--- a/lichencleat/testkit/cluster/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -19,7 +19,7 @@
 
 from lichencleat.clocks import RIG
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.facts import Changed, Fact
+from lichencleat.consensus.key_value import KeyValueEntry, SetResult
 from lichencleat.testkit.checkers.linear import Call
 from lichencleat.testkit.cluster import clock
 from lichencleat.testkit.cluster.heldback import FULL
@@ -353,13 +353,13 @@
         call.returned = self.now()
         name = call.what[1]
         if call.what[0] == "get":
-            fact = Fact(*told) if told else None
+            fact = KeyValueEntry(*told) if told else None
             self.known[name] = (fact.value, fact.revision) if fact else (None, 0)
             call.told = self.known[name][0]
             return
-        answer = Changed(*told)
-        call.told = answer.done
-        if answer.done:
+        answer = SetResult(*told)
+        call.told = answer.is_applied
+        if answer.is_applied:
             self.known[name] = call.what[2], answer.revision
 
     def count(self) -> int:
--- a/lichencleat/testkit/explore_quorum.py
+++ b/lichencleat/testkit/explore_quorum.py
@@ -14,10 +14,20 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.consensus.group import changed, without
-from lichencleat.consensus.member import Role
-from lichencleat.consensus.terms import Act, Durable, Entry, Group, Member, Message, Save, Snapshot, Times
-from lichencleat.consensus.voter import Voter
+from lichencleat.consensus.configuration import with_member, without_member
+from lichencleat.consensus.follower import Role
+from lichencleat.consensus.messages import (
+    ActionType,
+    Configuration,
+    DurableState,
+    DurableWrite,
+    Entry,
+    Member,
+    Message,
+    Snapshot,
+    Timeouts,
+)
+from lichencleat.consensus.raft_node import RaftNode
 
 SNAPSHOT_STATE = b"the state"  # what it holds is of no matter here
 
@@ -41,16 +51,16 @@
 class Timeless:
     """Mixed into a voter: it heeds no clock."""
 
-    def rest(self, now: int) -> None:
+    def reset_election_timer(self, now: int) -> None:
         pass
 
-    def hears_leader(self, now: int) -> bool:
+    def has_live_leader(self, now: int) -> bool:
         return False
 
 
-def make_voter(kind: type[Voter], seat: int, durable: Durable) -> Voter:
+def make_voter(kind: type[RaftNode], seat: int, durable: DurableState) -> RaftNode:
     timeless = type(f"Timeless{kind.__name__}", (Timeless, kind), {})
-    return timeless(seat, durable, Times(), random.Random(seat), 0)
+    return timeless(seat, durable, Timeouts(), random.Random(seat), 0)
 
 
 class Disk:
@@ -58,10 +68,10 @@
 
     __slots__ = ("durable", "pending")
 
-    def __init__(self, durable: Durable, pending: tuple[Save, ...] = ()) -> None:
+    def __init__(self, durable: DurableState, pending: tuple[DurableWrite, ...] = ()) -> None:
         self.durable, self.pending = durable, pending
 
-    def after(self, count: int) -> Durable:
+    def after(self, count: int) -> DurableState:
         """With the first `count` of the saves on their way."""
         found = self.durable
         for save in self.pending[:count]:
@@ -69,26 +79,26 @@
         return found
 
 
-def written(durable: Durable, save: Save) -> Durable:
+def written(durable: DurableState, save: DurableWrite) -> DurableState:
     """What the disk holds after that save, as `journal.py` and the store make it."""
     old = durable.snapshot.index if durable.snapshot else 0
     log = dict(enumerate(durable.entries, old + 1))
-    log.update(enumerate(save.entries, save.first))
-    entries = [log[index] for index in range(save.base + 1, save.last + 1)]
-    return Durable(save.term, save.vote, save.snapshot or durable.snapshot, entries)
+    log.update(enumerate(save.entries, save.first_index))
+    entries = [log[index] for index in range(save.snapshot_index + 1, save.last_index + 1)]
+    return DurableState(save.term, save.vote, save.snapshot or durable.snapshot, entries)
 
 
 class QuorumWorld:
-    def __init__(self, kind: type[Voter], seats: int, limits: Limits, spare: int = 0) -> None:
+    def __init__(self, kind: type[RaftNode], seats: int, limits: Limits, spare: int = 0) -> None:
         """`seats` voters, numbered from 1; `spare` more with empty disks that may be added."""
         self.kind, self.limits = kind, limits
         self.members = {seat: Member(seat, f"v{seat}", "", 0) for seat in range(1, seats + spare + 1)}
-        group = Group(tuple(self.members[seat] for seat in range(1, seats + 1)))
-        self.voters: dict[int, Voter] = {}
+        group = Configuration(tuple(self.members[seat] for seat in range(1, seats + 1)))
+        self.voters: dict[int, RaftNode] = {}
         self.disks: dict[int, Disk] = {}
         for seat in self.members:
             founded = Snapshot(0, 0, group, b"") if seat <= seats else None
-            self.disks[seat] = Disk(Durable(snapshot=founded))
+            self.disks[seat] = Disk(DurableState(snapshot=founded))
             self.voters[seat] = make_voter(kind, seat, self.disks[seat].durable)
         self.flying: tuple[Message, ...] = ()
         self.leaders: dict[int, int] = {}  # term -> seat, of all that ever led
@@ -113,7 +123,7 @@
                     yield "read", seat
                 if self.changes < len(limits.changes):
                     yield "change", seat
-            if self.compactions < limits.compactions and voter.handed > voter.entries.base:
+            if self.compactions < limits.compactions and voter.delivered_index > voter.log.snapshot_index:
                 yield "compact", seat
             if self.cuts < limits.cuts:
                 for kept in range(len(self.disks[seat].pending) + 1):
@@ -123,11 +133,11 @@
             if self.repeats < limits.repeats:
                 yield "repeat", message
 
-    def may_stand(self, seat: int, voter: Voter) -> bool:
+    def may_stand(self, seat: int, voter: RaftNode) -> bool:
         stands = self.limits.stands
         return (
             voter.term < self.limits.terms
-            and voter.may_stand()
+            and voter.can_campaign()
             and (not stands or (self.stood < len(stands) and stands[self.stood] == seat))
         )
 
@@ -157,7 +167,7 @@
 
     # -- what happens --------------------------------------------------------------------------------
 
-    def touch(self, seat: int) -> Voter:
+    def touch(self, seat: int) -> RaftNode:
         """That voter, to be changed in this world alone."""
         voter = self.voters[seat] = twin(self.voters[seat])
         return voter
@@ -166,15 +176,15 @@
         disk, voter = self.disks[seat], self.touch(seat)
         save, rest = disk.pending[0], disk.pending[1:]
         self.disks[seat] = Disk(written(disk.durable, save), rest)
-        voter.saved(0, save.number)
+        voter.on_write_durable(0, save.number)
         self.pull(seat)
 
     def do_stand(self, seat: int) -> None:
         """A leader that stands has noticed that nobody hears it, and given up before."""
         self.stood += 1
         voter = self.touch(seat)
-        voter.follow(0, voter.term)
-        voter.stand(0, False)
+        voter.become_follower(0, voter.term)
+        voter.start_election(0, False)
         self.pull(seat)
 
     def do_propose(self, seat: int) -> None:
@@ -192,15 +202,15 @@
         what, whom = self.limits.changes[self.changes]
         self.changes += 1
         voter = self.touch(seat)
-        group = voter.entries.group
-        wanted = changed(group, self.members[whom]) if what == "add" else without(group, whom)
-        voter.change(0, None, wanted)
+        group = voter.log.configuration
+        wanted = with_member(group, self.members[whom]) if what == "add" else without_member(group, whom)
+        voter.change_configuration(0, None, wanted)
         self.pull(seat)
 
     def do_compact(self, seat: int) -> None:
         self.compactions += 1
         voter = self.touch(seat)
-        voter.compact(voter.handed, SNAPSHOT_STATE)
+        voter.compact(voter.delivered_index, SNAPSHOT_STATE)
         self.pull(seat)
 
     def do_cut(self, seat: int, kept: int) -> None:
@@ -214,35 +224,35 @@
         left = list(self.flying)
         left.remove(message)
         self.flying = tuple(left)
-        self.touch(message.to).hears(0, message)
-        self.pull(message.to)
+        self.touch(message.recipient).receive(0, message)
+        self.pull(message.recipient)
 
     def do_repeat(self, message: Message) -> None:
         self.repeats += 1
-        self.touch(message.to).hears(0, message)
-        self.pull(message.to)
+        self.touch(message.recipient).receive(0, message)
+        self.pull(message.recipient)
 
     def pull(self, seat: int) -> None:
         voter = self.voters[seat]
-        while (decision := voter.next_decision()) is not None:
-            if decision.act is Act.SAVE:
-                assert decision.save is not None
+        while (decision := voter.next_action()) is not None:
+            if decision.action_type is ActionType.WRITE:
+                assert decision.write is not None
                 disk = self.disks[seat]
                 if self.limits.late_writes:
-                    self.disks[seat] = Disk(disk.durable, (*disk.pending, decision.save))
+                    self.disks[seat] = Disk(disk.durable, (*disk.pending, decision.write))
                 else:
-                    self.disks[seat] = Disk(written(disk.durable, decision.save))
-                    voter.saved(0, decision.save.number)
-            elif decision.act is Act.SEND:
+                    self.disks[seat] = Disk(written(disk.durable, decision.write))
+                    voter.on_write_durable(0, decision.write.number)
+            elif decision.action_type is ActionType.SEND:
                 assert decision.message is not None
                 if len(self.flying) < self.limits.on_the_way:  # else it is lost
                     self.flying = (*self.flying, decision.message)
-            elif decision.act is Act.APPLY:
+            elif decision.action_type is ActionType.APPLY:
                 assert decision.entry is not None
                 self.judge_applied(seat, decision.index, decision.entry)
-            elif decision.act is Act.READ and decision.index < decision.ticket[1]:
-                self.wrong = f"{seat} reads at {decision.index}, when {decision.ticket[1]} were applied"
-            elif decision.act is Act.LEAVE:
+            elif decision.action_type is ActionType.SERVE_READ and decision.index < decision.context[1]:
+                self.wrong = f"{seat} reads at {decision.index}, when {decision.context[1]} were applied"
+            elif decision.action_type is ActionType.HALT:
                 self.wrong = self.wrong or f"{seat} leaves: {decision.reason}"
         if voter.role is Role.LEADER and self.leaders.setdefault(voter.term, seat) != seat:
             self.wrong = self.wrong or f"{seat} and {self.leaders[voter.term]} lead in term {voter.term}"
@@ -257,36 +267,60 @@
             self.wrong = f"{seat} applies {index} when {len(self.applied)} were applied"
 
 
-def twin(voter: Voter) -> Voter:
+def twin(voter: RaftNode) -> RaftNode:
     """A copy that shares nothing that changes."""
     other = copy.copy(voter)
-    other.entries = voter.entries.copy()
+    other.log = voter.log.copy()
     other.writes = copy.copy(voter.writes)
-    other.writes.pending = deque(voter.writes.pending)
-    other.arrival = copy.copy(voter.arrival)
-    other.outbox, other.telling = deque(voter.outbox), deque(voter.telling)
-    other.tickets = dict(voter.tickets)
-    if voter.lead is not None:
-        lead = other.lead = copy.copy(voter.lead)
-        lead.progress = {seat: copy.copy(each) for seat, each in voter.lead.progress.items()}
-        lead.hungry, lead.waiting = dict(voter.lead.hungry), dict(voter.lead.waiting)
-        lead.reads = list(voter.lead.reads)
+    other.writes.in_flight = deque(voter.writes.in_flight)
+    other.snapshot_receiver = copy.copy(voter.snapshot_receiver)
+    other.outbox, other.pending_actions = deque(voter.outbox), deque(voter.pending_actions)
+    other.committed_contexts = dict(voter.committed_contexts)
+    if voter.leader_state is not None:
+        lead = other.leader_state = copy.copy(voter.leader_state)
+        lead.progress = {seat: copy.copy(each) for seat, each in voter.leader_state.progress.items()}
+        lead.pending_sends, lead.pending_proposals = (
+            dict(voter.leader_state.pending_sends),
+            dict(voter.leader_state.pending_proposals),
+        )
+        lead.pending_reads = list(voter.leader_state.pending_reads)
     return other
 
 
-def fingerprint(voter: Voter) -> Hashable:
-    lead = voter.lead
+def fingerprint(voter: RaftNode) -> Hashable:
+    lead = voter.leader_state
     return (
-        (voter.role.value, voter.term, voter.vote, voter.leader, voter.votes, voter.commit, voter.handed),
-        (voter.entries.base, tuple(voter.entries.held), voter.verified, voter.writes.durable),
-        (tuple(voter.outbox), voter.writes.confirmed, voter.writes.number, voter.writes.term_number),
+        (
+            voter.role.value,
+            voter.term,
+            voter.vote,
+            voter.leader_id,
+            voter.votes_received,
+            voter.commit_index,
+            voter.delivered_index,
+        ),
+        (voter.log.snapshot_index, tuple(voter.log.entries), voter.matched_index, voter.writes.durable_index),
+        (
+            tuple(voter.outbox),
+            voter.writes.durable_number,
+            voter.writes.last_number,
+            voter.writes.last_term_write,
+        ),
         None
         if lead is None
         else tuple(
-            (seat, each.match, each.next, each.probing, each.ahead, each.told, each.round)
+            (
+                seat,
+                each.match_index,
+                each.next_index,
+                each.is_probing,
+                each.inflight,
+                each.awaiting_response,
+                each.read_round,
+            )
             for seat, each in lead.progress.items()
         )
-        + (tuple(lead.reads), lead.round, lead.proved),
+        + (tuple(lead.pending_reads), lead.read_round, lead.confirmed_round),
     )
 
 
@@ -295,7 +329,7 @@
     lost.
     """
     while True:
-        flying = [each for each in world.flying if each.sender in among and each.to in among]
+        flying = [each for each in world.flying if each.sender in among and each.recipient in among]
         saving = [seat for seat in among if world.disks[seat].pending]
         if saving:
             world = world.after(("saved", saving[0]))
@@ -322,7 +356,7 @@
         world = quiet(world).after(("stand", seat))
     while world.voters[seat].role is not Role.LEADER:
         saving = [each for each in among if world.disks[each].pending]
-        flying = [each for each in world.flying if each.sender in among and each.to in among]
+        flying = [each for each in world.flying if each.sender in among and each.recipient in among]
         world = world.after(("saved", saving[0]) if saving else ("deliver", flying[0]))
     while saves and world.disks[seat].pending:
         world = world.after(("saved", seat))
--- a/lichencleat/testkit/explore_scenes.py
+++ b/lichencleat/testkit/explore_scenes.py
@@ -12,8 +12,8 @@
 
 import click
 
-from lichencleat.consensus import following
-from lichencleat.consensus.voter import Voter
+from lichencleat.consensus import progress as following
+from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.testkit.explore import Explored, explore
 from lichencleat.testkit.explore_quorum import Limits, QuorumWorld, quiet, settled, stood
 from lichencleat.testkit.simulation.variants import VARIANTS
@@ -26,31 +26,31 @@
     return world
 
 
-def two_stand(kind: type[Voter]) -> QuorumWorld:
+def two_stand(kind: type[RaftNode]) -> QuorumWorld:
     """1 and 3 stand in one term, and one member is cut."""
     return QuorumWorld(kind, 3, Limits(terms=1, cuts=1, proposals=0, stands=(1, 3)))
 
 
-def two_lead(kind: type[Voter]) -> QuorumWorld:
+def two_lead(kind: type[RaftNode]) -> QuorumWorld:
     """1 leads, then 3, who may lack what 1 has committed."""
     return QuorumWorld(kind, 3, Limits(terms=2, cuts=0, proposals=0, stands=(1, 3), late_writes=False))
 
 
-def elder_entry(kind: type[Voter]) -> QuorumWorld:
+def elder_entry(kind: type[RaftNode]) -> QuorumWorld:
     """Raft's figure 8: 1 has brought its entry of term 1 to a majority in term 3; 3 holds one of term 2."""
     world = QuorumWorld(kind, 3, Limits(terms=9, cuts=0, proposals=0, late_writes=False))
     world = quiet(stood(world, 1, 1, (1, 2)))
     world = quiet(stood(world, 3, 2, (2, 3)))
     world = stood(world, 1, 2, (1, 2))
-    while world.voters[2].entries.last < 1:
-        world = world.after(("deliver", next(m for m in world.flying if {m.sender, m.to} == {1, 2})))
+    while world.voters[2].log.last_index < 1:
+        world = world.after(("deliver", next(m for m in world.flying if {m.sender, m.recipient} == {1, 2})))
     for message in [m for m in world.flying if m.sender == 2]:
         world = world.after(("deliver", message))
     limits = Limits(terms=4, cuts=0, proposals=0, stands=(3, 3), late_writes=False, on_the_way=4)
     return begins(quiet(world), limits)
 
 
-def two_changes(kind: type[Voter]) -> QuorumWorld:
+def two_changes(kind: type[RaftNode]) -> QuorumWorld:
     """1 adds 4 and 5, heard by them alone; 2 and 3 know nothing of it."""
     changes = (("add", 4), ("add", 5))
     limits = Limits(terms=1, cuts=0, proposals=0, late_writes=False, on_the_way=40, changes=changes)
@@ -59,11 +59,11 @@
     return begins(world, Limits(terms=2, cuts=0, proposals=0, stands=(2,), late_writes=False, on_the_way=5))
 
 
-def first_entry(kind: type[Voter], leader_saves: bool) -> QuorumWorld:
+def first_entry(kind: type[RaftNode], leader_saves: bool) -> QuorumWorld:
     """1 leads, and 2 has its first entry; one of them is cut before it flushed that."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0))
     world = stood(world, 1, 1, (1, 2), leader_saves)
-    for message in [m for m in world.flying if m.to == 2]:
+    for message in [m for m in world.flying if m.recipient == 2]:
         world = world.after(("deliver", message))
     while not leader_saves and world.disks[2].pending:
         world = world.after(("saved", 2))
@@ -71,15 +71,15 @@
     return begins(world, Limits(terms=2, cuts=1, proposals=0, stands=(3, 3), on_the_way=4))
 
 
-def leader_cut(kind: type[Voter]) -> QuorumWorld:
+def leader_cut(kind: type[RaftNode]) -> QuorumWorld:
     return first_entry(kind, leader_saves=False)
 
 
-def follower_cut(kind: type[Voter]) -> QuorumWorld:
+def follower_cut(kind: type[RaftNode]) -> QuorumWorld:
     return first_entry(kind, leader_saves=True)
 
 
-def old_leader_reads(kind: type[Voter]) -> QuorumWorld:
+def old_leader_reads(kind: type[RaftNode]) -> QuorumWorld:
     """1 leads and all agree; 3 takes over while 1 does not know."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0, late_writes=False))
     world = settled(stood(world, 1, 1, (1, 2, 3)), (1, 2, 3))
@@ -87,7 +87,7 @@
     return begins(world, limits)
 
 
-def snapshots(kind: type[Voter]) -> QuorumWorld:
+def snapshots(kind: type[RaftNode]) -> QuorumWorld:
     """Who has applied may compact at any time; 3 comes late, and is cut."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0, late_writes=False))
     world = settled(stood(world, 1, 1, (1, 2)), (1, 2))
@@ -96,10 +96,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Scene:
-    make: Callable[[type[Voter]], QuorumWorld]
+    make: Callable[[type[RaftNode]], QuorumWorld]
     depth: int  # at which the mistake shows, or to which it is tried
     mistake: str = "none"  # the variant that it must catch
-    bytes_most: int = following.BYTES_MOST  # of entries in a message
+    bytes_most: int = following.MAX_MESSAGE_BYTES  # of entries in a message
 
 
 SCENES = {
@@ -116,12 +116,12 @@
 }
 
 
-def play(scene: Scene, kind: type[Voter], depth: int | None = None, most: int = STATES_MOST) -> Explored:
-    usual, following.BYTES_MOST = following.BYTES_MOST, scene.bytes_most
+def play(scene: Scene, kind: type[RaftNode], depth: int | None = None, most: int = STATES_MOST) -> Explored:
+    usual, following.MAX_MESSAGE_BYTES = following.MAX_MESSAGE_BYTES, scene.bytes_most
     try:
         return explore(scene.make(kind), depth or scene.depth, most)
     finally:
-        following.BYTES_MOST = usual
+        following.MAX_MESSAGE_BYTES = usual
 
 
 @click.command()
--- a/lichencleat/testkit/simulation/clients.py
+++ b/lichencleat/testkit/simulation/clients.py
@@ -9,10 +9,10 @@
 
 import msgspec
 
-from lichencleat.consensus.facts import Changed, Fact, Set
-from lichencleat.consensus.sessions import Verdict
-from lichencleat.consensus.state import command
-from lichencleat.consensus.terms import Entry, What
+from lichencleat.consensus.key_value import KeyValueEntry, SetCommand, SetResult
+from lichencleat.consensus.messages import Entry, EntryType
+from lichencleat.consensus.sessions import SessionOutcome
+from lichencleat.consensus.state_machine import encode_command
 from lichencleat.testkit.checkers.linear import Call
 from lichencleat.testkit.simulation.clockwork import Timer
 from lichencleat.testkit.simulation.group import SimGroup
@@ -41,7 +41,7 @@
         if self.left == 0:
             return
         if not self.session:
-            self.entry = Entry(0, What.SESSION)
+            self.entry = Entry(0, EntryType.SESSION)
             self.attempt()
             return
         self.left -= 1
@@ -54,9 +54,11 @@
             self.made += 1
             new = f"{self.name}-{self.made}".encode()
             what = ("put", name, new) if kind == "put" else ("cas", name, new, value)
-            wanted = Set(name, new, None if kind == "put" else revision)
+            wanted = SetCommand(name, new, None if kind == "put" else revision)
             self.number += 1
-            self.entry = Entry(0, What.COMMAND, command("facts", wanted), self.session, self.number)
+            self.entry = Entry(
+                0, EntryType.COMMAND, encode_command("facts", wanted), self.session, self.number
+            )
         self.call = Call(self.name, what, self.group.clockwork.now)
         self.history.append(self.call)
         self.attempt()
@@ -92,25 +94,25 @@
             return
         if told[0] == "read":
             self.saw(told[1])
-        elif self.entry is not None and self.entry.what == What.SESSION:
+        elif self.entry is not None and self.entry.entry_type == EntryType.SESSION:
             self.session, self.number = msgspec.msgpack.decode(told[2]), 0
-        elif told[1] is not Verdict.DONE:
+        elif told[1] is not SessionOutcome.DONE:
             self.session = 0  # what became of the call is not known: it stays open in the history
         else:
-            self.changed(msgspec.msgpack.decode(told[2], type=Changed))
+            self.changed(msgspec.msgpack.decode(told[2], type=SetResult))
         self.call = self.entry = None
         self.group.clockwork.after(self.rng.randint(*REST), self.begin)
 
-    def saw(self, fact: Fact | None) -> None:
+    def saw(self, fact: KeyValueEntry | None) -> None:
         assert self.call is not None
         value, revision = (fact.value, fact.revision) if fact else (None, 0)
         self.known[self.call.what[1]] = value, revision
         self.call.told, self.call.returned = value, self.group.clockwork.now
 
-    def changed(self, answer: Changed) -> None:
+    def changed(self, answer: SetResult) -> None:
         assert self.call is not None
-        self.call.told, self.call.returned = answer.done, self.group.clockwork.now
-        if answer.done:
+        self.call.told, self.call.returned = answer.is_applied, self.group.clockwork.now
+        if answer.is_applied:
             name, value = self.call.what[1:3]
             self.known[name] = value, answer.revision
             self.group.watch.confirmed(self.name, value, answer.revision)
--- a/lichencleat/testkit/simulation/distribution_world.py
+++ b/lichencleat/testkit/simulation/distribution_world.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.consensus.seats import Life, Welcome
+from lichencleat.consensus.identity import GreetingResult, Incarnation
 from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, encode
 from lichencleat.testkit.simulation.clockwork import Clockwork
 
@@ -25,8 +25,10 @@
 FIRST_WINDOW = 10 * SEGMENT  # bytes sent before the first acknowledgement; twice as many each time after
 IDLE = 300_000  # µs without a byte, after which a connection begins with the first window again
 NOTICE = (200_000, 30_000_000)  # µs until the kernel sends again into a connection that is dead on one side
-GREETING = len(encode(Greeting(FORMAT, b"m" * 16, "configuration", 0, 0, Life(0, 0), "z00.n000"))) + FRAME
-GREETED = len(encode(Greeted(Welcome.COME, b"m" * 16, 1, "z00.a", Life(1, 1)))) + FRAME
+GREETING = (
+    len(encode(Greeting(FORMAT, b"m" * 16, "configuration", 0, 0, Incarnation(0, 0), "z00.n000"))) + FRAME
+)
+GREETED = len(encode(Greeted(GreetingResult.ACCEPTED, b"m" * 16, 1, "z00.a", Incarnation(1, 1)))) + FRAME
 
 
 @dataclass(frozen=True, slots=True)
--- a/lichencleat/testkit/simulation/group.py
+++ b/lichencleat/testkit/simulation/group.py
@@ -11,24 +11,24 @@
 
 import msgspec
 
-from lichencleat.consensus.facts import Facts, Set
-from lichencleat.consensus.group import changed, without
-from lichencleat.consensus.journal import Journal
-from lichencleat.consensus.member import Role
-from lichencleat.consensus.state import State, founded
-from lichencleat.consensus.terms import (
-    Act,
-    Decision,
+from lichencleat.consensus.configuration import with_member, without_member
+from lichencleat.consensus.follower import Role
+from lichencleat.consensus.key_value import KeyValueState, SetCommand
+from lichencleat.consensus.log_storage import LogStorage
+from lichencleat.consensus.messages import (
+    Action,
+    ActionType,
+    Configuration,
+    DurableWrite,
     Entry,
-    Group,
+    EntryType,
     Member,
     Message,
-    Reason,
-    Save,
-    Times,
-    What,
+    RejectReason,
+    Timeouts,
 )
-from lichencleat.consensus.voter import Voter
+from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.state_machine import StateMachine, bootstrap_snapshot
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
 from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
@@ -44,7 +44,7 @@
 Answer = Callable[[Any], None]
 
 
-class WatchedFacts(Facts):
+class WatchedFacts(KeyValueState):
     """Tells the judge what takes effect: values are unlike each other."""
 
     def __init__(self, member: Any, watch: GroupWatch) -> None:
@@ -53,8 +53,8 @@
 
     def apply(self, index: int, command: msgspec.Raw) -> Any:
         answer = super().apply(index, command)
-        if answer.done:
-            wanted = msgspec.msgpack.decode(command, type=Set)
+        if answer.is_applied:
+            wanted = msgspec.msgpack.decode(command, type=SetCommand)
             self.watch.takes_effect(self.member, index, wanted.value)
         return answer
 
@@ -62,8 +62,10 @@
 class SimMember:
     """One process: started, cut off, killed, stopped and gone on with."""
 
-    def __init__(self, group: SimGroup, member: Member, rng: random.Random, founding: Group | None) -> None:
-        self.group, self.member, self.seat, self.rng = group, member, member.seat, rng
+    def __init__(
+        self, group: SimGroup, member: Member, rng: random.Random, founding: Configuration | None
+    ) -> None:
+        self.group, self.member, self.seat, self.rng = group, member, member.member_id, rng
         self.clock = DriftingClock(group.clockwork, start=rng.randrange(1 << 40))
         self.disk = FaultyDisk()
         self.flush_time = 1  # times what is usual
@@ -74,7 +76,7 @@
         self.life = 0
         if founding is not None:
             engine = self.open()
-            assert engine.commit([Journal().found(founded(founding))]) == [None]
+            assert engine.commit([LogStorage().bootstrap_batch(bootstrap_snapshot(founding))]) == [None]
             engine.close()
 
     # -- the process ---------------------------------------------------------------------------------
@@ -88,13 +90,13 @@
         self.disk.locked = self.disk.off = False
         self.disk.room, self.disk.faults = None, {}
         self.engine = self.open()
-        self.journal = Journal()
+        self.journal = LogStorage()
         self.fresh_state()
         durable = self.journal.load(self.engine.get)
         self.voter = self.group.kind(
             self.seat, durable, self.group.times, random.Random(self.rng.randrange(1 << 30)), self.clock()
         )
-        self.waiting: list[Save] = []
+        self.waiting: list[DurableWrite] = []
         self.writing = False
         self.reads: list[tuple[int, Any, Answer]] = []
         self.commits = 0
@@ -102,7 +104,7 @@
         self.pull()
 
     def fresh_state(self) -> None:
-        self.state = State({"facts": WatchedFacts(self.member.name, self.group.watch)})
+        self.state = StateMachine({"facts": WatchedFacts(self.member.name, self.group.watch)})
 
     def end(self) -> None:
         self.up = False
@@ -151,15 +153,15 @@
     # -- as a host -----------------------------------------------------------------------------------
 
     def hears(self, message: Message) -> None:
-        self.voter.hears(self.clock(), message)
+        self.voter.receive(self.clock(), message)
         self.pull()
 
     def wake(self) -> None:
-        self.voter.wakes(self.clock())
+        self.voter.on_timer(self.clock())
         self.pull()
 
     def pull(self) -> None:
-        while self.up and (decision := self.voter.next_decision()) is not None:
+        while self.up and (decision := self.voter.next_action()) is not None:
             self.carry_out(decision)
         if not self.up:
             return
@@ -172,44 +174,44 @@
             self.timer.cancel()
         self.timer = self.later(self.clock.until(self.voter.deadline()), self.wake)
 
-    def carry_out(self, decision: Decision) -> None:
-        if decision.act is Act.SAVE:
-            assert decision.save is not None
-            self.waiting.append(decision.save)
+    def carry_out(self, decision: Action) -> None:
+        if decision.action_type is ActionType.WRITE:
+            assert decision.write is not None
+            self.waiting.append(decision.write)
             self.write()
-        elif decision.act is Act.SEND:
+        elif decision.action_type is ActionType.SEND:
             assert decision.message is not None
             self.group.carry(decision.message)
-        elif decision.act is Act.APPLY:
+        elif decision.action_type is ActionType.APPLY:
             self.apply(decision)
-        elif decision.act is Act.RESTORE:
+        elif decision.action_type is ActionType.RESTORE_SNAPSHOT:
             assert decision.snapshot is not None
             self.fresh_state()
             self.state.restore(decision.snapshot)
             self.dumped = None
-        elif decision.act is Act.READ:
-            query, answer = decision.ticket
+        elif decision.action_type is ActionType.SERVE_READ:
+            query, answer = decision.context
             self.reads.append((decision.index, query, answer))
-        elif decision.act is Act.REFUSE:
-            decision.ticket[1](("refused", decision.reason, self.voter.leader))
-        elif decision.act is Act.LEAVE:
+        elif decision.action_type is ActionType.REJECT:
+            decision.context[1](("refused", decision.reason, self.voter.leader_id))
+        elif decision.action_type is ActionType.HALT:
             self.group.left.append((self.member.name, decision.reason))
             self.end()
 
-    def apply(self, decision: Decision) -> None:
+    def apply(self, decision: Action) -> None:
         entry = decision.entry
         assert entry is not None
         self.group.watch.applies(self.member.name, decision.index, entry)
         verdict, result = self.state.apply(decision.index, entry)
-        if decision.ticket is not None:
-            decision.ticket[1](("done", verdict, result))
+        if decision.context is not None:
+            decision.context[1](("done", verdict, result))
         if decision.index % self.group.compact_each == 0:
             if self.dumped is not None:
                 self.voter.compact(*self.dumped)
             self.dumped = (decision.index, self.state.dump())
 
-    def journal_batch(self, save: Save) -> Any:
-        return self.journal.batch(save)
+    def journal_batch(self, save: DurableWrite) -> Any:
+        return self.journal.make_batch(save)
 
     def write(self) -> None:
         if not self.writing and self.waiting:
@@ -222,9 +224,9 @@
         verdicts = self.engine.commit([self.journal_batch(each) for each in group])
         wrong = next((each for each in verdicts if each is not None), None)
         if wrong is not None:
-            self.voter.disk_failed(str(wrong))
+            self.voter.on_disk_failed(str(wrong))
         else:
-            self.voter.saved(self.clock(), group[-1].number)
+            self.voter.on_write_durable(self.clock(), group[-1].number)
             self.keep_up()
         self.pull()
         if self.up:
@@ -243,19 +245,23 @@
         now = self.clock()
         if what == "propose":
             entry: Entry = content
-            if entry.what == What.SESSION:
+            if entry.entry_type == EntryType.SESSION:
                 self.voter.propose_session(now, (what, answer))
             else:
-                self.voter.propose(now, (what, answer), entry.data, entry.session, entry.number)
+                self.voter.propose(now, (what, answer), entry.data, entry.session_id, entry.sequence)
         elif what == "read":
             self.voter.read(now, (content, answer))
         elif what == "add":
-            self.voter.change(now, (what, answer), changed(self.voter.entries.group, content))
+            self.voter.change_configuration(
+                now, (what, answer), with_member(self.voter.log.configuration, content)
+            )
         elif what == "remove":
-            self.voter.change(now, (what, answer), without(self.voter.entries.group, content))
+            self.voter.change_configuration(
+                now, (what, answer), without_member(self.voter.log.configuration, content)
+            )
         elif what == "transfer":
-            moving = self.voter.transfer(now, content)
-            answer(("done" if moving else "refused", Reason.NOT_LEADER, self.voter.leader))
+            moving = self.voter.transfer_leadership(now, content)
+            answer(("done" if moving else "refused", RejectReason.NOT_LEADER, self.voter.leader_id))
         self.pull()
 
 
@@ -267,28 +273,30 @@
         rng: random.Random,
         voters: int,
         spare: int = 0,
-        kind: type[Voter] = Voter,
-        times: Times | None = None,
+        kind: type[RaftNode] = RaftNode,
+        times: Timeouts | None = None,
         compact_each: int = 40,
     ) -> None:
         self.clockwork, self.network, self.rng = clockwork, network, rng
-        self.kind, self.times, self.compact_each = kind, times or Times(), compact_each
+        self.kind, self.times, self.compact_each = kind, times or Timeouts(), compact_each
         self.watch = GroupWatch()
         self.left: list[tuple[str, str]] = []  # who went by itself, and why
         listed = [Member(seat, f"v{seat}", "", 0) for seat in range(1, voters + spare + 1)]
-        founding = Group(tuple(listed[:voters]))
+        founding = Configuration(tuple(listed[:voters]))
         self.members: dict[int, SimMember] = {}
         for each in listed:
             own = random.Random(rng.randrange(1 << 60))
-            self.members[each.seat] = SimMember(self, each, own, founding if each.seat <= voters else None)
+            self.members[each.member_id] = SimMember(
+                self, each, own, founding if each.member_id <= voters else None
+            )
 
     def start(self) -> None:
         for each in self.members.values():
             each.start()
 
     def carry(self, message: Message) -> None:
-        to = self.members[message.to]
-        self.network.send(message.sender, message.to, to.alive, to.life, to.hears, message)
+        to = self.members[message.recipient]
+        self.network.send(message.sender, message.recipient, to.alive, to.life, to.hears, message)
 
     def ask(self, client: Any, seat: int, what: str, content: Any, answer: Answer) -> None:
         """As a client does, over the network, both ways."""
--- a/lichencleat/testkit/simulation/run.py
+++ b/lichencleat/testkit/simulation/run.py
@@ -9,9 +9,9 @@
 
 import click
 
-from lichencleat.consensus import following
-from lichencleat.consensus.terms import Times
-from lichencleat.consensus.voter import Voter
+from lichencleat.consensus import progress as following
+from lichencleat.consensus.messages import Timeouts
+from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.testkit.checkers.linear import judge_facts
 from lichencleat.testkit.simulation.clients import SimClient
 from lichencleat.testkit.simulation.clockwork import Clockwork
@@ -25,9 +25,9 @@
 CALM = 6_000_000  # µs after the last fault by which everything has to be well again: ten elections
 CLIENTS, CALLS = 3, 100
 TIMES = (
-    Times(),
-    Times(),
-    Times(200_000, 300_000, 150_000),
+    Timeouts(),
+    Timeouts(),
+    Timeouts(200_000, 300_000, 150_000),
 )  # the last: a leader notices late that it leads no more
 
 
@@ -43,7 +43,7 @@
     digest: str = ""  # of all that the clients saw: the same for the same seed
 
 
-def run(seed: int, kind: type[Voter] = Voter, faults: list[Fault] | None = None) -> Ran:
+def run(seed: int, kind: type[RaftNode] = RaftNode, faults: list[Fault] | None = None) -> Ran:
     rng = random.Random(f"quorum {seed}")
     clockwork = Clockwork()
     network = Network(clockwork, random.Random(rng.randrange(1 << 60)))
@@ -55,8 +55,8 @@
     clients = [
         SimClient(group, f"c{n}", random.Random(rng.randrange(1 << 60)), CALLS) for n in range(CLIENTS)
     ]
-    least = following.BYTES_MOST
-    following.BYTES_MOST = rng.choice([1, 100, least])  # an entry a message, a few, all
+    least = following.MAX_MESSAGE_BYTES
+    following.MAX_MESSAGE_BYTES = rng.choice([1, 100, least])  # an entry a message, a few, all
     result = Ran(seed, faults=drawn if faults is None else faults)
     try:
         group.start()
@@ -71,7 +71,7 @@
                 each.start()
         clockwork.run(over + CALM, lambda: group.watch.wrong is not None)
     finally:
-        following.BYTES_MOST = least
+        following.MAX_MESSAGE_BYTES = least
     history = [call for each in clients for call in each.history]
     result.calls, result.entries = len(history), len(group.watch.entries)
     result.answered = sum(each.told is not None or each.returned < 1 << 62 for each in history)
@@ -98,7 +98,7 @@
     return run(seed, VARIANTS[variant])
 
 
-def shortened(ran: Ran, kind: type[Voter]) -> list[Fault]:
+def shortened(ran: Ran, kind: type[RaftNode]) -> list[Fault]:
     """The fewest faults of a failing run that still fail it, in any way."""
     return shrink(ran.faults, lambda fewer: run(ran.seed, kind, fewer).wrong is not None)
 
--- a/lichencleat/testkit/simulation/variants.py
+++ b/lichencleat/testkit/simulation/variants.py
@@ -4,105 +4,122 @@
 
 from typing import Any
 
-from lichencleat.consensus.member import Role
-from lichencleat.consensus.terms import Act, Decision, Group, Kind, Message, Reason
-from lichencleat.consensus.voter import Voter
-
-
-class VoteNotFlushed(Voter):
+from lichencleat.consensus.follower import Role
+from lichencleat.consensus.messages import (
+    Action,
+    ActionType,
+    Configuration,
+    Message,
+    MessageType,
+    RejectReason,
+)
+from lichencleat.consensus.raft_node import RaftNode
+
+
+class VoteNotFlushed(RaftNode):
     """Says what rests on its term and vote before they are on the disk."""
 
-    def post(self, message: Message) -> None:
+    def enqueue_message(self, message: Message) -> None:
         self.outbox.append((0, message))
 
 
-class CommitByCount(Voter):
+class CommitByCount(RaftNode):
     """Commits an older term's entry because a majority has it."""
 
-    def advance(self, now: int) -> None:
-        assert self.lead is not None
-        self.commit = max(self.commit, self.lead.reached(self.voters, self.writes.durable))
+    def advance_commit_index(self, now: int) -> None:
+        assert self.leader_state is not None
+        self.commit_index = max(
+            self.commit_index, self.leader_state.quorum_match_index(self.voters, self.writes.durable_index)
+        )
 
 
-class AnyLogIsFine(Voter):
+class AnyLogIsFine(RaftNode):
     """Votes for a candidate that lacks what may be committed."""
 
-    def up_to_date(self, m: Message) -> bool:
+    def is_log_up_to_date(self, m: Message) -> bool:
         return True
 
 
-class AckBeforeFlush(Voter):
+class AckBeforeFlush(RaftNode):
     """Tells the leader that it has what is not on its disk yet."""
 
-    def tell_agreed(self, leader: int, round_: int) -> None:
-        self.say(Kind.APPENDED, leader, index=self.verified, round=round_, granted=True)
+    def send_append_response(self, leader: int, round_: int) -> None:
+        self.send(
+            MessageType.APPEND_RESPONSE, leader, index=self.matched_index, read_round=round_, granted=True
+        )
 
 
-class OwnCountsUnflushed(Voter):
+class OwnCountsUnflushed(RaftNode):
     """A leader that counts its own log before it is on the disk."""
 
-    def advance(self, now: int) -> None:
-        self.writes.durable, kept = self.entries.last, self.writes.durable
-        super().advance(now)
-        self.writes.durable = kept
+    def advance_commit_index(self, now: int) -> None:
+        self.writes.durable_index, kept = self.log.last_index, self.writes.durable_index
+        super().advance_commit_index(now)
+        self.writes.durable_index = kept
 
 
-class CutsWhatAgrees(Voter):
+class CutsWhatAgrees(RaftNode):
     """Takes a late message for the whole truth and cuts what came after it."""
 
-    def appends(self, now: int, m: Message) -> None:
-        if m.entries and self.entries.base <= m.index < self.entries.last and m.index >= self.commit:
-            self.cut(m.index + 1)
-        super().appends(now, m)
+    def on_append(self, now: int, m: Message) -> None:
+        if (
+            m.entries
+            and self.log.snapshot_index <= m.index < self.log.last_index
+            and m.index >= self.commit_index
+        ):
+            self.truncate_log(m.index + 1)
+        super().on_append(now, m)
 
 
-class CommitsUnverified(Voter):
+class CommitsUnverified(RaftNode):
     """Takes the leader's commit for its own log, where that has not been compared yet."""
 
-    def appends(self, now: int, m: Message) -> None:
-        super().appends(now, m)
+    def on_append(self, now: int, m: Message) -> None:
+        super().on_append(now, m)
         if self.role is Role.FOLLOWER:
-            self.commit = max(self.commit, min(m.commit, self.entries.last))
+            self.commit_index = max(self.commit_index, min(m.commit, self.log.last_index))
 
 
-class ReadsAtOnce(Voter):
+class ReadsAtOnce(RaftNode):
     """A leader that answers reads without asking whether it still leads."""
 
     def read(self, now: int, ticket: Any) -> None:
-        if self.lead is None or self.commit < self.lead.first:
-            self.refuse(ticket, Reason.NOT_LEADER)
+        if self.leader_state is None or self.commit_index < self.leader_state.first_index:
+            self.reject(ticket, RejectReason.NOT_LEADER)
         else:
-            self.telling.append(Decision(Act.READ, ticket=ticket, index=self.commit))
+            self.pending_actions.append(
+                Action(ActionType.SERVE_READ, context=ticket, index=self.commit_index)
+            )
 
 
-class ReadsTooEarly(Voter):
+class ReadsTooEarly(RaftNode):
     """A leader that answers reads before anything of its term is committed."""
 
     def read(self, now: int, ticket: Any) -> None:
-        if self.lead is not None and self.commit < self.lead.first:
-            self.lead.ask(ticket, self.commit)
-            self.turn_round()
+        if self.leader_state is not None and self.commit_index < self.leader_state.first_index:
+            self.leader_state.add_read(ticket, self.commit_index)
+            self.start_read_round()
         else:
             super().read(now, ticket)
 
 
-class ChangesAnyTime(Voter):
+class ChangesAnyTime(RaftNode):
     """Changes members while the change before may still be undone."""
 
-    def untimely(self, group: Group) -> Reason | None:
+    def change_rejection(self, group: Configuration) -> RejectReason | None:
         return None
 
 
-class ForgetsTheVote(Voter):
+class ForgetsTheVote(RaftNode):
     """Votes again in a term for who asks again later."""
 
-    def asked_vote(self, now: int, m: Message) -> None:
+    def on_vote(self, now: int, m: Message) -> None:
         self.vote = 0
-        super().asked_vote(now, m)
+        super().on_vote(now, m)
 
 
-VARIANTS: dict[str, type[Voter]] = {
-    "none": Voter,
+VARIANTS: dict[str, type[RaftNode]] = {
+    "none": RaftNode,
     **{
         each.__name__: each
         for each in (
--- a/tests/capacity/test_plan.py
+++ b/tests/capacity/test_plan.py
@@ -12,7 +12,7 @@
 from lichencleat.capacity.machines import PUBLISHER, REGION, VOTER, ZONE, deal_out, left
 from lichencleat.capacity.plan import at, in_order, largest_within, limit, made, row
 from lichencleat.capacity.target import Target, Tree, read_target
-from lichencleat.consensus import group
+from lichencleat.consensus import configuration as group
 from lichencleat.membership import table as members
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -76,7 +76,7 @@
 def test_bounds_are_read_where_they_stand():
     by_name = {each.name: each.bound for each in bounds.BOUNDS}
     assert by_name["members.table.MEMBERS_MOST"] == members.MEMBERS_MOST
-    assert by_name["quorum.group.MEMBERS_MOST"] == group.MEMBERS_MOST
+    assert by_name["quorum.group.MEMBERS_MOST"] == group.MAX_MEMBERS
     for each in bounds.BOUNDS:
         if each.bound is not None:
             module, _, constant = each.name.rpartition(".")
--- a/tests/config_distribution/test_source.py
+++ b/tests/config_distribution/test_source.py
@@ -10,12 +10,12 @@
 from lichencleat.config_distribution.source import Diff, Find, Publish, Published, Source, Stands
 from lichencleat.config_distribution.terms import BATCH_MOST, FIND, FOLLOW, IN_FORCE, Change, Follow, Say
 from lichencleat.config_distribution.voting import DOUBT, SILENCE, Fresh, Voting
+from lichencleat.consensus.messages import Configuration, Entry, EntryType, Member, Snapshot
 from lichencleat.consensus.serves import Guarded
-from lichencleat.consensus.state import State, command
-from lichencleat.consensus.terms import Entry, Group, Member, Snapshot, What
+from lichencleat.consensus.state_machine import StateMachine, encode_command
 from lichencleat.consensus.wire import Request, raw
 
-GROUP = Group((Member(1, "v1", "h", 1),))
+GROUP = Configuration((Member(1, "v1", "h", 1),))
 encode = msgspec.msgpack.encode
 
 
@@ -168,7 +168,7 @@
 
 def test_a_dump_brings_back_all_and_replay_makes_the_same_bytes():
     def state():
-        return State({"distribution": Source(window_batches=30)})
+        return StateMachine({"distribution": Source(window_batches=30)})
 
     rng, first, entries, copies = random.Random(8), state(), [], []
     for index in range(1, 120):
@@ -177,19 +177,19 @@
         else:
             names = sorted({f"t{rng.randrange(400)}" for _ in range(rng.choice([1, 40]))})
             made = tuple(Change("tenant", name, rng.choice([None, bytes(900), b"y"])) for name in names)
-            data = command("distribution", Publish(made))
-        entries.append(Entry(1, What.COMMAND, data))
+            data = encode_command("distribution", Publish(made))
+        entries.append(Entry(1, EntryType.COMMAND, data))
         first.apply(index, entries[-1])
         if index % 40 == 0:
             copies.append((index, first.dump()))
-            assert first.parts["distribution"].plain  # some pages go as they are: both forms are tried
+            assert first.states["distribution"].plain  # some pages go as they are: both forms are tried
     for index, dumped in copies:
         again = state()
         again.restore(Snapshot(index, 1, GROUP, dumped))
         for after, entry in enumerate(entries[index:], index + 1):
             again.apply(after, entry)
         assert again.dump() == first.dump()
-        assert again.parts["distribution"].table.digest == first.parts["distribution"].table.digest
+        assert again.states["distribution"].table.digest == first.states["distribution"].table.digest
 
 
 def test_a_spoilt_dump_is_not_taken_for_a_table():
@@ -256,7 +256,7 @@
     member, later = Seat(), Later()
     voting = Voting(later, "v1", "z1", None, Host)
     voting.begins(member)
-    state = State({"distribution": source or Source()})
+    state = StateMachine({"distribution": source or Source()})
     state.applied = index
     voting.applied(state)
     return voting, member, later, state
@@ -273,17 +273,19 @@
 
 def test_what_is_applied_is_fed_and_a_snapshot_takes_the_tables_place():
     voting, member, _, state = serving()
-    nothing = state.parts["distribution"].table.digest
+    nothing = state.states["distribution"].table.digest
     for index in (3, 4):
         state.applied = index - 1
-        state.apply(index, Entry(1, What.COMMAND, command("distribution", one_change(b"%d" % index))))
+        state.apply(
+            index, Entry(1, EntryType.COMMAND, encode_command("distribution", one_change(b"%d" % index)))
+        )
     voting.applied(state)  # two entries in one pull
     told = fed(voting, member, 0, nothing)
     assert told.say == Say.NEWS and [each.version for each in told.batches] == [3, 4]
     later = Source()
     publish(later, 20, ("tenant", "b", b"9"))
     publish(later, 30, ("tenant", "c", b"9"))
-    restored = State({"distribution": copied(later)})
+    restored = StateMachine({"distribution": copied(later)})
     voting.applied(restored)
     told = fed(voting, member, 20, later.window[0].batch.digest)
     assert told.say == Say.NEWS and (told.version, told.digest) == (30, later.table.digest)
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -15,7 +15,7 @@
 from lichencleat.config_distribution.subscriber import CALL, Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
-from lichencleat.consensus.seats import Life
+from lichencleat.consensus.identity import Incarnation
 from lichencleat.consensus.wire import FORMAT, Greeting, Reply, Request, raw
 
 SECOND = 1_000_000
@@ -296,7 +296,7 @@
 
 def test_the_door_turns_away_what_is_no_subscriber(place):
     relay = place.relay(7931, [1], mark=MARK)
-    hello = Greeting(FORMAT, b"", "config", 0, 0, Life(0, 0), "n1")
+    hello = Greeting(FORMAT, b"", "config", 0, 0, Incarnation(0, 0), "n1")
     for wrong in (
         msgspec.structs.replace(hello, name="other"),
         msgspec.structs.replace(hello, seat=4),
@@ -318,7 +318,7 @@
 def test_who_calls_and_says_nothing_is_ended(place):
     relay = place.relay(7931, [1], mark=MARK)
     silent, greeted = caller(place, 7931), caller(place, 7931)
-    greeted.greeting = Greeting(FORMAT, b"", "config", 0, 0, Life(0, 0), "n1")
+    greeted.greeting = Greeting(FORMAT, b"", "config", 0, 0, Incarnation(0, 0), "n1")
     place.net.run(SWEEP + 0.1)
     assert not silent.transport.disconnecting
     place.net.run(SWEEP)
--- a/tests/consensus/test_explore.py
+++ b/tests/consensus/test_explore.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lichencleat.consensus.voter import Voter
+from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.testkit.explore import explore
 from lichencleat.testkit.explore_scenes import SCENES, play
 from lichencleat.testkit.simulation.variants import VARIANTS
@@ -11,7 +11,7 @@
 @pytest.mark.parametrize("name", SCENES)
 def test_nothing_breaks_in_any_order(name):
     scene = SCENES[name]
-    found = play(scene, Voter, min(scene.depth, 9))
+    found = play(scene, RaftNode, min(scene.depth, 9))
     assert found.violation is None, found.history
     assert found.whole or found.depth == min(scene.depth, 9)
 
--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -12,14 +12,22 @@
 from lichencleat.config_distribution.terms import Change, Follow, Say, decode_fed
 from lichencleat.config_distribution.voting import Voting
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.journal import Journal
-from lichencleat.consensus.member import Role
+from lichencleat.consensus.follower import Role
+from lichencleat.consensus.identity import Identity, load_identity
+from lichencleat.consensus.log_storage import LogStorage
+from lichencleat.consensus.messages import (
+    Action,
+    ActionType,
+    Configuration,
+    Member,
+    Message,
+    MessageType,
+    RejectReason,
+)
 from lichencleat.consensus.process import Process
 from lichencleat.consensus.program import distribution_parts
-from lichencleat.consensus.seats import Identity, wake_up
 from lichencleat.consensus.serves import Guarded
-from lichencleat.consensus.state import command, founded
-from lichencleat.consensus.terms import Act, Decision, Group, Kind, Member, Message, Reason
+from lichencleat.consensus.state_machine import bootstrap_snapshot, encode_command
 from lichencleat.consensus.wire import Request, raw
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, StoreError
@@ -70,7 +78,10 @@
 
 
 def test_a_leader_s_own_proposal_that_is_refused_has_nobody_to_be_told():
-    assert Process.carry_out(None, Decision(Act.REFUSE, ticket=None, reason=Reason.NOT_LEADER)) is None
+    assert (
+        Process.carry_out(None, Action(ActionType.REJECT, context=None, reason=RejectReason.NOT_LEADER))
+        is None
+    )
 
 
 # -- a member that answers others, whole but for its sockets ---------------------------------------------
@@ -103,7 +114,9 @@
     engine = Engine.open(disk, lambda: 1, random.Random(1), create=True)
     me = Member(5, "v1", "10.0.0.1", 1, True, "z1")
     if engine.get(b"t") is None:
-        assert engine.commit([Journal().found(founded(Group((me,))))]) == [None]
+        assert engine.commit([LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((me,))))]) == [
+            None
+        ]
     store, said = Store(reactor, engine, at_once, at_once, upkeep=False), []
     log = SimpleNamespace(
         info=lambda event, **more: said.append(event), warning=lambda event, **more: said.append(event)
@@ -130,7 +143,7 @@
 
 
 def publish(process, reactor, link, name, number):
-    what = command("distribution", Publish((Change("tenant", name, b"1"),)))
+    what = encode_command("distribution", Publish((Change("tenant", name, b"1"),)))
     process.asked(link, Request(number, "propose", raw((0, 0, what))))
     run_on(reactor, 0.1)
 
@@ -179,7 +192,7 @@
     process.disk_failed(Failure(FullError("bytes on disk")))
     assert not process.ending  # it leaves in the next turn; in this one nothing is answered any more
     follow(process, link, 2)
-    assert [decode(each.content) for each in link.replies[1:]] == [Reason.UNFIT.value]
+    assert [decode(each.content) for each in link.replies[1:]] == [RejectReason.INVALID_REQUEST.value]
     run_on(reactor, 0.1)
     assert process.ending and len(link.replies) == 2
 
@@ -189,15 +202,15 @@
     process, _ = alone(reactor, disk)
     run_on(reactor)
     publish(process, reactor, client, "a", 1)
-    version = process.state.parts["distribution"].table.version
-    digest = process.state.parts["distribution"].table.digest
+    version = process.state.states["distribution"].table.version
+    digest = process.state.states["distribution"].table.digest
     follow(process, link, 1, version, digest, 1_000_000)
     run_on(reactor, 0.1)
     disk.room = disk.used()
     publish(process, reactor, client, "b", 2)
     run_on(reactor, 2)
     assert process.ending and not link.replies and not client.replies[-1].done
-    assert process.state.parts["distribution"].table.version == version
+    assert process.state.states["distribution"].table.version == version
 
 
 def test_a_start_feeds_from_the_window_that_its_snapshot_brought():
@@ -213,7 +226,7 @@
     run_on(reactor, 0.1)
     disk.locked = False
     again, _ = alone(reactor, disk)
-    assert again.voter.entries.base == version
+    assert again.voter.log.snapshot_index == version
     run_on(reactor, 0.1)
     follow(again, link, 1, digest=Source().table.digest)
     run_on(reactor, 0.1)
@@ -231,8 +244,8 @@
     run_on(reactor)
     for number in range(1, 30):
         publish(process, reactor, client, f"t{number}", number)
-    assert process.voter.entries.base > 3 and process.state.applied < 40
-    assert len(process.voter.entries.held) < 30
+    assert process.voter.log.snapshot_index > 3 and process.state.applied < 40
+    assert len(process.voter.log.entries) < 30
     process.end(0)
 
 
@@ -242,17 +255,23 @@
     process.stirred = process.takes_part = True
     process.voter = SimpleNamespace(hears=lambda now, message: None, term=3)
     process.serves = Guarded(SimpleNamespace(word=told.append), None)
-    for kind, term, commit in ((Kind.APPEND, 3, 7), (Kind.APPEND, 2, 9), (Kind.VOTE, 3, 11)):
+    for kind, term, commit in (
+        (MessageType.APPEND, 3, 7),
+        (MessageType.APPEND, 2, 9),
+        (MessageType.VOTE, 3, 11),
+    ):
         process.hears(Message(kind, term, 2, 1, commit=commit))
     assert told == [7]
 
 
 def test_a_directory_keeps_what_its_group_is_for_and_one_of_before_is_for_other_things():
     for distribution in (False, True):
-        made = wake_up(lambda key: None, random.Random(1), "g", "v1", distribution)
-        again = wake_up(
+        made = load_identity(lambda key: None, random.Random(1), "g", "v1", distribution)
+        again = load_identity(
             lambda key, made=made: msgspec.msgpack.encode(made), random.Random(1), "g", "v1", True
         )
-        assert (again.distribution, again.start) == (distribution, 2)
+        assert (again.distribution, again.start_count) == (distribution, 2)
     old = msgspec.msgpack.encode((b"mark", "g", "v1", 5, 7))
-    assert wake_up(lambda key: old, random.Random(1), "g", "v1", True) == Identity(b"mark", "g", "v1", 5, 8)
+    assert load_identity(lambda key: old, random.Random(1), "g", "v1", True) == Identity(
+        b"mark", "g", "v1", 5, 8
+    )
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -7,12 +7,12 @@
 from lichencleat.config_distribution.source import Publish, Source
 from lichencleat.config_distribution.terms import Change
 from lichencleat.consensus import wire
-from lichencleat.consensus.facts import Facts, Set
+from lichencleat.consensus.identity import Incarnation
+from lichencleat.consensus.key_value import KeyValueState, SetCommand
 from lichencleat.consensus.links import Framed
+from lichencleat.consensus.messages import Entry, EntryType
 from lichencleat.consensus.program import parts
-from lichencleat.consensus.seats import Life
-from lichencleat.consensus.state import State, command
-from lichencleat.consensus.terms import Entry, What
+from lichencleat.consensus.state_machine import StateMachine, encode_command
 from lichencleat.failover.terms import Define as DefineZone
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
@@ -20,7 +20,7 @@
 from lichencleat.recovery.terms import Report
 
 COMMANDS = {
-    "facts": Set("fact", b"v"),
+    "facts": SetCommand("fact", b"v"),
     "owners": DefineJob("job", "zone"),
     "shares": DefinePool("pool", 10, 1, 4),
     "revive": Report("node", "zone", 1, True, 0, 1, True, True, 0.5),
@@ -51,21 +51,21 @@
 @pytest.mark.parametrize("name", COMMANDS)
 def test_an_entry_that_no_part_can_read_stays_in_the_log_and_changes_nothing(name):
     """Each member applies it at each start: one that raised would take the whole group along, for good."""
-    state = State({**parts(), "distribution": Source()})
-    assert set(state.parts) == set(COMMANDS) and isinstance(state.parts["owners"], Jobs)
+    state = StateMachine({**parts(), "distribution": Source()})
+    assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], Jobs)
     before = state.dump()
-    for index, data in enumerate(no_text(command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
-        state.apply(index, Entry(1, What.COMMAND, data))
+    for index, data in enumerate(no_text(encode_command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
+        state.apply(index, Entry(1, EntryType.COMMAND, data))
     assert state.dump() == before
     index = state.applied + 1
-    state.apply(index, Entry(1, What.COMMAND, command("facts", Set("fact", b"v"))))
-    assert isinstance(state.parts["facts"], Facts) and state.read("facts", "fact").revision == index
+    state.apply(index, Entry(1, EntryType.COMMAND, encode_command("facts", SetCommand("fact", b"v"))))
+    assert isinstance(state.states["facts"], KeyValueState) and state.read("facts", "fact").revision == index
 
 
 @pytest.mark.parametrize(
     "frame",
     [
-        wire.Greeting(wire.FORMAT, b"mark", "group", 0, 0, Life(1, 2), "client"),
+        wire.Greeting(wire.FORMAT, b"mark", "group", 0, 0, Incarnation(1, 2), "client"),
         wire.Request(1, "status"),
         wire.Reply(1, True, wire.raw(1), 2, "127.0.0.1", 3),
     ],
