--- a/benchmarks/capacity/group.py
+++ b/benchmarks/capacity/group.py
@@ -20,11 +20,11 @@
 from benchmarks.capacity.members import Timed
 from lichencleat.capacity.slopes import Line
 from lichencleat.consensus.client import Client
-from lichencleat.consensus.follower import Role
 from lichencleat.consensus.key_value import KeyValueState, SetCommand
 from lichencleat.consensus.messages import ActionType, Configuration, DurableState, Member, Message, Timeouts
 from lichencleat.consensus.raft_log import encode_configuration
 from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.role import Role
 from lichencleat.consensus.state_machine import StateMachine, bootstrap_snapshot, encode_command
 from lichencleat.consensus.wire import Carried, decode_frame, encode
 from lichencleat.testkit.cluster.relay import LOCAL
--- a/lichencleat/consensus/follower.py
+++ b/lichencleat/consensus/follower.py
@@ -4,7 +4,6 @@
 
 import random
 from collections import deque
-from enum import Enum
 from typing import Any
 
 from lichencleat.consensus.leader import LeaderState
@@ -22,6 +21,7 @@
 )
 from lichencleat.consensus.pending_writes import PendingWrites
 from lichencleat.consensus.raft_log import RaftLog
+from lichencleat.consensus.role import Role
 from lichencleat.consensus.snapshot_receiver import SnapshotReceiver
 
 DISTANT_PAST_US = -(1 << 62)  # µs: before any clock
@@ -32,16 +32,6 @@
 EMPTY_SNAPSHOT = Snapshot(0, 0, Configuration(()), b"")  # of a member that has heard of no group yet
 
 
-class Role(Enum):
-    """What a member does in its term. The values are those of the status command's `role`."""
-
-    FOLLOWER = "follower"
-    PRE_CANDIDATE = "asking"  # whether it would be elected
-    CANDIDATE = "standing"
-    LEADER = "leader"
-    HALTED = "out"  # it says nothing more
-
-
 class Follower:
     """Holds its state; `voter.Voter` adds elections and leading."""
 
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -16,7 +16,6 @@
 
 from lichencleat.consensus.configuration import with_member, without_member
 from lichencleat.consensus.durable_writer import DurableWriter
-from lichencleat.consensus.follower import Role
 from lichencleat.consensus.identity import (
     IDENTITY_KEY,
     GreetingResult,
@@ -38,6 +37,7 @@
     Timeouts,
 )
 from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.role import Role
 from lichencleat.consensus.serves import Guarded, Log, Serves
 from lichencleat.consensus.sessions import SessionOutcome
 from lichencleat.consensus.state_machine import ReplicatedState, StateMachine, decode_command, encode_command
--- a/lichencleat/consensus/raft_node.py
+++ b/lichencleat/consensus/raft_node.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lichencleat.consensus import configuration as configurations
-from lichencleat.consensus.follower import Follower, Role
+from lichencleat.consensus.follower import Follower
 from lichencleat.consensus.leader import MAX_PENDING_PROPOSALS, LeaderState
 from lichencleat.consensus.messages import (
     NO_MEMBER,
@@ -27,6 +27,7 @@
     Snapshot,
 )
 from lichencleat.consensus.raft_log import encode_configuration
+from lichencleat.consensus.role import Role
 
 LEARNER_HEARTBEAT_INTERVAL = (
     8  # beats from one word to a learner to the next: it stands for nothing, and there may be hundreds
--- a/lichencleat/consensus/supported_states.py
+++ b/lichencleat/consensus/supported_states.py
@@ -54,4 +54,5 @@
         if not lacking:
             return None
         more = f" and {len(lacking) - MAX_NAMED_MEMBERS} more" if len(lacking) > MAX_NAMED_MEMBERS else ""
-        return f"not all members have said that they know {part!r}: {', '.join(lacking[:MAX_NAMED_MEMBERS])}{more}"
+        named = ", ".join(lacking[:MAX_NAMED_MEMBERS])
+        return f"not all members have said that they know {part!r}: {named}{more}"
--- a/lichencleat/testkit/explore_quorum.py
+++ b/lichencleat/testkit/explore_quorum.py
@@ -15,7 +15,6 @@
 from typing import Any
 
 from lichencleat.consensus.configuration import with_member, without_member
-from lichencleat.consensus.follower import Role
 from lichencleat.consensus.messages import (
     ActionType,
     Configuration,
@@ -28,6 +27,7 @@
     Timeouts,
 )
 from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.role import Role
 
 SNAPSHOT_STATE = b"the state"  # what it holds is of no matter here
 
--- a/lichencleat/testkit/simulation/group.py
+++ b/lichencleat/testkit/simulation/group.py
@@ -12,7 +12,6 @@
 import msgspec
 
 from lichencleat.consensus.configuration import with_member, without_member
-from lichencleat.consensus.follower import Role
 from lichencleat.consensus.key_value import KeyValueState, SetCommand
 from lichencleat.consensus.log_storage import LogStorage
 from lichencleat.consensus.messages import (
@@ -28,6 +27,7 @@
     Timeouts,
 )
 from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.role import Role
 from lichencleat.consensus.state_machine import StateMachine, bootstrap_snapshot
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
--- a/lichencleat/testkit/simulation/variants.py
+++ b/lichencleat/testkit/simulation/variants.py
@@ -4,7 +4,6 @@
 
 from typing import Any
 
-from lichencleat.consensus.follower import Role
 from lichencleat.consensus.messages import (
     Action,
     ActionType,
@@ -14,6 +13,7 @@
     RejectReason,
 )
 from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.role import Role
 
 
 class VoteNotFlushed(RaftNode):
--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -12,7 +12,6 @@
 from lichencleat.config_distribution.terms import Change, Follow, Say, decode_fed
 from lichencleat.config_distribution.voting import Voting
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.follower import Role
 from lichencleat.consensus.identity import Identity, load_identity
 from lichencleat.consensus.log_storage import LogStorage
 from lichencleat.consensus.messages import (
@@ -26,6 +25,7 @@
 )
 from lichencleat.consensus.process import Process
 from lichencleat.consensus.program import distribution_parts
+from lichencleat.consensus.role import Role
 from lichencleat.consensus.serves import Guarded
 from lichencleat.consensus.state_machine import bootstrap_snapshot, encode_command
 from lichencleat.consensus.wire import Request, raw
@@ -68,7 +68,7 @@
     process, seen = Process.__new__(Process), []
     process.reactor, process.ending, process.role = MemoryReactorClock(), False, Role.LEADER
     process.state, process.tend = SimpleNamespace(applied=1), lambda state, now: seen.append(state) or []
-    process.voter = SimpleNamespace(commit=2)
+    process.voter = SimpleNamespace(commit_index=2)
     process.look_after()
     process.reactor.advance(1)
     assert seen[:2] == [process.state, process.state]
@@ -253,7 +253,7 @@
     process, told = Process.__new__(Process), []
     process.reactor, process.ending = MemoryReactorClock(), False
     process.stirred = process.takes_part = True
-    process.voter = SimpleNamespace(hears=lambda now, message: None, term=3)
+    process.voter = SimpleNamespace(receive=lambda now, message: None, term=3)
     process.serves = Guarded(SimpleNamespace(word=told.append), None)
     for kind, term, commit in (
         (MessageType.APPEND, 3, 7),
--- a/tests/consensus/test_voter.py
+++ b/tests/consensus/test_voter.py
@@ -11,7 +11,6 @@
     with_member,
     without_member,
 )
-from lichencleat.consensus.follower import Role
 from lichencleat.consensus.messages import (
     ActionType,
     Configuration,
@@ -28,6 +27,7 @@
 from lichencleat.consensus.progress import MAX_INFLIGHT_MESSAGES, Progress
 from lichencleat.consensus.raft_log import RaftLog
 from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.role import Role
 
 TIMES = Timeouts()
 MEMBERS = [Member(seat, f"v{seat}", "h", seat) for seat in range(1, 6)]
