--- a/lichencleat/consensus/configuration.py
+++ b/lichencleat/consensus/configuration.py
@@ -1,4 +1,4 @@
-"""Who counts: majorities, and which change of members may be made; no I/O. Ongaro's thesis, chapter 4."""
+"""Quorums, and which change of the cluster configuration may be made (Ongaro's thesis, chapter 4). No I/O."""
 
 from __future__ import annotations
 
@@ -6,41 +6,54 @@
 
 from lichencleat.consensus.messages import Configuration, Member, RejectReason
 
-MAX_VOTERS = 7  # each more is waited for by every commit; five bear the loss of two
-MAX_MEMBERS = 512  # learners included: the leader feeds each one
+MAX_VOTERS = 7  # every commit waits for a majority of them; five tolerate the loss of two
+MAX_MEMBERS = 512  # learners included: the leader replicates to each one
 
 
-def has_majority(voters: frozenset[int], those: Iterable[int]) -> bool:
-    return 2 * len(voters.intersection(those)) > len(voters)
+def has_majority(voters: frozenset[int], members: Iterable[int]) -> bool:
+    """Return whether `members` hold a majority of `voters`."""
+    return 2 * len(voters.intersection(members)) > len(voters)
 
 
-def quorum_value(voters: frozenset[int], reached: Callable[[int], int]) -> int:
-    """The highest value that a majority of the voters has reached; `reached` tells each one's."""
+def quorum_value(voters: frozenset[int], value_of: Callable[[int], int]) -> int:
+    """Return the highest value that a majority of the voters has reached; 0 without voters."""
     if not voters:
         return 0
-    values = sorted((reached(each) for each in voters), reverse=True)
+    values = sorted((value_of(each) for each in voters), reverse=True)
     return values[len(values) // 2]
 
 
-def with_member(group: Configuration, member: Member) -> Configuration:
-    """The group with that member added, or with its new vote or address."""
-    return Configuration((*(each for each in group.members if each.member_id != member.member_id), member))
+def with_member(configuration: Configuration, member: Member) -> Configuration:
+    """Return the configuration with that member added, or with its new vote or address."""
+    others = (each for each in configuration.members if each.member_id != member.member_id)
+    return Configuration((*others, member))
 
 
-def without_member(group: Configuration, seat: int) -> Configuration:
-    return Configuration(tuple(each for each in group.members if each.member_id != seat))
+def without_member(configuration: Configuration, member_id: int) -> Configuration:
+    """Return the configuration without that member."""
+    return Configuration(tuple(each for each in configuration.members if each.member_id != member_id))
 
 
 def change_rejection(old: Configuration, new: Configuration) -> RejectReason | None:
-    """Why the step may not be made, if so: majorities of groups that differ by one vote share a voter."""
-    seats = [each.member_id for each in new.members]
-    names = [each.name for each in new.members]
-    if len(set(seats)) < len(seats) or len(set(names)) < len(names) or not all(seats):
+    """Return why the step from `old` to `new` is not allowed, or None where it is.
+
+    Majorities of two configurations that differ by one vote have a voter in common; those of a larger step
+    may not.
+    """
+    if not _is_well_formed(new):
         return RejectReason.INVALID_REQUEST
     if not new.voter_ids():
         return RejectReason.LAST_VOTER
-    many = len(new.voter_ids()) > MAX_VOTERS or len(seats) > MAX_MEMBERS
-    steps = len(old.voter_ids() ^ new.voter_ids())
-    if many or steps > 1 or len(old.member_ids() ^ new.member_ids()) > 1:
+    is_too_large = len(new.voter_ids()) > MAX_VOTERS or len(new.members) > MAX_MEMBERS
+    changed_votes = len(old.voter_ids() ^ new.voter_ids())
+    changed_members = len(old.member_ids() ^ new.member_ids())
+    if is_too_large or changed_votes > 1 or changed_members > 1:
         return RejectReason.INVALID_REQUEST
     return None
+
+
+def _is_well_formed(configuration: Configuration) -> bool:
+    """Return whether ids and names are unique and no id is 0."""
+    ids = [each.member_id for each in configuration.members]
+    names = [each.name for each in configuration.members]
+    return len(set(ids)) == len(ids) and len(set(names)) == len(names) and all(ids)
--- a/lichencleat/consensus/durable_writer.py
+++ b/lichencleat/consensus/durable_writer.py
@@ -1,16 +1,17 @@
-"""Saves on their way to the store, in order; before one with a large snapshot its pieces, one after the
-other.
+"""Brings durable writes to the store, in order; before one with a large snapshot its chunks, one by one.
 
-So the store's queue holds one piece at a time, and none can be missing under a save that was confirmed. What
-comes after waits meanwhile, some 100 ms of a snapshot of 20 MB: proposals are confirmed later, and no leader
-is lost by it, as its word rests on the term's save alone.
+So the store's queue holds one chunk at a time, and no chunk can be missing under a write that was confirmed.
+Later writes wait meanwhile, some 100 ms for a snapshot of 20 MB: proposals are confirmed later, and no leader
+is lost by it, as its heartbeats rest on the write of its term alone.
 """
 
 from __future__ import annotations
 
 from collections import deque
 from collections.abc import Callable, Iterator
-from typing import Any
+from typing import NamedTuple
+
+from twisted.python.failure import Failure
 
 from lichencleat.consensus.log_storage import LogStorage
 from lichencleat.consensus.messages import DurableWrite
@@ -18,35 +19,58 @@
 from lichencleat.store.store import Store
 
 
+class QueuedWrite(NamedTuple):
+    """A write with the batches that are to be confirmed before it."""
+
+    write: DurableWrite
+    chunk_batches: Iterator[Batch]
+
+
 class DurableWriter:
-    """Bounded by what a leader takes (`leading.WAITING_MOST`) or sends ahead (`following.AHEAD_MOST`)."""
+    """Owns the queue of writes.
+
+    The queue is bounded by what a leader accepts (`leader.MAX_PENDING_PROPOSALS`) or sends ahead
+    (`progress.MAX_INFLIGHT_MESSAGES`).
+    """
 
     def __init__(
-        self, store: Store, journal: LogStorage, saved: Callable[[int], None], failed: Callable[[Any], None]
+        self,
+        store: Store,
+        storage: LogStorage,
+        on_durable: Callable[[int], None],
+        on_failed: Callable[[Failure], None],
     ) -> None:
-        """`saved` is told the number of each, in order; `failed` a Failure, and nothing is written then."""
-        self.store, self.storage, self.on_durable, self.on_failed = store, journal, saved, failed
-        self.queue: deque[tuple[DurableWrite, Iterator[Batch]]] = deque()
+        """`on_durable` gets the number of each write, in order; after `on_failed` nothing is written."""
+        self.store = store
+        self.storage = storage
+        self.on_durable = on_durable
+        self.on_failed = on_failed
+        self.queue: deque[QueuedWrite] = deque()
         self.has_failed = False
 
-    def write(self, save: DurableWrite) -> None:
-        self.queue.append((save, self.storage.chunk_batches(save)))
+    def write(self, write: DurableWrite) -> None:
+        """Write it after all that were given before."""
+        self.queue.append(QueuedWrite(write, self.storage.chunk_batches(write)))
         if len(self.queue) == 1:
             self.write_next()
 
     def write_next(self) -> None:
+        """Give the store all writes up to the next chunk, whose confirmation comes back here."""
         while self.queue and not self.has_failed:
-            save, pieces = self.queue[0]
-            piece = next(pieces, None)
-            if piece is not None:
-                self.commit(piece, self.write_next)
+            write, chunk_batches = self.queue[0]
+            chunk = next(chunk_batches, None)
+            if chunk is not None:
+                self._commit(chunk, self.write_next)
                 return
             self.queue.popleft()
-            self.commit(self.storage.make_batch(save), lambda number=save.number: self.on_durable(number))
+            self._commit(self.storage.make_batch(write), self._make_confirmation(write.number))
+
+    def _make_confirmation(self, number: int) -> Callable[[], None]:
+        return lambda: self.on_durable(number)
 
-    def commit(self, batch: Batch, then: Callable[[], None]) -> None:
-        self.store.commit(batch).addCallback(lambda _: then()).addErrback(self.fail)
+    def _commit(self, batch: Batch, on_committed: Callable[[], None]) -> None:
+        self.store.commit(batch).addCallback(lambda _: on_committed()).addErrback(self._fail)
 
-    def fail(self, failure: Any) -> None:
+    def _fail(self, failure: Failure) -> None:
         self.has_failed = True
         self.on_failed(failure)
--- a/lichencleat/consensus/identity.py
+++ b/lichencleat/consensus/identity.py
@@ -1,11 +1,11 @@
-"""Who a peer really is: the seat it claims, in which of its lives; no I/O.
-
-A voter's word rests on what its disk holds. A disk put back from yesterday's copy, or two processes on
-copies of one directory, would give a vote away twice. So each start counts itself on the disk, draws a mark,
-and tells both; each member writes down the latest life of every other before it listens to it. An older
-life, or another one of the same number, is turned away, and told so: it leaves. What this can't find is a
-copy put back while everyone who heard the later life is out of reach; and so a start waits a while for the
-others' word before it votes.
+"""Identity of a member and of its restarts: detects a restored copy of a directory. No I/O.
+
+A member's votes rest on what its disk holds. A disk restored from an older copy, or two processes on copies
+of one directory, could vote twice in a term. Each start therefore counts itself on the disk and draws a
+nonce; both are sent in the greeting. Every member stores the latest incarnation of each other member before
+it accepts its messages. An older incarnation, or another one with the same count, is turned away and told
+so, and then halts. A copy that is restored while everyone who knows the later incarnation is unreachable
+can't be detected this way, so a start waits a while for the others' confirmation before it takes part.
 """
 
 from __future__ import annotations
@@ -13,31 +13,33 @@
 import random
 from collections.abc import Callable
 from enum import IntEnum
+from typing import NamedTuple
 
 import msgspec
 
-IDENTITY_KEY = b"i"  # key in the store
-CONFIRMATION_WAIT_US = (
-    3_000_000  # µs that a start waits for the others' word on its life; then it goes on without
-)
+IDENTITY_KEY = b"i"  # in the store
+CONFIRMATION_WAIT_US = 3_000_000  # after which a start takes part without the others' confirmation
+MEMBER_ID_BITS = 63
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True, order=True):
-    start_count: int  # how many times it was started, this time included
-    nonce: int  # drawn at that start
+    """One start of a member."""
+
+    start_count: int  # how often it was started, this time included
+    nonce: int  # drawn at the start
 
 
 class GreetingResult(IntEnum):
-    """What a greeting is answered. The numbers are the wire's."""
+    """The answer to a greeting. The numbers are those on the wire."""
 
     ACCEPTED = 0
     WRONG_CLUSTER = 1
-    WRONG_MEMBER = 2  # it was not this member that was called
-    STALE_INCARNATION = 3  # a later life of that seat was heard of, or another one of the same number
+    WRONG_MEMBER = 2  # the caller expected another member here
+    STALE_INCARNATION = 3  # a later incarnation is known, or another one with the same count
 
     @property
     def log_reason(self) -> str:
-        """The word for it in log lines."""
+        """The words for it in log lines."""
         return _LOG_REASONS[self]
 
 
@@ -49,54 +51,76 @@
 }
 
 
+class GreetingDecision(NamedTuple):
+    """How to answer a greeting."""
+
+    result: GreetingResult
+    is_new_incarnation: bool  # to be stored before the answer is sent
+
+
 class PeerIncarnations:
-    def __init__(self, group: bytes, seat: int, life: Incarnation, known: dict[int, Incarnation]) -> None:
-        """`group`: the group's own mark, empty before it is known; `known`: lives as written down."""
-        self.cluster_id, self.member_id, self.incarnation = group, seat, life
+    """Knows the latest incarnation of each other member, and who has confirmed this one."""
+
+    def __init__(
+        self, cluster_id: bytes, member_id: int, incarnation: Incarnation, known: dict[int, Incarnation]
+    ) -> None:
+        """`cluster_id` is empty before it is known; `known`: incarnations as stored, by member id."""
+        self.cluster_id = cluster_id
+        self.member_id = member_id
+        self.incarnation = incarnation
         self.known = dict(known)
-        self.confirmed_by: set[int] = set()  # members that know this life and no later one
-
-    def on_greeting(self, group: bytes, seat: int, to: int, life: Incarnation) -> tuple[GreetingResult, bool]:
-        """A member says who it is. Is its life news, to be written down before it is answered?"""
-        if self.cluster_id and group != self.cluster_id:
-            return GreetingResult.WRONG_CLUSTER, False
-        if to not in (0, self.member_id):
-            return GreetingResult.WRONG_MEMBER, False
-        known = self.known.get(seat)
-        if known is not None and (
-            life.start_count < known.start_count or (life.start_count == known.start_count and life != known)
-        ):
-            return GreetingResult.STALE_INCARNATION, False
-        if known == life:
-            return GreetingResult.ACCEPTED, False
-        self.known[seat] = life
-        return GreetingResult.ACCEPTED, True
-
-    def on_greeting_reply(self, seat: int, welcome: GreetingResult) -> str | None:
-        """Another member's word on this life. Why this one must leave, if so."""
-        if welcome is GreetingResult.ACCEPTED:
-            self.confirmed_by.add(seat)
+        self.confirmed_by: set[int] = set()  # members that know this incarnation and no later one
+
+    def on_greeting(
+        self, cluster_id: bytes, member_id: int, recipient: int, incarnation: Incarnation
+    ) -> GreetingDecision:
+        """Decide on the greeting of another member; `recipient` 0: it does not know whom it called."""
+        if self.cluster_id and cluster_id != self.cluster_id:
+            return GreetingDecision(GreetingResult.WRONG_CLUSTER, False)
+        if recipient not in (0, self.member_id):
+            return GreetingDecision(GreetingResult.WRONG_MEMBER, False)
+        known = self.known.get(member_id)
+        if known is not None and _is_stale(incarnation, known):
+            return GreetingDecision(GreetingResult.STALE_INCARNATION, False)
+        if known == incarnation:
+            return GreetingDecision(GreetingResult.ACCEPTED, False)
+        self.known[member_id] = incarnation
+        return GreetingDecision(GreetingResult.ACCEPTED, True)
+
+    def on_greeting_reply(self, member_id: int, result: GreetingResult) -> str | None:
+        """Note another member's answer; return why this member must halt, or None."""
+        if result is GreetingResult.ACCEPTED:
+            self.confirmed_by.add(member_id)
             return None
-        if welcome is GreetingResult.STALE_INCARNATION:
+        if result is GreetingResult.STALE_INCARNATION:
             return (
-                f"another member knows a later life of this seat than start {self.incarnation.start_count}: the directory "
+                "another member knows a later life of this seat than start "
+                f"{self.incarnation.start_count}: the directory "
                 "was put back from a copy, or two processes use copies of it; remove this member and add it "
                 "with an empty directory"
             )
         return None
 
-    def can_participate(self, others: frozenset[int], waited: int) -> bool:
-        """After a start: have all others vouched for this life, or was there long enough to?"""
-        return others <= self.confirmed_by or waited >= CONFIRMATION_WAIT_US
+    def can_participate(self, others: frozenset[int], waited_us: int) -> bool:
+        """Return whether all others have confirmed this incarnation, or had long enough to."""
+        return others <= self.confirmed_by or waited_us >= CONFIRMATION_WAIT_US
+
+
+def _is_stale(incarnation: Incarnation, known: Incarnation) -> bool:
+    if incarnation.start_count < known.start_count:
+        return True
+    return incarnation.start_count == known.start_count and incarnation != known
 
 
 class Identity(msgspec.Struct, array_like=True):
-    cluster_id: bytes  # the group's mark, empty before the member knows it
-    cluster_name: str  # the group's name
+    """What a member's directory stores about it."""
+
+    cluster_id: bytes  # empty before the member knows it
+    cluster_name: str
     member_name: str
     member_id: int
     start_count: int
-    distribution: bool = False  # of a group for configuration: what it has applied is of no use in another
+    distribution: bool = False  # of a cluster for configuration: its state is of no use in another
 
 
 decode_identity = msgspec.msgpack.Decoder(Identity).decode
@@ -105,15 +129,24 @@
 def load_identity(
     get: Callable[[bytes], bytes | None],
     rng: random.Random,
-    name: str,
-    member: str,
+    cluster_name: str,
+    member_name: str,
     distribution: bool = False,
 ) -> Identity:
-    """Who this directory says it is; an empty one draws a seat. The start counts itself."""
+    """Return the identity that the store holds, with this start counted.
+
+    Args:
+        get: reads a key of the store; an empty store gets a new identity.
+        rng: draws the id of a new member.
+        cluster_name: of a new member.
+        member_name: of a new member.
+        distribution: whether the new member's cluster is for configuration.
+    """
     data = get(IDENTITY_KEY)
     if data is not None:
-        known = decode_identity(data)
+        identity = decode_identity(data)
     else:
-        known = Identity(b"", name, member, rng.getrandbits(63) | 1, 0, distribution)
-    known.start_count += 1
-    return known
+        member_id = rng.getrandbits(MEMBER_ID_BITS) | 1  # never 0
+        identity = Identity(b"", cluster_name, member_name, member_id, 0, distribution)
+    identity.start_count += 1
+    return identity
--- a/lichencleat/consensus/key_value.py
+++ b/lichencleat/consensus/key_value.py
@@ -1,34 +1,37 @@
-"""A part of the state: small facts by name, each with the index of the entry that set it; no I/O."""
+"""Replicated key-value pairs with revisions, changed by compare-and-set. No I/O."""
 
 from __future__ import annotations
 
-from typing import Any
-
 import msgspec
 
 from lichencleat.decoding import UNDECODABLE
 
-MAX_KEYS = 65_536  # of them
-MAX_VALUE_BYTES = 65_536  # bytes of one: a snapshot holds them all
+MAX_KEYS = 65_536
+MAX_VALUE_BYTES = 65_536  # of one value: a snapshot holds them all
+NO_REVISION = 0  # of a key that does not exist
 
 
 class SetCommand(msgspec.Struct, frozen=True, array_like=True, tag_field="do", tag="set"):
+    """Sets or deletes the value of a key."""
+
     key: str
-    value: bytes | None  # None: the fact goes
-    expected_revision: int | None = None  # the revision that it must have; 0: it must not be there
+    value: bytes | None  # None: delete
+    expected_revision: int | None = None  # None: any; 0: the key must not exist
 
 
 class KeyValueEntry(msgspec.Struct, frozen=True, array_like=True):
+    """The value of a key."""
+
     value: bytes
-    revision: int  # index of the entry that set it
+    revision: int  # index of the log entry that set it
 
 
 class SetResult(msgspec.Struct, frozen=True, array_like=True):
-    """The answer: whether it was done, and the fact's revision now, 0 where there is none."""
+    """The answer to a command: whether it was applied, and the key's revision now, or 0."""
 
     is_applied: bool
     revision: int
-    reason: str = ""
+    reason: str = ""  # where it was not applied; sent to clients
 
 
 decode_set_command = msgspec.msgpack.Decoder(SetCommand).decode
@@ -36,31 +39,38 @@
 
 
 class KeyValueState:
+    """The replicated state of this module, as `state_machine.ReplicatedState` describes it."""
+
     def __init__(self) -> None:
+        """Start without keys."""
         self.entries: dict[str, KeyValueEntry] = {}
 
-    def apply(self, index: int, command: msgspec.Raw) -> Any:
+    def apply(self, index: int, command: msgspec.Raw) -> SetResult:
+        """Apply an encoded `SetCommand`; one that is rejected changes nothing."""
         try:
             wanted = decode_set_command(command)
         except UNDECODABLE:
-            return SetResult(False, 0, "no command")
-        known = self.entries.get(wanted.key)
-        revision = known.revision if known else 0
+            return SetResult(False, NO_REVISION, "no command")
+        current = self.entries.get(wanted.key)
+        revision = current.revision if current else NO_REVISION
         if wanted.expected_revision is not None and wanted.expected_revision != revision:
             return SetResult(False, revision, "another revision")
         if wanted.value is None:
             self.entries.pop(wanted.key, None)
-            return SetResult(True, 0)
-        if len(wanted.value) > MAX_VALUE_BYTES or (known is None and len(self.entries) >= MAX_KEYS):
+            return SetResult(True, NO_REVISION)
+        if len(wanted.value) > MAX_VALUE_BYTES or (current is None and len(self.entries) >= MAX_KEYS):
             return SetResult(False, revision, "over the bound")
         self.entries[wanted.key] = KeyValueEntry(wanted.value, index)
         return SetResult(True, index)
 
-    def read(self, query: Any) -> KeyValueEntry | None:
+    def read(self, query: str) -> KeyValueEntry | None:
+        """Return the value of that key, or None."""
         return self.entries.get(query)
 
-    def dump(self) -> Any:
+    def dump(self) -> dict[str, KeyValueEntry]:
+        """Return all entries, for a snapshot."""
         return self.entries
 
     def load(self, dumped: msgspec.Raw) -> None:
+        """Replace all entries by those of a snapshot."""
         self.entries = decode_entries(dumped)
--- a/lichencleat/consensus/log_storage.py
+++ b/lichencleat/consensus/log_storage.py
@@ -1,17 +1,18 @@
-"""A member's log on the project's store: saves made into batches, and read back at a start; no I/O of its
-own.
+"""The layout of a member's log in its store: batches that carry out writes, and reading back at a start.
 
-Keys: `t` the term, the vote, the base and the last index; `s` the snapshot; `e` and eight bytes an entry. A
-save is one batch, so a cut leaves the whole of it or nothing.
+Keys: `t` the term, the vote, the snapshot's index and the last index; `s` the snapshot; `e` and eight bytes
+an entry. A write is one batch, so a power cut leaves all of it or nothing.
 
-A snapshot too large for one value stands in pieces: `p`, eight bytes of its index, four of the piece. They
-are written before, each a batch of its own, and `s` then only counts them: a cut between leaves the snapshot
-before whole. `w` names the pieces that are being written, so that those a cut left are found and deleted.
+A snapshot too large for one value is stored in chunks: `p`, eight bytes of its index, four of the chunk's
+number. They are written first, each in a batch of its own; `s` then only counts them, so that a cut between
+them leaves the previous snapshot intact. `w` names the chunks being written, so that those left by a cut are
+found and deleted. No I/O of its own.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable, Iterator
+from typing import NamedTuple
 
 import msgspec
 
@@ -19,20 +20,39 @@
 from lichencleat.store.batch import Batch
 from lichencleat.store.errors import DamagedError, Finding
 
-# Keys and key prefixes in the store. They stand in files: never changed.
+# Keys and key prefixes. They are stored, so they never change.
 HARD_STATE_KEY = b"t"
 SNAPSHOT_KEY = b"s"
 ENTRY_KEY_PREFIX = b"e"
 CHUNK_KEY_PREFIX = b"p"
 PENDING_CHUNKS_KEY = b"w"
-MAX_CHUNK_BYTES = 4 << 20  # bytes: what the store's writer holds at once, far under a value's 16 MiB
-ChunkRange = tuple[int, int]  # index of the snapshot that they make, how many; (0, 0): none
-NO_CHUNKS: ChunkRange = (0, 0)
+MAX_CHUNK_BYTES = 4 << 20  # what the store's writer holds at once, far under a value's 16 MiB
+
+
+class HardState(NamedTuple):
+    """What must survive a restart besides the entries."""
+
+    term: int
+    vote: int
+    snapshot_index: int
+    last_index: int
+
+
+class ChunkRange(NamedTuple):
+    """The chunks of one snapshot."""
+
+    snapshot_index: int
+    count: int
+
+
+NO_CHUNKS = ChunkRange(0, 0)
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What stands under `s`: a whole snapshot, or one in pieces. The first four are a `Snapshot`'s, so that
-    a file from before pieces is read; a program from before them finds no data, and does not start.
+    """What is stored under `s`: a complete snapshot, or one in chunks.
+
+    The first four fields are a `Snapshot`'s, so that a store from before chunks is read. A program from
+    before chunks finds no data and does not start.
     """
 
     index: int
@@ -40,128 +60,170 @@
     configuration: Configuration
     data: bytes | None
     chunk_count: int = 0
-    total_bytes: int = 0  # bytes of all pieces
+    total_bytes: int = 0
 
 
 encode = msgspec.msgpack.encode
-decode_hard_state = msgspec.msgpack.Decoder(tuple[int, int, int, int]).decode
+decode_hard_state = msgspec.msgpack.Decoder(HardState).decode
 decode_snapshot_header = msgspec.msgpack.Decoder(SnapshotHeader).decode
 decode_chunk_range = msgspec.msgpack.Decoder(ChunkRange).decode
 decode_entry = msgspec.msgpack.Decoder(Entry).decode
 
 
 def entry_key(index: int) -> bytes:
+    """Return the key of a log entry."""
     return ENTRY_KEY_PREFIX + index.to_bytes(8, "big")
 
 
 def chunk_key(index: int, number: int) -> bytes:
+    """Return the key of a chunk of the snapshot at `index`."""
     return CHUNK_KEY_PREFIX + index.to_bytes(8, "big") + number.to_bytes(4, "big")
 
 
-def chunk_keys(pieces: ChunkRange) -> Iterable[bytes]:
-    return (chunk_key(pieces[0], number) for number in range(pieces[1]))
+def chunk_keys(chunks: ChunkRange) -> Iterable[bytes]:
+    """Return the keys of these chunks, in order."""
+    return (chunk_key(chunks.snapshot_index, number) for number in range(chunks.count))
 
 
 class LogStorage:
-    """Knows which entries and pieces the store holds: those that count no more are deleted with the next
-    save.
-    """
+    """Knows which entries and chunks the store holds; void ones are deleted with the next write."""
+
+    def __init__(self, max_chunk_bytes: int = MAX_CHUNK_BYTES) -> None:
+        """Start for an empty store; `load` reads one that may not be."""
+        self.max_chunk_bytes = max_chunk_bytes
+        self.snapshot_index = 0  # entries stored: from snapshot_index + 1 to last_index
+        self.last_index = 0
+        self.active_chunks = NO_CHUNKS  # of the snapshot in force
+        self.pending_chunks = NO_CHUNKS  # written, or in part, and not in force yet
 
-    def __init__(self, piece_most: int = MAX_CHUNK_BYTES) -> None:
-        self.max_chunk_bytes = piece_most
-        self.snapshot_index = self.last_index = 0  # entries held: from base + 1 to last
-        self.active_chunks = NO_CHUNKS  # the snapshot's that stands
-        self.pending_chunks = NO_CHUNKS  # written, or in part, and not counting yet
+    # -- reading -------------------------------------------------------------------------------------
 
     def load(self, get: Callable[[bytes], bytes | None]) -> DurableState:
-        """Raises DamagedError where something that was confirmed is not there."""
-        begun = get(PENDING_CHUNKS_KEY)
-        if begun is not None:
-            self.pending_chunks = decode_chunk_range(begun)
-        top = get(HARD_STATE_KEY)
-        if top is None:
+        """Read the state back at a start.
+
+        Raises:
+            DamagedError: something that was confirmed is missing.
+        """
+        pending = get(PENDING_CHUNKS_KEY)
+        if pending is not None:
+            self.pending_chunks = decode_chunk_range(pending)
+        encoded = get(HARD_STATE_KEY)
+        if encoded is None:
             return DurableState()
-        term, vote, self.snapshot_index, self.last_index = decode_hard_state(top)
+        hard_state = decode_hard_state(encoded)
+        self.snapshot_index = hard_state.snapshot_index
+        self.last_index = hard_state.last_index
         snapshot = self.load_snapshot(get)
+        return DurableState(hard_state.term, hard_state.vote, snapshot, self._load_entries(get))
+
+    def _load_entries(self, get: Callable[[bytes], bytes | None]) -> list[Entry]:
         entries = []
         for index in range(self.snapshot_index + 1, self.last_index + 1):
             data = get(entry_key(index))
             if data is None:
                 raise DamagedError([Finding("the log", index, "an entry that was confirmed is missing")])
             entries.append(decode_entry(data))
-        return DurableState(term, vote, snapshot, entries)
+        return entries
 
     def load_snapshot(self, get: Callable[[bytes], bytes | None]) -> Snapshot | None:
-        found = get(SNAPSHOT_KEY)
-        if found is None:
+        """Read the snapshot, where there is one. Raises DamagedError."""
+        encoded = get(SNAPSHOT_KEY)
+        if encoded is None:
             return None
-        head = decode_snapshot_header(found)
-        if head.data is not None:
-            return Snapshot(head.index, head.term, head.configuration, head.data)
-        self.active_chunks = (head.index, head.chunk_count)
-        pieces = [get(key) for key in chunk_keys(self.active_chunks)]
-        data = b"".join(each for each in pieces if each is not None)
-        if None in pieces or len(data) != head.total_bytes:
-            raise DamagedError([Finding("the snapshot", head.index, "a confirmed piece is missing")])
-        return Snapshot(head.index, head.term, head.configuration, data)
-
-    def chunk_batches(self, save: DurableWrite) -> Iterator[Batch]:
-        """What is to be confirmed, one after the other, before the save's own batch is made and written:
-        pieces of its snapshot, where that is a large one.
+        header = decode_snapshot_header(encoded)
+        if header.data is not None:
+            return Snapshot(header.index, header.term, header.configuration, header.data)
+        self.active_chunks = ChunkRange(header.index, header.chunk_count)
+        chunks = [get(key) for key in chunk_keys(self.active_chunks)]
+        data = b"".join(each for each in chunks if each is not None)
+        if None in chunks or len(data) != header.total_bytes:
+            raise DamagedError([Finding("the snapshot", header.index, "a confirmed piece is missing")])
+        return Snapshot(header.index, header.term, header.configuration, data)
+
+    # -- writing -------------------------------------------------------------------------------------
+
+    def chunk_batches(self, write: DurableWrite) -> Iterator[Batch]:
+        """Return the batches with the chunks of a large snapshot; nothing for others.
+
+        They are to be confirmed one after the other before `make_batch` is called for the write.
         """
-        snapshot = save.snapshot
-        if snapshot is None or len(snapshot.data) <= self.max_chunk_bytes:
-            return
-        made = (snapshot.index, -(-len(snapshot.data) // self.max_chunk_bytes))
-        first = self.delete_chunks(Batch(), self.pending_chunks).put(PENDING_CHUNKS_KEY, encode(made))
-        self.pending_chunks = made
-        yield first
-        for number, key in enumerate(chunk_keys(made)):
-            at = number * self.max_chunk_bytes
-            yield Batch().put(key, snapshot.data[at : at + self.max_chunk_bytes])
-
-    @staticmethod
-    def delete_chunks(batch: Batch, pieces: ChunkRange) -> Batch:
-        for key in chunk_keys(pieces):
-            batch.delete(key)
-        return batch
-
-    def finish_snapshot(self, batch: Batch, snapshot: Snapshot | None) -> None:
-        """The pieces under way count from this batch on, where they are the snapshot's; else they go."""
-        under_way, self.pending_chunks = self.pending_chunks, NO_CHUNKS
-        if under_way != NO_CHUNKS:
-            batch.delete(PENDING_CHUNKS_KEY)
-        if snapshot is None or len(snapshot.data) <= self.max_chunk_bytes:
-            self.delete_chunks(batch, under_way)
-            if snapshot is not None:
-                self.delete_chunks(batch, self.active_chunks)
-                self.active_chunks = NO_CHUNKS
-                batch.put(SNAPSHOT_KEY, encode(snapshot))
+        snapshot = write.snapshot
+        if snapshot is None or not self._needs_chunks(snapshot):
             return
-        assert under_way[0] == snapshot.index, "its pieces are to be written before"
-        if self.active_chunks != under_way:
-            self.delete_chunks(batch, self.active_chunks)
-        self.active_chunks = under_way
-        size = len(snapshot.data)
-        head = SnapshotHeader(snapshot.index, snapshot.term, snapshot.configuration, None, under_way[1], size)
-        batch.put(SNAPSHOT_KEY, encode(head))
-
-    def make_batch(self, save: DurableWrite) -> Batch:
+        chunks = ChunkRange(snapshot.index, -(-len(snapshot.data) // self.max_chunk_bytes))
         batch = Batch()
-        self.finish_snapshot(batch, save.snapshot)
-        after = save.first_index + len(save.entries)
-        for index in range(self.snapshot_index + 1, min(self.last_index, save.snapshot_index) + 1):
-            batch.delete(entry_key(index))  # the snapshot stands for it
-        for index in range(max(save.last_index, save.snapshot_index) + 1, self.last_index + 1):
-            if index >= after:
-                batch.delete(entry_key(index))  # another leader's log ends before it
-        for index, entry in enumerate(save.entries, save.first_index):
+        self.delete_chunks(batch, self.pending_chunks)
+        batch.put(PENDING_CHUNKS_KEY, encode(chunks))
+        self.pending_chunks = chunks
+        yield batch
+        for number, key in enumerate(chunk_keys(chunks)):
+            offset = number * self.max_chunk_bytes
+            yield Batch().put(key, snapshot.data[offset : offset + self.max_chunk_bytes])
+
+    def make_batch(self, write: DurableWrite) -> Batch:
+        """Return the batch that carries out the write."""
+        batch = Batch()
+        self._finish_snapshot(batch, write.snapshot)
+        self._delete_void_entries(batch, write)
+        for index, entry in enumerate(write.entries, write.first_index):
             batch.put(entry_key(index), encode(entry))
-        batch.put(HARD_STATE_KEY, encode((save.term, save.vote, save.snapshot_index, save.last_index)))
-        self.snapshot_index, self.last_index = save.snapshot_index, save.last_index
+        hard_state = HardState(write.term, write.vote, write.snapshot_index, write.last_index)
+        batch.put(HARD_STATE_KEY, encode(hard_state))
+        self.snapshot_index = write.snapshot_index
+        self.last_index = write.last_index
         return batch
 
     def bootstrap_batch(self, snapshot: Snapshot) -> Batch:
-        """The first member of a new group: its log begins with who belongs to it."""
+        """Return the batch for the first member of a new cluster: its log starts with the configuration."""
         batch = Batch().put(SNAPSHOT_KEY, encode(snapshot))
-        return batch.put(HARD_STATE_KEY, encode((0, 0, snapshot.index, snapshot.index)))
+        return batch.put(HARD_STATE_KEY, encode(HardState(0, 0, snapshot.index, snapshot.index)))
+
+    @staticmethod
+    def delete_chunks(batch: Batch, chunks: ChunkRange) -> None:
+        """Add the deletion of these chunks to the batch."""
+        for key in chunk_keys(chunks):
+            batch.delete(key)
+
+    def _needs_chunks(self, snapshot: Snapshot) -> bool:
+        return len(snapshot.data) > self.max_chunk_bytes
+
+    def _delete_void_entries(self, batch: Batch, write: DurableWrite) -> None:
+        """Delete what the snapshot replaces, and what another leader's shorter log has dropped."""
+        for index in range(self.snapshot_index + 1, min(self.last_index, write.snapshot_index) + 1):
+            batch.delete(entry_key(index))
+        overwritten_until = write.first_index + len(write.entries)
+        first_void = max(write.last_index, write.snapshot_index) + 1
+        for index in range(first_void, self.last_index + 1):
+            if index >= overwritten_until:
+                batch.delete(entry_key(index))
+
+    def _finish_snapshot(self, batch: Batch, snapshot: Snapshot | None) -> None:
+        """Put the pending chunks into force where they are this snapshot's; else delete them."""
+        pending = self.pending_chunks
+        self.pending_chunks = NO_CHUNKS
+        if pending != NO_CHUNKS:
+            batch.delete(PENDING_CHUNKS_KEY)
+        if snapshot is None:
+            self.delete_chunks(batch, pending)
+        elif not self._needs_chunks(snapshot):
+            self.delete_chunks(batch, pending)
+            self.delete_chunks(batch, self.active_chunks)
+            self.active_chunks = NO_CHUNKS
+            batch.put(SNAPSHOT_KEY, encode(snapshot))
+        else:
+            self._activate_chunks(batch, snapshot, pending)
+
+    def _activate_chunks(self, batch: Batch, snapshot: Snapshot, chunks: ChunkRange) -> None:
+        assert chunks.snapshot_index == snapshot.index, "its chunks are to be written before"
+        if self.active_chunks != chunks:
+            self.delete_chunks(batch, self.active_chunks)
+        self.active_chunks = chunks
+        header = SnapshotHeader(
+            index=snapshot.index,
+            term=snapshot.term,
+            configuration=snapshot.configuration,
+            data=None,
+            chunk_count=chunks.count,
+            total_bytes=len(snapshot.data),
+        )
+        batch.put(SNAPSHOT_KEY, encode(header))
--- a/lichencleat/consensus/pending_writes.py
+++ b/lichencleat/consensus/pending_writes.py
@@ -1,74 +1,100 @@
-"""What a member has to write, what is on its way to the disk, and what may be said before it is there; no
-I/O.
+"""Tracks what a member has to write, what is being written, and what may be sent before it is durable.
+
+No I/O: the host carries the writes out and reports each one as durable.
 """
 
 from __future__ import annotations
 
 from collections import deque
+from typing import NamedTuple
 
 from lichencleat.consensus.messages import DurableWrite
 from lichencleat.consensus.raft_log import RaftLog
 
+NO_BYTE_LIMIT = 1 << 62
+
+
+class InFlightWrite(NamedTuple):
+    """A write that was handed out and is not durable yet."""
+
+    number: int
+    last_index: int  # of the log once the write is durable
+
 
 class PendingWrites:
-    """Saves are confirmed in order; each holds all that changed since the one before."""
+    """Collects changes into numbered writes, which become durable in order."""
 
-    def __init__(self, entries: RaftLog) -> None:
-        self.is_dirty = False  # something is to be saved
-        self.is_term_dirty = False  # the term or the vote is
+    def __init__(self, log: RaftLog) -> None:
+        """Start from a log that is durable."""
+        self.is_dirty = False
+        self.is_term_dirty = False  # the term or the vote changed
         self.is_snapshot_dirty = False
-        self.first_unwritten = entries.last_index + 1  # first entry that no save holds
-        self.last_number = 0  # of the last save given out
-        self.last_term_write = 0  # of the last one that holds a new term or vote
+        self.first_unwritten = log.last_index + 1  # first entry that no write holds
+        self.last_number = 0  # of the last write handed out
+        self.last_term_write = 0  # number of the last one with a new term or vote
         self.durable_number = 0
-        self.durable_index = entries.last_index  # the log is on the disk up to here
-        self.in_flight: deque[tuple[int, int]] = deque()  # number of a save under way, last entry after it
+        self.durable_index = log.last_index  # entries up to here are on the disk
+        self.in_flight: deque[InFlightWrite] = deque()
 
     def mark_appended(self) -> None:
+        """Note that entries were added to the log."""
         self.is_dirty = True
 
     def mark_term_changed(self) -> None:
-        self.is_dirty = self.is_term_dirty = True
+        """Note that the term or the vote changed."""
+        self.is_dirty = True
+        self.is_term_dirty = True
 
     def mark_compacted(self, index: int) -> None:
-        self.is_dirty = self.is_snapshot_dirty = True
+        """Note that a snapshot replaces the entries up to `index`."""
+        self.is_dirty = True
+        self.is_snapshot_dirty = True
         self.first_unwritten = max(self.first_unwritten, index + 1)
 
     def mark_truncated(self, index: int) -> None:
-        """That entry and all behind it are void, here and in what is on its way."""
+        """Note that the entry at `index` and all after it are void, in writes in flight too."""
         self.is_dirty = True
         self.first_unwritten = min(self.first_unwritten, index)
         self.durable_index = min(self.durable_index, index - 1)
-        self.in_flight = deque((number, min(last, index - 1)) for number, last in self.in_flight)
+        self.in_flight = deque(
+            InFlightWrite(each.number, min(each.last_index, index - 1)) for each in self.in_flight
+        )
 
     def mark_replaced(self, index: int) -> None:
-        """The whole log is: a snapshot up to that index stands in its place, once it is saved."""
+        """Note that a snapshot up to `index` replaces the log, once it is durable."""
         self.mark_truncated(1)
         self.first_unwritten = index + 1
         self.is_snapshot_dirty = True
 
     def required_for_term(self) -> int:
-        """The save that must be confirmed before anything is said that rests on the term and the vote."""
+        """Return the number of the write that must be durable before a message of this term is sent."""
         return self.last_number + 1 if self.is_term_dirty else self.last_term_write
 
-    def make_write(self, term: int, vote: int, entries: RaftLog) -> DurableWrite:
+    def make_write(self, term: int, vote: int, log: RaftLog) -> DurableWrite:
+        """Return the next write, with all that changed since the last one."""
         self.last_number += 1
         if self.is_term_dirty:
             self.last_term_write = self.last_number
-        first = max(self.first_unwritten, entries.snapshot_index + 1)
-        chosen = entries.entries_from(first, 1 << 62)
-        snapshot = entries.snapshot if self.is_snapshot_dirty else None
-        self.is_dirty = self.is_term_dirty = self.is_snapshot_dirty = False
-        self.first_unwritten = entries.last_index + 1
-        self.in_flight.append((self.last_number, entries.last_index))
-        return DurableWrite(
-            self.last_number, term, vote, first, chosen, entries.last_index, entries.snapshot_index, snapshot
+        first_index = max(self.first_unwritten, log.snapshot_index + 1)
+        write = DurableWrite(
+            number=self.last_number,
+            term=term,
+            vote=vote,
+            first_index=first_index,
+            entries=log.entries_from(first_index, NO_BYTE_LIMIT),
+            last_index=log.last_index,
+            snapshot_index=log.snapshot_index,
+            snapshot=log.snapshot if self.is_snapshot_dirty else None,
         )
+        self.is_dirty = self.is_term_dirty = self.is_snapshot_dirty = False
+        self.first_unwritten = log.last_index + 1
+        self.in_flight.append(InFlightWrite(self.last_number, log.last_index))
+        return write
 
     def on_write_durable(self, number: int) -> bool:
-        """All saves up to that number are on the disk. Is more of the log there than before?"""
+        """Note that all writes up to `number` are durable; return whether more of the log is."""
         self.durable_number = max(self.durable_number, number)
-        before = self.durable_index
-        while self.in_flight and self.in_flight[0][0] <= number:
-            self.durable_index = self.in_flight.popleft()[1]
-        return self.durable_index > before
+        previous_index = self.durable_index
+        while self.in_flight and self.in_flight[0].number <= number:
+            self.durable_index = self.in_flight.popleft().last_index
+        return self.durable_index > previous_index
--- a/lichencleat/consensus/raft_log.py
+++ b/lichencleat/consensus/raft_log.py
@@ -1,8 +1,9 @@
-"""A member's log in memory: the entries behind its snapshot, and the groups that stand in them; no I/O."""
+"""A member's log in memory: the entries after its snapshot, and the configurations among them. No I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
@@ -12,88 +13,101 @@
 decode_configuration = msgspec.msgpack.Decoder(Configuration).decode
 
 
+class IndexedConfiguration(NamedTuple):
+    """A configuration and the index of the entry that brought it."""
+
+    index: int
+    configuration: Configuration
+
+
 class RaftLog:
-    """Indices begin at 1; `base` is the last one that the snapshot stands for."""
+    """The snapshot and the entries after it. Indices begin at 1."""
 
     def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
+        """Start with a snapshot and the entries that follow it."""
         self.snapshot = snapshot
         self.entries: list[Entry] = []
-        self.configurations: list[tuple[int, Configuration]] = [
-            (snapshot.index, snapshot.configuration)
-        ]  # the last one holds
+        # The last one is in force, committed or not.
+        self.configurations = [IndexedConfiguration(snapshot.index, snapshot.configuration)]
         self.append(entries)
 
     def copy(self) -> RaftLog:
+        """Return a log that shares no mutable state with this one."""
         twin = RaftLog(self.snapshot)
-        twin.entries, twin.configurations = list(self.entries), list(self.configurations)
+        twin.entries = list(self.entries)
+        twin.configurations = list(self.configurations)
         return twin
 
     @property
     def snapshot_index(self) -> int:
+        """Index of the last entry that the snapshot replaces."""
         return self.snapshot.index
 
     @property
     def last_index(self) -> int:
+        """Index of the last entry, or the snapshot's."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
+        """Term of the last entry, or the snapshot's."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     @property
     def configuration(self) -> Configuration:
-        return self.configurations[-1][1]
+        """The configuration in force."""
+        return self.configurations[-1].configuration
 
     def entry_at(self, index: int) -> Entry:
+        """Return the entry, which must be in the log."""
         return self.entries[index - self.snapshot_index - 1]
 
     def term_at(self, index: int) -> int | None:
-        """Of that entry, or None where it stands in the snapshot or not at all."""
+        """Return the term of the entry, or None where it is inside the snapshot or beyond the end."""
         if index == self.snapshot_index:
             return self.snapshot.term
-        return (
-            self.entries[index - self.snapshot_index - 1].term
-            if self.snapshot_index < index <= self.last_index
-            else None
-        )
+        if self.snapshot_index < index <= self.last_index:
+            return self.entry_at(index).term
+        return None
 
     def append(self, entries: Iterable[Entry]) -> None:
+        """Add the entries at the end."""
         for entry in entries:
             self.entries.append(entry)
             if entry.entry_type == EntryType.CONFIGURATION:
-                self.configurations.append((self.last_index, decode_configuration(entry.data)))
+                configuration = decode_configuration(entry.data)
+                self.configurations.append(IndexedConfiguration(self.last_index, configuration))
 
     def truncate_from(self, index: int) -> None:
-        """Takes back that entry and all behind it: another leader's stand there."""
+        """Remove that entry and all after it: another leader has others in their place."""
         del self.entries[index - self.snapshot_index - 1 :]
-        while self.configurations[-1][0] >= index:
+        while self.configurations[-1].index >= index:
             self.configurations.pop()
 
-    def entries_from(self, index: int, most: int) -> tuple[Entry, ...]:
-        """Entries from that index on, at least one where there is one, up to `most` bytes."""
+    def entries_from(self, index: int, max_bytes: int) -> tuple[Entry, ...]:
+        """Return entries from that index on, at least one where there is one, up to `max_bytes`."""
         chosen: list[Entry] = []
         for entry in self.entries[index - self.snapshot_index - 1 :]:
-            most -= entry.size_bytes()
-            if chosen and most < 0:
+            max_bytes -= entry.size_bytes()
+            if chosen and max_bytes < 0:
                 break
             chosen.append(entry)
         return tuple(chosen)
 
     def first_index_of_term(self, index: int) -> int:
-        """The first index held whose term is that of the entry at `index`."""
+        """Return the first index in the log that has the term of the entry at `index`."""
         term = self.term_at(index)
         while index - 1 > self.snapshot_index and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def compact(self, snapshot: Snapshot) -> None:
-        """The snapshot stands for all entries up to its index, which must be held and committed."""
+        """Replace all entries up to the snapshot's index, which must be in the log and committed."""
         self.entries = self.entries[snapshot.index - self.snapshot_index :]
-        self.configurations = [
-            (snapshot.index, snapshot.configuration),
-            *[each for each in self.configurations if each[0] > snapshot.index],
-        ]
+        later = [each for each in self.configurations if each.index > snapshot.index]
+        self.configurations = [IndexedConfiguration(snapshot.index, snapshot.configuration), *later]
         self.snapshot = snapshot
 
     def configuration_at(self, index: int) -> Configuration:
-        return next(group for at, group in reversed(self.configurations) if at <= index)
+        """Return the configuration in force at that entry."""
+        return next(each.configuration for each in reversed(self.configurations) if each.index <= index)
--- a/lichencleat/consensus/sessions.py
+++ b/lichencleat/consensus/sessions.py
@@ -1,62 +1,79 @@
-"""What a repeated proposal is told: each is applied once, however often it stands in the log; no I/O.
+"""Client sessions: each proposal is applied once, however often it is in the log (thesis 6.3). No I/O.
 
-A client opens a session by an entry of its own and numbers its proposals in it, one at a time. Ongaro's
-thesis, 6.3.
+A client opens a session by a log entry of its own and numbers its proposals in it, one at a time.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from enum import IntEnum
+from typing import NamedTuple
 
 import msgspec
 
-MAX_SESSIONS = 8_192  # some MB with their last results; who came least lately is dropped for a new one
+MAX_SESSIONS = 8_192  # some MB with their last results; the least recently used one makes room
 
 
 class SessionOutcome(IntEnum):
-    """What became of a proposal. The numbers are the wire's."""
+    """What became of a proposal. Numbers and names are sent to clients."""
 
-    DONE = 1  # applied, now or before: the result is the first one's
-    UNKNOWN_SESSION = 2  # dropped, or never opened: nothing was applied now; an earlier try may have been
-    PAST = 3  # the session is beyond it: its result is not kept any more
-    GAP = 4  # one before it was never taken
+    DONE = 1  # applied, now or before; the result is that of the first time
+    UNKNOWN_SESSION = 2  # evicted or never opened; nothing was applied now, an earlier attempt may have been
+    PAST = 3  # the session is beyond it, and its result is no longer there
+    GAP = 4  # the proposal before it was never applied
+
+
+class ApplyResult(NamedTuple):
+    """The outcome of an entry, and the encoded result where it was applied."""
+
+    outcome: SessionOutcome
+    result: bytes
 
 
 class SessionRecord(msgspec.Struct, array_like=True):
+    """What is stored of a session."""
+
     sequence: int  # of the last proposal applied
-    last_used_index: int  # index of the entry that used it last
-    result: bytes
+    last_used_index: int  # of the entry that used the session last
+    result: bytes  # of that proposal
 
 
 class SessionTable:
-    def __init__(self, most: int = MAX_SESSIONS) -> None:
-        self.max_sessions = most
-        self.records: dict[int, SessionRecord] = {}  # by session, in the order of their last use
+    """All sessions, the least recently used one first. The same at each member, as only the log counts."""
+
+    def __init__(self, max_sessions: int = MAX_SESSIONS) -> None:
+        """Start without sessions."""
+        self.max_sessions = max_sessions
+        self.records: dict[int, SessionRecord] = {}  # by session id
 
     def open(self, index: int) -> None:
-        if len(self.records) >= self.max_sessions:  # the same one at every member: it hangs on the log alone
+        """Open the session whose id is `index`; the least recently used one is evicted where it is full."""
+        if len(self.records) >= self.max_sessions:
             del self.records[next(iter(self.records))]
         self.records[index] = SessionRecord(0, index, b"")
 
     def apply_once(
-        self, index: int, session: int, number: int, apply: Callable[[], bytes]
-    ) -> tuple[SessionOutcome, bytes]:
-        held = self.records.get(session)
-        if held is None:
-            return SessionOutcome.UNKNOWN_SESSION, b""
-        if number < held.sequence:
-            return SessionOutcome.PAST, b""
-        if number > held.sequence + 1:
-            return SessionOutcome.GAP, b""
-        if number == held.sequence + 1:
-            held.sequence, held.result = number, apply()
-        held.last_used_index = index
-        self.records[session] = self.records.pop(session)
-        return SessionOutcome.DONE, held.result
+        self, index: int, session_id: int, sequence: int, apply: Callable[[], bytes]
+    ) -> ApplyResult:
+        """Apply the proposal of the entry `index`, unless it was applied before."""
+        record = self.records.get(session_id)
+        if record is None:
+            return ApplyResult(SessionOutcome.UNKNOWN_SESSION, b"")
+        if sequence < record.sequence:
+            return ApplyResult(SessionOutcome.PAST, b"")
+        if sequence > record.sequence + 1:
+            return ApplyResult(SessionOutcome.GAP, b"")
+        if sequence == record.sequence + 1:
+            record.result = apply()  # first: where it raises, nothing has changed
+            record.sequence = sequence
+        record.last_used_index = index
+        self.records[session_id] = self.records.pop(session_id)  # now the most recently used one
+        return ApplyResult(SessionOutcome.DONE, record.result)
 
     def dump(self) -> list[tuple[int, SessionRecord]]:
+        """Return all sessions with their ids, for a snapshot."""
         return list(self.records.items())
 
     def load(self, dumped: list[tuple[int, SessionRecord]]) -> None:
+        """Replace all sessions by those of a snapshot."""
         self.records = dict(dumped)
--- a/lichencleat/consensus/state_machine.py
+++ b/lichencleat/consensus/state_machine.py
@@ -1,43 +1,53 @@
-"""What the log's entries make: parts that each take their own commands, and the sessions before them; no I/O.
+"""The replicated state machine: named states that each apply their own commands, behind client sessions.
 
-Every member that has applied the same entries holds the same state to the byte. So a part hangs on nothing
-but its commands: no clock, no chance, no order of a set.
+Every member that has applied the same entries holds the same state to the byte. A state therefore depends on
+its commands alone: on no clock, no random number and no order of a set. No I/O.
 """
 
 from __future__ import annotations
 
-from typing import Any, Protocol
+from collections.abc import Mapping
+from typing import Any, Protocol, TypeAlias
 
 import msgspec
 
 from lichencleat.consensus.messages import Configuration, Entry, EntryType, Snapshot
-from lichencleat.consensus.sessions import SessionOutcome, SessionRecord, SessionTable
+from lichencleat.consensus.sessions import ApplyResult, SessionOutcome, SessionRecord, SessionTable
 from lichencleat.consensus.supported_states import ACTIVATION_COMMAND, UnknownStateError
 from lichencleat.decoding import UNDECODABLE
 
+Encodable: TypeAlias = Any  # whatever MessagePack can encode
+Query: TypeAlias = Any  # decoded from a client's request; each state checks its own
+
+EncodedCommand = tuple[str, msgspec.Raw]  # the state's name, and the command that it decodes itself
+
 encode = msgspec.msgpack.encode
-Command = tuple[str, msgspec.Raw]  # the part's name, and what is its own
-decode_command = msgspec.msgpack.Decoder(Command).decode
+decode_command = msgspec.msgpack.Decoder(EncodedCommand).decode
 decode_state_names = msgspec.msgpack.Decoder(list[str]).decode
 
 
 class ReplicatedState(Protocol):
-    """One subject that the group decides on."""
+    """One subject that the cluster decides on, such as leases or configuration."""
 
-    def apply(self, index: int, encode_command: msgspec.Raw) -> Any:
-        """Takes an entry's command; what it gives is encoded as the result. Never raises: a command that is
-        none is answered as one.
+    def apply(self, index: int, command: msgspec.Raw) -> Encodable:
+        """Apply the command of the entry `index` and return its result.
+
+        Never raises: an invalid command is answered as one.
         """
 
-    def read(self, query: Any) -> Any: ...
+    def read(self, query: Query) -> Encodable:
+        """Answer a query from the state as it is."""
 
-    def dump(self) -> Any:
-        """All that it holds, as MessagePack has it."""
+    def dump(self) -> Encodable:
+        """Return the complete state, for a snapshot."""
 
-    def load(self, dumped: msgspec.Raw) -> None: ...
+    def load(self, dumped: msgspec.Raw) -> None:
+        """Replace the state by a dumped one."""
 
 
 class StateMachineDump(msgspec.Struct, array_like=True):
+    """The data of a snapshot."""
+
     sessions: list[tuple[int, SessionRecord]]
     states: dict[str, msgspec.Raw]
     active_states: list[str] = []
@@ -46,79 +56,101 @@
 decode_state_machine_dump = msgspec.msgpack.Decoder(StateMachineDump).decode
 
 
-def encode_command(part: str, what: Any) -> bytes:
-    return encode((part, what))
+def encode_command(state_name: str, command: Encodable) -> bytes:
+    """Encode a command for that state as the data of a log entry."""
+    return encode((state_name, command))
+
+
+def bootstrap_snapshot(configuration: Configuration) -> Snapshot:
+    """Return the snapshot that a new cluster starts with: its configuration and no state."""
+    return Snapshot(0, 0, configuration, b"")
 
 
 class StateMachine:
-    def __init__(self, parts: dict[str, ReplicatedState]) -> None:
-        self.states = parts
+    """Applies committed entries in order and answers reads. Owns the states and the sessions."""
+
+    def __init__(self, states: dict[str, ReplicatedState]) -> None:
+        """`states`: as they begin, by name."""
+        self.states = states
         self.sessions = SessionTable()
         self.applied = 0  # index of the last entry
-        self.active_states: set[str] = set()  # parts that the log says are used
+        self.active_states: set[str] = set()  # those that the log says are in use
 
-    def apply(self, index: int, entry: Entry) -> tuple[SessionOutcome, bytes]:
-        """The entry after the last one. The result's meaning is the part's. Raises UnknownPartError."""
+    def apply(self, index: int, entry: Entry) -> ApplyResult:
+        """Apply the entry, which must follow the last one.
+
+        Raises:
+            UnknownStateError: the cluster uses a state that this program does not know.
+        """
         assert index == self.applied + 1, f"entry {index} after {self.applied}"
         self.applied = index
         if entry.entry_type == EntryType.SESSION:
             self.sessions.open(index)
-            return SessionOutcome.DONE, encode(index)
+            return ApplyResult(SessionOutcome.DONE, encode(index))
         if entry.entry_type != EntryType.COMMAND:
-            return SessionOutcome.DONE, b""
+            return ApplyResult(SessionOutcome.DONE, b"")
         if entry.session_id:
             return self.sessions.apply_once(
                 index, entry.session_id, entry.sequence, lambda: self.apply_command(index, entry.data)
             )
-        return SessionOutcome.DONE, self.apply_command(index, entry.data, own=True)
+        return ApplyResult(
+            SessionOutcome.DONE, self.apply_command(index, entry.data, is_leader_proposal=True)
+        )
 
-    def apply_command(self, index: int, data: bytes, own: bool = False) -> bytes:
-        """Guards the log against an entry that no part knows: it stays there for ever, and must change
-        nothing. `own`: of a leader itself; only such a one tells what is used.
+    def apply_command(self, index: int, data: bytes, is_leader_proposal: bool = False) -> bytes:
+        """Apply an encoded command and return its encoded result.
+
+        One that no state knows changes nothing: it remains in the log, so an error would recur at each
+        start. Only a leader's own proposal may activate a state.
         """
         try:
-            name, what = decode_command(data)
-            if name == ACTIVATION_COMMAND and own:
-                self.activate(decode_state_names(what))
+            name, command = decode_command(data)
+            if name == ACTIVATION_COMMAND and is_leader_proposal:
+                self.activate(decode_state_names(command))
                 return encode(None)
         except UNDECODABLE:
             return encode(None)
-        part = self.states.get(name)
-        return encode(part.apply(index, what) if part is not None else None)
+        state = self.states.get(name)
+        return encode(state.apply(index, command) if state is not None else None)
 
     def activate(self, names: list[str]) -> None:
+        """Note that these states are in use. Raises UnknownStateError."""
         unknown = set(names) - self.states.keys()
         if unknown:
             raise UnknownStateError(unknown)
         self.active_states.update(names)
 
-    def has_data(self, part: str, fresh: dict[str, ReplicatedState]) -> bool:
-        """Does it hold anything of the part already? As where its commands came in before that was written.
+    def has_data(self, name: str, initial_states: Mapping[str, ReplicatedState]) -> bool:
+        """Return whether that state differs from how it begins.
 
-        `fresh`: parts as they begin.
+        It may without being active: its commands are older than the activation entry.
         """
-        return part in self.states and encode(self.states[part].dump()) != encode(fresh[part].dump())
+        if name not in self.states:
+            return False
+        return bool(encode(self.states[name].dump()) != encode(initial_states[name].dump()))
 
-    def read(self, part: str, query: Any) -> Any:
-        return self.states[part].read(query) if part in self.states else None
+    def read(self, name: str, query: Query) -> Encodable:
+        """Answer a query to that state; None where there is no such state."""
+        return self.states[name].read(query) if name in self.states else None
 
     def dump(self) -> bytes:
-        parts = {name: msgspec.Raw(encode(each.dump())) for name, each in self.states.items()}
-        return encode(StateMachineDump(self.sessions.dump(), parts, sorted(self.active_states)))
+        """Return the data of a snapshot."""
+        states = {name: msgspec.Raw(encode(each.dump())) for name, each in self.states.items()}
+        return encode(StateMachineDump(self.sessions.dump(), states, sorted(self.active_states)))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Raises msgspec.MsgspecError where the snapshot is not one of this state, UnknownPartError."""
+        """Replace everything by a snapshot.
+
+        Raises:
+            msgspec.MsgspecError: the data is not that of a state machine.
+            UnknownStateError: the cluster uses a state that this program does not know.
+        """
         self.applied = snapshot.index
         if not snapshot.data:
             return
         dumped = decode_state_machine_dump(snapshot.data)
         self.activate(dumped.active_states)
         self.sessions.load(dumped.sessions)
-        for name, part in self.states.items():
+        for name, state in self.states.items():
             if name in dumped.states:
-                part.load(dumped.states[name])
-
-
-def bootstrap_snapshot(group: Configuration) -> Snapshot:
-    """What a group begins with: nothing but who its members are."""
-    return Snapshot(0, 0, group, b"")
+                state.load(dumped.states[name])
--- a/tests/consensus/test_state.py
+++ b/tests/consensus/test_state.py
@@ -34,11 +34,11 @@
 
 
 def test_the_session_used_least_lately_is_dropped_and_a_dump_keeps_that_order():
-    sessions = SessionTable(most=2)
+    sessions = SessionTable(max_sessions=2)
     sessions.open(1)
     sessions.open(2)
     sessions.apply_once(3, 1, 1, lambda: b"x")
-    again = SessionTable(most=2)
+    again = SessionTable(max_sessions=2)
     again.load(sessions.dump())
     for each in (sessions, again):
         each.open(4)
