--- a/lichencleat/cli/quorum.py
+++ b/lichencleat/cli/quorum.py
@@ -16,7 +16,7 @@
 from lichencleat.cli import output
 from lichencleat.config.file import WrongFileError
 from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.terms import Reason
+from lichencleat.consensus.messages import RejectReason
 from lichencleat.coordinator.daemon import run_coordinator
 from lichencleat.coordinator.settings import QuorumSettings, host_port, read_quorum_settings
 from lichencleat.coordinator.storage import BootstrapError, bootstrap_group
@@ -50,7 +50,10 @@
         identity = bootstrap_group(chosen(file, member=True), random.Random(os.urandom(16)))
     except (BootstrapError, StoreError) as wrong:
         raise output.WrongInput(f"quorum found: {wrong}") from wrong
-    output.pairs({"group": identity.group.hex(), "member": identity.member, "seat": identity.seat}, False)
+    output.pairs(
+        {"group": identity.cluster_id.hex(), "member": identity.member_name, "seat": identity.member_id},
+        False,
+    )
 
 
 @group.command()
@@ -201,7 +204,7 @@
                 yield client.call("add", [*who, True], PATIENCE)
                 return None
             except GroupError as wrong:
-                if wrong.why != Reason.BEHIND.value or reactor.seconds() > until:
+                if wrong.why != RejectReason.LEARNER_BEHIND.value or reactor.seconds() > until:
                     raise
             yield deferLater(reactor, LOOK, lambda: None)
 
--- a/lichencleat/coordinator/candidate_expiry.py
+++ b/lichencleat/coordinator/candidate_expiry.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from lichencleat.consensus.state import State
+from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.coordinator.states import LEASES
 from lichencleat.leases.expiry import Expiry
 from lichencleat.leases.jobs import Jobs
@@ -16,8 +16,8 @@
     def __init__(self) -> None:
         self._expiry = Expiry()
 
-    def propose_expired(self, state: State | None, now: int) -> list[tuple[str, Any]]:
-        """Return the commands that are due, each with the name of its part.
+    def propose_expired(self, state: StateMachine | None, now: int) -> list[tuple[str, Any]]:
+        """Return the commands that are due, each with the name of its state.
 
         Args:
             state: of the group; None once this member leads no more.
@@ -26,6 +26,6 @@
         if state is None:
             self._expiry.leads_no_more()
             return []
-        leases = state.parts[LEASES]
+        leases = state.states[LEASES]
         assert isinstance(leases, Jobs)
         return [(LEASES, command) for command in self._expiry.due(now, leases.candidates)]
--- a/lichencleat/coordinator/daemon.py
+++ b/lichencleat/coordinator/daemon.py
@@ -11,10 +11,10 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.error import CannotListenError
 
+from lichencleat.consensus.identity import IDENTITY_KEY, Identity, load_identity
 from lichencleat.consensus.process import Process
-from lichencleat.consensus.seats import IDENTITY, Identity, wake_up
 from lichencleat.consensus.serves import Serves
-from lichencleat.consensus.state import Part, State
+from lichencleat.consensus.state_machine import ReplicatedState, StateMachine
 from lichencleat.coordinator import states
 from lichencleat.coordinator.candidate_expiry import CandidateExpiryProposer
 from lichencleat.coordinator.settings import QuorumSettings, host_port
@@ -70,7 +70,9 @@
             self._stop(EXIT_CANNOT_START, str(error))
             return
         self._process = process
-        self.log.info("started", seat=identity.seat, start=identity.start, listen=self._settings.listen)
+        self.log.info(
+            "started", seat=identity.member_id, start=identity.start_count, listen=self._settings.listen
+        )
         process.ended.addCallback(self._stop)
         if self._stop_requested:
             process.leave()
@@ -99,17 +101,17 @@
         settings = self._settings
         assert settings.name is not None
         get = store.engine.get
-        identity = wake_up(get, self._rng, settings.group, settings.name, settings.distribution)
+        identity = load_identity(get, self._rng, settings.group, settings.name, settings.distribution)
         if identity.distribution != settings.distribution:
             raise _WrongKindOfGroupError(settings.directory, identity.distribution)
-        yield store.put(IDENTITY, msgspec.msgpack.encode(identity))
+        yield store.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))
         return identity
 
     def _make_process(self, store: Store, identity: Identity) -> Process:
         settings = self._settings
         assert settings.listen is not None
-        make_states: Callable[[], dict[str, Part]] = states.make_control_plane_states
-        propose: Callable[[State | None, int], list[tuple[str, Any]]]
+        make_states: Callable[[], dict[str, ReplicatedState]] = states.make_control_plane_states
+        propose: Callable[[StateMachine | None, int], list[tuple[str, Any]]]
         propose = CandidateExpiryProposer().propose_expired
         serves: Serves | None = None
         if settings.distribution:
@@ -117,7 +119,7 @@
 
             make_states = states.make_config_distribution_states
             propose = _propose_nothing
-            serves = Voting(self._reactor, identity.member, settings.zone, self.log)
+            serves = Voting(self._reactor, identity.member_name, settings.zone, self.log)
         return Process(
             self._reactor,
             store,
@@ -127,7 +129,7 @@
             self._rng,
             make_states,
             propose,
-            settings.times.to_times(),
+            settings.times.to_timeouts(),
             settings.zone,
             serves,
         )
@@ -141,7 +143,7 @@
         self._reactor.callLater(0, self._reactor.stop)
 
 
-def _propose_nothing(state: State | None, now: int) -> list[tuple[str, Any]]:
+def _propose_nothing(state: StateMachine | None, now: int) -> list[tuple[str, Any]]:
     return []
 
 
--- a/lichencleat/coordinator/settings.py
+++ b/lichencleat/coordinator/settings.py
@@ -7,7 +7,7 @@
 from msgspec import Meta, Struct
 
 from lichencleat.config.file import Address, LogChoice, Name, Place, WrongFileError, host_port, load, read_as
-from lichencleat.consensus.terms import Times
+from lichencleat.consensus.messages import Timeouts
 
 __all__ = ["ElectionTimings", "QuorumSettings", "QuorumSettingsFile", "host_port", "read_quorum_settings"]
 
@@ -42,9 +42,9 @@
     spread_ms: Milliseconds = 400
     transfer_ms: Milliseconds = 800
 
-    def to_times(self) -> Times:
+    def to_timeouts(self) -> Timeouts:
         """Return the timings in µs, as the consensus core takes them."""
-        return Times(
+        return Timeouts(
             self.beat_ms * MICROSECONDS_PER_MILLISECOND,
             self.election_ms * MICROSECONDS_PER_MILLISECOND,
             self.spread_ms * MICROSECONDS_PER_MILLISECOND,
--- a/lichencleat/coordinator/states.py
+++ b/lichencleat/coordinator/states.py
@@ -5,8 +5,8 @@
 
 from __future__ import annotations
 
-from lichencleat.consensus.facts import Facts
-from lichencleat.consensus.state import Part
+from lichencleat.consensus.key_value import KeyValueState
+from lichencleat.consensus.state_machine import ReplicatedState
 from lichencleat.failover.state import Zones
 from lichencleat.leases.jobs import Jobs
 from lichencleat.quotas.pools import Pools
@@ -20,11 +20,11 @@
 CONFIG_DISTRIBUTION = "distribution"
 
 
-def make_control_plane_states() -> dict[str, Part]:
+def make_control_plane_states() -> dict[str, ReplicatedState]:
     """Return the empty state of a group that coordinates a fleet."""
     leases = Jobs()
     return {
-        KEY_VALUES: Facts(),
+        KEY_VALUES: KeyValueState(),
         LEASES: leases,
         QUOTAS: Pools(leases),
         RECOVERY: Fleet(leases),
@@ -32,11 +32,11 @@
     }
 
 
-def make_config_distribution_states() -> dict[str, Part]:
+def make_config_distribution_states() -> dict[str, ReplicatedState]:
     """Return the empty state of a group that replicates configuration.
 
     Such a group is a separate one, so that snapshots of large configurations never delay renewals of leases.
     """
     from lichencleat.config_distribution.source import Source  # other groups don't load it
 
-    return {KEY_VALUES: Facts(), CONFIG_DISTRIBUTION: Source()}
+    return {KEY_VALUES: KeyValueState(), CONFIG_DISTRIBUTION: Source()}
--- a/lichencleat/coordinator/storage.py
+++ b/lichencleat/coordinator/storage.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from lichencleat.consensus.journal import TOP, Journal
-from lichencleat.consensus.seats import IDENTITY, Identity, wake_up
-from lichencleat.consensus.state import founded
-from lichencleat.consensus.terms import Group, Member
+from lichencleat.consensus.identity import IDENTITY_KEY, Identity, load_identity
+from lichencleat.consensus.log_storage import HARD_STATE_KEY, LogStorage
+from lichencleat.consensus.messages import Configuration, Member
+from lichencleat.consensus.state_machine import bootstrap_snapshot
 from lichencleat.coordinator.settings import QuorumSettings, host_port
 from lichencleat.reactor import unix_time
 from lichencleat.store.disk import Disk
@@ -65,7 +65,7 @@
     assert settings.directory is not None
     engine = Engine.open(open_member_disk(settings), unix_time, rng, bounds_of(settings), create=True)
     try:
-        if engine.get(IDENTITY) is not None or engine.get(TOP) is not None:
+        if engine.get(IDENTITY_KEY) is not None or engine.get(HARD_STATE_KEY) is not None:
             raise BootstrapError(settings.directory)
         return _write_first_member(engine, settings, rng)
     finally:
@@ -76,12 +76,13 @@
     assert settings.name is not None
     address = settings.address or settings.listen
     assert address is not None
-    identity = wake_up(lambda key: None, rng, settings.group, settings.name, settings.distribution)
-    identity.group = rng.randbytes(GROUP_ID_BYTES)
-    identity.start = 0
+    identity = load_identity(lambda key: None, rng, settings.group, settings.name, settings.distribution)
+    identity.cluster_id = rng.randbytes(GROUP_ID_BYTES)
+    identity.start_count = 0
     host, port = host_port(address)
-    group = Group((Member(identity.seat, settings.name, host, port, True, settings.zone),))
-    batch = Journal().found(founded(group)).put(IDENTITY, msgspec.msgpack.encode(identity))
+    member = Member(identity.member_id, settings.name, host, port, True, settings.zone)
+    batch = LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((member,))))
+    batch.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))
     (error,) = engine.commit([batch])
     if error is not None:
         raise error
--- a/lichencleat/testkit/cluster/older_voter.py
+++ b/lichencleat/testkit/cluster/older_voter.py
@@ -10,7 +10,7 @@
 import sys
 
 from lichencleat.cli.main import run
-from lichencleat.consensus.state import Part
+from lichencleat.consensus.state_machine import ReplicatedState
 from lichencleat.coordinator import states
 from lichencleat.testkit.cluster.process_faults import install_faults
 
@@ -18,7 +18,7 @@
 def without(names: set[str]) -> None:
     known = states.make_control_plane_states
 
-    def parts() -> dict[str, Part]:
+    def parts() -> dict[str, ReplicatedState]:
         return {name: part for name, part in known().items() if name not in names}
 
     states.make_control_plane_states = parts
