--- a/benchmarks/capacity/group.py
+++ b/benchmarks/capacity/group.py
@@ -19,16 +19,17 @@
 from benchmarks.capacity import Effort, Lines, cpu_of
 from benchmarks.capacity.members import Timed
 from lichencleat.capacity.slopes import Line
-from lichencleat.consensus.client import Client
 from lichencleat.consensus.key_value import KeyValueState, SetCommand
 from lichencleat.consensus.messages import ActionType, Configuration, DurableState, Member, Message, Timeouts
 from lichencleat.consensus.raft_log import encode_configuration
 from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.requests import decode_member_frame
 from lichencleat.consensus.role import Role
-from lichencleat.consensus.state_machine import StateMachine, bootstrap_snapshot, encode_command
-from lichencleat.consensus.wire import Carried, decode_frame, encode
+from lichencleat.consensus.state_machine import StateMachine, bootstrap_snapshot
 from lichencleat.testkit.cluster.relay import LOCAL
 from lichencleat.testkit.cluster.rig import Rig
+from lichencleat.transport.frames import PeerMessage, encode, encode_command
+from lichencleat.transport.group_client import GroupClient
 
 VOTERS = 3
 LATE = 3.0  # s for an answer
@@ -74,12 +75,12 @@
         self.pull(self.lead)
         while self.wire:
             data = self.wire.popleft()
-            seat = decode_frame(data).message.recipient  # whose it is; not counted
+            seat = decode_member_frame(data).message.recipient  # whose it is; not counted
             self.timed[seat == self.lead].call(self.hears, seat, data)
             self.pull(seat)
 
     def hears(self, seat: int, data: bytes) -> None:
-        self.voters[seat].receive(self.now, decode_frame(data).message)
+        self.voters[seat].receive(self.now, decode_member_frame(data).message)
 
     def pull(self, seat: int) -> None:
         timed, voter = self.timed[seat == self.lead], self.voters[seat]
@@ -97,7 +98,7 @@
 
     @staticmethod
     def carried(message: Message) -> bytes:
-        return encode(Carried(MARK, message))
+        return encode(PeerMessage(MARK, message))
 
     def write(self, number: int) -> None:
         what = encode_command("facts", SetCommand(f"f{number % 50}", VALUE))
@@ -178,7 +179,7 @@
     state = {"sent": 0, "failed": 0}
 
     def load() -> Deferred[None]:
-        client = Client(reactor, "rig", addresses, random.Random(1))
+        client = GroupClient(reactor, "rig", addresses, random.Random(1))
         begun = time.monotonic()
 
         def answered(_: object, at: float) -> None:
--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -26,13 +26,14 @@
 
 from lichencleat.cli import output
 from lichencleat.config_distribution.terms import IN_FORCE
-from lichencleat.consensus.client import Client, GroupError
 from lichencleat.testkit.cluster.distribution import DistributionRig
 from lichencleat.testkit.cluster.distribution_parts import ROOT, RelayProcess
 from lichencleat.testkit.cluster.hollow_nodes import rss
 from lichencleat.testkit.cluster.relay import LOCAL
 from lichencleat.testkit.cluster.rig import GROUP
 from lichencleat.testkit.cluster.tap import moment
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.group_client import GroupClient
 
 REGIONS, RELAYS_EACH = 2, 2
 PROCESS_MOST = 300  # hollow nodes of one process
@@ -118,15 +119,15 @@
                 each.start()
             for each in tier:
                 client = self.relays.call(
-                    Client, self.relays.reactor, GROUP, [(LOCAL, each.port)], random.Random(1)
+                    GroupClient, self.relays.reactor, GROUP, [(LOCAL, each.port)], random.Random(1)
                 )
                 self.until(lambda c=client: self.version_at(c) >= self.version, f"{each.name} to have all")
                 self.relays.call(client.close)
 
-    def version_at(self, client: Client) -> int:
+    def version_at(self, client: GroupClient) -> int:
         try:
             return self.ask(client.call, IN_FORCE, None, 1.0)["version"]
-        except GroupError:
+        except RequestFailedError:
             return 0
 
     def words(self) -> list[dict[str, Any]]:
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -18,10 +18,10 @@
 from twisted.internet.defer import Deferred, DeferredList
 
 from lichencleat.cli import output
-from lichencleat.consensus.client import Client
 from lichencleat.testkit.cluster.receiver import Receiver
 from lichencleat.testkit.cluster.relay import LOCAL
 from lichencleat.testkit.cluster.rig import Rig
+from lichencleat.transport.group_client import GroupClient
 
 JOB = "deal"
 
@@ -66,7 +66,7 @@
     addresses = [(LOCAL, each.port) for each in rig.voters.values()]  # past the relays, which cost time
 
     def one(number: int) -> Deferred[None]:
-        client = Client(reactor, "rig", addresses, random.Random(number))
+        client = GroupClient(reactor, "rig", addresses, random.Random(number))
         done: Deferred[None] = Deferred()
 
         def step(begun: float | None = None) -> None:
--- a/benchmarks/quorum_size.py
+++ b/benchmarks/quorum_size.py
@@ -13,10 +13,10 @@
 
 from lichencleat.consensus.key_value import SetCommand
 from lichencleat.consensus.messages import Entry, EntryType
-from lichencleat.consensus.state_machine import encode_command
 from lichencleat.testkit.simulation.clockwork import Clockwork
 from lichencleat.testkit.simulation.group import SimGroup
 from lichencleat.testkit.simulation.network import Network
+from lichencleat.transport.frames import encode_command
 
 SECOND = 1_000_000  # µs
 VOTERS = 3
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -10,13 +10,14 @@
 from lichencleat.config_distribution import terms as distribution
 from lichencleat.consensus import configuration as group
 from lichencleat.consensus import key_value as facts
-from lichencleat.consensus import links, sessions
+from lichencleat.consensus import sessions
 from lichencleat.failover import terms as zones
 from lichencleat.flows import collector
 from lichencleat.leases import terms as owners
 from lichencleat.membership import table as members
 from lichencleat.quotas import terms as shares
 from lichencleat.recovery import terms as revive
+from lichencleat.transport import inbound
 
 
 @dataclass(frozen=True, slots=True)
@@ -42,7 +43,7 @@
     Bound("voter", "facts: routes and tenants", "quorum.facts.FACTS_MOST", facts.MAX_KEYS, of.records,
           CONFIG),
     Bound("voter", "connections: each node asks one group", "quorum.links.CONNECTIONS_MOST",
-          links.CONNECTIONS_MOST,
+          inbound.MAX_CONNECTIONS,
           of.nodes),
     Bound("voter", "sessions: each node asks one group", "quorum.sessions.SESSIONS_MOST",
           sessions.MAX_SESSIONS,
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -27,7 +27,8 @@
     net,
 )
 from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change
-from lichencleat.consensus.client import Client, GroupError
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.group_client import GroupClient
 
 PART = "distribution"
 UNCHANGED = "nothing would change"
@@ -165,7 +166,7 @@
 
 
 @inlineCallbacks
-def propose_all(client: Client, batch_file: str, progress: Progress) -> Any:
+def propose_all(client: GroupClient, batch_file: str, progress: Progress) -> Any:
     try:
         for batch in split(changes_of(batch_file, progress.done)):
             answer = yield client.propose(PART, Publish(batch), PATIENCE)
@@ -181,7 +182,7 @@
             progress.changed += said.changed
             progress.done += len(batch)
             progress.show()
-    except (GroupError, WrongFileError) as wrong:  # a file that was changed meanwhile
+    except (RequestFailedError, WrongFileError) as wrong:  # a file that was changed meanwhile
         progress.why = str(wrong)
 
 
@@ -239,7 +240,7 @@
     changes: list[Changed] = []
 
     @inlineCallbacks
-    def ask(reactor: Any, client: Client) -> Any:
+    def ask(reactor: Any, client: GroupClient) -> Any:
         query = Diff(min(a, b), max(a, b))
         while True:
             answer = yield client.read(PART, query, PATIENCE)
--- a/lichencleat/cli/quorum.py
+++ b/lichencleat/cli/quorum.py
@@ -15,12 +15,13 @@
 
 from lichencleat.cli import output
 from lichencleat.config.file import WrongFileError
-from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.messages import RejectReason
 from lichencleat.coordinator.daemon import run_coordinator
 from lichencleat.coordinator.settings import QuorumSettings, host_port, read_quorum_settings
 from lichencleat.coordinator.storage import BootstrapError, bootstrap_group
 from lichencleat.store.errors import StoreError
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.group_client import GroupClient
+from lichencleat.transport.outcomes import RejectReason
 
 HEAD = ["name", "address", "zone", "votes", "role", "term", "applied", "last", "start", "seat"]
 PATIENCE = 10.0  # s for a command's question
@@ -77,17 +78,17 @@
         failed[0].raiseException()
 
 
-def talk(what: Callable[[Any, Client], Any], quorum: QuorumSettings, *addresses: str) -> Any:
+def talk(what: Callable[[Any, GroupClient], Any], quorum: QuorumSettings, *addresses: str) -> Any:
     """Runs a conversation with the group on a reactor of its own; a group that fails is one line."""
     told: list[Any] = []
 
     @inlineCallbacks
     def main(reactor: Any) -> Any:
         places = [host_port(each) for each in addresses or quorum.members]
-        client = Client(reactor, quorum.group, places, random.Random(os.urandom(16)))
+        client = GroupClient(reactor, quorum.group, places, random.Random(os.urandom(16)))
         try:
             told.append((yield what(reactor, client)))
-        except GroupError as wrong:
+        except RequestFailedError as wrong:
             told.append(wrong)
         finally:
             client.close()
@@ -95,7 +96,7 @@
     on_reactor(main)
     if not told:
         raise click.ClickException("the conversation with the group broke off")
-    if isinstance(told[0], GroupError):
+    if isinstance(told[0], RequestFailedError):
         raise output.WrongData(f"quorum: {told[0]} ({', '.join(addresses or quorum.members)})")
     return told[0]
 
@@ -105,15 +106,15 @@
     """What each member answers, or why it does not."""
     found: dict[str, Any] = {}
     clients = {
-        each: Client(reactor, quorum.group, [host_port(each)], random.Random(os.urandom(16)))
+        each: GroupClient(reactor, quorum.group, [host_port(each)], random.Random(os.urandom(16)))
         for each in addresses
     }
     asked = {each: client.call(what, None, 2.0) for each, client in clients.items()}
     for address, answer in asked.items():
         try:
             found[address] = yield answer
-        except GroupError as wrong:
-            found[address] = wrong.why
+        except RequestFailedError as wrong:
+            found[address] = wrong.reason
     for client in clients.values():
         client.close()
     return found
@@ -192,7 +193,7 @@
     who = [new["seat"], new["member"], host, port, new["zone"]]
 
     @inlineCallbacks
-    def ask(reactor: Any, client: Client) -> Any:
+    def ask(reactor: Any, client: GroupClient) -> Any:
         listed = new["members"] and any(m["seat"] == new["seat"] and m["votes"] for m in new["members"])
         if not listed:
             yield client.call("add", [*who, False], PATIENCE)
@@ -203,8 +204,8 @@
             try:
                 yield client.call("add", [*who, True], PATIENCE)
                 return None
-            except GroupError as wrong:
-                if wrong.why != RejectReason.LEARNER_BEHIND.value or reactor.seconds() > until:
+            except RequestFailedError as wrong:
+                if wrong.reason != RejectReason.LEARNER_BEHIND.value or reactor.seconds() > until:
                     raise
             yield deferLater(reactor, LOOK, lambda: None)
 
@@ -243,7 +244,7 @@
     seat = seat_of(quorum, name)
 
     @inlineCallbacks
-    def ask(reactor: Any, client: Client) -> Any:
+    def ask(reactor: Any, client: GroupClient) -> Any:
         yield client.call("transfer", seat, PATIENCE)
         for _ in range(50):
             status = yield client.call("status", None, PATIENCE)
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -21,10 +21,16 @@
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
-from lichencleat.consensus.identity import GreetingResult, Incarnation
-from lichencleat.consensus.links import Called, Door
-from lichencleat.consensus.messages import Message
-from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
+from lichencleat.transport.frames import (
+    FORMAT_VERSION,
+    ClientRequest,
+    ClientResponse,
+    Greeting,
+    GreetingResponse,
+    encode_raw,
+)
+from lichencleat.transport.identity import GreetingResult, Incarnation
+from lichencleat.transport.inbound import InboundConnection, Listener
 
 if TYPE_CHECKING:
     from lichencleat.config_distribution.kept import Kept  # off means not imported: memory counts
@@ -53,7 +59,7 @@
         self.table, self.mark, self.kept_mark = table, mark, mark
         self.copy = TableCopy(table, mark)
         self.counts: dict[str, int] = {}
-        self.silent: set[Called] = set()  # links without a greeting at the last look
+        self.silent: set[InboundConnection] = set()  # links without a greeting at the last look
         self.counted_at = 0
         self.stopped = False
         now = self.now()
@@ -74,7 +80,7 @@
             self.heard,
             self.before,
         )
-        self.door = Door(reactor, self, *host_port(chosen.listen))
+        self.door = Listener(reactor, self, *host_port(chosen.listen))
         self.sweeping = reactor.callLater(SWEEP, self.sweep)
 
     def now(self) -> int:
@@ -138,60 +144,55 @@
         if past == self.mark:
             return
         self.log.info("joins", mark=self.mark.hex())
-        for link in [each for each in self.door.links if each.welcome]:
+        for link in [each for each in self.door.connections if each.is_accepted]:
             if past:
                 link.transport.loseConnection()
             else:
                 link.send(self.word(GreetingResult.ACCEPTED))
 
-    def word(self, welcome: GreetingResult) -> Greeted:
-        return Greeted(welcome, self.mark, 0, self.chosen.name, Incarnation(0, 0))
+    def word(self, welcome: GreetingResult) -> GreetingResponse:
+        return GreetingResponse(welcome, self.mark, 0, self.chosen.name, Incarnation(0, 0))
 
     # -- the door's owner ------------------------------------------------------------------------------
 
-    def called(self, link: Called, greeting: Greeting) -> None:
-        mine = greeting.format == FORMAT and greeting.name == self.chosen.group and greeting.seat == 0
-        if greeting.group and self.mark and greeting.group != self.mark:
+    def on_greeting(self, link: InboundConnection, greeting: Greeting) -> None:
+        mine = (
+            greeting.format_version == FORMAT_VERSION
+            and greeting.cluster_name == self.chosen.group
+            and greeting.member_id == 0
+        )
+        if greeting.cluster_id and self.mark and greeting.cluster_id != self.mark:
             mine = False
-        link.welcome = mine
+        link.is_accepted = mine
         link.send(self.word(GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER))
         if not mine:
             self.count("turned away")
-            self.log.warning("turns away", who=greeting.member, group=greeting.name)
+            self.log.warning("turns away", who=greeting.caller_name, group=greeting.cluster_name)
             link.transport.loseConnection()
 
-    def asked(self, link: Called, request: Request) -> None:
-        if self.serving.wants(request.what):
+    def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
+        if self.serving.wants(request.operation):
             self.serving.asked(link, request)
         else:
             self.count("questions of another kind")
-            link.reply(Reply(request.number, False, raw("unfit")))
+            link.reply(ClientResponse(request.number, False, encode_raw("unfit")))
 
-    def hung_up(self, link: Called, seat: int) -> None:
+    def on_disconnected(self, link: InboundConnection, member_id: int) -> None:
         self.silent.discard(link)
         self.serving.hung_up(link)
 
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    def greeting(self, to: int) -> Greeting:
-        raise NotImplementedError("a relay is no member")
-
-    def greeted(self, seat: int, answer: Greeted) -> bool:
-        return False
-
-    def hears(self, message: Message) -> None:
+    def on_peer_message(self, message: object) -> None:
         self.count("frames out of place")
 
-    def link_lost(self, seat: int) -> None:
-        pass
-
     def sweep(self) -> None:
         """Ends links whose caller has said nothing since the last look: the door's places are few."""
         for link in self.silent:
             self.count("silent callers")
             link.transport.abortConnection()
-        self.silent = {each for each in self.door.links if each.greeting is None}
+        self.silent = {each for each in self.door.connections if each.greeting is None}
         self.sweeping = self.reactor.callLater(SWEEP, self.sweep)
 
     def counters(self) -> dict[str, int]:
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -25,8 +25,8 @@
     decode_wanting,
     encode,
 )
-from lichencleat.consensus.wire import Reply, Request, raw
 from lichencleat.decode_errors import UNDECODABLE
+from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
 
 ANSWERS_TURN = 64  # written in one turn of the reactor: what was read meanwhile is not kept waiting for all
 UNREAD = 10_000_000  # µs that an answer may wait to be read: at 13 KB a second the largest one is through
@@ -55,7 +55,7 @@
 
     transport: Any
 
-    def reply(self, reply: Reply) -> None: ...
+    def reply(self, reply: ClientResponse) -> None: ...
 
     def waiting(self) -> int: ...
 
@@ -107,7 +107,7 @@
         """Is it a question for the distribution?"""
         return what in KNOWN
 
-    def asked(self, link: Link, request: Request) -> None:
+    def asked(self, link: Link, request: ClientRequest) -> None:
         if self.closed:
             return
         who = self.numbers.get(link)
@@ -123,18 +123,18 @@
             return
         asker.number, asker.unread_since = request.number, None
         try:
-            decode = DECODE.get(request.what)
+            decode = DECODE.get(request.operation)
             content = decode(request.content) if decode is not None else None
         except UNDECODABLE:
             self.count("questions that can't be read")
-            self.answer(asker, False, raw("unfit"))
+            self.answer(asker, False, encode_raw("unfit"))
             return
-        if request.what in SUBSCRIBES and not asker.joined:
+        if request.operation in SUBSCRIBES and not asker.joined:
             asker.joined = self.feeder.joined(self.now(), who)
             if not asker.joined:
-                self.answer(asker, False, raw("full"))
+                self.answer(asker, False, encode_raw("full"))
                 return
-        self.feeder.asked(self.now(), who, request.number, request.what, content)
+        self.feeder.asked(self.now(), who, request.number, request.operation, content)
         self.stir()
 
     def hung_up(self, link: Link) -> None:
@@ -175,7 +175,7 @@
                     told = {**content, **self.also()} if isinstance(content, dict) else content
                     self.answer(asker, True, self.encode_once(told))
                 else:
-                    self.answer(asker, False, raw(decision.why))
+                    self.answer(asker, False, encode_raw(decision.why))
         except Exception:  # guards a voter: it leads and confirms whatever becomes of those that follow
             self.count("errors")
             self.log.warning("error", trace=traceback.format_exc(limit=-3).replace("\n", " | "))
@@ -194,7 +194,7 @@
     def answer(self, asker: Asker, done: bool, content: msgspec.Raw) -> None:
         number, asker.number = asker.number, None
         assert number is not None
-        asker.link.reply(Reply(number, done, content))
+        asker.link.reply(ClientResponse(number, done, content))
         if asker.link.waiting() and asker.unread_since is None:
             asker.unread_since = self.now()
             if self.looking is None:
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -30,10 +30,17 @@
     decode_fed,
     decode_pages,
 )
-from lichencleat.consensus.identity import GreetingResult, Incarnation
-from lichencleat.consensus.links import Framed
-from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, Reply, Request, raw
 from lichencleat.decode_errors import UNDECODABLE
+from lichencleat.transport.framed_protocol import FramedProtocol
+from lichencleat.transport.frames import (
+    FORMAT_VERSION,
+    ClientRequest,
+    ClientResponse,
+    Greeting,
+    GreetingResponse,
+    encode_raw,
+)
+from lichencleat.transport.identity import GreetingResult, Incarnation
 
 CALL = 1.5  # s for a connection to open; the follower's patience is shorter, and counts until it is greeted
 AGAIN = 0.1  # s until decisions are pulled again after one that failed
@@ -47,7 +54,7 @@
 decode_why = msgspec.msgpack.Decoder(str).decode
 
 
-class Upward(Framed):
+class Upward(FramedProtocol):
     """The link to a relay."""
 
     def __init__(self, way: Way) -> None:
@@ -57,15 +64,15 @@
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
         host = self.way.host
-        self.send(Greeting(FORMAT, host.copy.mark, host.group, 0, 0, Incarnation(0, 0), host.who))
+        self.send(Greeting(FORMAT_VERSION, host.copy.mark, host.group, 0, 0, Incarnation(0, 0), host.who))
 
     def stringReceived(self, data: bytes) -> None:
         frame = self.read(data)
-        if isinstance(frame, Greeted) and self.way.link is None:
+        if isinstance(frame, GreetingResponse) and self.way.link is None:
             self.way.greeted(self, frame)
-        elif isinstance(frame, Greeted) and self.way.link is self and not self.way.mark:
+        elif isinstance(frame, GreetingResponse) and self.way.link is self and not self.way.mark:
             self.way.learned(frame)
-        elif isinstance(frame, Reply) and self.way.link is self:
+        elif isinstance(frame, ClientResponse) and self.way.link is self:
             self.way.replied(frame)
         elif frame is None:
             self.way.end("a frame that can't be read", "frames that can't be read")
@@ -99,28 +106,31 @@
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self.end("no connection")
 
-    def greeted(self, link: Upward, answer: Greeted) -> None:
-        if answer.welcome != GreetingResult.ACCEPTED:
+    def greeted(self, link: Upward, answer: GreetingResponse) -> None:
+        if answer.result != GreetingResult.ACCEPTED:
             self.end("is of another group", "turned away")
             return
-        self.link, self.mark = link, answer.group
+        self.link, self.mark = link, answer.cluster_id
         self.host.opened(self)
 
-    def learned(self, answer: Greeted) -> None:
+    def learned(self, answer: GreetingResponse) -> None:
         """It did not know its group when it was called, and does now."""
-        if answer.welcome != GreetingResult.ACCEPTED or (self.host.copy.mark or answer.group) != answer.group:
+        if (
+            answer.result != GreetingResult.ACCEPTED
+            or (self.host.copy.mark or answer.cluster_id) != answer.cluster_id
+        ):
             self.end("is of another group", "turned away")
             return
-        self.mark = answer.group
+        self.mark = answer.cluster_id
         self.host.learned(self)
 
     def ask(self, what: str, content: Any) -> None:
         assert self.link is not None
         self.number += 1
         self.what = what
-        self.link.send(Request(self.number, what, raw(content)))
+        self.link.send(ClientRequest(self.number, what, encode_raw(content)))
 
-    def replied(self, reply: Reply) -> None:
+    def replied(self, reply: ClientResponse) -> None:
         if reply.number != self.number or not self.what:
             self.end("an answer to no question", "frames out of place")
             return
--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -15,10 +15,10 @@
 from lichencleat.config_distribution.feed import Feeder
 from lichencleat.config_distribution.serving import KNOWN, Serving
 from lichencleat.config_distribution.source import Source
-from lichencleat.consensus.links import Called
 from lichencleat.consensus.serves import Asks
 from lichencleat.consensus.state_machine import StateMachine
-from lichencleat.consensus.wire import Reply, Request, raw
+from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
+from lichencleat.transport.inbound import InboundConnection
 
 PART = "distribution"  # of the group's state
 PROVE = 0.1  # s between a leader's questions whether it still leads: one word more to each voter
@@ -157,13 +157,13 @@
     def wants(self, what: str) -> bool:
         return what in KNOWN
 
-    def asked(self, link: Called, request: Request) -> None:
+    def asked(self, link: InboundConnection, request: ClientRequest) -> None:
         if self.serving is None:  # it does not take part yet: what it holds may be put back from a copy
-            link.reply(Reply(request.number, False, raw(NOT_YET)))
+            link.reply(ClientResponse(request.number, False, encode_raw(NOT_YET)))
         else:
             self.serving.asked(link, request)
 
-    def hung_up(self, link: Called) -> None:
+    def hung_up(self, link: InboundConnection) -> None:
         if self.serving is not None:
             self.serving.hung_up(link)
 
--- a/lichencleat/consensus/configuration.py
+++ b/lichencleat/consensus/configuration.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Callable, Iterable
 
-from lichencleat.consensus.messages import Configuration, Member, RejectReason
+from lichencleat.consensus.messages import Configuration, Member
+from lichencleat.transport.outcomes import RejectReason
 
 MAX_VOTERS = 7  # every commit waits for a majority of them; five tolerate the loss of two
 MAX_MEMBERS = 512  # learners included: the leader replicates to each one
--- a/lichencleat/consensus/follower.py
+++ b/lichencleat/consensus/follower.py
@@ -15,7 +15,6 @@
     DurableState,
     Message,
     MessageType,
-    RejectReason,
     Snapshot,
     Timeouts,
 )
@@ -23,6 +22,7 @@
 from lichencleat.consensus.raft_log import RaftLog
 from lichencleat.consensus.role import Role
 from lichencleat.consensus.snapshot_receiver import SnapshotReceiver
+from lichencleat.transport.outcomes import RejectReason
 
 DISTANT_PAST_US = -(1 << 62)  # µs: before any clock
 # doublings of what is drawn on top of an election's time, one a failed election: where a flush takes as long
--- a/lichencleat/consensus/identity.py
+++ b/lichencleat/consensus/identity.py
@@ -12,45 +12,17 @@
 
 import random
 from collections.abc import Callable
-from enum import IntEnum
 from typing import NamedTuple
 
 import msgspec
 
+from lichencleat.transport.identity import GreetingResult, Incarnation
+
 IDENTITY_KEY = b"i"  # in the store
 CONFIRMATION_WAIT_US = 3_000_000  # after which a start takes part without the others' confirmation
 MEMBER_ID_BITS = 63
 
 
-class Incarnation(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One start of a member."""
-
-    start_count: int  # how often it was started, this time included
-    nonce: int  # drawn at the start
-
-
-class GreetingResult(IntEnum):
-    """The answer to a greeting. The numbers are those on the wire."""
-
-    ACCEPTED = 0
-    WRONG_CLUSTER = 1
-    WRONG_MEMBER = 2  # the caller expected another member here
-    STALE_INCARNATION = 3  # a later incarnation is known, or another one with the same count
-
-    @property
-    def log_reason(self) -> str:
-        """The words for it in log lines."""
-        return _LOG_REASONS[self]
-
-
-_LOG_REASONS = {
-    GreetingResult.ACCEPTED: "come",
-    GreetingResult.WRONG_CLUSTER: "other group",
-    GreetingResult.WRONG_MEMBER: "other seat",
-    GreetingResult.STALE_INCARNATION: "outlived",
-}
-
-
 class GreetingDecision(NamedTuple):
     """How to answer a greeting."""
 
--- a/lichencleat/consensus/leader.py
+++ b/lichencleat/consensus/leader.py
@@ -10,8 +10,9 @@
 from typing import Any
 
 from lichencleat.consensus.configuration import has_majority, quorum_value
-from lichencleat.consensus.messages import NO_MEMBER, RejectReason
+from lichencleat.consensus.messages import NO_MEMBER
 from lichencleat.consensus.progress import Progress
+from lichencleat.transport.outcomes import RejectReason
 
 MAX_PENDING_PROPOSALS = 4_096  # proposals not committed yet: some MB, and at most a second of a slow group
 MAX_PENDING_READS = 4_096  # reads that wait for a round
--- a/lichencleat/consensus/messages.py
+++ b/lichencleat/consensus/messages.py
@@ -12,6 +12,8 @@
 
 import msgspec
 
+from lichencleat.transport.outcomes import RejectReason
+
 NO_MEMBER = 0  # no member has this id
 ENTRY_OVERHEAD_BYTES = 32  # the encoded numbers around an entry's data
 
@@ -123,23 +125,6 @@
     HALT = auto()  # send nothing more and end the process, with `reason`
 
 
-class RejectReason(Enum):
-    """Why a request is not carried out by this member. The values are sent to clients.
-
-    Only LEADERSHIP_LOST leaves open whether the request will take effect.
-    """
-
-    NOT_LEADER = "not the leader"
-    LEADERSHIP_LOST = "leadership lost before it was committed: it may be yet"
-    TOO_MANY_PROPOSALS = "too many proposals wait"
-    TRANSFER_IN_PROGRESS = "leadership is being handed over"
-    CHANGE_IN_PROGRESS = "a change of members is not committed yet"
-    LEADER_NOT_READY = "this leader has committed nothing of its term yet"
-    LEARNER_BEHIND = "the learner has not caught up"
-    INVALID_REQUEST = "not a change by one member"
-    LAST_VOTER = "the last voter can't be removed"
-
-
 @dataclass(slots=True)
 class DurableWrite:
     """A change of the durable state. It is written as a unit or not at all, and in order."""
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -16,15 +16,8 @@
 
 from lichencleat.consensus.configuration import with_member, without_member
 from lichencleat.consensus.durable_writer import DurableWriter
-from lichencleat.consensus.identity import (
-    IDENTITY_KEY,
-    GreetingResult,
-    Identity,
-    Incarnation,
-    PeerIncarnations,
-)
+from lichencleat.consensus.identity import IDENTITY_KEY, Identity, PeerIncarnations
 from lichencleat.consensus.key_value import KeyValueState
-from lichencleat.consensus.links import Called, Door, Out
 from lichencleat.consensus.log_storage import LogStorage
 from lichencleat.consensus.messages import (
     Action,
@@ -33,31 +26,37 @@
     Member,
     Message,
     MessageType,
-    RejectReason,
     Timeouts,
 )
 from lichencleat.consensus.raft_node import RaftNode
-from lichencleat.consensus.role import Role
-from lichencleat.consensus.serves import Guarded, Log, Serves
-from lichencleat.consensus.sessions import SessionOutcome
-from lichencleat.consensus.state_machine import ReplicatedState, StateMachine, decode_command, encode_command
-from lichencleat.consensus.supported_states import ACTIVATION_COMMAND, SupportedStates, UnknownStateError
-from lichencleat.consensus.wire import (
-    FORMAT,
-    Carried,
-    Greeted,
-    Greeting,
-    Reply,
-    Request,
+from lichencleat.consensus.requests import (
+    decode_add_member,
+    decode_member_frame,
+    decode_member_id,
     decode_proposal,
     decode_read,
-    decode_seat,
-    decode_who,
-    raw,
 )
+from lichencleat.consensus.role import Role
+from lichencleat.consensus.serves import Guarded, Log, Serves
+from lichencleat.consensus.state_machine import ReplicatedState, StateMachine, decode_command
+from lichencleat.consensus.supported_states import ACTIVATION_COMMAND, SupportedStates, UnknownStateError
 from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store.batch import Batch
 from lichencleat.store.store import Store
+from lichencleat.transport.frames import (
+    FORMAT_VERSION,
+    ClientRequest,
+    ClientResponse,
+    Greeting,
+    GreetingResponse,
+    PeerMessage,
+    encode_command,
+    encode_raw,
+)
+from lichencleat.transport.identity import GreetingResult, Incarnation
+from lichencleat.transport.inbound import InboundConnection, Listener
+from lichencleat.transport.outbound import PeerConnector
+from lichencleat.transport.outcomes import RejectReason, SessionOutcome
 
 SNAPSHOT_EACH = 2_000  # entries applied from one dump of the state to the next: some MB of log
 SNAPSHOT_BYTES = 32 << 20  # of their data, after which one is due earlier: two lots of them are in memory
@@ -111,9 +110,9 @@
         self.seats = PeerIncarnations(identity.cluster_id, identity.member_id, life, known)
         self.begun = self.now()
         self.takes_part = False
-        self.outs: dict[int, Out] = {}
+        self.outs: dict[int, PeerConnector] = {}
         # the last link of each that called: a newcomer knows no other way
-        self.callers: dict[int, Called] = {}
+        self.callers: dict[int, InboundConnection] = {}
         self.linked: Configuration | None = None  # the group that `outs` are made for
         self.reads: list[tuple[int, Any, Callable[..., None]]] = []
         self.dumped: tuple[int, bytes] | None = None
@@ -126,7 +125,7 @@
         self.counts: dict[str, int] = {}
         self.role = Role.FOLLOWER
         self.tending: Any = None
-        self.door = Door(reactor, self, *listen)
+        self.door = Listener(reactor, self, *listen, decode_member_frame)
         self.relink()
         self.serves.tell(lambda serves: serves.begins(self))
         self.look()
@@ -155,61 +154,69 @@
         else:
             self.looking = self.reactor.callLater(LOOK, self.look)
 
-    def greeting(self, to: int) -> Greeting:
+    def make_greeting(self, to: int) -> Greeting:
         who = self.identity
         said = who.member_name, self.known.advertised
         return Greeting(
-            FORMAT, self.seats.cluster_id, who.cluster_name, who.member_id, to, self.seats.incarnation, *said
+            FORMAT_VERSION,
+            self.seats.cluster_id,
+            who.cluster_name,
+            who.member_id,
+            to,
+            self.seats.incarnation,
+            *said,
         )
 
-    def greeted(self, seat: int, answer: Greeted) -> bool:
+    def on_greeting_response(self, seat: int, answer: GreetingResponse) -> bool:
         """Another member's answer to this one's greeting. May messages go to it?"""
-        welcome = GreetingResult(answer.welcome)
+        welcome = GreetingResult(answer.result)
         reason = self.seats.on_greeting_reply(seat, welcome)
         if reason is not None:
             self.voter.halt(reason)
             self.stir()
         if welcome is not GreetingResult.ACCEPTED:
-            self.log.warning("turned away", by=answer.member, reason=welcome.log_reason)
+            self.log.warning("turned away", by=answer.member_name, reason=welcome.log_reason)
             return False
-        self.known.record(answer.seat, answer.parts)
-        return answer.seat == seat
+        self.known.record(answer.member_id, answer.supported_states)
+        return answer.member_id == seat
 
-    def called(self, link: Called, greeting: Greeting) -> None:
+    def on_greeting(self, link: InboundConnection, greeting: Greeting) -> None:
         """A member or a client says who it is; a member's life is on the disk before it is answered."""
-        if greeting.format != FORMAT or greeting.name != self.identity.cluster_name:
+        if greeting.format_version != FORMAT_VERSION or greeting.cluster_name != self.identity.cluster_name:
             self.welcome(link, GreetingResult.WRONG_CLUSTER)
             return
-        if greeting.seat == 0:
-            mine = not greeting.group or greeting.group == self.seats.cluster_id
+        if greeting.member_id == 0:
+            mine = not greeting.cluster_id or greeting.cluster_id == self.seats.cluster_id
             self.welcome(link, GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER)
             return
-        welcome, news = self.seats.on_greeting(greeting.group, greeting.seat, greeting.to, greeting.life)
+        welcome, news = self.seats.on_greeting(
+            greeting.cluster_id, greeting.member_id, greeting.recipient, greeting.incarnation
+        )
         if welcome is not GreetingResult.ACCEPTED:
-            self.log.warning("turns away", name=greeting.member, reason=welcome.log_reason)
+            self.log.warning("turns away", name=greeting.caller_name, reason=welcome.log_reason)
             self.welcome(link, welcome)
             return
-        self.known.record(greeting.seat, greeting.parts)
+        self.known.record(greeting.member_id, greeting.supported_states)
         batch = Batch()
         if news:
-            batch.put(life_key(greeting.seat), msgspec.msgpack.encode(greeting.life))
-        if not self.seats.cluster_id and greeting.group:  # the first that calls brings the group with it
-            self.seats.cluster_id = self.identity.cluster_id = greeting.group
+            batch.put(life_key(greeting.member_id), msgspec.msgpack.encode(greeting.incarnation))
+        if not self.seats.cluster_id and greeting.cluster_id:  # the first that calls brings the group with it
+            self.seats.cluster_id = self.identity.cluster_id = greeting.cluster_id
             batch.put(IDENTITY_KEY, msgspec.msgpack.encode(self.identity))
-            self.log.info("joins", mark=greeting.group.hex(), by=greeting.member)
+            self.log.info("joins", mark=greeting.cluster_id.hex(), by=greeting.caller_name)
         if batch.changes:
             told = self.store.commit(batch)
             told.addCallbacks(lambda _: self.welcome(link, GreetingResult.ACCEPTED), self.disk_failed)
         else:
             self.welcome(link, GreetingResult.ACCEPTED)
 
-    def welcome(self, link: Called, welcome: GreetingResult) -> None:
+    def welcome(self, link: InboundConnection, welcome: GreetingResult) -> None:
         who = self.identity
-        link.welcome = welcome is GreetingResult.ACCEPTED
-        if link.welcome and link.greeting is not None and link.greeting.seat:
-            self.callers[link.greeting.seat] = link
+        link.is_accepted = welcome is GreetingResult.ACCEPTED
+        if link.is_accepted and link.greeting is not None and link.greeting.member_id:
+            self.callers[link.greeting.member_id] = link
         said = who.member_name, self.seats.incarnation, self.known.advertised
-        link.send(Greeted(welcome, self.seats.cluster_id, who.member_id, *said))
+        link.send(GreetingResponse(welcome, self.seats.cluster_id, who.member_id, *said))
 
     def disk_failed(self, failure: Any) -> None:
         if not self.ending:
@@ -219,18 +226,18 @@
 
     # -- what happened -------------------------------------------------------------------------------
 
-    def hears(self, message: Message) -> None:
+    def on_peer_message(self, message: Message) -> None:
         if self.takes_part:  # else it is lost, as on a link that is not up yet
             self.voter.receive(self.now(), message)
             if message.message_type == MessageType.APPEND and message.term == self.voter.term:
                 self.serves.tell(lambda serves: serves.word(message.commit))
             self.stir()
 
-    def link_lost(self, seat: int) -> None:
+    def on_link_lost(self, seat: int) -> None:
         self.voter.on_link_lost(seat)
         self.stir()
 
-    def hung_up(self, link: Called, seat: int) -> None:
+    def on_disconnected(self, link: InboundConnection, seat: int) -> None:
         self.serves.tell(lambda serves: serves.hung_up(link))
         if self.callers.get(seat) is link:
             del self.callers[seat]
@@ -285,7 +292,7 @@
             assert message is not None
             way = self.outs.get(message.recipient) or self.callers.get(message.recipient)
             if way is not None:
-                way.send(Carried(self.seats.cluster_id, message))
+                way.send(PeerMessage(self.seats.cluster_id, message))
         elif decision.action_type is ActionType.APPLY:
             self.apply(decision)
         elif decision.action_type is ActionType.RESTORE_SNAPSHOT:
@@ -324,7 +331,7 @@
         if ready:
             self.reads = [each for each in self.reads if each[0] > self.state.applied]
             for _, (part, query), answer in ready:
-                answer(True, SessionOutcome.DONE, raw(self.state.read(part, query)))
+                answer(True, SessionOutcome.DONE, encode_raw(self.state.read(part, query)))
 
     def relink(self) -> None:
         """A link to every member of the group as it stands now."""
@@ -333,11 +340,11 @@
             return
         self.linked = group
         wanted = {each.member_id: each for each in group.members if each.member_id != self.voter.member_id}
-        for seat in [each for each in self.outs if self.outs[each].member != wanted.get(each)]:
+        for seat in [each for each in self.outs if self.outs[each].endpoint != wanted.get(each)]:
             self.outs.pop(seat).close()
         for seat, member in wanted.items():
             if seat not in self.outs:
-                self.outs[seat] = Out(self.reactor, self, member, self.rng)
+                self.outs[seat] = PeerConnector(self.reactor, self, member, self.rng, decode_member_frame)
 
     def tell_role(self) -> None:
         if self.voter.role is not self.role:
@@ -387,20 +394,22 @@
         self.voter.read(self.now(), (("", None), lambda done, *_: told(done)))
         self.stir()
 
-    def asked(self, link: Called, request: Request) -> None:
-        if self.serves.wants(request.what):
+    def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
+        if self.serves.wants(request.operation):
             self.serves.tell(lambda serves: serves.asked(link, request))
             return
 
         def answer(done: bool, what: Any = None, result: bytes = b"") -> None:
             leader = self.leader()
             link.reply(
-                Reply(
+                ClientResponse(
                     request.number,
                     done and what is SessionOutcome.DONE,
                     msgspec.Raw(result)
                     if result
-                    else raw(what.value if isinstance(what, RejectReason) else getattr(what, "name", what)),
+                    else encode_raw(
+                        what.value if isinstance(what, RejectReason) else getattr(what, "name", what)
+                    ),
                     leader.member_id if leader else 0,
                     leader.host if leader else "",
                     leader.port if leader else 0,
@@ -421,37 +430,37 @@
             None,
         )
 
-    def ask(self, request: Request, answer: Callable[..., None]) -> None:
+    def ask(self, request: ClientRequest, answer: Callable[..., None]) -> None:
         now, voter, content = self.now(), self.voter, request.content
-        ticket = (request.what, answer)
-        if request.what == "status":
-            answer(True, SessionOutcome.DONE, raw(self.status()))
+        ticket = (request.operation, answer)
+        if request.operation == "status":
+            answer(True, SessionOutcome.DONE, encode_raw(self.status()))
         elif not self.takes_part:
             answer(False, RejectReason.NOT_LEADER)
-        elif request.what == "open":
+        elif request.operation == "open":
             voter.propose_session(now, ticket)
-        elif request.what == "propose":
+        elif request.operation == "propose":
             proposal = decode_proposal(content)
             if (objection := self.objection(decode_command(proposal.data)[0])) is not None:
                 answer(False, objection)
             else:
-                voter.propose(now, ticket, proposal.data, proposal.session, proposal.number)
-        elif request.what == "read":
+                voter.propose(now, ticket, proposal.data, proposal.session_id, proposal.sequence)
+        elif request.operation == "read":
             voter.read(now, (decode_read(content), answer))
-        elif request.what == "add":
-            who = decode_who(content)
-            member = Member(who.seat, who.name, who.host, who.port, who.votes, who.zone)
+        elif request.operation == "add":
+            who = decode_add_member(content)
+            member = Member(who.member_id, who.name, who.host, who.port, who.is_voter, who.zone)
             voter.change_configuration(now, ticket, with_member(voter.log.configuration, member))
-        elif request.what == "remove":
+        elif request.operation == "remove":
             voter.change_configuration(
-                now, ticket, without_member(voter.log.configuration, decode_seat(content))
+                now, ticket, without_member(voter.log.configuration, decode_member_id(content))
             )
-        elif request.what == "transfer":
-            moving = voter.transfer_leadership(now, decode_seat(content))
+        elif request.operation == "transfer":
+            moving = voter.transfer_leadership(now, decode_member_id(content))
             answer(
                 moving,
                 SessionOutcome.DONE if moving else voter.proposal_rejection() or RejectReason.INVALID_REQUEST,
-                raw(True) if moving else b"",
+                encode_raw(True) if moving else b"",
             )
         else:
             answer(False, RejectReason.INVALID_REQUEST)
--- a/lichencleat/consensus/raft_node.py
+++ b/lichencleat/consensus/raft_node.py
@@ -23,11 +23,11 @@
     EntryType,
     Message,
     MessageType,
-    RejectReason,
     Snapshot,
 )
 from lichencleat.consensus.raft_log import encode_configuration
 from lichencleat.consensus.role import Role
+from lichencleat.transport.outcomes import RejectReason
 
 LEARNER_HEARTBEAT_INTERVAL = (
     8  # beats from one word to a learner to the next: it stands for nothing, and there may be hundreds
--- a/lichencleat/consensus/serves.py
+++ b/lichencleat/consensus/serves.py
@@ -6,9 +6,9 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from lichencleat.consensus.links import Called
 from lichencleat.consensus.state_machine import StateMachine
-from lichencleat.consensus.wire import Request
+from lichencleat.transport.frames import ClientRequest
+from lichencleat.transport.inbound import InboundConnection
 
 
 class Log(Protocol):
@@ -42,9 +42,9 @@
 
     def wants(self, what: str) -> bool: ...
 
-    def asked(self, link: Called, request: Request) -> None: ...
+    def asked(self, link: InboundConnection, request: ClientRequest) -> None: ...
 
-    def hung_up(self, link: Called) -> None: ...
+    def hung_up(self, link: InboundConnection) -> None: ...
 
     def applied(self, state: StateMachine) -> None:
         """Some entries may have been, or a snapshot has taken the state's place. Only once it takes part."""
--- a/lichencleat/consensus/sessions.py
+++ b/lichencleat/consensus/sessions.py
@@ -6,21 +6,13 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from enum import IntEnum
 from typing import NamedTuple
 
 import msgspec
 
-MAX_SESSIONS = 8_192  # some MB with their last results; the least recently used one makes room
-
+from lichencleat.transport.outcomes import SessionOutcome
 
-class SessionOutcome(IntEnum):
-    """What became of a proposal. Numbers and names are sent to clients."""
-
-    DONE = 1  # applied, now or before; the result is that of the first time
-    UNKNOWN_SESSION = 2  # evicted or never opened; nothing was applied now, an earlier attempt may have been
-    PAST = 3  # the session is beyond it, and its result is no longer there
-    GAP = 4  # the proposal before it was never applied
+MAX_SESSIONS = 8_192  # some MB with their last results; the least recently used one makes room
 
 
 class ApplyResult(NamedTuple):
--- a/lichencleat/consensus/state_machine.py
+++ b/lichencleat/consensus/state_machine.py
@@ -12,9 +12,10 @@
 import msgspec
 
 from lichencleat.consensus.messages import Configuration, Entry, EntryType, Snapshot
-from lichencleat.consensus.sessions import ApplyResult, SessionOutcome, SessionRecord, SessionTable
+from lichencleat.consensus.sessions import ApplyResult, SessionRecord, SessionTable
 from lichencleat.consensus.supported_states import ACTIVATION_COMMAND, UnknownStateError
 from lichencleat.decode_errors import UNDECODABLE
+from lichencleat.transport.outcomes import SessionOutcome
 
 Encodable: TypeAlias = Any  # whatever MessagePack can encode
 Query: TypeAlias = Any  # decoded from a client's request; each state checks its own
@@ -56,11 +57,6 @@
 decode_state_machine_dump = msgspec.msgpack.Decoder(StateMachineDump).decode
 
 
-def encode_command(state_name: str, command: Encodable) -> bytes:
-    """Encode a command for that state as the data of a log entry."""
-    return encode((state_name, command))
-
-
 def bootstrap_snapshot(configuration: Configuration) -> Snapshot:
     """Return the snapshot that a new cluster starts with: its configuration and no state."""
     return Snapshot(0, 0, configuration, b"")
--- a/lichencleat/leases/holder.py
+++ b/lichencleat/leases/holder.py
@@ -11,9 +11,9 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.python.failure import Failure
 
-from lichencleat.consensus.client import Client
 from lichencleat.leases.leases import Leases
 from lichencleat.leases.terms import DRIFT, LEASE, Leave, Owned, Release
+from lichencleat.transport.group_client import GroupClient
 
 SECOND = 1_000_000  # µs
 LOOK_MOST = 100_000  # µs from one look at the lease to the next, whatever is due
@@ -35,7 +35,7 @@
     def __init__(
         self,
         reactor: Any,
-        client: Client,
+        client: GroupClient,
         name: str,
         zone: str,
         work: Work,
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -13,13 +13,13 @@
 from twisted.internet.defer import Deferred, succeed
 
 from lichencleat.config.file import FleetChoice, host_port
-from lichencleat.consensus.client import Client
 from lichencleat.leases.holder import Holder, Work
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.seat import Dealing, Seat
 from lichencleat.recovery.boot import Clock
 from lichencleat.recovery.seat import Planning, Record, Return
 from lichencleat.recovery.waking import Waking
+from lichencleat.transport.group_client import GroupClient
 
 SECOND = 1_000_000  # µs
 
@@ -55,14 +55,14 @@
     ) -> None:
         """`host`: as net.host.Host; `keyed`: as keyed.keeper.Keeper, or None."""
         self.reactor, self.name, self.chosen, self.rng, self.log = reactor, name, chosen, rng, log
-        self.clients: list[Client] = []
+        self.clients: list[GroupClient] = []
         self.seat = self.make_seat(host) if chosen.shares is not None else None
         self.back = self.make_return(host, keyed, unix) if chosen.revive else None
         self.holder = self.make_holder() if chosen.candidate else None
 
-    def client(self) -> Client:
+    def client(self) -> GroupClient:
         addresses = [host_port(each) for each in self.chosen.members]
-        made = Client(self.reactor, self.chosen.group, addresses, self.rng, self.name)
+        made = GroupClient(self.reactor, self.chosen.group, addresses, self.rng, self.name)
         self.clients.append(made)
         return made
 
--- a/lichencleat/quotas/seat.py
+++ b/lichencleat/quotas/seat.py
@@ -8,11 +8,11 @@
 import msgspec
 from twisted.python.failure import Failure
 
-from lichencleat.consensus.client import Client
 from lichencleat.leases.holder import Holder
 from lichencleat.quotas.dealer import LOOK, Dealer
 from lichencleat.quotas.grants import Grants
 from lichencleat.quotas.terms import Deal, Granted, Over, Pool, job_of
+from lichencleat.transport.group_client import GroupClient
 
 SECOND = 1_000_000  # µs
 LOOK_MOST = 100_000  # µs from one look at the grant to the next, whatever is due
@@ -25,7 +25,7 @@
     def __init__(
         self,
         reactor: Any,
-        client: Client,
+        client: GroupClient,
         grants: Grants,
         wanted: Callable[[], tuple[int, int]],
         may_call: Callable[[int], None],
@@ -117,7 +117,7 @@
 class Dealing:
     """The owner's work: a look at the pool every so often, and what follows from it. A `holder.Work`."""
 
-    def __init__(self, reactor: Any, client: Client, pool: str, log: Any) -> None:
+    def __init__(self, reactor: Any, client: GroupClient, pool: str, log: Any) -> None:
         self.reactor, self.client, self.pool, self.log = reactor, client, pool, log
         self.job = job_of(pool)
         self.holder: Holder | None = None
--- a/lichencleat/recovery/seat.py
+++ b/lichencleat/recovery/seat.py
@@ -8,7 +8,6 @@
 import msgspec
 from twisted.python.failure import Failure
 
-from lichencleat.consensus.client import Client
 from lichencleat.decide import RUNS_FEW
 from lichencleat.leases.holder import Holder
 from lichencleat.quotas.terms import Part
@@ -17,6 +16,7 @@
 from lichencleat.recovery.planner import Planner
 from lichencleat.recovery.terms import JOB, Leave, Node, Plan, Word
 from lichencleat.recovery.waking import Waking
+from lichencleat.transport.group_client import GroupClient
 
 SECOND = 1_000_000  # µs
 LOOK = 0.1  # s between looks at what may be served
@@ -87,7 +87,7 @@
     def __init__(
         self,
         reactor: Any,
-        client: Client,
+        client: GroupClient,
         host: Any,
         waking: Waking,
         record: Record,
@@ -172,7 +172,7 @@
 class Planning:
     """The owner's work: a look at the fleet every so often, and what follows from it. A `holder.Work`."""
 
-    def __init__(self, reactor: Any, client: Client, log: Any) -> None:
+    def __init__(self, reactor: Any, client: GroupClient, log: Any) -> None:
         self.reactor, self.client, self.log = reactor, client, log
         self.job = JOB
         self.holder: Holder | None = None
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -10,7 +10,6 @@
 from twisted.internet.error import CannotListenError
 
 from lichencleat.config.file import WrongFileError
-from lichencleat.consensus.client import Client
 from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
 from lichencleat.failover.terms import Zone
 from lichencleat.leases.holder import Holder
@@ -25,6 +24,7 @@
 from lichencleat.router.links import LINKS_MOST
 from lichencleat.router.seat import Judging, Telling
 from lichencleat.terms import Machine
+from lichencleat.transport.group_client import GroupClient
 
 BELIEFS = 10_000_000  # µs between lines that tell what the router believes
 LOOK = 20_000  # µs between looks whether all is answered, while leaving
@@ -81,7 +81,7 @@
             None,
             int(chosen.memory_mb * MB),
         )
-        self.clients: list[Client] = []
+        self.clients: list[GroupClient] = []
         self.telling: Telling | None = None
         self.holder: Holder | None = None
         self.stop_at: int | None = None
@@ -115,9 +115,9 @@
             self.holder.leases.knows = ["zones"]
             self.holder.start()
 
-    def client(self, group: str) -> Client:
+    def client(self, group: str) -> GroupClient:
         addresses = [host_port(each) for each in self.chosen.members]
-        made = Client(self.reactor, group, addresses, self.rng, self.chosen.name)
+        made = GroupClient(self.reactor, group, addresses, self.rng, self.chosen.name)
         self.clients.append(made)
         return made
 
--- a/lichencleat/router/seat.py
+++ b/lichencleat/router/seat.py
@@ -10,11 +10,11 @@
 import msgspec
 from twisted.python.failure import Failure
 
-from lichencleat.consensus.client import Client
 from lichencleat.failover.judge import LOOK, Judge
 from lichencleat.failover.terms import JOB, Order, Source, Tell, Wished, Zone
 from lichencleat.leases.holder import Holder
 from lichencleat.router.core import Router
+from lichencleat.transport.group_client import GroupClient
 
 PATIENCE = 1.0  # s for an answer of the voters
 SECOND = 1_000_000  # µs
@@ -24,7 +24,7 @@
     """Owns the timer of the evidence."""
 
     def __init__(
-        self, reactor: Any, client: Client, core: Router, name: str, clock: Callable[[], int], log: Any
+        self, reactor: Any, client: GroupClient, core: Router, name: str, clock: Callable[[], int], log: Any
     ) -> None:
         self.reactor, self.client, self.core, self.name = reactor, client, core, name
         self.clock, self.log = clock, log
@@ -80,7 +80,7 @@
 class Judging:
     """The owner's work: a look at the evidence every so often, and what follows from it. A `holder.Work`."""
 
-    def __init__(self, reactor: Any, client: Client, log: Any) -> None:
+    def __init__(self, reactor: Any, client: GroupClient, log: Any) -> None:
         self.reactor, self.client, self.log = reactor, client, log
         self.holder: Holder | None = None
         self.judge: Judge | None = None
--- a/lichencleat/testkit/cluster/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -20,7 +20,6 @@
 from lichencleat.config_distribution.source import Publish, Published
 from lichencleat.config_distribution.terms import Change
 from lichencleat.config_distribution.voting import PART
-from lichencleat.consensus.client import Client, GroupError
 from lichencleat.testkit.checkers.distribution import (
     LEFT,
     PAIR,
@@ -34,6 +33,8 @@
 from lichencleat.testkit.cluster.relay import CLIENT, LOCAL
 from lichencleat.testkit.cluster.rig import GROUP, PATIENCE, Rig, Voter
 from lichencleat.testkit.cluster.tap import TappedRelays, moment
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.group_client import GroupClient
 
 PAIRS, TENANTS = 8, 8  # records that are looked at
 BULK, BULK_EACH = 2_000, 60  # routes, and those changed by a batch: it takes several slices
@@ -163,7 +164,7 @@
     # -- publishing ----------------------------------------------------------------------------------
 
     def publish(self, records: dict[str, Any] | None = None) -> int:
-        """A drawn batch, or this one. Its version; raises GroupError."""
+        """A drawn batch, or this one. Its version; raises RequestFailedError."""
         self.number += 1
         records = batch_of(self.number, self.rng) if records is None else records
         changes = [change(name, value) for name, value in records.items()]
@@ -189,7 +190,7 @@
 
         def begin() -> None:
             made = self.publisher.propose(PART, Publish(changes), patience)
-            made.addErrback(lambda failure: failure.trap(GroupError) and None)
+            made.addErrback(lambda failure: failure.trap(RequestFailedError) and None)
             made.addCallback(lambda told: self.results.append((records, told)))
 
         self.relays.reactor.callFromThread(begin)
@@ -293,7 +294,7 @@
         voter.start()
         self.until(lambda: self.leader([voter]) is not None, "the other group's leader")
         client = self.relays.call(
-            Client, self.relays.reactor, GROUP, [(LOCAL, voter.relay)], random.Random("other")
+            GroupClient, self.relays.reactor, GROUP, [(LOCAL, voter.relay)], random.Random("other")
         )
         self.clients.append(client)
         for _ in range(3):
--- a/lichencleat/testkit/cluster/relay.py
+++ b/lichencleat/testkit/cluster/relay.py
@@ -16,8 +16,8 @@
 from twisted.internet.protocol import ClientFactory, Factory, Protocol
 from twisted.internet.threads import blockingCallFromThread
 
-from lichencleat.consensus.wire import Greeting, decode_frame
 from lichencleat.decode_errors import UNDECODABLE
+from lichencleat.transport.frames import Greeting, decode_frame
 
 LOCAL = "127.0.0.1"
 CLIENT = "client"  # who greets without a name
@@ -198,4 +198,4 @@
         frame = decode_frame(head[4 : 4 + size])
     except UNDECODABLE:
         return CLIENT
-    return frame.member or CLIENT if isinstance(frame, Greeting) else CLIENT
+    return frame.caller_name or CLIENT if isinstance(frame, Greeting) else CLIENT
--- a/lichencleat/testkit/cluster/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -17,12 +17,13 @@
 
 import yaml
 
-from lichencleat.consensus.client import Client, GroupError
 from lichencleat.consensus.key_value import KeyValueEntry, SetResult
 from lichencleat.testkit.checkers.linear import Call
 from lichencleat.testkit.cluster import clock
 from lichencleat.testkit.cluster.heldback import FULL
 from lichencleat.testkit.cluster.relay import CLIENT, LOCAL, Relays
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.group_client import GroupClient
 
 PROGRAM = "lichencleat.testkit.cluster.run_program"
 OLDER = "lichencleat.testkit.cluster.older_voter"
@@ -162,7 +163,7 @@
         self.relays: Any = relays or Relays()
         self.children: list[subprocess.Popen] = []
         self.reserved: list[socket.socket] = []
-        self.clients: list[Client] = []
+        self.clients: list[GroupClient] = []
         self.voters: dict[str, Voter] = {}
         for number in range(1, voters + 1):
             name = f"v{number}"
@@ -215,7 +216,7 @@
         def promoted() -> bool:
             try:
                 self.ask(client.call, "add", [*who, True], PATIENCE)
-            except GroupError:
+            except RequestFailedError:
                 return False
             return True
 
@@ -223,27 +224,27 @@
 
     # -- looking -------------------------------------------------------------------------------------
 
-    def client(self) -> Client:
+    def client(self) -> GroupClient:
         addresses = [(LOCAL, each.relay) for each in self.voters.values()]
         made = self.relays.call(
-            Client, self.relays.reactor, GROUP, addresses, random.Random(len(self.clients))
+            GroupClient, self.relays.reactor, GROUP, addresses, random.Random(len(self.clients))
         )
         self.clients.append(made)
         return made
 
     def ask(self, call: Callable[..., Any], *args: Any) -> Any:
-        """Does a client's call on the relays' reactor and waits for it. Raises GroupError."""
+        """Does a client's call on the relays' reactor and waits for it. Raises RequestFailedError."""
         return self.relays.call(call, *args)
 
     def status(self, voter: Voter) -> dict[str, Any] | None:
         if voter.running is None or voter.running.poll() is not None:
             return None
         made = self.relays.call(
-            Client, self.relays.reactor, GROUP, [(LOCAL, voter.port)], random.Random(1)
+            GroupClient, self.relays.reactor, GROUP, [(LOCAL, voter.port)], random.Random(1)
         )  # past the relay: a look is no traffic
         try:
             return self.ask(made.call, "status", None, 1.0)
-        except GroupError:
+        except RequestFailedError:
             return None
         finally:
             self.relays.call(made.close)
--- a/lichencleat/testkit/cluster/tap.py
+++ b/lichencleat/testkit/cluster/tap.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from lichencleat.config_distribution.terms import FOLLOW, decode_follow
-from lichencleat.consensus.wire import FRAME_MOST, Greeting, Request, decode_frame
 from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.testkit.checkers.distribution import Acknowledged
 from lichencleat.testkit.cluster.relay import Inward, Link, Relay, Relays
+from lichencleat.transport.frames import MAX_FRAME_BYTES, ClientRequest, Greeting, decode_frame
 
 ASKED_MOST = 200_000  # questions kept: an hour of fifty processes
 LEAST = 400  # bytes of a piece that is spoilt: one with records in it, not a word that there is no news
@@ -55,23 +55,23 @@
             except UNDECODABLE:
                 frame = None
             del heard[: 4 + size]
-            if isinstance(frame, Request):
+            if isinstance(frame, ClientRequest):
                 self.asks(frame)
-            elif not isinstance(frame, Greeting) or frame.seat:
+            elif not isinstance(frame, Greeting) or frame.member_id:
                 self.listens = False  # a member of the group: not looked at
                 heard.clear()
-        if len(heard) > FRAME_MOST:
+        if len(heard) > MAX_FRAME_BYTES:
             self.listens = False
             heard.clear()
 
-    def asks(self, frame: Request) -> None:
+    def asks(self, frame: ClientRequest) -> None:
         relays: Any = self.relay.relays
         version = 0
-        if frame.what == FOLLOW:
+        if frame.operation == FOLLOW:
             follow = decode_follow(frame.content)
             version = follow.version
             relays.acknowledged.append(Acknowledged(moment(), self.caller, version, follow.digest.hex()))
-        relays.asked.append(Asked(moment(), self.caller, self.relay.name, frame.what, version))
+        relays.asked.append(Asked(moment(), self.caller, self.relay.name, frame.operation, version))
 
     def from_server(self, data: bytes) -> None:
         relays: Any = self.relay.relays
--- a/lichencleat/testkit/cluster/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -15,12 +15,12 @@
 from twisted.internet.protocol import ReconnectingClientFactory
 from twisted.protocols.basic import LineOnlyReceiver
 
-from lichencleat.consensus.client import Client
 from lichencleat.coordinator.settings import host_port, read_quorum_settings
 from lichencleat.leases.holder import Holder
 from lichencleat.log.lines import make_log
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.testkit.cluster.process_faults import install_faults
+from lichencleat.transport.group_client import GroupClient
 
 ACT = 0.01  # s between two acts on a job
 
@@ -68,7 +68,7 @@
     chosen = read_quorum_settings(path)
     rng = random.Random(os.urandom(16))
     log = make_log(unix_time, process=name, role="candidate", group=chosen.group)
-    client = Client(reactor, chosen.group, [host_port(each) for each in chosen.members], rng)
+    client = GroupClient(reactor, chosen.group, [host_port(each) for each in chosen.members], rng)
     acts = Acts()
     acts.maxDelay = 0.2
     worker = Worker(reactor, name, acts)
--- a/lichencleat/testkit/simulation/clients.py
+++ b/lichencleat/testkit/simulation/clients.py
@@ -11,11 +11,11 @@
 
 from lichencleat.consensus.key_value import KeyValueEntry, SetCommand, SetResult
 from lichencleat.consensus.messages import Entry, EntryType
-from lichencleat.consensus.sessions import SessionOutcome
-from lichencleat.consensus.state_machine import encode_command
 from lichencleat.testkit.checkers.linear import Call
 from lichencleat.testkit.simulation.clockwork import Timer
 from lichencleat.testkit.simulation.group import SimGroup
+from lichencleat.transport.frames import encode_command
+from lichencleat.transport.outcomes import SessionOutcome
 
 PATIENCE = (200_000, 3_000_000)  # µs for one try, drawn once a client: who waits longer is told older news
 REST = (1_000, 60_000)  # µs between calls
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -16,7 +16,6 @@
 from lichencleat.config_distribution.feed import Answer, Decline, Feeder
 from lichencleat.config_distribution.follow import Act, Decision, Follower
 from lichencleat.config_distribution.terms import FOLLOW, Batch, Follow, Pages
-from lichencleat.consensus.wire import Reply, Request, encode
 from lichencleat.testkit.simulation.distribution_judge import Judge
 from lichencleat.testkit.simulation.distribution_source import Source
 from lichencleat.testkit.simulation.distribution_table import Shared, SharedCopy, drawn_table
@@ -31,6 +30,7 @@
     World,
     size_of,
 )
+from lichencleat.transport.frames import ClientRequest, ClientResponse, encode
 
 MARK = b"the group's mark"
 CALL = 1_500_000  # µs for a link to be opened and greeted, as the real host waits
@@ -38,8 +38,8 @@
 RECENT = 1_000  # batches that a disk tells of
 NIL = msgspec.Raw(b"\xc0")
 SMALL_ANSWER, SMALL_QUESTION = (
-    len(encode(Reply(1_000, True, NIL))) - 1,
-    len(encode(Request(1_000, "", NIL))) - 1,
+    len(encode(ClientResponse(1_000, True, NIL))) - 1,
+    len(encode(ClientRequest(1_000, "", NIL))) - 1,
 )
 
 
--- a/lichencleat/testkit/simulation/distribution_world.py
+++ b/lichencleat/testkit/simulation/distribution_world.py
@@ -12,9 +12,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.consensus.identity import GreetingResult, Incarnation
-from lichencleat.consensus.wire import FORMAT, Greeted, Greeting, encode
 from lichencleat.testkit.simulation.clockwork import Clockwork
+from lichencleat.transport.frames import FORMAT_VERSION, Greeting, GreetingResponse, encode
+from lichencleat.transport.identity import GreetingResult, Incarnation
 
 SECOND = 1_000_000  # µs
 REGIONS, ZONES, VOTERS = 6, 17, 5
@@ -26,9 +26,12 @@
 IDLE = 300_000  # µs without a byte, after which a connection begins with the first window again
 NOTICE = (200_000, 30_000_000)  # µs until the kernel sends again into a connection that is dead on one side
 GREETING = (
-    len(encode(Greeting(FORMAT, b"m" * 16, "configuration", 0, 0, Incarnation(0, 0), "z00.n000"))) + FRAME
+    len(encode(Greeting(FORMAT_VERSION, b"m" * 16, "configuration", 0, 0, Incarnation(0, 0), "z00.n000")))
+    + FRAME
+)
+GREETED = (
+    len(encode(GreetingResponse(GreetingResult.ACCEPTED, b"m" * 16, 1, "z00.a", Incarnation(1, 1)))) + FRAME
 )
-GREETED = len(encode(Greeted(GreetingResult.ACCEPTED, b"m" * 16, 1, "z00.a", Incarnation(1, 1)))) + FRAME
 
 
 @dataclass(frozen=True, slots=True)
--- a/lichencleat/testkit/simulation/group.py
+++ b/lichencleat/testkit/simulation/group.py
@@ -23,7 +23,6 @@
     EntryType,
     Member,
     Message,
-    RejectReason,
     Timeouts,
 )
 from lichencleat.consensus.raft_node import RaftNode
@@ -36,6 +35,7 @@
 from lichencleat.testkit.checkers.group import GroupWatch
 from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock, Timer
 from lichencleat.testkit.simulation.network import Network
+from lichencleat.transport.outcomes import RejectReason
 
 FLUSH = (100, 1_200)  # µs that a write and its flush take on a disk in good health
 SMALL = Bounds(segment_bytes=64 << 10, disk_bytes=4 << 20, reserve=False)
--- a/lichencleat/testkit/simulation/variants.py
+++ b/lichencleat/testkit/simulation/variants.py
@@ -4,16 +4,10 @@
 
 from typing import Any
 
-from lichencleat.consensus.messages import (
-    Action,
-    ActionType,
-    Configuration,
-    Message,
-    MessageType,
-    RejectReason,
-)
+from lichencleat.consensus.messages import Action, ActionType, Configuration, Message, MessageType
 from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.consensus.role import Role
+from lichencleat.transport.outcomes import RejectReason
 
 
 class VoteNotFlushed(RaftNode):
--- /dev/null
+++ b/lichencleat/transport/group_client.py
@@ -0,0 +1,379 @@
+"""The client of a group: finds the leader, retries what was not answered, and has each proposal applied once.
+
+Proposals go one at a time in a session. A retry carries the same sequence number, so the answer is always
+that of the one time the proposal was applied. Where the group has evicted the session meanwhile, the caller
+is told that the outcome is unknown.
+"""
+
+from __future__ import annotations
+
+import random
+from collections import deque
+from collections.abc import Sequence
+from typing import Any, TypeAlias
+
+import msgspec
+from twisted.internet.defer import Deferred
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import ClientFactory
+from twisted.python.failure import Failure
+
+from lichencleat.decode_errors import UNDECODABLE
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.framed_protocol import FramedProtocol
+from lichencleat.transport.frames import (
+    FORMAT_VERSION,
+    ClientRequest,
+    ClientResponse,
+    Encodable,
+    Greeting,
+    GreetingResponse,
+    encode_command,
+    encode_raw,
+)
+from lichencleat.transport.identity import CLIENT_ID, NO_INCARNATION, GreetingResult
+from lichencleat.transport.outcomes import RejectReason, SessionOutcome
+from lichencleat.transport.twisted_types import Connector, DelayedCall, TcpReactor
+
+ATTEMPT_TIMEOUT_S = 1.0  # at one member: longer than an election, shorter than a caller's timeout
+MIN_BACKOFF_S = 0.02  # before the next attempt; doubled at each, with jitter
+MAX_BACKOFF_S = 0.4
+REQUEST_TIMEOUT_S = 10.0
+MAX_PENDING_REQUESTS = 1_024
+# another attempt would be rejected as well
+FINAL_REASONS = frozenset([RejectReason.INVALID_REQUEST.value, RejectReason.LAST_VOTER.value])
+
+PROPOSE = "propose"  # operations of a group, as they are sent
+READ = "read"
+OPEN_SESSION = "open"
+
+Address: TypeAlias = tuple[str, int]  # host and port
+Result: TypeAlias = Any  # decoded MessagePack; what it holds is the operation's
+
+
+class _PendingRequest:
+    """A request of a caller, until it is answered or its time is up."""
+
+    def __init__(self, operation: str, content: Encodable, deadline: float) -> None:
+        self.operation = operation
+        self.content = content
+        self.deadline = deadline  # s of the reactor's clock
+        self.result: Deferred[Result] = Deferred()
+        self.sequence = 0  # of a proposal in its session
+        self.may_take_effect = False  # an attempt may have reached the group
+
+
+class _ClientConnection(FramedProtocol):
+    """One connection to a member."""
+
+    def __init__(self, client: GroupClient, factory: _ConnectionFactory) -> None:
+        self.client = client
+        self.factory = factory
+
+    def connectionMade(self) -> None:
+        self.tcp.setTcpNoDelay(True)
+        client = self.client
+        self.send(
+            Greeting(
+                FORMAT_VERSION,
+                b"",
+                client.cluster_name,
+                CLIENT_ID,
+                CLIENT_ID,
+                NO_INCARNATION,
+                client.caller_name,
+            )
+        )
+
+    def stringReceived(self, string: bytes) -> None:
+        frame = self.read(string)
+        if isinstance(frame, GreetingResponse):
+            self.client.on_greeting_response(self, frame)
+        elif isinstance(frame, ClientResponse):
+            self.client.on_response(self, frame)
+        elif frame is not None:
+            self.tcp.abortConnection()
+
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        self.client.on_connection_lost(self.factory)
+
+
+class _ConnectionFactory(ClientFactory):
+    """One attempt at a connection; it tells the connection of now from those that were dropped before."""
+
+    noisy = False
+
+    def __init__(self, client: GroupClient) -> None:
+        self.client = client
+
+    def buildProtocol(self, addr: IAddress | None) -> _ClientConnection:
+        return _ClientConnection(self.client, self)
+
+    def clientConnectionFailed(self, connector: object, reason: Failure) -> None:
+        self.client.on_connection_lost(self)
+
+
+class GroupClient:
+    """Owns one connection at a time and the pending requests; `close` gives both back."""
+
+    def __init__(
+        self,
+        reactor: TcpReactor,
+        cluster_name: str,
+        addresses: Sequence[Address],
+        rng: random.Random,
+        caller_name: str = "",
+    ) -> None:
+        """Connect at the first request.
+
+        Args:
+            reactor: opens the connections and times the attempts.
+            cluster_name: of the group; a process of another one is not talked to.
+            addresses: of members; any of them may be down.
+            rng: draws members and jitter.
+            caller_name: who calls, for the members' logs.
+        """
+        self.cluster_name = cluster_name
+        self.caller_name = caller_name
+        self._reactor = reactor
+        self._rng = rng
+        self._addresses = list(addresses)
+        self._address = rng.choice(self._addresses)  # of the member that is talked to
+        self._connection: _ClientConnection | None = None  # greeted
+        self._is_accepted = False
+        self._connector: Connector | None = None
+        self._factory: _ConnectionFactory | None = None  # of the connection of now
+        self._pending: deque[_PendingRequest] = deque()
+        self._session_id = 0  # 0: none is open
+        self._last_sequence = 0  # in that session
+        self._request_number = 0  # of the last request sent
+        self._backoff_s = MIN_BACKOFF_S
+        self._timer: DelayedCall | None = None  # of the attempt under way, or of the backoff before the next
+        self._is_closed = False
+        self._last_failure = "nobody answers"
+
+    # -- requests ----------------------------------------------------------------------------------------
+
+    def propose(
+        self, state_name: str, command: Encodable, timeout_s: float = REQUEST_TIMEOUT_S
+    ) -> Deferred[Result]:
+        """Have a command applied once to that replicated state.
+
+        Returns:
+            Fires with the result of the command. Fails with RequestFailedError, at the latest after
+            `timeout_s` seconds.
+        """
+        return self.call(PROPOSE, encode_command(state_name, command), timeout_s)
+
+    def read(
+        self, state_name: str, query: Encodable, timeout_s: float = REQUEST_TIMEOUT_S
+    ) -> Deferred[Result]:
+        """Query that replicated state as it is at some moment between this call and its answer.
+
+        Returns:
+            Fires with the answer. Fails with RequestFailedError, at the latest after `timeout_s` seconds.
+        """
+        return self.call(READ, (state_name, query), timeout_s)
+
+    def call(
+        self, operation: str, content: Encodable = None, timeout_s: float = REQUEST_TIMEOUT_S
+    ) -> Deferred[Result]:
+        """Have the leader carry out an operation; requests are sent one after the other.
+
+        Returns:
+            Fires with the result. Fails with RequestFailedError, at the latest after `timeout_s` seconds.
+        """
+        request = _PendingRequest(operation, content, self._reactor.seconds() + timeout_s)
+        if self._is_closed or len(self._pending) >= MAX_PENDING_REQUESTS:
+            reason = "the client is closed or has too many calls waiting"
+            request.result.errback(RequestFailedError(reason, False))
+            return request.result
+        self._pending.append(request)
+        if len(self._pending) == 1:
+            self._backoff_s = MIN_BACKOFF_S
+            self._attempt()
+        return request.result
+
+    def close(self) -> None:
+        """Close the connection; all pending requests fail."""
+        self._is_closed = True
+        self._stop_timer()
+        self._drop_connection()
+        while self._pending:
+            request = self._pending.popleft()
+            request.result.errback(RequestFailedError("the client was closed", request.may_take_effect))
+
+    # -- attempts ----------------------------------------------------------------------------------------
+
+    def _attempt(self) -> None:
+        """Attempt the first pending request at the member of now."""
+        self._stop_timer()
+        if self._is_closed or not self._pending:
+            return
+        request = self._pending[0]
+        time_left = request.deadline - self._reactor.seconds()
+        if time_left <= 0:
+            self._fail_first(RequestFailedError(self._last_failure, request.may_take_effect))
+            return
+        self._timer = self._reactor.callLater(min(ATTEMPT_TIMEOUT_S, time_left), self._on_attempt_timeout)
+        if self._connection is not None:
+            if self._is_accepted:
+                self._send_request(request)
+        elif self._connector is None:
+            self._connect()
+
+    def _connect(self) -> None:
+        self._is_accepted = False
+        host, port = self._address
+        self._factory = _ConnectionFactory(self)
+        self._connector = self._reactor.connectTCP(host, port, self._factory, timeout=ATTEMPT_TIMEOUT_S)
+
+    def _send_request(self, request: _PendingRequest) -> None:
+        assert self._connection is not None
+        self._request_number += 1
+        number = self._request_number
+        if request.operation != PROPOSE:
+            frame = ClientRequest(number, request.operation, encode_raw(request.content))
+        elif not self._session_id:
+            frame = ClientRequest(number, OPEN_SESSION)
+        else:
+            if not request.sequence:
+                self._last_sequence += 1
+                request.sequence = self._last_sequence
+            request.may_take_effect = True  # whatever becomes of the connection
+            proposal = (self._session_id, request.sequence, request.content)
+            frame = ClientRequest(number, PROPOSE, encode_raw(proposal))
+        self._connection.send(frame)
+
+    def _on_attempt_timeout(self) -> None:
+        self._timer = None
+        self._last_failure = "no answer from {}:{}".format(*self._address)
+        self._switch_member()
+
+    def _switch_member(self, leader: Address | None = None) -> None:
+        """Go to the named leader at once, or to any other member after the backoff."""
+        self._drop_connection()
+        others = [each for each in self._addresses if each != self._address] or self._addresses
+        self._address = leader or self._rng.choice(others)
+        if leader:
+            self._schedule_attempt(0.0)
+        else:
+            self._back_off()
+
+    def _back_off(self) -> None:
+        """Schedule the next attempt after the backoff."""
+        self._stop_timer()
+        delay = self._backoff_s * (0.5 + self._rng.random())
+        self._backoff_s = min(self._backoff_s * 2, MAX_BACKOFF_S)
+        self._schedule_attempt(delay)
+
+    def _schedule_attempt(self, delay: float) -> None:
+        self._stop_timer()
+        self._timer = self._reactor.callLater(delay, self._attempt)
+
+    def _stop_timer(self) -> None:
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+        self._timer = None
+
+    def _drop_connection(self) -> None:
+        connection = self._connection
+        connector = self._connector
+        self._connection = None
+        self._connector = None
+        self._factory = None
+        if connection is not None:
+            connection.tcp.abortConnection()
+        elif connector is not None:
+            connector.disconnect()
+
+    # -- outcomes ----------------------------------------------------------------------------------------
+
+    def _succeed_first(self, result: Result) -> None:
+        self._stop_timer()
+        request = self._pending.popleft()
+        self._start_next()
+        request.result.callback(result)
+
+    def _fail_first(self, error: RequestFailedError) -> None:
+        self._stop_timer()
+        request = self._pending.popleft()
+        if request.sequence:
+            # it is unknown whether the number was used: the next proposal opens a session of its own
+            self._session_id = 0
+        self._start_next()
+        request.result.errback(error)
+
+    def _start_next(self) -> None:
+        if self._pending:
+            self._backoff_s = MIN_BACKOFF_S
+            self._reactor.callLater(0, self._attempt)
+
+    # -- events of the connection ------------------------------------------------------------------------
+
+    def on_greeting_response(self, connection: _ClientConnection, response: GreetingResponse) -> None:
+        """Send the first request, or go elsewhere where the process is one of another group."""
+        if connection.factory is not self._factory:
+            connection.tcp.abortConnection()
+            return
+        self._connection = connection
+        self._is_accepted = response.result == GreetingResult.ACCEPTED
+        if not self._is_accepted:
+            self._last_failure = "{}:{} is of another group".format(*self._address)
+            self._switch_member()
+        elif self._pending:
+            self._send_request(self._pending[0])
+
+    def on_connection_lost(self, factory: _ConnectionFactory) -> None:
+        """Go to another member, unless the connection was dropped before."""
+        if factory is not self._factory:
+            return
+        self._last_failure = "no connection to {}:{}".format(*self._address)
+        self._connection = None
+        self._connector = None
+        self._factory = None
+        if self._pending and not self._is_closed:
+            self._switch_member()
+
+    def on_response(self, connection: _ClientConnection, response: ClientResponse) -> None:
+        """Handle the response to the last request; one to an earlier request is ignored."""
+        is_current = connection is self._connection and response.number == self._request_number
+        if not is_current or not self._pending:
+            return
+        try:
+            content = msgspec.msgpack.decode(response.content)
+        except UNDECODABLE:  # corrupted on its way: as if it had not come
+            connection.tcp.abortConnection()
+            return
+        if response.done:
+            self._on_success(content)
+        else:
+            self._on_rejected(response, content)
+
+    def _on_success(self, content: Result) -> None:
+        if self._pending[0].operation == PROPOSE and not self._session_id:
+            self._session_id = content
+            self._last_sequence = 0
+            self._attempt()
+            return
+        self._succeed_first(content)
+
+    def _on_rejected(self, response: ClientResponse, reason: str) -> None:
+        if reason in FINAL_REASONS:
+            self._fail_first(RequestFailedError(reason, False))
+        elif reason in SessionOutcome.__members__:  # the group knows the session no more, or never did
+            self._session_id = 0
+            explanation = f"the group has dropped the session ({reason.lower()})"
+            self._fail_first(RequestFailedError(explanation, self._pending[0].may_take_effect))
+        else:
+            self._retry(response, reason)
+
+    def _retry(self, response: ClientResponse, reason: str) -> None:
+        self._last_failure = reason
+        leader = (response.leader_host, response.leader_port)
+        if response.leader_id and leader != self._address and response.leader_port:
+            self._switch_member(leader)
+        elif reason == RejectReason.NOT_LEADER.value:
+            self._switch_member()
+        else:
+            self._back_off()
--- /dev/null
+++ b/lichencleat/transport/inbound.py
@@ -0,0 +1,140 @@
+"""Connections that others open to this process, and the listener that accepts them."""
+
+from __future__ import annotations
+
+from typing import Any, Protocol, TypeGuard
+
+from twisted.internet.interfaces import IAddress
+from twisted.internet.protocol import Factory
+from twisted.python.failure import Failure
+
+from lichencleat.transport.framed_protocol import FramedProtocol
+from lichencleat.transport.frames import (
+    ClientRequest,
+    ClientResponse,
+    Frame,
+    FrameDecoder,
+    Greeting,
+    PeerMessage,
+    decode_frame,
+)
+from lichencleat.transport.twisted_types import TcpReactor
+
+MAX_CONNECTIONS = 1_024  # from clients and members; further ones are closed at once
+MAX_OPEN_REQUESTS = 256  # of one client
+
+
+class ListenerOwner(Protocol):
+    """What a listener reports to."""
+
+    def on_greeting(self, connection: InboundConnection, greeting: Greeting) -> None:
+        """Decide on the greeting: set `connection.is_accepted` and send the response."""
+
+    def on_peer_message(self, message: Any) -> None:  # noqa: ANN401  # whatever the decoder of the owner gives
+        """Handle a message of the member that greeted."""
+
+    def on_request(self, connection: InboundConnection, request: ClientRequest) -> None:
+        """Handle a request; `connection.reply` takes the response, now or later."""
+
+    def on_disconnected(self, connection: InboundConnection, member_id: int) -> None:
+        """Note that a connection which had greeted is gone."""
+
+    def count(self, event: str) -> None:
+        """Count an event that is no normal one."""
+
+
+class InboundConnection(FramedProtocol):
+    """A connection that a member or a client opened to this process."""
+
+    def __init__(self, listener: Listener) -> None:
+        """Wait for the greeting; nothing else is read before it was accepted."""
+        self.listener = listener
+        self.decode_frame = listener.decode_frame
+        self.greeting: Greeting | None = None
+        self.is_accepted = False
+        self.open_requests = 0
+
+    def connectionMade(self) -> None:
+        """Register with the listener, which bounds how many there are."""
+        if len(self.listener.connections) >= MAX_CONNECTIONS:
+            self.listener.owner.count("connections over the bound")
+            self.tcp.abortConnection()
+            return
+        self.listener.connections[self] = None
+        self.tcp.setTcpNoDelay(True)
+        self.tcp.setTcpKeepAlive(True)
+
+    def connectionLost(self, reason: Failure | None = None) -> None:
+        """Report the end of a connection that had greeted."""
+        self.listener.connections.pop(self, None)
+        if self.greeting is not None:
+            self.listener.owner.on_disconnected(self, self.greeting.member_id)
+
+    def stringReceived(self, string: bytes) -> None:
+        """Handle one frame; one out of place ends the connection."""
+        frame = self.read(string)
+        if isinstance(frame, Greeting) and self.greeting is None:
+            self.greeting = frame
+            self.listener.owner.on_greeting(self, frame)
+        elif isinstance(frame, PeerMessage) and self.is_accepted and self.greeting is not None:
+            self._on_peer_message(frame, self.greeting)
+        elif self._is_admitted_request(frame):
+            self.open_requests += 1
+            self.listener.owner.on_request(self, frame)
+        elif frame is not None:
+            self._reject("frames out of place")
+
+    def _is_admitted_request(self, frame: Frame | None) -> TypeGuard[ClientRequest]:
+        return (
+            isinstance(frame, ClientRequest) and self.is_accepted and self.open_requests < MAX_OPEN_REQUESTS
+        )
+
+    def _on_peer_message(self, frame: PeerMessage[Any], greeting: Greeting) -> None:
+        is_own_cluster = bool(greeting.member_id) and frame.cluster_id == greeting.cluster_id
+        if is_own_cluster and frame.message.sender == greeting.member_id:
+            self.listener.owner.on_peer_message(frame.message)
+        else:
+            self._reject("messages of another group or seat")
+
+    def _reject(self, event: str) -> None:
+        self.listener.owner.count(event)
+        self.tcp.abortConnection()
+
+    def reply(self, response: ClientResponse) -> None:
+        """Send the response to an open request."""
+        self.open_requests -= 1
+        self.send(response)
+
+
+class Listener(Factory):
+    """Accepts connections and owns them; `close` gives them back."""
+
+    noisy = False
+
+    def __init__(
+        self,
+        reactor: TcpReactor,
+        owner: ListenerOwner,
+        host: str,
+        port: int,
+        decode: FrameDecoder = decode_frame,
+    ) -> None:
+        """Listen at that address. `decode` decodes the frames of all connections.
+
+        Raises:
+            CannotListenError: the address can't be listened at.
+        """
+        self.owner = owner
+        self.decode_frame = decode
+        self.connections: dict[InboundConnection, None] = {}
+        self.listening_port = reactor.listenTCP(port, self, interface=host)
+
+    def buildProtocol(self, addr: IAddress | None) -> InboundConnection:
+        """Make the protocol of a new connection."""
+        return InboundConnection(self)
+
+    def close(self) -> None:
+        """Accept no more connections and close those that there are."""
+        self.listening_port.stopListening()
+        for connection in list(self.connections):
+            connection.tcp.loseConnection()
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -13,7 +13,7 @@
 from lichencleat.config_distribution.published import LINE_MOST, check_file, read_changes, split
 from lichencleat.config_distribution.source import Source
 from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change, encode
-from lichencleat.consensus.client import GroupError
+from lichencleat.transport.errors import RequestFailedError
 
 GOOD = '{"kind":"tenant","name":"%s","value":{"b":1,"a":[null,true,"é"]}}\n'
 
@@ -134,7 +134,7 @@
     def propose(self, part, what, patience):
         self.index += 1
         if self.index == self.fails_at:
-            return fail(GroupError("nobody answers", True))
+            return fail(RequestFailedError("nobody answers", True))
         told = self.source.apply(self.index, msgspec.Raw(encode(what)))
         return succeed(self.seen(told) if part == self.part else None)
 
--- a/tests/config_distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -25,7 +25,7 @@
     decode_pages,
     encode,
 )
-from lichencleat.consensus.wire import Request, raw
+from lichencleat.transport.frames import ClientRequest, encode_raw
 
 SECOND = 1_000_000
 
@@ -73,7 +73,7 @@
 
     def ask(self, link, what, content=None):
         self.number += 1
-        self.serving.asked(link, Request(self.number, what, raw(content)))
+        self.serving.asked(link, ClientRequest(self.number, what, encode_raw(content)))
         return self.number
 
     def follow(self, link, version=0, digest=b""):
@@ -171,7 +171,7 @@
     assert [n for n, _ in decode_pages(link.replies[-1].content).pages] == filled[:5]
     host.ask(link, FIND, Wanting("tenant", "t7"))
     host.clock.advance(0)
-    assert link.replies[-1].done and link.replies[-1].content == raw(b"{}")
+    assert link.replies[-1].done and link.replies[-1].content == encode_raw(b"{}")
 
 
 NO_TEXT = msgspec.Raw(encode(Wanting("tenant", "acme")).replace(b"acme", b"ac\xffe"))
@@ -184,7 +184,7 @@
     host, link = Host(), Link()
     host.ask(link, what, content)
     host.clock.advance(0)
-    assert [(each.done, each.content) for each in link.replies] == [(False, raw("unfit"))]
+    assert [(each.done, each.content) for each in link.replies] == [(False, encode_raw("unfit"))]
     assert host.serving.counts == {"questions that can't be read": 1}
     assert not host.serving.wants("propose") and host.serving.wants(FOLLOW)
 
@@ -195,7 +195,7 @@
     for each in links:
         host.follow(each, 0, host.table.digest)
     host.clock.advance(0)
-    assert [each.content for each in links[-1].replies] == [raw("full")]
+    assert [each.content for each in links[-1].replies] == [encode_raw("full")]
     host.ask(links[-1], IN_FORCE)
     host.clock.advance(0)
     assert links[-1].replies[-1].done
--- a/tests/config_distribution/test_source.py
+++ b/tests/config_distribution/test_source.py
@@ -12,8 +12,8 @@
 from lichencleat.config_distribution.voting import DOUBT, SILENCE, Fresh, Voting
 from lichencleat.consensus.messages import Configuration, Entry, EntryType, Member, Snapshot
 from lichencleat.consensus.serves import Guarded
-from lichencleat.consensus.state_machine import StateMachine, encode_command
-from lichencleat.consensus.wire import Request, raw
+from lichencleat.consensus.state_machine import StateMachine
+from lichencleat.transport.frames import ClientRequest, encode_command, encode_raw
 
 GROUP = Configuration((Member(1, "v1", "h", 1),))
 encode = msgspec.msgpack.encode
@@ -333,8 +333,8 @@
     replies = []
     link = SimpleNamespace(reply=replies.append)
     assert voting.wants(FOLLOW) and voting.wants(FIND) and voting.wants(IN_FORCE) and not voting.wants("read")
-    voting.asked(link, Request(4, FOLLOW, raw([0, b"", []])))
-    assert (replies[0].number, replies[0].done, replies[0].content) == (4, False, raw("nothing here"))
+    voting.asked(link, ClientRequest(4, FOLLOW, encode_raw([0, b"", []])))
+    assert (replies[0].number, replies[0].done, replies[0].content) == (4, False, encode_raw("nothing here"))
     voting, member, later, _ = serving()
     voting.ends()
     assert voting.serving.closed
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -15,8 +15,8 @@
 from lichencleat.config_distribution.subscriber import CALL, Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
-from lichencleat.consensus.identity import Incarnation
-from lichencleat.consensus.wire import FORMAT, Greeting, Reply, Request, raw
+from lichencleat.transport.frames import FORMAT_VERSION, ClientRequest, ClientResponse, Greeting, encode_raw
+from lichencleat.transport.identity import Incarnation
 
 SECOND = 1_000_000
 MARK = b"mark-one"
@@ -207,26 +207,28 @@
 def answers(place, port, answer):
     """A source whose answers are these."""
     made = place.source(port)
-    made.asked = lambda link, request: link.reply(answer(request))
+    made.on_request = lambda link, request: link.reply(answer(request))
     return made
 
 
 BATCH = Batch(3, 0, bytes(16), (Change("tenant", "acme", b"{}"),))
-NO_TEXT = msgspec.Raw(bytes(raw(Fed(Say.NEWS, 3, bytes(16), 0, (BATCH,)))).replace(b"acme", b"ac\xffe"))
+NO_TEXT = msgspec.Raw(
+    bytes(encode_raw(Fed(Say.NEWS, 3, bytes(16), 0, (BATCH,)))).replace(b"acme", b"ac\xffe")
+)
 
 
 @pytest.mark.parametrize(
     ("wrong", "counted"),
     [
         (lambda number: msgspec.Raw(b"\xff"), "answers that can't be read"),
-        (lambda number: raw("no"), "answers that can't be read"),
+        (lambda number: encode_raw("no"), "answers that can't be read"),
         (lambda number: NO_TEXT, "answers that can't be read"),
-        (lambda number: raw(Fed(9, 1, b"", 0)), "unfit answers"),
-        (lambda number: raw(Fed(Say.NEWS, 1, b"", 0)), "unfit answers"),
+        (lambda number: encode_raw(Fed(9, 1, b"", 0)), "unfit answers"),
+        (lambda number: encode_raw(Fed(Say.NEWS, 1, b"", 0)), "unfit answers"),
     ],
 )
 def test_an_answer_that_is_none_ends_that_link_counted_and_another_is_asked(place, wrong, counted):
-    answers(place, 7901, lambda request: Reply(request.number, True, wrong(request.number)))
+    answers(place, 7901, lambda request: ClientResponse(request.number, True, wrong(request.number)))
     top = place.source(7902)
     place.publish(top, 3, "acme")
     node = place.node([7901], [7902])
@@ -235,7 +237,7 @@
 
 
 def test_an_answer_to_no_question_ends_the_link(place):
-    answers(place, 7901, lambda request: Reply(request.number + 1, True, raw(None)))
+    answers(place, 7901, lambda request: ClientResponse(request.number + 1, True, encode_raw(None)))
     node = place.node([7901])
     assert place.net.run(3, lambda: node.counts.get("frames out of place"))
 
@@ -275,11 +277,11 @@
     done = []
     node.stop()
     place.net.run(0.1)
-    assert not zone.door.links and not zone.feeder.subscribers
+    assert not zone.door.connections and not zone.feeder.subscribers
     zone.stop().addCallback(done.append)
     zone.stop().addCallback(done.append)
     place.net.run(0.1)
-    assert done == [None, None] and not node.ways and not zone.door.links
+    assert done == [None, None] and not node.ways and not zone.door.connections
     top.stop()
     assert not place.net.getDelayedCalls()
 
@@ -296,29 +298,29 @@
 
 def test_the_door_turns_away_what_is_no_subscriber(place):
     relay = place.relay(7931, [1], mark=MARK)
-    hello = Greeting(FORMAT, b"", "config", 0, 0, Incarnation(0, 0), "n1")
+    hello = Greeting(FORMAT_VERSION, b"", "config", 0, 0, Incarnation(0, 0), "n1")
     for wrong in (
-        msgspec.structs.replace(hello, name="other"),
-        msgspec.structs.replace(hello, seat=4),
-        msgspec.structs.replace(hello, format=FORMAT + 1),
-        msgspec.structs.replace(hello, group=b"mark-two"),
+        msgspec.structs.replace(hello, cluster_name="other"),
+        msgspec.structs.replace(hello, member_id=4),
+        msgspec.structs.replace(hello, format_version=FORMAT_VERSION + 1),
+        msgspec.structs.replace(hello, cluster_id=b"mark-two"),
     ):
         link = caller(place, 7931)
-        relay.called(link, wrong)
-        assert not link.welcome and link.transport.disconnecting
+        relay.on_greeting(link, wrong)
+        assert not link.is_accepted and link.transport.disconnecting
     assert relay.counts["turned away"] == 4
     link = caller(place, 7931)
-    relay.called(link, hello)
-    assert link.welcome and link.sent[-1].group == MARK
+    relay.on_greeting(link, hello)
+    assert link.is_accepted and link.sent[-1].cluster_id == MARK
     link.requests = 1
-    relay.asked(link, Request(5, "propose", raw(None)))
+    relay.on_request(link, ClientRequest(5, "propose", encode_raw(None)))
     assert [(each.number, each.done) for each in link.sent[1:]] == [(5, False)]
 
 
 def test_who_calls_and_says_nothing_is_ended(place):
     relay = place.relay(7931, [1], mark=MARK)
     silent, greeted = caller(place, 7931), caller(place, 7931)
-    greeted.greeting = Greeting(FORMAT, b"", "config", 0, 0, Incarnation(0, 0), "n1")
+    greeted.greeting = Greeting(FORMAT_VERSION, b"", "config", 0, 0, Incarnation(0, 0), "n1")
     place.net.run(SWEEP + 0.1)
     assert not silent.transport.disconnecting
     place.net.run(SWEEP)
--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -11,54 +11,48 @@
 from lichencleat.config_distribution.source import Publish, Source
 from lichencleat.config_distribution.terms import Change, Follow, Say, decode_fed
 from lichencleat.config_distribution.voting import Voting
-from lichencleat.consensus.client import Client, GroupError
 from lichencleat.consensus.identity import Identity, load_identity
 from lichencleat.consensus.log_storage import LogStorage
-from lichencleat.consensus.messages import (
-    Action,
-    ActionType,
-    Configuration,
-    Member,
-    Message,
-    MessageType,
-    RejectReason,
-)
+from lichencleat.consensus.messages import Action, ActionType, Configuration, Member, Message, MessageType
 from lichencleat.consensus.process import Process
 from lichencleat.consensus.role import Role
 from lichencleat.consensus.serves import Guarded
-from lichencleat.consensus.state_machine import bootstrap_snapshot, encode_command
-from lichencleat.consensus.wire import Request, raw
+from lichencleat.consensus.state_machine import bootstrap_snapshot
 from lichencleat.coordinator.states import make_config_distribution_states
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, StoreError
 from lichencleat.store.faulty import FaultyDisk
 from lichencleat.store.store import Store
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.frames import ClientRequest, encode_command, encode_raw
+from lichencleat.transport.group_client import GroupClient
+from lichencleat.transport.outcomes import RejectReason
 
 decode = msgspec.msgpack.decode
 
 
 def test_the_end_of_a_connection_that_was_dropped_counts_for_nothing():
     reactor = MemoryReactorClock()
-    client = Client(reactor, "g", [("10.0.0.1", 1), ("10.0.0.2", 2)], random.Random(1))
+    client = GroupClient(reactor, "g", [("10.0.0.1", 1), ("10.0.0.2", 2)], random.Random(1))
     client.call("status")
-    first = client.opening
-    client.move(("10.0.0.2", 2))
+    first = client._factory
+    client._switch_member(("10.0.0.2", 2))
     reactor.advance(0)
-    second = client.opening
+    second = client._factory
     assert second is not None and second is not first
-    client.lost(first)
-    assert client.opening is second and client.connector is not None
-    client.lost(second)
-    assert client.opening is None
+    client.on_connection_lost(first)
+    assert client._factory is second and client._connector is not None
+    client.on_connection_lost(second)
+    assert client._factory is None
 
 
 def test_a_call_that_nobody_answers_ends_with_its_patience_and_says_whether_it_may_be_done():
     reactor, told = MemoryReactorClock(), []
-    client = Client(reactor, "g", [("10.0.0.1", 1)], random.Random(1))
+    client = GroupClient(reactor, "g", [("10.0.0.1", 1)], random.Random(1))
     client.call("status", None, 3.0).addErrback(lambda failure: told.append(failure.value))
     for _ in range(100):
         reactor.advance(0.1)
-    assert [type(each) for each in told] == [GroupError] and not told[0].maybe
+    assert [type(each) for each in told] == [RequestFailedError] and not told[0].may_take_effect
     client.close()
     client.call("status").addErrback(lambda failure: told.append(failure.value))
     assert "closed" in str(told[1])
@@ -144,12 +138,12 @@
 
 def publish(process, reactor, link, name, number):
     what = encode_command("distribution", Publish((Change("tenant", name, b"1"),)))
-    process.asked(link, Request(number, "propose", raw((0, 0, what))))
+    process.on_request(link, ClientRequest(number, "propose", encode_raw((0, 0, what))))
     run_on(reactor, 0.1)
 
 
 def follow(process, link, number, version=0, digest=b"", hold=0):
-    process.asked(link, Request(number, "follow", raw(Follow(version, digest, (), hold))))
+    process.on_request(link, ClientRequest(number, "follow", encode_raw(Follow(version, digest, (), hold))))
 
 
 def test_a_voter_feeds_what_it_has_applied_and_says_how_old_that_is():
@@ -173,10 +167,10 @@
     run_on(reactor, 0.1)
     news = decode_fed(link.replies[2].content)
     assert news.batches[0].past == first.version and news.batches[0].changes[0].name == "b"
-    process.asked(link, Request(4, "in force"))
+    process.on_request(link, ClientRequest(4, "in force"))
     run_on(reactor, 0.1)
     assert decode(link.replies[3].content)["version"] == news.version
-    process.hung_up(link, 0)
+    process.on_disconnected(link, 0)
     assert process.serves.serves.feeder.in_force(process.now())["subscribers"] == 0
     process.end(0)
 
@@ -260,7 +254,7 @@
         (MessageType.APPEND, 2, 9),
         (MessageType.VOTE, 3, 11),
     ):
-        process.hears(Message(kind, term, 2, 1, commit=commit))
+        process.on_peer_message(Message(kind, term, 2, 1, commit=commit))
     assert told == [7]
 
 
--- a/tests/consensus/test_state.py
+++ b/tests/consensus/test_state.py
@@ -5,16 +5,19 @@
 import msgspec
 import pytest
 
-from lichencleat.consensus.identity import CONFIRMATION_WAIT_US, GreetingResult, Incarnation, PeerIncarnations
+from lichencleat.consensus.identity import CONFIRMATION_WAIT_US, PeerIncarnations
 from lichencleat.consensus.key_value import KeyValueState, SetCommand, SetResult
 from lichencleat.consensus.log_storage import LogStorage, entry_key
 from lichencleat.consensus.messages import Configuration, DurableWrite, Entry, EntryType, Member, Snapshot
-from lichencleat.consensus.sessions import SessionOutcome, SessionTable
-from lichencleat.consensus.state_machine import StateMachine, encode_command
+from lichencleat.consensus.sessions import SessionTable
+from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.store.batch import Batch
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import DamagedError
 from lichencleat.store.faulty import FaultyDisk
+from lichencleat.transport.frames import encode_command
+from lichencleat.transport.identity import GreetingResult, Incarnation
+from lichencleat.transport.outcomes import SessionOutcome
 
 GROUP = Configuration((Member(1, "v1", "h", 1),))
 
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -6,18 +6,19 @@
 
 from lichencleat.config_distribution.source import Publish, Source
 from lichencleat.config_distribution.terms import Change
-from lichencleat.consensus import wire
-from lichencleat.consensus.identity import Incarnation
 from lichencleat.consensus.key_value import KeyValueState, SetCommand
-from lichencleat.consensus.links import Framed
 from lichencleat.consensus.messages import Entry, EntryType
-from lichencleat.consensus.state_machine import StateMachine, encode_command
+from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.coordinator.states import make_control_plane_states
 from lichencleat.failover.terms import Define as DefineZone
 from lichencleat.leases.jobs import Jobs
 from lichencleat.leases.terms import Define as DefineJob
 from lichencleat.quotas.terms import Define as DefinePool
 from lichencleat.recovery.terms import Report
+from lichencleat.transport import frames
+from lichencleat.transport.framed_protocol import FramedProtocol
+from lichencleat.transport.frames import encode_command
+from lichencleat.transport.identity import Incarnation
 
 COMMANDS = {
     "facts": SetCommand("fact", b"v"),
@@ -65,13 +66,13 @@
 @pytest.mark.parametrize(
     "frame",
     [
-        wire.Greeting(wire.FORMAT, b"mark", "group", 0, 0, Incarnation(1, 2), "client"),
-        wire.Request(1, "status"),
-        wire.Reply(1, True, wire.raw(1), 2, "127.0.0.1", 3),
+        frames.Greeting(frames.FORMAT_VERSION, b"mark", "group", 0, 0, Incarnation(1, 2), "client"),
+        frames.ClientRequest(1, "status"),
+        frames.ClientResponse(1, True, frames.encode_raw(1), 2, "127.0.0.1", 3),
     ],
 )
 def test_a_frame_whose_text_is_none_ends_its_connection(frame):
-    for data in no_text(wire.encode(frame), wire.decode_frame):
-        framed = Framed()
+    for data in no_text(frames.encode(frame), frames.decode_frame):
+        framed = FramedProtocol()
         framed.makeConnection(StringTransport())
         assert framed.read(data) is None and framed.transport.disconnected
--- a/tests/consensus/test_versions.py
+++ b/tests/consensus/test_versions.py
@@ -5,11 +5,9 @@
 import msgspec
 import pytest
 
-from lichencleat.consensus import wire
-from lichencleat.consensus.identity import Incarnation
 from lichencleat.consensus.key_value import KeyValueState, SetCommand
 from lichencleat.consensus.messages import Configuration, Entry, EntryType, Member, Snapshot
-from lichencleat.consensus.state_machine import StateMachine, encode_command
+from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.consensus.supported_states import (
     ACTIVATION_COMMAND,
     LEGACY_STATES,
@@ -20,6 +18,9 @@
 )
 from lichencleat.coordinator.states import make_config_distribution_states, make_control_plane_states
 from lichencleat.recovery.terms import Report
+from lichencleat.transport import frames
+from lichencleat.transport.frames import encode_command
+from lichencleat.transport.identity import Incarnation
 
 GROUP = Configuration(tuple(Member(seat, f"v{seat}", "h", seat) for seat in range(1, 7)))
 REPORT = Report("n1", "x", 1, True, 0, 1, True, True, 0.5)
@@ -184,11 +185,11 @@
 
     life = Incarnation(1, 2)
     new = [
-        wire.Greeting(1, b"m", "g", 3, 4, life, "v", ("a", "b")),
-        wire.Greeted(1, b"m", 3, "v", life, ("a",)),
+        frames.Greeting(1, b"m", "g", 3, 4, life, "v", ("a", "b")),
+        frames.GreetingResponse(1, b"m", 3, "v", life, ("a",)),
     ]
     old = [Greeting(1, b"m", "g", 3, 4, life, "v"), Greeted(1, b"m", 3, "v", life)]
     for now, before in zip(new, old, strict=True):
-        assert msgspec.msgpack.decode(wire.encode(now), type=Greeting | Greeted) == before
-        read = wire.decode_frame(wire.encode(before))
-        assert read.parts is None and read == msgspec.structs.replace(now, parts=None)
+        assert msgspec.msgpack.decode(frames.encode(now), type=Greeting | Greeted) == before
+        read = frames.decode_frame(frames.encode(before))
+        assert read.supported_states is None and read == msgspec.structs.replace(now, supported_states=None)
--- a/tests/consensus/test_voter.py
+++ b/tests/consensus/test_voter.py
@@ -20,7 +20,6 @@
     Member,
     Message,
     MessageType,
-    RejectReason,
     Snapshot,
     Timeouts,
 )
@@ -28,6 +27,7 @@
 from lichencleat.consensus.raft_log import RaftLog
 from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.consensus.role import Role
+from lichencleat.transport.outcomes import RejectReason
 
 TIMES = Timeouts()
 MEMBERS = [Member(seat, f"v{seat}", "h", seat) for seat in range(1, 6)]
--- a/tests/fleet/test_older_voters.py
+++ b/tests/fleet/test_older_voters.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from lichencleat.consensus.client import GroupError
 from lichencleat.recovery.terms import Report
 from lichencleat.testkit.cluster.fleet import Fleet
 from lichencleat.testkit.cluster.rig import Rig
+from lichencleat.transport.errors import RequestFailedError
 
 LACKS = ("revive", "zones")
 
@@ -29,7 +29,7 @@
     """A node's report, taken in or refused with its reason."""
     try:
         rig.ask(client.propose, "revive", report(number), 0.5)
-    except GroupError as wrong:
+    except RequestFailedError as wrong:
         return str(wrong)
     return ""
 
--- a/tests/fleet/test_publishing.py
+++ b/tests/fleet/test_publishing.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from lichencleat.consensus.client import GroupError
 from lichencleat.testkit.cluster.rig import Rig, Voter
+from lichencleat.transport.errors import RequestFailedError
 
 
 @pytest.fixture
@@ -79,7 +79,7 @@
     )
     client = rig.client()  # leases and renewals never travel with configuration
     assert rig.ask(client.read, "owners", None, 10.0) is None
-    with pytest.raises(GroupError, match="does not know 'owners'"):
+    with pytest.raises(RequestFailedError, match="does not know 'owners'"):
         rig.ask(client.propose, "owners", ["define", "job", ""], 1.0)
     rig.voters["v1"].signal(15)
     assert rig.voters["v1"].ended() == 0
--- /dev/null
+++ b/tests/transport/test_frames.py
@@ -0,0 +1,63 @@
+"""The frames between processes, byte by byte: versions of the program must understand one another."""
+
+import msgspec
+import pytest
+
+from lichencleat.consensus.messages import Message, MessageType
+from lichencleat.consensus.requests import AddMemberRequest, Proposal, decode_member_frame
+from lichencleat.transport.frames import (
+    ClientRequest,
+    ClientResponse,
+    Greeting,
+    GreetingResponse,
+    PeerMessage,
+    decode_frame,
+    encode,
+    encode_raw,
+)
+from lichencleat.transport.identity import GreetingResult, Incarnation
+
+LIFE = Incarnation(7, 9)
+MESSAGE = Message(MessageType.APPEND, 3, 1, 2, index=5)
+FRAMES = {
+    "greeting": (
+        Greeting(1, b"id", "g", 1, 2, LIFE, "v1", ("a",)),
+        [1, 1, b"id", "g", 1, 2, [7, 9], "v1", ["a"]],
+    ),
+    "response to a greeting": (
+        GreetingResponse(GreetingResult.WRONG_MEMBER, b"id", 2, "v2", LIFE),
+        [2, 2, b"id", 2, "v2", [7, 9], None],
+    ),
+    "peer message": (
+        PeerMessage(b"id", MESSAGE),
+        [3, b"id", [5, 3, 1, 2, 5, 0, 0, 0, False, False, [], 0, 0, b"", None]],
+    ),
+    "request": (ClientRequest(4, "read", encode_raw(["facts", "k"])), [4, 4, "read", ["facts", "k"]]),
+    "response": (
+        ClientResponse(4, False, encode_raw("not the leader"), 2, "10.0.0.1", 70, True),
+        [5, 4, False, "not the leader", 2, "10.0.0.1", 70, True],
+    ),
+}
+
+
+@pytest.mark.parametrize("kind", FRAMES)
+def test_frame_is_encoded_with_its_tag_and_its_fields_in_order(kind):
+    frame, fields = FRAMES[kind]
+    assert encode(frame) == msgspec.msgpack.encode(fields)
+
+
+@pytest.mark.parametrize("kind", FRAMES)
+def test_member_frame_decoder_reads_what_was_encoded(kind):
+    frame, _ = FRAMES[kind]
+    assert decode_member_frame(encode(frame)) == frame
+
+
+def test_frame_decoder_of_processes_that_are_no_members_leaves_messages_undecoded():
+    read = decode_frame(encode(PeerMessage(b"id", MESSAGE)))
+    assert isinstance(read, PeerMessage) and read.message[:4] == [5, 3, 1, 2]
+
+
+def test_request_contents_are_encoded_with_their_fields_in_order():
+    member = AddMemberRequest(5, "v5", "10.0.0.5", 70, "z1", True)
+    assert encode(member) == msgspec.msgpack.encode([5, "v5", "10.0.0.5", 70, "z1", True])
+    assert encode(Proposal(8, 1, b"data")) == msgspec.msgpack.encode([8, 1, b"data"])
