--- a/lichencleat/consensus/leader.py
+++ b/lichencleat/consensus/leader.py
@@ -1,104 +1,125 @@
-"""What is only a leader's: its followers, rounds of reads, proposals that wait, a handing over; no I/O.
+"""State that only a leader has: its followers' progress, proposals and reads that wait, a transfer. No I/O.
 
-Made anew at each election won and thrown away with the leadership, so that nothing of an older term is left
-in it.
+It is created at each election won and dropped with the leadership, so that nothing of an earlier term is
+left in it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
-from typing import Any
+from dataclasses import dataclass
 
 from lichencleat.consensus.configuration import has_majority, quorum_value
-from lichencleat.consensus.messages import NO_MEMBER, RejectReason
+from lichencleat.consensus.messages import NO_MEMBER, RejectReason, RequestContext
 from lichencleat.consensus.progress import Progress
 
-MAX_PENDING_PROPOSALS = 4_096  # proposals not committed yet: some MB, and at most a second of a slow group
-MAX_PENDING_READS = 4_096  # reads that wait for a round
+MAX_PENDING_PROPOSALS = 4_096  # not committed yet: some MB, and at most a second of a slow cluster
+MAX_PENDING_READS = 4_096  # that wait for a round
+
+
+@dataclass(frozen=True, slots=True)
+class PendingRead:
+    """A read that waits for proof that this leader was still the leader after it came in."""
+
+    context: RequestContext
+    index: int  # the commit index when it came in
+    read_round: int  # the round that proves it
+
+
+@dataclass(frozen=True, slots=True)
+class LeadershipTransfer:
+    """A transfer of leadership that is under way."""
+
+    target: int  # member id
+    deadline: int  # µs: when it is abandoned
 
 
 class LeaderState:
-    def __init__(self, seat: int, first: int) -> None:
-        self.member_id = seat
-        self.first_index = (
-            first  # index of this term's first entry: before it is committed nothing is known to be
-        )
+    """Owned by the node while it leads."""
+
+    def __init__(self, member_id: int, first_index: int) -> None:
+        """`first_index`: of the term's first entry; before it is committed, no commit index is certain."""
+        self.member_id = member_id
+        self.first_index = first_index
         self.progress: dict[int, Progress] = {}
-        self.pending_sends: dict[int, None] = {}  # followers that may be sent something
-        self.pending_proposals: dict[int, Any] = {}  # index -> the proposal's ticket
-        self.pending_reads: list[tuple[Any, int, int]] = []  # ticket, index, the round that proves it
+        self.pending_sends: dict[int, None] = {}  # followers that may be sent something, in order
+        self.pending_proposals: dict[int, RequestContext] = {}  # by index
+        self.pending_reads: list[PendingRead] = []
         self.read_round = 0  # the last one begun
         self.confirmed_round = 0  # the last one that a majority answered
-        self.transfer: tuple[int, int] | None = None  # seat that is to lead, µs when that is given up
-
-    def update_members(self, seats: Iterable[int], next_index: int, now: int) -> None:
-        """The members are others now: who is new is fed, who is gone is not."""
-        seats = set(seats) - {self.member_id}
-        for gone in set(self.progress) - seats:
-            del self.progress[gone]
-            self.pending_sends.pop(gone, None)
-        for new in sorted(seats - set(self.progress)):
-            self.progress[new] = Progress(next_index, now)
-            self.pending_sends[new] = None
+        self.transfer: LeadershipTransfer | None = None
+
+    def update_members(self, member_ids: Iterable[int], next_index: int, now: int) -> None:
+        """Replicate to these members and no others; new ones from `next_index` on."""
+        followers = set(member_ids) - {self.member_id}
+        for removed in set(self.progress) - followers:
+            del self.progress[removed]
+            self.pending_sends.pop(removed, None)
+        for added in sorted(followers - set(self.progress)):
+            self.progress[added] = Progress(next_index, now)
+            self.pending_sends[added] = None
 
     def schedule_all(self) -> None:
+        """Note that there may be something to send to each follower."""
         self.pending_sends = dict.fromkeys(self.progress)
 
-    def quorum_match_index(self, voters: frozenset[int], durable: int) -> int:
-        """The highest index that a majority has on its disks."""
+    def quorum_match_index(self, voters: frozenset[int], own_durable_index: int) -> int:
+        """Return the highest index that a majority has on its disks."""
         return quorum_value(
-            voters, lambda each: durable if each == self.member_id else self.match_index(each)
+            voters, lambda each: own_durable_index if each == self.member_id else self.match_index(each)
         )
 
-    def match_index(self, seat: int) -> int:
-        progress = self.progress.get(seat)
+    def match_index(self, member_id: int) -> int:
+        """Return up to where that follower's durable log is known to match; 0 where nothing is known."""
+        progress = self.progress.get(member_id)
         return progress.match_index if progress else 0
 
     def responsive_members(self, since: int) -> set[int]:
-        """Who answered after that moment; the leader itself is one of them."""
-        return {
-            self.member_id,
-            *(seat for seat, each in self.progress.items() if each.last_response_at > since),
-        }
+        """Return the members that responded after that moment (µs), this leader included."""
+        followers = (member_id for member_id, each in self.progress.items() if each.last_response_at > since)
+        return {self.member_id, *followers}
+
+    def has_quorum_contact(self, voters: frozenset[int], since: int) -> bool:
+        """Return whether a majority responded after that moment (µs)."""
+        return has_majority(voters, self.responsive_members(since))
 
-    # -- reads: a leader that was replaced must not answer from what it knows -------------------------
+    # -- reads: a leader that was replaced must not answer from what it knows (thesis 6.4) -------------
 
-    def add_read(self, ticket: Any, index: int) -> RejectReason | None:
-        """A read that holds at `index` once a round that began after it was answered."""
+    def add_read(self, context: RequestContext, index: int) -> RejectReason | None:
+        """Add a read that holds at `index` once a round that begins after it is answered."""
         if len(self.pending_reads) >= MAX_PENDING_READS:
             return RejectReason.TOO_MANY_PROPOSALS
-        self.pending_reads.append((ticket, index, self.read_round + 1))
+        self.pending_reads.append(PendingRead(context, index, self.read_round + 1))
         return None
 
     def begin_read_round(self) -> bool:
-        """Is a new round due? Then it has begun: its number goes out with the leader's next word."""
+        """Begin a round where one is due; its number is sent with the next heartbeats."""
         if self.pending_reads and self.confirmed_round == self.read_round:
             self.read_round += 1
             return True
         return False
 
     def update_confirmed_round(self, voters: frozenset[int]) -> None:
-        rounds = quorum_value(
+        """Take over which rounds a majority has answered."""
+        confirmed = quorum_value(
             voters, lambda each: self.read_round if each == self.member_id else self.read_round_of(each)
         )
-        self.confirmed_round = max(self.confirmed_round, rounds)
+        self.confirmed_round = max(self.confirmed_round, confirmed)
 
-    def read_round_of(self, seat: int) -> int:
-        progress = self.progress.get(seat)
+    def read_round_of(self, member_id: int) -> int:
+        """Return the last round that the follower answered."""
+        progress = self.progress.get(member_id)
         return progress.read_round if progress else 0
 
-    def take_confirmed_reads(self) -> Iterator[tuple[Any, int]]:
-        while self.pending_reads and self.pending_reads[0][2] <= self.confirmed_round:
-            ticket, index, _ = self.pending_reads.pop(0)
-            yield ticket, index
+    def take_confirmed_reads(self) -> Iterator[PendingRead]:
+        """Remove and return the reads whose round is confirmed."""
+        while self.pending_reads and self.pending_reads[0].read_round <= self.confirmed_round:
+            yield self.pending_reads.pop(0)
 
-    # -- handing over ------------------------------------------------------------------------------
+    # -- leadership transfer -------------------------------------------------------------------------
 
-    def ready_transfer_target(self, last: int) -> int:
-        """The seat that may lead now, as it has all that this leader has; else nobody."""
-        if self.transfer and self.match_index(self.transfer[0]) >= last:
-            return self.transfer[0]
+    def ready_transfer_target(self, last_index: int) -> int:
+        """Return the transfer's target once it has all entries, else NO_MEMBER."""
+        if self.transfer and self.match_index(self.transfer.target) >= last_index:
+            return self.transfer.target
         return NO_MEMBER
-
-    def has_quorum_contact(self, voters: frozenset[int], since: int) -> bool:
-        return has_majority(voters, self.responsive_members(since))
--- a/lichencleat/consensus/log_storage.py
+++ b/lichencleat/consensus/log_storage.py
@@ -42,7 +42,7 @@
     """The chunks of one snapshot."""
 
     snapshot_index: int
-    count: int
+    chunk_count: int
 
 
 NO_CHUNKS = ChunkRange(0, 0)
@@ -82,7 +82,7 @@
 
 def chunk_keys(chunks: ChunkRange) -> Iterable[bytes]:
     """Return the keys of these chunks, in order."""
-    return (chunk_key(chunks.snapshot_index, number) for number in range(chunks.count))
+    return (chunk_key(chunks.snapshot_index, number) for number in range(chunks.chunk_count))
 
 
 class LogStorage:
@@ -223,7 +223,7 @@
             term=snapshot.term,
             configuration=snapshot.configuration,
             data=None,
-            chunk_count=chunks.count,
+            chunk_count=chunks.chunk_count,
             total_bytes=len(snapshot.data),
         )
         batch.put(SNAPSHOT_KEY, encode(header))
--- a/lichencleat/consensus/progress.py
+++ b/lichencleat/consensus/progress.py
@@ -1,5 +1,7 @@
-"""What a leader knows of each follower, and what that is sent next: entries, a snapshot's piece, or only its
-word; no I/O.
+"""A leader's view of one follower, and the next message for it. No I/O.
+
+The message is entries, a chunk of a snapshot, or a heartbeat. As in etcd's raft, a follower is probed with
+one message at a time until it is known where the logs match; from then on messages are pipelined.
 """
 
 from __future__ import annotations
@@ -10,14 +12,12 @@
 from lichencleat.consensus.raft_log import RaftLog
 
 MAX_MESSAGE_BYTES = 256 << 10  # of entries in one message: some ms of a slow link
-MAX_INFLIGHT_MESSAGES = (
-    16  # messages with entries that a follower may have unanswered: what its link must hold
-)
-SNAPSHOT_CHUNK_BYTES = 256 << 10  # bytes of a snapshot in one message
+MAX_INFLIGHT_MESSAGES = 16  # messages with entries not answered yet: what the link must hold
+SNAPSHOT_CHUNK_BYTES = 256 << 10  # of a snapshot in one message
 
 
 class Progress:
-    """Of one follower, as far as its answers tell."""
+    """What the responses of one follower tell about its log."""
 
     __slots__ = (
         "match_index",
@@ -33,96 +33,110 @@
     )
 
     def __init__(self, next_index: int, now: int) -> None:
-        self.match_index = 0  # its log agrees with the leader's, on its disk, up to here
-        self.next_index = next_index  # the first entry to send
-        self.is_probing = True  # it is not known where the logs agree: one message at a time
-        self.inflight: tuple[int, ...] = ()  # last indices of messages with entries on their way
+        """`next_index`: the first entry to send; `now`: µs."""
+        self.match_index = 0  # up to here its log matches the leader's, on its disk
+        self.next_index = next_index
+        self.is_probing = True
+        self.inflight: tuple[int, ...] = ()  # last indices of messages with entries not answered yet
         self.snapshot_offset = 0  # bytes of the snapshot that it has
-        self.snapshot_index = 0  # index of the snapshot on its way, 0: none
-        self.last_response_at = now  # µs: when it last answered
+        self.snapshot_index = 0  # of the snapshot being sent; 0: none
+        self.last_response_at = now  # µs
         self.read_round = 0  # the last one that it answered
-        self.awaiting_response = False  # one message is on its way, and no second one goes before its answer
-        self.match_at_heartbeat = 0  # `match` at the last beat
+        self.awaiting_response = False  # no second message is sent before the answer to the first
+        self.match_at_heartbeat = 0  # `match_index` at the last heartbeat
 
-    def on_rejected(self, before: int, hint: int) -> None:
-        """Its log does not agree with a message that went on from `before`; it may agree at `hint`."""
-        if before <= self.match_index or (self.is_probing and before != self.next_index - 1):
-            return  # the answer to an older message
+    def become_probe(self, next_index: int) -> None:
+        """Send one message at a time from `next_index` on, until one matches."""
+        self.is_probing = True
+        self.awaiting_response = False
+        self.inflight = ()
+        self.next_index = next_index
+
+    def on_rejected(self, previous_index: int, hint: int) -> None:
+        """Handle that the log does not match at `previous_index`; it may match at `hint`."""
+        is_stale = self.is_probing and previous_index != self.next_index - 1
+        if previous_index <= self.match_index or is_stale:
+            return
         self.become_probe(max(self.match_index + 1, min(self.next_index - 1, hint + 1)))
 
-    def become_probe(self, following: int) -> None:
-        self.is_probing, self.awaiting_response, self.inflight, self.next_index = True, False, (), following
-
-    def on_accepted(self, match: int) -> bool:
-        """Its log agrees up to there. Is that news?"""
-        news = match > self.match_index
-        self.match_index = max(self.match_index, match)
-        # while a snapshot is on its way, only news of it asks for more: else a follower whose disk is slow,
-        # and
-        # which says so at once, would be sent the same piece again at the link's own pace
-        if news or (match >= self.next_index - 1 and not self.snapshot_index):
-            self.is_probing = self.awaiting_response = False
+    def on_accepted(self, match_index: int) -> bool:
+        """Handle that the log matches up to `match_index`; return whether that is an advance."""
+        is_advance = match_index > self.match_index
+        self.match_index = max(self.match_index, match_index)
+        # While a snapshot is being sent, only an advance asks for more: else a follower with a slow disk,
+        # which answers at once that it has no more yet, would be sent the same chunk again and again.
+        if is_advance or (match_index >= self.next_index - 1 and not self.snapshot_index):
+            self.is_probing = False
+            self.awaiting_response = False
         self.next_index = max(self.next_index, self.match_index + 1)
         self.inflight = tuple(each for each in self.inflight if each > self.match_index)
-        return news
+        return is_advance
 
     def on_heartbeat(self) -> None:
-        """A message may be lost: what was not answered since the last beat is sent again."""
+        """Arrange to send again what was not answered since the last heartbeat: it may be lost."""
         self.awaiting_response = False
         if self.inflight and self.match_index == self.match_at_heartbeat:
             self.become_probe(self.match_index + 1)
         self.match_at_heartbeat = self.match_index
 
-    def next_message(self, entries: RaftLog, word: Message) -> Message | None:
-        """Entries or a piece of the snapshot, where it lacks them and has room for them. `word`: the
-        leader's, to it.
+    def next_message(self, log: RaftLog, template: Message) -> Message | None:
+        """Return entries or a chunk that the follower lacks and has capacity for, or None.
+
+        `template`: an APPEND to the follower without index and entries.
         """
-        if self.next_index <= entries.snapshot_index:
-            return self.next_snapshot_chunk(entries, word)
-        if (
-            self.awaiting_response
-            or len(self.inflight) >= MAX_INFLIGHT_MESSAGES
-            or (self.next_index > entries.last_index and not self.is_probing)
-        ):
+        if self.next_index <= log.snapshot_index:
+            return self.next_snapshot_chunk(log, template)
+        if not self._can_send_entries(log):
             return None
-        before = self.next_index - 1
-        chosen = entries.entries_from(self.next_index, MAX_MESSAGE_BYTES)
+        previous_index = self.next_index - 1
+        entries = log.entries_from(self.next_index, MAX_MESSAGE_BYTES)
         if self.is_probing:
             self.awaiting_response = True
         else:
-            self.next_index += len(chosen)
+            self.next_index += len(entries)
             self.inflight = (*self.inflight, self.next_index - 1)
-        past = entries.term_at(before) or 0
-        return replace(word, index=before, log_term=past, entries=chosen)
+        previous_term = log.term_at(previous_index) or 0
+        return replace(template, index=previous_index, log_term=previous_term, entries=entries)
+
+    def _can_send_entries(self, log: RaftLog) -> bool:
+        if self.awaiting_response or len(self.inflight) >= MAX_INFLIGHT_MESSAGES:
+            return False
+        return self.is_probing or self.next_index <= log.last_index
+
+    def make_heartbeat(self, log: RaftLog, template: Message) -> Message:
+        """Return a heartbeat, at an index that the follower is known to have.
 
-    def make_heartbeat(self, entries: RaftLog, word: Message) -> Message:
-        """That the leader is there, and the round it asks for. It rests on what the follower is known to
-        have; what is committed beyond that it is told too, takes over only as far as it has it, and so knows
-        that it lacks some.
+        It carries the leader's commit index, which may be further on. The follower takes it over only as far
+        as its log is known to match, and so learns that it lacks entries.
         """
-        before = max(self.match_index, entries.snapshot_index)
-        past = entries.term_at(before) or 0
-        return replace(word, index=before, log_term=past)
+        previous_index = max(self.match_index, log.snapshot_index)
+        previous_term = log.term_at(previous_index) or 0
+        return replace(template, index=previous_index, log_term=previous_term)
 
-    def next_snapshot_chunk(self, entries: RaftLog, word: Message) -> Message | None:
-        snapshot = entries.snapshot
+    def next_snapshot_chunk(self, log: RaftLog, template: Message) -> Message | None:
+        """Return the next chunk of the snapshot, or None while one is not answered yet."""
+        snapshot = log.snapshot
         if self.snapshot_index != snapshot.index:
-            self.snapshot_index, self.snapshot_offset, self.awaiting_response = snapshot.index, 0, False
+            self.snapshot_index = snapshot.index
+            self.snapshot_offset = 0
+            self.awaiting_response = False
         if self.awaiting_response:
             return None
         self.awaiting_response = True
+        end = self.snapshot_offset + SNAPSHOT_CHUNK_BYTES
         return replace(
-            word,
+            template,
             message_type=MessageType.SNAPSHOT,
             index=snapshot.index,
             log_term=snapshot.term,
             offset=self.snapshot_offset,
             snapshot_size=len(snapshot.data),
-            data=snapshot.data[self.snapshot_offset : self.snapshot_offset + SNAPSHOT_CHUNK_BYTES],
+            data=snapshot.data[self.snapshot_offset : end],
             configuration=snapshot.configuration if self.snapshot_offset == 0 else None,
         )
 
     def on_snapshot_chunk_received(self, index: int, offset: int) -> None:
-        """It has so many bytes of the snapshot up to that index."""
+        """Handle that the follower has `offset` bytes of the snapshot at `index`."""
         if index == self.snapshot_index:
-            self.snapshot_offset, self.awaiting_response = offset, False
+            self.snapshot_offset = offset
+            self.awaiting_response = False
--- a/lichencleat/consensus/raft_log.py
+++ b/lichencleat/consensus/raft_log.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from collections.abc import Iterable
-from typing import NamedTuple
+from dataclasses import dataclass
 
 import msgspec
 
@@ -13,7 +13,8 @@
 decode_configuration = msgspec.msgpack.Decoder(Configuration).decode
 
 
-class IndexedConfiguration(NamedTuple):
+@dataclass(frozen=True, slots=True)
+class IndexedConfiguration:
     """A configuration and the index of the entry that brought it."""
 
     index: int
--- a/lichencleat/testkit/simulation/variants.py
+++ b/lichencleat/testkit/simulation/variants.py
@@ -4,6 +4,8 @@
 
 from typing import Any
 
+from msgspec.structs import replace
+
 from lichencleat.consensus.messages import (
     Action,
     ActionType,
@@ -12,6 +14,7 @@
     MessageType,
     RejectReason,
 )
+from lichencleat.consensus.node_state import OutgoingMessage
 from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.consensus.role import Role
 
@@ -20,7 +23,7 @@
     """Says what rests on its term and vote before they are on the disk."""
 
     def enqueue_message(self, message: Message) -> None:
-        self.outbox.append((0, message))
+        self.outbox.append(OutgoingMessage(0, message))
 
 
 class CommitByCount(RaftNode):
@@ -43,10 +46,9 @@
 class AckBeforeFlush(RaftNode):
     """Tells the leader that it has what is not on its disk yet."""
 
-    def send_append_response(self, leader: int, round_: int) -> None:
-        self.send(
-            MessageType.APPEND_RESPONSE, leader, index=self.matched_index, read_round=round_, granted=True
-        )
+    def send_append_response(self, leader_id: int, read_round: int) -> None:
+        response = self.make_message(MessageType.APPEND_RESPONSE, leader_id)
+        self.enqueue_message(replace(response, index=self.matched_index, read_round=read_round, granted=True))
 
 
 class OwnCountsUnflushed(RaftNode):
