--- a/tests/compatibility/directories.py
+++ b/tests/compatibility/directories.py
@@ -20,11 +20,11 @@
 from twisted.python.failure import Failure
 
 from lichencleat.config_distribution.kept import made_kept
-from lichencleat.consensus.journal import Journal
+from lichencleat.consensus.identity import Incarnation, load_identity
+from lichencleat.consensus.log_storage import LogStorage
+from lichencleat.consensus.messages import Entry, Snapshot
 from lichencleat.consensus.program import distribution_parts, parts
-from lichencleat.consensus.seats import Life, wake_up
-from lichencleat.consensus.state import State
-from lichencleat.consensus.terms import Entry, Snapshot
+from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.idempotency.records import decode_entry, decode_seen, decode_whose, mark
 from lichencleat.recovery import boot, figures
 from lichencleat.store.disk import RealDisk
@@ -63,30 +63,30 @@
 # -- the replicated state --------------------------------------------------------------------------------
 
 
-def new_state(group: str) -> State:
+def new_state(group: str) -> StateMachine:
     """An empty state of a `control` or a `distribution` group."""
-    return State(PARTS[group]())
+    return StateMachine(PARTS[group]())
 
 
-def restored_state(group: str, index: int, data: bytes) -> State:
+def restored_state(group: str, index: int, data: bytes) -> StateMachine:
     """The state after the entry `index`, from its dump."""
     state = new_state(group)
     state.restore(Snapshot(index, 3, None, data))  # type: ignore[arg-type]
     return state
 
 
-def apply(state: State, index: int, entry: bytes) -> tuple[int, str]:
+def apply(state: StateMachine, index: int, entry: bytes) -> tuple[int, str]:
     """The verdict on an encoded entry, and its result's hex digits."""
     verdict, result = state.apply(index, msgspec.msgpack.decode(entry, type=Entry))
     return int(verdict), result.hex()
 
 
-def dump(state: State) -> str:
+def dump(state: StateMachine) -> str:
     """The whole state's hex digits."""
     return state.dump().hex()
 
 
-def answer(state: State, part: str, query: Any) -> str:
+def answer(state: StateMachine, part: str, query: Any) -> str:
     """Hex digits of a read's answer."""
     return msgspec.msgpack.encode(state.read(part, query)).hex()
 
@@ -97,11 +97,11 @@
 def read_member(path: Path) -> dict[str, Any]:
     """All that a member finds of itself at a start."""
     with open_engine(path) as engine:
-        durable = Journal().load(engine.get)
-        identity = wake_up(engine.get, random.Random(1), "fleet", "v1")
+        durable = LogStorage().load(engine.get)
+        identity = load_identity(engine.get, random.Random(1), "fleet", "v1")
         lives = {
             str(int.from_bytes(key[1:], "big")): msgspec.msgpack.encode(
-                msgspec.msgpack.decode(value, type=Life)
+                msgspec.msgpack.decode(value, type=Incarnation)
             )
             for key, value in engine.scan(CONSTANTS["quorum.process.LIFE"])
         }
@@ -117,7 +117,7 @@
 def state_of_member(path: Path, group: str) -> str:
     """The dump of the state that the member's snapshot and log make."""
     with open_engine(path) as engine:
-        durable = Journal().load(engine.get)
+        durable = LogStorage().load(engine.get)
     _, _, snapshot, entries = [getattr(durable, field.name) for field in dataclasses.fields(durable)]
     state = new_state(group)
     state.restore(snapshot)
