--- a/tests/compatibility/running_member.py
+++ b/tests/compatibility/running_member.py
@@ -14,11 +14,11 @@
 from twisted.internet.testing import MemoryReactorClock
 
 from lichencleat.config_distribution.voting import Voting
-from lichencleat.consensus.journal import Journal
+from lichencleat.consensus.identity import IDENTITY_KEY, Identity
+from lichencleat.consensus.log_storage import LogStorage
+from lichencleat.consensus.messages import Configuration, Member
 from lichencleat.consensus.process import Process
-from lichencleat.consensus.seats import IDENTITY, Identity
-from lichencleat.consensus.state import founded
-from lichencleat.consensus.terms import Group, Member
+from lichencleat.consensus.state_machine import bootstrap_snapshot
 from lichencleat.membership.gossip import Gossip, Send
 from lichencleat.membership.terms import Choice, Datagram, Word
 from lichencleat.store.disk import RealDisk
@@ -32,8 +32,8 @@
     engine = Engine.open(disk, lambda: NOW_US, random.Random(21), BOUNDS, create=True)
     me = Member(11, "v1", "10.0.0.1", 1, True, "north")
     identity = Identity(MARK, "fleet", "v1", 11, 4, group == "distribution")
-    founding = Journal().found(founded(Group((me,))))
-    assert engine.commit([founding.put(IDENTITY, msgspec.msgpack.encode(identity))]) == [None]
+    founding = LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((me,))))
+    assert engine.commit([founding.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))]) == [None]
     store = Store(reactor, engine, execute, execute, upkeep=False)
     serves = Voting(reactor, "v1", "north", MagicMock()) if group == "distribution" else None
     return Process(
