--- a/benchmarks/capacity/group.py
+++ b/benchmarks/capacity/group.py
@@ -23,12 +23,12 @@
 from lichencleat.consensus.messages import ActionType, Configuration, DurableState, Member, Message, Timeouts
 from lichencleat.consensus.raft_log import encode_configuration
 from lichencleat.consensus.raft_node import RaftNode
-from lichencleat.consensus.requests import decode_member_frame
+from lichencleat.consensus.requests import RaftMessageFrame, decode_member_frame
 from lichencleat.consensus.role import Role
 from lichencleat.consensus.state_machine import StateMachine, bootstrap_snapshot
 from lichencleat.testkit.cluster.relay import LOCAL
 from lichencleat.testkit.cluster.rig import Rig
-from lichencleat.transport.frames import PeerMessage, encode, encode_command
+from lichencleat.transport.frames import encode, encode_command
 from lichencleat.transport.group_client import GroupClient
 
 VOTERS = 3
@@ -98,7 +98,7 @@
 
     @staticmethod
     def carried(message: Message) -> bytes:
-        return encode(PeerMessage(MARK, message))
+        return encode(RaftMessageFrame(MARK, message))
 
     def write(self, number: int) -> None:
         what = encode_command("facts", SetCommand(f"f{number % 50}", VALUE))
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -30,6 +30,7 @@
 )
 from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.consensus.requests import (
+    RaftMessageFrame,
     decode_add_member,
     decode_member_frame,
     decode_member_id,
@@ -49,7 +50,6 @@
     ClientResponse,
     Greeting,
     GreetingResponse,
-    PeerMessage,
     encode_command,
     encode_raw,
 )
@@ -64,6 +64,7 @@
 LOOK = 0.02  # s between looks whether a start has been vouched for
 LIFE = b"l"  # a key in the store; it goes on with the seat's eight bytes
 SECOND = 1_000_000
+EXIT_HALTED = 3  # exit code: going on was not safe
 
 decode_life = msgspec.msgpack.Decoder(Incarnation).decode
 
@@ -263,11 +264,11 @@
                 self.carry_out(decision)
         except UnknownStateError as wrong:
             self.log.warning("leaves", reason=str(wrong))
-            self.end(3)
+            self.end(EXIT_HALTED)
         except Exception:
             # a state that is applied in half must not be told to anyone: it is read anew at a start
             self.log.warning("error", trace=traceback.format_exc(limit=-3).replace("\n", " | "))
-            self.end(3)
+            self.end(EXIT_HALTED)
         if self.ending:
             return
         self.serves.tell(lambda serves: serves.applied(self.state))
@@ -292,7 +293,7 @@
             assert message is not None
             way = self.outs.get(message.recipient) or self.callers.get(message.recipient)
             if way is not None:
-                way.send(PeerMessage(self.seats.cluster_id, message))
+                way.send(RaftMessageFrame(self.seats.cluster_id, message))
         elif decision.action_type is ActionType.APPLY:
             self.apply(decision)
         elif decision.action_type is ActionType.RESTORE_SNAPSHOT:
@@ -308,7 +309,7 @@
                 decision.context[1](False, decision.reason)
         elif decision.action_type is ActionType.HALT:
             self.log.warning("leaves", reason=decision.reason)
-            self.end(3)
+            self.end(EXIT_HALTED)
 
     def saved(self, number: int) -> None:
         self.voter.on_write_durable(self.now(), number)
--- a/lichencleat/consensus/requests.py
+++ b/lichencleat/consensus/requests.py
@@ -17,6 +17,12 @@
 )
 
 
+class RaftMessageFrame(PeerMessage, frozen=True, array_like=True, tag=3):
+    """A message of the consensus protocol from one member to another."""
+
+    message: Message
+
+
 class AddMemberRequest(msgspec.Struct, frozen=True, array_like=True):
     """Add a member, or give it its vote."""
 
@@ -36,7 +42,7 @@
     data: bytes
 
 
-MemberFrame = Greeting | GreetingResponse | PeerMessage[Message] | ClientRequest | ClientResponse
+MemberFrame = Greeting | GreetingResponse | RaftMessageFrame | ClientRequest | ClientResponse
 
 decode_member_frame: FrameDecoder = msgspec.msgpack.Decoder(MemberFrame).decode
 decode_add_member = msgspec.msgpack.Decoder(AddMemberRequest).decode
--- a/lichencleat/transport/frames.py
+++ b/lichencleat/transport/frames.py
@@ -7,7 +7,7 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from typing import Any, Generic, Protocol, TypeAlias, TypeVar
+from typing import Any, TypeAlias
 
 import msgspec
 
@@ -19,17 +19,6 @@
 Encodable: TypeAlias = Any  # whatever MessagePack can encode
 
 
-class AddressedMessage(Protocol):
-    """What members of a cluster send one another; the transport looks at the sender only."""
-
-    @property
-    def sender(self) -> int:
-        """The member id of the sender."""
-
-
-MessageT = TypeVar("MessageT", bound=AddressedMessage)
-
-
 class Greeting(msgspec.Struct, frozen=True, array_like=True, tag=1):
     """The first frame of a connection: who calls. It comes from a member or from a client."""
 
@@ -55,11 +44,15 @@
     supported_states: tuple[str, ...] | None = None  # as in Greeting
 
 
-class PeerMessage(msgspec.Struct, Generic[MessageT], frozen=True, array_like=True, tag=3):
-    """One member's message to another."""
+class PeerMessage(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """One member's message to another.
+
+    The members' protocol derives its own frame and gives the message its type. All that this package needs
+    of a message is its attribute `sender`, a member id.
+    """
 
     cluster_id: bytes
-    message: MessageT
+    message: Any
 
 
 class ClientRequest(msgspec.Struct, frozen=True, array_like=True, tag=4):
@@ -82,7 +75,7 @@
     may_take_effect: bool = False  # not done, and yet it may be done later
 
 
-Frame: TypeAlias = Greeting | GreetingResponse | PeerMessage[Any] | ClientRequest | ClientResponse
+Frame: TypeAlias = Greeting | GreetingResponse | PeerMessage | ClientRequest | ClientResponse
 FrameDecoder: TypeAlias = Callable[[bytes], Frame]
 
 encode = msgspec.msgpack.encode
--- a/lichencleat/transport/inbound.py
+++ b/lichencleat/transport/inbound.py
@@ -89,7 +89,7 @@
             isinstance(frame, ClientRequest) and self.is_accepted and self.open_requests < MAX_OPEN_REQUESTS
         )
 
-    def _on_peer_message(self, frame: PeerMessage[Any], greeting: Greeting) -> None:
+    def _on_peer_message(self, frame: PeerMessage, greeting: Greeting) -> None:
         is_own_cluster = bool(greeting.member_id) and frame.cluster_id == greeting.cluster_id
         if is_own_cluster and frame.message.sender == greeting.member_id:
             self.listener.owner.on_peer_message(frame.message)
--- /dev/null
+++ b/tests/compatibility/messages.py
@@ -0,0 +1,231 @@
+"""What the golden names stand for in the current tree: the one place to edit when a class moves.
+
+The keys name module, class or constant as they were at commit 3273848 and never change; the values are the
+current ones.
+"""
+
+from __future__ import annotations
+
+from enum import Enum
+from types import UnionType
+from typing import Any
+
+import msgspec
+
+from lichencleat import daemon
+from lichencleat.config_distribution import kept as distribution_kept
+from lichencleat.config_distribution import source as distribution_source
+from lichencleat.config_distribution import terms as distribution_terms
+from lichencleat.config_distribution import voting as distribution_voting
+from lichencleat.consensus import (
+    identity,
+    key_value,
+    log_storage,
+    process,
+    requests,
+    sessions,
+    state_machine,
+    supported_states,
+)
+from lichencleat.consensus import messages as consensus_messages
+from lichencleat.coordinator import states as coordinator_states
+from lichencleat.failover import state as failover_state
+from lichencleat.failover import terms as failover_terms
+from lichencleat.idempotency import records
+from lichencleat.leases import jobs
+from lichencleat.leases import terms as leases_terms
+from lichencleat.membership import terms as membership_terms
+from lichencleat.quotas import terms as quotas_terms
+from lichencleat.recovery import boot, figures
+from lichencleat.recovery import seat as recovery_seat
+from lichencleat.recovery import state as recovery_state
+from lichencleat.recovery import terms as recovery_terms
+from lichencleat.store import checkpoint, frames, segments
+from lichencleat.store import recovery as store_recovery
+from lichencleat.transport import frames as transport_frames
+from lichencleat.transport import identity as transport_identity
+from lichencleat.transport import outcomes
+
+MESSAGES: dict[str, type[msgspec.Struct]] = {
+    "distribution.kept.Head": distribution_kept.Head,
+    "distribution.source.Diff": distribution_source.Diff,
+    "distribution.source.Difference": distribution_source.Difference,
+    "distribution.source.Dumped": distribution_source.Dumped,
+    "distribution.source.Find": distribution_source.Find,
+    "distribution.source.Found": distribution_source.Found,
+    "distribution.source.Publish": distribution_source.Publish,
+    "distribution.source.Published": distribution_source.Published,
+    "distribution.source.Standing": distribution_source.Standing,
+    "distribution.source.Stands": distribution_source.Stands,
+    "distribution.terms.Batch": distribution_terms.Batch,
+    "distribution.terms.Change": distribution_terms.Change,
+    "distribution.terms.Count": distribution_terms.Count,
+    "distribution.terms.Digests": distribution_terms.Digests,
+    "distribution.terms.Fed": distribution_terms.Fed,
+    "distribution.terms.Follow": distribution_terms.Follow,
+    "distribution.terms.Pages": distribution_terms.Pages,
+    "distribution.terms.Wanted": distribution_terms.Wanted,
+    "distribution.terms.Wanting": distribution_terms.Wanting,
+    "keyed.records.Entry": records.Entry,
+    "keyed.records.Seen": records.Seen,
+    "keyed.records.Whose": records.Whose,
+    "members.terms.Datagram": membership_terms.Datagram,
+    "members.terms.Word": membership_terms.Word,
+    "owners.jobs.Dumped": jobs.Dumped,
+    "owners.terms.Candidate": leases_terms.Candidate,
+    "owners.terms.Define": leases_terms.Define,
+    "owners.terms.Done": leases_terms.Done,
+    "owners.terms.Drop": leases_terms.Drop,
+    "owners.terms.Gone": leases_terms.Gone,
+    "owners.terms.Job": leases_terms.Job,
+    "owners.terms.Leave": leases_terms.Leave,
+    "owners.terms.Move": leases_terms.Move,
+    "owners.terms.Owned": leases_terms.Owned,
+    "owners.terms.Release": leases_terms.Release,
+    "owners.terms.Renew": leases_terms.Renew,
+    "quorum.facts.Changed": key_value.SetResult,
+    "quorum.facts.Fact": key_value.KeyValueEntry,
+    "quorum.facts.Set": key_value.SetCommand,
+    "quorum.journal.Head": log_storage.SnapshotHeader,
+    "quorum.seats.Identity": identity.Identity,
+    "quorum.seats.Life": transport_identity.Incarnation,
+    "quorum.sessions.Held": sessions.SessionRecord,
+    "quorum.state.Dumped": state_machine.StateMachineDump,
+    "quorum.terms.Entry": consensus_messages.Entry,
+    "quorum.terms.Group": consensus_messages.Configuration,
+    "quorum.terms.Member": consensus_messages.Member,
+    "quorum.terms.Message": consensus_messages.Message,
+    "quorum.terms.Snapshot": consensus_messages.Snapshot,
+    "quorum.wire.Carried": requests.RaftMessageFrame,
+    "quorum.wire.Greeted": transport_frames.GreetingResponse,
+    "quorum.wire.Greeting": transport_frames.Greeting,
+    "quorum.wire.Proposal": requests.Proposal,
+    "quorum.wire.Reply": transport_frames.ClientResponse,
+    "quorum.wire.Request": transport_frames.ClientRequest,
+    "quorum.wire.WhoItIs": requests.AddMemberRequest,
+    "revive.boot.Boot": boot.Boot,
+    "revive.figures.Figures": figures.Figures,
+    "revive.state.Dumped": recovery_state.Dumped,
+    "revive.terms.Done": recovery_terms.Done,
+    "revive.terms.Forget": recovery_terms.Forget,
+    "revive.terms.Hold": recovery_terms.Hold,
+    "revive.terms.Leave": recovery_terms.Leave,
+    "revive.terms.Lost": recovery_terms.Lost,
+    "revive.terms.NewEpoch": recovery_terms.NewEpoch,
+    "revive.terms.Node": recovery_terms.Node,
+    "revive.terms.Plan": recovery_terms.Plan,
+    "revive.terms.Report": recovery_terms.Report,
+    "revive.terms.Skip": recovery_terms.Skip,
+    "revive.terms.Wave": recovery_terms.Wave,
+    "revive.terms.Word": recovery_terms.Word,
+    "shares.terms.Ask": quotas_terms.Ask,
+    "shares.terms.Deal": quotas_terms.Deal,
+    "shares.terms.Define": quotas_terms.Define,
+    "shares.terms.Done": quotas_terms.Done,
+    "shares.terms.Drop": quotas_terms.Drop,
+    "shares.terms.Forget": quotas_terms.Forget,
+    "shares.terms.Granted": quotas_terms.Granted,
+    "shares.terms.Over": quotas_terms.Over,
+    "shares.terms.Part": quotas_terms.Part,
+    "shares.terms.Pool": quotas_terms.Pool,
+    "shares.terms.Seat": quotas_terms.Seat,
+    "zones.state.Dumped": failover_state.Dumped,
+    "zones.terms.Define": failover_terms.Define,
+    "zones.terms.Done": failover_terms.Done,
+    "zones.terms.Drop": failover_terms.Drop,
+    "zones.terms.Give": failover_terms.Give,
+    "zones.terms.Learn": failover_terms.Learn,
+    "zones.terms.Order": failover_terms.Order,
+    "zones.terms.Seen": failover_terms.Seen,
+    "zones.terms.Source": failover_terms.Source,
+    "zones.terms.Tell": failover_terms.Tell,
+    "zones.terms.Unwish": failover_terms.Unwish,
+    "zones.terms.Wish": failover_terms.Wish,
+    "zones.terms.Wished": failover_terms.Wished,
+    "zones.terms.Zone": failover_terms.Zone,
+}
+
+UNIONS: dict[str, UnionType] = {
+    "quorum.wire.Frame": requests.MemberFrame,
+    "owners.terms.Command": leases_terms.Command,
+    "shares.terms.Command": quotas_terms.Command,
+    "revive.terms.Command": recovery_terms.Command,
+    "zones.terms.Command": failover_terms.Command,
+    "distribution.source.Query": distribution_source.Query,
+}
+
+ENUMS: dict[str, type[Enum]] = {
+    "distribution.terms.Say": distribution_terms.Say,
+    "keyed.records.State": records.State,
+    "members.terms.Kind": membership_terms.Kind,
+    "members.terms.State": membership_terms.State,
+    "quorum.seats.Welcome": transport_identity.GreetingResult,
+    "quorum.sessions.Verdict": outcomes.SessionOutcome,
+    "quorum.terms.Kind": consensus_messages.MessageType,
+    "quorum.terms.Reason": outcomes.RejectReason,
+    "quorum.terms.What": consensus_messages.EntryType,
+    "revive.terms.Door": recovery_terms.Door,
+    "zones.terms.Duty": failover_terms.Duty,
+}
+
+CONSTANTS: dict[str, Any] = {
+    "distribution.kept.BATCH": distribution_kept.BATCH,
+    "distribution.kept.FORMAT": distribution_kept.FORMAT,
+    "distribution.kept.HEAD": distribution_kept.HEAD,
+    "distribution.kept.PAGE": distribution_kept.PAGE,
+    "distribution.kept.RECENT_MOST": distribution_kept.RECENT_MOST,
+    "distribution.program.STOPPED": daemon.EXIT_STOPPED,
+    "distribution.program.WRONG": daemon.EXIT_CANNOT_START,
+    "distribution.terms.DIGEST": distribution_terms.DIGEST,
+    "distribution.terms.DIGESTS": distribution_terms.DIGESTS,
+    "distribution.terms.FIND": distribution_terms.FIND,
+    "distribution.terms.FOLLOW": distribution_terms.FOLLOW,
+    "distribution.terms.IN_FORCE": distribution_terms.IN_FORCE,
+    "distribution.terms.PAGES": distribution_terms.PAGES,
+    "distribution.terms.PAGES_OF": distribution_terms.PAGES_OF,
+    "distribution.voting.PART": distribution_voting.PART,
+    "keyed.records.ENTRY": records.ENTRY,
+    "keyed.records.FORMAT": records.FORMAT,
+    "keyed.records.MARK": records.MARK,
+    "keyed.records.SEEN": records.SEEN,
+    "keyed.records.WHOSE": records.WHOSE,
+    "quorum.journal.ENTRY": log_storage.ENTRY_KEY_PREFIX,
+    "quorum.journal.NO_PIECES": log_storage.NO_CHUNKS,
+    "quorum.journal.PIECE": log_storage.CHUNK_KEY_PREFIX,
+    "quorum.journal.SNAPSHOT": log_storage.SNAPSHOT_KEY,
+    "quorum.journal.TOP": log_storage.HARD_STATE_KEY,
+    "quorum.journal.UNDER_WAY": log_storage.PENDING_CHUNKS_KEY,
+    "quorum.parts.BEFORE": supported_states.LEGACY_STATES,
+    "quorum.parts.USES": supported_states.ACTIVATION_COMMAND,
+    "quorum.process.LIFE": process.LIFE,
+    "quorum.program.LEFT": process.EXIT_HALTED,
+    "quorum.program.STOPPED": daemon.EXIT_STOPPED,
+    "quorum.program.WRONG": daemon.EXIT_CANNOT_START,
+    "quorum.program.distribution_parts": list(coordinator_states.make_config_distribution_states()),
+    "quorum.program.parts": list(coordinator_states.make_control_plane_states()),
+    "quorum.seats.IDENTITY": identity.IDENTITY_KEY,
+    "quorum.terms.NOBODY": consensus_messages.NO_MEMBER,
+    "quorum.wire.FORMAT": transport_frames.FORMAT_VERSION,
+    "quorum.wire.FRAME_MOST": transport_frames.MAX_FRAME_BYTES,
+    "revive.boot.FORMAT": boot.FORMAT,
+    "revive.figures.FORMAT": figures.FORMAT,
+    "revive.seat.BOOT": recovery_seat.BOOT,
+    "revive.seat.FIGURES": recovery_seat.FIGURES,
+    "revive.terms.JOB": recovery_terms.JOB,
+    "shares.terms.RETURN": quotas_terms.RETURN,
+    "shares.terms.job_of": quotas_terms.job_of("a pool"),
+    "store.checkpoint.NAME": checkpoint.NAME,
+    "store.checkpoint.NEW": checkpoint.NEW,
+    "store.frames.BODY_BEGINS": frames.BODY_BEGINS,
+    "store.frames.FORMAT": frames.FORMAT,
+    "store.frames.LOG_MAGIC": frames.LOG_MAGIC,
+    "store.frames.MARKER": frames.MARKER,
+    "store.frames.POINT_MAGIC": frames.POINT_MAGIC,
+    "store.frames.STORE_MAGIC": frames.STORE_MAGIC,
+    "store.recovery.RESERVE": store_recovery.RESERVE,
+    "store.recovery.STORE": store_recovery.STORE,
+    "store.recovery.STORE_NEW": store_recovery.STORE_NEW,
+    "store.segments.NAME": segments.NAME,
+    "store.segments.NEW": segments.NEW,
+    "zones.terms.JOB": failover_terms.JOB,
+}
--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_frames.py
@@ -4,7 +4,7 @@
 import pytest
 
 from lichencleat.consensus.messages import Message, MessageType
-from lichencleat.consensus.requests import AddMemberRequest, Proposal, decode_member_frame
+from lichencleat.consensus.requests import AddMemberRequest, Proposal, RaftMessageFrame, decode_member_frame
 from lichencleat.transport.frames import (
     ClientRequest,
     ClientResponse,
@@ -29,7 +29,7 @@
         [2, 2, b"id", 2, "v2", [7, 9], None],
     ),
     "peer message": (
-        PeerMessage(b"id", MESSAGE),
+        RaftMessageFrame(b"id", MESSAGE),
         [3, b"id", [5, 3, 1, 2, 5, 0, 0, 0, False, False, [], 0, 0, b"", None]],
     ),
     "request": (ClientRequest(4, "read", encode_raw(["facts", "k"])), [4, 4, "read", ["facts", "k"]]),
@@ -53,7 +53,7 @@
 
 
 def test_frame_decoder_of_processes_that_are_no_members_leaves_messages_undecoded():
-    read = decode_frame(encode(PeerMessage(b"id", MESSAGE)))
+    read = decode_frame(encode(RaftMessageFrame(b"id", MESSAGE)))
     assert isinstance(read, PeerMessage) and read.message[:4] == [5, 3, 1, 2]
 
 
