--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -15,7 +15,7 @@
 from lichencleat.config_distribution.feed import Feeder
 from lichencleat.config_distribution.serving import KNOWN, Serving
 from lichencleat.config_distribution.source import Source
-from lichencleat.consensus.serves import Asks
+from lichencleat.consensus.extension import MemberView
 from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
 from lichencleat.transport.inbound import InboundConnection
@@ -60,7 +60,7 @@
 
 
 class Voting:
-    """Hangs on `quorum.process.Process`, which calls all of this; `ends` gives everything back."""
+    """Hangs on `consensus.process.MemberProcess`, which calls all of this; `close` gives everything back."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         """`host`: carries a feeder's decisions to the links, as `serving.Serving`."""
         self.reactor, self.name, self.zone, self.log, self.host = reactor, name, zone, log, host
         self.fresh = Fresh()
-        self.member: Asks | None = None
+        self.member: MemberView | None = None
         self.source: Source | None = None  # of the state that was seen last
         self.version = 0  # that the feeder knows
         self.index = 0  # applied
@@ -82,7 +82,7 @@
         self.timer: Any = None
         self.ended = False
 
-    def begins(self, member: Asks) -> None:
+    def start(self, member: MemberView) -> None:
         self.member = member
 
     def now(self) -> int:
@@ -91,7 +91,7 @@
 
     # -- what the member has ---------------------------------------------------------------------------
 
-    def applied(self, state: StateMachine) -> None:
+    def on_applied(self, state: StateMachine) -> None:
         self.index = state.applied
         self.fresh.applied(state.applied)
         source = state.states[PART]
@@ -128,7 +128,7 @@
         self.feeder.grew(self.now(), tuple(reversed(new)))
         self.serving.stir()
 
-    def word(self, commit: int) -> None:
+    def on_leader_commit(self, commit: int) -> None:
         self.fresh.word(self.now(), commit, self.index)
         self.tell_age()
 
@@ -150,24 +150,24 @@
             self.timer = self.reactor.callLater(PROVE, self.prove)
 
         if not self.ended and self.member is not None:
-            self.member.prove(told)
+            self.member.confirm_leadership(told)
 
     # -- what is asked ---------------------------------------------------------------------------------
 
-    def wants(self, what: str) -> bool:
+    def handles(self, what: str) -> bool:
         return what in KNOWN
 
-    def asked(self, link: InboundConnection, request: ClientRequest) -> None:
+    def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
         if self.serving is None:  # it does not take part yet: what it holds may be put back from a copy
             link.reply(ClientResponse(request.number, False, encode_raw(NOT_YET)))
         else:
             self.serving.asked(link, request)
 
-    def hung_up(self, link: InboundConnection) -> None:
+    def on_disconnected(self, link: InboundConnection) -> None:
         if self.serving is not None:
             self.serving.hung_up(link)
 
-    def ends(self) -> None:
+    def close(self) -> None:
         self.ended = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
--- a/lichencleat/consensus/__init__.py
+++ b/lichencleat/consensus/__init__.py
@@ -1,13 +1,15 @@
-"""A replicated log of decisions among a few voters, with any number of learners that follow it.
+"""A replicated log among a few voters, with any number of learners that follow it: Raft.
 
-Its job: a proposal that was confirmed to a client stands in the same place of every member's log for ever,
-and is applied once; while a majority of the voters can talk and write, there is a leader that takes
-proposals. It promises nothing about time while faults go on, and nothing at all on a disk that says
-"flushed" and lies, or on a voter's directory put back from a copy while the others are out of reach. By Raft
-(Ongaro and Ousterhout 2014; Ongaro's thesis 2014: pre-vote 9.6, transfer 3.10, members by single steps 4.1,
-sessions 6.3, read index 6.4).
+Guarantees: a proposal that was confirmed to a client is at the same index of every member's log for ever, and
+is applied once. While a majority of the voters can communicate and write, there is a leader that accepts
+proposals. Nothing is promised about time while faults last, nothing on a disk that reports a flush which did
+not happen, and nothing for a voter whose directory was restored from an older copy while the others are out
+of reach.
 
-Decisions, all without I/O: `voter.py` who leads and what is committed, `leading.py` what each follower is
-sent, `entries.py` the log in memory, `group.py` who counts and which change is allowed, `sessions.py` what a
-repeat is told, `seats.py` who a peer really is. Off by default; nothing else of the program imports it.
+References: Ongaro and Ousterhout 2014; Ongaro's thesis 2014 (pre-vote 9.6, leadership transfer 3.10,
+single-step membership changes 4.1, sessions 6.3, read index 6.4).
+
+Without I/O: `raft_node` (with `elector`, `follower`, `replicator` and `leader`), `raft_log`, `configuration`,
+`sessions`, `identity`, `state_machine`. With I/O: `process` and the modules that it is made of. What is
+replicated is passed in as `ReplicatedState`s by `coordinator`.
 """
--- /dev/null
+++ b/lichencleat/consensus/leader_proposals.py
@@ -0,0 +1,108 @@
+"""What a leader proposes itself: activations of states, and commands that are due from time to time."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import NamedTuple
+
+from lichencleat.consensus.raft_node import RaftNode
+from lichencleat.consensus.role import Role
+from lichencleat.consensus.state_applier import StateApplier
+from lichencleat.consensus.state_machine import Encodable, StateMachine
+from lichencleat.consensus.supported_states import ACTIVATION_COMMAND, SupportedStates
+from lichencleat.transport.frames import encode_command
+from lichencleat.transport.twisted_types import DelayedCall, ReactorClock
+
+PROPOSAL_INTERVAL_S = 0.05
+MICROSECONDS_PER_SECOND = 1_000_000
+
+
+class LeaderProposal(NamedTuple):
+    """A command that the leader proposes itself."""
+
+    state_name: str
+    command: Encodable
+
+
+# Called on the leader with its state and µs of its clock; with None once the member leads no more.
+DueProposals = Callable[[StateMachine | None, int], list[LeaderProposal]]
+
+
+def no_proposals(state_machine: StateMachine | None, now: int) -> list[LeaderProposal]:
+    """Propose nothing: the states need no commands of the leader's own."""
+    return []
+
+
+class StateActivation:
+    """Admits commands for a state once all members support it, and activates the state in the log."""
+
+    def __init__(self, node: RaftNode, applier: StateApplier, supported_states: SupportedStates) -> None:
+        """Share them with the member."""
+        self._node = node
+        self._applier = applier
+        self._supported_states = supported_states
+
+    def admit(self, state_name: str, now: int) -> str | None:
+        """Return why no command for that state can be proposed now, or None after having it activated."""
+        state_machine = self._applier.state_machine
+        if state_name in state_machine.active_states or self._node.leader_state is None:
+            return None
+        rejection = self._supported_states.rejection(
+            state_name, self._node.log.configuration, self._node.member_id
+        )
+        if rejection is not None and not state_machine.has_data(state_name, self._applier.make_states()):
+            return rejection
+        self._node.propose(now, None, encode_command(ACTIVATION_COMMAND, [state_name]))
+        return None
+
+
+class LeaderProposer:
+    """Proposes the commands that are due, some times a second while this member leads."""
+
+    def __init__(
+        self,
+        reactor: ReactorClock,
+        node: RaftNode,
+        applier: StateApplier,
+        activation: StateActivation,
+        due_proposals: DueProposals,
+        on_proposed: Callable[[], None],
+    ) -> None:
+        """`on_proposed` is called after each proposal, which the node has not handled yet."""
+        self.role = Role.FOLLOWER
+        self._reactor = reactor
+        self._node = node
+        self._applier = applier
+        self._activation = activation
+        self._due_proposals = due_proposals
+        self._on_proposed = on_proposed
+        self._timer: DelayedCall | None = None
+
+    def on_role_changed(self, role: Role) -> None:
+        """Start when this member begins to lead; tell the states once it leads no more."""
+        self.role = role
+        if self._timer is None:
+            self.propose_due()
+
+    def propose_due(self) -> None:
+        """Propose what is due, also while entries wait to be applied.
+
+        Otherwise, under load, the states would be told again and again that this member leads no more.
+        """
+        self._timer = None
+        is_leader = self.role is Role.LEADER
+        state_machine = self._applier.state_machine if is_leader else None
+        for state_name, command in self._due_proposals(state_machine, self._now()):
+            if self._activation.admit(state_name, self._now()) is None:
+                self._node.propose(self._now(), None, encode_command(state_name, command))
+                self._on_proposed()
+        if is_leader:
+            self._timer = self._reactor.callLater(PROPOSAL_INTERVAL_S, self.propose_due)
+
+    def stop(self) -> None:
+        """Propose nothing more."""
+        if self._timer is not None and self._timer.active():
+            self._timer.cancel()
+
+    def _now(self) -> int:
+        return int(self._reactor.seconds() * MICROSECONDS_PER_SECOND)
--- /dev/null
+++ b/lichencleat/consensus/peer_connections.py
@@ -0,0 +1,74 @@
+"""The connections of a member to the others of its cluster, and which one a message takes."""
+
+from __future__ import annotations
+
+import random
+
+from lichencleat.consensus.messages import Configuration, Member, Message
+from lichencleat.consensus.requests import RaftMessageFrame, decode_member_frame
+from lichencleat.transport.inbound import InboundConnection
+from lichencleat.transport.outbound import ConnectorOwner, PeerConnector
+from lichencleat.transport.twisted_types import TcpReactor
+
+
+class PeerConnections:
+    """Owns one connector for each other member of the configuration; `close` gives them back."""
+
+    def __init__(
+        self, reactor: TcpReactor, owner: ConnectorOwner, member_id: int, rng: random.Random
+    ) -> None:
+        """`member_id` is this member's own; `rng` draws the jitter of connectors."""
+        self._reactor = reactor
+        self._owner = owner
+        self._member_id = member_id
+        self._rng = rng
+        self._connectors: dict[int, PeerConnector] = {}  # by member id
+        # the last connection of each member that called: the only way to one that was just added
+        self._inbound: dict[int, InboundConnection] = {}
+        self._configuration: Configuration | None = None  # that the connectors are for
+
+    def update(self, configuration: Configuration) -> None:
+        """Connect to every other member of the configuration, and to no one else."""
+        if configuration is self._configuration:  # as nearly always
+            return
+        self._configuration = configuration
+        wanted = {
+            member.member_id: member
+            for member in configuration.members
+            if member.member_id != self._member_id
+        }
+        self._close_unwanted(wanted)
+        for member_id, member in wanted.items():
+            if member_id not in self._connectors:
+                self._connectors[member_id] = PeerConnector(
+                    self._reactor, self._owner, member, self._rng, decode_member_frame
+                )
+
+    def _close_unwanted(self, wanted: dict[int, Member]) -> None:
+        unwanted = [
+            member_id
+            for member_id, connector in self._connectors.items()
+            if connector.endpoint != wanted.get(member_id)
+        ]
+        for member_id in unwanted:
+            self._connectors.pop(member_id).close()
+
+    def send(self, cluster_id: bytes, message: Message) -> None:
+        """Send a message to its recipient; it is lost where there is no connection."""
+        connection = self._connectors.get(message.recipient) or self._inbound.get(message.recipient)
+        if connection is not None:
+            connection.send(RaftMessageFrame(cluster_id, message))
+
+    def on_member_connected(self, connection: InboundConnection, member_id: int) -> None:
+        """Note the connection of a member that called and was accepted."""
+        self._inbound[member_id] = connection
+
+    def on_disconnected(self, connection: InboundConnection, member_id: int) -> None:
+        """Forget the connection of a member that had called."""
+        if self._inbound.get(member_id) is connection:
+            del self._inbound[member_id]
+
+    def close(self) -> None:
+        """Close all connections that this member opened."""
+        for connector in self._connectors.values():
+            connector.close()
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -1,7 +1,7 @@
-"""One member as a process: the voter between its store, its links, its clients and the reactor's time.
+"""One member of a cluster as a process: its life, and the loop that carries out what the Raft node decides.
 
-It carries out what `voter.py` and `seats.py` decide. One pull of decisions is made for all that the reactor
-read in one turn. Whatever can't be written ends the process: it leaves rather than lie.
+All that the reactor read in one turn is handled in one run of the loop. What can't be written ends the
+process: it must not confirm what its disk does not hold.
 """
 
 from __future__ import annotations
@@ -9,524 +9,352 @@
 import random
 import traceback
 from collections.abc import Callable
+from dataclasses import dataclass
 from typing import Any
 
-import msgspec
 from twisted.internet.defer import Deferred
+from twisted.python.failure import Failure
 
-from lichencleat.consensus.configuration import with_member, without_member
+from lichencleat.consensus.client_requests import ClientRequests
 from lichencleat.consensus.durable_writer import DurableWriter
-from lichencleat.consensus.identity import IDENTITY_KEY, Identity, PeerIncarnations
+from lichencleat.consensus.extension import EventLog, GuardedExtension, MemberExtension
+from lichencleat.consensus.greetings import Greetings, load_incarnations
+from lichencleat.consensus.identity import Identity, PeerIncarnations
 from lichencleat.consensus.key_value import KeyValueState
-from lichencleat.consensus.log_storage import LogStorage
-from lichencleat.consensus.messages import (
-    Action,
-    ActionType,
-    Configuration,
-    Member,
-    Message,
-    MessageType,
-    Timeouts,
+from lichencleat.consensus.leader_proposals import (
+    DueProposals,
+    LeaderProposer,
+    StateActivation,
+    no_proposals,
 )
+from lichencleat.consensus.log_storage import LogStorage
+from lichencleat.consensus.member_status import Status, make_status
+from lichencleat.consensus.messages import Action, ActionType, Message, MessageType, Timeouts
+from lichencleat.consensus.peer_connections import PeerConnections
 from lichencleat.consensus.raft_node import RaftNode
-from lichencleat.consensus.requests import (
-    RaftMessageFrame,
-    decode_add_member,
-    decode_member_frame,
-    decode_member_id,
-    decode_proposal,
-    decode_read,
-)
+from lichencleat.consensus.request_contexts import LeadershipCheck
+from lichencleat.consensus.requests import decode_member_frame
 from lichencleat.consensus.role import Role
-from lichencleat.consensus.serves import Guarded, Log, Serves
-from lichencleat.consensus.state_machine import ReplicatedState, StateMachine, decode_command
-from lichencleat.consensus.supported_states import ACTIVATION_COMMAND, SupportedStates, UnknownStateError
-from lichencleat.decode_errors import UNDECODABLE
-from lichencleat.store.batch import Batch
+from lichencleat.consensus.state_applier import StateApplier, StateFactory
+from lichencleat.consensus.state_machine import ReplicatedState
+from lichencleat.consensus.supported_states import SupportedStates, UnknownStateError
 from lichencleat.store.store import Store
-from lichencleat.transport.frames import (
-    FORMAT_VERSION,
-    ClientRequest,
-    ClientResponse,
-    Greeting,
-    GreetingResponse,
-    encode_command,
-    encode_raw,
-)
-from lichencleat.transport.identity import GreetingResult, Incarnation
+from lichencleat.transport.frames import ClientRequest, Greeting, GreetingResponse
+from lichencleat.transport.identity import Incarnation
 from lichencleat.transport.inbound import InboundConnection, Listener
-from lichencleat.transport.outbound import PeerConnector
-from lichencleat.transport.outcomes import RejectReason, SessionOutcome
+from lichencleat.transport.twisted_types import DelayedCall, TcpReactor
+
+PARTICIPATION_POLL_S = 0.02  # between checks whether a start has been confirmed by the others
+MICROSECONDS_PER_SECOND = 1_000_000
+MICROSECONDS_PER_MILLISECOND = 1_000
+NONCE_BITS = 48
+EXIT_STOPPED = 0
+EXIT_HALTED = 3  # going on was not safe
 
-SNAPSHOT_EACH = 2_000  # entries applied from one dump of the state to the next: some MB of log
-SNAPSHOT_BYTES = 32 << 20  # of their data, after which one is due earlier: two lots of them are in memory
-TEND = 0.05  # s between looks at what a leader has to propose of its own
-LOOK = 0.02  # s between looks whether a start has been vouched for
-LIFE = b"l"  # a key in the store; it goes on with the seat's eight bytes
-SECOND = 1_000_000
-EXIT_HALTED = 3  # exit code: going on was not safe
 
-decode_life = msgspec.msgpack.Decoder(Incarnation).decode
+def make_key_value_states() -> dict[str, ReplicatedState]:
+    """Return the states of a group that replicates keys and values only."""
+    return {"facts": KeyValueState()}
 
 
-def life_key(seat: int) -> bytes:
-    return LIFE + seat.to_bytes(8, "big")
+@dataclass(frozen=True, slots=True)
+class MemberOptions:
+    """What a group replicates, and how a member takes part in it.
 
+    Attributes:
+        make_states: gives the empty replicated states, the same at each member.
+        due_proposals: what a leader proposes of its own.
+        timeouts: of the group, the same at each member.
+        zone: the zone that the member is in.
+        extension: answers requests outside the consensus protocol.
+    """
 
-class Process:
-    """Owns the store, the links and the timers; given back in `end` alone."""
+    make_states: StateFactory = make_key_value_states
+    due_proposals: DueProposals = no_proposals
+    timeouts: Timeouts = Timeouts()
+    zone: str = ""
+    extension: MemberExtension | None = None
+
+
+class MemberProcess:
+    """Owns the store, the connections and the timers; `end` alone gives them back."""
 
     def __init__(
         self,
-        reactor: Any,
+        reactor: TcpReactor,
         store: Store,
         identity: Identity,
         listen: tuple[str, int],
-        log: Log,
+        log: EventLog,
         rng: random.Random,
-        parts: Callable[[], dict[str, ReplicatedState]] = lambda: {"facts": KeyValueState()},
-        tend: Callable[[StateMachine | None, int], list[tuple[str, Any]]] = lambda state, now: [],
-        times: Timeouts | None = None,
-        zone: str = "",
-        serves: Serves | None = None,
+        options: MemberOptions | None = None,
     ) -> None:
-        """`identity` is confirmed on the disk. `tend`: what a leader proposes of its own, as part and
-        command, from the state and µs of its clock; asked a few times a second, and with None as state once
-        it leads no more.
+        """Load the durable state and begin to listen; `identity` is durable already.
 
-        Raises CannotListenError, DamagedError.
+        Raises:
+            CannotListenError: the address can't be listened at.
+            DamagedError: the store is damaged.
         """
-        self.reactor, self.store, self.identity, self.log, self.rng = reactor, store, identity, log, rng
-        self.parts, self.tend, self.zone = parts, tend, zone
-        self.serves = Guarded(serves, log)
-        self.state = StateMachine(parts())
-        self.known = SupportedStates(self.state.states)
-        self.journal = LogStorage()
-        get = store.engine.get
-        durable = self.journal.load(get)
-        self.saves = DurableWriter(store, self.journal, self.saved, self.disk_failed)
-        self.voter = RaftNode(identity.member_id, durable, times or Timeouts(), rng, self.now())
-        known = {int.from_bytes(key[1:], "big"): decode_life(data) for key, data in store.scan(LIFE)}
-        life = Incarnation(identity.start_count, rng.getrandbits(48))
-        self.seats = PeerIncarnations(identity.cluster_id, identity.member_id, life, known)
-        self.begun = self.now()
-        self.takes_part = False
-        self.outs: dict[int, PeerConnector] = {}
-        # the last link of each that called: a newcomer knows no other way
-        self.callers: dict[int, InboundConnection] = {}
-        self.linked: Configuration | None = None  # the group that `outs` are made for
-        self.reads: list[tuple[int, Any, Callable[..., None]]] = []
-        self.dumped: tuple[int, bytes] | None = None
-        self.since_dump = 0  # bytes of entries applied
-        self.stirred = False
-        self.timer: Any = None
-        self.looking: Any = None
-        self.ended: Deferred[int] = Deferred()
-        self.ending = self.leaving = False
-        self.counts: dict[str, int] = {}
+        options = options or MemberOptions()
+        self.reactor = reactor
+        self.identity = identity
+        self.log = log
+        self.zone = options.zone
+        self.ended: Deferred[int] = Deferred()  # fires with the exit code
+        self.is_participating = False
+        self.is_ending = False
+        self.is_leaving = False  # it stops once leadership is transferred
         self.role = Role.FOLLOWER
-        self.tending: Any = None
-        self.door = Listener(reactor, self, *listen, decode_member_frame)
-        self.relink()
-        self.serves.tell(lambda serves: serves.begins(self))
-        self.look()
+        self.counts: dict[str, int] = {}
+        self._store = store
+        self._run_is_scheduled = False
+        self._timer: DelayedCall | None = None  # for the deadline of the Raft node
+        self._participation_timer: DelayedCall | None = None
+        self._make_state(store, identity, rng, options)
+        self._make_peers(store, identity, rng)
+        self._started_at = self.now()
+        self.extension = GuardedExtension(options.extension, log)
+        self._activation = StateActivation(self.node, self.applier, self._supported_states)
+        self._requests = ClientRequests(self, self.node, self._activation)
+        self._proposer = LeaderProposer(
+            reactor, self.node, self.applier, self._activation, options.due_proposals, self._schedule_run
+        )
+        self._listener = Listener(reactor, self, *listen, decode_member_frame)
+        self._connections.update(self.node.log.configuration)
+        self.extension.notify(lambda extension: extension.start(self))
+        self._try_to_participate()
+
+    def _make_state(
+        self, store: Store, identity: Identity, rng: random.Random, options: MemberOptions
+    ) -> None:
+        """Make the Raft node from what the store holds, and what applies its entries."""
+        storage = LogStorage()
+        durable = storage.load(store.engine.get)
+        self._writer = DurableWriter(store, storage, self._on_write_durable, self.on_disk_failed)
+        self.node = RaftNode(identity.member_id, durable, options.timeouts, rng, self.now())
+        self.applier = StateApplier(options.make_states, self.node.compact)
+        self._supported_states = SupportedStates(self.applier.state_machine.states)
+
+    def _make_peers(self, store: Store, identity: Identity, rng: random.Random) -> None:
+        """Make what knows the other members and connects to them."""
+        known = load_incarnations(store)
+        incarnation = Incarnation(identity.start_count, rng.getrandbits(NONCE_BITS))
+        self._incarnations = PeerIncarnations(identity.cluster_id, identity.member_id, incarnation, known)
+        self._greetings = Greetings(
+            self, store, identity, self._incarnations, self._supported_states, self.log
+        )
+        self._connections = PeerConnections(self.reactor, self, identity.member_id, rng)
 
     def now(self) -> int:
-        return int(self.reactor.seconds() * SECOND)
-
-    def count(self, what: str) -> None:
-        self.counts[what] = self.counts.get(what, 0) + 1
-
-    # -- taking part ---------------------------------------------------------------------------------
-
-    def look(self) -> None:
-        """After a start: may this life speak for its seat yet?"""
-        self.looking = None
-        others = self.voter.voters - {self.voter.member_id}
-        if self.seats.can_participate(others, self.now() - self.begun):
-            self.takes_part = True
-            self.log.info(
-                "takes part",
-                waited_ms=(self.now() - self.begun) // 1000,
-                vouched=len(self.seats.confirmed_by),
-            )
-            self.voter.reset_election_timer(self.now())
-            self.stir()
-        else:
-            self.looking = self.reactor.callLater(LOOK, self.look)
-
-    def make_greeting(self, to: int) -> Greeting:
-        who = self.identity
-        said = who.member_name, self.known.advertised
-        return Greeting(
-            FORMAT_VERSION,
-            self.seats.cluster_id,
-            who.cluster_name,
-            who.member_id,
-            to,
-            self.seats.incarnation,
-            *said,
+        """Return µs of the monotonic clock."""
+        return int(self.reactor.seconds() * MICROSECONDS_PER_SECOND)
+
+    def count(self, event: str) -> None:
+        """Count an event that is no normal one, for the status."""
+        self.counts[event] = self.counts.get(event, 0) + 1
+
+    def make_status(self) -> Status:
+        """Return what operators are told of this member."""
+        return make_status(
+            self.identity,
+            self.zone,
+            self.node,
+            self.applier.state_machine,
+            self.is_participating,
+            self.counts,
+            self.now(),
         )
 
-    def on_greeting_response(self, seat: int, answer: GreetingResponse) -> bool:
-        """Another member's answer to this one's greeting. May messages go to it?"""
-        welcome = GreetingResult(answer.result)
-        reason = self.seats.on_greeting_reply(seat, welcome)
-        if reason is not None:
-            self.voter.halt(reason)
-            self.stir()
-        if welcome is not GreetingResult.ACCEPTED:
-            self.log.warning("turned away", by=answer.member_name, reason=welcome.log_reason)
-            return False
-        self.known.record(answer.member_id, answer.supported_states)
-        return answer.member_id == seat
-
-    def on_greeting(self, link: InboundConnection, greeting: Greeting) -> None:
-        """A member or a client says who it is; a member's life is on the disk before it is answered."""
-        if greeting.format_version != FORMAT_VERSION or greeting.cluster_name != self.identity.cluster_name:
-            self.welcome(link, GreetingResult.WRONG_CLUSTER)
+    def _try_to_participate(self) -> None:
+        """After a start, take part once the others have confirmed this incarnation."""
+        self._participation_timer = None
+        others = self.node.voters - {self.node.member_id}
+        waited_us = self.now() - self._started_at
+        if not self._incarnations.can_participate(others, waited_us):
+            self._participation_timer = self.reactor.callLater(PARTICIPATION_POLL_S, self._try_to_participate)
             return
-        if greeting.member_id == 0:
-            mine = not greeting.cluster_id or greeting.cluster_id == self.seats.cluster_id
-            self.welcome(link, GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER)
-            return
-        welcome, news = self.seats.on_greeting(
-            greeting.cluster_id, greeting.member_id, greeting.recipient, greeting.incarnation
+        self.is_participating = True
+        self.log.info(
+            "takes part",
+            waited_ms=waited_us // MICROSECONDS_PER_MILLISECOND,
+            vouched=len(self._incarnations.confirmed_by),
         )
-        if welcome is not GreetingResult.ACCEPTED:
-            self.log.warning("turns away", name=greeting.caller_name, reason=welcome.log_reason)
-            self.welcome(link, welcome)
-            return
-        self.known.record(greeting.member_id, greeting.supported_states)
-        batch = Batch()
-        if news:
-            batch.put(life_key(greeting.member_id), msgspec.msgpack.encode(greeting.incarnation))
-        if not self.seats.cluster_id and greeting.cluster_id:  # the first that calls brings the group with it
-            self.seats.cluster_id = self.identity.cluster_id = greeting.cluster_id
-            batch.put(IDENTITY_KEY, msgspec.msgpack.encode(self.identity))
-            self.log.info("joins", mark=greeting.cluster_id.hex(), by=greeting.caller_name)
-        if batch.changes:
-            told = self.store.commit(batch)
-            told.addCallbacks(lambda _: self.welcome(link, GreetingResult.ACCEPTED), self.disk_failed)
-        else:
-            self.welcome(link, GreetingResult.ACCEPTED)
-
-    def welcome(self, link: InboundConnection, welcome: GreetingResult) -> None:
-        who = self.identity
-        link.is_accepted = welcome is GreetingResult.ACCEPTED
-        if link.is_accepted and link.greeting is not None and link.greeting.member_id:
-            self.callers[link.greeting.member_id] = link
-        said = who.member_name, self.seats.incarnation, self.known.advertised
-        link.send(GreetingResponse(welcome, self.seats.cluster_id, who.member_id, *said))
-
-    def disk_failed(self, failure: Any) -> None:
-        if not self.ending:
-            self.serves.end()
-            self.voter.on_disk_failed(failure.getErrorMessage())
-            self.stir()
-
-    # -- what happened -------------------------------------------------------------------------------
+        self.node.reset_election_timer(self.now())
+        self._schedule_run()
+
+    # -- events of connections ---------------------------------------------------------------------------
+
+    def make_greeting(self, recipient: int) -> Greeting:
+        """Return the greeting for that member."""
+        return self._greetings.make_greeting(recipient)
+
+    def on_greeting_response(self, member_id: int, response: GreetingResponse) -> bool:
+        """Return whether messages may be sent to the member that was called."""
+        return self._greetings.on_response(member_id, response)
+
+    def on_greeting(self, connection: InboundConnection, greeting: Greeting) -> None:
+        """Answer whoever called."""
+        self._greetings.on_greeting(connection, greeting)
+
+    def on_member_connected(self, connection: InboundConnection, member_id: int) -> None:
+        """Note an accepted connection of another member."""
+        self._connections.on_member_connected(connection, member_id)
 
     def on_peer_message(self, message: Message) -> None:
-        if self.takes_part:  # else it is lost, as on a link that is not up yet
-            self.voter.receive(self.now(), message)
-            if message.message_type == MessageType.APPEND and message.term == self.voter.term:
-                self.serves.tell(lambda serves: serves.word(message.commit))
-            self.stir()
-
-    def on_link_lost(self, seat: int) -> None:
-        self.voter.on_link_lost(seat)
-        self.stir()
-
-    def on_disconnected(self, link: InboundConnection, seat: int) -> None:
-        self.serves.tell(lambda serves: serves.hung_up(link))
-        if self.callers.get(seat) is link:
-            del self.callers[seat]
-
-    def wake(self) -> None:
-        self.timer = None
-        self.voter.on_timer(self.now())
-        self.stir()
-
-    def stir(self) -> None:
-        if not self.stirred and not self.ending:
-            self.stirred = True
-            self.reactor.callLater(0, self.pull)
-
-    # -- decisions -----------------------------------------------------------------------------------
-
-    def pull(self) -> None:
-        self.stirred = False
-        if self.ending or not self.takes_part:
+        """Give a message to the Raft node; before it participates, messages are dropped."""
+        if not self.is_participating:
+            return
+        self.node.receive(self.now(), message)
+        if message.message_type == MessageType.APPEND and message.term == self.node.term:
+            self.extension.notify(lambda extension: extension.on_leader_commit(message.commit))
+        self._schedule_run()
+
+    def on_request(self, connection: InboundConnection, request: ClientRequest) -> None:
+        """Give a request to the extension, where it is one for it, or else carry it out."""
+        if self.extension.handles(request.operation):
+            self.extension.notify(lambda extension: extension.on_request(connection, request))
+            return
+        self._requests.on_request(connection, request)
+        self._schedule_run()
+
+    def on_link_lost(self, member_id: int) -> None:
+        """Have the Raft node probe that member again."""
+        self.node.on_link_lost(member_id)
+        self._schedule_run()
+
+    def on_disconnected(self, connection: InboundConnection, member_id: int) -> None:
+        """Forget a connection that had greeted."""
+        self.extension.notify(lambda extension: extension.on_disconnected(connection))
+        self._connections.on_disconnected(connection, member_id)
+
+    def confirm_leadership(self, on_result: Callable[[bool], None]) -> None:
+        """Check that this member leads; see `extension.MemberView`."""
+        self.node.read(self.now(), LeadershipCheck(on_result))
+        self._schedule_run()
+
+    # -- events of the disk and the clock ----------------------------------------------------------------
+
+    def _on_write_durable(self, number: int) -> None:
+        self.node.on_write_durable(self.now(), number)
+        self._schedule_run()
+
+    def on_disk_failed(self, failure: Failure) -> None:
+        """Answer nothing more, and halt in the next run of the loop."""
+        if self.is_ending:
+            return
+        self.extension.close()
+        self.node.on_disk_failed(failure.getErrorMessage())
+        self._schedule_run()
+
+    def halt(self, reason: str) -> None:
+        """Halt in the next run of the loop."""
+        self.node.halt(reason)
+        self._schedule_run()
+
+    def _on_timer(self) -> None:
+        self._timer = None
+        self.node.on_timer(self.now())
+        self._schedule_run()
+
+    # -- the loop ----------------------------------------------------------------------------------------
+
+    def _schedule_run(self) -> None:
+        if not self._run_is_scheduled and not self.is_ending:
+            self._run_is_scheduled = True
+            self.reactor.callLater(0, self._run)
+
+    def _run(self) -> None:
+        """Carry out all actions of the Raft node, then answer what they made ready."""
+        self._run_is_scheduled = False
+        if self.is_ending or not self.is_participating:
             return
+        self._execute_actions()
+        if self.is_ending:
+            return
+        self.extension.notify(lambda extension: extension.on_applied(self.applier.state_machine))
+        self.applier.answer_reads()
+        self._connections.update(self.node.log.configuration)
+        self._on_role_checked()
+        self._arm_timer()
+
+    def _execute_actions(self) -> None:
         try:
-            while not self.ending and (decision := self.voter.next_action()) is not None:
-                self.carry_out(decision)
-        except UnknownStateError as wrong:
-            self.log.warning("leaves", reason=str(wrong))
+            while not self.is_ending and (action := self.node.next_action()) is not None:
+                self._execute(action)
+        except UnknownStateError as error:
+            self.log.warning("leaves", reason=str(error))
             self.end(EXIT_HALTED)
-        except Exception:
-            # a state that is applied in half must not be told to anyone: it is read anew at a start
+        except Exception:  # noqa: BLE001  # a half applied state must not be shown: a start reads it anew
             self.log.warning("error", trace=traceback.format_exc(limit=-3).replace("\n", " | "))
             self.end(EXIT_HALTED)
-        if self.ending:
-            return
-        self.serves.tell(lambda serves: serves.applied(self.state))
-        self.answer_reads()
-        self.relink()
-        self.tell_role()
-        self.arm()
-
-    def arm(self) -> None:
-        if self.timer is not None:
-            self.timer.cancel()
-        left = self.voter.deadline() - self.now()
-        self.timer = self.reactor.callLater(max(0, left) / SECOND, self.wake)
-
-    def carry_out(self, decision: Action) -> None:
-        if decision.action_type is ActionType.WRITE:
-            save = decision.write
-            assert save is not None
-            self.saves.write(save)
-        elif decision.action_type is ActionType.SEND:
-            message = decision.message
-            assert message is not None
-            way = self.outs.get(message.recipient) or self.callers.get(message.recipient)
-            if way is not None:
-                way.send(RaftMessageFrame(self.seats.cluster_id, message))
-        elif decision.action_type is ActionType.APPLY:
-            self.apply(decision)
-        elif decision.action_type is ActionType.RESTORE_SNAPSHOT:
-            assert decision.snapshot is not None
-            self.state = StateMachine(self.parts())
-            self.state.restore(decision.snapshot)
-            self.dumped, self.since_dump = None, 0
-        elif decision.action_type is ActionType.SERVE_READ:
-            query, answer = decision.context
-            self.reads.append((decision.index, query, answer))
-        elif decision.action_type is ActionType.REJECT:
-            if decision.context is not None:  # else a proposal of its own, as a leader that is one no more
-                decision.context[1](False, decision.reason)
-        elif decision.action_type is ActionType.HALT:
-            self.log.warning("leaves", reason=decision.reason)
-            self.end(EXIT_HALTED)
 
-    def saved(self, number: int) -> None:
-        self.voter.on_write_durable(self.now(), number)
-        self.stir()
-
-    def apply(self, decision: Action) -> None:
-        assert decision.entry is not None
-        verdict, result = self.state.apply(decision.index, decision.entry)
-        if decision.context is not None:
-            decision.context[1](True, verdict, result)
-        self.since_dump += len(decision.entry.data)
-        if decision.index % SNAPSHOT_EACH == 0 or self.since_dump >= SNAPSHOT_BYTES:
-            # the dump before: what came since stays for slow followers
-            if self.dumped is not None:
-                self.voter.compact(*self.dumped)
-            self.dumped, self.since_dump = (decision.index, self.state.dump()), 0
-
-    def answer_reads(self) -> None:
-        ready = [each for each in self.reads if each[0] <= self.state.applied]
-        if ready:
-            self.reads = [each for each in self.reads if each[0] > self.state.applied]
-            for _, (part, query), answer in ready:
-                answer(True, SessionOutcome.DONE, encode_raw(self.state.read(part, query)))
-
-    def relink(self) -> None:
-        """A link to every member of the group as it stands now."""
-        group = self.voter.log.configuration
-        if group is self.linked:  # as at nearly every pull
-            return
-        self.linked = group
-        wanted = {each.member_id: each for each in group.members if each.member_id != self.voter.member_id}
-        for seat in [each for each in self.outs if self.outs[each].endpoint != wanted.get(each)]:
-            self.outs.pop(seat).close()
-        for seat, member in wanted.items():
-            if seat not in self.outs:
-                self.outs[seat] = PeerConnector(self.reactor, self, member, self.rng, decode_member_frame)
-
-    def tell_role(self) -> None:
-        if self.voter.role is not self.role:
-            if Role.LEADER in (self.role, self.voter.role):
-                self.log.info(
-                    "leads" if self.voter.role is Role.LEADER else "leads no more", term=self.voter.term
-                )
-            self.role = self.voter.role
-            if self.leaving:  # it has handed over
-                self.end(0)
-                return
-            if self.tending is None:
-                self.look_after()
-
-    def look_after(self) -> None:
-        """While it leads, whatever the state needs from time to time."""
-        self.tending = None
-        if self.ending:
+    def _execute(self, action: Action) -> None:
+        match action.action_type:
+            case ActionType.WRITE:
+                assert action.write is not None
+                self._writer.write(action.write)
+            case ActionType.SEND:
+                assert action.message is not None
+                self._connections.send(self._incarnations.cluster_id, action.message)
+            case ActionType.APPLY:
+                self.applier.apply(action)
+            case ActionType.RESTORE_SNAPSHOT:
+                self.applier.restore(action)
+            case ActionType.SERVE_READ:
+                self.applier.add_read(action.index, action.context)
+            case ActionType.REJECT:
+                if action.context is not None:  # None: the leader's own proposal, which nobody waits for
+                    action.context.on_rejected(action.reason)
+            case ActionType.HALT:
+                self.log.warning("leaves", reason=action.reason)
+                self.end(EXIT_HALTED)
+
+    def _on_role_checked(self) -> None:
+        """Act on a change of this member's role."""
+        role = self.node.role
+        if role is self.role:
             return
-        # also where entries wait to be applied: else under load the tender would begin anew at almost every
-        # look
-        leads = self.role is Role.LEADER
-        for part, what in self.tend(self.state if leads else None, self.now()):
-            if self.objection(part) is None:
-                self.voter.propose(self.now(), None, encode_command(part, what))
-                self.stir()
-        if self.role is Role.LEADER:
-            self.tending = self.reactor.callLater(TEND, self.look_after)
-
-    def objection(self, part: str) -> str | None:
-        """Why nothing can be decided on that part now. Where it can, the log says that it is used."""
-        if part in self.state.active_states or self.voter.leader_state is None:
-            return None
-        why = self.known.rejection(part, self.voter.log.configuration, self.voter.member_id)
-        if why is not None and not self.state.has_data(part, self.parts()):
-            return why
-        self.voter.propose(self.now(), None, encode_command(ACTIVATION_COMMAND, [part]))
-        return None
-
-    # -- clients -------------------------------------------------------------------------------------
-
-    def mark(self) -> bytes:
-        return self.seats.cluster_id
-
-    def prove(self, told: Callable[[bool], None]) -> None:
-        """As `serves.Asks`: a read of nothing, whose round shows that this one leads."""
-        self.voter.read(self.now(), (("", None), lambda done, *_: told(done)))
-        self.stir()
-
-    def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
-        if self.serves.wants(request.operation):
-            self.serves.tell(lambda serves: serves.asked(link, request))
+        if Role.LEADER in (self.role, role):
+            self.log.info("leads" if role is Role.LEADER else "leads no more", term=self.node.term)
+        self.role = role
+        if self.is_leaving:  # leadership is transferred
+            self.end(EXIT_STOPPED)
             return
+        self._proposer.on_role_changed(role)
 
-        def answer(done: bool, what: Any = None, result: bytes = b"") -> None:
-            leader = self.leader()
-            link.reply(
-                ClientResponse(
-                    request.number,
-                    done and what is SessionOutcome.DONE,
-                    msgspec.Raw(result)
-                    if result
-                    else encode_raw(
-                        what.value if isinstance(what, RejectReason) else getattr(what, "name", what)
-                    ),
-                    leader.member_id if leader else 0,
-                    leader.host if leader else "",
-                    leader.port if leader else 0,
-                    what is RejectReason.LEADERSHIP_LOST or what is SessionOutcome.UNKNOWN_SESSION,
-                )
-            )
+    def _arm_timer(self) -> None:
+        if self._timer is not None:
+            self._timer.cancel()
+        delay_us = max(0, self.node.deadline() - self.now())
+        self._timer = self.reactor.callLater(delay_us / MICROSECONDS_PER_SECOND, self._on_timer)
 
-        try:
-            self.ask(request, answer)
-        except UNDECODABLE:
-            self.count("requests that can't be read")
-            answer(False, RejectReason.INVALID_REQUEST)
-        self.stir()
-
-    def leader(self) -> Member | None:
-        return next(
-            (each for each in self.voter.log.configuration.members if each.member_id == self.voter.leader_id),
-            None,
-        )
-
-    def ask(self, request: ClientRequest, answer: Callable[..., None]) -> None:
-        now, voter, content = self.now(), self.voter, request.content
-        ticket = (request.operation, answer)
-        if request.operation == "status":
-            answer(True, SessionOutcome.DONE, encode_raw(self.status()))
-        elif not self.takes_part:
-            answer(False, RejectReason.NOT_LEADER)
-        elif request.operation == "open":
-            voter.propose_session(now, ticket)
-        elif request.operation == "propose":
-            proposal = decode_proposal(content)
-            if (objection := self.objection(decode_command(proposal.data)[0])) is not None:
-                answer(False, objection)
-            else:
-                voter.propose(now, ticket, proposal.data, proposal.session_id, proposal.sequence)
-        elif request.operation == "read":
-            voter.read(now, (decode_read(content), answer))
-        elif request.operation == "add":
-            who = decode_add_member(content)
-            member = Member(who.member_id, who.name, who.host, who.port, who.is_voter, who.zone)
-            voter.change_configuration(now, ticket, with_member(voter.log.configuration, member))
-        elif request.operation == "remove":
-            voter.change_configuration(
-                now, ticket, without_member(voter.log.configuration, decode_member_id(content))
-            )
-        elif request.operation == "transfer":
-            moving = voter.transfer_leadership(now, decode_member_id(content))
-            answer(
-                moving,
-                SessionOutcome.DONE if moving else voter.proposal_rejection() or RejectReason.INVALID_REQUEST,
-                encode_raw(True) if moving else b"",
-            )
-        else:
-            answer(False, RejectReason.INVALID_REQUEST)
-
-    def status(self) -> dict[str, Any]:
-        voter = self.voter
-        lead = voter.leader_state
-        return {
-            "member": self.identity.member_name,
-            "seat": self.identity.member_id,
-            "group": self.seats.cluster_id.hex(),
-            "start": self.identity.start_count,
-            "zone": self.zone,
-            "parts": sorted(self.state.states),
-            "used": sorted(self.state.active_states),
-            "role": voter.role.value if self.takes_part else "waits",
-            "term": voter.term,
-            "leader": voter.leader_id,
-            "last": voter.log.last_index,
-            "commit": voter.commit_index,
-            "applied": self.state.applied,
-            "snapshot": voter.log.snapshot_index,
-            "members": [
-                {
-                    "seat": each.member_id,
-                    "name": each.name,
-                    "address": f"{each.host}:{each.port}",
-                    "zone": each.zone,
-                    "votes": each.is_voter,
-                    "has": lead.progress[each.member_id].match_index
-                    if lead and each.member_id in lead.progress
-                    else None,
-                    "heard_ms": (self.now() - lead.progress[each.member_id].last_response_at) // 1000
-                    if lead and each.member_id in lead.progress
-                    else None,
-                }
-                for each in voter.log.configuration.members
-            ],
-            "counts": self.counts,
-        }
-
-    # -- ending --------------------------------------------------------------------------------------
+    # -- the end -----------------------------------------------------------------------------------------
 
     def leave(self) -> None:
-        """The notice to leave: a leader hands over first, as long as that takes at the most."""
-        lead = self.voter.leader_state
-        heirs = sorted(self.voter.voters - {self.voter.member_id})
-        if lead is not None and heirs and not lead.transfer:
-            best = max(heirs, key=lead.match_index)
-            self.leaving = True
-            self.voter.transfer_leadership(self.now(), best)
-            self.stir()
-            self.reactor.callLater(self.voter.timeouts.transfer_timeout_us / SECOND, self.end, 0)
-        else:
-            self.end(0)
-
-    def end(self, code: int) -> None:
-        if self.ending:
+        """Stop gracefully: a leader transfers its leadership first, within the transfer timeout."""
+        leader_state = self.node.leader_state
+        candidates = sorted(self.node.voters - {self.node.member_id})
+        if leader_state is None or not candidates or leader_state.transfer:
+            self.end(EXIT_STOPPED)
+            return
+        target = max(candidates, key=leader_state.match_index)
+        self.is_leaving = True
+        self.node.transfer_leadership(self.now(), target)
+        self._schedule_run()
+        timeout_s = self.node.timeouts.transfer_timeout_us / MICROSECONDS_PER_SECOND
+        self.reactor.callLater(timeout_s, self.end, EXIT_STOPPED)
+
+    def end(self, exit_code: int) -> None:
+        """Give everything back; `ended` fires once the store is closed. Only the first call counts."""
+        if self.is_ending:
             return
-        self.ending = True
-        self.serves.end()
-        for timer in (self.timer, self.looking, self.tending):
+        self.is_ending = True
+        self.extension.close()
+        for timer in (self._timer, self._participation_timer):
             if timer is not None and timer.active():
                 timer.cancel()
-        for each in self.outs.values():
-            each.close()
-        self.door.close()
-        self.store.close().addBoth(lambda _: self.ended.callback(code))
+        self._proposer.stop()
+        self._connections.close()
+        self._listener.close()
+        closed: Deferred[Any] = self._store.close()
+        closed.addBoth(lambda _: self.ended.callback(exit_code))
--- a/lichencleat/coordinator/candidate_expiry.py
+++ b/lichencleat/coordinator/candidate_expiry.py
@@ -2,8 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Any
-
+from lichencleat.consensus.leader_proposals import LeaderProposal
 from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.coordinator.states import LEASES
 from lichencleat.leases.expiry import Expiry
@@ -16,8 +15,8 @@
     def __init__(self) -> None:
         self._expiry = Expiry()
 
-    def propose_expired(self, state: StateMachine | None, now: int) -> list[tuple[str, Any]]:
-        """Return the commands that are due, each with the name of its state.
+    def propose_expired(self, state: StateMachine | None, now: int) -> list[LeaderProposal]:
+        """Return the commands that are due.
 
         Args:
             state: of the group; None once this member leads no more.
@@ -28,4 +27,4 @@
             return []
         leases = state.states[LEASES]
         assert isinstance(leases, Jobs)
-        return [(LEASES, command) for command in self._expiry.due(now, leases.candidates)]
+        return [LeaderProposal(LEASES, command) for command in self._expiry.due(now, leases.candidates)]
--- a/lichencleat/coordinator/daemon.py
+++ b/lichencleat/coordinator/daemon.py
@@ -4,7 +4,7 @@
 
 import os
 import random
-from collections.abc import Callable, Generator
+from collections.abc import Generator
 from typing import Any
 
 import msgspec
@@ -12,9 +12,7 @@
 from twisted.internet.error import CannotListenError
 
 from lichencleat.consensus.identity import IDENTITY_KEY, Identity, load_identity
-from lichencleat.consensus.process import Process
-from lichencleat.consensus.serves import Serves
-from lichencleat.consensus.state_machine import ReplicatedState, StateMachine
+from lichencleat.consensus.process import MemberOptions, MemberProcess
 from lichencleat.coordinator import states
 from lichencleat.coordinator.candidate_expiry import CandidateExpiryProposer
 from lichencleat.coordinator.settings import QuorumSettings, host_port
@@ -51,7 +49,7 @@
         self._reactor = reactor
         self._settings = settings
         self._rng = random.Random(os.urandom(16))
-        self._process: Process | None = None
+        self._process: MemberProcess | None = None
         self._stop_requested = False
 
     @inlineCallbacks
@@ -107,31 +105,34 @@
         yield store.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))
         return identity
 
-    def _make_process(self, store: Store, identity: Identity) -> Process:
+    def _make_process(self, store: Store, identity: Identity) -> MemberProcess:
         settings = self._settings
         assert settings.listen is not None
-        make_states: Callable[[], dict[str, ReplicatedState]] = states.make_control_plane_states
-        propose: Callable[[StateMachine | None, int], list[tuple[str, Any]]]
-        propose = CandidateExpiryProposer().propose_expired
-        serves: Serves | None = None
-        if settings.distribution:
-            from lichencleat.config_distribution.voting import Voting  # other groups don't load it
-
-            make_states = states.make_config_distribution_states
-            propose = _propose_nothing
-            serves = Voting(self._reactor, identity.member_name, settings.zone, self.log)
-        return Process(
+        return MemberProcess(
             self._reactor,
             store,
             identity,
             host_port(settings.listen),
             self.log,
             self._rng,
-            make_states,
-            propose,
-            settings.times.to_timeouts(),
-            settings.zone,
-            serves,
+            self._make_options(identity),
+        )
+
+    def _make_options(self, identity: Identity) -> MemberOptions:
+        settings = self._settings
+        timeouts = settings.times.to_timeouts()
+        if not settings.distribution:
+            due_proposals = CandidateExpiryProposer().propose_expired
+            return MemberOptions(
+                states.make_control_plane_states, due_proposals, timeouts, zone=settings.zone
+            )
+        from lichencleat.config_distribution.voting import Voting  # other groups don't load it
+
+        return MemberOptions(
+            states.make_config_distribution_states,
+            timeouts=timeouts,
+            zone=settings.zone,
+            extension=Voting(self._reactor, identity.member_name, settings.zone, self.log),
         )
 
     def _stop(self, exit_code: int, reason: str = "") -> None:
@@ -143,10 +144,6 @@
         self._reactor.callLater(0, self._reactor.stop)
 
 
-def _propose_nothing(state: StateMachine | None, now: int) -> list[tuple[str, Any]]:
-    return []
-
-
 def run_coordinator(settings: QuorumSettings) -> int:
     """Run one member until it stops.
 
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -18,6 +18,7 @@
 from lichencleat.config_distribution import terms as distribution_terms
 from lichencleat.config_distribution import voting as distribution_voting
 from lichencleat.consensus import (
+    greetings,
     identity,
     key_value,
     log_storage,
@@ -197,7 +198,7 @@
     "quorum.journal.UNDER_WAY": log_storage.PENDING_CHUNKS_KEY,
     "quorum.parts.BEFORE": supported_states.LEGACY_STATES,
     "quorum.parts.USES": supported_states.ACTIVATION_COMMAND,
-    "quorum.process.LIFE": process.LIFE,
+    "quorum.process.LIFE": greetings.INCARNATION_KEY_PREFIX,
     "quorum.program.LEFT": process.EXIT_HALTED,
     "quorum.program.STOPPED": daemon.EXIT_STOPPED,
     "quorum.program.WRONG": daemon.EXIT_CANNOT_START,
--- a/tests/compatibility/running_member.py
+++ b/tests/compatibility/running_member.py
@@ -17,7 +17,7 @@
 from lichencleat.consensus.identity import IDENTITY_KEY, Identity
 from lichencleat.consensus.log_storage import LogStorage
 from lichencleat.consensus.messages import Configuration, Member
-from lichencleat.consensus.process import Process
+from lichencleat.consensus.process import MemberOptions, MemberProcess
 from lichencleat.consensus.state_machine import bootstrap_snapshot
 from lichencleat.membership.gossip import Gossip, Send
 from lichencleat.membership.terms import Choice, Datagram, Word
@@ -26,7 +26,7 @@
 from lichencleat.store.store import Store
 
 
-def start_member(reactor: MemoryReactorClock, path: Path, group: str) -> Process:
+def start_member(reactor: MemoryReactorClock, path: Path, group: str) -> MemberProcess:
     """The only voter of a new group."""
     disk = RealDisk(str(path), create=True)
     engine = Engine.open(disk, lambda: NOW_US, random.Random(21), BOUNDS, create=True)
@@ -35,17 +35,19 @@
     founding = LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((me,))))
     assert engine.commit([founding.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))]) == [None]
     store = Store(reactor, engine, execute, execute, upkeep=False)
-    serves = Voting(reactor, "v1", "north", MagicMock()) if group == "distribution" else None
-    return Process(
+    extension = Voting(reactor, "v1", "north", MagicMock()) if group == "distribution" else None
+    return MemberProcess(
         reactor,
         store,
         identity,
         ("127.0.0.1", 1),
         MagicMock(),
         random.Random(22),
-        PARTS["distribution" if group == "distribution" else "control"],
-        zone="north",
-        serves=serves,
+        MemberOptions(
+            PARTS["distribution" if group == "distribution" else "control"],
+            zone="north",
+            extension=extension,
+        ),
     )
 
 
--- a/tests/config_distribution/test_source.py
+++ b/tests/config_distribution/test_source.py
@@ -10,8 +10,8 @@
 from lichencleat.config_distribution.source import Diff, Find, Publish, Published, Source, Stands
 from lichencleat.config_distribution.terms import BATCH_MOST, FIND, FOLLOW, IN_FORCE, Change, Follow, Say
 from lichencleat.config_distribution.voting import DOUBT, SILENCE, Fresh, Voting
+from lichencleat.consensus.extension import GuardedExtension
 from lichencleat.consensus.messages import Configuration, Entry, EntryType, Member, Snapshot
-from lichencleat.consensus.serves import Guarded
 from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.transport.frames import ClientRequest, encode_command, encode_raw
 
@@ -239,8 +239,8 @@
     def mark(self):
         return b"mark"
 
-    def prove(self, told):
-        self.proofs.append(told)
+    def confirm_leadership(self, on_result):
+        self.proofs.append(on_result)
 
 
 class Later:
@@ -255,10 +255,10 @@
 def serving(index=0, source=None):
     member, later = Seat(), Later()
     voting = Voting(later, "v1", "z1", None, Host)
-    voting.begins(member)
+    voting.start(member)
     state = StateMachine({"distribution": source or Source()})
     state.applied = index
-    voting.applied(state)
+    voting.on_applied(state)
     return voting, member, later, state
 
 
@@ -279,14 +279,14 @@
         state.apply(
             index, Entry(1, EntryType.COMMAND, encode_command("distribution", one_change(b"%d" % index)))
         )
-    voting.applied(state)  # two entries in one pull
+    voting.on_applied(state)  # two entries in one pull
     told = fed(voting, member, 0, nothing)
     assert told.say == Say.NEWS and [each.version for each in told.batches] == [3, 4]
     later = Source()
     publish(later, 20, ("tenant", "b", b"9"))
     publish(later, 30, ("tenant", "c", b"9"))
     restored = StateMachine({"distribution": copied(later)})
-    voting.applied(restored)
+    voting.on_applied(restored)
     told = fed(voting, member, 20, later.window[0].batch.digest)
     assert told.say == Say.NEWS and (told.version, told.digest) == (30, later.table.digest)
     assert voting.feeder.table.find("tenant", "a") is None
@@ -329,14 +329,19 @@
 
 def test_before_it_takes_part_and_after_its_end_a_voter_answers_nothing():
     voting = Voting(Later(), "v1", "z1", None, Host)
-    voting.begins(Seat())
+    voting.start(Seat())
     replies = []
     link = SimpleNamespace(reply=replies.append)
-    assert voting.wants(FOLLOW) and voting.wants(FIND) and voting.wants(IN_FORCE) and not voting.wants("read")
-    voting.asked(link, ClientRequest(4, FOLLOW, encode_raw([0, b"", []])))
+    assert (
+        voting.handles(FOLLOW)
+        and voting.handles(FIND)
+        and voting.handles(IN_FORCE)
+        and not voting.handles("read")
+    )
+    voting.on_request(link, ClientRequest(4, FOLLOW, encode_raw([0, b"", []])))
     assert (replies[0].number, replies[0].done, replies[0].content) == (4, False, encode_raw("nothing here"))
     voting, member, later, _ = serving()
-    voting.ends()
+    voting.close()
     assert voting.serving.closed
     member.proofs.pop()(True)
     assert not later.calls  # nor does it ask on
@@ -346,11 +351,11 @@
     told = []
     log = SimpleNamespace(warning=lambda event, **fields: told.append((event, fields)))
     voting, *_ = serving()
-    guarded = Guarded(voting, log)
-    guarded.tell(lambda serves: serves.word(0))
-    assert guarded.wants(FOLLOW) and not told
-    guarded.tell(lambda serves: 1 // 0)
-    assert not guarded.wants(FOLLOW) and voting.ended and "ZeroDivisionError" in told[0][1]["trace"]
-    guarded.tell(lambda serves: 1 // 0)
-    guarded.end()
+    guarded = GuardedExtension(voting, log)
+    guarded.notify(lambda extension: extension.on_leader_commit(0))
+    assert guarded.handles(FOLLOW) and not told
+    guarded.notify(lambda extension: 1 // 0)
+    assert not guarded.handles(FOLLOW) and voting.ended and "ZeroDivisionError" in told[0][1]["trace"]
+    guarded.notify(lambda extension: 1 // 0)
+    guarded.close()
     assert len(told) == 1
--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -11,12 +11,13 @@
 from lichencleat.config_distribution.source import Publish, Source
 from lichencleat.config_distribution.terms import Change, Follow, Say, decode_fed
 from lichencleat.config_distribution.voting import Voting
+from lichencleat.consensus.extension import GuardedExtension
 from lichencleat.consensus.identity import Identity, load_identity
+from lichencleat.consensus.leader_proposals import LeaderProposer
 from lichencleat.consensus.log_storage import LogStorage
 from lichencleat.consensus.messages import Action, ActionType, Configuration, Member, Message, MessageType
-from lichencleat.consensus.process import Process
+from lichencleat.consensus.process import MemberOptions, MemberProcess
 from lichencleat.consensus.role import Role
-from lichencleat.consensus.serves import Guarded
 from lichencleat.consensus.state_machine import bootstrap_snapshot
 from lichencleat.coordinator.states import make_config_distribution_states
 from lichencleat.store.engine import Engine
@@ -58,22 +59,22 @@
     assert "closed" in str(told[1])
 
 
-def test_a_leader_tends_its_state_also_while_entries_wait_to_be_applied():
-    process, seen = Process.__new__(Process), []
-    process.reactor, process.ending, process.role = MemoryReactorClock(), False, Role.LEADER
-    process.state, process.tend = SimpleNamespace(applied=1), lambda state, now: seen.append(state) or []
-    process.voter = SimpleNamespace(commit_index=2)
-    process.look_after()
-    process.reactor.advance(1)
-    assert seen[:2] == [process.state, process.state]
-    process.role = Role.FOLLOWER
-    process.look_after()
-    assert seen[-1] is None and process.tending is None
+def test_a_leader_proposes_what_is_due_also_while_entries_wait_to_be_applied():
+    reactor, seen = MemoryReactorClock(), []
+    state, node = SimpleNamespace(applied=1), SimpleNamespace(commit_index=2)
+    applier = SimpleNamespace(state_machine=state)
+    proposer = LeaderProposer(reactor, node, applier, None, lambda state, now: seen.append(state) or [], None)
+    proposer.on_role_changed(Role.LEADER)
+    reactor.advance(1)
+    assert seen[:2] == [state, state]
+    proposer.role = Role.FOLLOWER
+    proposer.propose_due()
+    assert seen[-1] is None and proposer._timer is None
 
 
 def test_a_leader_s_own_proposal_that_is_refused_has_nobody_to_be_told():
     assert (
-        Process.carry_out(None, Action(ActionType.REJECT, context=None, reason=RejectReason.NOT_LEADER))
+        MemberProcess._execute(None, Action(ActionType.REJECT, context=None, reason=RejectReason.NOT_LEADER))
         is None
     )
 
@@ -117,16 +118,14 @@
     )
     voting = Voting(reactor, "v1", "z1", log)
     identity = Identity(b"mark", "g", "v1", 5, 1)
-    process = Process(
+    process = MemberProcess(
         reactor,
         store,
         identity,
         ("127.0.0.1", 1),
         log,
         random.Random(1),
-        make_config_distribution_states,
-        zone="z1",
-        serves=voting,
+        MemberOptions(make_config_distribution_states, zone="z1", extension=voting),
     )
     return process, said
 
@@ -171,7 +170,7 @@
     run_on(reactor, 0.1)
     assert decode(link.replies[3].content)["version"] == news.version
     process.on_disconnected(link, 0)
-    assert process.serves.serves.feeder.in_force(process.now())["subscribers"] == 0
+    assert process.extension.extension.feeder.in_force(process.now())["subscribers"] == 0
     process.end(0)
 
 
@@ -182,13 +181,13 @@
     publish(process, reactor, client, "a", 1)
     follow(process, link, 1, digest=Source().table.digest)
     run_on(reactor, 0.1)
-    assert len(link.replies) == 1 and process.serves.wants("follow")
-    process.disk_failed(Failure(FullError("bytes on disk")))
-    assert not process.ending  # it leaves in the next turn; in this one nothing is answered any more
+    assert len(link.replies) == 1 and process.extension.handles("follow")
+    process.on_disk_failed(Failure(FullError("bytes on disk")))
+    assert not process.is_ending  # it leaves in the next turn; in this one nothing is answered any more
     follow(process, link, 2)
     assert [decode(each.content) for each in link.replies[1:]] == [RejectReason.INVALID_REQUEST.value]
     run_on(reactor, 0.1)
-    assert process.ending and len(link.replies) == 2
+    assert process.is_ending and len(link.replies) == 2
 
 
 def test_a_full_disk_ends_a_voter_before_it_feeds_what_it_could_not_write():
@@ -196,15 +195,15 @@
     process, _ = alone(reactor, disk)
     run_on(reactor)
     publish(process, reactor, client, "a", 1)
-    version = process.state.states["distribution"].table.version
-    digest = process.state.states["distribution"].table.digest
+    version = process.applier.state_machine.states["distribution"].table.version
+    digest = process.applier.state_machine.states["distribution"].table.digest
     follow(process, link, 1, version, digest, 1_000_000)
     run_on(reactor, 0.1)
     disk.room = disk.used()
     publish(process, reactor, client, "b", 2)
     run_on(reactor, 2)
-    assert process.ending and not link.replies and not client.replies[-1].done
-    assert process.state.states["distribution"].table.version == version
+    assert process.is_ending and not link.replies and not client.replies[-1].done
+    assert process.applier.state_machine.states["distribution"].table.version == version
 
 
 def test_a_start_feeds_from_the_window_that_its_snapshot_brought():
@@ -213,14 +212,14 @@
     run_on(reactor)
     for number in range(1, 6):
         publish(process, reactor, client, f"t{number}", number)
-    version, data = process.state.applied, process.state.dump()
-    process.voter.compact(version, data)
+    version, data = process.applier.state_machine.applied, process.applier.state_machine.dump()
+    process.node.compact(version, data)
     run_on(reactor, 0.1)
     process.end(0)
     run_on(reactor, 0.1)
     disk.locked = False
     again, _ = alone(reactor, disk)
-    assert again.voter.log.snapshot_index == version
+    assert again.node.log.snapshot_index == version
     run_on(reactor, 0.1)
     follow(again, link, 1, digest=Source().table.digest)
     run_on(reactor, 0.1)
@@ -232,23 +231,23 @@
 
 
 def test_a_dump_comes_after_many_entries_or_after_many_bytes_of_them(monkeypatch):
-    monkeypatch.setattr("lichencleat.consensus.process.SNAPSHOT_BYTES", 300)
+    monkeypatch.setattr("lichencleat.consensus.state_applier.MAX_BYTES_PER_SNAPSHOT", 300)
     reactor, client = MemoryReactorClock(), Link()
     process, _ = alone(reactor, FaultyDisk())
     run_on(reactor)
     for number in range(1, 30):
         publish(process, reactor, client, f"t{number}", number)
-    assert process.voter.log.snapshot_index > 3 and process.state.applied < 40
-    assert len(process.voter.log.entries) < 30
+    assert process.node.log.snapshot_index > 3 and process.applier.state_machine.applied < 40
+    assert len(process.node.log.entries) < 30
     process.end(0)
 
 
 def test_only_a_word_of_this_term_is_told_to_what_serves():
-    process, told = Process.__new__(Process), []
-    process.reactor, process.ending = MemoryReactorClock(), False
-    process.stirred = process.takes_part = True
-    process.voter = SimpleNamespace(receive=lambda now, message: None, term=3)
-    process.serves = Guarded(SimpleNamespace(word=told.append), None)
+    process, told = MemberProcess.__new__(MemberProcess), []
+    process.reactor, process.is_ending = MemoryReactorClock(), False
+    process._run_is_scheduled = process.is_participating = True
+    process.node = SimpleNamespace(receive=lambda now, message: None, term=3)
+    process.extension = GuardedExtension(SimpleNamespace(on_leader_commit=told.append), None)
     for kind, term, commit in (
         (MessageType.APPEND, 3, 7),
         (MessageType.APPEND, 2, 9),
