--- a/lichencleat/recovery/seat.py
+++ b/lichencleat/recovery/seat.py
@@ -8,7 +8,7 @@
 import msgspec
 from twisted.python.failure import Failure
 
-from lichencleat.decide import RUNS_FEW
+from lichencleat.admission.controller import RUNS_FEW
 from lichencleat.leases.holder import Holder
 from lichencleat.quotas.terms import Part
 from lichencleat.recovery import boot as boots
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -9,6 +9,7 @@
 
 from twisted.internet.error import CannotListenError
 
+from lichencleat.admission.types import Machine
 from lichencleat.config.file import WrongFileError
 from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
 from lichencleat.failover.terms import Zone
@@ -23,7 +24,6 @@
 from lichencleat.router.file import RouterChoice, RouterFile, host_port, read_router
 from lichencleat.router.links import LINKS_MOST
 from lichencleat.router.seat import Judging, Telling
-from lichencleat.terms import Machine
 from lichencleat.transport.group_client import GroupClient
 
 BELIEFS = 10_000_000  # µs between lines that tell what the router believes
