--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -78,7 +78,7 @@
     "owners.terms.CANDIDATES_MOST": "leases.terms.CANDIDATES_MOST",
     "quorum.facts.FACTS_MOST": "consensus.key_value.MAX_KEYS",
     "quorum.group.MEMBERS_MOST": "consensus.configuration.MAX_MEMBERS",
-    "quorum.links.CONNECTIONS_MOST": "consensus.links.CONNECTIONS_MOST",
+    "quorum.links.CONNECTIONS_MOST": "transport.inbound.MAX_CONNECTIONS",
     "quorum.sessions.SESSIONS_MOST": "consensus.sessions.MAX_SESSIONS",
     "revive.terms.NODES_MOST": "recovery.terms.NODES_MOST",
     "shares.terms.NODES_MOST": "quotas.terms.NODES_MOST",
