--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -13,9 +13,9 @@
 from lichencleat.consensus import sessions
 from lichencleat.failover import terms as zones
 from lichencleat.flows import collector
-from lichencleat.leases import terms as owners
+from lichencleat.leases import messages as owners
 from lichencleat.membership import table as members
-from lichencleat.quotas import terms as shares
+from lichencleat.quotas import messages as shares
 from lichencleat.recovery import terms as revive
 from lichencleat.transport import inbound
 
@@ -48,11 +48,11 @@
     Bound("voter", "sessions: each node asks one group", "quorum.sessions.SESSIONS_MOST",
           sessions.MAX_SESSIONS,
           of.nodes),
-    Bound("owner", "candidates: each node", "owners.terms.CANDIDATES_MOST", owners.CANDIDATES_MOST,
+    Bound("owner", "candidates: each node", "owners.terms.CANDIDATES_MOST", owners.MAX_CANDIDATES,
           of.nodes, CANDIDATES),
-    Bound("owner", "candidates: each machine", "owners.terms.CANDIDATES_MOST", owners.CANDIDATES_MOST,
+    Bound("owner", "candidates: each machine", "owners.terms.CANDIDATES_MOST", owners.MAX_CANDIDATES,
           of.machines),
-    Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.NODES_MOST, of.seats),
+    Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.MAX_NODES, of.seats),
     Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", revive.NODES_MOST, of.nodes),
     Bound("zone judge", "zones", "zones.terms.ZONES_MOST", zones.ZONES_MOST, of.zones),
     Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", zones.SOURCES_MOST, of.routers),
@@ -75,13 +75,13 @@
     "flows.collector.SENDERS_MOST": "flows.collector.SENDERS_MOST",
     "flows.collector.TENANTS_MOST": "flows.collector.TENANTS_MOST",
     "members.table.MEMBERS_MOST": "membership.table.MEMBERS_MOST",
-    "owners.terms.CANDIDATES_MOST": "leases.terms.CANDIDATES_MOST",
+    "owners.terms.CANDIDATES_MOST": "leases.messages.MAX_CANDIDATES",
     "quorum.facts.FACTS_MOST": "consensus.key_value.MAX_KEYS",
     "quorum.group.MEMBERS_MOST": "consensus.configuration.MAX_MEMBERS",
     "quorum.links.CONNECTIONS_MOST": "transport.inbound.MAX_CONNECTIONS",
     "quorum.sessions.SESSIONS_MOST": "consensus.sessions.MAX_SESSIONS",
     "revive.terms.NODES_MOST": "recovery.terms.NODES_MOST",
-    "shares.terms.NODES_MOST": "quotas.terms.NODES_MOST",
+    "shares.terms.NODES_MOST": "quotas.messages.MAX_NODES",
     "zones.terms.SOURCES_MOST": "failover.terms.SOURCES_MOST",
     "zones.terms.ZONES_MOST": "failover.terms.ZONES_MOST",
 }
--- a/lichencleat/coordinator/states.py
+++ b/lichencleat/coordinator/states.py
@@ -8,8 +8,8 @@
 from lichencleat.consensus.key_value import KeyValueState
 from lichencleat.consensus.state_machine import ReplicatedState
 from lichencleat.failover.state import Zones
-from lichencleat.leases.jobs import Jobs
-from lichencleat.quotas.pools import Pools
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.quotas.quota_state import QuotaState
 from lichencleat.recovery.state import Fleet
 
 KEY_VALUES = "facts"
@@ -22,11 +22,11 @@
 
 def make_control_plane_states() -> dict[str, ReplicatedState]:
     """Return the empty state of a group that coordinates a fleet."""
-    leases = Jobs()
+    leases = LeaseState()
     return {
         KEY_VALUES: KeyValueState(),
         LEASES: leases,
-        QUOTAS: Pools(leases),
+        QUOTAS: QuotaState(leases),
         RECOVERY: Fleet(leases),
         FAILOVER: Zones(leases),
     }
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -11,9 +11,9 @@
 from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.coordinator.states import make_control_plane_states
 from lichencleat.failover.terms import Define as DefineZone
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.quotas.terms import Define as DefinePool
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import DefineJob
+from lichencleat.quotas.messages import DefinePool
 from lichencleat.recovery.terms import Report
 from lichencleat.transport import frames
 from lichencleat.transport.framed_protocol import FramedProtocol
@@ -53,7 +53,7 @@
 def test_an_entry_that_no_part_can_read_stays_in_the_log_and_changes_nothing(name):
     """Each member applies it at each start: one that raised would take the whole group along, for good."""
     state = StateMachine({**make_control_plane_states(), "distribution": Source()})
-    assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], Jobs)
+    assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], LeaseState)
     before = state.dump()
     for index, data in enumerate(no_text(encode_command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
         state.apply(index, Entry(1, EntryType.COMMAND, data))
