--- a/lichencleat/transport/group_client.py
+++ b/lichencleat/transport/group_client.py
@@ -152,6 +152,11 @@
         self._is_closed = False
         self._last_failure = "nobody answers"
 
+    @property
+    def is_idle(self) -> bool:
+        """Whether no request is pending."""
+        return not self._pending
+
     # -- requests ----------------------------------------------------------------------------------------
 
     def propose(
--- a/tests/fleet/owners.py
+++ b/tests/fleet/owners.py
@@ -144,7 +144,7 @@
             rig.until(lambda: receiver.watch.accepted > acts + 50, "acts after the last fault")
             for each in writers:
                 each.on = False
-            rig.until(lambda: not any(each.client.calls for each in writers), "the last calls")
+            rig.until(lambda: all(each.client.is_idle for each in writers), "the last calls")
             history = [call for each in writers for call in each.history]
             ran.calls, ran.acts, ran.refused = len(history), receiver.watch.accepted, receiver.watch.refused
             ran.wrong = receiver.watch.wrong or judge_facts(history)
--- a/tests/fleet/test_quorum.py
+++ b/tests/fleet/test_quorum.py
@@ -31,7 +31,7 @@
 def judged(rig, writers):
     for each in writers:
         each.on = False
-    rig.until(lambda: all(not each.client.calls for each in writers), "the last calls")
+    rig.until(lambda: all(each.client.is_idle for each in writers), "the last calls")
     assert judge_facts([call for each in writers for call in each.history]) is None
 
 
