--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_member_process.py
@@ -1,4 +1,4 @@
-"""What a client and a process do with what should not come, by hand."""
+"""A member process, complete but for its sockets."""
 
 import random
 from types import SimpleNamespace
@@ -24,42 +24,13 @@
 from lichencleat.store.errors import FullError, StoreError
 from lichencleat.store.faulty import FaultyDisk
 from lichencleat.store.store import Store
-from lichencleat.transport.errors import RequestFailedError
 from lichencleat.transport.frames import ClientRequest, encode_command, encode_raw
-from lichencleat.transport.group_client import GroupClient
 from lichencleat.transport.outcomes import RejectReason
 
 decode = msgspec.msgpack.decode
 
 
-def test_the_end_of_a_connection_that_was_dropped_counts_for_nothing():
-    reactor = MemoryReactorClock()
-    client = GroupClient(reactor, "g", [("10.0.0.1", 1), ("10.0.0.2", 2)], random.Random(1))
-    client.call("status")
-    first = client._factory
-    client._switch_member(("10.0.0.2", 2))
-    reactor.advance(0)
-    second = client._factory
-    assert second is not None and second is not first
-    client.on_connection_lost(first)
-    assert client._factory is second and client._connector is not None
-    client.on_connection_lost(second)
-    assert client._factory is None
-
-
-def test_a_call_that_nobody_answers_ends_with_its_patience_and_says_whether_it_may_be_done():
-    reactor, told = MemoryReactorClock(), []
-    client = GroupClient(reactor, "g", [("10.0.0.1", 1)], random.Random(1))
-    client.call("status", None, 3.0).addErrback(lambda failure: told.append(failure.value))
-    for _ in range(100):
-        reactor.advance(0.1)
-    assert [type(each) for each in told] == [RequestFailedError] and not told[0].may_take_effect
-    client.close()
-    client.call("status").addErrback(lambda failure: told.append(failure.value))
-    assert "closed" in str(told[1])
-
-
-def test_a_leader_proposes_what_is_due_also_while_entries_wait_to_be_applied():
+def test_leader_proposer_asks_the_states_also_while_entries_wait_to_be_applied():
     reactor, seen = MemoryReactorClock(), []
     state, node = SimpleNamespace(applied=1), SimpleNamespace(commit_index=2)
     applier = SimpleNamespace(state_machine=state)
@@ -72,16 +43,13 @@
     assert seen[-1] is None and proposer._timer is None
 
 
-def test_a_leader_s_own_proposal_that_is_refused_has_nobody_to_be_told():
+def test_member_process_reports_the_rejection_of_a_leaders_own_proposal_to_nobody():
     assert (
         MemberProcess._execute(None, Action(ActionType.REJECT, context=None, reason=RejectReason.NOT_LEADER))
         is None
     )
 
 
-# -- a member that answers others, whole but for its sockets ---------------------------------------------
-
-
 class Link:
     """In place of a connection that a subscriber opened."""
 
@@ -145,7 +113,7 @@
     process.on_request(link, ClientRequest(number, "follow", encode_raw(Follow(version, digest, (), hold))))
 
 
-def test_a_voter_feeds_what_it_has_applied_and_says_how_old_that_is():
+def test_member_process_serves_subscribers_what_it_has_applied_with_its_age():
     reactor, link, client = MemoryReactorClock(), Link(), Link()
     process, said = alone(reactor, FaultyDisk())
     follow(process, link, 1)
@@ -174,7 +142,7 @@
     process.end(0)
 
 
-def test_a_voter_whose_disk_fails_answers_nothing_more():
+def test_member_process_answers_nothing_after_its_disk_failed():
     reactor, link, client, disk = MemoryReactorClock(), Link(), Link(), FaultyDisk()
     process, _ = alone(reactor, disk)
     run_on(reactor)
@@ -190,7 +158,7 @@
     assert process.is_ending and len(link.replies) == 2
 
 
-def test_a_full_disk_ends_a_voter_before_it_feeds_what_it_could_not_write():
+def test_member_process_ends_on_a_full_disk_before_serving_what_it_could_not_write():
     reactor, link, client, disk = MemoryReactorClock(), Link(), Link(), FaultyDisk()
     process, _ = alone(reactor, disk)
     run_on(reactor)
@@ -206,7 +174,7 @@
     assert process.applier.state_machine.states["distribution"].table.version == version
 
 
-def test_a_start_feeds_from_the_window_that_its_snapshot_brought():
+def test_member_process_serves_the_batches_of_its_snapshot_after_a_restart():
     reactor, disk, client, link = MemoryReactorClock(), FaultyDisk(), Link(), Link()
     process, _ = alone(reactor, disk)
     run_on(reactor)
@@ -230,7 +198,7 @@
     again.end(0)
 
 
-def test_a_dump_comes_after_many_entries_or_after_many_bytes_of_them(monkeypatch):
+def test_state_applier_takes_a_snapshot_after_many_entries_or_many_bytes(monkeypatch):
     monkeypatch.setattr("lichencleat.consensus.state_applier.MAX_BYTES_PER_SNAPSHOT", 300)
     reactor, client = MemoryReactorClock(), Link()
     process, _ = alone(reactor, FaultyDisk())
@@ -242,7 +210,7 @@
     process.end(0)
 
 
-def test_only_a_word_of_this_term_is_told_to_what_serves():
+def test_member_process_notifies_its_extension_of_appends_of_the_current_term_only():
     process, told = MemberProcess.__new__(MemberProcess), []
     process.reactor, process.is_ending = MemoryReactorClock(), False
     process._run_is_scheduled = process.is_participating = True
@@ -257,7 +225,7 @@
     assert told == [7]
 
 
-def test_a_directory_keeps_what_its_group_is_for_and_one_of_before_is_for_other_things():
+def test_identity_keeps_what_its_group_replicates_and_older_ones_replicate_other_things():
     for distribution in (False, True):
         made = load_identity(lambda key: None, random.Random(1), "g", "v1", distribution)
         again = load_identity(
