--- a/lichencleat/__main__.py
+++ b/lichencleat/__main__.py
@@ -1,5 +1,6 @@
-"""`python -m lichencleat`: one real node, as the platform's environment describes it; with a command, that
-command.
+"""The program ``python -m lichencleat``: with a command, that command; without one, the node.
+
+The node is configured by the platform's environment.
 """
 
 import signal
@@ -13,6 +14,7 @@
 
 
 def main() -> int:
+    """Run the command or the node; returns the exit code."""
     if len(sys.argv) > 1:
         try:
             from lichencleat.cli.main import run
@@ -20,7 +22,7 @@
             print(f"lichencleat: needs {missing.name}: pip install 'lichencleat[commands]'", file=sys.stderr)
             return 2
         return run(sys.argv[1:])
-    # the imports take a while; what it asks for is read after them, and nothing is owed before
+    # the imports take a while; the configuration is read after them, and no request is accepted before
     ignore_early_signals()
     from lichencleat.node.program import main as node
 
