--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -10,7 +10,7 @@
 from lichencleat.capacity import sizes as of
 from lichencleat.capacity.sizes import SECOND, Size, Times, look_bytes, looks, once
 from lichencleat.capacity.target import Target
-from lichencleat.config.file import SIZE_MOST
+from lichencleat.config.loading import MAX_CONFIG_CHARACTERS
 from lichencleat.consensus.snapshot_receiver import MAX_SNAPSHOT_BYTES
 from lichencleat.failover import judge
 from lichencleat.leases import messages as owners
@@ -43,7 +43,7 @@
 )
 TURN_US = Budget("a turn of the reactor", lambda t: t.turn_ms * 1e3)
 BACK = Budget("back after a power loss (supposed)", lambda t: t.back_in_s)
-FILE = Budget("the file's most characters", lambda t: SIZE_MOST)
+FILE = Budget("the file's most characters", lambda t: MAX_CONFIG_CHARACTERS)
 SNAPSHOT = Budget("a snapshot's most bytes", lambda t: MAX_SNAPSHOT_BYTES / 1e6)
 
 
--- a/lichencleat/cli/consensus.py
+++ b/lichencleat/cli/consensus.py
@@ -14,9 +14,10 @@
 from twisted.internet.task import deferLater
 
 from lichencleat.cli import output
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.addresses import parse_address
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.coordinator.daemon import run_coordinator
-from lichencleat.coordinator.settings import QuorumSettings, host_port, read_quorum_settings
+from lichencleat.coordinator.settings import QuorumSettings, read_quorum_settings
 from lichencleat.coordinator.storage import BootstrapError, bootstrap_group
 from lichencleat.store.errors import StoreError
 from lichencleat.transport.errors import RequestFailedError
@@ -39,7 +40,7 @@
 def chosen(path: str, member: bool = False) -> QuorumSettings:
     try:
         return read_quorum_settings(path, member)
-    except WrongFileError as wrong:
+    except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
 
 
@@ -84,7 +85,7 @@
 
     @inlineCallbacks
     def main(reactor: Any) -> Any:
-        places = [host_port(each) for each in addresses or quorum.members]
+        places = [parse_address(each) for each in addresses or quorum.members]
         client = GroupClient(reactor, quorum.group, places, random.Random(os.urandom(16)))
         try:
             told.append((yield what(reactor, client)))
@@ -106,7 +107,7 @@
     """What each member answers, or why it does not."""
     found: dict[str, Any] = {}
     clients = {
-        each: GroupClient(reactor, quorum.group, [host_port(each)], random.Random(os.urandom(16)))
+        each: GroupClient(reactor, quorum.group, [parse_address(each)], random.Random(os.urandom(16)))
         for each in addresses
     }
     asked = {each: client.call(what, None, 2.0) for each, client in clients.items()}
@@ -189,7 +190,7 @@
             f"quorum: {address} decides on {', '.join(new['parts'])}, and the group on "
             f"{', '.join(there['parts'])}; quorum.distribution is to be the same in the files of all"
         )
-    host, port = host_port(address)
+    host, port = parse_address(address)
     who = [new["seat"], new["member"], host, port, new["zone"]]
 
     @inlineCallbacks
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -13,7 +13,7 @@
 from lichencleat.config_distribution.relay import RelayProcess
 from lichencleat.config_distribution.table import Table
 from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
@@ -30,7 +30,7 @@
         self.exit_code = EXIT_STOPPED
         self.relay: RelayProcess | None = None
         self.stopping = self.stopped = False
-        self.log = make_log(
+        self.log = create_logger(
             unix_time,
             chosen.log.form,
             process=chosen.name,
--- a/lichencleat/consensus/extension.py
+++ b/lichencleat/consensus/extension.py
@@ -17,10 +17,10 @@
 class EventLog(Protocol):
     """Where events are logged; `lichencleat.log` makes one."""
 
-    def info(self, event: str, **fields: object) -> object:
+    def info(self, event: str, /, **fields: object) -> object:
         """Log an expected event."""
 
-    def warning(self, event: str, **fields: object) -> object:
+    def warning(self, event: str, /, **fields: object) -> object:
         """Log an event that an operator should know of."""
 
 
--- a/lichencleat/consensus/log_storage.py
+++ b/lichencleat/consensus/log_storage.py
@@ -18,7 +18,7 @@
 
 from lichencleat.consensus.messages import Configuration, DurableState, DurableWrite, Entry, Snapshot
 from lichencleat.store.batch import Batch
-from lichencleat.store.errors import DamagedError, Finding
+from lichencleat.store.errors import CorruptDataError, Finding
 
 # Keys and key prefixes. They are stored, so they never change.
 HARD_STATE_KEY = b"t"
@@ -102,7 +102,7 @@
         """Read the state back at a start.
 
         Raises:
-            DamagedError: something that was confirmed is missing.
+            CorruptDataError: something that was confirmed is missing.
         """
         pending = get(PENDING_CHUNKS_KEY)
         if pending is not None:
@@ -121,12 +121,12 @@
         for index in range(self.snapshot_index + 1, self.last_index + 1):
             data = get(entry_key(index))
             if data is None:
-                raise DamagedError([Finding("the log", index, "an entry that was confirmed is missing")])
+                raise CorruptDataError([Finding("the log", index, "an entry that was confirmed is missing")])
             entries.append(decode_entry(data))
         return entries
 
     def load_snapshot(self, get: Callable[[bytes], bytes | None]) -> Snapshot | None:
-        """Read the snapshot, where there is one. Raises DamagedError."""
+        """Read the snapshot, where there is one. Raises CorruptDataError."""
         encoded = get(SNAPSHOT_KEY)
         if encoded is None:
             return None
@@ -137,7 +137,7 @@
         chunks = [get(key) for key in chunk_keys(self.active_chunks)]
         data = b"".join(each for each in chunks if each is not None)
         if None in chunks or len(data) != header.total_bytes:
-            raise DamagedError([Finding("the snapshot", header.index, "a confirmed piece is missing")])
+            raise CorruptDataError([Finding("the snapshot", header.index, "a confirmed piece is missing")])
         return Snapshot(header.index, header.term, header.configuration, data)
 
     # -- writing -------------------------------------------------------------------------------------
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -93,7 +93,7 @@
 
         Raises:
             CannotListenError: the address can't be listened at.
-            DamagedError: the store is damaged.
+            CorruptDataError: the store is damaged.
         """
         options = options or MemberOptions()
         self.reactor = reactor
--- a/lichencleat/coordinator/daemon.py
+++ b/lichencleat/coordinator/daemon.py
@@ -11,14 +11,15 @@
 from twisted.internet.defer import Deferred, inlineCallbacks
 from twisted.internet.error import CannotListenError
 
+from lichencleat.config.addresses import parse_address
 from lichencleat.consensus.identity import IDENTITY_KEY, Identity, load_identity
 from lichencleat.consensus.process import MemberOptions, MemberProcess
 from lichencleat.coordinator import states
 from lichencleat.coordinator.candidate_expiry import CandidateExpiryProposer
-from lichencleat.coordinator.settings import QuorumSettings, host_port
+from lichencleat.coordinator.settings import QuorumSettings
 from lichencleat.coordinator.storage import bounds_of, open_member_disk
 from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.reactor import Reactor, make_reactor, unix_time
 from lichencleat.store.errors import StoreError
 from lichencleat.store.store import Store, open_store
@@ -38,7 +39,7 @@
     def __init__(self, reactor: Reactor, settings: QuorumSettings) -> None:
         """`settings` are those of a member, not of a client."""
         self.exit_code = EXIT_STOPPED
-        self.log = make_log(
+        self.log = create_logger(
             unix_time,
             settings.log.form,
             process=settings.name,
@@ -112,7 +113,7 @@
             self._reactor,
             store,
             identity,
-            host_port(settings.listen),
+            parse_address(settings.listen),
             self.log,
             self._rng,
             self._make_options(identity),
--- a/lichencleat/coordinator/settings.py
+++ b/lichencleat/coordinator/settings.py
@@ -6,10 +6,13 @@
 
 from msgspec import Meta, Struct
 
-from lichencleat.config.file import Address, LogChoice, Name, Place, WrongFileError, host_port, load, read_as
+from lichencleat.config.document import YamlDocument
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.config.loading import parse_config, read_config_text
+from lichencleat.config.schema import Address, LogConfig, Name
 from lichencleat.consensus.messages import Timeouts
 
-__all__ = ["ElectionTimings", "QuorumSettings", "QuorumSettingsFile", "host_port", "read_quorum_settings"]
+__all__ = ["ElectionTimings", "QuorumSettings", "QuorumSettingsFile", "read_quorum_settings"]
 
 MICROSECONDS_PER_MILLISECOND = 1_000
 MIN_HEARTBEATS_PER_ELECTION = 3  # else one late message would end a leadership
@@ -18,7 +21,7 @@
 Milliseconds = Annotated[int, Meta(ge=1, le=600_000)]
 
 
-class InvalidQuorumSettingsError(WrongFileError):
+class InvalidQuorumSettingsError(InvalidConfigError):
     """A value of the section `quorum` is missing or wrong.
 
     Attributes:
@@ -63,7 +66,7 @@
     directory: str | None = None  # a store of its own
     zone: str = ""
     times: ElectionTimings = ElectionTimings()
-    log: LogChoice = LogChoice()
+    log: LogConfig = LogConfig()
     distribution: bool = False  # the group replicates configuration, and nothing else but facts
     disk: Literal["real", "held back"] = "real"  # held back: for tests, a kill loses what was not flushed
 
@@ -82,20 +85,20 @@
         member: whether the settings are for a member, which needs more than a client.
 
     Raises:
-        WrongFileError: the file can't be read, or a value in it is missing or wrong.
+        InvalidConfigError: the file can't be read, or a value in it is missing or wrong.
     """
-    file, place = read_as(path, load(path), QuorumSettingsFile)
-    settings: QuorumSettings = file.quorum
-    _check_timings(path, place, settings.times)
+    file, document = parse_config(path, read_config_text(path), QuorumSettingsFile)
+    settings = file.quorum
+    _check_timings(path, document, settings.times)
     if member:
-        _check_member_keys(path, place, settings)
+        _check_member_keys(path, document, settings)
     return settings
 
 
-def _check_timings(path: str, place: Place, timings: ElectionTimings) -> None:
+def _check_timings(path: str, document: YamlDocument, timings: ElectionTimings) -> None:
     if timings.election_ms >= MIN_HEARTBEATS_PER_ELECTION * timings.beat_ms:
         return
-    line = place.line("$.quorum.times.election_ms") or place.line("$.quorum.times.beat_ms")
+    line = document.line_of("$.quorum.times.election_ms") or document.line_of("$.quorum.times.beat_ms")
     explanation = (
         f"{timings.election_ms} is under three beats ({timings.beat_ms} each); "
         "one late message would end a leadership, so make it larger"
@@ -103,8 +106,8 @@
     raise InvalidQuorumSettingsError(path, line, "quorum.times.election_ms", explanation)
 
 
-def _check_member_keys(path: str, place: Place, settings: QuorumSettings) -> None:
+def _check_member_keys(path: str, document: YamlDocument, settings: QuorumSettings) -> None:
     for key in KEYS_OF_A_MEMBER:
         if getattr(settings, key) is None:
-            line = place.line("$.quorum")
+            line = document.line_of("$.quorum")
             raise InvalidQuorumSettingsError(path, line, f"quorum.{key}", "is missing; a member needs it")
--- a/lichencleat/coordinator/storage.py
+++ b/lichencleat/coordinator/storage.py
@@ -6,23 +6,24 @@
 
 import msgspec
 
+from lichencleat.config.addresses import parse_address
 from lichencleat.consensus.identity import IDENTITY_KEY, Identity, load_identity
 from lichencleat.consensus.log_storage import HARD_STATE_KEY, LogStorage
 from lichencleat.consensus.messages import Configuration, Member
 from lichencleat.consensus.state_machine import bootstrap_snapshot
-from lichencleat.coordinator.settings import QuorumSettings, host_port
+from lichencleat.coordinator.settings import QuorumSettings
 from lichencleat.reactor import unix_time
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk
 from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.engine import Engine
-from lichencleat.store.room import Bounds
 
 GROUP_ID_BYTES = 8
 # the log is truncated at snapshots
-CONTROL_PLANE_BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=256 << 20, entries=200_000)
+CONTROL_PLANE_BOUNDS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20, max_entries=200_000)
 # two snapshots of up to 160 MiB (the one in force and the one being written), two logs of 32 MiB each, and as
 # much again that compaction has not freed yet
-CONFIG_DISTRIBUTION_BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=1 << 30, entries=200_000)
+CONFIG_DISTRIBUTION_BOUNDS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=1 << 30, max_entries=200_000)
 
 
 class BootstrapError(Exception):
@@ -40,7 +41,7 @@
         self.directory = directory
 
 
-def bounds_of(settings: QuorumSettings) -> Bounds:
+def bounds_of(settings: QuorumSettings) -> StoreLimits:
     """Return the bounds of the store of a member of that group."""
     return CONFIG_DISTRIBUTION_BOUNDS if settings.distribution else CONTROL_PLANE_BOUNDS
 
@@ -79,7 +80,7 @@
     identity = load_identity(lambda key: None, rng, settings.group, settings.name, settings.distribution)
     identity.cluster_id = rng.randbytes(GROUP_ID_BYTES)
     identity.start_count = 0
-    host, port = host_port(address)
+    host, port = parse_address(address)
     member = Member(identity.member_id, settings.name, host, port, True, settings.zone)
     batch = LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((member,))))
     batch.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))
--- a/lichencleat/daemon.py
+++ b/lichencleat/daemon.py
@@ -16,7 +16,7 @@
 class WarningLog(Protocol):
     """The part of a structured log that reports unhandled errors."""
 
-    def warning(self, event: str, **fields: object) -> object:
+    def warning(self, event: str, /, **fields: object) -> object:
         """Write one line at level warning."""
 
 
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -1,56 +1,81 @@
-"""A node's keeper put together: directory, store, book; and what can't be, in one line."""
+"""Builds a node's idempotency service: directory, store, index."""
 
 from __future__ import annotations
 
 import os
 import random
-from collections.abc import Callable
-from typing import Any
+from collections.abc import Callable, Generator
+from typing import Any, Protocol
 
-from twisted.internet.defer import inlineCallbacks
+from twisted.internet.defer import Deferred, inlineCallbacks
+from twisted.internet.interfaces import IReactorFromThreads
 
-from lichencleat.config.file import KeyedChoice
-from lichencleat.idempotency.book import Book
-from lichencleat.idempotency.keeper import Keeper
-from lichencleat.idempotency.whose import NotOursError
+from lichencleat.admission.types import Outcome
+from lichencleat.config.schema import IdempotencyConfig
+from lichencleat.idempotency.errors import ForeignDirectoryError, ServiceStartError
+from lichencleat.idempotency.index import RecordIndex
+from lichencleat.idempotency.interfaces import Report, RequestEngine, Timers
+from lichencleat.idempotency.service import IdempotencyService
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
-from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
 
-SEGMENT = 4 << 20  # bytes: an entry lives some ten seconds, so whole segments are soon free
-FILLED = 0.5  # of the disk's bytes for what counts: cleaning needs the rest
-MORE = 16  # entries beside those of keys
+MEGABYTE = 1 << 20
+SEGMENT_BYTES = 4 << 20  # a record lives some ten seconds, so whole segments are soon free
+LIVE_SHARE = 0.5  # of the disk's bytes for live records: compaction needs the rest
+EXTRA_ENTRIES = 16  # of the store, beside those of idempotency keys
 
 
-class CantStartError(Exception):
-    """What, where, what to do, in one line."""
+class Interpreter(Protocol):
+    """The interpreter's connection, as far as the service has to know it."""
 
+    early: dict[bytes, tuple[Outcome, int, bytes]] | None  # ends of runs not known here yet, where kept
+    began: Callable[[int], None] | None  # called with the interpreter's age, µs
 
-def make_keeper(node: Any, name: str, chosen: KeyedChoice, clock: Callable[[], int]) -> Keeper:
-    """Of a net.assembly.RealNode. It parks what is receipted until it has started."""
-    book = Book(chosen.entries, round(chosen.disk_mb * (1 << 20) * FILLED))
-    keeper = Keeper(name, node.host, node.deadlines, node.report, clock, book)
+
+class NodeParts(Protocol):
+    """The parts of a node that the service works with."""
+
+    host: RequestEngine
+    deadlines: Timers
+    report: Report
+    interpreter: Interpreter
+
+
+def create_service(
+    node: NodeParts, name: str, config: IdempotencyConfig, clock: Callable[[], int]
+) -> IdempotencyService:
+    """Creates the service of a node; requests with a key wait until it is started."""
+    index = RecordIndex(config.entries, round(config.disk_mb * MEGABYTE * LIVE_SHARE))
+    service = IdempotencyService(name, node.host, node.deadlines, node.report, clock, index)
     node.interpreter.early = {}
-    node.interpreter.began = keeper.interpreter_began
-    return keeper
+    node.interpreter.began = service.on_interpreter_started
+    return service
 
 
 @inlineCallbacks
-def start_keeper(reactor: Any, keeper: Keeper, chosen: KeyedChoice, clock: Callable[[], int]) -> Any:
-    """Fails with CantStartError."""
-    bounds = Bounds(
-        segment_bytes=SEGMENT, disk_bytes=round(chosen.disk_mb * (1 << 20)), entries=chosen.entries + MORE
+def start_service(
+    reactor: IReactorFromThreads,
+    service: IdempotencyService,
+    config: IdempotencyConfig,
+    clock: Callable[[], int],
+) -> Generator[Deferred[Any], Any, None]:
+    """Opens the store and starts the service on it. Fails with ServiceStartError."""
+    directory = config.directory
+    bounds = StoreLimits(
+        segment_bytes=SEGMENT_BYTES,
+        max_disk_bytes=round(config.disk_mb * MEGABYTE),
+        max_entries=config.entries + EXTRA_ENTRIES,
     )
     rng = random.Random(os.urandom(16))
-    where = f"keyed.directory: {chosen.directory}"
     try:
-        disk = open_disk(chosen.disk, chosen.directory)
-        store = yield open_store(reactor, chosen.directory, clock, rng, bounds, disk=disk)
-    except (StoreError, OSError) as wrong:
-        raise CantStartError(f"{where}: {wrong}") from wrong
+        disk = open_disk(config.disk, directory)
+        store = yield open_store(reactor, directory, clock, rng, bounds, disk=disk)
+    except (StoreError, OSError) as error:
+        raise ServiceStartError(directory, error) from error
     try:
-        yield keeper.start(store, os.stat(chosen.directory).st_ino)
-    except (NotOursError, StoreError, ValueError) as wrong:
+        yield service.start(store, os.stat(directory).st_ino)
+    except (ForeignDirectoryError, StoreError, ValueError) as error:
         yield store.close()
-        raise CantStartError(f"{where}: {wrong}") from wrong
+        raise ServiceStartError(directory, error) from error
--- a/lichencleat/testkit/cluster/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -15,9 +15,10 @@
 from twisted.internet.protocol import ReconnectingClientFactory
 from twisted.protocols.basic import LineOnlyReceiver
 
-from lichencleat.coordinator.settings import host_port, read_quorum_settings
+from lichencleat.config.addresses import parse_address
+from lichencleat.coordinator.settings import read_quorum_settings
 from lichencleat.leases.lease_client import LeaseClient
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.testkit.cluster.process_faults import install_faults
 from lichencleat.transport.group_client import GroupClient
@@ -67,8 +68,8 @@
     path, name, zone, port = sys.argv[1:]
     chosen = read_quorum_settings(path)
     rng = random.Random(os.urandom(16))
-    log = make_log(unix_time, process=name, role="candidate", group=chosen.group)
-    client = GroupClient(reactor, chosen.group, [host_port(each) for each in chosen.members], rng)
+    log = create_logger(unix_time, process=name, role="candidate", group=chosen.group)
+    client = GroupClient(reactor, chosen.group, [parse_address(each) for each in chosen.members], rng)
     acts = Acts()
     acts.maxDelay = 0.2
     worker = Worker(reactor, name, acts)
--- a/tests/compatibility/directories.py
+++ b/tests/compatibility/directories.py
@@ -25,17 +25,17 @@
 from lichencleat.consensus.messages import Entry, Snapshot
 from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.coordinator.states import make_config_distribution_states, make_control_plane_states
-from lichencleat.idempotency.records import decode_entry, decode_seen, decode_whose, mark
+from lichencleat.idempotency.records import decode_heartbeat, decode_ownership, decode_record, record_key
 from lichencleat.recovery import boot, figures
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
-from lichencleat.store.room import Bounds
 from lichencleat.store.store import Store
 from lichencleat.transport.identity import Incarnation
 
 NOW_US = 1_780_000_000_000_000  # Unix time at which the golden directories were written
 PARTS = {"control": make_control_plane_states, "distribution": make_config_distribution_states}
-BOUNDS = Bounds(segment_bytes=64 << 10, disk_bytes=8 << 20, reserve=False)
+BOUNDS = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=8 << 20, keep_reserve=False)
 
 
 @contextmanager
@@ -140,12 +140,12 @@
             assert value is not None, key
             return value
 
-        entries = {key: decode_entry(get(mark(key.encode()))) for key in keys}
+        entries = {key: decode_record(get(record_key(key.encode()))) for key in keys}
         return {
-            "marks": {key: mark(key.encode()).hex() for key in keys},
+            "marks": {key: record_key(key.encode()).hex() for key in keys},
             "entries": {key: msgspec.structs.astuple(entry) for key, entry in entries.items()},
-            "whose": msgspec.structs.astuple(decode_whose(get(CONSTANTS["keyed.records.WHOSE"]))),
-            "seen": msgspec.structs.astuple(decode_seen(get(CONSTANTS["keyed.records.SEEN"]))),
+            "whose": msgspec.structs.astuple(decode_ownership(get(CONSTANTS["keyed.records.WHOSE"]))),
+            "seen": msgspec.structs.astuple(decode_heartbeat(get(CONSTANTS["keyed.records.SEEN"]))),
         }
 
 
@@ -169,7 +169,7 @@
     """Version, digest, sizes, the group's mark, kept batches, and the records of these names."""
     clock: Any = Clock()  # of its calls from threads none is made: all work is done at once
     with open_engine(path) as engine:
-        store = Store(clock, engine, execute, execute, upkeep=False)
+        store = Store(clock, engine, execute, execute, maintenance=False)
         kept = wait(made_kept(clock, store, "fleet", print), clock)
         table, group_mark, batches = wait(kept.load(), clock)
         return {
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -35,14 +35,13 @@
 from lichencleat.idempotency import records
 from lichencleat.leases import lease_state
 from lichencleat.leases import messages as leases_messages
-from lichencleat.membership import terms as membership_terms
+from lichencleat.membership import messages as membership_messages
 from lichencleat.quotas import messages as quotas_messages
 from lichencleat.recovery import boot, figures
 from lichencleat.recovery import seat as recovery_seat
 from lichencleat.recovery import state as recovery_state
 from lichencleat.recovery import terms as recovery_terms
-from lichencleat.store import checkpoint, frames, segments
-from lichencleat.store import recovery as store_recovery
+from lichencleat.store import file_names, framing
 from lichencleat.transport import frames as transport_frames
 from lichencleat.transport import identity as transport_identity
 from lichencleat.transport import outcomes
@@ -67,11 +66,11 @@
     "distribution.terms.Pages": distribution_terms.Pages,
     "distribution.terms.Wanted": distribution_terms.Wanted,
     "distribution.terms.Wanting": distribution_terms.Wanting,
-    "keyed.records.Entry": records.Entry,
-    "keyed.records.Seen": records.Seen,
-    "keyed.records.Whose": records.Whose,
-    "members.terms.Datagram": membership_terms.Datagram,
-    "members.terms.Word": membership_terms.Word,
+    "keyed.records.Entry": records.IdempotencyRecord,
+    "keyed.records.Seen": records.Heartbeat,
+    "keyed.records.Whose": records.Ownership,
+    "members.terms.Datagram": membership_messages.GossipMessage,
+    "members.terms.Word": membership_messages.MemberUpdate,
     "owners.jobs.Dumped": lease_state.Snapshot,
     "owners.terms.Candidate": leases_messages.Candidate,
     "owners.terms.Define": leases_messages.DefineJob,
@@ -157,9 +156,9 @@
 
 ENUMS: dict[str, type[Enum]] = {
     "distribution.terms.Say": distribution_terms.Say,
-    "keyed.records.State": records.State,
-    "members.terms.Kind": membership_terms.Kind,
-    "members.terms.State": membership_terms.State,
+    "keyed.records.State": records.RecordState,
+    "members.terms.Kind": membership_messages.MessageKind,
+    "members.terms.State": membership_messages.MemberState,
     "quorum.seats.Welcome": transport_identity.GreetingResult,
     "quorum.sessions.Verdict": outcomes.SessionOutcome,
     "quorum.terms.Kind": consensus_messages.MessageType,
@@ -185,11 +184,11 @@
     "distribution.terms.PAGES": distribution_terms.PAGES,
     "distribution.terms.PAGES_OF": distribution_terms.PAGES_OF,
     "distribution.voting.PART": distribution_voting.PART,
-    "keyed.records.ENTRY": records.ENTRY,
-    "keyed.records.FORMAT": records.FORMAT,
-    "keyed.records.MARK": records.MARK,
-    "keyed.records.SEEN": records.SEEN,
-    "keyed.records.WHOSE": records.WHOSE,
+    "keyed.records.ENTRY": records.RECORD_PREFIX,
+    "keyed.records.FORMAT": records.FORMAT_VERSION,
+    "keyed.records.MARK": records.DIGEST_BYTES,
+    "keyed.records.SEEN": records.HEARTBEAT_KEY,
+    "keyed.records.WHOSE": records.OWNERSHIP_KEY,
     "quorum.journal.ENTRY": log_storage.ENTRY_KEY_PREFIX,
     "quorum.journal.NO_PIECES": log_storage.NO_CHUNKS,
     "quorum.journal.PIECE": log_storage.CHUNK_KEY_PREFIX,
@@ -215,18 +214,18 @@
     "revive.terms.JOB": recovery_terms.JOB,
     "shares.terms.RETURN": quotas_messages.RECOVERY_JOB,
     "shares.terms.job_of": quotas_messages.allocator_job("a pool"),
-    "store.checkpoint.NAME": checkpoint.NAME,
-    "store.checkpoint.NEW": checkpoint.NEW,
-    "store.frames.BODY_BEGINS": frames.BODY_BEGINS,
-    "store.frames.FORMAT": frames.FORMAT,
-    "store.frames.LOG_MAGIC": frames.LOG_MAGIC,
-    "store.frames.MARKER": frames.MARKER,
-    "store.frames.POINT_MAGIC": frames.POINT_MAGIC,
-    "store.frames.STORE_MAGIC": frames.STORE_MAGIC,
-    "store.recovery.RESERVE": store_recovery.RESERVE,
-    "store.recovery.STORE": store_recovery.STORE,
-    "store.recovery.STORE_NEW": store_recovery.STORE_NEW,
-    "store.segments.NAME": segments.NAME,
-    "store.segments.NEW": segments.NEW,
+    "store.checkpoint.NAME": file_names.CHECKPOINT,
+    "store.checkpoint.NEW": file_names.NEW_CHECKPOINT,
+    "store.frames.BODY_BEGINS": framing.BODY_FIRST_BYTE,
+    "store.frames.FORMAT": framing.FORMAT,
+    "store.frames.LOG_MAGIC": framing.LOG_MAGIC,
+    "store.frames.MARKER": framing.MARKER,
+    "store.frames.POINT_MAGIC": framing.CHECKPOINT_MAGIC,
+    "store.frames.STORE_MAGIC": framing.STORE_MAGIC,
+    "store.recovery.RESERVE": file_names.RESERVE,
+    "store.recovery.STORE": file_names.STORE_MARKER,
+    "store.recovery.STORE_NEW": file_names.NEW_STORE_MARKER,
+    "store.segments.NAME": file_names.SEGMENT,
+    "store.segments.NEW": file_names.NEW_SEGMENT,
     "zones.terms.JOB": failover_terms.JOB,
 }
--- a/tests/compatibility/running_member.py
+++ b/tests/compatibility/running_member.py
@@ -19,8 +19,10 @@
 from lichencleat.consensus.messages import Configuration, Member
 from lichencleat.consensus.process import MemberOptions, MemberProcess
 from lichencleat.consensus.state_machine import bootstrap_snapshot
-from lichencleat.membership.gossip import Gossip, Send
-from lichencleat.membership.terms import Choice, Datagram, Word
+from lichencleat.membership.gossip import GossipMember
+from lichencleat.membership.messages import GossipMessage, MemberUpdate
+from lichencleat.membership.outbox import SendDatagram
+from lichencleat.membership.settings import GossipSettings
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.store import Store
@@ -34,7 +36,7 @@
     identity = Identity(MARK, "fleet", "v1", 11, 4, group == "distribution")
     founding = LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((me,))))
     assert engine.commit([founding.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))]) == [None]
-    store = Store(reactor, engine, execute, execute, upkeep=False)
+    store = Store(reactor, engine, execute, execute, maintenance=False)
     extension = Voting(reactor, "v1", "north", MagicMock()) if group == "distribution" else None
     return MemberProcess(
         reactor,
@@ -54,23 +56,23 @@
 def gossip() -> list[list[Any]]:
     """What a member sends at its start, after each golden datagram, at its next probe, and as it leaves."""
     now = PERIOD_US
-    member = Gossip("fleet", Word(*OWN_WORD), SEEDS, Choice(), random.Random(23), now)
+    member = GossipMember("fleet", MemberUpdate(*OWN_WORD), SEEDS, GossipSettings(), random.Random(23), now)
     sent = [sends_of(member)]
     for values in GOSSIP:
-        received = msgspec.msgpack.decode(msgspec.msgpack.encode(values), type=Datagram)
-        member.hears(now, "10.0.0.2", 7_002, received)
+        received = msgspec.msgpack.decode(msgspec.msgpack.encode(values), type=GossipMessage)
+        member.on_message(now, "10.0.0.2", 7_002, received)
         sent.append(sends_of(member))
-    member.wakes(now + PERIOD_US)
+    member.on_timer(now + PERIOD_US)
     sent.append(sends_of(member))
-    member.leaves(now + PERIOD_US)
+    member.leave(now + PERIOD_US)
     sent.append(sends_of(member))
     return sent
 
 
-def sends_of(member: Gossip) -> list[Any]:
+def sends_of(member: GossipMember) -> list[Any]:
     """Datagrams that it has to send now."""
     found = []
-    while (decision := member.next_decision()) is not None:
-        if isinstance(decision, Send):
-            found.append((decision.host, decision.port, decision.datagram))
+    while (action := member.next_action()) is not None:
+        if isinstance(action, SendDatagram):
+            found.append((action.host, action.port, action.message))
     return shown_sends(found)
--- a/tests/consensus/test_member_process.py
+++ b/tests/consensus/test_member_process.py
@@ -22,8 +22,8 @@
 from lichencleat.coordinator.states import make_config_distribution_states
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, StoreError
-from lichencleat.store.faulty import FaultyDisk
 from lichencleat.store.store import Store
+from lichencleat.testkit.faulty_disk import FaultyDisk
 from lichencleat.transport.frames import ClientRequest, encode_command, encode_raw
 from lichencleat.transport.outcomes import RejectReason
 
@@ -80,7 +80,7 @@
         assert engine.commit([LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((me,))))]) == [
             None
         ]
-    store, said = Store(reactor, engine, at_once, at_once, upkeep=False), []
+    store, said = Store(reactor, engine, at_once, at_once, maintenance=False), []
     log = SimpleNamespace(
         info=lambda event, **more: said.append(event), warning=lambda event, **more: said.append(event)
     )
--- a/tests/consensus/test_state.py
+++ b/tests/consensus/test_state.py
@@ -13,8 +13,8 @@
 from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.store.batch import Batch
 from lichencleat.store.engine import Engine
-from lichencleat.store.errors import DamagedError
-from lichencleat.store.faulty import FaultyDisk
+from lichencleat.store.errors import CorruptDataError
+from lichencleat.testkit.faulty_disk import FaultyDisk
 from lichencleat.transport.frames import encode_command
 from lichencleat.transport.identity import GreetingResult, Incarnation
 from lichencleat.transport.outcomes import SessionOutcome
@@ -123,7 +123,7 @@
     engine, journal = opened(FaultyDisk()), LogStorage()
     saved(engine, journal, DurableWrite(1, 1, 0, 1, (Entry(1, 0), Entry(1, 0)), 2, 0))
     engine.commit([Batch().delete(entry_key(1))])
-    with pytest.raises(DamagedError, match="an entry that was confirmed is missing"):
+    with pytest.raises(CorruptDataError, match="an entry that was confirmed is missing"):
         LogStorage().load(engine.get)
 
 
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store on a reactor: group commit, the queue's bounds, upkeep between writes, closing."""
+"""The store on a reactor: group commit, the queue's bounds, maintenance between writes, closing."""
 
 import queue
 import random
@@ -10,43 +10,50 @@
 
 from lichencleat.store import store as module
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import (
+    CannotOpenError,
     ClosedError,
-    DamagedError,
+    CorruptDataError,
     FullError,
     NotConfirmedError,
-    SnapshotGoneError,
-    UnfitError,
+    SnapshotEndedError,
 )
-from lichencleat.store.faulty import FaultyDisk
-from lichencleat.store.room import Bounds
-from lichencleat.store.store import BUSY, QUEUE_MOST, READS_MOST, REST, Store, open_store
+from lichencleat.store.store import (
+    MAINTENANCE_INTERVAL_S,
+    MAX_GROUPS_BETWEEN_STEPS,
+    MAX_QUEUED_BATCHES,
+    MAX_READS,
+    Store,
+    open_store,
+)
+from lichencleat.testkit.faulty_disk import FaultyDisk
 
 SECOND = 1_000_000
 
 
-class Hands:
+class ManualExecutor:
     """A thread's stand-in: does its calls one by one, when the test says so."""
 
     def __init__(self):
         self.calls = []
 
     def __call__(self, call, *args):
-        told = Deferred()
-        self.calls.append((told, call, args))
-        return told
-
-    def work(self, most=1):
-        while self.calls and most > 0:
-            most -= 1
-            told, call, args = self.calls.pop(0)
+        done = Deferred()
+        self.calls.append((done, call, args))
+        return done
+
+    def work(self, limit=1):
+        while self.calls and limit > 0:
+            limit -= 1
+            done, call, args = self.calls.pop(0)
             try:
                 result = call(*args)
             except Exception:
-                told.errback()
+                done.errback()
             else:
-                told.callback(result)
+                done.callback(result)
 
 
 class Reactor(Clock):
@@ -64,10 +71,10 @@
         thread.start()
         self.callFromThread(thread.join)
 
-    def until(self, told):
+    def until(self, done):
         """The Deferred's result; other threads have 20 s for it."""
         results = []
-        told.addBoth(results.append)
+        done.addBoth(results.append)
         while not results:
             call, args = self.handed.get(timeout=20)
             call(*args)
@@ -81,7 +88,7 @@
 
 @pytest.fixture
 def engine(disk):
-    bounds = Bounds(segment_bytes=4_000, disk_bytes=1 << 20, reserve=False)
+    bounds = StoreLimits(segment_bytes=4_000, max_disk_bytes=1 << 20, keep_reserve=False)
     return Engine.open(disk, lambda: 5 * SECOND, random.Random(1), bounds, create=True)
 
 
@@ -92,18 +99,18 @@
 
 @pytest.fixture
 def writer():
-    return Hands()
+    return ManualExecutor()
 
 
 @pytest.fixture
 def reader():
-    return Hands()
+    return ManualExecutor()
 
 
 @pytest.fixture
 def store(reactor, engine, writer, reader):
     made = Store(reactor, engine, writer, reader)
-    writer.work()  # the first look at upkeep finds nothing
+    writer.work()  # the first attempt at maintenance finds nothing
     return made
 
 
@@ -114,77 +121,77 @@
     return seen
 
 
-def test_a_put_is_confirmed_by_the_flush_and_not_before(store, writer, reader, engine):
-    told = results(store.put(b"k", b"v"))
-    assert told == [] and engine.get(b"k") is None
+def test_put_is_confirmed_by_the_flush_and_not_before(store, writer, reader, engine):
+    outcomes = results(store.put(b"k", b"v"))
+    assert outcomes == [] and engine.get(b"k") is None
     writer.work()
-    assert told == [None]
+    assert outcomes == [None]
     read = results(store.get(b"k"))
     reader.work()
     assert read == [b"v"]
 
 
-def test_one_flush_confirms_all_that_waited(store, writer, engine):
-    told = results(*(store.put(b"%d" % n, b"v") for n in range(100)))
+def test_one_flush_confirms_all_queued_writes(store, writer, engine):
+    outcomes = results(*(store.put(b"%d" % n, b"v") for n in range(100)))
     writer.work()
-    assert len(told) == 1
+    assert len(outcomes) == 1
     flushes = engine.log.counts["flushes"]
     writer.work()
-    assert len(told) == 100 and engine.log.counts["flushes"] == flushes + 1
+    assert len(outcomes) == 100 and engine.log.counts["flushes"] == flushes + 1
 
 
-def test_a_batch_out_of_bounds_fails_alone(store, writer, engine):
+def test_batch_over_a_limit_fails_alone(store, writer, engine):
     store.put(b"first", b"")
     good, bad = results(store.put(b"good", b"")), []
-    store.put(b"bad", b"x" * (1 << 20)).addErrback(lambda why: bad.append(why.value.bound))
+    store.put(b"bad", b"x" * (1 << 20)).addErrback(lambda failure: bad.append(failure.value.limit))
     writer.work(2)
     assert good == [None] and bad == ["bytes on disk"] and engine.get(b"bad") is None
 
 
-def test_at_the_queues_bound_the_caller_is_told_at_once(store, writer):
-    waiting = results(*(store.put(b"k", b"") for _ in range(QUEUE_MOST + 1)))
+def test_write_over_the_queue_limit_fails_at_once(store, writer):
+    waiting = results(*(store.put(b"k", b"") for _ in range(MAX_QUEUED_BATCHES + 1)))
     assert waiting == []
     (failure,) = results(store.put(b"k", b""))
-    assert failure.check(FullError) and failure.value.bound == "waiting writes"
+    assert failure.check(FullError) and failure.value.limit == "waiting writes"
     writer.work(1_000)
-    assert waiting == [None] * (QUEUE_MOST + 1)
-    told = results(store.put(b"k", b""))
+    assert waiting == [None] * (MAX_QUEUED_BATCHES + 1)
+    outcomes = results(store.put(b"k", b""))
     writer.work()
-    assert told == [None]
+    assert outcomes == [None]
 
 
-def test_reads_have_a_bound_too(store, reader):
-    reads = results(*(store.get(b"k") for _ in range(READS_MOST)))
+def test_read_over_the_limit_fails_at_once(store, reader):
+    reads = results(*(store.get(b"k") for _ in range(MAX_READS)))
     (failure,) = results(store.get(b"k"))
-    assert failure.check(FullError) and failure.value.bound == "waiting reads"
-    reader.work(READS_MOST)
-    assert reads == [None] * READS_MOST
-    told = results(store.get(b"k"))
+    assert failure.check(FullError) and failure.value.limit == "waiting reads"
+    reader.work(MAX_READS)
+    assert reads == [None] * MAX_READS
+    outcomes = results(store.get(b"k"))
     reader.work()
-    assert told == [None]
+    assert outcomes == [None]
 
 
-def test_a_failed_flush_is_told_to_all_that_waited_for_it(store, writer, disk):
+def test_failed_flush_fails_all_writes_of_the_group(store, writer, disk):
     store.put(b"a", b"1")
     writer.work()
     disk.faults = {len(disk.calls) + 1: 5}
-    told = results(store.put(b"a", b"2"))
+    outcomes = results(store.put(b"a", b"2"))
     writer.work()
-    assert told[0].check(NotConfirmedError)
-    told = results(store.put(b"a", b"3"))
+    assert outcomes[0].check(NotConfirmedError)
+    outcomes = results(store.put(b"a", b"3"))
     writer.work()
-    assert told == [None]
+    assert outcomes == [None]
 
 
-def test_upkeep_has_its_turn_under_constant_writes(store, writer, engine):
-    for n in range(40 * BUSY):
+def test_maintenance_runs_under_constant_writes(store, writer, engine):
+    for n in range(40 * MAX_GROUPS_BETWEEN_STEPS):
         store.put(b"k", b"%d" % n * 20)
         writer.work()
     assert engine.log.counts["segments cleaned"] > 0
     assert engine.stat()["bytes on disk"] < 200_000
 
 
-def test_upkeep_that_fails_is_tried_again_later_not_at_once(store, writer, engine, reactor):
+def test_failed_maintenance_is_retried_later_not_at_once(store, writer, engine, reactor):
     failing = []
 
     def step(budget):
@@ -192,38 +199,38 @@
         raise NotConfirmedError("the disk failed")
 
     engine.step = step
-    reactor.advance(REST)
+    reactor.advance(MAINTENANCE_INTERVAL_S)
     writer.work(50)
-    assert len(failing) == 1 and "failed" in store.last_trouble
-    reactor.advance(REST)
+    assert len(failing) == 1 and "failed" in store.last_error
+    reactor.advance(MAINTENANCE_INTERVAL_S)
     writer.work(50)
     assert len(failing) == 2
 
 
-def test_closing_writes_what_waits_and_refuses_what_comes(store, writer, reader, disk, reactor):
-    told = results(*(store.put(b"%d" % n, b"") for n in range(3)))
+def test_close_writes_queued_batches_and_refuses_new_ones(store, writer, reader, disk, reactor):
+    outcomes = results(*(store.put(b"%d" % n, b"") for n in range(3)))
     closed = results(store.close(), store.close())
     assert results(store.put(b"k", b""))[0].check(ClosedError)
     assert results(store.get(b"k"))[0].check(ClosedError)
     writer.work(50)
-    assert told == [None] * 3 and closed == [None, None]
+    assert outcomes == [None] * 3 and closed == [None, None]
     assert disk.open_files == 0 and not disk.locked and not reactor.getDelayedCalls()
 
 
-def test_a_read_under_way_when_the_store_closes_is_answered(store, writer, reader, engine, disk):
+def test_read_under_way_during_close_completes(store, writer, reader, engine, disk):
     store.put(b"k", b"v")
     writer.work()
-    where = engine.log.index.places[b"k"]
+    where = engine.log.index.locations[b"k"]
     segment = engine.log.segments[where >> 64 & 0xFFFFFFFF]
-    segment.users += 1  # as a reader that is at it
+    segment.reference_count += 1  # as a reader that is at it
     store.close()
     writer.work(5)
-    assert engine.reads.read(segment, b"k", where) == b"v"
-    engine.log.leave(segment)
+    assert engine.reader.read_value(segment, b"k", where) == b"v"
+    engine.log.release(segment)
     assert disk.open_files == 0
 
 
-def test_a_snapshot_is_read_in_chunks_while_writes_go_on(store, writer, reader):
+def test_snapshot_chunks_are_unchanged_by_later_writes(store, writer, reader):
     for n in range(5):
         store.put(b"k%d" % n, b"old")
     writer.work(3)
@@ -234,12 +241,12 @@
     reader.work(2)
     assert rows[0] + rows[1] == [(b"k%d" % n, b"old") for n in range(5)]
     store.release(taken)
-    told = results(store.chunk(taken))
+    outcomes = results(store.chunk(taken))
     reader.work()
-    assert told[0].check(SnapshotGoneError)
+    assert outcomes[0].check(SnapshotEndedError)
 
 
-def test_in_threads_on_a_real_disk(reactor, tmp_path):
+def test_store_with_threads_on_a_real_disk(reactor, tmp_path):
     clock = lambda: 5 * SECOND  # noqa: E731
     opened = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(1)))
     puts = gatherResults([opened.put(b"%03d" % n, b"v" * n) for n in range(300)])
@@ -247,26 +254,26 @@
     assert opened.engine.log.counts["flushes"] < 100
     assert reactor.until(opened.get(b"299")) == b"v" * 299
     second = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(2)))
-    assert second.check(UnfitError) and "in use by another process" in second.getErrorMessage()
+    assert second.check(CannotOpenError) and "in use by another process" in second.getErrorMessage()
     assert reactor.until(opened.close()) is None
     again = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(3)))
     assert len(list(again.scan())) == 300
     assert reactor.until(again.close()) is None
 
 
-def test_a_reads_damage_reaches_the_caller(store, writer, reader, engine, disk):
+def test_corrupt_value_fails_the_read(store, writer, reader, engine, disk):
     store.put(b"k", b"value")
     writer.work()
     content = disk.live_names[engine.log.active.name]
     content.now[-2] ^= 1
-    told = results(store.get(b"k"))
+    outcomes = results(store.get(b"k"))
     reader.work()
-    assert told[0].check(DamagedError)
+    assert outcomes[0].check(CorruptDataError)
 
 
-def test_one_group_is_bounded(store, writer, engine, monkeypatch):
-    monkeypatch.setattr(module, "GROUP_BYTES", 500)
+def test_group_size_is_limited(store, writer, engine, monkeypatch):
+    monkeypatch.setattr(module, "MAX_GROUP_BYTES", 500)
     store.put(b"first", b"")
-    told = results(*(store.put(b"%d" % n, b"x" * 100) for n in range(10)))
+    outcomes = results(*(store.put(b"%d" % n, b"x" * 100) for n in range(10)))
     writer.work(2)
-    assert 0 < len(told) < 5
+    assert 0 < len(outcomes) < 5
