--- /dev/null
+++ b/lichencleat/coordinator/states.py
@@ -0,0 +1,42 @@
+"""What a group replicates: each part of the state by the name under which it is stored and sent.
+
+All members of a group must be given the same parts. The names are on disk and on the wire: they never change.
+"""
+
+from __future__ import annotations
+
+from lichencleat.consensus.key_value import KeyValueState
+from lichencleat.consensus.state_machine import ReplicatedState
+from lichencleat.failover.state import FailoverState
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.quotas.quota_state import QuotaState
+from lichencleat.recovery.state import FleetState
+
+KEY_VALUES = "facts"
+LEASES = "owners"
+QUOTAS = "shares"
+RECOVERY = "revive"
+FAILOVER = "zones"
+CONFIG_DISTRIBUTION = "distribution"
+
+
+def make_control_plane_states() -> dict[str, ReplicatedState]:
+    """Return the empty state of a group that coordinates a fleet."""
+    leases = LeaseState()
+    return {
+        KEY_VALUES: KeyValueState(),
+        LEASES: leases,
+        QUOTAS: QuotaState(leases),
+        RECOVERY: FleetState(leases),
+        FAILOVER: FailoverState(leases),
+    }
+
+
+def make_config_distribution_states() -> dict[str, ReplicatedState]:
+    """Return the empty state of a group that replicates configuration.
+
+    Such a group is a separate one, so that snapshots of large configurations never delay renewals of leases.
+    """
+    from lichencleat.config_distribution.source import Source  # other groups don't load it
+
+    return {KEY_VALUES: KeyValueState(), CONFIG_DISTRIBUTION: Source()}
--- a/lichencleat/failover/state.py
+++ b/lichencleat/failover/state.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.failover.messages import (
     HISTORY_QUERY,
     JOB,
--- a/lichencleat/leases/lease_state.py
+++ b/lichencleat/leases/lease_state.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.leases.messages import (
     MAX_CANDIDATES,
     MAX_CRASHES,
--- a/lichencleat/membership/program.py
+++ b/lichencleat/membership/program.py
@@ -11,7 +11,6 @@
 from twisted.internet.base import ReactorBase
 from twisted.internet.error import CannotListenError
 
-from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config.addresses import parse_address
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config.loading import parse_config, read_config_text
@@ -21,6 +20,7 @@
 from lichencleat.membership.gossip import GossipMember
 from lichencleat.membership.messages import MemberState, MemberUpdate
 from lichencleat.membership.settings import GossipSettings
+from lichencleat.reactor import make_reactor, unix_time
 
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 
--- a/lichencleat/store/recovery.py
+++ b/lichencleat/store/recovery.py
@@ -9,7 +9,7 @@
 import contextlib
 from collections.abc import Sequence
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store import checkpoint, file_names, framing
 from lichencleat.store.disk import Disk, FileHandle
 from lichencleat.store.errors import CannotOpenError, CorruptDataError, Finding, NotAStoreError
--- a/lichencleat/store/replay.py
+++ b/lichencleat/store/replay.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator, Sequence
 from typing import NamedTuple
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store import framing
 from lichencleat.store.checkpoint import Checkpoint
 from lichencleat.store.disk import Disk
--- a/lichencleat/store/salvage.py
+++ b/lichencleat/store/salvage.py
@@ -9,7 +9,7 @@
 
 from crc32c import crc32c
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store import file_names, framing
 from lichencleat.store.batch import Batch
 from lichencleat.store.capacity import StoreLimits
--- a/lichencleat/store/threads.py
+++ b/lichencleat/store/threads.py
@@ -31,13 +31,13 @@
 class ThreadedReactor(Protocol):
     """What the store needs of Twisted's reactor: timers and threads."""
 
-    def callLater(self, delay: float, call: Callable[..., object], *args: object) -> Timer:  # noqa: N802
+    def callLater(self, delay: float, call: Callable[..., object], /, *args: object) -> Timer:  # noqa: N802
         """As `IReactorTime`."""
 
-    def callFromThread(self, call: Callable[..., object], *args: object) -> None:  # noqa: N802
+    def callFromThread(self, call: Callable[..., object], /, *args: object) -> None:  # noqa: N802
         """As `IReactorFromThreads`."""
 
-    def callInThread(self, call: Callable[..., object], *args: object) -> None:  # noqa: N802
+    def callInThread(self, call: Callable[..., object], /, *args: object) -> None:  # noqa: N802
         """As `IReactorInThreads`."""
 
 
--- a/lichencleat/testkit/cluster/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -15,11 +15,13 @@
 from twisted.internet.protocol import ReconnectingClientFactory
 from twisted.protocols.basic import LineOnlyReceiver
 
-from lichencleat.clocks import make_reactor, unix_time
-from lichencleat.consensus.client import Client
-from lichencleat.consensus.file import parse_address, read_quorum
+from lichencleat.config.addresses import parse_address
+from lichencleat.coordinator.settings import read_quorum_settings
 from lichencleat.leases.lease_client import LeaseClient
 from lichencleat.log.structured import create_logger
+from lichencleat.reactor import make_reactor, unix_time
+from lichencleat.testkit.cluster.process_faults import install_faults
+from lichencleat.transport.group_client import GroupClient
 
 ACT = 0.01  # s between two acts on a job
 
@@ -61,12 +63,13 @@
 
 
 def main() -> None:
+    install_faults()
     reactor = make_reactor()
     path, name, zone, port = sys.argv[1:]
-    chosen = read_quorum(path)
+    chosen = read_quorum_settings(path)
     rng = random.Random(os.urandom(16))
     log = create_logger(unix_time, process=name, role="candidate", group=chosen.group)
-    client = Client(reactor, chosen.group, [parse_address(each) for each in chosen.members], rng)
+    client = GroupClient(reactor, chosen.group, [parse_address(each) for each in chosen.members], rng)
     acts = Acts()
     acts.maxDelay = 0.2
     worker = Worker(reactor, name, acts)
--- a/tests/compatibility/messages.py
+++ b/tests/compatibility/messages.py
@@ -12,13 +12,24 @@
 
 import msgspec
 
+from lichencleat import daemon
 from lichencleat.config_distribution import kept as distribution_kept
-from lichencleat.config_distribution import program as distribution_program
 from lichencleat.config_distribution import source as distribution_source
 from lichencleat.config_distribution import terms as distribution_terms
 from lichencleat.config_distribution import voting as distribution_voting
-from lichencleat.consensus import facts, journal, parts, process, program, seats, sessions, state, wire
-from lichencleat.consensus import terms as consensus_terms
+from lichencleat.consensus import (
+    greetings,
+    identity,
+    key_value,
+    log_storage,
+    process,
+    requests,
+    sessions,
+    state_machine,
+    supported_states,
+)
+from lichencleat.consensus import messages as consensus_messages
+from lichencleat.coordinator import states as coordinator_states
 from lichencleat.failover import messages as failover_messages
 from lichencleat.failover import state as failover_state
 from lichencleat.idempotency import records
@@ -30,6 +41,9 @@
 from lichencleat.recovery import messages as recovery_messages
 from lichencleat.recovery import state as recovery_state
 from lichencleat.store import file_names, framing
+from lichencleat.transport import frames as transport_frames
+from lichencleat.transport import identity as transport_identity
+from lichencleat.transport import outcomes
 
 MESSAGES: dict[str, type[msgspec.Struct]] = {
     "distribution.kept.Head": distribution_kept.Head,
@@ -68,26 +82,26 @@
     "owners.terms.Owned": leases_messages.RenewalReply,
     "owners.terms.Release": leases_messages.ReleaseJob,
     "owners.terms.Renew": leases_messages.RenewLease,
-    "quorum.facts.Changed": facts.Changed,
-    "quorum.facts.Fact": facts.Fact,
-    "quorum.facts.Set": facts.Set,
-    "quorum.journal.Head": journal.Head,
-    "quorum.seats.Identity": seats.Identity,
-    "quorum.seats.Life": seats.Life,
-    "quorum.sessions.Held": sessions.Held,
-    "quorum.state.Dumped": state.Dumped,
-    "quorum.terms.Entry": consensus_terms.Entry,
-    "quorum.terms.Group": consensus_terms.Group,
-    "quorum.terms.Member": consensus_terms.Member,
-    "quorum.terms.Message": consensus_terms.Message,
-    "quorum.terms.Snapshot": consensus_terms.Snapshot,
-    "quorum.wire.Carried": wire.Carried,
-    "quorum.wire.Greeted": wire.Greeted,
-    "quorum.wire.Greeting": wire.Greeting,
-    "quorum.wire.Proposal": wire.Proposal,
-    "quorum.wire.Reply": wire.Reply,
-    "quorum.wire.Request": wire.Request,
-    "quorum.wire.WhoItIs": wire.WhoItIs,
+    "quorum.facts.Changed": key_value.SetResult,
+    "quorum.facts.Fact": key_value.KeyValueEntry,
+    "quorum.facts.Set": key_value.SetCommand,
+    "quorum.journal.Head": log_storage.SnapshotHeader,
+    "quorum.seats.Identity": identity.Identity,
+    "quorum.seats.Life": transport_identity.Incarnation,
+    "quorum.sessions.Held": sessions.SessionRecord,
+    "quorum.state.Dumped": state_machine.StateMachineDump,
+    "quorum.terms.Entry": consensus_messages.Entry,
+    "quorum.terms.Group": consensus_messages.Configuration,
+    "quorum.terms.Member": consensus_messages.Member,
+    "quorum.terms.Message": consensus_messages.Message,
+    "quorum.terms.Snapshot": consensus_messages.Snapshot,
+    "quorum.wire.Carried": requests.RaftMessageFrame,
+    "quorum.wire.Greeted": transport_frames.GreetingResponse,
+    "quorum.wire.Greeting": transport_frames.Greeting,
+    "quorum.wire.Proposal": requests.Proposal,
+    "quorum.wire.Reply": transport_frames.ClientResponse,
+    "quorum.wire.Request": transport_frames.ClientRequest,
+    "quorum.wire.WhoItIs": requests.AddMemberRequest,
     "revive.boot.Boot": boot_record.BootRecord,
     "revive.figures.Figures": service_times.ServiceTimes,
     "revive.state.Dumped": recovery_state.FleetSnapshot,
@@ -131,9 +145,9 @@
 }
 
 UNIONS: dict[str, UnionType] = {
-    "quorum.wire.Frame": wire.Frame,
     "owners.terms.Command": leases_messages.Command,
     "shares.terms.Command": quotas_messages.Command,
+    "quorum.wire.Frame": requests.MemberFrame,
     "revive.terms.Command": recovery_messages.Command,
     "zones.terms.Command": failover_messages.Command,
     "distribution.source.Query": distribution_source.Query,
@@ -144,11 +158,11 @@
     "keyed.records.State": records.RecordState,
     "members.terms.Kind": membership_messages.MessageKind,
     "members.terms.State": membership_messages.MemberState,
-    "quorum.seats.Welcome": seats.Welcome,
-    "quorum.sessions.Verdict": sessions.Verdict,
-    "quorum.terms.Kind": consensus_terms.Kind,
-    "quorum.terms.Reason": consensus_terms.Reason,
-    "quorum.terms.What": consensus_terms.What,
+    "quorum.seats.Welcome": transport_identity.GreetingResult,
+    "quorum.sessions.Verdict": outcomes.SessionOutcome,
+    "quorum.terms.Kind": consensus_messages.MessageType,
+    "quorum.terms.Reason": outcomes.RejectReason,
+    "quorum.terms.What": consensus_messages.EntryType,
     "revive.terms.Door": recovery_messages.NodeStatus,
     "zones.terms.Duty": failover_messages.ZoneRole,
 }
@@ -159,8 +173,8 @@
     "distribution.kept.HEAD": distribution_kept.HEAD,
     "distribution.kept.PAGE": distribution_kept.PAGE,
     "distribution.kept.RECENT_MOST": distribution_kept.RECENT_MOST,
-    "distribution.program.STOPPED": distribution_program.STOPPED,
-    "distribution.program.WRONG": distribution_program.WRONG,
+    "distribution.program.STOPPED": daemon.EXIT_STOPPED,
+    "distribution.program.WRONG": daemon.EXIT_CANNOT_START,
     "distribution.terms.DIGEST": distribution_terms.DIGEST,
     "distribution.terms.DIGESTS": distribution_terms.DIGESTS,
     "distribution.terms.FIND": distribution_terms.FIND,
@@ -174,24 +188,24 @@
     "keyed.records.MARK": records.DIGEST_BYTES,
     "keyed.records.SEEN": records.HEARTBEAT_KEY,
     "keyed.records.WHOSE": records.OWNERSHIP_KEY,
-    "quorum.journal.ENTRY": journal.ENTRY,
-    "quorum.journal.NO_PIECES": journal.NO_PIECES,
-    "quorum.journal.PIECE": journal.PIECE,
-    "quorum.journal.SNAPSHOT": journal.SNAPSHOT,
-    "quorum.journal.TOP": journal.TOP,
-    "quorum.journal.UNDER_WAY": journal.UNDER_WAY,
-    "quorum.parts.BEFORE": parts.BEFORE,
-    "quorum.parts.USES": parts.USES,
-    "quorum.process.LIFE": process.LIFE,
-    "quorum.program.LEFT": program.LEFT,
-    "quorum.program.STOPPED": program.STOPPED,
-    "quorum.program.WRONG": program.WRONG,
-    "quorum.program.distribution_parts": list(program.distribution_parts()),
-    "quorum.program.parts": list(program.parts()),
-    "quorum.seats.IDENTITY": seats.IDENTITY,
-    "quorum.terms.NOBODY": consensus_terms.NOBODY,
-    "quorum.wire.FORMAT": wire.FORMAT,
-    "quorum.wire.FRAME_MOST": wire.FRAME_MOST,
+    "quorum.journal.ENTRY": log_storage.ENTRY_KEY_PREFIX,
+    "quorum.journal.NO_PIECES": log_storage.NO_CHUNKS,
+    "quorum.journal.PIECE": log_storage.CHUNK_KEY_PREFIX,
+    "quorum.journal.SNAPSHOT": log_storage.SNAPSHOT_KEY,
+    "quorum.journal.TOP": log_storage.HARD_STATE_KEY,
+    "quorum.journal.UNDER_WAY": log_storage.PENDING_CHUNKS_KEY,
+    "quorum.parts.BEFORE": supported_states.LEGACY_STATES,
+    "quorum.parts.USES": supported_states.ACTIVATION_COMMAND,
+    "quorum.process.LIFE": greetings.INCARNATION_KEY_PREFIX,
+    "quorum.program.LEFT": process.EXIT_HALTED,
+    "quorum.program.STOPPED": daemon.EXIT_STOPPED,
+    "quorum.program.WRONG": daemon.EXIT_CANNOT_START,
+    "quorum.program.distribution_parts": list(coordinator_states.make_config_distribution_states()),
+    "quorum.program.parts": list(coordinator_states.make_control_plane_states()),
+    "quorum.seats.IDENTITY": identity.IDENTITY_KEY,
+    "quorum.terms.NOBODY": consensus_messages.NO_MEMBER,
+    "quorum.wire.FORMAT": transport_frames.FORMAT_VERSION,
+    "quorum.wire.FRAME_MOST": transport_frames.MAX_FRAME_BYTES,
     "revive.boot.FORMAT": boot_record.FORMAT,
     "revive.figures.FORMAT": service_times.FORMAT,
     "revive.seat.BOOT": boot_record_store.BOOT_RECORD_KEY,
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -6,21 +6,22 @@
 
 from lichencleat.config_distribution.source import Publish, Source
 from lichencleat.config_distribution.terms import Change
-from lichencleat.consensus import wire
-from lichencleat.consensus.facts import Facts, Set
-from lichencleat.consensus.links import Framed
-from lichencleat.consensus.program import parts
-from lichencleat.consensus.seats import Life
-from lichencleat.consensus.state import State, command
-from lichencleat.consensus.terms import Entry, What
+from lichencleat.consensus.key_value import KeyValueState, SetCommand
+from lichencleat.consensus.messages import Entry, EntryType
+from lichencleat.consensus.state_machine import StateMachine
+from lichencleat.coordinator.states import make_control_plane_states
 from lichencleat.failover.messages import DefineZone
 from lichencleat.leases.lease_state import LeaseState
 from lichencleat.leases.messages import DefineJob
 from lichencleat.quotas.messages import DefinePool
 from lichencleat.recovery.messages import NodeReport
+from lichencleat.transport import frames
+from lichencleat.transport.framed_protocol import FramedProtocol
+from lichencleat.transport.frames import encode_command
+from lichencleat.transport.identity import Incarnation
 
 COMMANDS = {
-    "facts": Set("fact", b"v"),
+    "facts": SetCommand("fact", b"v"),
     "owners": DefineJob("job", "zone"),
     "shares": DefinePool("pool", 10, 1, 4),
     "revive": NodeReport("node", "zone", 1, True, 0, 1, True, True, 0.5),
@@ -51,27 +52,27 @@
 @pytest.mark.parametrize("name", COMMANDS)
 def test_an_entry_that_no_part_can_read_stays_in_the_log_and_changes_nothing(name):
     """Each member applies it at each start: one that raised would take the whole group along, for good."""
-    state = State({**parts(), "distribution": Source()})
-    assert set(state.parts) == set(COMMANDS) and isinstance(state.parts["owners"], LeaseState)
+    state = StateMachine({**make_control_plane_states(), "distribution": Source()})
+    assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], LeaseState)
     before = state.dump()
-    for index, data in enumerate(no_text(command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
-        state.apply(index, Entry(1, What.COMMAND, data))
+    for index, data in enumerate(no_text(encode_command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
+        state.apply(index, Entry(1, EntryType.COMMAND, data))
     assert state.dump() == before
     index = state.applied + 1
-    state.apply(index, Entry(1, What.COMMAND, command("facts", Set("fact", b"v"))))
-    assert isinstance(state.parts["facts"], Facts) and state.read("facts", "fact").revision == index
+    state.apply(index, Entry(1, EntryType.COMMAND, encode_command("facts", SetCommand("fact", b"v"))))
+    assert isinstance(state.states["facts"], KeyValueState) and state.read("facts", "fact").revision == index
 
 
 @pytest.mark.parametrize(
     "frame",
     [
-        wire.Greeting(wire.FORMAT, b"mark", "group", 0, 0, Life(1, 2), "client"),
-        wire.Request(1, "status"),
-        wire.Reply(1, True, wire.raw(1), 2, "127.0.0.1", 3),
+        frames.Greeting(frames.FORMAT_VERSION, b"mark", "group", 0, 0, Incarnation(1, 2), "client"),
+        frames.ClientRequest(1, "status"),
+        frames.ClientResponse(1, True, frames.encode_raw(1), 2, "127.0.0.1", 3),
     ],
 )
 def test_a_frame_whose_text_is_none_ends_its_connection(frame):
-    for data in no_text(wire.encode(frame), wire.decode_frame):
-        framed = Framed()
+    for data in no_text(frames.encode(frame), frames.decode_frame):
+        framed = FramedProtocol()
         framed.makeConnection(StringTransport())
         assert framed.read(data) is None and framed.transport.disconnected
