--- a/tests/consensus/test_checkers.py
+++ b/tests/consensus/test_checkers.py
@@ -1,4 +1,4 @@
-"""The judges themselves: planted violations are found, and what is right raises nothing."""
+"""The checkers of the simulation: injected violations are found, and correct histories pass."""
 
 import random
 
@@ -36,13 +36,13 @@
     return made
 
 
-def test_a_thousand_histories_that_are_right_raise_nothing():
+def test_correct_histories_pass_the_checker():
     rng = random.Random(5)
     for _ in range(1_000):
         assert judge_facts(drawn(rng)) is None
 
 
-def test_a_read_of_what_was_replaced_before_it_began_is_found():
+def test_read_of_a_value_never_written_is_found():
     rng, found, planted = random.Random(6), 0, 0
     while planted < 200:
         history = drawn(rng)
@@ -56,7 +56,7 @@
     assert found == planted
 
 
-def test_a_stale_read_a_lost_write_and_a_write_done_twice():
+def test_stale_read_lost_write_and_duplicate_write_are_found():
     base = [call("a", ("put", "f", b"1"), 0, 10, True), call("a", ("put", "f", b"2"), 20, 30, True)]
     assert judge_facts([*base, call("b", ("get", "f"), 40, 50, b"2")]) is None
     assert judge_facts([*base, call("b", ("get", "f"), 40, 50, b"1")]).startswith("fact f is no single thing")
@@ -67,7 +67,7 @@
     assert judge_facts(both) is not None
 
 
-def test_what_was_never_answered_may_have_happened_or_not():
+def test_unanswered_call_may_have_taken_effect_or_not():
     maybe = Call("a", ("put", "f", b"1"), 0)
     assert judge_facts([maybe, call("b", ("get", "f"), 90, 95, b"1")]) is None
     assert judge_facts([maybe, call("b", ("get", "f"), 90, 95, None)]) is None
@@ -75,13 +75,13 @@
     assert judge_facts([maybe, *back]) is not None
 
 
-def test_a_search_that_is_too_long_is_no_verdict():
+def test_search_over_its_limit_gives_no_verdict():
     calls = [Call(f"c{n}", ("put", b"%d" % n), 0, True, 10) for n in range(12)]
     assert linear([*calls, Call("x", ("get", None), 20, b"none", 30)], None, register, most=500) is None
     assert NEVER > 10**18
 
 
-def test_the_watch_finds_each_planted_violation():
+def test_group_watch_finds_each_injected_violation():
     def watched(*said):
         watch = GroupWatch()
         for name, *what in said:
--- a/tests/consensus/test_explore.py
+++ b/tests/consensus/test_model_checking.py
@@ -1,4 +1,4 @@
-"""All orders of small settings: the voter breaks nothing, and the mistake that each is made for is found."""
+"""Model checking: the node violates nothing in any order of small scenes, and each injected bug is found."""
 
 import pytest
 
@@ -9,7 +9,7 @@
 
 
 @pytest.mark.parametrize("name", SCENES)
-def test_nothing_breaks_in_any_order(name):
+def test_scene_has_no_violation_in_any_order(name):
     scene = SCENES[name]
     found = play(scene, RaftNode, min(scene.depth, 9))
     assert found.violation is None, found.history
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("name", [name for name, each in SCENES.items() if each.mistake != "none"])
-def test_the_planted_mistake_is_found(name):
+def test_scene_finds_its_injected_bug(name):
     scene = SCENES[name]
     found = play(scene, VARIANTS[scene.mistake])
     assert found.violation is not None
@@ -47,13 +47,13 @@
         return "3 and 2" if (self.a, self.b) == (3, 2) else None
 
 
-def test_the_shortest_history_is_told_and_equal_states_are_met_once():
+def test_explorer_reports_the_shortest_history_and_visits_equal_states_once():
     found = explore(Counter(), 9, 1_000)
     assert found.violation == "3 and 2" and sorted(found.history) == list("aaabb")
     assert found.states < 22 and found.depth == 4
 
 
-def test_it_says_when_it_gave_up_and_when_it_saw_all():
+def test_explorer_reports_whether_it_was_exhaustive():
     assert not explore(Counter(0, 3), 9, 5).whole
     whole = explore(Counter(0, 3), 99, 1_000)
     assert whole.whole and whole.violation is None
--- a/tests/consensus/test_quorum_sim.py
+++ b/tests/consensus/test_simulation.py
@@ -1,4 +1,4 @@
-"""Drawn faults, a few seeds: the full length is `python -m lichencleat.testkit.simulation.run`."""
+"""Random faults in simulated time: a few seeds of `python -m lichencleat.testkit.simulation.run`."""
 
 import pytest
 
@@ -11,33 +11,33 @@
 
 
 @pytest.mark.parametrize("first", range(1, 81, 20))
-def test_drawn_runs_break_nothing_and_get_well_again(first):
+def test_random_faults_break_nothing_and_the_cluster_recovers(first):
     for seed in range(first, first + 20):
         ran = run(seed)
         assert ran.wrong is None, (seed, ran.wrong, list(map(str, ran.faults)))
         assert ran.calls > 200 and ran.calls - ran.answered <= 3  # one a client may be under way
 
 
-def test_a_slow_disk_and_snapshots_make_no_storm_of_messages():
+def test_slow_disk_with_snapshots_does_not_flood_the_network():
     assert run(1025).wrong is None  # it sent the same piece again without end
 
 
-def test_a_seed_gives_the_same_run_to_the_byte():
+def test_run_is_reproducible_by_its_seed():
     assert run(7).digest == run(7).digest != run(8).digest
 
 
 @pytest.mark.parametrize("variant", CAUGHT)
-def test_a_planted_mistake_is_caught(variant):
+def test_injected_bug_is_caught(variant):
     assert run(CAUGHT[variant], VARIANTS[variant]).wrong is not None
 
 
-def test_a_failing_schedule_is_made_short():
+def test_failing_schedule_is_shrunk():
     faults = [Fault(at, 1, "kill", (1,)) for at in range(20)]
     fewer = shrink(faults, lambda some: {3, 11} <= {each.at for each in some})
     assert [each.at for each in fewer] == [3, 11]
 
 
-def test_a_drifting_clock_shows_its_moments_when_it_says():
+def test_drifting_clock_reaches_its_times_as_predicted():
     clockwork = Clockwork()
     clock = DriftingClock(clockwork, start=1_000, rate=1.05)
     shown = []
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("name", COMMANDS)
-def test_an_entry_that_no_part_can_read_stays_in_the_log_and_changes_nothing(name):
+def test_undecodable_command_changes_nothing(name):
     """Each member applies it at each start: one that raised would take the whole group along, for good."""
     state = StateMachine({**parts(), "distribution": Source()})
     assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], Jobs)
@@ -70,7 +70,7 @@
         wire.Reply(1, True, wire.raw(1), 2, "127.0.0.1", 3),
     ],
 )
-def test_a_frame_whose_text_is_none_ends_its_connection(frame):
+def test_frame_with_invalid_text_ends_its_connection(frame):
     for data in no_text(wire.encode(frame), wire.decode_frame):
         framed = Framed()
         framed.makeConnection(StringTransport())
