--- a/lichencleat/consensus/__init__.py
+++ b/lichencleat/consensus/__init__.py
@@ -10,7 +10,7 @@
 
 The core does no I/O. `raft_node` is its interface to the host; it is built from `node_state`, `follower`,
 `replicator` and `elector`. `raft_log` is the log in memory and `log_storage` its layout on disk; `leader` and
-`progress` hold what a leader knows of its followers; `configuration` has quorums and membership changes;
-`state_machine` applies committed entries behind `sessions`; `identity` detects restored copies of a directory;
-`supported_states` guards upgrades.
+`progress` hold what a leader knows of its followers; `configuration` has quorums and membership changes.
+`state_machine` applies committed entries behind `sessions`; `identity` detects restored copies of a
+directory; `supported_states` guards upgrades.
 """
--- a/tests/consensus/test_log_storage.py
+++ b/tests/consensus/test_log_storage.py
@@ -171,6 +171,7 @@
 def test_missing_entry_is_damage():
     engine, storage = open_engine(FaultyDisk()), LogStorage()
     carry_out(engine, storage, DurableWrite(1, 1, 0, 1, (Entry(1, 0), Entry(1, 0)), 2, 0))
+    assert len(LogStorage().load(engine.get).entries) == 2
     engine.commit([Batch().delete(entry_key(1))])
     with pytest.raises(DamagedError, match="an entry that was confirmed is missing"):
         LogStorage().load(engine.get)
