--- a/lichencleat/consensus/log_storage.py
+++ b/lichencleat/consensus/log_storage.py
@@ -148,7 +148,7 @@
         They are to be confirmed one after the other before `make_batch` is called for the write.
         """
         snapshot = write.snapshot
-        if snapshot is None or not self._needs_chunks(snapshot):
+        if snapshot is None or not self._is_chunked(snapshot):
             return
         chunks = ChunkRange(snapshot.index, -(-len(snapshot.data) // self.max_chunk_bytes))
         batch = Batch()
@@ -184,7 +184,7 @@
         for key in chunk_keys(chunks):
             batch.delete(key)
 
-    def _needs_chunks(self, snapshot: Snapshot) -> bool:
+    def _is_chunked(self, snapshot: Snapshot) -> bool:
         return len(snapshot.data) > self.max_chunk_bytes
 
     def _delete_void_entries(self, batch: Batch, write: DurableWrite) -> None:
@@ -205,7 +205,7 @@
             batch.delete(PENDING_CHUNKS_KEY)
         if snapshot is None:
             self.delete_chunks(batch, pending)
-        elif not self._needs_chunks(snapshot):
+        elif not self._is_chunked(snapshot):
             self.delete_chunks(batch, pending)
             self.delete_chunks(batch, self.active_chunks)
             self.active_chunks = NO_CHUNKS
--- a/lichencleat/consensus/snapshot_receiver.py
+++ b/lichencleat/consensus/snapshot_receiver.py
@@ -24,7 +24,7 @@
 
     def add_chunk(self, chunk: Message) -> Snapshot | int:
         """Add a chunk; return the complete snapshot, or the offset in bytes of the chunk wanted next."""
-        if self._starts_snapshot(chunk):
+        if self._is_first_chunk(chunk):
             self.first_chunk = chunk
             self.data = bytearray()
         first = self.first_chunk
@@ -41,6 +41,6 @@
         return snapshot
 
     @staticmethod
-    def _starts_snapshot(chunk: Message) -> bool:
+    def _is_first_chunk(chunk: Message) -> bool:
         is_first = chunk.offset == 0 and chunk.configuration is not None
         return is_first and chunk.snapshot_size <= MAX_SNAPSHOT_BYTES
--- a/lichencleat/consensus/supported_states.py
+++ b/lichencleat/consensus/supported_states.py
@@ -55,7 +55,7 @@
         lacking = [
             each.name
             for each in configuration.members
-            if each.member_id != leader_id and not self._supports(each.member_id, state)
+            if each.member_id != leader_id and not self._is_supported_by(each.member_id, state)
         ]
         if not lacking:
             return None
@@ -64,5 +64,5 @@
         more = f" and {unnamed_count} more" if unnamed_count > 0 else ""
         return f"not all members have said that they know {state!r}: {named}{more}"
 
-    def _supports(self, member_id: int, state: str) -> bool:
+    def _is_supported_by(self, member_id: int, state: str) -> bool:
         return state in self.by_member.get(member_id, frozenset())
--- a/tests/consensus/test_checkers.py
+++ b/tests/consensus/test_checkers.py
@@ -67,7 +67,7 @@
     assert judge_facts(both) is not None
 
 
-def test_unanswered_call_may_have_taken_effect_or_not():
+def test_unanswered_call_may_be_done_or_not():
     maybe = Call("a", ("put", "f", b"1"), 0)
     assert judge_facts([maybe, call("b", ("get", "f"), 90, 95, b"1")]) is None
     assert judge_facts([maybe, call("b", ("get", "f"), 90, 95, None)]) is None
@@ -75,7 +75,7 @@
     assert judge_facts([maybe, *back]) is not None
 
 
-def test_search_over_its_limit_gives_no_verdict():
+def test_search_over_its_limit_has_no_verdict():
     calls = [Call(f"c{n}", ("put", b"%d" % n), 0, True, 10) for n in range(12)]
     assert linear([*calls, Call("x", ("get", None), 20, b"none", 30)], None, register, most=500) is None
     assert NEVER > 10**18
--- a/tests/consensus/test_progress.py
+++ b/tests/consensus/test_progress.py
@@ -54,7 +54,7 @@
     assert progress.next_message(entries, heartbeat) is None
 
 
-def test_heartbeat_carries_the_commit_index_and_the_follower_takes_over_what_it_has():
+def test_follower_commits_up_to_its_matched_index_on_a_heartbeat():
     log, progress = RaftLog(Snapshot(0, 0, CONFIGURATION, b""), make_entries(1, 9)), Progress(1, 0)
     progress.match_index = 4
     heartbeat = progress.make_heartbeat(log, Message(MessageType.APPEND, 1, 1, 2, commit=9))
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -29,7 +29,7 @@
 }
 
 
-def spoilt(data):
+def corrupted(data):
     """Each byte in turn as one that stands in no UTF-8."""
     return [data[:at] + b"\xff" + data[at + 1 :] for at in range(len(data))]
 
@@ -37,7 +37,7 @@
 def no_text(data, decode):
     """Those of them that fail as text: what is asked of this file."""
     found = []
-    for each in spoilt(data):
+    for each in corrupted(data):
         try:
             decode(each)
         except UnicodeDecodeError:
