--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -14,9 +14,9 @@
 from lichencleat.consensus.program import parts
 from lichencleat.consensus.state_machine import StateMachine, encode_command
 from lichencleat.failover.terms import Define as DefineZone
-from lichencleat.leases.jobs import Jobs
-from lichencleat.leases.terms import Define as DefineJob
-from lichencleat.quotas.terms import Define as DefinePool
+from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import DefineJob
+from lichencleat.quotas.messages import DefinePool
 from lichencleat.recovery.terms import Report
 
 COMMANDS = {
@@ -52,7 +52,7 @@
 def test_undecodable_command_changes_nothing(name):
     """Each member applies it at each start: one that raised would take the whole group along, for good."""
     state = StateMachine({**parts(), "distribution": Source()})
-    assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], Jobs)
+    assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], LeaseState)
     before = state.dump()
     for index, data in enumerate(no_text(encode_command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
         state.apply(index, Entry(1, EntryType.COMMAND, data))
