--- /dev/null
+++ b/lichencleat/store/checkpoint_writer.py
@@ -0,0 +1,102 @@
+"""Checkpoint writer: writes a checkpoint of a snapshot step by step and names it once it is flushed."""
+
+from __future__ import annotations
+
+import contextlib
+from dataclasses import dataclass
+
+from lichencleat.store import checkpoint, file_names, framing
+from lichencleat.store.disk import FileHandle
+from lichencleat.store.index import Snapshot
+from lichencleat.store.log import Log
+
+
+@dataclass(slots=True)
+class CheckpointInProgress:
+    """A checkpoint on its way to the disk."""
+
+    snapshot: Snapshot
+    encoder: checkpoint.CheckpointEncoder
+    file: FileHandle
+    cursor: bytes  # the key at which the next rows begin
+    log_position: int  # bytes of log that had been written when it began
+
+
+class CheckpointWriter:
+    """Owns the checkpoint under way; its file and snapshot are given back in `abort` alone."""
+
+    def __init__(self, log: Log) -> None:
+        self.log = log
+        self.in_progress: CheckpointInProgress | None = None
+        self.log_position = 0  # of the bytes of log written, those before the last checkpoint
+        self.last_sequence = 0  # that the last checkpoint covers
+
+    def bytes_since_last(self) -> int:
+        """Bytes of log since the last checkpoint: what a start would have to read again."""
+        return self.log.bytes_written - self.log_position
+
+    def begin(self) -> None:
+        """Begin a checkpoint, unless one is under way; the next steps write it. Raises OSError."""
+        if self.in_progress is not None:
+            return
+        log = self.log
+        newest = log.newest()
+        with contextlib.suppress(FileNotFoundError):
+            log.disk.remove(file_names.NEW_CHECKPOINT)
+        encoder = checkpoint.CheckpointEncoder(log.rng.randbytes(framing.SALT_BYTES))
+        file = log.disk.open(file_names.NEW_CHECKPOINT, create=True)
+        with log.lock:
+            snapshot = log.index.snapshot(log.sequence)
+            tombstones = [(each.number, each.tombstone_bytes) for each in log.segments.values()]
+        self.in_progress = CheckpointInProgress(snapshot, encoder, file, b"", log.bytes_written)
+        header = checkpoint.CheckpointHeader(
+            log.store, log.sequence, log.time, newest.number, newest.size, tombstones
+        )
+        log.disk.append(file, encoder.encode_header(header))
+
+    def step(self, budget: int) -> None:
+        """Write the next rows, some `budget` bytes; at the end finish the checkpoint. Raises OSError."""
+        current = self.in_progress
+        assert current is not None
+        spent = 0
+        while spent < budget:
+            with self.log.lock:
+                rows = current.snapshot.chunk(current.cursor, b"", checkpoint.ROWS_PER_FRAME)
+            if not current.snapshot.is_open:
+                self.abort()  # more was changed meanwhile than the undo list may hold
+                return
+            if not rows:
+                self._finish(current)
+                return
+            data = current.encoder.encode_rows(rows)
+            self.log.disk.append(current.file, data)
+            spent += len(data)
+            current.cursor = rows[-1][0] + b"\0"
+
+    def _finish(self, current: CheckpointInProgress) -> None:
+        disk, counts = self.log.disk, self.log.counts
+        disk.append(current.file, current.encoder.encode_count())
+        disk.flush(current.file)
+        disk.rename(file_names.NEW_CHECKPOINT, file_names.CHECKPOINT)
+        disk.flush_directory()
+        self.log_position = current.log_position
+        self.last_sequence = current.snapshot.sequence
+        counts["checkpoints"] += 1
+        counts["bytes written"] += current.encoder.size
+        self.abort()
+
+    def on_disk_failed(self) -> None:
+        """Give up after an error of the disk; the next attempt comes after as much log, not at once."""
+        if self.in_progress is not None:
+            self.log_position = self.log.bytes_written
+            self.abort()
+
+    def abort(self) -> None:
+        """End the checkpoint under way, if there is one: close its snapshot and file, remove the new name."""
+        current, self.in_progress = self.in_progress, None
+        if current is not None:
+            with self.log.lock:
+                current.snapshot.close()
+            self.log.disk.close(current.file)
+            with contextlib.suppress(OSError):
+                self.log.disk.remove(file_names.NEW_CHECKPOINT)
--- a/tests/consensus/test_durable_writer.py
+++ b/tests/consensus/test_durable_writer.py
@@ -9,8 +9,8 @@
     LogStorage,
 )
 from lichencleat.store.errors import FullError, StoreError
-from lichencleat.store.faulty import FaultyDisk
 from lichencleat.store.store import Store
+from lichencleat.testkit.faulty_disk import FaultyDisk
 
 
 class ManualStore:
@@ -67,7 +67,7 @@
         except StoreError as error:
             return fail(error)
 
-    store = Store(clock, engine, run_at_once, run_at_once, upkeep=False)
+    store = Store(clock, engine, run_at_once, run_at_once, maintenance=False)
     writer = DurableWriter(store, LogStorage(CHUNK_BYTES), done.append, failed.append)
     for write in WRITES[:3]:
         writer.write(write)
--- a/tests/consensus/test_log_storage.py
+++ b/tests/consensus/test_log_storage.py
@@ -31,10 +31,10 @@
     Snapshot,
 )
 from lichencleat.store.batch import Batch
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
-from lichencleat.store.errors import DamagedError
-from lichencleat.store.faulty import FaultyDisk, PowerCutError, by_chance
-from lichencleat.store.room import Bounds
+from lichencleat.store.errors import CorruptDataError
+from lichencleat.testkit.faulty_disk import FaultyDisk, PowerCutError, by_chance
 
 
 def stored_chunk_keys(engine):
@@ -133,12 +133,12 @@
     carry_out(engine, storage, write)
     assert LogStorage(CHUNK_BYTES).load(engine.get).snapshot == write.snapshot
     corrupt(engine)
-    with pytest.raises(DamagedError, match="piece"):
+    with pytest.raises(CorruptDataError, match="piece"):
         LogStorage(CHUNK_BYTES).load(engine.get)
 
 
 def test_snapshot_larger_than_a_batch_is_stored_and_read():
-    most = Bounds(segment_bytes=8 << 20, disk_bytes=256 << 20)
+    most = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20)
     engine = Engine.open(FaultyDisk(), lambda: 1, random.Random(1), most, create=True)
     large = Snapshot(
         3, 1, CONFIGURATION, random.Random(1).randbytes(1 << 20) * 33
@@ -173,5 +173,5 @@
     carry_out(engine, storage, DurableWrite(1, 1, 0, 1, (Entry(1, 0), Entry(1, 0)), 2, 0))
     assert len(LogStorage().load(engine.get).entries) == 2
     engine.commit([Batch().delete(entry_key(1))])
-    with pytest.raises(DamagedError, match="an entry that was confirmed is missing"):
+    with pytest.raises(CorruptDataError, match="an entry that was confirmed is missing"):
         LogStorage().load(engine.get)
--- a/tests/consensus/test_quorum_process.py
+++ b/tests/consensus/test_quorum_process.py
@@ -31,8 +31,8 @@
 from lichencleat.consensus.wire import Request, raw
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import FullError, StoreError
-from lichencleat.store.faulty import FaultyDisk
 from lichencleat.store.store import Store
+from lichencleat.testkit.faulty_disk import FaultyDisk
 
 decode = msgspec.msgpack.decode
 
@@ -117,7 +117,7 @@
         assert engine.commit([LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((me,))))]) == [
             None
         ]
-    store, said = Store(reactor, engine, at_once, at_once, upkeep=False), []
+    store, said = Store(reactor, engine, at_once, at_once, maintenance=False), []
     log = SimpleNamespace(
         info=lambda event, **more: said.append(event), warning=lambda event, **more: said.append(event)
     )
--- a/tests/store/every_byte.py
+++ b/tests/store/every_byte.py
@@ -6,7 +6,7 @@
 
 A file cut off behind what was flushed is what a cut of power leaves; the store opens, and holds a whole
 number of the batches, all those that were confirmed before the offset among them. One cut off before that is
-damage: it is told, and a salvage gives nothing but what was confirmed, and all of it that stood whole.
+corruption: it is reported, and a salvage gives nothing but what was confirmed, and all of it that was intact.
 """
 
 import itertools
@@ -18,16 +18,16 @@
 
 import click
 
-from lichencleat.store.checkers import History
-from lichencleat.store.errors import DamagedError, StoreError, UnfitError
-from lichencleat.store.faulty import FaultyDisk
+from lichencleat.store.capacity import StoreLimits
+from lichencleat.store.errors import CannotOpenError, CorruptDataError, StoreError
+from lichencleat.store.file_names import SEGMENT
 from lichencleat.store.index import length_of, offset_of, segment_of
-from lichencleat.store.inspect import salvage
-from lichencleat.store.room import Bounds
-from lichencleat.store.segments import NAME
-from tests.store.workload import Day
+from lichencleat.store.salvage import salvage
+from lichencleat.testkit.checkers.store_history import History
+from lichencleat.testkit.faulty_disk import FaultyDisk
+from tests.store.workload import StoreWorkload
 
-LARGE = Bounds(segment_bytes=1 << 20, disk_bytes=1 << 30)
+LARGE = StoreLimits(segment_bytes=1 << 20, max_disk_bytes=1 << 30)
 
 
 class Cutter:
@@ -35,16 +35,18 @@
 
     def __init__(self, point, close):
         disk = FaultyDisk()
-        self.day = Day()
-        self.day.open(disk)
-        self.day.run(point=point, close=False)
-        self.places = dict(self.day.engine.log.index.places)
+        self.workload = StoreWorkload()
+        self.workload.open(disk)
+        self.workload.run(point=point, close=False)
+        self.locations = dict(self.workload.engine.log.index.locations)
         if close:
-            self.day.engine.close()
+            self.workload.engine.close()
         self.image = disk.image()
-        self.whole = {key: value for key, (value, _) in self.day.history.after(10_000).items()}
-        self.ever = {(key, value) for batch in self.day.history.batches for key, value, _ in batch}
-        self.in_batches = {key for batch in self.day.history.batches if len(batch) > 1 for key, _, _ in batch}
+        self.whole = {key: value for key, (value, _) in self.workload.history.state_after(10_000).items()}
+        self.ever = {(key, value) for batch in self.workload.history.batches for key, value, _ in batch}
+        self.in_batches = {
+            key for batch in self.workload.history.batches if len(batch) > 1 for key, _, _ in batch
+        }
         self.logs = sorted(each for each in self.image if each.endswith(".log"))
         self.outcomes = Counter()
 
@@ -53,7 +55,7 @@
         return max(
             (
                 count
-                for count, sizes in self.day.confirms
+                for count, sizes in self.workload.confirmations
                 if all(sizes.get(name, 0) <= length for name, length in lengths.items())
             ),
             default=0,
@@ -65,35 +67,39 @@
         for name, length in lengths.items():
             files[name] = files[name][:length]
         history = History()
-        history.batches = self.day.history.batches
+        history.batches = self.workload.history.batches
         history.confirmed = self.confirmed_at(lengths)
         try:
-            engine = self.day.open(FaultyDisk(files), create=False)
-        except (DamagedError, UnfitError) as told:
-            self.outcomes["told as damaged"] += 1
+            engine = self.workload.open(FaultyDisk(files), create=False)
+        except (CorruptDataError, CannotOpenError) as reported:
+            self.outcomes["reported as corrupt"] += 1
             # a segment's going is noted in the newest one: with that cut off, the one that went is missing
-            went = "is part of the store" in str(told) and self.logs[-1] in lengths
-            if not any(name in str(told) for name in lengths) and "no segment" not in str(told) and not went:
-                return f"{lengths}: the finding names another file: {told}"
-            return self.salvaged(files, lengths)
+            went = "is part of the store" in str(reported) and self.logs[-1] in lengths
+            if (
+                not any(name in str(reported) for name in lengths)
+                and "no segment" not in str(reported)
+                and not went
+            ):
+                return f"{lengths}: the finding names another file: {reported}"
+            return self.check_salvage(files, lengths)
         except StoreError as wrong:
             return f"{lengths}: {wrong!r}"
         self.outcomes["opened"] += 1
-        return history.judge(dict(engine.scan()), self.day.now)
+        return history.check(dict(engine.scan()), self.workload.now)
 
-    def salvaged(self, files, lengths):
+    def check_salvage(self, files, lengths):
         into = FaultyDisk()
         try:
-            salvage(FaultyDisk(files), into, lambda: self.day.now, random.Random(1), "old", "new", LARGE)
-        except UnfitError:
-            return None if not any(length for length in lengths.values()) else f"{lengths}: not salvaged"
-        found = dict(self.day.open(into).scan())
+            salvage(FaultyDisk(files), into, lambda: self.workload.now, random.Random(1), "old", "new", LARGE)
+        except CannotOpenError:
+            return None if not any(length for length in lengths.values()) else f"{lengths}: not check_salvage"
+        found = dict(self.workload.open(into).scan())
         if strangers := set(found.items()) - self.ever:
             return f"{lengths}: salvage made up {strangers}"
-        now = self.day.now
-        for key, where in self.places.items():
-            name, end = NAME.format(segment_of(where)), offset_of(where) + length_of(where)
-            expiry = where >> 96
+        now = self.workload.now
+        for key, location in self.locations.items():
+            name, end = SEGMENT.format(segment_of(location)), offset_of(location) + length_of(location)
+            expiry = location >> 96
             if key in self.in_batches:
                 # the batch's last frame stands further on: without it none of it counts
                 end = len(self.image[name])
@@ -122,11 +128,11 @@
 
 
 def run(point, close, what, share, part=0, parts=1):
-    """Every `parts`th of the cuts: offsets tried, opened, damage told, and all that was wrong."""
+    """Every `parts`th of the cuts: offsets tried, opened, corruption reported, and all that was wrong."""
     cutter = Cutter(point, close)
     cuts = cutter.single(max(1, share // 10)) if what == "one file" else cutter.pairs(share)
     verdicts = [cutter.cut(lengths) for lengths in itertools.islice(cuts, part, None, parts)]
-    counts = [len(verdicts), cutter.outcomes["opened"], cutter.outcomes["told as damaged"]]
+    counts = [len(verdicts), cutter.outcomes["opened"], cutter.outcomes["reported as corrupt"]]
     return counts, [each for each in verdicts if each]
 
 
@@ -136,16 +142,16 @@
 def main(share, processes):
     begun = time.monotonic()
     wrong = []
-    click.echo("checkpoint  closed  what was cut off     offsets  opened  told as damaged")
+    click.echo("checkpoint  closed  what was cut off     offsets  opened  reported as corrupt")
     with ProcessPoolExecutor(processes) as pool:
         for point, close, what in WAYS:
             jobs = [pool.submit(run, point, close, what, share, at, processes) for at in range(processes)]
             done = [each.result() for each in jobs]
-            tried, opened, told = (
+            tried, opened, reported = (
                 sum(column) for column in zip(*(counts for counts, _ in done), strict=True)
             )
             wrong += [each for _, found in done for each in found]
-            click.echo(f"{point!s:10}  {close!s:6}  {what:18}  {tried:8}  {opened:6}  {told:15}")
+            click.echo(f"{point!s:10}  {close!s:6}  {what:18}  {tried:8}  {opened:6}  {reported:15}")
     for each in wrong[:10]:
         click.echo(f"WRONG {each}")
     click.echo(f"{len(wrong)} wrong, {time.monotonic() - begun:.0f} s, {processes} processes")
--- a/tests/support/log_storage.py
+++ b/tests/support/log_storage.py
@@ -13,8 +13,8 @@
     Member,
     Snapshot,
 )
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
-from lichencleat.store.room import Bounds
 
 CONFIGURATION = Configuration((Member(1, "v1", "h", 1),))
 
@@ -22,7 +22,7 @@
 CHUNK_BYTES = 1_000  # bytes of a piece in these tests
 
 
-BOUNDS = Bounds(segment_bytes=64 << 10, disk_bytes=4 << 20)
+BOUNDS = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=4 << 20)
 
 
 def open_engine(disk):
