--- a/lichencleat/consensus/__init__.py
+++ b/lichencleat/consensus/__init__.py
@@ -1,15 +1,17 @@
-"""A replicated log among a few voters, with any number of learners that follow it: Raft.
+"""Raft: a replicated log with a few voters, and any number of learners that follow it.
 
-Guarantees: a proposal that was confirmed to a client is at the same index of every member's log for ever, and
-is applied once. While a majority of the voters can communicate and write, there is a leader that accepts
-proposals. Nothing is promised about time while faults last, nothing on a disk that reports a flush which did
-not happen, and nothing for a voter whose directory was restored from an older copy while the others are out
-of reach.
+A proposal that was confirmed to a client is at the same index of every member's log for ever, and is applied
+once. While a majority of the voters can communicate and write, there is a leader that accepts proposals.
+Nothing is promised about time while faults last; and nothing at all on a disk that confirms a flush it has
+not made, or for a voter's directory that is restored from a copy while the other members are unreachable.
 
-References: Ongaro and Ousterhout 2014; Ongaro's thesis 2014 (pre-vote 9.6, leadership transfer 3.10,
-single-step membership changes 4.1, sessions 6.3, read index 6.4).
+Literature: Raft (Ongaro and Ousterhout 2014) and Ongaro's thesis (2014): leadership transfer 3.10, membership
+changes by single steps 4.1, sessions 6.3, linearizable reads 6.4, pre-vote 9.6.
 
-Without I/O: `raft_node` (with `elector`, `follower`, `replicator` and `leader`), `raft_log`, `configuration`,
-`sessions`, `identity`, `state_machine`. With I/O: `process` and the modules that it is made of. What is
-replicated is passed in as `ReplicatedState`s by `coordinator`.
+The core does no I/O. `raft_node` is its interface to the host; it is built from `node_state`, `follower`,
+`replicator` and `elector`. `raft_log` is the log in memory and `log_storage` its layout on disk; `leader` and
+`progress` hold what a leader knows of its followers; `configuration` has quorums and membership changes.
+`state_machine` applies committed entries behind `sessions`; `identity` detects restored copies of a
+directory; `supported_states` guards upgrades. `process` is the host of the core, with the modules that it is
+made of; what is replicated is passed in as `ReplicatedState`s by `coordinator`.
 """
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -30,7 +30,7 @@
 }
 
 
-def spoilt(data):
+def corrupted(data):
     """Each byte in turn as one that stands in no UTF-8."""
     return [data[:at] + b"\xff" + data[at + 1 :] for at in range(len(data))]
 
@@ -38,7 +38,7 @@
 def no_text(data, decode):
     """Those of them that fail as text: what is asked of this file."""
     found = []
-    for each in spoilt(data):
+    for each in corrupted(data):
         try:
             decode(each)
         except UnicodeDecodeError:
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("name", COMMANDS)
-def test_an_entry_that_no_part_can_read_stays_in_the_log_and_changes_nothing(name):
+def test_undecodable_command_changes_nothing(name):
     """Each member applies it at each start: one that raised would take the whole group along, for good."""
     state = StateMachine({**make_control_plane_states(), "distribution": Source()})
     assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], LeaseState)
@@ -71,7 +71,7 @@
         frames.ClientResponse(1, True, frames.encode_raw(1), 2, "127.0.0.1", 3),
     ],
 )
-def test_a_frame_whose_text_is_none_ends_its_connection(frame):
+def test_frame_with_invalid_text_ends_its_connection(frame):
     for data in no_text(frames.encode(frame), frames.decode_frame):
         framed = FramedProtocol()
         framed.makeConnection(StringTransport())
