--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -49,7 +49,8 @@
             )
 
             try:
-                disk = open_disk(chosen.disk, chosen.directory)
+                # the real disk is opened by the store's own thread: it may block
+                disk = None if chosen.disk == "real" else open_disk(chosen.disk, chosen.directory)
                 kept = yield open_kept(
                     self.reactor, chosen.directory, unix_time, self.rng, disk, chosen.group, self.disk_says
                 )
