--- a/lichencleat/admission/controller.py
+++ b/lichencleat/admission/controller.py
@@ -1,8 +1,8 @@
 """The decisions of one node: what it holds, runs, defers, gives up, calls below and tells its callers.
 
-A host makes one `Node` at each start, tells it what happens (`arrives`, `run_ended`, `wants_call`,
-`call_ended`, `caller_left`, `must_leave`, `wakes`), which only updates what is known, and after each lot
-pulls `next_decision` until it gives None. The types of that interface stand in `admission/types.py`.
+A host makes one `AdmissionController` at each start, calls it when something happens (`on_request`, `on_timer`,
+`start_draining` and so on), which only updates what is known, and after each lot pulls `next_decision` until it
+gives None. The types of that interface stand in `admission/types.py`.
 
 The design (docs/design.md) decides the ordinary path: a cap on held and running requests, moved each
 period by integral feedback on the length of the hold, and a running limit. Beside it stand:
@@ -23,18 +23,18 @@
 from statistics import median
 
 from lichencleat.admission.types import (
-    Act,
-    Below,
+    Action,
+    CapacitySignal,
     Decision,
+    Downstream,
     Effect,
-    Gauges,
-    Halt,
-    Machine,
+    NodeSpec,
     Outcome,
+    Preemption,
     Request,
-    State,
-    Tariff,
-    Told,
+    RequestClass,
+    RequestState,
+    ResourceUsage,
 )
 
 PERIOD = 100_000  # µs: a tenth of the shortest wait that matters, and ten wake-ups a second cost little
@@ -63,8 +63,8 @@
 CALL_PATIENCE_LEAST = 300_000  # µs: three wake-ups, under which a repeat gains nothing
 FAR = 3_600_000_000  # µs: longer than any limit
 CALL_PAUSE = 50_000  # µs before a call that never ran is tried again: lets the layer below take in answers
-RUNS_KEPT = 16  # last run times of each tariff: a few seconds' worth on a busy node
-RUNS_FEW = 4  # of one tariff: with fewer, all tariffs' runs tell more
+RUNS_KEPT = 16  # last run times of each request_class: a few seconds' worth on a busy node
+RUNS_FEW = 4  # of one request_class: with fewer, all request_classes' runs tell more
 STALL_LEAST = 700_000  # µs without any progress on full cores: far over the gap between two ends of runs
 SICK_RUNS = 0.5  # of the running limit: with fewer runs, chance alone may keep them all late
 STALL_RUNS = 3  # median run times without progress
@@ -93,28 +93,42 @@
 LEAVE_MARGIN = 300_000  # µs before the stop by which all is answered: three wake-ups
 
 
-class Node:
-    def __init__(self, machine: Machine, chance: random.Random) -> None:
+class AdmissionController:
+    def __init__(self, machine: NodeSpec, chance: random.Random) -> None:
         self.chance = chance
         self.cores, self.crowd = machine.cores, machine.crowd
         self.memory_kb = machine.memory_kb * MEMORY_PART or float("inf")
-        self.run_factor, self.receipt_kb = machine.run_factor, machine.receipt_kb
-        self.cold_from = machine.cold_share if machine.cold else 1.0
-        self.warm_after = machine.warm_after if machine.cold else 0
-        self.can_stop, self.paid_by_work = machine.halt is not Halt.NONE, machine.paid_by_work
-        self.told, self.callers, self.advice_most = machine.told, max(1, machine.callers), machine.advice_most
+        self.running_memory_factor, self.record_kb = machine.running_memory_factor, machine.record_kb
+        self.cold_from = machine.cold_speed_share if machine.cold else 1.0
+        self.warmup_us = machine.warmup_us if machine.cold else 0
+        self.can_stop, self.value_by_work = machine.halt is not Preemption.NONE, machine.value_by_work
+        self.told, self.callers, self.max_retry_after_us = (
+            machine.told,
+            max(1, machine.callers),
+            machine.max_retry_after_us,
+        )
         self.few_callers = 0 < machine.callers <= CALLERS_BACK * CALLERS_KEPT
-        shared = machine.below is Below.SHARED and machine.calls_share > 0
-        self.calls_ceiling = machine.calls_share * CALLS_PART if shared else float("inf")
+        shared = machine.below is Downstream.SHARED and machine.call_quota > 0
+        self.calls_ceiling = machine.call_quota * CALLS_PART if shared else float("inf")
         self.calls_most = min(self.calls_ceiling, float(machine.cores))
         self.calls_least = min(1.0, self.calls_ceiling * CALLS_LEAST)
         self.calls_granted = float("inf")
         self.calls_cut_at = self.call_next_at = 0
-        self.calls_longest = self.calls_ceiling * machine.calls_span if self.calls_ceiling < 1 else FAR
-        self.fresh, self.hedges = machine.fresh, machine.below is Below.TIER
-        self.shortest_soft_limit = min((each.soft_limit for each in machine.tariffs), default=SOFT_USUAL)
-        self.longest_soft_limit = max((each.soft_limit for each in machine.tariffs), default=STALL_LEAST)
-        self.grace, self.resolution, self.time_told = machine.grace, machine.resolution, machine.time_told
+        self.calls_longest = (
+            self.calls_ceiling * machine.call_quota_window_us if self.calls_ceiling < 1 else FAR
+        )
+        self.fresh, self.hedges = machine.fresh, machine.below is Downstream.TIER
+        self.shortest_soft_limit = min(
+            (each.latency_objective for each in machine.request_classes), default=SOFT_USUAL
+        )
+        self.longest_soft_limit = max(
+            (each.latency_objective for each in machine.request_classes), default=STALL_LEAST
+        )
+        self.grace, self.resolution, self.callers_send_deadline = (
+            machine.grace,
+            machine.resolution,
+            machine.callers_send_deadline,
+        )
         # Guards against judging quick work by slow work's spans. Harm: more wake-ups, down to 20 ms apart.
         self.pace = min(1.0, max(PACE_LEAST, self.shortest_soft_limit / SOFT_USUAL))
         self.period = int(PERIOD * self.pace)
@@ -138,10 +152,14 @@
         self.open_share = 1.0  # of the arrivals: less while the fleet returns
         self.unrun = False  # some request ended without a run since the receipts were looked through
         # what is known
-        self.gauges = Gauges()
-        self.run_times: dict[Tariff, deque[int]] = {each: deque(maxlen=RUNS_KEPT) for each in machine.tariffs}
-        self.costs: dict[Tariff, deque[int]] = {each: deque(maxlen=RUNS_KEPT) for each in machine.tariffs}
-        self.usual_runs: dict[Tariff | None, float] = {}  # worked out since the last run ended
+        self.gauges = ResourceUsage()
+        self.run_times: dict[RequestClass, deque[int]] = {
+            each: deque(maxlen=RUNS_KEPT) for each in machine.request_classes
+        }
+        self.costs: dict[RequestClass, deque[int]] = {
+            each: deque(maxlen=RUNS_KEPT) for each in machine.request_classes
+        }
+        self.usual_runs: dict[RequestClass | None, float] = {}  # worked out since the last run ended
         self.call_times: deque[tuple[int, bool]] = deque(maxlen=CALLS_KEPT)  # and whether it came back
         self.patience: int | None = None  # worked out since the last call ended
         self.read_times: deque[tuple[int, int]] = deque(maxlen=READS_KEPT)  # when, and how long after arrival
@@ -152,12 +170,14 @@
         self.leaves_at: int | None = None
         self.no_run_after: int | None = None
         self.healthy = True
-        self.said_healthy = None if machine.full_checks else True  # told once, checks are answered from store
+        self.said_healthy = (
+            None if machine.health_checks_do_work else True
+        )  # told once, checks are answered from store
         # Guards a cold node against all who hear it: each keeps back the share that it can't do yet, however
         # many they are. Harm: for its first second an idle one is told to be able to do less than it is.
         self.ease = min(TOLD_MOST, 1 - self.cold_from)  # share of their load that callers are to keep back
         self.said = -1.0  # the free value that they heard
-        self.shares, self.over_share_payoff = machine.shares, machine.over_share_payoff
+        self.shares, self.over_quota_value_share = machine.shares, machine.over_quota_value_share
         self.begun_lately: dict[str, float] = {}  # starts of each tenant, less its share of the time since
         self.callers_seen: deque[int] = deque(maxlen=CALLERS_KEPT)
         self.connections_idle = self.said_idle = machine.connections_idle
@@ -167,62 +187,62 @@
 
     # --- inputs: they only update what is known ---
 
-    def arrives(self, now: int, request: Request) -> None:
+    def on_request(self, now: int, request: Request) -> None:
         self.new[request] = None
         if request.cost:
-            self.costs.setdefault(request.tariff, deque(maxlen=RUNS_KEPT)).append(request.cost)
+            self.costs.setdefault(request.request_class, deque(maxlen=RUNS_KEPT)).append(request.cost)
         self.read_times.append((now, now - request.arrived))
         self.callers_seen.append(request.caller)
 
-    def run_ended(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
+    def on_run_completed(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
         if outcome is Outcome.COMPLETED and request in self.running:
-            self.run_times.setdefault(request.tariff, deque(maxlen=RUNS_KEPT)).append(took)
+            self.run_times.setdefault(request.request_class, deque(maxlen=RUNS_KEPT)).append(took)
             self.usual_runs.clear()
-        if outcome in (Outcome.COMPLETED, Outcome.ERRED):
+        if outcome in (Outcome.COMPLETED, Outcome.FAILED):
             request.answered = True
         request.succeeded = outcome is Outcome.COMPLETED
-        if request.succeeded and now <= self.soft_end(request):
+        if request.succeeded and now <= self.objective_end(request):
             self.on_time_at = now
         self.progress_at = now
         self.end(request)
-        if not request.answered and outcome is Outcome.STOPPED:
-            self.move(request, self.held, State.HELD)
+        if not request.answered and outcome is Outcome.ABORTED:
+            self.move(request, self.held, RequestState.QUEUED)
 
-    def ran_before(self, now: int, tariff: Tariff, took: int) -> None:
+    def seed_run_time(self, now: int, request_class: RequestClass, took: int) -> None:
         """The usual time in the node's life before: a first guess, if none has run in this one."""
-        if not self.run_times.setdefault(tariff, deque(maxlen=RUNS_KEPT)):
-            self.run_times[tariff].append(took)
+        if not self.run_times.setdefault(request_class, deque(maxlen=RUNS_KEPT)):
+            self.run_times[request_class].append(took)
             self.usual_runs.clear()
 
-    def outcome_waits(self, now: int, request: Request, took: int) -> None:
-        """It has run, and its outcome is being recorded: it holds no core, and `run_ended` follows."""
-        self.run_times.setdefault(request.tariff, deque(maxlen=RUNS_KEPT)).append(took)
+    def on_outcome_pending(self, now: int, request: Request, took: int) -> None:
+        """It has run, and its outcome is being recorded: it holds no core, and `on_run_completed` follows."""
+        self.run_times.setdefault(request.request_class, deque(maxlen=RUNS_KEPT)).append(took)
         self.usual_runs.clear()
         self.progress_at = now
-        self.move(request, self.sharing, State.SHARING)
+        self.move(request, self.sharing, RequestState.COALESCED)
 
-    def may_record(self, now: int, able: bool) -> None:
+    def set_recording_available(self, now: int, able: bool) -> None:
         self.able_to_record = able
 
-    def may_serve(self, now: int, share: float) -> None:
+    def set_admitted_share(self, now: int, share: float) -> None:
         self.open_share = share
 
-    def not_recorded(self, now: int, request: Request) -> None:
+    def on_record_failed(self, now: int, request: Request) -> None:
         """Its entry could not be made, so it was not begun."""
         self.receipts.pop(request, None)
         request.started = None
-        self.move(request, self.held, State.HELD)
+        self.move(request, self.held, RequestState.QUEUED)
 
-    def wants_call(self, now: int, request: Request) -> None:
+    def on_call_needed(self, now: int, request: Request) -> None:
         self.progress_at = now
-        self.move(request, self.asking, State.ASKING)
-        request.call_after, request.calls_failed = now, 0
+        self.move(request, self.asking, RequestState.AWAITING_CALL)
+        request.call_not_before, request.failed_calls = now, 0
 
-    def call_ended(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
+    def on_call_completed(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
         if request not in self.calling:
             return
-        well, pure = outcome is Outcome.COMPLETED, request.tariff.effect is Effect.PURE
-        if not (self.hedges and outcome is Outcome.OVERDUE):  # that tells our patience, not how calls go
+        well, pure = outcome is Outcome.COMPLETED, request.request_class.effect is Effect.IDEMPOTENT
+        if not (self.hedges and outcome is Outcome.TIMED_OUT):  # that tells our patience, not how calls go
             self.call_times.append((took, well))
             self.patience = None
         # Guards the dependency against nodes with one call there each, but all at once: under a bound of one,
@@ -237,32 +257,34 @@
             step = min(1 / self.calls_most, self.calls_most)
             self.calls_most = min(self.calls_ceiling, self.calls_most + step)
         if well:
-            self.move(request, self.running, State.RUNNING)
+            self.move(request, self.running, RequestState.RUNNING)
             return
-        self.move(request, self.asking, State.ASKING)
-        never_ran = outcome in (Outcome.TURNED_AWAY, Outcome.UNREACHED)
-        request.calls_failed += 1 if never_ran or pure else CALL_TRIES
-        request.call_after = now + int(CALL_PAUSE * self.pace) * request.calls_failed
+        self.move(request, self.asking, RequestState.AWAITING_CALL)
+        never_ran = outcome in (Outcome.REJECTED, Outcome.UNREACHABLE)
+        request.failed_calls += 1 if never_ran or pure else CALL_TRIES
+        request.call_not_before = now + int(CALL_PAUSE * self.pace) * request.failed_calls
 
-    def may_call(self, now: int, most: int) -> None:
+    def set_call_quota(self, now: int, most: int) -> None:
         """So many calls may be out from now on, as agreed with other nodes; those that are out may stay."""
         self.calls_granted = most
 
-    def caller_left(self, now: int, request: Request) -> None:
+    def on_caller_gone(self, now: int, request: Request) -> None:
         request.answered = True
         if request in self.running:
             self.to_stop[request] = None
-        elif request.state is State.HELD or (request.state is State.SHARING and request.started is None):
+        elif request.state is RequestState.QUEUED or (
+            request.state is RequestState.COALESCED and request.started is None
+        ):
             self.end(request)
 
-    def must_leave(self, now: int, at: int) -> None:
+    def start_draining(self, now: int, at: int) -> None:
         self.leaves_at = at - LEAVE_MARGIN
         self.no_run_after = now + self.grace
         self.healthy = False
         for request in (*self.new, *self.held, *self.running, *self.asking, *self.calling, *self.sharing):
             request.due = min(request.due, self.leaves_at + self.guard)
 
-    def wakes(self, now: int, gauges: Gauges) -> None:
+    def on_timer(self, now: int, gauges: ResourceUsage) -> None:
         self.gauges = gauges
         self.wake_at = 0
 
@@ -278,27 +300,27 @@
     def speed(self, now: int) -> float:
         """The least that it may have since a cold start, 1 where it is warm."""
         age = 0 if self.started_at is None else now - self.started_at
-        return min(1.0, self.cold_from + (1 - self.cold_from) * age / max(1, self.warm_after))
+        return min(1.0, self.cold_from + (1 - self.cold_from) * age / max(1, self.warmup_us))
 
     def used_kb(self) -> float:
         ran = sum(each.size_kb for each in (*self.running, *self.asking, *self.calling))
         waiting = sum(each.size_kb for each in (*self.new, *self.held, *self.sharing))
-        return ran * self.run_factor + waiting + len(self.receipts) * self.receipt_kb
-
-    def usual_run(self, tariff: Tariff | None = None) -> float:
-        """The usual time of a run, of this tariff if enough of it is known."""
-        own = self.run_times.get(tariff, ()) if tariff else ()
-        tariff = tariff if len(own) >= RUNS_FEW else None
-        if tariff not in self.usual_runs:
-            times = own if tariff else [took for times in self.run_times.values() for took in times]
-            self.usual_runs[tariff] = median(times or [0.0])
-        return self.usual_runs[tariff]
-
-    def run_time(self, now: int, tariff: Tariff | None = None) -> float:
+        return ran * self.running_memory_factor + waiting + len(self.receipts) * self.record_kb
+
+    def usual_run(self, request_class: RequestClass | None = None) -> float:
+        """The usual time of a run, of this request_class if enough of it is known."""
+        own = self.run_times.get(request_class, ()) if request_class else ()
+        request_class = request_class if len(own) >= RUNS_FEW else None
+        if request_class not in self.usual_runs:
+            times = own if request_class else [took for times in self.run_times.values() for took in times]
+            self.usual_runs[request_class] = median(times or [0.0])
+        return self.usual_runs[request_class]
+
+    def run_time(self, now: int, request_class: RequestClass | None = None) -> float:
         """The usual time of a run; what is under way tells sooner than what has ended."""
         begun = (*self.running, *self.asking, *self.calling)
         under_way = [now - each.started for each in begun if each.started]
-        return max(self.usual_run(tariff), median(under_way) if len(under_way) >= self.cores else 0.0)
+        return max(self.usual_run(request_class), median(under_way) if len(under_way) >= self.cores else 0.0)
 
     def read_time(self, now: int) -> float:
         """How long arrivals wait to be read, by those of the last while."""
@@ -355,37 +377,37 @@
         Guards against work that earns nothing. The idle core is how a node learns that it is no longer slow.
         """
         spare = 0 if ahead else self.cores - len(self.running)
-        if spare > 0 and (not self.running or not self.slow(now, request.tariff)):
+        if spare > 0 and (not self.running or not self.slow(now, request.request_class)):
             return False
         wait = self.run_time(now) * ahead / max(self.limit, self.cores)
-        own = self.run_time(now, request.tariff) * self.bulk(request)
-        return now + wait + own > min(request.due, self.soft_end(request))
+        own = self.run_time(now, request.request_class) * self.relative_size(request)
+        return now + wait + own > min(request.due, self.objective_end(request))
 
-    def slow(self, now: int, tariff: Tariff) -> bool:
+    def slow(self, now: int, request_class: RequestClass) -> bool:
         """Here it would be late even alone, and that is not for its calls: other nodes may do better."""
-        return self.run_time(now, tariff) > tariff.soft_limit and not self.calls_slow()
+        return self.run_time(now, request_class) > request_class.latency_objective and not self.calls_slow()
 
-    def bulk(self, request: Request) -> float:
-        """How its work, as told, compares with that of its tariff."""
-        costs = self.costs.get(request.tariff, ())
+    def relative_size(self, request: Request) -> float:
+        """How its work, as told, compares with that of its request_class."""
+        costs = self.costs.get(request.request_class, ())
         known = request.cost and len(costs) >= RUNS_FEW
         return request.cost / max(1.0, median(costs)) if known else 1.0
 
-    def soft_end(self, request: Request) -> int:
-        tariff = request.tariff
-        soft_limit = tariff.soft_limit + int(tariff.stretch * request.cost)
-        return request.arrived + min(tariff.hard_limit, soft_limit)
+    def objective_end(self, request: Request) -> int:
+        request_class = request.request_class
+        latency_objective = request_class.latency_objective + int(request_class.stretch * request.cost)
+        return request.arrived + min(request_class.deadline, latency_objective)
 
-    def worthless(self, now: int, request: Request) -> bool:
+    def is_worthless(self, now: int, request: Request) -> bool:
         """A pure request whose soft limit is past and that earns nothing after it."""
-        earns = now < self.soft_end(request) or request.tariff.late_payoff
-        return not earns and request.tariff.effect is Effect.PURE and self.can_stop
+        earns = now < self.objective_end(request) or request.request_class.late_value_share
+        return not earns and request.request_class.effect is Effect.IDEMPOTENT and self.can_stop
 
     def payoff(self, request: Request) -> float:
         """For the core time that it takes."""
-        own = 0 if self.paid_by_work else self.usual_run(request.tariff)
-        part = self.over_share_payoff if self.over_share(request) else 1.0
-        return request.tariff.payoff * part * (self.usual_run() / own if own else 1)
+        own = 0 if self.value_by_work else self.usual_run(request.request_class)
+        part = self.over_quota_value_share if self.over_share(request) else 1.0
+        return request.request_class.payoff * part * (self.usual_run() / own if own else 1)
 
     def over_share(self, request: Request) -> bool:
         """What was begun here for its tenant lately is all that its share allows.
@@ -403,10 +425,10 @@
         """A caller whose time left is told may try elsewhere, the less often the more is deferred here.
 
         Guards against losses by chance while others idle. Harm: each try is read again."""
-        return self.time_told and self.chance.random() * SHED_FEW >= sum(self.judged) / READS_KEPT
+        return self.callers_send_deadline and self.chance.random() * SHED_FEW >= sum(self.judged) / READS_KEPT
 
     def has_run(self, request: Request) -> bool:
-        return request.started is not None and request.tariff.effect is not Effect.PURE
+        return request.started is not None and request.request_class.effect is not Effect.IDEMPOTENT
 
     def may_run(self, request: Request) -> bool:
         return self.no_run_after is None or request.arrived <= self.no_run_after
@@ -441,7 +463,7 @@
         left = {each: n - self.shares[each] * self.period / 1e6 for each, n in self.begun_lately.items()}
         self.begun_lately = {each: n for each, n in left.items() if n > 0}
         waits = len(self.held)
-        wanting = len(self.running) if self.gauges.wanting_core is None else self.gauges.wanting_core
+        wanting = len(self.running) if self.gauges.runnable is None else self.gauges.runnable
         if wanting > self.cores * CROWDED:
             self.limit = max(self.cores * LIMIT_LEAST, self.limit - self.cores * STEP_BACK)
         elif waits and len(self.running) >= round(self.limit) and wanting <= self.cores:
@@ -496,10 +518,10 @@
         for request in (*ran, *self.held, *self.sharing):
             if request.answered:
                 continue
-            pure = request.tariff.effect is Effect.PURE
+            pure = request.request_class.effect is Effect.IDEMPOTENT
             if request.due <= now + self.guard or (stalled and pure and request in self.running):
                 yield self.give_up(request)
-            elif crowded and request in ran and self.worthless(now, request):
+            elif crowded and request in ran and self.is_worthless(now, request):
                 yield self.defer(now, request)
 
     def stop_unwanted(self, now: int) -> Iterator[Decision]:
@@ -511,24 +533,24 @@
         unwanted, self.to_stop = self.to_stop, {}
         shared = {each.repeats for each in self.sharing}
         for request in unwanted if self.can_stop else ():
-            kept = request.tariff.effect is Effect.RECEIPTED and now < self.soft_end(request)
+            kept = request.request_class.effect is Effect.KEYED and now < self.objective_end(request)
             if request in self.running and not kept and request not in shared:
-                yield Decision(Act.STOP, request)
+                yield Decision(Action.ABORT, request)
 
     def judge_new(self, now: int) -> Iterator[Decision]:
         """An arrival is held if the cap and the rules allow, else deferred at once."""
         for request in list(self.new):
             if self.leaves_at is not None:
                 request.due = min(request.due, self.leaves_at + self.guard)
-            if request.repeats or request.repeats_unknown:
+            if request.repeats or request.original_unknown:
                 # Guards the memory against a storm of repeats that wait for one run. Harm: they are not told
                 # how it ends, and may ask again. One whose first try is over is answered in this round, and
                 # at once where it is due before the next look: sharing takes work, too.
                 first = request.repeats
                 if request.due <= now + self.guard:
                     yield self.give_up(request)
-                elif (first and first.state is State.ENDED) or self.used_kb() <= self.memory_kb:
-                    self.move(request, self.held, State.HELD)
+                elif (first and first.state is RequestState.ENDED) or self.used_kb() <= self.memory_kb:
+                    self.move(request, self.held, RequestState.QUEUED)
                 elif first and first.started is None:
                     yield self.defer(now, request)
                 else:
@@ -553,7 +575,7 @@
                 yield self.defer(now, worst)
                 if worst is request:
                     continue
-            self.move(request, self.held, State.HELD)
+            self.move(request, self.held, RequestState.QUEUED)
             self.judged.append(False)
 
     def full(self) -> bool:
@@ -577,32 +599,32 @@
 
     def record(self, now: int, request: Request) -> Decision:
         """The entry is there before the run, and covers the window counted from the arrival."""
-        lasts = request.tariff.window if request.tariff.effect is Effect.RECEIPTED else self.fresh
+        lasts = request.request_class.window if request.request_class.effect is Effect.KEYED else self.fresh
         until = request.arrived + lasts + self.guard
         self.receipts[request] = until
-        return Decision(Act.RECORD, request, span=max(until - now, self.guard))
+        return Decision(Action.ADD_RECORD, request, span=max(until - now, self.guard))
 
     def review_held(self, now: int) -> Iterator[Decision]:
         """Repeats share a run that there is; what is no use any more goes; the rest has its entry."""
         for request in list(self.held):
             first = request.repeats = self.first_try(request)
-            if request.repeats_unknown or (first is not None and first.started is not None):
-                if first is None or first.state is not State.ENDED or first.succeeded:
-                    self.move(request, self.sharing, State.SHARING)
-                    yield Decision(Act.SHARE, request)
+            if request.original_unknown or (first is not None and first.started is not None):
+                if first is None or first.state is not RequestState.ENDED or first.succeeded:
+                    self.move(request, self.sharing, RequestState.COALESCED)
+                    yield Decision(Action.COALESCE, request)
                     continue
-                if request.tariff.effect is not Effect.PURE:
+                if request.request_class.effect is not Effect.IDEMPOTENT:
                     yield self.give_up(request)  # it ran and came to nothing: neither rerun nor deferred
                     continue
             if first is not None:
-                if first.state is not State.ENDED:
+                if first.state is not RequestState.ENDED:
                     continue  # its first try is held here: that one runs, and this one shares
                 # Guards against two repeats of one deferred try that are read together: the first of them
                 # takes its place, and the second repeats that one.
                 first.successor, request.repeats = request, None
                 self.receipts.pop(first, None)
             bare = self.takes_entry(request) and request not in self.receipts
-            no_entry = bare and not self.able_to_record and request.tariff.effect is Effect.RECEIPTED
+            no_entry = bare and not self.able_to_record and request.request_class.effect is Effect.KEYED
             if self.has_run(request):
                 yield self.give_up(request)
             elif no_entry or not self.may_run(request) or self.too_late(now, request) or self.stalled(now):
@@ -620,55 +642,55 @@
         while first is not None:
             if first.successor is not None:
                 first = first.successor
-            elif first.state is State.ENDED and first.started is None and request.repeats_else:
-                first = request.repeats_else.pop()
+            elif first.state is RequestState.ENDED and first.started is None and request.other_originals:
+                first = request.other_originals.pop()
             else:
                 break
         return first
 
     def takes_entry(self, request: Request) -> bool:
-        shared = self.fresh > 0 and request.has_subject and self.used_kb() < self.memory_kb * ENTRY_PART
-        return shared or request.tariff.effect is Effect.RECEIPTED
+        shared = self.fresh > 0 and request.has_key and self.used_kb() < self.memory_kb * ENTRY_PART
+        return shared or request.request_class.effect is Effect.KEYED
 
     def strike_unrun(self) -> Iterator[Decision]:
         """The entry of a try that ended without a run guards nothing and takes memory."""
         ended, self.unrun = list(self.receipts) if self.unrun else (), False
         for request in ended:
-            if request.state is State.ENDED and request.started is None:
+            if request.state is RequestState.ENDED and request.started is None:
                 del self.receipts[request]
-                yield Decision(Act.STRIKE, request)
+                yield Decision(Action.DELETE_RECORD, request)
 
     def let_out_calls(self, now: int) -> Iterator[Decision]:
         """Calls go out by what they add to the payoff, under the bound; some are omitted where they clog."""
 
         def adds(each: Request) -> float:
-            return self.payoff(each) * (1 - each.tariff.payoff_without_call)
+            return self.payoff(each) * (1 - each.request_class.value_share_without_call)
 
         for place, request in enumerate(sorted(self.asking, key=adds, reverse=True)):
             if request.answered:
-                self.move(request, self.calling, State.CALLING)  # the host ends it
+                self.move(request, self.calling, RequestState.CALLING)  # the host ends it
                 continue
-            pure, soft = request.tariff.effect is Effect.PURE, self.soft_end(request)
-            late = pure and not request.tariff.late_payoff
-            spent = request.calls_failed >= CALL_TRIES or (late and now >= soft)
-            without = request.tariff.payoff_without_call > 0
+            pure, soft = request.request_class.effect is Effect.IDEMPOTENT, self.objective_end(request)
+            late = pure and not request.request_class.late_value_share
+            spent = request.failed_calls >= CALL_TRIES or (late and now >= soft)
+            without = request.request_class.value_share_without_call > 0
             if spent or (without and self.waits_long(place)):
                 if without and now < soft:
-                    self.move(request, self.running, State.RUNNING)
-                    yield Decision(Act.OMIT_CALL, request)
+                    self.move(request, self.running, RequestState.RUNNING)
+                    yield Decision(Action.SKIP_CALL, request)
                 else:
                     yield self.give_up(request)
                 continue
-            paced = now < max(request.call_after, self.call_next_at - CALLS_AHEAD)
+            paced = now < max(request.call_not_before, self.call_next_at - CALLS_AHEAD)
             if paced or self.calls_out(now) >= self.calls_most or len(self.calling) >= self.calls_granted:
                 continue
-            self.move(request, self.calling, State.CALLING)
+            self.move(request, self.calling, RequestState.CALLING)
             request.called_at = now
             until = min(request.due, max(soft, now + self.period) if late else request.due)
             span = min(max(until - now, self.guard), int(self.calls_longest))
-            if pure and self.hedges and request.calls_failed < CALL_TRIES - 1:
+            if pure and self.hedges and request.failed_calls < CALL_TRIES - 1:
                 span = min(span, self.call_patience())
-            yield Decision(Act.CALL, request, span=span)
+            yield Decision(Action.CALL, request, span=span)
 
     def start_held(self, now: int) -> Iterator[Decision]:
         """Oldest first; newest first once the hold has stood full for long."""
@@ -678,36 +700,40 @@
             begun = len(self.running) + len(self.asking) + len(self.calling)
             if len(self.running) >= round(self.limit) or begun >= self.crowd_bound(now):
                 return
-            stuck = request.tariff.calls and not request.tariff.payoff_without_call and self.clogged()
-            bare = request.tariff.effect is Effect.RECEIPTED and request not in self.receipts
+            stuck = (
+                request.request_class.calls
+                and not request.request_class.value_share_without_call
+                and self.clogged()
+            )
+            bare = request.request_class.effect is Effect.KEYED and request not in self.receipts
             if request.repeats is not None or bare or stuck:
                 continue
-            if self.used_kb() + request.size_kb * (self.run_factor - 1) > self.memory_kb:
+            if self.used_kb() + request.size_kb * (self.running_memory_factor - 1) > self.memory_kb:
                 continue
-            self.move(request, self.running, State.RUNNING)
+            self.move(request, self.running, RequestState.RUNNING)
             if len(self.running) == 1:
                 self.progress_at = self.on_time_at = now
             request.started = now
             if request.tenant in self.shares:  # what it owes is forgotten within two such spans
                 begun = self.begun_lately.get(request.tenant, 0.0) + 1
                 self.begun_lately[request.tenant] = min(begun, 2 * self.share_begun(request))
-            yield Decision(Act.START, request)
+            yield Decision(Action.START, request)
 
     def tell(self, now: int) -> Iterator[Decision]:
         if self.healthy != self.said_healthy:
             self.said_healthy = self.healthy
-            yield Decision(Act.HEALTH, flag=self.healthy)
+            yield Decision(Action.REPORT_HEALTH, flag=self.healthy)
         amount = self.free_value(now)
         if amount is not None and abs(amount - self.said) > TOLD_STEP * max(1.0, abs(self.said)):
             self.said = amount
-            yield Decision(Act.TELL, amount=amount)
+            yield Decision(Action.ADVERTISE_CAPACITY, amount=amount)
         idle = self.idle_after()
         if idle != self.said_idle:
             self.said_idle = idle
-            yield Decision(Act.CLOSE_IDLE, span=idle)
+            yield Decision(Action.SET_IDLE_TIMEOUT, span=idle)
         if not self.wake_at:
             self.wake_at = now + self.period
-            yield Decision(Act.WAKE, span=self.period)
+            yield Decision(Action.SET_TIMER, span=self.period)
 
     def idle_after(self) -> int:
         """Connections are kept for callers known to come back, or so few that they will be.
@@ -720,11 +746,11 @@
         return int(min(self.strangers_idle, self.connections_idle))
 
     def free_value(self, now: int) -> float | None:
-        if self.told is Told.LEVEL:
+        if self.told is CapacitySignal.PRIORITY_THRESHOLD:
             return round(self.ease, 2)
-        if self.told is Told.CHANCE:
+        if self.told is CapacitySignal.PROBABILITY:
             return round(1 - self.ease, 2)
-        if self.told is Told.WINDOW:
+        if self.told is CapacitySignal.WINDOW:
             outstanding = len(self.asking) + len(self.calling) + self.limit + self.reference
             wide = max(WINDOW_LEAST, WINDOW_WIDE * outstanding * (1 - self.ease) / self.callers)
             # cold, all windows together let in what it survives, as all may be used at once
@@ -735,34 +761,36 @@
 
     def defer(self, now: int, request: Request) -> Decision:
         self.give_up(request)
-        alone = self.stalled(now) or self.leaves_at is not None or self.slow(now, request.tariff)
+        alone = self.stalled(now) or self.leaves_at is not None or self.slow(now, request.request_class)
         self.deferred_lately += 1
         self.judged.append(True)
-        span = self.advice_most if alone else min(ADVICE, self.advice_most)
+        span = self.max_retry_after_us if alone else min(ADVICE, self.max_retry_after_us)
         if self.open_share < 1:  # drawn over the span: those that come back at once would be a herd
-            span, alone = int(self.advice_most * (1 + 3 * self.chance.random()) / 4), True
+            span, alone = int(self.max_retry_after_us * (1 + 3 * self.chance.random()) / 4), True
         elif self.speed(now) < 1:  # likewise, over half to three times the usual one
-            span = min(self.advice_most, int(span * (1 + 5 * self.chance.random()) / 2))
-        return Decision(Act.DEFER, request, span=span, flag=not (alone or self.sends_on()))
+            span = min(self.max_retry_after_us, int(span * (1 + 5 * self.chance.random()) / 2))
+        return Decision(Action.REJECT, request, span=span, flag=not (alone or self.sends_on()))
 
     def give_up(self, request: Request) -> Decision:
         request.answered = True
         if request in self.running:
             self.to_stop[request] = None
         elif request in self.asking:
-            self.move(request, self.calling, State.CALLING)  # off our hands when the host says that it ended
+            self.move(
+                request, self.calling, RequestState.CALLING
+            )  # off our hands when the host says that it ended
         elif request not in self.calling:
             self.end(request)
-        return Decision(Act.GIVE_UP, request)
+        return Decision(Action.FAIL, request)
 
-    def move(self, request: Request, pool: dict[Request, None], state: State) -> None:
+    def move(self, request: Request, pool: dict[Request, None], state: RequestState) -> None:
         self.leave(request)
         pool[request] = None
         request.state = state
 
     def end(self, request: Request) -> None:
         self.leave(request)
-        request.state = State.ENDED
+        request.state = RequestState.ENDED
         self.unrun = self.unrun or request.started is None
 
     def leave(self, request: Request) -> None:
--- a/lichencleat/admission/node_spec.py
+++ b/lichencleat/admission/node_spec.py
@@ -1,27 +1,40 @@
-"""Start settings, as the bench and the platform both hand them, made into the `Machine` of the decisions."""
+"""Start settings, as the bench and the platform both hand them, made into the `NodeSpec` of the decisions."""
 
 from __future__ import annotations
 
 from typing import Any
 
-from lichencleat.admission.types import Below, Effect, Gauges, Halt, Machine, Tariff, Told
-
-EFFECTS = {"free": Effect.PURE, "guarded": Effect.RECEIPTED, "single_shot": Effect.EFFECTFUL}
-HALTS = {"none": Halt.NONE, "abort": Halt.DROP, "suspend": Halt.PAUSE}
-TOLD = {"none": Told.NOTHING, "threshold": Told.LEVEL, "window": Told.WINDOW, "share_of": Told.CHANCE}
-BELOW = {"none": Below.NOTHING, "shared": Below.SHARED, "tier": Below.TIER}
+from lichencleat.admission.types import (
+    CapacitySignal,
+    Downstream,
+    Effect,
+    NodeSpec,
+    Preemption,
+    RequestClass,
+    ResourceUsage,
+)
+
+EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.KEYED, "single_shot": Effect.NON_IDEMPOTENT}
+HALTS = {"none": Preemption.NONE, "abort": Preemption.ABORT, "suspend": Preemption.SUSPEND}
+TOLD = {
+    "none": CapacitySignal.NONE,
+    "threshold": CapacitySignal.PRIORITY_THRESHOLD,
+    "window": CapacitySignal.WINDOW,
+    "share_of": CapacitySignal.PROBABILITY,
+}
+BELOW = {"none": Downstream.NONE, "shared": Downstream.SHARED, "tier": Downstream.TIER}
 GAUGES = {
     "cpu_busy": "busy",
-    "runnable": "wanting_core",
+    "runnable": "runnable",
     "mem_used": "memory",
     "sockets": "connections",
 }
 
 
-AMOUNT_MOST = 1e12  # of any figure: more than the seconds, kilobytes or calls of any machine
+MAX_AMOUNT = 1e12  # of any figure: more than the seconds, kilobytes or calls of any machine
 
 
-class BadInputError(Exception):
+class InvalidInputError(Exception):
     """A line that is not what the wire allows; its text says what and where."""
 
 
@@ -32,21 +45,25 @@
 def amount(told: dict, key: str, where: str) -> float:
     """A figure of the settings, 0 where it is not told. Guards the decisions against what is no figure.
 
-    Raises BadInputError for one that is no number, below 0, or beyond any machine.
+    Raises InvalidInputError for one that is no number, below 0, or beyond any machine.
     """
     value = told.get(key)
     if value is None:
         return 0
-    if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= AMOUNT_MOST:
-        raise BadInputError(f"{where}.{key}: no figure from 0 to {AMOUNT_MOST:.0e}: {value!r:.60}")
+    if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= MAX_AMOUNT:
+        raise InvalidInputError(f"{where}.{key}: no figure from 0 to {MAX_AMOUNT:.0e}: {value!r:.60}")
     return value
 
 
 def part(told: dict, key: str, kind: type, where: str) -> Any:
-    """A part of the settings, empty where it is not told. Raises BadInputError for one of another kind."""
+    """Return a part of the settings, empty where it is missing.
+
+    Raises:
+        InvalidInputError: if it is of another type.
+    """
     value = told.get(key)
     if value is not None and not isinstance(value, kind):
-        raise BadInputError(f"{where}{key}: no {kind.__name__}: {value!r:.60}")
+        raise InvalidInputError(f"{where}{key}: no {kind.__name__}: {value!r:.60}")
     return kind() if value is None else value
 
 
@@ -54,7 +71,7 @@
     if name is None:
         return default
     if not isinstance(name, str) or name not in table:
-        raise BadInputError(f"{where}: unknown value {name!r:.60}")
+        raise InvalidInputError(f"{where}: unknown value {name!r:.60}")
     return table[name]
 
 
@@ -64,13 +81,13 @@
     for at, each in enumerate(part(told, "orgs", list, "")):
         where = f"orgs[{at}]"
         if not isinstance(each, dict) or not isinstance(each.get("name"), str):
-            raise BadInputError(f"{where}: no tenant with its name: {each!r:.60}")
+            raise InvalidInputError(f"{where}: no tenant with its name: {each!r:.60}")
         if quota := amount(each, "quotaPerS", where):
             shares[each["name"]] = quota / nodes
     return shares
 
 
-def decode_machine(told: dict) -> Machine:
+def decode_node_spec(told: dict) -> NodeSpec:
     """The machine as the settings tell it; keys that are not known here are passed over."""
     own, rules = part(told, "specifics", dict, ""), part(told, "invariants", dict, "")
     allowed = part(told, "allowed", dict, "")
@@ -83,52 +100,52 @@
         return amount(of, key, where)
 
     over = told.get("overShareWorth")
-    tariffs = []
+    request_classes = []
     for at, each in enumerate(part(told, "classes", list, "")):
         where = f"classes[{at}]"
         if not isinstance(each, dict) or not isinstance(each.get("name"), str):
-            raise BadInputError(f"{where}: no class with its name: {each!r:.60}")
+            raise InvalidInputError(f"{where}: no class with its name: {each!r:.60}")
         skip = {"worth": without[at] if at < len(without) else 0}
-        tariffs.append(
-            Tariff(
+        request_classes.append(
+            RequestClass(
                 name=each["name"],
-                effect=choose(EFFECTS, each.get("effect"), Effect.PURE, f"{where}.effect"),
-                soft_limit=micros(number("aim", each, where) or number("deadline", each, where)),
-                hard_limit=micros(number("deadline", each, where)),
+                effect=choose(EFFECTS, each.get("effect"), Effect.IDEMPOTENT, f"{where}.effect"),
+                latency_objective=micros(number("aim", each, where) or number("deadline", each, where)),
+                deadline=micros(number("deadline", each, where)),
                 payoff=number("worth", each, where),
-                late_payoff=number("lateWorth", each, where),
+                late_value_share=number("lateWorth", each, where),
                 stretch=number("aimStretch", each, where),
                 window=micros(number("window", each, where)),
                 calls=bool(calls[at]) if at < len(calls) else False,
-                payoff_without_call=amount(skip, "worth", f"specifics.classSkipWorth[{at}]"),
+                value_share_without_call=amount(skip, "worth", f"specifics.classSkipWorth[{at}]"),
             )
         )
-    return Machine(
+    return NodeSpec(
         cores=int(number("cores")) or 1,
         memory_kb=number("memoryKb"),
-        run_factor=number("blowup") or 1.0,
-        receipt_kb=number("entryKb"),
+        running_memory_factor=number("blowup") or 1.0,
+        record_kb=number("entryKb"),
         crowd=number("tipMultiple", rules, "invariants") or 2.0,
         cold=bool(own.get("cold")),
-        cold_share=number("coldFrom", rules, "invariants") or 1.0,
-        warm_after=micros(number("cold", rules, "invariants")),
-        halt=choose(HALTS, own.get("halt"), Halt.NONE, "specifics.halt"),
-        told=choose(TOLD, own.get("advert"), Told.NOTHING, "specifics.advert"),
+        cold_speed_share=number("coldFrom", rules, "invariants") or 1.0,
+        warmup_us=micros(number("cold", rules, "invariants")),
+        halt=choose(HALTS, own.get("halt"), Preemption.NONE, "specifics.halt"),
+        told=choose(TOLD, own.get("advert"), CapacitySignal.NONE, "specifics.advert"),
         callers=int(number("callers")),
-        advice_most=micros(number("maxRetryAfter", allowed, "allowed")),
-        below=choose(BELOW, own.get("below"), Below.NOTHING, "specifics.below"),
-        calls_share=number("callsOut"),
-        calls_span=micros(number("depWindow")),
+        max_retry_after_us=micros(number("maxRetryAfter", allowed, "allowed")),
+        below=choose(BELOW, own.get("below"), Downstream.NONE, "specifics.below"),
+        call_quota=number("callsOut"),
+        call_quota_window_us=micros(number("depWindow")),
         connections_idle=micros(number("callerIdle")),
         fresh=micros(number("fresh")),
-        full_checks=bool(own.get("fullChecks")),
+        health_checks_do_work=bool(own.get("fullChecks")),
         grace=micros(number("stopSendingWithin", rules, "invariants")),
         resolution=micros(number("resolution", told, "settings")),
-        time_told=bool(own.get("passesDeadline")),
-        paid_by_work=told.get("worthBy") == "work",
+        callers_send_deadline=bool(own.get("passesDeadline")),
+        value_by_work=told.get("worthBy") == "work",
         shares=decode_shares(told),
-        over_share_payoff=1.0 if over is None else amount(told, "overShareWorth", "settings"),
-        tariffs=tariffs,
+        over_quota_value_share=1.0 if over is None else amount(told, "overShareWorth", "settings"),
+        request_classes=request_classes,
     )
 
 
@@ -138,5 +155,5 @@
     return [GAUGES.get(name) if isinstance(name, str) else None for name in names]
 
 
-def read_gauges(names: list[str | None], readings: list[float]) -> Gauges:
-    return Gauges(**{name: value for name, value in zip(names, readings, strict=False) if name})
+def read_gauges(names: list[str | None], readings: list[float]) -> ResourceUsage:
+    return ResourceUsage(**{name: value for name, value in zip(names, readings, strict=False) if name})
--- a/lichencleat/bench_adapter/__main__.py
+++ b/lichencleat/bench_adapter/__main__.py
@@ -3,7 +3,8 @@
 
 import sys
 
-from lichencleat.bench_adapter.wire import BadInputError, Wire
+from lichencleat.admission.node_spec import InvalidInputError
+from lichencleat.bench_adapter.wire import Wire
 
 
 def main() -> int:
@@ -11,7 +12,7 @@
     for number, line in enumerate(sys.stdin, 1):
         try:
             reply = wire.answer(line)
-        except BadInputError as bad:
+        except InvalidInputError as bad:
             print(f"benchlink: line {number}: {bad}", file=sys.stderr)
             return 2
         sys.stdout.write(reply)
--- a/lichencleat/bench_adapter/wire.py
+++ b/lichencleat/bench_adapter/wire.py
@@ -10,26 +10,26 @@
 from typing import Any
 from weakref import WeakKeyDictionary, WeakValueDictionary
 
-from lichencleat.admission.controller import Node
+from lichencleat.admission.controller import AdmissionController
 from lichencleat.admission.node_spec import (
-    BadInputError,
+    InvalidInputError,
     choose,
     decode_gauges,
-    decode_machine,
+    decode_node_spec,
     micros,
     read_gauges,
 )
-from lichencleat.admission.types import Act, Decision, Outcome, Request
+from lichencleat.admission.types import Action, Decision, Outcome, Request
 
 OUTCOMES = {
     "completed": Outcome.COMPLETED,
-    "errored": Outcome.ERRED,
-    "saturated": Outcome.TURNED_AWAY,
-    "overdue": Outcome.OVERDUE,
-    "refused_conn": Outcome.UNREACHED,
-    "severed": Outcome.CUT,
-    "recalled": Outcome.STOPPED,
-    "superseded": Outcome.VOID,
+    "errored": Outcome.FAILED,
+    "saturated": Outcome.REJECTED,
+    "overdue": Outcome.TIMED_OUT,
+    "refused_conn": Outcome.UNREACHABLE,
+    "severed": Outcome.INTERRUPTED,
+    "recalled": Outcome.ABORTED,
+    "superseded": Outcome.SUPERSEDED,
 }
 HINTED, FURTHER_TRY = 1, 2  # bits of a request's marks
 
@@ -42,81 +42,81 @@
     """One node: its decisions, and the names under which the wire knows what they speak of."""
 
     def __init__(self, seed: int, told: dict) -> None:
-        machine = decode_machine(told)
+        machine = decode_node_spec(told)
         own = told.get("specifics") or {}
-        self.tariffs = {each.name: each for each in machine.tariffs}
+        self.request_classes = {each.name: each for each in machine.request_classes}
         self.passes_limit = bool(own.get("passesDeadline"))
         self.gauges = decode_gauges(told)
         self.requests: WeakValueDictionary[str, Request] = WeakValueDictionary()
         self.ids: WeakKeyDictionary[Request, str] = WeakKeyDictionary()
-        self.node = Node(machine, random.Random(seed))
+        self.node = AdmissionController(machine, random.Random(seed))
         self.inputs: dict[str, Callable] = {
             "inbound": self.inbound,
             "settled": self.settled,
             "blocked": self.blocked,
             "called": self.called,
             "clientLeft": self.client_left,
-            "notice": lambda now, left: self.node.must_leave(now, now + micros(left)),
+            "notice": lambda now, left: self.node.start_draining(now, now + micros(left)),
             "fired": self.fired,
         }
 
     def inbound(self, now: int, corr: str, qos: str, *rest: Any) -> None:
         rest += (None,) * (10 - len(rest))
         place, who, repeat_of, org, subject, marks, cost, left, size, backlog = rest[:10]
-        if qos not in self.tariffs:
-            raise BadInputError(f"inbound {corr!r}: unknown class {qos!r}")
-        tariff, arrived = self.tariffs[qos], now - micros(backlog)
-        due = now + micros(left) if self.passes_limit and left else arrived + tariff.hard_limit
+        if qos not in self.request_classes:
+            raise InvalidInputError(f"inbound {corr!r}: unknown class {qos!r}")
+        request_class, arrived = self.request_classes[qos], now - micros(backlog)
+        due = now + micros(left) if self.passes_limit and left else arrived + request_class.deadline
         request = Request(
-            tariff=tariff,
+            request_class=request_class,
             arrived=arrived,
             due=max(due, now),
             place=place or 0.0,
             caller=who or 0,
             tenant=org or "",
             repeats=self.requests.get(repeat_of) if repeat_of else None,
-            repeats_unknown=bool(repeat_of) and repeat_of not in self.requests,
-            has_subject=bool(subject),
+            original_unknown=bool(repeat_of) and repeat_of not in self.requests,
+            has_key=bool(subject),
             further_try=bool((marks or 0) & FURTHER_TRY),
             cost=micros(cost) if (marks or 0) & HINTED else 0,
             size_kb=size or 0.0,
         )
         self.requests[corr] = request
         self.ids[request] = corr
-        self.node.arrives(now, request)
+        self.node.on_request(now, request)
 
     def settled(self, now: int, corr: str, status: str, lag: float | None = None) -> None:
         request = self.requests.get(corr)
         if request is not None:
-            self.node.run_ended(now, request, choose(OUTCOMES, status, None, "settled"), micros(lag))
+            self.node.on_run_completed(now, request, choose(OUTCOMES, status, None, "settled"), micros(lag))
 
     def blocked(self, now: int, corr: str) -> None:
         request = self.requests.get(corr)
         if request is not None:
-            self.node.wants_call(now, request)
+            self.node.on_call_needed(now, request)
 
     def called(self, now: int, corr: str, status: str, lag: float | None = None) -> None:
         request = self.requests.get(corr)
         if request is not None:
-            self.node.call_ended(now, request, choose(OUTCOMES, status, None, "called"), micros(lag))
+            self.node.on_call_completed(now, request, choose(OUTCOMES, status, None, "called"), micros(lag))
 
     def client_left(self, now: int, corr: str) -> None:
         request = self.requests.get(corr)
         if request is not None:
-            self.node.caller_left(now, request)
+            self.node.on_caller_gone(now, request)
 
     def fired(self, now: int, _tag: str, row: list | None = None) -> None:
-        self.node.wakes(now, read_gauges(self.gauges, row or []))
+        self.node.on_timer(now, read_gauges(self.gauges, row or []))
 
     def take(self, now: int, event: list) -> None:
         name, *values = event
         if name not in self.inputs:
-            raise BadInputError(f"unknown event {name!r}")
+            raise InvalidInputError(f"unknown event {name!r}")
         try:
             self.inputs[name](now, *values)
         except TypeError as wrong:
             if wrong.__traceback__ is not None and wrong.__traceback__.tb_next is None:
-                raise BadInputError(f"{name}: values missing or too many: {values!r}") from wrong
+                raise InvalidInputError(f"{name}: values missing or too many: {values!r}") from wrong
             raise
 
     def decisions(self, now: int) -> list[list]:
@@ -129,17 +129,17 @@
         name = WORDS[decision.act]
         if decision.request is not None:
             values: list = [self.ids[decision.request]]
-            if decision.act is Act.DEFER:
+            if decision.act is Action.REJECT:
                 values += [seconds(decision.span), decision.flag]
-            elif decision.act in (Act.CALL, Act.RECORD):
+            elif decision.act in (Action.CALL, Action.ADD_RECORD):
                 values.append(seconds(decision.span))
-        elif decision.act is Act.HEALTH:
+        elif decision.act is Action.REPORT_HEALTH:
             values = [decision.flag, True]
-        elif decision.act is Act.TELL:
+        elif decision.act is Action.ADVERTISE_CAPACITY:
             values = [decision.amount]
-        elif decision.act is Act.CLOSE_IDLE:
+        elif decision.act is Action.SET_IDLE_TIMEOUT:
             values = [seconds(decision.span)]
-        elif decision.act is Act.WAKE:
+        elif decision.act is Action.SET_TIMER:
             values = [seconds(decision.span), "wake"]
         else:
             values = [decision.text]
@@ -147,20 +147,20 @@
 
 
 WORDS = {
-    Act.START: "admit",
-    Act.STOP: "suspend",
-    Act.DEFER: "bounce",
-    Act.GIVE_UP: "giveUp",
-    Act.CALL: "askBelow",
-    Act.OMIT_CALL: "fallBack",
-    Act.RECORD: "pin",
-    Act.STRIKE: "erase",
-    Act.SHARE: "join",
-    Act.HEALTH: "reportHealth",
-    Act.TELL: "publish",
-    Act.CLOSE_IDLE: "closeIdle",
-    Act.WAKE: "notifyMe",
-    Act.NOTE: "trace",
+    Action.START: "admit",
+    Action.ABORT: "suspend",
+    Action.REJECT: "bounce",
+    Action.FAIL: "giveUp",
+    Action.CALL: "askBelow",
+    Action.SKIP_CALL: "fallBack",
+    Action.ADD_RECORD: "pin",
+    Action.DELETE_RECORD: "erase",
+    Action.COALESCE: "join",
+    Action.REPORT_HEALTH: "reportHealth",
+    Action.ADVERTISE_CAPACITY: "publish",
+    Action.SET_IDLE_TIMEOUT: "closeIdle",
+    Action.SET_TIMER: "notifyMe",
+    Action.LOG: "trace",
 }
 
 
@@ -174,22 +174,22 @@
         try:
             batch = json.loads(line)
         except ValueError as wrong:
-            raise BadInputError(f"not JSON: {wrong}") from wrong
+            raise InvalidInputError(f"not JSON: {wrong}") from wrong
         if not isinstance(batch, dict):
-            raise BadInputError("a batch must be an object")
+            raise InvalidInputError("a batch must be an object")
         for key, kind in (("clock", (int, float)), ("turn", int), ("nodes", list)):
             if not isinstance(batch.get(key), kind):
-                raise BadInputError(f"a batch needs {key!r}, got {batch.get(key)!r}")
+                raise InvalidInputError(f"a batch needs {key!r}, got {batch.get(key)!r}")
         now, nodes = micros(batch["clock"]), []
         for entry in batch["nodes"]:
             if not isinstance(entry, dict) or "who" not in entry or not isinstance(entry.get("inbox"), list):
-                raise BadInputError(
+                raise InvalidInputError(
                     f"turn {batch['turn']}: a node needs 'who' and 'inbox', got {entry!r:.200}"
                 )
             try:
                 outbox = self.inbox(now, entry["who"], entry["inbox"])
-            except BadInputError as bad:
-                raise BadInputError(f"turn {batch['turn']}, node {entry['who']}: {bad}") from bad
+            except InvalidInputError as bad:
+                raise InvalidInputError(f"turn {batch['turn']}, node {entry['who']}: {bad}") from bad
             except Exception as failure:
                 traceback.print_exc(file=sys.stderr)
                 outbox = [["panic", f"{type(failure).__name__}: {failure}"]]
@@ -200,15 +200,15 @@
     def inbox(self, now: int, who: int, events: list) -> list[list]:
         for event in events:
             if not isinstance(event, list) or not event or not isinstance(event[0], str):
-                raise BadInputError(
+                raise InvalidInputError(
                     f"an event must be an array that begins with its name, got {event!r:.200}"
                 )
             if event[0] == "openInstance":
                 if len(event) < 3 or not isinstance(event[2], dict):
-                    raise BadInputError("openInstance: needs a seed and the settings")
+                    raise InvalidInputError("openInstance: needs a seed and the settings")
                 self.instances[who] = Instance(event[1], event[2])
             elif who not in self.instances:
-                raise BadInputError(f"{event[0]}: no such instance")
+                raise InvalidInputError(f"{event[0]}: no such instance")
             elif event[0] == "exit":
                 del self.instances[who]
             else:
--- a/lichencleat/cli/router.py
+++ b/lichencleat/cli/router.py
@@ -4,7 +4,7 @@
 
 import click
 
-from lichencleat.admission.types import Machine
+from lichencleat.admission.types import NodeSpec
 from lichencleat.cli import output
 from lichencleat.config.file import WrongFileError
 from lichencleat.router.file import RouterFile, read_router
@@ -17,7 +17,7 @@
     """Carries requests near while that is safe, by the newest order of zones."""
 
 
-def read(file: str) -> tuple[RouterFile, Machine, frozenset[bytes]]:
+def read(file: str) -> tuple[RouterFile, NodeSpec, frozenset[bytes]]:
     try:
         return read_router(file)
     except WrongFileError as wrong:
@@ -47,7 +47,7 @@
             "listen": router.listen,
             "nodes": sum(len(each.nodes) for each in router.zones.values()),
             "zones": ", ".join(sorted(router.zones)),
-            "classes": ", ".join(each.name for each in machine.tariffs),
+            "classes": ", ".join(each.name for each in machine.request_classes),
             "group": router.group or "",
             "sends_elsewhere": router.group is not None and len(router.zones) > 1,
         },
--- a/lichencleat/idempotency/keeper.py
+++ b/lichencleat/idempotency/keeper.py
@@ -191,7 +191,7 @@
             self.report.count("keyed", "keys with another body")
             self.host.refuses(case)
             return False
-        case.request.repeats_unknown = told is not Told.NEW
+        case.request.original_unknown = told is not Told.NEW
         return True
 
     def told(self, case: Case) -> Told:
@@ -234,7 +234,7 @@
         """Its intent goes to the disk; `span`: µs from now during which what arrives is a repeat of it."""
         request, body = case.request, case.key[-MARK:]
         arrived, due, until = self.own_time(request.arrived), self.own_time(request.due), self.time() + span
-        entry = Entry(State.OPEN, request.tariff.name, arrived, until, due, case.ident, body)
+        entry = Entry(State.OPEN, request.request_class.name, arrived, until, due, case.ident, body)
         key = mark(case.key[:-MARK])
         self.entries[request] = key, entry
         start = self.waits.starts[request] = Start(case, self.deadlines.now())
@@ -340,7 +340,7 @@
         if known is None:
             return
         self.report.count("keyed", f"earlier runs told of: {outcome.name.lower()}")
-        if outcome not in (Outcome.COMPLETED, Outcome.ERRED):
+        if outcome not in (Outcome.COMPLETED, Outcome.FAILED):
             self.end_shares(known.key, None)
             return
         state = State.DONE if outcome is Outcome.COMPLETED else State.FAILED
--- a/lichencleat/node/catalogue.py
+++ b/lichencleat/node/catalogue.py
@@ -28,10 +28,10 @@
 CONNECT_WAIT = 2_000_000  # µs for a connection to a proxy on the same machine
 OUTCOMES = {
     b"DATA": Outcome.COMPLETED,
-    b"LATER": Outcome.TURNED_AWAY,
-    b"FAULT": Outcome.ERRED,
-    b"TOOSLOW": Outcome.OVERDUE,
-    b"NOUSE": Outcome.UNREACHED,
+    b"LATER": Outcome.REJECTED,
+    b"FAULT": Outcome.FAILED,
+    b"TOOSLOW": Outcome.TIMED_OUT,
+    b"NOUSE": Outcome.UNREACHABLE,
 }
 
 
@@ -45,7 +45,7 @@
 
     def __init__(self, ident: bytes, link: Link, span: int, body: bytes) -> None:
         self.ident, self.link, self.span, self.body = ident, link, span, body
-        self.ended: Deferred = Deferred(lambda _: link.quit(self, Outcome.CUT))
+        self.ended: Deferred = Deferred(lambda _: link.quit(self, Outcome.INTERRUPTED))
         self.limit: Deadline | None = None
         self.written = False
 
@@ -81,7 +81,7 @@
     def place(self, call: Call) -> None:
         self.catalogue.deadlines.cancel(self.idle)
         self.calls[call.ident] = call
-        call.limit = self.catalogue.deadlines.after(call.span + BEYOND, self.quit, call, Outcome.OVERDUE)
+        call.limit = self.catalogue.deadlines.after(call.span + BEYOND, self.quit, call, Outcome.TIMED_OUT)
         if self.transport is not None:
             self.write(call)
 
@@ -97,9 +97,9 @@
             if call.written and self.transport is not None:
                 self.transport.writeSequence(line(b"QUIT", call.ident))
                 self.catalogue.report.count("catalogue", "sent QUIT")
-            if outcome is Outcome.OVERDUE:
+            if outcome is Outcome.TIMED_OUT:
                 self.catalogue.drop(self)  # silent past the time that it was told: not trusted with another
-            self.finish(call, outcome if call.written else Outcome.UNREACHED)
+            self.finish(call, outcome if call.written else Outcome.UNREACHABLE)
 
     def finish(self, call: Call, outcome: Outcome, reply: bytes = b"") -> None:
         del self.calls[call.ident]
@@ -161,7 +161,7 @@
         self.catalogue.deadlines.cancel(self.idle)
         self.catalogue.deadlines.cancel(self.rest_by)
         for call in list(self.calls.values()):
-            self.finish(call, Outcome.CUT if call.written else Outcome.UNREACHED)
+            self.finish(call, Outcome.INTERRUPTED if call.written else Outcome.UNREACHABLE)
 
 
 class Connecting(ClientFactory):
--- a/lichencleat/node/config.py
+++ b/lichencleat/node/config.py
@@ -8,8 +8,8 @@
 from typing import Any
 from zlib import crc32
 
-from lichencleat.admission.node_spec import AMOUNT_MOST, BadInputError, decode_gauges, decode_machine
-from lichencleat.admission.types import Machine
+from lichencleat.admission.node_spec import MAX_AMOUNT, InvalidInputError, decode_gauges, decode_node_spec
+from lichencleat.admission.types import NodeSpec
 
 MB = 1 << 20  # bytes
 PORT_MOST = 65_535  # the last one there is
@@ -26,7 +26,7 @@
     stop_after: int  # µs from the notice to leave to the stop
     descriptors: int
     memory: int | None  # bytes that the program may have, where it is told
-    machine: Machine
+    machine: NodeSpec
     gauges: list[str | None]
     tenants: frozenset[bytes]  # empty at a site without them
     mark: int  # of the settings, to see whether they change
@@ -35,14 +35,14 @@
 def read_told(environment: Mapping[str, str]) -> Told:
     path = environment.get("BALANCER_CONFIG")
     if not path:
-        raise BadInputError("BALANCER_CONFIG is not set")
+        raise InvalidInputError("BALANCER_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
             told = json.load(file)
     except (OSError, ValueError, RecursionError) as wrong:
-        raise BadInputError(f"BALANCER_CONFIG: {wrong}") from wrong
+        raise InvalidInputError(f"BALANCER_CONFIG: {wrong}") from wrong
     if not isinstance(told, dict):
-        raise BadInputError("BALANCER_CONFIG: not a JSON object")
+        raise InvalidInputError("BALANCER_CONFIG: not a JSON object")
     told.setdefault("name", environment.get("BALANCER_NAME"))
     told.setdefault("listen", environment.get("BALANCER_LISTEN"))
     settings, limits = field(told, "settings", dict), field(told, "limits", dict)
@@ -68,16 +68,16 @@
     if (
         not isinstance(value, kind)
         or isinstance(value, bool)
-        or (isinstance(value, int | float) and key != "seed" and not 0 <= value <= AMOUNT_MOST)
+        or (isinstance(value, int | float) and key != "seed" and not 0 <= value <= MAX_AMOUNT)
     ):
-        raise BadInputError(f"BALANCER_CONFIG: {key!r} is missing or wrong: {value!r:.60}")
+        raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is missing or wrong: {value!r:.60}")
     return value
 
 
 def address(told: dict, key: str) -> tuple[str, int]:
     host, _, port = field(told, key, str).rpartition(":")
     if not host or not port.isdecimal() or len(port) > 5 or int(port) > PORT_MOST:
-        raise BadInputError(f"BALANCER_CONFIG: {key!r} is no address: {told[key]!r:.60}")
+        raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is no address: {told[key]!r:.60}")
     return host, int(port)
 
 
@@ -85,18 +85,18 @@
     try:
         return frozenset(each["name"].encode() for each in settings.get("orgs") or [])
     except (KeyError, TypeError, AttributeError) as wrong:
-        raise BadInputError(f"BALANCER_CONFIG: 'settings': 'orgs': {wrong!r:.200}") from wrong
+        raise InvalidInputError(f"BALANCER_CONFIG: 'settings': 'orgs': {wrong!r:.200}") from wrong
 
 
 def decoded(decode: Callable[[dict], Any], settings: dict) -> Any:
     try:
         return decode(settings)
-    except BadInputError as wrong:
-        raise BadInputError(f"BALANCER_CONFIG: 'settings': {wrong}") from wrong
+    except InvalidInputError as wrong:
+        raise InvalidInputError(f"BALANCER_CONFIG: 'settings': {wrong}") from wrong
 
 
-def machine(settings: dict) -> Machine:
-    made = decoded(decode_machine, settings)
-    if not made.tariffs or any(each.hard_limit <= 0 for each in made.tariffs):
-        raise BadInputError("BALANCER_CONFIG: 'settings': no classes, or one without its deadline")
+def machine(settings: dict) -> NodeSpec:
+    made = decoded(decode_node_spec, settings)
+    if not made.request_classes or any(each.deadline <= 0 for each in made.request_classes):
+        raise InvalidInputError("BALANCER_CONFIG: 'settings': no classes, or one without its deadline")
     return made
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -228,7 +228,7 @@
         case, tenant = read_request(words, self.door.host, self.door.tenants, partial(self.answer, tag))
         self.cases[tag] = case
         if self.flow is not None:
-            self.door.flows.belongs(self.flow, tenant, case.request.tariff.name, case.request.caller)
+            self.door.flows.belongs(self.flow, tenant, case.request.request_class.name, case.request.caller)
         self.door.host.arrives(case)
 
     def refuse_all(self, why: str) -> None:
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -1,4 +1,4 @@
-"""Drives the decisions: turns what happened into calls of `Node`, pulls decisions, and carries them out.
+"""Drives the admission controller: turns what happened into calls of it, pulls decisions, carries them out.
 
 It knows no wire. What reads requests (`dispatchers.py`, or another protocol beside it) hands each in as a
 `Case` with a way to answer it; the interpreter and the catalogue tell how runs and calls end.
@@ -13,9 +13,18 @@
 from functools import partial
 from typing import Any, Protocol
 
-from lichencleat.admission.controller import Node
+from lichencleat.admission.controller import AdmissionController
 from lichencleat.admission.node_spec import read_gauges
-from lichencleat.admission.types import Act, Decision, Effect, Gauges, Machine, Outcome, Request, State
+from lichencleat.admission.types import (
+    Action,
+    Decision,
+    Effect,
+    NodeSpec,
+    Outcome,
+    Request,
+    RequestState,
+    ResourceUsage,
+)
 from lichencleat.node.catalogue import Call, Catalogue
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.interpreter import Interpreter, Run
@@ -75,7 +84,7 @@
 
     def __init__(
         self,
-        machine: Machine,
+        machine: NodeSpec,
         gauges: list[str | None],
         seed: str,
         clock: Callable[[], int],
@@ -87,11 +96,11 @@
         self.machine, self.gauges, self.seed = machine, gauges, seed
         self.clock, self.deadlines, self.report = clock, deadlines, report
         self.interpreter, self.catalogue = interpreter, catalogue
-        self.tariffs = {each.name.encode(): each for each in machine.tariffs}
+        self.request_classes = {each.name.encode(): each for each in machine.request_classes}
         self.receipts = Receipts(deadlines)
         self.cases: Slots[Case] = Slots()
         self.idents: set[bytes] = set()  # of the cases in hand
-        self.node: Node | None = None
+        self.node: AdmissionController | None = None
         self.leaves_at: int | None = None
         self.notice_at = 0  # when it was told to leave: the grace counts from then
         self.stirred = False
@@ -105,20 +114,20 @@
         self.able = self.trusted = True  # to record receipted requests; both have to hold
         self.open_share = 1.0
         self.carries_out = {
-            Act.START: self.start_run,
-            Act.STOP: self.stop_run,
-            Act.DEFER: self.defer,
-            Act.GIVE_UP: self.give_up,
-            Act.CALL: self.place_call,
-            Act.OMIT_CALL: self.give_up,  # this interpreter knows no way to go on without the call
-            Act.RECORD: self.record,
-            Act.STRIKE: self.strike,
-            Act.SHARE: self.share,
-            Act.HEALTH: self.tell_health,
-            Act.TELL: self.tell_free_value,
-            Act.CLOSE_IDLE: self.tell_idle,
-            Act.WAKE: self.ask_wake,
-            Act.NOTE: self.note,
+            Action.START: self.start_run,
+            Action.ABORT: self.stop_run,
+            Action.REJECT: self.defer,
+            Action.FAIL: self.give_up,
+            Action.CALL: self.place_call,
+            Action.SKIP_CALL: self.give_up,  # this interpreter knows no way to go on without the call
+            Action.ADD_RECORD: self.record,
+            Action.DELETE_RECORD: self.strike,
+            Action.COALESCE: self.share,
+            Action.REPORT_HEALTH: self.tell_health,
+            Action.ADVERTISE_CAPACITY: self.tell_free_value,
+            Action.SET_IDLE_TIMEOUT: self.tell_idle,
+            Action.SET_TIMER: self.ask_wake,
+            Action.LOG: self.note,
         }
 
     # --- what happened ----------------------------------------------------------------------------
@@ -126,13 +135,13 @@
     def begin(self, cold: bool) -> None:
         """The interpreter is up: from now on there is something to decide on."""
         self.machine.cold = cold
-        self.node = Node(self.machine, random.Random(self.seed))
+        self.node = AdmissionController(self.machine, random.Random(self.seed))
         if self.calls_granted is not None:
-            self.node.may_call(self.clock(), self.calls_granted)
-        self.node.may_record(self.clock(), self.able and self.trusted)
-        self.node.may_serve(self.clock(), self.open_share)
+            self.node.set_call_quota(self.clock(), self.calls_granted)
+        self.node.set_recording_available(self.clock(), self.able and self.trusted)
+        self.node.set_admitted_share(self.clock(), self.open_share)
         if self.leaves_at is not None:
-            self.node.must_leave(self.notice_at, self.leaves_at)
+            self.node.start_draining(self.notice_at, self.leaves_at)
         self.stir()
 
     def arrives(self, case: Case) -> None:
@@ -149,11 +158,11 @@
         """What is known of its key was looked up: now it is for the decisions."""
         request = case.request
         if case.key and (tries := self.receipts.tries(case.key, request)):
-            *request.repeats_else, request.repeats = tries
-            request.repeats_unknown = False
-        elif case.key and not request.repeats_unknown:
+            *request.other_originals, request.repeats = tries
+            request.original_unknown = False
+        elif case.key and not request.original_unknown:
             self.receipts.enter(case.key, request)
-        self.node.arrives(self.clock(), request)
+        self.node.on_request(self.clock(), request)
         self.stir()
 
     def refuses(self, case: Case) -> None:
@@ -171,13 +180,13 @@
             self.stir()
 
     def tell_left(self, case: Case) -> None:
-        self.node.caller_left(self.clock(), case.request)
+        self.node.on_caller_gone(self.clock(), case.request)
         self.receipts.unshare(case.request.repeats, case)
         self.drop_call(case)
 
     def run_waits(self, case: Case, body: bytes) -> None:
         case.call_body = body
-        self.node.wants_call(self.clock(), case.request)
+        self.node.on_call_needed(self.clock(), case.request)
         self.stir()
 
     def recorded(self, case: Case, outcome: Outcome, took: int, result: bytes) -> None:
@@ -192,25 +201,25 @@
         case.run = None
         self.drop_call(case)
         if self.keyed is not None and case.key and not recorded:
-            if outcome in (Outcome.COMPLETED, Outcome.ERRED):
+            if outcome in (Outcome.COMPLETED, Outcome.FAILED):
                 case.unsettled = True
-                self.node.outcome_waits(now, request, took)
+                self.node.on_outcome_pending(now, request, took)
                 self.stir()
                 self.keyed.ran(
                     case, outcome, result, partial(self.tend, case, self.recorded, outcome, took, result)
                 )
                 return
-            if outcome is not Outcome.UNREACHED:
+            if outcome is not Outcome.UNREACHABLE:
                 self.keyed.ended(case)
-        if outcome in (Outcome.STOPPED, Outcome.VOID) and not (run and run.stopping):
-            self.node.caller_left(now, request)  # it ends by itself only where nobody waits any more
-        if outcome is Outcome.UNREACHED:
+        if outcome in (Outcome.ABORTED, Outcome.SUPERSEDED) and not (run and run.stopping):
+            self.node.on_caller_gone(now, request)  # it ends by itself only where nobody waits any more
+        if outcome is Outcome.UNREACHABLE:
             request.started = None  # proved: a repeat of it may run
-        self.node.run_ended(now, request, outcome, took)
+        self.node.on_run_completed(now, request, outcome, took)
         well = outcome is Outcome.COMPLETED
         if well:
             self.answer(case, Answer.HONOURED, result)
-        if request.state is State.ENDED:
+        if request.state is RequestState.ENDED:
             self.answer(case, Answer.GIVEN_UP)
             for sharer in self.receipts.ended(request, result if well else None):
                 self.end_share(sharer, result if well else None)
@@ -224,26 +233,26 @@
         now = self.clock()
         if outcome is Outcome.COMPLETED and case.run is not None:
             self.interpreter.resolve(case.run, reply)
-        self.node.call_ended(now, case.request, outcome, now - case.request.called_at)
+        self.node.on_call_completed(now, case.request, outcome, now - case.request.called_at)
         self.stir()
 
     def may_call(self, most: int) -> None:
         self.calls_granted = most
         if self.node is not None:
-            self.node.may_call(self.clock(), most)
+            self.node.set_call_quota(self.clock(), most)
             self.stir()
 
     def calls_wanted(self) -> tuple[int, int]:
         """How many are out, and how many would be if they might."""
         out = sum(case.call is not None for case in self.cases)
-        waiting = sum(case.request.state is State.ASKING for case in self.cases)
+        waiting = sum(case.request.state is RequestState.AWAITING_CALL for case in self.cases)
         return out, out + waiting
 
     def must_leave(self, at: int) -> None:
         if self.leaves_at is None:
             self.leaves_at, self.notice_at = at, self.clock()
             if self.node is not None:
-                self.node.must_leave(self.notice_at, at)
+                self.node.start_draining(self.notice_at, at)
                 self.stir()
 
     def wake(self) -> None:
@@ -259,7 +268,7 @@
         self.deadlines.cancel(limit)
         if readings is None:
             self.report.count("host", "wake-ups without gauges")
-        self.node.wakes(self.clock(), read_gauges(self.gauges, readings) if readings else Gauges())
+        self.node.on_timer(self.clock(), read_gauges(self.gauges, readings) if readings else ResourceUsage())
         self.stir()
 
     def tend(self, case: Case, happened: Callable[..., None], *values: Any) -> None:
@@ -276,7 +285,7 @@
         if case.run is not None:
             self.interpreter.halt(case.run)
         elif case.request.number >= 0:
-            self.node.run_ended(self.clock(), case.request, Outcome.ERRED, 0)
+            self.node.on_run_completed(self.clock(), case.request, Outcome.FAILED, 0)
             self.release(case)
         self.stir()
 
@@ -308,7 +317,7 @@
         """Guards the node against an error with one request: that one is given up, the others go on."""
         case = None
         try:
-            if decision.request is not None and decision.act is not Act.STRIKE:
+            if decision.request is not None and decision.act is not Action.DELETE_RECORD:
                 case = self.cases.get(decision.request.number)
                 if case is None or case.request is not decision.request:
                     self.report.count("host", f"decisions on ended requests: {decision.act.name}")
@@ -323,14 +332,14 @@
     def may_record(self, able: bool) -> None:
         self.able = able
         if self.node is not None:
-            self.node.may_record(self.clock(), self.able and self.trusted)
+            self.node.set_recording_available(self.clock(), self.able and self.trusted)
             self.stir()
 
     def may_serve(self, share: float, receipted: bool) -> None:
         """As the fleet says, or this node by itself: so much of what comes, and whether what is receipted."""
         self.open_share, self.trusted = share, receipted
         if self.node is not None:
-            self.node.may_serve(self.clock(), share)
+            self.node.set_admitted_share(self.clock(), share)
             self.may_record(self.able)
 
     def ready(self) -> bool:
@@ -353,16 +362,16 @@
     def not_begun(self, case: Case) -> None:
         """Its entry could not be made: nothing was begun, and the decisions are asked again."""
         case.unsettled = False
-        if case.request.state is not State.ENDED:
+        if case.request.state is not RequestState.ENDED:
             self.receipts.unrecord(case.request)
-            self.node.not_recorded(self.clock(), case.request)
+            self.node.on_record_failed(self.clock(), case.request)
         self.release(case)
         self.stir()
 
     def never_began(self, case: Case) -> None:
         """Nobody waits for it any more, and it was not begun yet: that it never ran is proved."""
         case.unsettled = False
-        self.run_ended(case, Outcome.UNREACHED, 0, b"")
+        self.run_ended(case, Outcome.UNREACHABLE, 0, b"")
 
     def adopts(self, ident: bytes, ended: Callable[[Outcome, int, bytes], None]) -> None:
         self.interpreter.adopt(ident, ended)
@@ -384,8 +393,10 @@
             partial(self.tend, case, self.run_waits),
             partial(self.tend, case, self.run_ended),
         )
-        tariff = case.request.tariff
-        self.interpreter.apply(case.run, tariff.name.encode(), case.body, tariff.effect is Effect.PURE)
+        request_class = case.request.request_class
+        self.interpreter.apply(
+            case.run, request_class.name.encode(), case.body, request_class.effect is Effect.IDEMPOTENT
+        )
 
     def stop_run(self, decision: Decision, case: Case) -> None:
         if case.run is not None:
@@ -434,12 +445,12 @@
             self.keyed.share(case)
             return
         self.receipts.share(first, case)
-        if first is None or first.state is State.ENDED:
+        if first is None or first.state is RequestState.ENDED:
             self.shares.append(case)
 
     def end_share(self, case: Case, result: bytes | None) -> None:
-        outcome = Outcome.ERRED if result is None else Outcome.COMPLETED
-        self.node.run_ended(self.clock(), case.request, outcome, 0)
+        outcome = Outcome.FAILED if result is None else Outcome.COMPLETED
+        self.node.on_run_completed(self.clock(), case.request, outcome, 0)
         self.answer(case, Answer.GIVEN_UP if result is None else Answer.HONOURED, result or b"")
         self.release(case)
         self.stir()
@@ -482,7 +493,7 @@
         case.request.number = -1
 
     def beliefs(self) -> str:
-        states = Counter(each.request.state.name.lower() for each in self.cases)
+        states = Counter(each.request.state.value for each in self.cases)
         held = ", ".join(f"{count} {name}" for name, count in sorted(states.items()))
         value = "none" if self.free_value is None else f"{self.free_value:.2f}"
         health = "on" if self.healthy else "off"
--- a/lichencleat/node/interpreter.py
+++ b/lichencleat/node/interpreter.py
@@ -26,9 +26,9 @@
 KINDS = (b"VALUE", b"AWAIT", b"TRACE", b"TOPS", b"BANNER", b"ERROR")
 OUTCOMES = {
     b"PASS": Outcome.COMPLETED,
-    b"FAIL": Outcome.ERRED,
-    b"KILLED": Outcome.STOPPED,
-    b"NOOP": Outcome.VOID,
+    b"FAIL": Outcome.FAILED,
+    b"KILLED": Outcome.ABORTED,
+    b"NOOP": Outcome.SUPERSEDED,
 }
 CARRIES_BODY = {b"VALUE": 6, b"AWAIT": 4}  # words of a notice whose last one is a length
 
@@ -202,10 +202,10 @@
 
     # --- commands ---------------------------------------------------------------------------------
 
-    def apply(self, run: Run, tariff: bytes, body: bytes, pure: bool) -> None:
+    def apply(self, run: Run, request_class: bytes, body: bytes, pure: bool) -> None:
         self.runs[run.ident] = run
         run.pure = pure
-        self.command(run, line_with_body(b"APPLY", run.ident, tariff, body=body))
+        self.command(run, line_with_body(b"APPLY", run.ident, request_class, body=body))
 
     def adopt(self, ident: bytes, ended: Callable[[Outcome, int, bytes], None]) -> None:
         """A run that an earlier life of this node began, and that may be going on."""
@@ -378,4 +378,4 @@
         run = self.runs.get(words[2]) if words[1] in (b"APPLY", b"BREAK") else None
         if run is not None and not run.begun:
             del self.runs[run.ident]
-            run.ended(Outcome.UNREACHED, 0, b"")
+            run.ended(Outcome.UNREACHABLE, 0, b"")
--- a/lichencleat/node/program.py
+++ b/lichencleat/node/program.py
@@ -12,7 +12,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.logger import globalLogBeginner
 
-from lichencleat.admission.node_spec import BadInputError
+from lichencleat.admission.node_spec import InvalidInputError
 from lichencleat.clocks import make_reactor
 from lichencleat.node.assembly import RealNode, UnixClock
 from lichencleat.node.config import read_told
@@ -48,7 +48,7 @@
     try:
         told, chosen = read_told(os.environ), read_chosen(os.environ)  # both, before anything is taken over
         node.reload(told, chosen)
-    except BadInputError as bad:
+    except InvalidInputError as bad:
         node.report.count("node", "configurations refused")
         node.report.note(f"{bad}; the one before stays in force")
 
@@ -61,13 +61,13 @@
     try:
         from lichencleat.config.file import WrongFileError, read_file
     except ModuleNotFoundError as missing:
-        raise BadInputError(
+        raise InvalidInputError(
             f"LICHENCLEAT_FILE: needs {missing.name}: pip install 'lichencleat[file]'"
         ) from missing
     try:
         return read_file(path)
     except WrongFileError as wrong:
-        raise BadInputError(f"LICHENCLEAT_FILE: {wrong}") from wrong
+        raise InvalidInputError(f"LICHENCLEAT_FILE: {wrong}") from wrong
 
 
 def main() -> int:
@@ -82,7 +82,7 @@
             signal.signal(told_to_leave, lambda *_: reactor.callFromThread(node.leave))
         signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(node.report.summary))
         node.start()
-    except BadInputError as bad:
+    except InvalidInputError as bad:
         print(f"lichencleat: {bad}", file=sys.stderr)
         return 2
     except ModuleNotFoundError as missing:  # of a part that the operators' file switches on
--- a/lichencleat/node/receipts.py
+++ b/lichencleat/node/receipts.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from lichencleat.admission.types import Request, State
+from lichencleat.admission.types import Request, RequestState
 from lichencleat.node.deadlines import Deadline, Deadlines
 
 READ_LATE = 10_000_000  # µs, and the hard limit: as late as a try that came in time may be read, or a run end
@@ -23,7 +23,7 @@
     def leads(self, arrived: int) -> bool:
         """Is it the one that a try which arrived then repeats?"""
         if self.until is None:
-            return self.request.state is not State.ENDED
+            return self.request.state is not RequestState.ENDED
         return arrived <= self.until
 
 
@@ -66,7 +66,7 @@
         receipt = self.by_request.get(request) or self.enter(key, request)
         receipt.until = now + span
         self.deadlines.cancel(receipt.gone)
-        late = READ_LATE + request.tariff.hard_limit
+        late = READ_LATE + request.request_class.deadline
         receipt.gone = self.deadlines.after(span + late, self.forget, receipt)
 
     def unrecord(self, request: Request) -> None:
@@ -93,7 +93,7 @@
     def share(self, request: Request, sharer: Any) -> Receipt | None:
         """The receipt of that try; where its outcome is not there yet, the sharer waits at it."""
         receipt = self.by_request.get(request)
-        if receipt is not None and request.state is not State.ENDED:
+        if receipt is not None and request.state is not RequestState.ENDED:
             receipt.sharers[sharer] = None
         return receipt
 
--- a/lichencleat/node/requests.py
+++ b/lichencleat/node/requests.py
@@ -54,8 +54,8 @@
     if not 4 <= len(words) <= 5:
         raise BadRequestError(f"{len(words)} words")
     body = words[4] if len(words) == 5 else b""
-    tariff = host.tariffs.get(words[2])
-    if tariff is None or len(body) > BODY_MOST:
+    request_class = host.request_classes.get(words[2])
+    if request_class is None or len(body) > BODY_MOST:
         raise BadRequestError(f"tariff {words[2][:40]!r}, body of {len(body)} bytes")
     now = host.clock()
     try:
@@ -64,14 +64,14 @@
         arrived, size_kb, cost_ms = min(came, now), float(said[b"m"]), float(said.get(b"h", 0))
         if tenants and tenant not in tenants:
             raise ValueError("no such tenant")
-        if not now - BEHIND_MOST - tariff.hard_limit <= came <= now + AHEAD_MOST:
+        if not now - BEHIND_MOST - request_class.deadline <= came <= now + AHEAD_MOST:
             raise ValueError("not of this time")
         if not 0 < size_kb < SIZE_MOST or cost_ms > HINT_MOST or ident in host.idents:
             raise ValueError("a figure out of range, or an id in hand")
         request = Request(
-            tariff=tariff,
+            request_class=request_class,
             arrived=arrived,
-            due=max(arrived + tariff.hard_limit, now),
+            due=max(arrived + request_class.deadline, now),
             place=float(said[b"p"]),
             caller=int(said[b"f"]),
             tenant=tenant.decode(errors="replace"),
@@ -79,14 +79,14 @@
             cost=int(cost_ms * 1000),
             size_kb=size_kb,
         )
-        key = said[b"k"] + mark(tenant, words[2], body) if tariff.effect is Effect.RECEIPTED else b""
+        key = said[b"k"] + mark(tenant, words[2], body) if request_class.effect is Effect.KEYED else b""
     except (KeyError, ValueError) as wrong:
         raise BadRequestError(f"fields {words[3][:120]!r}: {wrong!r}") from wrong
     return Case(request, ident, body, key, reply), tenant
 
 
 def mark(*parts: bytes) -> bytes:
-    """Guards against the key of another: tries of one request have its tenant, tariff and body as well.
+    """Guards against the key of another: tries of one request share its tenant, class and body as well.
 
     Each part goes in with its length, so that no two lots of parts read alike.
     """
--- a/lichencleat/recovery/seat.py
+++ b/lichencleat/recovery/seat.py
@@ -60,7 +60,7 @@
 
     def opened(self, get: Callable[[bytes], bytes | None]) -> None:
         machine = self.host.machine
-        longest = {each.name: each.hard_limit for each in machine.tariffs}
+        longest = {each.name: each.deadline for each in machine.request_classes}
         self.before, why = figures.recalled(get(FIGURES), machine.cores, longest)
         self.to_tell = bool(self.before)
         if self.before or why:
@@ -78,7 +78,9 @@
         if self.to_tell and self.host.node is not None:
             self.to_tell = False
             for name, took in self.before.items():
-                self.host.node.ran_before(self.host.clock(), self.host.tariffs[name.encode()], took)
+                self.host.node.seed_run_time(
+                    self.host.clock(), self.host.request_classes[name.encode()], took
+                )
 
 
 class Return:
--- a/lichencleat/router/core.py
+++ b/lichencleat/router/core.py
@@ -14,7 +14,7 @@
 from collections import Counter, deque
 from collections.abc import Iterator
 
-from lichencleat.admission.types import Effect, Told
+from lichencleat.admission.types import CapacitySignal, Effect
 from lichencleat.failover.budget import Budget
 from lichencleat.failover.near import SPAN, Near, Span
 from lichencleat.failover.terms import Order, Seen, Zone
@@ -41,7 +41,7 @@
         zone: str,
         zones: dict[str, Zone],
         nodes: dict[str, list[str]],
-        told: Told,
+        told: CapacitySignal,
         rng: random.Random,
         now: int,
         routers: int = 1,
@@ -233,8 +233,8 @@
         request.spent.append(node)
         self.nodes.sent(node)
         if request.key:
-            self.keys.sent(now, request.key, node, request.arrived + request.tariff.window)
-        elif request.tariff.effect is Effect.PURE and request.tries < TRIES_MOST:
+            self.keys.sent(now, request.key, node, request.arrived + request.request_class.window)
+        elif request.request_class.effect is Effect.IDEMPOTENT and request.tries < TRIES_MOST:
             usual = self.nodes.usual(request.zone)
             if usual:
                 self.serial += 1
@@ -252,7 +252,7 @@
 
     def may_try_again(self, now: int, request: Carried, came: Came, last: bool) -> bool:
         """By the budget of all repeats; a try that may have run is repeated only where that does no harm."""
-        harmless = came in (Came.DEFERRED, Came.UNSENT) or request.tariff.effect is Effect.PURE
+        harmless = came in (Came.DEFERRED, Came.UNSENT) or request.request_class.effect is Effect.IDEMPOTENT
         if last or not harmless or request.tries >= TRIES_MOST:
             return False
         known = self.keys.known.get(request.key) if request.key else None
--- a/lichencleat/router/door.py
+++ b/lichencleat/router/door.py
@@ -10,7 +10,7 @@
 from functools import partial
 from typing import Any
 
-from lichencleat.admission.types import Machine
+from lichencleat.admission.types import NodeSpec
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.dispatchers import OPEN_MOST, Connection, Dispatchers
 from lichencleat.node.host import Answer, Case
@@ -46,10 +46,10 @@
 class Hand:
     """A request in hand: what its caller sent, and its try under way."""
 
-    __slots__ = ("case", "carried", "tariff", "fields", "made", "result")
+    __slots__ = ("case", "carried", "request_class", "fields", "made", "result")
 
-    def __init__(self, case: Case, carried: Carried, tariff: bytes, fields: bytes) -> None:
-        self.case, self.carried, self.tariff, self.fields = case, carried, tariff, fields
+    def __init__(self, case: Case, carried: Carried, request_class: bytes, fields: bytes) -> None:
+        self.case, self.carried, self.request_class, self.fields = case, carried, request_class, fields
         self.made: Try | None = None
         self.result = b""  # that came for it
 
@@ -70,7 +70,7 @@
         self,
         reactor: Any,
         core: Router,
-        machine: Machine,
+        machine: NodeSpec,
         addresses: dict[str, tuple[str, int]],
         clock: Any,
         deadlines: Deadlines,
@@ -79,7 +79,7 @@
     ) -> None:
         self.reactor, self.core, self.machine, self.clock = reactor, core, machine, clock
         self.deadlines, self.report, self.rng = deadlines, report, rng
-        self.tariffs = {each.name.encode(): each for each in machine.tariffs}
+        self.request_classes = {each.name.encode(): each for each in machine.request_classes}
         self.idents: set[bytes] = set()
         self.hands: Slots[Hand] = Slots()
         self.healthy = True
@@ -110,11 +110,11 @@
 
     # -- callers -----------------------------------------------------------------------------------------
 
-    def carries(self, case: Case, tariff: bytes, fields: bytes) -> None:
+    def carries(self, case: Case, request_class: bytes, fields: bytes) -> None:
         request = case.request
         self.report.count("router", "requests")
         carried = Carried(
-            request.tariff,
+            request.request_class,
             case.ident,
             request.arrived,
             request.due,
@@ -122,7 +122,7 @@
             request.place,
             request.further_try,
         )
-        request.number = carried.number = self.hands.take(Hand(case, carried, tariff, fields))
+        request.number = carried.number = self.hands.take(Hand(case, carried, request_class, fields))
         self.idents.add(case.ident)
         self.core.arrives(self.clock(), carried)
         self.stir()
@@ -155,7 +155,7 @@
         if case.open:
             case.open = False
             self.report.count("router", answer.value)
-            case.reply(answer, result, min(span, self.machine.advice_most), last)
+            case.reply(answer, result, min(span, self.machine.max_retry_after_us), last)
 
     def tell(self) -> None:
         """What callers read in every answer, by what the nodes say."""
@@ -221,7 +221,7 @@
         fields = hand.fields
         if not decision.first:
             fields = again(fields, b"%016x" % self.rng.getrandbits(IDENT_BITS))
-        made = Try([hand.tariff, fields, hand.case.body], lambda told: self.try_over(hand, made, told))
+        made = Try([hand.request_class, fields, hand.case.body], lambda told: self.try_over(hand, made, told))
         hand.made = made
         links = self.nodes.get(decision.node)
         if links is None or not links.send(made):
--- a/lichencleat/router/file.py
+++ b/lichencleat/router/file.py
@@ -7,8 +7,8 @@
 
 from msgspec import Meta, Struct
 
-from lichencleat.admission.node_spec import BadInputError, decode_machine
-from lichencleat.admission.types import Machine
+from lichencleat.admission.node_spec import InvalidInputError, decode_node_spec
+from lichencleat.admission.types import NodeSpec
 from lichencleat.config.file import (
     Address,
     LogChoice,
@@ -54,7 +54,7 @@
     log: LogChoice = LogChoice()
 
 
-def read_router(path: str) -> tuple[RouterFile, Machine, frozenset[bytes]]:
+def read_router(path: str) -> tuple[RouterFile, NodeSpec, frozenset[bytes]]:
     """The file, and of the settings that it names the classes and tenants. Raises WrongFileError."""
     chosen, place = read_as(path, load(path), RouterFile)
     sense(path, place, chosen.router)
@@ -62,11 +62,11 @@
     try:
         settings = json.loads(load(chosen.router.settings))
         settings = settings.get("settings", settings)  # the platform's whole configuration does as well
-        machine = decode_machine(settings)
+        machine = decode_node_spec(settings)
         tenants = frozenset(each["name"].encode() for each in settings.get("orgs") or [])
-        if not machine.tariffs or any(each.hard_limit <= 0 for each in machine.tariffs):
-            raise BadInputError("no classes, or one without its deadline")
-    except (WrongFileError, BadInputError, ValueError, KeyError, TypeError, AttributeError) as wrong:
+        if not machine.request_classes or any(each.deadline <= 0 for each in machine.request_classes):
+            raise InvalidInputError("no classes, or one without its deadline")
+    except (WrongFileError, InvalidInputError, ValueError, KeyError, TypeError, AttributeError) as wrong:
         raise WrongFileError(
             f"{path}, line {line}: router.settings: {chosen.router.settings}: {wrong!s:.200}; "
             "name a JSON file with the nodes' settings"
--- a/lichencleat/router/nodes.py
+++ b/lichencleat/router/nodes.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from statistics import median
 
-from lichencleat.admission.types import Told
+from lichencleat.admission.types import CapacitySignal
 from lichencleat.failover.leave_out import LeaveOut
 from lichencleat.router.terms import Came
 
@@ -35,7 +35,7 @@
 
 
 class Nodes:
-    def __init__(self, zones: dict[str, list[str]], told: Told, rng: random.Random) -> None:
+    def __init__(self, zones: dict[str, list[str]], told: CapacitySignal, rng: random.Random) -> None:
         self.told, self.rng = told, rng
         self.zones: dict[str, Zone] = {}
         self.zone_of: dict[str, str] = {}
@@ -95,11 +95,11 @@
         ]
 
     def takes(self, known: Known, place: float) -> bool:
-        if known.value is None or self.told is Told.NOTHING:
+        if known.value is None or self.told is CapacitySignal.NONE:
             return True
-        if self.told is Told.LEVEL:
+        if self.told is CapacitySignal.PRIORITY_THRESHOLD:
             return place >= known.value
-        if self.told is Told.WINDOW:
+        if self.told is CapacitySignal.WINDOW:
             return known.in_hand < max(1.0, known.value)
         return self.rng.random() < known.value
 
@@ -133,8 +133,8 @@
             if known is not None and known.nodes[node].value is not None
         ]
         values = [each for each in told if each is not None]
-        if not values or self.told is Told.NOTHING:
+        if not values or self.told is CapacitySignal.NONE:
             return None
-        if self.told is Told.WINDOW:
+        if self.told is CapacitySignal.WINDOW:
             return max(1.0, sum(values) / max(1, callers))
         return median(values)
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.error import CannotListenError
 
-from lichencleat.admission.types import Machine
+from lichencleat.admission.types import NodeSpec
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config.file import WrongFileError
 from lichencleat.consensus.client import Client
@@ -39,7 +39,7 @@
     """Brings a router up on the reactor, and down at a signal."""
 
     def __init__(
-        self, reactor: Any, path: str, file: RouterFile, machine: Machine, tenants: frozenset[bytes]
+        self, reactor: Any, path: str, file: RouterFile, machine: NodeSpec, tenants: frozenset[bytes]
     ) -> None:
         self.reactor, self.path, self.chosen, self.machine = reactor, path, file.router, machine
         chosen = file.router
@@ -222,7 +222,7 @@
     }
 
 
-def run(path: str, file: RouterFile, machine: Machine, tenants: frozenset[bytes]) -> int:
+def run(path: str, file: RouterFile, machine: NodeSpec, tenants: frozenset[bytes]) -> int:
     """The exit code: 0 told to leave, 2 could not start."""
     reactor = make_reactor()
     return run_program(reactor, Running(reactor, path, file, machine, tenants))
--- a/lichencleat/router/terms.py
+++ b/lichencleat/router/terms.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 from enum import Enum, auto
 
-from lichencleat.admission.types import Tariff
+from lichencleat.admission.types import RequestClass
 
 
 class Came(Enum):
@@ -24,7 +24,7 @@
 class Carried:
     """A request at the router; `due` as its caller counts it, both times µs of Unix time."""
 
-    tariff: Tariff
+    request_class: RequestClass
     ident: bytes
     arrived: int
     due: int
--- a/lichencleat/testkit/explore_router.py
+++ b/lichencleat/testkit/explore_router.py
@@ -13,7 +13,7 @@
 
 import click
 
-from lichencleat.admission.types import Effect, Tariff, Told
+from lichencleat.admission.types import CapacitySignal, Effect, RequestClass
 from lichencleat.failover.terms import Duty, Order, Zone
 from lichencleat.router.core import GUARD, TRIES_MOST, Router
 from lichencleat.router.terms import Act, Came, Carried, Decision
@@ -21,7 +21,7 @@
 
 SECOND = 1_000_000
 START = 1_000 * SECOND  # µs of Unix time
-SAVE = Tariff("save", Effect.RECEIPTED, soft_limit=SECOND, hard_limit=4 * SECOND, window=60 * SECOND)
+SAVE = RequestClass("save", Effect.KEYED, latency_objective=SECOND, deadline=4 * SECOND, window=60 * SECOND)
 NODES = {"a": ["a1", "a2"], "b": ["b1"]}
 GUESTS = {"a": 1_000.0, "b": 1_000.0}
 ORDERS = [
@@ -45,7 +45,7 @@
 
 def made(kind: type[Router], zone: str) -> Router:
     ways = {"a": Zone("", 0.0, {"b": 5_000}), "b": Zone("", 0.0, {"a": 5_000})}
-    router = kind(zone, ways, NODES, Told.NOTHING, First(), START, 2)  # type: ignore[arg-type]
+    router = kind(zone, ways, NODES, CapacitySignal.NONE, First(), START, 2)  # type: ignore[arg-type]
     router.ordered(START, Order(0, 1, {}, GUESTS))
     router.near.fill(START)
     return router
@@ -118,7 +118,7 @@
         else:
             self.first -= 1
         ident = b"%d" % (self.first + self.again)
-        request = Carried(SAVE, ident, self.now, self.now + SAVE.hard_limit, key=b"k", further_try=again)
+        request = Carried(SAVE, ident, self.now, self.now + SAVE.deadline, key=b"k", further_try=again)
         self.open.append((zone, request))
         self.routers[zone].arrives(self.now, request)
         self.pull(zone)
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -2,59 +2,78 @@
 
 import pytest
 
-from lichencleat.admission.controller import BESIDE, GAIN, Node
-from lichencleat.admission.types import Act, Below, Effect, Gauges, Machine, Outcome, Request, State, Tariff
+from lichencleat.admission.controller import BESIDE, GAIN, AdmissionController
+from lichencleat.admission.types import (
+    Action,
+    Downstream,
+    Effect,
+    NodeSpec,
+    Outcome,
+    Request,
+    RequestClass,
+    RequestState,
+    ResourceUsage,
+)
 
 SECOND = 1_000_000
 
 
 @pytest.fixture
-def tariff():
-    return Tariff("plain", soft_limit=2 * SECOND, hard_limit=5 * SECOND)
+def request_class():
+    return RequestClass("plain", latency_objective=2 * SECOND, deadline=5 * SECOND)
 
 
 @pytest.fixture
 def node():
-    return Node(Machine(cores=2, crowd=8.0, memory_kb=10_000.0, run_factor=8.0), random.Random(1))
+    return AdmissionController(
+        NodeSpec(cores=2, crowd=8.0, memory_kb=10_000.0, running_memory_factor=8.0), random.Random(1)
+    )
 
 
-def test_running_work_is_answered_before_it_is_due(node, tariff):
-    late = Request(tariff, arrived=0, due=SECOND)
+def test_running_work_is_answered_before_it_is_due(node, request_class):
+    late = Request(request_class, arrived=0, due=SECOND)
     node.running[late] = None
     assert not list(node.answer_due(SECOND // 2))
     decision = next(node.answer_due(SECOND - 50_000))
-    assert decision.act is Act.GIVE_UP and decision.request is late
+    assert decision.act is Action.FAIL and decision.request is late
 
 
 @pytest.fixture
 def receipted():
-    return Tariff("booked", Effect.RECEIPTED, soft_limit=2 * SECOND, hard_limit=5 * SECOND, window=9 * SECOND)
+    return RequestClass(
+        "booked", Effect.KEYED, latency_objective=2 * SECOND, deadline=5 * SECOND, window=9 * SECOND
+    )
 
 
 def test_a_receipted_request_in_the_hold_is_recorded_however_it_came_there(node, receipted):
     node.held[Request(receipted, arrived=0, due=5 * SECOND)] = None
-    assert next(node.review_held(0)).act is Act.RECORD
+    assert next(node.review_held(0)).act is Action.ADD_RECORD
 
 
-def test_a_node_that_honours_nothing_in_time_is_sick_even_with_a_stepped_back_limit(node, tariff):
+def test_a_node_that_honours_nothing_in_time_is_sick_even_with_a_stepped_back_limit(node, request_class):
     node.limit, node.longest_soft_limit = 1.0, 2 * SECOND
-    node.running[Request(tariff, arrived=0, due=9 * SECOND, started=0)] = None
+    node.running[Request(request_class, arrived=0, due=9 * SECOND, started=0)] = None
     node.progress_at = 2 * SECOND
     assert not node.sick(2 * SECOND)
     assert node.sick(2 * SECOND + 1)
 
 
-@pytest.mark.parametrize(("soft_limit", "span"), [(2 * SECOND, 100_000), (325_000, 25_000), (1_000, 20_000)])
-def test_spans_follow_the_shortest_soft_limit_where_that_is_short(soft_limit, span):
-    quick = Tariff("quick", soft_limit=soft_limit, hard_limit=5 * SECOND)
-    node = Node(Machine(tariffs=[quick]), random.Random(1))
-    assert [each.span for each in node.tell(0) if each.act is Act.WAKE] == [span]
+@pytest.mark.parametrize(
+    ("latency_objective", "span"), [(2 * SECOND, 100_000), (325_000, 25_000), (1_000, 20_000)]
+)
+def test_spans_follow_the_shortest_soft_limit_where_that_is_short(latency_objective, span):
+    quick = RequestClass("quick", latency_objective=latency_objective, deadline=5 * SECOND)
+    node = AdmissionController(NodeSpec(request_classes=[quick]), random.Random(1))
+    assert [each.span for each in node.tell(0) if each.act is Action.SET_TIMER] == [span]
     assert node.guard == span
 
 
 def test_reading_at_its_usual_pace_does_not_make_callers_keep_back_where_soft_limits_are_short():
-    node = Node(Machine(tariffs=[Tariff("quick", soft_limit=360_000, hard_limit=SECOND)]), random.Random(1))
-    node.gauges = Gauges(busy=0.8)
+    node = AdmissionController(
+        NodeSpec(request_classes=[RequestClass("quick", latency_objective=360_000, deadline=SECOND)]),
+        random.Random(1),
+    )
+    node.gauges = ResourceUsage(busy=0.8)
     node.read_times.extend([(0, 60_000)] * 16)
     node.sample(0)
     assert node.ease == 0
@@ -63,13 +82,13 @@
     assert node.ease > 0
 
 
-def test_a_stalled_node_gives_up_pure_runs_so_that_others_may_try(node, tariff, receipted):
-    pure = Request(tariff, arrived=0, due=9 * SECOND, started=0)
+def test_a_stalled_node_gives_up_pure_runs_so_that_others_may_try(node, request_class, receipted):
+    pure = Request(request_class, arrived=0, due=9 * SECOND, started=0)
     booked = Request(receipted, arrived=0, due=9 * SECOND, started=0)
     node.running.update({booked: None, pure: None})
     assert not list(node.answer_due(SECOND // 2))
     decision = next(node.answer_due(3 * SECOND))
-    assert decision.act is Act.GIVE_UP and decision.request is pure
+    assert decision.act is Action.FAIL and decision.request is pure
     assert not list(node.answer_due(3 * SECOND))
 
 
@@ -82,56 +101,60 @@
     assert node.healthy
 
 
-def test_a_run_that_can_earn_nothing_makes_way_only_while_work_waits(node, tariff):
+def test_a_run_that_can_earn_nothing_makes_way_only_while_work_waits(node, request_class):
     node.can_stop = True
-    late = Request(tariff, arrived=0, due=5 * SECOND, started=0)
+    late = Request(request_class, arrived=0, due=5 * SECOND, started=0)
     node.running[late] = None
     assert not list(node.answer_due(3 * SECOND))
-    node.held[Request(tariff, arrived=3 * SECOND, due=8 * SECOND)] = None
+    node.held[Request(request_class, arrived=3 * SECOND, due=8 * SECOND)] = None
     decision = next(node.answer_due(3 * SECOND))
-    assert decision.act is Act.DEFER and decision.request is late
-    assert next(node.stop_unwanted(3 * SECOND)).act is Act.STOP
+    assert decision.act is Action.REJECT and decision.request is late
+    assert next(node.stop_unwanted(3 * SECOND)).act is Action.ABORT
 
 
 @pytest.fixture
 def caller(receipted):
-    machine = Machine(cores=2, crowd=8.0, memory_kb=10_000.0, below=Below.TIER, tariffs=[receipted])
-    return Node(machine, random.Random(1))
+    machine = NodeSpec(
+        cores=2, crowd=8.0, memory_kb=10_000.0, below=Downstream.TIER, request_classes=[receipted]
+    )
+    return AdmissionController(machine, random.Random(1))
 
 
-def test_a_few_failed_calls_do_not_cut_the_bound_and_most_failed_do(caller, tariff):
+def test_a_few_failed_calls_do_not_cut_the_bound_and_most_failed_do(caller, request_class):
     for at in range(8):
-        call = Request(tariff, arrived=0, due=5 * SECOND)
+        call = Request(request_class, arrived=0, due=5 * SECOND)
         caller.calling[call] = None
-        caller.call_ended(at * SECOND, call, Outcome.OVERDUE if at in (1, 5) else Outcome.COMPLETED, 100)
+        caller.on_call_completed(
+            at * SECOND, call, Outcome.TIMED_OUT if at in (1, 5) else Outcome.COMPLETED, 100
+        )
     before = caller.calls_most
     for at in range(8, 12):
-        call = Request(tariff, arrived=0, due=5 * SECOND)
+        call = Request(request_class, arrived=0, due=5 * SECOND)
         caller.calling[call] = None
-        caller.call_ended(at * SECOND, call, Outcome.TURNED_AWAY, 100)
+        caller.on_call_completed(at * SECOND, call, Outcome.REJECTED, 100)
     assert caller.calls_most < before and before >= 2
 
 
-def test_a_call_that_may_have_run_is_repeated_for_a_pure_request_only(caller, tariff, receipted):
-    for one, act in ((tariff, Act.CALL), (receipted, Act.GIVE_UP)):
+def test_a_call_that_may_have_run_is_repeated_for_a_pure_request_only(caller, request_class, receipted):
+    for one, act in ((request_class, Action.CALL), (receipted, Action.FAIL)):
         request = Request(one, arrived=0, due=5 * SECOND, started=0)
         caller.calling[request] = None
-        caller.call_ended(0, request, Outcome.OVERDUE, SECOND)
+        caller.on_call_completed(0, request, Outcome.TIMED_OUT, SECOND)
         assert next(caller.let_out_calls(SECOND)).act is act
 
 
-def test_a_pure_call_to_a_tier_is_not_waited_for_much_longer_than_usual(caller, tariff, receipted):
+def test_a_pure_call_to_a_tier_is_not_waited_for_much_longer_than_usual(caller, request_class, receipted):
     caller.call_times.extend([(100_000, True)] * 8 + [(9 * SECOND, False)] * 8)
-    for one, longest in ((tariff, SECOND), (receipted, 5 * SECOND)):
+    for one, longest in ((request_class, SECOND), (receipted, 5 * SECOND)):
         caller.asking.clear()
         caller.asking[Request(one, arrived=0, due=5 * SECOND, started=0)] = None
         assert 0 < next(caller.let_out_calls(0)).span <= longest
 
 
-def test_a_receipted_run_whose_caller_left_goes_on_for_its_repeat(node, tariff, receipted):
+def test_a_receipted_run_whose_caller_left_goes_on_for_its_repeat(node, request_class, receipted):
     node.can_stop = True
     kept = Request(receipted, arrived=0, due=5 * SECOND, started=0, answered=True)
-    dropped = Request(tariff, arrived=0, due=5 * SECOND, started=0, answered=True)
+    dropped = Request(request_class, arrived=0, due=5 * SECOND, started=0, answered=True)
     node.running.update({kept: None, dropped: None})
     node.to_stop.update({kept: None, dropped: None})
     assert next(node.stop_unwanted(SECOND)).request is dropped
@@ -139,34 +162,34 @@
 
 
 def test_two_repeats_of_one_deferred_try_get_one_run(node, receipted):
-    first = Request(receipted, arrived=0, due=5 * SECOND, state=State.ENDED)
+    first = Request(receipted, arrived=0, due=5 * SECOND, state=RequestState.ENDED)
     again = [Request(receipted, arrived=SECOND, due=6 * SECOND, repeats=first) for _ in range(2)]
     node.held.update(dict.fromkeys(again))
-    assert next(node.review_held(SECOND)).act is Act.RECORD
+    assert next(node.review_held(SECOND)).act is Action.ADD_RECORD
     assert next(node.start_held(SECOND)).request is again[0]
     assert not list(node.start_held(SECOND))
     shared = next(node.review_held(SECOND))
-    assert shared.act is Act.SHARE and shared.request is again[1]
+    assert shared.act is Action.COALESCE and shared.request is again[1]
 
 
 def test_a_repeat_of_a_run_that_came_to_nothing_is_neither_run_nor_deferred(node, receipted):
-    first = Request(receipted, arrived=0, due=5 * SECOND, state=State.ENDED, started=0)
+    first = Request(receipted, arrived=0, due=5 * SECOND, state=RequestState.ENDED, started=0)
     node.held[Request(receipted, arrived=SECOND, due=6 * SECOND, repeats=first)] = None
-    assert next(node.review_held(SECOND)).act is Act.GIVE_UP
+    assert next(node.review_held(SECOND)).act is Action.FAIL
 
 
 def test_the_entry_of_a_try_that_never_ran_is_struck(node, receipted):
-    node.receipts[Request(receipted, arrived=0, due=SECOND, state=State.ENDED, started=0)] = 9 * SECOND
+    node.receipts[Request(receipted, arrived=0, due=SECOND, state=RequestState.ENDED, started=0)] = 9 * SECOND
     assert not list(node.strike_unrun())
     unrun = Request(receipted, arrived=0, due=SECOND)
     node.receipts[unrun] = 9 * SECOND
     node.give_up(unrun)
-    assert [each.act for each in node.strike_unrun()] == [Act.STRIKE] and not node.unrun
+    assert [each.act for each in node.strike_unrun()] == [Action.DELETE_RECORD] and not node.unrun
 
 
-def test_the_cap_moves_by_the_gain_times_the_error_within_its_bounds(node, tariff):
+def test_the_cap_moves_by_the_gain_times_the_error_within_its_bounds(node, request_class):
     node.cap, node.reference = 7.0, 2.0
-    node.held.update((Request(tariff, arrived=0, due=9 * SECOND), None) for _ in range(6))
+    node.held.update((Request(request_class, arrived=0, due=9 * SECOND), None) for _ in range(6))
     node.sample(0)
     assert node.cap == pytest.approx(7.0 + GAIN * (2 - 6))
     node.cap = -50.0  # wound down by long pressure
@@ -177,57 +200,60 @@
     assert node.cap == 6 + node.limit
 
 
-def test_the_running_limit_climbs_while_cores_idle_and_steps_back_when_crowded(node, tariff):
-    node.held[Request(tariff, arrived=0, due=9 * SECOND)] = None
-    node.running.update((Request(tariff, arrived=0, due=9 * SECOND), None) for _ in range(2))
-    node.gauges = Gauges(wanting_core=1.0)
+def test_the_running_limit_climbs_while_cores_idle_and_steps_back_when_crowded(node, request_class):
+    node.held[Request(request_class, arrived=0, due=9 * SECOND)] = None
+    node.running.update((Request(request_class, arrived=0, due=9 * SECOND), None) for _ in range(2))
+    node.gauges = ResourceUsage(runnable=1.0)
     node.sample(0)
     assert node.limit > 2
-    node.gauges = Gauges(wanting_core=9.0)
+    node.gauges = ResourceUsage(runnable=9.0)
     for at in range(1, 9):
         node.sample(at * SECOND)
     assert node.limit < 2
 
 
-def test_an_arrival_at_the_cap_is_deferred_at_once_unless_it_earns_more_than_one_held(node, tariff):
-    plain = [Request(tariff, arrived=0, due=9 * SECOND) for _ in range(5)]
+def test_an_arrival_at_the_cap_is_deferred_at_once_unless_it_earns_more_than_one_held(node, request_class):
+    plain = [Request(request_class, arrived=0, due=9 * SECOND) for _ in range(5)]
     node.running.update(dict.fromkeys(plain[:2]))
     node.held.update(dict.fromkeys(plain[2:4]))
     node.cap = 4.0
     node.new[plain[4]] = None
     assert next(node.judge_new(0)).request is plain[4]
     better = Request(
-        Tariff("better", soft_limit=SECOND, hard_limit=SECOND, payoff=2.0), arrived=0, due=SECOND
+        RequestClass("better", latency_objective=SECOND, deadline=SECOND, payoff=2.0), arrived=0, due=SECOND
     )
     node.new[better] = None
     decisions = list(node.judge_new(0))
-    assert [each.act for each in decisions] == [Act.DEFER] and decisions[0].request in plain[2:4]
+    assert [each.act for each in decisions] == [Action.REJECT] and decisions[0].request in plain[2:4]
     assert better in node.held
 
 
-def test_nothing_begins_without_memory_for_it(node, tariff):
+def test_nothing_begins_without_memory_for_it(node, request_class):
     node.memory_kb = 1000.0
-    node.held[Request(tariff, arrived=0, due=9 * SECOND, size_kb=200.0)] = None
+    node.held[Request(request_class, arrived=0, due=9 * SECOND, size_kb=200.0)] = None
     assert not list(node.start_held(0))
     node.memory_kb = 2000.0
-    assert next(node.start_held(0)).act is Act.START
+    assert next(node.start_held(0)).act is Action.START
 
 
 def test_a_cold_node_takes_a_smaller_crowd():
-    told = Machine(cores=2, crowd=8.0, cold=True, cold_share=0.25, warm_after=10 * SECOND)
-    cold, warm = Node(told, random.Random(1)), Node(Machine(cores=2, crowd=8.0), random.Random(1))
+    told = NodeSpec(cores=2, crowd=8.0, cold=True, cold_speed_share=0.25, warmup_us=10 * SECOND)
+    cold, warm = (
+        AdmissionController(told, random.Random(1)),
+        AdmissionController(NodeSpec(cores=2, crowd=8.0), random.Random(1)),
+    )
     cold.started_at = 0
     assert cold.crowd_bound(0) < cold.crowd_bound(5 * SECOND) < cold.crowd_bound(10 * SECOND)
     assert cold.crowd_bound(10 * SECOND) == warm.crowd_bound(0) < 2 * 8
 
 
-def test_a_leaving_node_runs_nothing_late_and_answers_all_before_the_stop(node, tariff):
+def test_a_leaving_node_runs_nothing_late_and_answers_all_before_the_stop(node, request_class):
     node.grace = SECOND
-    early = Request(tariff, arrived=SECOND, due=9 * SECOND)
-    late = Request(tariff, arrived=SECOND + 1, due=9 * SECOND)
-    running = Request(tariff, arrived=0, due=9 * SECOND, started=0)
+    early = Request(request_class, arrived=SECOND, due=9 * SECOND)
+    late = Request(request_class, arrived=SECOND + 1, due=9 * SECOND)
+    running = Request(request_class, arrived=0, due=9 * SECOND, started=0)
     node.running[running] = None
-    node.must_leave(0, 4 * SECOND)
+    node.start_draining(0, 4 * SECOND)
     node.new.update({early: None, late: None})
     deferred = list(node.judge_new(SECOND + 1))
     assert [each.request for each in deferred] == [late] and early in node.held
@@ -235,18 +261,18 @@
     assert answered == [running, early]
 
 
-def test_calls_stay_under_a_share_of_less_than_one(tariff):
-    tariff.soft_limit = 9 * SECOND
-    machine = Machine(below=Below.SHARED, calls_share=0.5, calls_span=5 * SECOND)
-    node = Node(machine, random.Random(1))
-    node.asking[Request(tariff, arrived=0, due=9 * SECOND, started=0)] = None
+def test_calls_stay_under_a_share_of_less_than_one(request_class):
+    request_class.latency_objective = 9 * SECOND
+    machine = NodeSpec(below=Downstream.SHARED, call_quota=0.5, call_quota_window_us=5 * SECOND)
+    node = AdmissionController(machine, random.Random(1))
+    node.asking[Request(request_class, arrived=0, due=9 * SECOND, started=0)] = None
     assert next(node.let_out_calls(0)).span <= 2.5 * SECOND
     call = next(iter(node.calling))
-    node.call_ended(SECOND, call, Outcome.COMPLETED, SECOND)
+    node.on_call_completed(SECOND, call, Outcome.COMPLETED, SECOND)
     node.asking[call] = None
     node.calling.clear()
     assert not list(node.let_out_calls(3 * SECOND))
-    assert next(node.let_out_calls(4 * SECOND)).act is Act.CALL
+    assert next(node.let_out_calls(4 * SECOND)).act is Action.CALL
 
 
 def test_idle_connections_of_strangers_are_closed_soon_and_those_of_a_few_callers_kept(node):
@@ -260,58 +286,66 @@
 
 def test_a_deferral_sends_on_only_where_time_is_told_and_little_is_deferred(node):
     assert not node.sends_on()
-    node.time_told = True
+    node.callers_send_deadline = True
     assert node.sends_on()
     node.judged.extend([True] * 16)
     assert not node.sends_on()
 
 
-def test_a_node_too_slow_for_the_soft_limit_sends_on_and_tries_one_at_a_time(node, tariff):
-    request = Request(tariff, arrived=0, due=9 * SECOND)
+def test_a_node_too_slow_for_the_soft_limit_sends_on_and_tries_one_at_a_time(node, request_class):
+    request = Request(request_class, arrived=0, due=9 * SECOND)
     assert node.defer(0, request).flag
-    node.run_times[tariff] = [3 * SECOND] * 4
+    node.run_times[request_class] = [3 * SECOND] * 4
     assert not node.defer(0, request).flag
     assert not node.too_late(0, request)
-    node.running[Request(tariff, arrived=0, due=9 * SECOND, started=0)] = None
+    node.running[Request(request_class, arrived=0, due=9 * SECOND, started=0)] = None
     assert node.too_late(0, request)
 
 
-def test_work_that_would_end_too_late_is_not_begun(node, tariff):
-    tariff_runs = node.run_times.setdefault(tariff, [SECOND] * 4)
-    node.running.update((Request(tariff, arrived=0, due=9 * SECOND, started=0), None) for _ in range(2))
-    waiting = Request(tariff, arrived=0, due=9 * SECOND)
+def test_work_that_would_end_too_late_is_not_begun(node, request_class):
+    class_runs = node.run_times.setdefault(request_class, [SECOND] * 4)
+    node.running.update(
+        (Request(request_class, arrived=0, due=9 * SECOND, started=0), None) for _ in range(2)
+    )
+    waiting = Request(request_class, arrived=0, due=9 * SECOND)
     assert not node.too_late(SECOND - 1, waiting)
     assert node.too_late(SECOND + 1, waiting)
     node.running.popitem()
-    assert not node.too_late(SECOND + 1, waiting) and tariff_runs
+    assert not node.too_late(SECOND + 1, waiting) and class_runs
 
 
-def test_a_call_stuck_at_a_lost_node_leaves_the_bound_to_others(caller, tariff, receipted):
+def test_a_call_stuck_at_a_lost_node_leaves_the_bound_to_others(caller, request_class, receipted):
     caller.call_times.extend([(100_000, True)] * 8)
     caller.calls_most = 1.0
     caller.calling[Request(receipted, arrived=0, due=9 * SECOND, started=0, called_at=0)] = None
-    caller.asking[Request(tariff, arrived=0, due=9 * SECOND, started=0)] = None
+    caller.asking[Request(request_class, arrived=0, due=9 * SECOND, started=0)] = None
     assert not list(caller.let_out_calls(100_000))
-    assert next(caller.let_out_calls(SECOND)).act is Act.CALL
+    assert next(caller.let_out_calls(SECOND)).act is Action.CALL
 
 
-def test_calls_that_would_wait_long_are_omitted_where_the_answer_still_earns(tariff):
-    poorer = Tariff("poorer", soft_limit=2 * SECOND, hard_limit=5 * SECOND, payoff_without_call=0.5)
-    node = Node(Machine(below=Below.SHARED, calls_share=2.0, tariffs=[tariff]), random.Random(1))
+def test_calls_that_would_wait_long_are_omitted_where_the_answer_still_earns(request_class):
+    poorer = RequestClass(
+        "poorer", latency_objective=2 * SECOND, deadline=5 * SECOND, value_share_without_call=0.5
+    )
+    node = AdmissionController(
+        NodeSpec(below=Downstream.SHARED, call_quota=2.0, request_classes=[request_class]), random.Random(1)
+    )
     node.call_times.extend([(SECOND, True)] * 8)
-    pure, first, second = (Request(each, arrived=0, due=5 * SECOND) for each in (tariff, poorer, poorer))
+    pure, first, second = (
+        Request(each, arrived=0, due=5 * SECOND) for each in (request_class, poorer, poorer)
+    )
     node.asking.update(dict.fromkeys((second, first, pure)))
     decided = [(each.act, each.request) for each in node.let_out_calls(0)]
-    assert decided == [(Act.CALL, pure), (Act.OMIT_CALL, second), (Act.OMIT_CALL, first)]
+    assert decided == [(Action.CALL, pure), (Action.SKIP_CALL, second), (Action.SKIP_CALL, first)]
 
 
-def test_the_reference_falls_when_what_is_held_would_wait_too_long(node, tariff):
+def test_the_reference_falls_when_what_is_held_would_wait_too_long(node, request_class):
     node.shortest_soft_limit = 2 * SECOND
     node.sample(0)
     assert node.reference == 2.0
-    for request in (Request(tariff, arrived=0, due=9 * SECOND) for _ in range(4)):
+    for request in (Request(request_class, arrived=0, due=9 * SECOND) for _ in range(4)):
         node.running[request] = None
-        node.run_ended(0, request, Outcome.COMPLETED, SECOND)
+        node.on_run_completed(0, request, Outcome.COMPLETED, SECOND)
     node.sample(SECOND)
     assert node.reference == 1.0
 
@@ -325,7 +359,7 @@
 
 @pytest.fixture
 def crowded_by_strangers():
-    node = Node(Machine(cores=2, connections_idle=30 * SECOND), random.Random(1))
+    node = AdmissionController(NodeSpec(cores=2, connections_idle=30 * SECOND), random.Random(1))
     node.callers_seen.extend(range(64))
     return node
 
@@ -336,7 +370,7 @@
     for _ in range(seconds):
         for _ in range(10):
             node.gauges, node.clock = (
-                Gauges(busy=0.9, wanting_core=wanting),
+                ResourceUsage(busy=0.9, runnable=wanting),
                 getattr(node, "clock", 0) + 100_000,
             )
             node.sample(node.clock)
@@ -355,7 +389,7 @@
 
 
 def test_a_crowd_at_the_cores_of_runs_alone_keeps_no_idle_connections(crowded_by_strangers):
-    plain = Tariff("plain", soft_limit=2 * SECOND, hard_limit=5 * SECOND)
+    plain = RequestClass("plain", latency_objective=2 * SECOND, deadline=5 * SECOND)
     for _ in range(8):
         crowded_by_strangers.running[Request(plain, arrived=0, due=9 * SECOND, started=0)] = None
     assert idle_spans(crowded_by_strangers, 9.0, 5)[-1] == 100_000
@@ -369,50 +403,54 @@
 
 
 @pytest.fixture
-def shared_by_tenants(tariff):
-    told = Machine(
-        cores=2, memory_kb=1e6, tariffs=[tariff], shares={"a": 1.0, "b": 1.0}, over_share_payoff=0.05
+def shared_by_tenants(request_class):
+    told = NodeSpec(
+        cores=2,
+        memory_kb=1e6,
+        request_classes=[request_class],
+        shares={"a": 1.0, "b": 1.0},
+        over_quota_value_share=0.05,
     )
-    node = Node(told, random.Random(1))
+    node = AdmissionController(told, random.Random(1))
     node.begun_lately["b"] = 3.0  # all that its share allows in the span
-    node.running.update((Request(tariff, 0, 9 * SECOND, started=0), None) for _ in range(2))
+    node.running.update((Request(request_class, 0, 9 * SECOND, started=0), None) for _ in range(2))
     node.cap = 4.0
     return node
 
 
-def held_then_deferred(node, tariff, tenants):
+def held_then_deferred(node, request_class, tenants):
     """Arrivals of these tenants in their order: the tenants held at the end, and those deferred."""
     for tenant in tenants:
-        node.arrives(0, Request(tariff, arrived=0, due=9 * SECOND, tenant=tenant))
+        node.on_request(0, Request(request_class, arrived=0, due=9 * SECOND, tenant=tenant))
     deferred = [each.request.tenant for each in node.judge_new(0)]
     return [each.tenant for each in node.held], deferred
 
 
-def test_at_the_cap_a_tenant_within_its_share_goes_before_one_beyond_it(shared_by_tenants, tariff):
-    assert held_then_deferred(shared_by_tenants, tariff, "bba") == (["b", "a"], ["b"])
+def test_at_the_cap_a_tenant_within_its_share_goes_before_one_beyond_it(shared_by_tenants, request_class):
+    assert held_then_deferred(shared_by_tenants, request_class, "bba") == (["b", "a"], ["b"])
 
 
-def test_a_tenant_beyond_its_share_is_taken_in_where_there_is_room(shared_by_tenants, tariff):
-    assert held_then_deferred(shared_by_tenants, tariff, "bb") == (["b", "b"], [])
+def test_a_tenant_beyond_its_share_is_taken_in_where_there_is_room(shared_by_tenants, request_class):
+    assert held_then_deferred(shared_by_tenants, request_class, "bb") == (["b", "b"], [])
 
 
-def test_a_share_comes_back_with_time_and_is_spent_by_starts_alone(shared_by_tenants, tariff):
-    node, one = shared_by_tenants, Request(tariff, arrived=0, due=9 * SECOND, tenant="b")
+def test_a_share_comes_back_with_time_and_is_spent_by_starts_alone(shared_by_tenants, request_class):
+    node, one = shared_by_tenants, Request(request_class, arrived=0, due=9 * SECOND, tenant="b")
     assert node.over_share(one)
     for _ in range(2):
         node.sample(node.next_sample)
     assert not node.over_share(one)
     node.held[one] = None
     node.limit = 3.0
-    assert [each.act for each in node.start_held(SECOND)] == [Act.START]
+    assert [each.act for each in node.start_held(SECOND)] == [Action.START]
     assert node.over_share(one)
     for _ in range(40):
         node.sample(node.next_sample)
     assert not node.begun_lately  # nothing is kept for a tenant that begins nothing
 
 
-def test_a_tenant_without_a_share_is_never_beyond_it(shared_by_tenants, tariff):
-    assert not shared_by_tenants.over_share(Request(tariff, 0, 9 * SECOND, tenant="none"))
+def test_a_tenant_without_a_share_is_never_beyond_it(shared_by_tenants, request_class):
+    assert not shared_by_tenants.over_share(Request(request_class, 0, 9 * SECOND, tenant="none"))
 
 
 @pytest.mark.parametrize("wanting", [3.0, 12.0])
@@ -424,7 +462,7 @@
     for _ in range(11):
         now = node.next_sample + 100_000
         node.read_times.extend([(now, SECOND + 1)] * 16)
-        node.gauges = Gauges(busy=1.0, wanting_core=wanting)
+        node.gauges = ResourceUsage(busy=1.0, runnable=wanting)
         node.sample(now)
     assert node.healthy is (wanting > 2 * BESIDE)
     node.leaves_at = now
@@ -434,21 +472,21 @@
 
 @pytest.mark.parametrize(("callers", "kept"), [(0, False), (3, True), (32, True), (33, False)])
 def test_connections_are_kept_from_the_start_where_the_callers_told_are_few(callers, kept):
-    node = Node(Machine(connections_idle=30 * SECOND, callers=callers), random.Random(1))
+    node = AdmissionController(NodeSpec(connections_idle=30 * SECOND, callers=callers), random.Random(1))
     assert (node.idle_after() == 30 * SECOND) is kept
 
 
-@pytest.mark.parametrize("state", [State.HELD, State.RUNNING, State.ENDED])
+@pytest.mark.parametrize("state", [RequestState.QUEUED, RequestState.RUNNING, RequestState.ENDED])
 def test_a_repeat_read_when_its_time_is_up_is_answered_at_once(node, receipted, state):
     """Waiting for the try that it repeats, or for its outcome, it would miss the next look by a period."""
-    first = Request(receipted, arrived=0, due=5 * SECOND, started=None if state is State.HELD else 0)
-    first.state, first.succeeded = state, state is State.ENDED
-    if state is not State.ENDED:
-        (node.held if state is State.HELD else node.running)[first] = None
+    first = Request(receipted, arrived=0, due=5 * SECOND, started=None if state is RequestState.QUEUED else 0)
+    first.state, first.succeeded = state, state is RequestState.ENDED
+    if state is not RequestState.ENDED:
+        (node.held if state is RequestState.QUEUED else node.running)[first] = None
     late = Request(receipted, arrived=0, due=3 * SECOND, repeats=first)
-    node.arrives(3 * SECOND, late)
+    node.on_request(3 * SECOND, late)
     decisions = []
     while (decision := node.next_decision(3 * SECOND)) is not None:
         decisions.append((decision.act, decision.request))
-    assert [act for act, request in decisions if request is late] == [Act.GIVE_UP]
-    assert late.state is State.ENDED
+    assert [act for act, request in decisions if request is late] == [Action.FAIL]
+    assert late.state is RequestState.ENDED
--- a/tests/admission/test_node_spec.py
+++ b/tests/admission/test_node_spec.py
@@ -7,9 +7,9 @@
 import pytest
 from standins import SETTINGS
 
-from lichencleat.admission.controller import Node
-from lichencleat.admission.node_spec import BadInputError, decode_machine
-from lichencleat.admission.types import Gauges, Request
+from lichencleat.admission.controller import AdmissionController
+from lichencleat.admission.node_spec import InvalidInputError, decode_node_spec
+from lichencleat.admission.types import Request, ResourceUsage
 from lichencleat.node.config import read_told
 
 ODD = [
@@ -58,11 +58,13 @@
 
 
 def decides(told):
-    node, now = Node(told.machine, random.Random(1)), 1_000_000_000
+    node, now = AdmissionController(told.machine, random.Random(1)), 1_000_000_000
     for _ in range(3):
-        tariff = told.machine.tariffs[0]
-        node.arrives(now, Request(tariff, now, now + tariff.hard_limit, size_kb=20.0, tenant="a"))
-        node.wakes(now, Gauges())
+        request_class = told.machine.request_classes[0]
+        node.on_request(
+            now, Request(request_class, now, now + request_class.deadline, size_kb=20.0, tenant="a")
+        )
+        node.on_timer(now, ResourceUsage())
         while node.next_decision(now) is not None:
             pass
         now += node.period
@@ -80,7 +82,7 @@
         config.write_text(json.dumps(told))
         try:
             read = read_told({"BALANCER_CONFIG": str(config)})
-        except BadInputError as bad:
+        except InvalidInputError as bad:
             assert str(bad).startswith("BALANCER_CONFIG: ") and "\n" not in str(bad) and len(str(bad)) < 300
         else:
             decides(read)
@@ -94,10 +96,10 @@
 
 
 def test_a_tenant_s_share_is_this_node_s_equal_part_of_it():
-    machine = decode_machine(TOLD["settings"])
-    assert machine.shares == {"a": 2.0} and machine.over_share_payoff == 0.05
+    machine = decode_node_spec(TOLD["settings"])
+    assert machine.shares == {"a": 2.0} and machine.over_quota_value_share == 0.05
     bare = copy.deepcopy(TOLD)
     for key in ("servers", "overShareWorth", "orgs"):
         del bare["settings"][key]
-    machine = decode_machine(bare["settings"])
-    assert machine.shares == {} and machine.over_share_payoff == 1.0
+    machine = decode_node_spec(bare["settings"])
+    assert machine.shares == {} and machine.over_quota_value_share == 1.0
--- a/tests/idempotency/keyed_life.py
+++ b/tests/idempotency/keyed_life.py
@@ -5,7 +5,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from lichencleat.admission.types import Effect, Machine, Outcome, Request, Tariff
+from lichencleat.admission.types import Effect, NodeSpec, Outcome, Request, RequestClass
 from lichencleat.idempotency.book import Book
 from lichencleat.idempotency.keeper import Keeper
 from lichencleat.idempotency.whose import NotOursError
@@ -19,8 +19,8 @@
 from lichencleat.store.store import Store
 
 SECOND = 1_000_000
-LOOK = Tariff("look", soft_limit=2 * SECOND, hard_limit=6 * SECOND)
-SAVE = Tariff("save", Effect.RECEIPTED, 2 * SECOND, 6 * SECOND, window=30 * SECOND)
+LOOK = RequestClass("look", latency_objective=2 * SECOND, deadline=6 * SECOND)
+SAVE = RequestClass("save", Effect.KEYED, 2 * SECOND, 6 * SECOND, window=30 * SECOND)
 
 
 class World:
@@ -31,7 +31,7 @@
         self.clock_off = 0  # s
         self.reactor = Clock()
         self.reactor.advance(1_000)
-        self.runs, self.made = [], []  # what was begun: ident, tariff, body; results
+        self.runs, self.made = [], []  # what was begun: ident, request_class, body; results
         self.going = {}  # ident -> body
 
     def runs_of(self, body):
@@ -42,9 +42,9 @@
     def __init__(self, world):
         self.world, self.runs, self.early = world, {}, {}
 
-    def apply(self, run, tariff, body, pure):
+    def apply(self, run, request_class, body, pure):
         self.runs[run.ident] = run
-        self.world.runs.append((run.ident, tariff, body))
+        self.world.runs.append((run.ident, request_class, body))
         self.world.going[run.ident] = body
 
     def adopt(self, ident, ended):
@@ -101,7 +101,9 @@
         self.report.write = lambda line: None
         self.deadlines = Deadlines(reactor, self.report.trouble)
         self.interpreter = FakeInterpreter(world)
-        machine = Machine(cores=2, crowd=8.0, memory_kb=1e6, advice_most=SECOND, tariffs=[LOOK, SAVE])
+        machine = NodeSpec(
+            cores=2, crowd=8.0, memory_kb=1e6, max_retry_after_us=SECOND, request_classes=[LOOK, SAVE]
+        )
         self.host = Host(machine, [], "1", self.clock, self.deadlines, self.interpreter, None, self.report)
         self.host.able = False
         book = Book(self.entries, 1 << 20)
@@ -153,8 +155,8 @@
     def ask(self, number, body=b"x", key=b"key", pure=False):
         from hashlib import blake2b
 
-        tariff, now = (LOOK if pure else SAVE), self.clock()
-        request = Request(tariff, now, now + tariff.hard_limit, size_kb=1.0)
+        request_class, now = (LOOK if pure else SAVE), self.clock()
+        request = Request(request_class, now, now + request_class.deadline, size_kb=1.0)
         whole = b"" if pure else key + blake2b(b"save " + body, digest_size=16).digest()
         ident = b"%s-%d" % (b"%d" % id(self), number)
 
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -5,8 +5,8 @@
 import pytest
 from net_parts import ID, SECOND, Reactor, Transport
 
-from lichencleat.admission.controller import Node
-from lichencleat.admission.types import Effect, Machine, Request, Tariff
+from lichencleat.admission.controller import AdmissionController
+from lichencleat.admission.types import Effect, NodeSpec, Request, RequestClass
 from lichencleat.node.catalogue import Catalogue
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.dispatchers import Connection, Dispatchers
@@ -31,18 +31,20 @@
 
 
 @pytest.fixture
-def tariff():
-    return Tariff("look", soft_limit=2 * SECOND, hard_limit=5 * SECOND)
+def request_class():
+    return RequestClass("look", latency_objective=2 * SECOND, deadline=5 * SECOND)
 
 
 @pytest.fixture
 def receipted():
-    return Tariff("save", Effect.RECEIPTED, soft_limit=2 * SECOND, hard_limit=5 * SECOND, window=9 * SECOND)
+    return RequestClass(
+        "save", Effect.KEYED, latency_objective=2 * SECOND, deadline=5 * SECOND, window=9 * SECOND
+    )
 
 
 @pytest.fixture
-def host(reactor, deadlines, report, tariff, receipted):
-    machine = Machine(cores=2, memory_kb=10_000.0, tariffs=[tariff, receipted])
+def host(reactor, deadlines, report, request_class, receipted):
+    machine = NodeSpec(cores=2, memory_kb=10_000.0, request_classes=[request_class, receipted])
     made = Host(
         machine,
         [],
@@ -53,7 +55,7 @@
         Catalogue(reactor, ("", 0), deadlines, report),
         report,
     )
-    made.node = Node(machine, random.Random(1))
+    made.node = AdmissionController(machine, random.Random(1))
     return made
 
 
@@ -63,8 +65,10 @@
 
 
 @pytest.fixture
-def case(host, tariff, answers):
-    made = Case(Request(tariff, 0, 5 * SECOND), ID, b"x", b"", lambda *answer: answers.append(answer[0]))
+def case(host, request_class, answers):
+    made = Case(
+        Request(request_class, 0, 5 * SECOND), ID, b"x", b"", lambda *answer: answers.append(answer[0])
+    )
     made.request.number = host.cases.take(made)
     return made
 
--- a/tests/node/test_calls.py
+++ b/tests/node/test_calls.py
@@ -10,26 +10,26 @@
 def test_a_refused_connection_proves_that_no_call_ran(reactor, place):
     _, heard = place(connected=False)
     reactor.connects[0].clientConnectionFailed(None, None)
-    assert heard == [(Outcome.UNREACHED, b"")]
+    assert heard == [(Outcome.UNREACHABLE, b"")]
 
 
 def test_a_broken_connection_proves_nothing(catalogue, place):
     call, heard = place()
     call.link.connectionLost()
-    assert heard == [(Outcome.CUT, b"")] and not catalogue.links
+    assert heard == [(Outcome.INTERRUPTED, b"")] and not catalogue.links
 
 
 def test_a_silent_proxy_is_given_up_past_the_stated_time(reactor, place):
     call, heard = place()
     reactor.advance((SECOND + BEYOND) / SECOND + 0.01)
     reactor.advance(0)
-    assert heard == [(Outcome.OVERDUE, b"")] and b"QUIT " + ID in call.link.transport.value()
+    assert heard == [(Outcome.TIMED_OUT, b"")] and b"QUIT " + ID in call.link.transport.value()
 
 
 def test_a_call_given_up_before_there_was_a_connection_never_ran(reactor, place):
     _, heard = place(connected=False)
     reactor.advance((SECOND + BEYOND) / SECOND + 0.01)
-    assert heard == [(Outcome.UNREACHED, b"")]
+    assert heard == [(Outcome.UNREACHABLE, b"")]
 
 
 def test_the_late_reply_to_a_call_given_up_is_not_taken_for_the_next_one(place):
@@ -51,7 +51,7 @@
     call, heard = place()
     link, transport = call.link, call.link.transport
     link.dataReceived(spoilt)
-    assert heard == [(Outcome.CUT, b"")] and transport.aborted and not catalogue.links
+    assert heard == [(Outcome.INTERRUPTED, b"")] and transport.aborted and not catalogue.links
 
 
 def test_a_reply_that_begins_and_does_not_end_is_given_up_soon(reactor, place):
@@ -59,7 +59,7 @@
     call.link.dataReceived(ID + b" DATA 9\r\nabc")
     reactor.advance(0.6)
     reactor.advance(0)
-    assert heard == [(Outcome.CUT, b"")]
+    assert heard == [(Outcome.INTERRUPTED, b"")]
 
 
 def test_a_call_has_its_connection_to_itself_until_there_are_many(catalogue, place):
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -34,7 +34,7 @@
 
 
 def test_an_error_at_an_arrival_is_answered_and_leaves_nothing_behind(connection, host, report):
-    host.node.arrives = lambda now, request: 1 / 0
+    host.node.on_request = lambda now, request: 1 / 0
     connection.dataReceived(REQUEST % ID)
     assert b"500" in connection.transport.value() and report.counts["node errors"] == 1
     assert not connection.cases and not len(host.cases) and not host.idents
--- a/tests/node/test_host.py
+++ b/tests/node/test_host.py
@@ -3,7 +3,7 @@
 import pytest
 from net_parts import ID, SECOND
 
-from lichencleat.admission.types import Act, Decision, Outcome, Request
+from lichencleat.admission.types import Action, Decision, Outcome, Request
 from lichencleat.node.host import Answer, Case
 from lichencleat.node.interpreter import Run
 
@@ -21,7 +21,7 @@
 def test_a_run_that_ends_by_itself_means_that_its_caller_left(host, case, answers):
     case.run = Run(ID, print, print)
     host.node.running[case.request] = None
-    host.run_ended(case, Outcome.STOPPED, 0, b"")
+    host.run_ended(case, Outcome.ABORTED, 0, b"")
     assert answers == [Answer.GIVEN_UP] and not host.node.held and not len(host.cases)
 
 
@@ -29,18 +29,18 @@
     case.run = Run(ID, print, print)
     case.run.stopping = True
     host.node.running[case.request] = None
-    host.run_ended(case, Outcome.STOPPED, 0, b"")
+    host.run_ended(case, Outcome.ABORTED, 0, b"")
     assert not answers and case.request in host.node.held
 
 
 def test_a_call_that_was_dropped_tells_the_decisions_nothing(host, case, place):
     host.node.calling[case.request] = None
-    host.call_ended(case, place()[0], Outcome.CUT, b"")
+    host.call_ended(case, place()[0], Outcome.INTERRUPTED, b"")
     assert case.request in host.node.calling and not host.node.call_times
 
 
 def test_a_call_spends_its_connection_for_that_request(host, case):
-    host.place_call(Decision(Act.CALL, case.request, span=SECOND), case)
+    host.place_call(Decision(Action.CALL, case.request, span=SECOND), case)
     assert case.spent == list(host.catalogue.links)
 
 
@@ -50,20 +50,20 @@
     host.node.receipts[case.request] = SECOND
     case.run, case.request.started = Run(ID, print, print), 1
     host.node.running[case.request] = None
-    host.run_ended(case, Outcome.UNREACHED, 0, b"")
+    host.run_ended(case, Outcome.UNREACHABLE, 0, b"")
     host.pull()
     assert answers == [Answer.GIVEN_UP] and not host.receipts.by_key
 
 
 def test_a_try_deferred_before_it_was_recorded_leaves_no_entry(host, case):
     host.receipts.read(b"k", case.request)
-    host.defer(Decision(Act.DEFER, case.request), case)
+    host.defer(Decision(Action.REJECT, case.request), case)
     assert not host.receipts.by_key and not host.receipts.by_request
 
 
 def test_an_error_with_one_request_fails_that_one_alone(host, case, answers, report):
-    host.carries_out[Act.DEFER] = lambda decision, case: 1 / 0
-    host.carry_out(Decision(Act.DEFER, case.request))
+    host.carries_out[Action.REJECT] = lambda decision, case: 1 / 0
+    host.carry_out(Decision(Action.REJECT, case.request))
     assert answers == [Answer.GIVEN_UP] and report.counts["node errors"] == 1
 
 
@@ -95,9 +95,9 @@
         each.request.number = host.cases.take(each)
     host.receipts.record(0, b"k", first, SECOND)
     host.node.running[first] = host.node.sharing[second] = None
-    host.share(Decision(Act.SHARE, second), cases[1])
+    host.share(Decision(Action.COALESCE, second), cases[1])
     assert list(host.receipts.by_request[first].sharers) == [cases[1]]
-    host.run_ended(cases[0], Outcome.ERRED, 0, b"")
+    host.run_ended(cases[0], Outcome.FAILED, 0, b"")
     assert answers == [Answer.GIVEN_UP] * 2 and not len(host.cases)
 
 
--- a/tests/node/test_interpreter_link.py
+++ b/tests/node/test_interpreter_link.py
@@ -58,7 +58,7 @@
     assert not heard and report.counts["interpreter notices unreadable"] == 1
     assert not report.counts["node errors"]
     link.dataReceived(b"VALUE 2 %s KILLED 5 0\r\n\r\n" % ID)
-    assert heard == [(Outcome.STOPPED, 5000, b"")]
+    assert heard == [(Outcome.ABORTED, 5000, b"")]
 
 
 @pytest.mark.parametrize("number", [b"9" * 17, b"%d" % (KEPT_MOST + 1), b"+1", b"1_0", b"9" * 5000, b"-1"])
@@ -123,7 +123,7 @@
     made, heard = run
     link.interpreter.runs[ID] = made
     link.dataReceived(b"ERROR %s %s\r\n" % (command, ID))
-    assert heard == [(Outcome.UNREACHED, 0, b"")]
+    assert heard == [(Outcome.UNREACHABLE, 0, b"")]
 
 
 def test_a_run_that_does_not_stop_may_never_have_begun_and_is_begun_before_its_next_stop(link, run):
--- a/tests/node/test_records_of_keys.py
+++ b/tests/node/test_records_of_keys.py
@@ -2,7 +2,7 @@
 
 from net_parts import SECOND
 
-from lichencleat.admission.types import Request, State
+from lichencleat.admission.types import Request, RequestState
 from lichencleat.node.receipts import READ_LATE, Receipts
 from lichencleat.node.requests import BEHIND_MOST
 
@@ -12,10 +12,10 @@
     first = Request(receipted, 0, 0, started=1)
     assert receipts.read(b"k", first) is None
     receipts.record(0, b"k", first, SECOND)
-    first.state = State.ENDED
+    first.state = RequestState.ENDED
     assert receipts.read(b"k", Request(receipted, SECOND, 0)) is first
     assert receipts.read(b"k", Request(receipted, SECOND + 1, 0)) is None
-    reactor.advance((SECOND + READ_LATE + receipted.hard_limit) / SECOND + 0.01)
+    reactor.advance((SECOND + READ_LATE + receipted.deadline) / SECOND + 0.01)
     reactor.advance(0)
     assert first not in receipts.by_request
 
@@ -37,7 +37,7 @@
     first = Request(receipted, 0, 5 * SECOND)
     receipts.enter(b"k", first)
     receipts.record(0, b"k", first, SECOND)
-    reactor.advance((SECOND + BEHIND_MOST + receipted.hard_limit) / SECOND - 0.01)
+    reactor.advance((SECOND + BEHIND_MOST + receipted.deadline) / SECOND - 0.01)
     reactor.advance(0)
     assert receipts.first(b"k", Request(receipted, SECOND - 1, 6 * SECOND)) is first
     reactor.advance(0.1)
@@ -49,6 +49,6 @@
     receipts = Receipts(deadlines)
     first, second, third = (Request(receipted, 0, 0) for _ in range(3))
     assert receipts.read(b"k", first) is None and receipts.read(b"k", second) is first
-    first.state = State.ENDED
+    first.state = RequestState.ENDED
     receipts.over(first)
     assert receipts.read(b"k", third) is None
--- a/tests/node/test_windows.py
+++ b/tests/node/test_windows.py
@@ -5,8 +5,8 @@
 import pytest
 from net_parts import SECOND, Reactor
 
-from lichencleat.admission.controller import Node
-from lichencleat.admission.types import Effect, Halt, Machine, Outcome, Request, Tariff
+from lichencleat.admission.controller import AdmissionController
+from lichencleat.admission.types import Effect, NodeSpec, Outcome, Preemption, Request, RequestClass
 from lichencleat.node.catalogue import Catalogue
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.host import Answer, Case, Host
@@ -28,12 +28,18 @@
         report = Report("n1", self.now)
         report.write = lambda line: None
         deadlines = Deadlines(self.reactor, report.trouble)
-        self.tariff = Tariff("save", Effect.RECEIPTED, 700_000, DEADLINE, window=window)
-        machine = Machine(cores=1, memory_kb=2_000.0, run_factor=4, halt=Halt.DROP, tariffs=[self.tariff])
+        self.request_class = RequestClass("save", Effect.KEYED, 700_000, DEADLINE, window=window)
+        machine = NodeSpec(
+            cores=1,
+            memory_kb=2_000.0,
+            running_memory_factor=4,
+            halt=Preemption.ABORT,
+            request_classes=[self.request_class],
+        )
         interpreter = Interpreter(self.reactor, ("", 0), deadlines, report)
         catalogue = Catalogue(self.reactor, ("", 0), deadlines, report)
         self.host = Host(machine, [], "5", self.now, deadlines, interpreter, catalogue, report)
-        self.host.node = Node(machine, rng)
+        self.host.node = AdmissionController(machine, rng)
         self.host.stir()
         self.report, self.interpreter = report, interpreter
         self.begun = []  # tries, in the order in which their runs began
@@ -50,7 +56,7 @@
         now = self.now()
         came = now - self.rng.choice([0, 0, 1, 20_000, 120_000])
         tried = {"key": self.rng.choice(KEYS), "s": came, "ident": b"%016x" % len(self.tries), "answers": []}
-        request = Request(self.tariff, came, max(came + DEADLINE, now), size_kb=20.0)
+        request = Request(self.request_class, came, max(came + DEADLINE, now), size_kb=20.0)
         tell = tried["answers"].append
         reply = lambda answer, result, span, last: tell((answer, result, self.now()))  # noqa: E731
         tried["case"] = Case(request, tried["ident"], b"x", tried["key"], reply)
@@ -64,8 +70,8 @@
             return
         run = self.rng.choice(runs)
         del self.interpreter.runs[run.ident]
-        end = self.rng.choice([Outcome.COMPLETED] * 4 + [Outcome.ERRED, Outcome.UNREACHED])
-        if end is Outcome.UNREACHED:  # proved: it never ran
+        end = self.rng.choice([Outcome.COMPLETED] * 4 + [Outcome.FAILED, Outcome.UNREACHABLE])
+        if end is Outcome.UNREACHABLE:  # proved: it never ran
             self.begun = [each for each in self.begun if each["ident"] != run.ident]
         run.ended(end, 100_000, run.ident if end is Outcome.COMPLETED else b"")
 
--- a/tests/recovery/test_figures.py
+++ b/tests/recovery/test_figures.py
@@ -8,8 +8,8 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from lichencleat.admission.controller import RUNS_FEW, Node
-from lichencleat.admission.types import Machine, Outcome, Request, State, Tariff
+from lichencleat.admission.controller import RUNS_FEW, AdmissionController
+from lichencleat.admission.types import NodeSpec, Outcome, Request, RequestClass, RequestState
 from lichencleat.node.host import Host
 from lichencleat.recovery import boot as boots
 from lichencleat.recovery.figures import FORMAT, TARIFFS_MOST, Figures, encode, recalled, to_keep
@@ -19,7 +19,9 @@
 
 SECOND = 1_000_000
 LONGEST = {"look": 5 * SECOND, "save": 9 * SECOND}
-TARIFFS = [Tariff(name, soft_limit=SECOND, hard_limit=longest) for name, longest in LONGEST.items()]
+REQUEST_CLASSES = [
+    RequestClass(name, latency_objective=SECOND, deadline=longest) for name, longest in LONGEST.items()
+]
 
 
 def test_what_was_kept_is_recalled_and_this_life_outweighs_the_one_before():
@@ -58,21 +60,21 @@
     assert len(recalled(to_keep(2, many, {}), 2, dict.fromkeys(many, 9))[0]) == TARIFFS_MOST
 
 
-def ended(node, tariff, took):
-    request = Request(tariff, 0, 5 * SECOND)
-    node.running[request], request.state = None, State.RUNNING
-    node.run_ended(0, request, Outcome.COMPLETED, took)
+def ended(node, request_class, took):
+    request = Request(request_class, 0, 5 * SECOND)
+    node.running[request], request.state = None, RequestState.RUNNING
+    node.on_run_completed(0, request, Outcome.COMPLETED, took)
 
 
 def test_a_guess_is_outweighed_by_the_first_runs_and_never_takes_the_place_of_one():
-    look, save = TARIFFS
-    node = Node(Machine(cores=2, tariffs=TARIFFS), random.Random(1))
-    node.ran_before(0, look, 900)
+    look, save = REQUEST_CLASSES
+    node = AdmissionController(NodeSpec(cores=2, request_classes=REQUEST_CLASSES), random.Random(1))
+    node.seed_run_time(0, look, 900)
     assert node.usual_run(look) == node.usual_run(save) == 900
     for _ in range(RUNS_FEW - 1):
         ended(node, look, 100)
     assert node.usual_run(look) == 100
-    node.ran_before(0, look, 900)
+    node.seed_run_time(0, look, 900)
     assert list(node.run_times[look]) == [900, 100, 100, 100] and not node.run_times[save]
 
 
@@ -82,8 +84,10 @@
 
 @pytest.fixture
 def host():
-    machine = Machine(cores=2, tariffs=TARIFFS)
-    made = SimpleNamespace(machine=machine, node=None, tariffs={t.name.encode(): t for t in TARIFFS})
+    machine = NodeSpec(cores=2, request_classes=REQUEST_CLASSES)
+    made = SimpleNamespace(
+        machine=machine, node=None, request_classes={t.name.encode(): t for t in REQUEST_CLASSES}
+    )
     made.clock = lambda: 0
     made.told = []
     made.may_serve = lambda *what: made.told.append(what)
@@ -106,22 +110,25 @@
     life = Learned(host, log)
     life.opened(store.get)
     assert not log.said  # a first start has nothing to tell
-    host.node = Node(host.machine, random.Random(1))
+    host.node = AdmissionController(host.machine, random.Random(1))
     for took in (100, 200, 200, 900):
-        ended(host.node, TARIFFS[0], took)
-    ended(host.node, TARIFFS[1], 50)  # one run tells nothing
+        ended(host.node, REQUEST_CLASSES[0], took)
+    ended(host.node, REQUEST_CLASSES[1], 50)  # one run tells nothing
     store.update([life.sign(False)])
     for node_first in (True, False):
-        host.node = Node(host.machine, random.Random(1)) if node_first else None
+        host.node = AdmissionController(host.machine, random.Random(1)) if node_first else None
         life = Learned(host, log)
         if node_first:
             life.tell()
         life.opened(store.get)
         life.tell()
-        host.node = host.node or Node(host.machine, random.Random(1))
+        host.node = host.node or AdmissionController(host.machine, random.Random(1))
         life.tell()
         life.tell()
-        assert list(host.node.run_times[TARIFFS[0]]) == [200] and not host.node.run_times[TARIFFS[1]]
+        assert (
+            list(host.node.run_times[REQUEST_CLASSES[0]]) == [200]
+            and not host.node.run_times[REQUEST_CLASSES[1]]
+        )
         assert dict([life.sign(True)]) == store  # nothing ran: what was known is kept
     assert log.said[-1] == ("recalls", {"runs": "look 0.2 ms", "reason": "of its life before"})
 
@@ -146,7 +153,7 @@
     record = Record("g", lambda: 0)
     back = Return(reactor, Client(), host, waking, record, lambda: True, lambda: 0, Log())
     back.learned.opened({FIGURES: to_keep(2, {}, {"look": 20_000})}.get)
-    host.node = Node(host.machine, random.Random(1))
+    host.node = AdmissionController(host.machine, random.Random(1))
     back.start()
     assert [each.speed for each in reports] == [50.0] and host.told[0][0] == 0.0
     back.stop()
--- a/tests/router/router_life.py
+++ b/tests/router/router_life.py
@@ -7,16 +7,16 @@
 from collections import Counter
 from dataclasses import dataclass, field
 
-from lichencleat.admission.types import Effect, Tariff, Told
+from lichencleat.admission.types import CapacitySignal, Effect, RequestClass
 from lichencleat.failover.terms import Duty, Order, Zone
 from lichencleat.router.core import GUARD, Router
 from lichencleat.router.terms import Act, Came, Carried
 
 SECOND = 1_000_000
-LOOK = Tariff("look", Effect.PURE, soft_limit=SECOND, hard_limit=4 * SECOND)
-SAVE = Tariff("save", Effect.RECEIPTED, soft_limit=SECOND, hard_limit=4 * SECOND, window=10 * SECOND)
-BURN = Tariff("burn", Effect.EFFECTFUL, soft_limit=SECOND, hard_limit=4 * SECOND)
-TARIFFS = [LOOK, LOOK, SAVE, SAVE, BURN]
+LOOK = RequestClass("look", Effect.IDEMPOTENT, latency_objective=SECOND, deadline=4 * SECOND)
+SAVE = RequestClass("save", Effect.KEYED, latency_objective=SECOND, deadline=4 * SECOND, window=10 * SECOND)
+BURN = RequestClass("burn", Effect.NON_IDEMPOTENT, latency_objective=SECOND, deadline=4 * SECOND)
+REQUEST_CLASSES = [LOOK, LOOK, SAVE, SAVE, BURN]
 NODES = {"a": ["a1", "a2", "a3"], "b": ["b1", "b2", "b3"]}
 OUTCOMES = [Came.HONOURED, Came.DEFERRED, Came.FAILED, Came.UNSENT, Came.LOST]
 LATE = 5_000  # µs past a due time that the host may be
@@ -41,7 +41,7 @@
         self.rng = random.Random(f"router {seed}")
         self.now, self.steps = 1_000 * SECOND, steps
         zones = {"a": Zone("", 0.0, {"b": 20_000}), "b": Zone("", 0.0, {})}
-        told = self.rng.choice(list(Told))
+        told = self.rng.choice(list(CapacitySignal))
         grace = self.rng.choice([0, 200_000])
         self.core = make("a", zones, NODES, told, random.Random(seed), self.now, 2, grace)
         self.lives: dict[Carried, Life] = {}
@@ -88,11 +88,13 @@
         return self
 
     def arrives(self) -> None:
-        tariff = self.rng.choice(TARIFFS)
+        request_class = self.rng.choice(REQUEST_CLASSES)
         arrived = self.now - self.rng.randrange(20_000)
-        due = arrived + tariff.hard_limit
-        made = Carried(tariff, b"%016x" % self.rng.getrandbits(64), arrived, due, place=self.rng.random())
-        if tariff is SAVE:
+        due = arrived + request_class.deadline
+        made = Carried(
+            request_class, b"%016x" % self.rng.getrandbits(64), arrived, due, place=self.rng.random()
+        )
+        if request_class is SAVE:
             made.key = self.rng.choice(self.keys)
             made.further_try = any(each.carried.key == made.key for each in self.lives.values())
             made.further_try |= self.rng.random() < 0.2  # first sent elsewhere
@@ -181,12 +183,12 @@
             self.says("a request that is over is sent")
         if made in self.trial:
             self.says("two tries of one request are under way")
-        if life.sent and made.tariff is not LOOK and any(life.ran):
-            self.says(f"{made.tariff.name} is sent again though it may have run")
+        if life.sent and made.request_class is not LOOK and any(life.ran):
+            self.says(f"{made.request_class.name} is sent again though it may have run")
         if self.leaves_at is not None and self.now > self.leaves_at - 3 * SECOND + self.core.grace:
             self.says("sent after the grace")
         if made.key:
-            until = made.arrived + made.tariff.window
+            until = made.arrived + made.request_class.window
             bound = {n for n, end in self.bound.get(made.key, {}).items() if end >= self.now and n != node}
             if bound:
                 self.says(f"{made.key!r} goes to {node} and may have run on {bound}")
--- a/tests/router/test_core.py
+++ b/tests/router/test_core.py
@@ -6,7 +6,7 @@
 import pytest
 from router_life import GUARD, LOOK, NODES, SAVE, SECOND, World
 
-from lichencleat.admission.types import Effect, Tariff, Told
+from lichencleat.admission.types import CapacitySignal, Effect, RequestClass
 from lichencleat.failover.near import STALE
 from lichencleat.failover.terms import Duty, Order, Zone
 from lichencleat.router.core import IN_HAND_MOST, REPEAT_SPAN, TRIES_MOST, Router
@@ -85,13 +85,15 @@
     return make()
 
 
-def make(told=Told.NOTHING, nodes=NODES, **more):
+def make(told=CapacitySignal.NONE, nodes=NODES, **more):
     zones = {"a": Zone("", 0.0, {"b": 20_000}), "b": Zone("", 0.0, {})}
     return Router("a", zones, nodes, told, random.Random(1), NOW, **more)
 
 
-def carried(tariff=LOOK, arrived=NOW, **more):
-    return Carried(tariff, b"%016x" % random.getrandbits(64), arrived, arrived + tariff.hard_limit, **more)
+def carried(request_class=LOOK, arrived=NOW, **more):
+    return Carried(
+        request_class, b"%016x" % random.getrandbits(64), arrived, arrived + request_class.deadline, **more
+    )
 
 
 def pulled(router, now=NOW):
@@ -230,20 +232,20 @@
 
 
 def test_what_nodes_told_counts():
-    router = make(Told.LEVEL)
+    router = make(CapacitySignal.PRIORITY_THRESHOLD)
     for name in NODES["a"]:
         router.says(name, 0.5)
     router.says("a1", 0.2)
     assert {one(router, carried(place=0.3)).node for _ in range(9)} == {"a1"}
     assert one(router, carried(place=0.1)).act is Act.DEFER
     assert router.value(NOW, 5) == 0.5
-    router = make(Told.WINDOW)
+    router = make(CapacitySignal.WINDOW)
     assert router.value(NOW, 5) is None
     for name in NODES["a"]:
         router.says(name, 2.0)
     assert [one(router, carried()).act for _ in range(7)] == [Act.SEND] * 6 + [Act.DEFER]
     assert router.value(NOW, 3) == 2.0 and router.value(NOW, 100) == 1.0
-    router = make(Told.CHANCE)
+    router = make(CapacitySignal.PROBABILITY)
     for name in NODES["a"]:
         router.says(name, 0.0)
     assert one(router, carried()).act is Act.DEFER and router.value(NOW, 1) == 0.0
@@ -295,7 +297,7 @@
 
 
 def test_one_that_nobody_can_tell_a_repeat_of_is_never_sent_again_once_it_may_have_run(router):
-    burn = Tariff("burn", Effect.EFFECTFUL, soft_limit=SECOND, hard_limit=4 * SECOND)
+    burn = RequestClass("burn", Effect.NON_IDEMPOTENT, latency_objective=SECOND, deadline=4 * SECOND)
     request = carried(burn)
     one(router, request)
     router.came(NOW, request, Came.LOST)
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -7,8 +7,8 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from lichencleat.admission.types import Effect, Machine, Tariff
-from lichencleat.admission.types import Told as Value
+from lichencleat.admission.types import CapacitySignal as Value
+from lichencleat.admission.types import Effect, NodeSpec, RequestClass
 from lichencleat.config.file import WrongFileError
 from lichencleat.failover.terms import Zone
 from lichencleat.node.deadlines import Deadlines
@@ -17,7 +17,15 @@
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterConnection, RouterHost, again
 from lichencleat.router.file import read_router
-from lichencleat.router.links import CONNECT_WAIT, LINKS_MOST, OPEN_MOST, NodeLinks, Told, Try, read_answer
+from lichencleat.router.links import (
+    CONNECT_WAIT,
+    LINKS_MOST,
+    OPEN_MOST,
+    CapacitySignal,
+    NodeLinks,
+    Try,
+    read_answer,
+)
 from lichencleat.router.terms import Came
 
 SECOND = 1_000_000
@@ -94,20 +102,20 @@
     link.dataReceived(b"".join(array(b"2", b"503", b"v=0.5,w=120,l=1", b"")))
     link.dataReceived(b"".join(array(b"1", b"200", b"v=0.25", b"made")))
     link.dataReceived(b"".join(array(b"1", b"200", b"", b"again")))
-    assert second == [Told(Came.DEFERRED, b"", 120_000, True, 0.5)]
-    assert first == [Told(Came.HONOURED, b"made", 0, False, 0.25)] and node.said == [0.5, 0.25]
+    assert second == [CapacitySignal(Came.DEFERRED, b"", 120_000, True, 0.5)]
+    assert first == [CapacitySignal(Came.HONOURED, b"made", 0, False, 0.25)] and node.said == [0.5, 0.25]
 
 
 @pytest.mark.parametrize(
     ("words", "told"),
     [
-        ([b"200"], Told(Came.HONOURED)),
-        ([b"500", b"", b""], Told(Came.FAILED)),
-        ([b"odd", b"v=1"], Told(Came.FAILED, value=1.0)),
-        ([b"503", b"w=nan,v=inf,l=0"], Told(Came.DEFERRED)),
-        ([b"503", b"w=-1,v=x"], Told(Came.DEFERRED)),
-        ([b"503", b"w=999999999,l=1"], Told(Came.DEFERRED, last=True)),
-        ([b"503", b",,=,w"], Told(Came.DEFERRED)),
+        ([b"200"], CapacitySignal(Came.HONOURED)),
+        ([b"500", b"", b""], CapacitySignal(Came.FAILED)),
+        ([b"odd", b"v=1"], CapacitySignal(Came.FAILED, value=1.0)),
+        ([b"503", b"w=nan,v=inf,l=0"], CapacitySignal(Came.DEFERRED)),
+        ([b"503", b"w=-1,v=x"], CapacitySignal(Came.DEFERRED)),
+        ([b"503", b"w=999999999,l=1"], CapacitySignal(Came.DEFERRED, last=True)),
+        ([b"503", b",,=,w"], CapacitySignal(Came.DEFERRED)),
     ],
 )
 def test_what_an_answer_says_that_cannot_be_read_is_as_if_it_were_not_there(words, told):
@@ -122,7 +130,7 @@
     two, second = tried(node)
     node.send(two)
     reactor.tcpClients[-1][2].clientConnectionFailed(None, None)
-    assert first == [Told(Came.LOST)] and second == [Told(Came.UNSENT)] and not node.links
+    assert first == [CapacitySignal(Came.LOST)] and second == [CapacitySignal(Came.UNSENT)] and not node.links
 
 
 def test_a_link_that_does_not_come_up_is_given_up(reactor, node):
@@ -171,14 +179,14 @@
     link.dataReceived(bad + b"y" * 40)
     assert link.transport.aborted and not report.counts["node errors"]
     link.connectionLost()
-    assert first == [Told(Came.LOST)]
+    assert first == [CapacitySignal(Came.LOST)]
 
 
 # -- the whole router but for its sockets ------------------------------------------------------------------
 
 
-LOOK = Tariff("look", soft_limit=SECOND, hard_limit=4 * SECOND)
-SAVE = Tariff("save", Effect.RECEIPTED, soft_limit=SECOND, hard_limit=4 * SECOND, window=10 * SECOND)
+LOOK = RequestClass("look", latency_objective=SECOND, deadline=4 * SECOND)
+SAVE = RequestClass("save", Effect.KEYED, latency_objective=SECOND, deadline=4 * SECOND, window=10 * SECOND)
 
 
 @pytest.fixture
@@ -187,8 +195,10 @@
         return int(reactor.seconds() * SECOND)
 
     rng = random.Random(1)
-    machine = Machine(tariffs=[LOOK, SAVE], told=Value.LEVEL, advice_most=500_000)
-    core = Router("a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, Value.LEVEL, rng, clock())
+    machine = NodeSpec(
+        request_classes=[LOOK, SAVE], told=Value.PRIORITY_THRESHOLD, max_retry_after_us=500_000
+    )
+    core = Router("a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, Value.PRIORITY_THRESHOLD, rng, clock())
     addresses = {"n1": ("10.0.0.1", 1), "n2": ("10.0.0.2", 2)}
     return RouterHost(reactor, core, machine, addresses, clock, deadlines, report, rng)
 
@@ -200,7 +210,7 @@
     return made
 
 
-def req(reactor, tag, tariff=b"look", ident=b"00000000000000a1", **more):
+def req(reactor, tag, request_class=b"look", ident=b"00000000000000a1", **more):
     fields = {
         "i": ident.decode(),
         "s": int(reactor.seconds() * 1000),
@@ -210,7 +220,7 @@
         **more,
     }
     text = ",".join(f"{name}={value}" for name, value in fields.items()).encode()
-    return b"".join(array(b"REQ", b"%d" % tag, tariff, text, b"body")), text
+    return b"".join(array(b"REQ", b"%d" % tag, request_class, text, b"body")), text
 
 
 def turn(reactor):
@@ -236,7 +246,7 @@
 
 
 def test_a_second_try_goes_elsewhere_with_all_but_its_name(reactor, host, caller):
-    data, text = req(reactor, 7, k=KEY.decode(), tariff=b"save")
+    data, text = req(reactor, 7, k=KEY.decode(), request_class=b"save")
     caller.dataReceived(data)
     turn(reactor)
     first = connected(reactor)
@@ -275,7 +285,7 @@
 def test_a_node_that_never_answers_costs_its_caller_no_lateness_and_is_not_sent_more_there(
     reactor, host, caller
 ):
-    caller.dataReceived(req(reactor, 1, tariff=b"save", k=KEY.decode())[0])
+    caller.dataReceived(req(reactor, 1, request_class=b"save", k=KEY.decode())[0])
     turn(reactor)
     link = connected(reactor)
     for _ in range(400):
@@ -336,7 +346,9 @@
 def test_a_file_is_read_with_the_settings_that_it_names(written):
     for settings in (SETTINGS, {"settings": SETTINGS, "name": "n1"}):
         file, machine, tenants = read_router(written(settings=settings))
-        assert file.router.zones["b"].far_ms == 20 and [each.name for each in machine.tariffs] == ["look"]
+        assert file.router.zones["b"].far_ms == 20 and [each.name for each in machine.request_classes] == [
+            "look"
+        ]
         assert not tenants
 
 
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -2,7 +2,8 @@
 
 import pytest
 
-from lichencleat.bench_adapter.wire import BadInputError, Wire
+from lichencleat.admission.node_spec import InvalidInputError
+from lichencleat.bench_adapter.wire import Wire
 
 TOLD = {
     "classes": [{"name": "plain", "aim": 1.0, "deadline": 3.0, "effect": "free", "worth": 1.0}],
@@ -55,14 +56,14 @@
     ],
 )
 def test_bad_lines_are_named(wire, line, says):
-    with pytest.raises(BadInputError, match=says):
+    with pytest.raises(InvalidInputError, match=says):
         wire.answer(line)
 
 
 def test_unknown_events_and_missing_values_are_named(wire):
     batch(wire, START)
     for event, says in ((["novelty"], "novelty"), (["notice"], "notice"), (READ[:2], "inbound")):
-        with pytest.raises(BadInputError, match=says):
+        with pytest.raises(InvalidInputError, match=says):
             batch(wire, event)
 
 
@@ -85,7 +86,7 @@
         0.01,
     ]
     batch(wire, START, READ)
-    with pytest.raises(BadInputError, match="unknown class"):
+    with pytest.raises(InvalidInputError, match="unknown class"):
         batch(wire, save)  # the class of another instance
     assert batch(wire, ["openInstance", 5, other], save, who=1)["nodes"]
     ended = batch(wire, ["settled", "00000000000000a1", "completed", 0.01], who=0, turn=2)
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -8,12 +8,24 @@
 
 import pytest
 
-from lichencleat.admission.controller import PERIOD, Node
-from lichencleat.admission.types import Act, Below, Effect, Gauges, Machine, Outcome, Request, Tariff, Told
+from lichencleat.admission.controller import PERIOD, AdmissionController
+from lichencleat.admission.types import (
+    Action,
+    CapacitySignal,
+    Downstream,
+    Effect,
+    NodeSpec,
+    Outcome,
+    Request,
+    RequestClass,
+    ResourceUsage,
+)
 
 SECOND = 1_000_000
-LOOK = Tariff("look", soft_limit=2 * SECOND, hard_limit=5 * SECOND, calls=True)
-SAVE = Tariff("save", Effect.RECEIPTED, soft_limit=2 * SECOND, hard_limit=5 * SECOND, window=9 * SECOND)
+LOOK = RequestClass("look", latency_objective=2 * SECOND, deadline=5 * SECOND, calls=True)
+SAVE = RequestClass(
+    "save", Effect.KEYED, latency_objective=2 * SECOND, deadline=5 * SECOND, window=9 * SECOND
+)
 SENDERS = [1, 5, 30]
 
 
@@ -22,9 +34,15 @@
 
 
 def cold(seed=1, **changes):
-    known = {"cores": 2, "crowd": 6.0, "memory_kb": 50_000.0, "run_factor": 16, "tariffs": [LOOK, SAVE]}
-    known |= {"cold": True, "cold_share": 0.24, "warm_after": 18 * SECOND, "advice_most": SECOND}
-    return Node(Machine(**(known | changes)), random.Random(seed))
+    known = {
+        "cores": 2,
+        "crowd": 6.0,
+        "memory_kb": 50_000.0,
+        "running_memory_factor": 16,
+        "request_classes": [LOOK, SAVE],
+    }
+    known |= {"cold": True, "cold_speed_share": 0.24, "warmup_us": 18 * SECOND, "max_retry_after_us": SECOND}
+    return AdmissionController(NodeSpec(**(known | changes)), random.Random(seed))
 
 
 def pulled(node, now):
@@ -41,34 +59,36 @@
 
 @pytest.mark.parametrize("callers", SENDERS)
 def test_all_windows_that_are_told_together_let_in_what_a_cold_node_survives(callers):
-    node, window = cold(told=Told.WINDOW, callers=callers), None
+    node, window = cold(told=CapacitySignal.WINDOW, callers=callers), None
     for now in range(0, 18 * SECOND, PERIOD):
-        node.wakes(now, Gauges(busy=0.5, wanting_core=1))
+        node.on_timer(now, ResourceUsage(busy=0.5, runnable=1))
         for decision in pulled(node, now):
-            window = decision.amount if decision.act is Act.TELL else window
+            window = decision.amount if decision.act is Action.ADVERTISE_CAPACITY else window
         assert callers * window <= allowed(survives(now)), now
 
 
 @pytest.mark.parametrize("callers", SENDERS)
-@pytest.mark.parametrize("told", [Told.LEVEL, Told.CHANCE])
+@pytest.mark.parametrize("told", [CapacitySignal.PRIORITY_THRESHOLD, CapacitySignal.PROBABILITY])
 def test_what_callers_keep_back_at_a_cold_start_leaves_what_it_can_do(told, callers):
     """Each has its part of a full load for a warm node, and sends what the free value lets it."""
     node, rng = cold(told=told, callers=callers), random.Random(callers)
-    value = next(each.amount for each in pulled(node, 0) if each.act is Act.TELL)
+    value = next(each.amount for each in pulled(node, 0) if each.act is Action.ADVERTISE_CAPACITY)
     full = 10.0  # requests that a warm node can begin in the time of one run, with its crowd of 6 a core
     lots = [rng.random() for _ in range(callers) for _ in range(round(full / callers * 100))]
-    sent = sum(lot >= value if told is Told.LEVEL else lot < value for lot in lots) / 100
+    sent = (
+        sum(lot >= value if told is CapacitySignal.PRIORITY_THRESHOLD else lot < value for lot in lots) / 100
+    )
     assert sent <= allowed(full * 0.24) and sent > 0
 
 
 @pytest.mark.parametrize("callers", SENDERS)
 def test_callers_that_a_cold_node_turned_away_together_do_not_come_back_together(callers):
-    node = cold(told=Told.LEVEL, callers=callers)
+    node = cold(told=CapacitySignal.PRIORITY_THRESHOLD, callers=callers)
     pulled(node, 0)
     node.memory_kb = 0.0  # as good a reason as any to turn away all
     for caller in range(callers):
-        node.arrives(0, Request(LOOK, 0, 5 * SECOND, caller=caller, size_kb=20))
-    back = [each.span for each in pulled(node, 0) if each.act is Act.DEFER]
+        node.on_request(0, Request(LOOK, 0, 5 * SECOND, caller=caller, size_kb=20))
+    back = [each.span for each in pulled(node, 0) if each.act is Action.REJECT]
     assert len(back) == callers and all(0 < span <= SECOND for span in back)
     together = max(sum(start <= span < start + PERIOD for span in back) for start in back)
     assert together <= allowed(survives(0))
@@ -79,7 +99,7 @@
 def test_what_all_nodes_send_to_something_cold_below_is_what_it_survives_in_its_time(senders, answers_after):
     """All start at once, each with as much as it likes to call, and what is below is slow to answer."""
     survived, span = 9.0, 5 * SECOND
-    machine = {"below": Below.SHARED, "calls_share": survived / senders, "calls_span": span}
+    machine = {"below": Downstream.SHARED, "call_quota": survived / senders, "call_quota_window_us": span}
     nodes = [cold(seed, **machine) for seed in range(senders)]
     out, held = [], []  # calls under way: until when, and whose; how many, a tick
     for now in range(0, 15 * SECOND, PERIOD // 2):
@@ -87,20 +107,20 @@
             out.remove(call)
             _, node, request, took = call
             answered = took == answers_after
-            node.call_ended(now, request, Outcome.COMPLETED if answered else Outcome.OVERDUE, took)
-            node.run_ended(now, request, Outcome.COMPLETED, took)
+            node.on_call_completed(now, request, Outcome.COMPLETED if answered else Outcome.TIMED_OUT, took)
+            node.on_run_completed(now, request, Outcome.COMPLETED, took)
         for node in nodes:
             for _ in range(4 - len(node.asking)):
                 request = Request(LOOK, now, now + 5 * SECOND, started=now, size_kb=20)
-                node.wants_call(now, request)
-            node.wakes(now, Gauges())
+                node.on_call_needed(now, request)
+            node.on_timer(now, ResourceUsage())
             for decision in pulled(node, now):
-                if decision.act is Act.CALL:
+                if decision.act is Action.CALL:
                     took = min(decision.span, answers_after)
                     out.append((now + took, node, decision.request, took))
-                elif decision.act is Act.GIVE_UP:
+                elif decision.act is Action.FAIL:
                     out = [each for each in out if each[2] is not decision.request]
-                    node.run_ended(now, decision.request, Outcome.STOPPED, 0)
+                    node.on_run_completed(now, decision.request, Outcome.ABORTED, 0)
         held.append(len(out))
     ticks = span // (PERIOD // 2)
     means = [sum(held[at : at + ticks]) / ticks for at in range(len(held) - ticks)]
@@ -108,18 +128,24 @@
 
 
 def test_a_storm_of_repeats_stays_within_the_memory_and_each_is_answered_once():
-    node = Node(Machine(cores=2, memory_kb=10_000.0, run_factor=16, tariffs=[SAVE]), random.Random(1))
+    node = AdmissionController(
+        NodeSpec(cores=2, memory_kb=10_000.0, running_memory_factor=16, request_classes=[SAVE]),
+        random.Random(1),
+    )
     first = Request(SAVE, 0, 5 * SECOND, size_kb=20)
-    node.arrives(0, first)
-    assert Act.START in [each.act for each in pulled(node, 0)]
+    node.on_request(0, first)
+    assert Action.START in [each.act for each in pulled(node, 0)]
     answered = set()
     for number in range(40):
         lot = [Request(SAVE, 1, 5 * SECOND, repeats=first, size_kb=20) for _ in range(20)]
         for each in lot:
-            node.arrives(number * 1000, each)
+            node.on_request(number * 1000, each)
         for decision in pulled(node, number * 1000):
-            assert decision.act not in (Act.START, Act.DEFER)  # it runs already: neither again, nor refused
-            if decision.act is Act.GIVE_UP:
+            assert decision.act not in (
+                Action.START,
+                Action.REJECT,
+            )  # it runs already: neither again, nor refused
+            if decision.act is Action.FAIL:
                 assert decision.request not in answered
                 answered.add(decision.request)
         assert node.used_kb() <= 10_000
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -253,8 +253,9 @@
     start = [sys.executable, "-B", "-v", "-c", "import lichencleat.node.program"]
     said = subprocess.run(start, cwd=tmp_path, capture_output=True, text=True, check=True).stderr
     found = [line for line in said.splitlines() if " matches " in line and str(tmp_path) in line]
-    assert any("node/program.py" in line for line in found) and any("admission/controller.py" in line for line in found)
-    changed = tmp_path / "lichencleat" / "net" / "program.py"
+    assert any("node/program.py" in line for line in found)
+    assert any("admission/controller.py" in line for line in found)
+    changed = tmp_path / "lichencleat" / "node" / "program.py"
     changed.write_text(changed.read_text() + "\nprint('changed')\n")
     os.utime(changed, (1, 1))  # whatever the time of the file says
     assert subprocess.run(start, cwd=tmp_path, capture_output=True, text=True).stdout == "changed\n"
