--- a/lichencleat/admission/deadlines.py
+++ b/lichencleat/admission/deadlines.py
@@ -43,11 +43,15 @@
         idle = 0 if ahead else self.cores - len(self.pools.running)
         if idle > 0 and (not self.pools.running or not self.outliers.is_slow(now, request.request_class)):
             return False
-        wait = self.service_times.current(now) * ahead / max(self.concurrency.running_limit, self.cores)
+        wait = self._queueing_time(now, ahead) if ahead else 0.0
         usual = self.service_times.current(now, request.request_class)
         own = usual * self.service_times.relative_size(request)
         return now + wait + own > min(request.due, objective_end(request))
 
+    def _queueing_time(self, now: int, ahead: int) -> float:
+        slots = max(self.concurrency.running_limit, self.cores)
+        return self.service_times.current(now) * ahead / slots
+
     def is_worthless(self, now: int, request: Request) -> bool:
         """Return whether a running request is past its objective, earns nothing, and can be aborted."""
         earns = now < objective_end(request) or request.request_class.late_value_share
--- a/lichencleat/admission/outliers.py
+++ b/lichencleat/admission/outliers.py
@@ -62,9 +62,10 @@
         Guards against any standstill, whatever its cause. It does harm where the few requests that run are
         all many times the usual size: arrivals then go elsewhere until one of them ends.
         """
+        if len(self.pools.running) < min(self.cores, int(self.concurrency.running_limit)):
+            return False
         long = max(STALL_LEAST * self.timing.scale, STALL_RUNS * self.service_times.current(now))
-        busy = len(self.pools.running) >= min(self.cores, int(self.concurrency.running_limit))
-        return busy and now - self.progress_at > long
+        return now - self.progress_at > long
 
     def is_sick(self, now: int) -> bool:
         """Return whether cores are at work, and nothing ended in time for the longest objective.
