--- a/lichencleat/admission/backpressure.py
+++ b/lichencleat/admission/backpressure.py
@@ -35,7 +35,7 @@
         pools: RequestPools,
         concurrency: ConcurrencyLimit,
     ) -> None:
-        self.signal = spec.told
+        self.signal = spec.capacity_signal
         self.callers = max(1, spec.callers)
         self.max_retry_after = spec.max_retry_after_us
         self.callers_send_deadline = spec.callers_send_deadline
--- a/lichencleat/admission/connections.py
+++ b/lichencleat/admission/connections.py
@@ -24,7 +24,7 @@
 
     def __init__(self, spec: NodeSpec) -> None:
         self.cores = spec.cores
-        self.max_timeout = spec.connections_idle
+        self.max_timeout = spec.idle_timeout_us
         self.has_few_callers = 0 < spec.callers <= CALLERS_BACK * CALLERS_KEPT
         self.recent_callers: deque[int] = deque(maxlen=CALLERS_KEPT)
         self.is_crowded = False  # connections take the cores, over the last period
--- a/lichencleat/admission/controller.py
+++ b/lichencleat/admission/controller.py
@@ -80,7 +80,7 @@
         self._round: Iterator[Decision] | None = None  # what is left to pull
         # told once that it is healthy, a node's health checks are answered from store
         self._reported_health = None if spec.health_checks_do_work else True
-        self._reported_idle_timeout = spec.connections_idle
+        self._reported_idle_timeout = spec.idle_timeout_us
 
     # --- events: they only update what is known ---
 
@@ -253,7 +253,7 @@
         """
         unwanted = self.to_abort
         self.to_abort = {}
-        shared = {each.repeats for each in self.pools.coalesced}
+        shared = {each.original for each in self.pools.coalesced}
         for request in unwanted if self.deadlines.can_abort else ():
             keyed = request.request_class.effect is Effect.KEYED
             kept = keyed and now < objective_end(request)
@@ -269,7 +269,7 @@
         """Queue an arrival if the limit and the rules allow, else reject it at once."""
         for request in list(self.pools.new):
             self.draining.advance_due_time(request)
-            if request.repeats or request.original_unknown:
+            if request.original or request.original_unknown:
                 yield from self.admit_repeat(now, request)
                 continue
             if not self.may_queue(now, request):
@@ -290,7 +290,7 @@
         how it ends, and may ask again. One whose first attempt is over is answered in this round, and
         at once where it is due before the next: sharing takes work, too.
         """
-        original = request.repeats
+        original = request.original
         if self.deadlines.is_due(now, request):
             yield self.fail(request)
         elif (original and original.state is RequestState.ENDED) or not self.memory.is_exceeded():
@@ -322,7 +322,7 @@
     def review_queue(self, now: int) -> Iterator[Decision]:
         """Let repeats share a run that there is, answer what is of no use any more, record the rest."""
         for request in list(self.pools.queued):
-            original = request.repeats = find_original(request)
+            original = request.original = find_original(request)
             if request.original_unknown or (original is not None and original.started is not None):
                 if original is None or original.state is not RequestState.ENDED or original.succeeded:
                     self.pools.move(request, self.pools.coalesced, RequestState.COALESCED)
@@ -351,7 +351,7 @@
         ):
             yield self.reject(now, request)
         elif lacks_record:  # however it came into the queue: without, it never starts
-            yield Decision(Action.ADD_RECORD, request, span=self.records.add(now, request))
+            yield Decision(Action.ADD_RECORD, request, duration_us=self.records.add(now, request))
 
     def takes_record(self, request: Request) -> bool:
         """Return whether a request is to have a record before its run."""
@@ -374,7 +374,7 @@
                 self.pools.move(request, self.pools.calling, RequestState.CALLING)
                 request.called_at = now
                 duration = self.calls.duration(now, request, self.call_use_ends(now, request))
-                yield Decision(Action.CALL, request, span=duration)
+                yield Decision(Action.CALL, request, duration_us=duration)
 
     def is_call_given_up(self, now: int, request: Request, position: int) -> bool:
         """Return whether a call is of no use any more, or waits too long where it can be skipped."""
@@ -415,10 +415,14 @@
 
     def can_start(self, request: Request) -> bool:
         """Return whether nothing but the limits keeps a queued request from starting."""
-        if request.repeats is not None or not self.records.may_start(request):
+        if request.original is not None or not self.records.may_start(request):
             return False
         request_class = request.request_class
-        if request_class.calls and not request_class.value_share_without_call and self.calls.are_clogged():
+        if (
+            request_class.calls_downstream
+            and not request_class.value_share_without_call
+            and self.calls.are_clogged()
+        ):
             return False
         return self.memory.can_start(request)
 
@@ -426,17 +430,17 @@
         """Report what has changed of health, capacity and idle timeout, and set the timer."""
         if self.is_healthy != self._reported_health:
             self._reported_health = self.is_healthy
-            yield Decision(Action.REPORT_HEALTH, flag=self.is_healthy)
+            yield Decision(Action.REPORT_HEALTH, is_healthy=self.is_healthy)
         capacity = self.backpressure.take_changed_capacity(now)
         if capacity is not None:
-            yield Decision(Action.ADVERTISE_CAPACITY, amount=capacity)
+            yield Decision(Action.ADVERTISE_CAPACITY, capacity=capacity)
         idle_timeout = self.connections.current()
         if idle_timeout != self._reported_idle_timeout:
             self._reported_idle_timeout = idle_timeout
-            yield Decision(Action.SET_IDLE_TIMEOUT, span=idle_timeout)
+            yield Decision(Action.SET_IDLE_TIMEOUT, duration_us=idle_timeout)
         if not self.wake_at:
             self.wake_at = now + self.timing.period
-            yield Decision(Action.SET_TIMER, span=self.timing.period)
+            yield Decision(Action.SET_TIMER, duration_us=self.timing.period)
 
     # --- answers ---
 
@@ -449,8 +453,8 @@
             or self.outliers.is_slow(now, request.request_class)
         )
         self.backpressure.on_rejected()
-        span, is_last = self.backpressure.retry_after(now, fails_alone)
-        return Decision(Action.REJECT, request, span=span, flag=is_last)
+        duration, is_last = self.backpressure.retry_after(now, fails_alone)
+        return Decision(Action.REJECT, request, duration_us=duration, is_last=is_last)
 
     def fail(self, request: Request) -> Decision:
         """Answer that a request failed, and drop it unless it runs or is at a call."""
--- a/lichencleat/admission/deadlines.py
+++ b/lichencleat/admission/deadlines.py
@@ -23,7 +23,7 @@
         outliers: OutlierDetector,
     ) -> None:
         self.cores = spec.cores
-        self.can_abort = spec.halt is not Preemption.NONE
+        self.can_abort = spec.preemption is not Preemption.NONE
         self.timing = timing
         self.pools = pools
         self.service_times = service_times
@@ -61,5 +61,5 @@
 def objective_end(request: Request) -> int:
     """Return the time until which an answer earns the whole value of a request."""
     request_class = request.request_class
-    objective = request_class.latency_objective + int(request_class.stretch * request.cost)
+    objective = request_class.latency_objective + int(request_class.objective_stretch * request.cost)
     return request.arrived + min(request_class.deadline, objective)
--- a/lichencleat/admission/downstream.py
+++ b/lichencleat/admission/downstream.py
@@ -30,8 +30,8 @@
     def __init__(self, spec: NodeSpec, timing: Timing, pools: RequestPools) -> None:
         self.timing = timing
         self.pools = pools
-        self.is_hedged = spec.below is Downstream.TIER
-        shared = spec.below is Downstream.SHARED and spec.call_quota > 0
+        self.is_hedged = spec.downstream is Downstream.TIER
+        shared = spec.downstream is Downstream.SHARED and spec.call_quota > 0
         self.max_limit = spec.call_quota * CALLS_PART if shared else float("inf")
         self.min_limit = min(1.0, self.max_limit * CALLS_LEAST)
         self.limit = min(self.max_limit, float(spec.cores))
--- a/lichencleat/admission/draining.py
+++ b/lichencleat/admission/draining.py
@@ -12,7 +12,7 @@
     """Holds the times (µs) of an orderly drain; None before the notice."""
 
     def __init__(self, spec: NodeSpec, timing: Timing) -> None:
-        self.grace = spec.grace
+        self.grace = spec.drain_grace_us
         self.timing = timing
         self.answers_until: int | None = None
         self.no_run_after: int | None = None
--- a/lichencleat/admission/queueing.py
+++ b/lichencleat/admission/queueing.py
@@ -53,6 +53,6 @@
     def choose_rejected(self, arrival: Request) -> Request:
         """Return which of an arrival and the least valuable queued request is rejected."""
         worst = min(self.pools.queued, key=lambda each: (self.value(each), -each.arrived))
-        if has_run(worst) or worst.repeats or self.value(worst) >= self.value(arrival):
+        if has_run(worst) or worst.original or self.value(worst) >= self.value(arrival):
             return arrival
         return worst
--- a/lichencleat/admission/records.py
+++ b/lichencleat/admission/records.py
@@ -16,7 +16,7 @@
     """The index of the records on this node, with the time (µs) at which each expires."""
 
     def __init__(self, spec: NodeSpec, timing: Timing, pools: RequestPools) -> None:
-        self.freshness = spec.fresh
+        self.freshness = spec.freshness_us
         self.timing = timing
         self.pools = pools
         self.expiry: dict[Request, int] = {}
@@ -52,8 +52,8 @@
         Guards against two repeats of one rejected attempt that are read together: the first of them takes its
         place, and the second repeats that one.
         """
-        original.successor = request
-        request.repeats = None
+        original.replacement = request
+        request.original = None
         self.expiry.pop(original, None)
 
     def may_start(self, request: Request) -> bool:
@@ -67,10 +67,10 @@
     Guards the windows of several attempts of one key that were read out of their order: a repeat runs only
     where each of those that it repeats has ended without a run.
     """
-    original = request.repeats
+    original = request.original
     while original is not None:
-        if original.successor is not None:
-            original = original.successor
+        if original.replacement is not None:
+            original = original.replacement
         elif original.state is RequestState.ENDED and original.started is None and request.other_originals:
             original = request.other_originals.pop()
         else:
--- a/lichencleat/admission/slow_start.py
+++ b/lichencleat/admission/slow_start.py
@@ -13,8 +13,8 @@
     def __init__(self, spec: NodeSpec) -> None:
         self.cores = spec.cores
         self.max_concurrency_per_core = spec.max_concurrency_per_core
-        self.cold_speed_share = spec.cold_speed_share if spec.cold else 1.0
-        self.warmup_us = spec.warmup_us if spec.cold else 0
+        self.cold_speed_share = spec.cold_speed_share if spec.starts_cold else 1.0
+        self.warmup_us = spec.warmup_us if spec.starts_cold else 0
         self.started_at: int | None = None
 
     def speed(self, now: int) -> float:
--- a/lichencleat/admission/tenant_quotas.py
+++ b/lichencleat/admission/tenant_quotas.py
@@ -16,7 +16,7 @@
     """
 
     def __init__(self, spec: NodeSpec) -> None:
-        self.quotas = spec.shares  # requests a second here
+        self.quotas = spec.tenant_quotas  # requests a second here
         self.over_quota_value_share = spec.over_quota_value_share
         self.recent_starts: dict[str, float] = {}
 
--- a/lichencleat/bench_adapter/wire.py
+++ b/lichencleat/bench_adapter/wire.py
@@ -31,7 +31,7 @@
     "recalled": Outcome.ABORTED,
     "superseded": Outcome.SUPERSEDED,
 }
-HINTED, FURTHER_TRY = 1, 2  # bits of a request's marks
+HINTED, RETRY = 1, 2  # bits of a request's marks
 
 
 def seconds(span: int) -> float:
@@ -62,7 +62,7 @@
 
     def inbound(self, now: int, corr: str, qos: str, *rest: Any) -> None:
         rest += (None,) * (10 - len(rest))
-        place, who, repeat_of, org, subject, marks, cost, left, size, backlog = rest[:10]
+        rank, who, repeat_of, org, subject, marks, cost, left, size, backlog = rest[:10]
         if qos not in self.request_classes:
             raise InvalidInputError(f"inbound {corr!r}: unknown class {qos!r}")
         request_class, arrived = self.request_classes[qos], now - micros(backlog)
@@ -71,13 +71,13 @@
             request_class=request_class,
             arrived=arrived,
             due=max(due, now),
-            place=place or 0.0,
+            rank=rank or 0.0,
             caller=who or 0,
             tenant=org or "",
-            repeats=self.requests.get(repeat_of) if repeat_of else None,
+            original=self.requests.get(repeat_of) if repeat_of else None,
             original_unknown=bool(repeat_of) and repeat_of not in self.requests,
             has_key=bool(subject),
-            further_try=bool((marks or 0) & FURTHER_TRY),
+            is_retry=bool((marks or 0) & RETRY),
             cost=micros(cost) if (marks or 0) & HINTED else 0,
             size_kb=size or 0.0,
         )
@@ -126,21 +126,21 @@
         return outbox
 
     def encode(self, decision: Decision) -> list:
-        name = WORDS[decision.act]
+        name = WORDS[decision.action]
         if decision.request is not None:
             values: list = [self.ids[decision.request]]
-            if decision.act is Action.REJECT:
-                values += [seconds(decision.span), decision.flag]
-            elif decision.act in (Action.CALL, Action.ADD_RECORD):
-                values.append(seconds(decision.span))
-        elif decision.act is Action.REPORT_HEALTH:
-            values = [decision.flag, True]
-        elif decision.act is Action.ADVERTISE_CAPACITY:
-            values = [decision.amount]
-        elif decision.act is Action.SET_IDLE_TIMEOUT:
-            values = [seconds(decision.span)]
-        elif decision.act is Action.SET_TIMER:
-            values = [seconds(decision.span), "wake"]
+            if decision.action is Action.REJECT:
+                values += [seconds(decision.duration_us), decision.is_last]
+            elif decision.action in (Action.CALL, Action.ADD_RECORD):
+                values.append(seconds(decision.duration_us))
+        elif decision.action is Action.REPORT_HEALTH:
+            values = [decision.is_healthy, True]
+        elif decision.action is Action.ADVERTISE_CAPACITY:
+            values = [decision.capacity]
+        elif decision.action is Action.SET_IDLE_TIMEOUT:
+            values = [seconds(decision.duration_us)]
+        elif decision.action is Action.SET_TIMER:
+            values = [seconds(decision.duration_us), "wake"]
         else:
             values = [decision.text]
         return [name, *values]
--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -192,7 +192,7 @@
             if self.fleet is not None:
                 self.fleet.leave()
             latest = max(0, self.told.stop_after - CLOSED_BY - CROSSING)
-            self.deadlines.after(min(self.told.machine.grace, latest), self.look)
+            self.deadlines.after(min(self.told.machine.drain_grace_us, latest), self.look)
 
     def look(self) -> None:
         """After the grace nothing new is run: the program ends as soon as all is answered."""
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -379,7 +379,7 @@
         self.unreading: dict[Connection, None] = {}  # that read no answers, the longest so first
         self.unreading_most = max(1, int(memory * UNREAD_PART) // (READ_MOST + OPEN_MOST * RESULT_MOST))
         self.strangers: dict[Connection, None] = {}  # those of whom nothing whole has come, oldest first
-        self.idle_span = host.machine.connections_idle  # until the decisions say otherwise
+        self.idle_span = host.machine.idle_timeout_us  # until the decisions say otherwise
         self.port: Any = None
         self.accepts = True
         host.doors.append(self)
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -134,7 +134,7 @@
 
     def begin(self, cold: bool) -> None:
         """The interpreter is up: from now on there is something to decide on."""
-        self.machine.cold = cold
+        self.machine.starts_cold = cold
         self.node = AdmissionController(self.machine, random.Random(self.seed))
         if self.calls_granted is not None:
             self.node.set_call_quota(self.clock(), self.calls_granted)
@@ -158,7 +158,7 @@
         """What is known of its key was looked up: now it is for the decisions."""
         request = case.request
         if case.key and (tries := self.receipts.tries(case.key, request)):
-            *request.other_originals, request.repeats = tries
+            *request.other_originals, request.original = tries
             request.original_unknown = False
         elif case.key and not request.original_unknown:
             self.receipts.enter(case.key, request)
@@ -181,7 +181,7 @@
 
     def tell_left(self, case: Case) -> None:
         self.node.on_caller_gone(self.clock(), case.request)
-        self.receipts.unshare(case.request.repeats, case)
+        self.receipts.unshare(case.request.original, case)
         self.drop_call(case)
 
     def run_waits(self, case: Case, body: bytes) -> None:
@@ -310,21 +310,21 @@
             self.deadlines.after(AFTER_ERROR, self.stir)
         shares, self.shares = self.shares, []
         for case in shares:
-            receipt = self.receipts.by_request.get(case.request.repeats)
+            receipt = self.receipts.by_request.get(case.request.original)
             self.end_share(case, receipt.result if receipt else None)
 
     def carry_out(self, decision: Decision) -> None:
         """Guards the node against an error with one request: that one is given up, the others go on."""
         case = None
         try:
-            if decision.request is not None and decision.act is not Action.DELETE_RECORD:
+            if decision.request is not None and decision.action is not Action.DELETE_RECORD:
                 case = self.cases.get(decision.request.number)
                 if case is None or case.request is not decision.request:
-                    self.report.count("host", f"decisions on ended requests: {decision.act.name}")
+                    self.report.count("host", f"decisions on ended requests: {decision.action.name}")
                     return
-            self.carries_out[decision.act](decision, case)
+            self.carries_out[decision.action](decision, case)
         except Exception:
-            self.report.trouble(f"carrying out {decision.act.name}")
+            self.report.trouble(f"carrying out {decision.action.name}")
             if case is not None:
                 self.answer(case, Answer.GIVEN_UP)
                 self.deadlines.after(0, self.fail, case)
@@ -407,19 +407,19 @@
 
     def defer(self, decision: Decision, case: Case) -> None:
         self.drop_call(case)
-        self.answer(case, Answer.DEFERRED, span=decision.span, last=decision.flag)
+        self.answer(case, Answer.DEFERRED, span=decision.duration_us, last=decision.is_last)
         for sharer in self.receipts.ended(case.request, None) if self.keyed is not None else ():
             self.end_share(sharer, None)  # they waited for a run that was not begun after all
         self.release(case)
 
     def give_up(self, decision: Decision, case: Case) -> None:
         self.drop_call(case)
-        self.receipts.unshare(case.request.repeats, case)
+        self.receipts.unshare(case.request.original, case)
         self.answer(case, Answer.GIVEN_UP)
         self.release(case)
 
     def place_call(self, decision: Decision, case: Case) -> None:
-        span = self.call_span(decision.span)
+        span = self.call_span(decision.duration_us)
         case.call = self.catalogue.fetch(case.ident, span, case.call_body, case.spent)
         case.spent.append(case.call.link)
         case.call.ended.addCallback(
@@ -432,9 +432,9 @@
             call.ended.cancel()
 
     def record(self, decision: Decision, case: Case) -> None:
-        self.receipts.record(self.clock(), case.key, case.request, decision.span)
+        self.receipts.record(self.clock(), case.key, case.request, decision.duration_us)
         if self.keyed is not None and case.key:
-            self.keyed.intends(case, decision.span)
+            self.keyed.intends(case, decision.duration_us)
 
     def strike(self, decision: Decision, case: Case | None) -> None:
         self.receipts.strike(decision.request)
@@ -443,7 +443,7 @@
 
     def share(self, decision: Decision, case: Case) -> None:
         """An outcome that is there already is answered after this round: inputs wait for its end."""
-        first = case.request.repeats
+        first = case.request.original
         if first is None and self.keyed is not None:
             self.keyed.share(case)
             return
@@ -459,18 +459,18 @@
         self.stir()
 
     def tell_health(self, decision: Decision, case: Case | None) -> None:
-        self.healthy = decision.flag
-        self.report.note("health " + ("on" if decision.flag else "off"))
+        self.healthy = decision.is_healthy
+        self.report.note("health " + ("on" if decision.is_healthy else "off"))
 
     def tell_free_value(self, decision: Decision, case: Case | None) -> None:
-        self.free_value = decision.amount
+        self.free_value = decision.capacity
 
     def tell_idle(self, decision: Decision, case: Case | None) -> None:
         for door in self.doors:
-            door.close_idle(decision.span)
+            door.close_idle(decision.duration_us)
 
     def ask_wake(self, decision: Decision, case: Case | None) -> None:
-        self.deadlines.after(decision.span, self.wake)
+        self.deadlines.after(decision.duration_us, self.wake)
 
     def note(self, decision: Decision, case: Case | None) -> None:
         self.report.note(decision.text)
--- a/lichencleat/node/requests.py
+++ b/lichencleat/node/requests.py
@@ -72,10 +72,10 @@
             request_class=request_class,
             arrived=arrived,
             due=max(arrived + request_class.deadline, now),
-            place=float(said[b"p"]),
+            rank=float(said[b"p"]),
             caller=int(said[b"f"]),
             tenant=tenant.decode(errors="replace"),
-            further_try=b"r" in said,
+            is_retry=b"r" in said,
             cost=int(cost_ms * 1000),
             size_kb=size_kb,
         )
--- a/lichencleat/router/door.py
+++ b/lichencleat/router/door.py
@@ -119,8 +119,8 @@
             request.arrived,
             request.due,
             case.key,
-            request.place,
-            request.further_try,
+            request.rank,
+            request.is_retry,
         )
         request.number = carried.number = self.hands.take(Hand(case, carried, request_class, fields))
         self.idents.add(case.ident)
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -56,11 +56,11 @@
             chosen.zone,
             zones_of(chosen),
             {name: list(each.nodes) for name, each in chosen.zones.items()},
-            machine.told,
+            machine.capacity_signal,
             self.rng,
             self.clock(),
             chosen.routers,
-            machine.grace,
+            machine.drain_grace_us,
         )
         self.host = RouterHost(
             reactor,
@@ -171,7 +171,7 @@
         if self.holder is not None:
             self.holder.leave()
         latest = max(0, self.stop_at - now - CLOSED_BY - CROSSING)
-        self.deadlines.after(min(self.machine.grace, latest), self.look)
+        self.deadlines.after(min(self.machine.drain_grace_us, latest), self.look)
 
     def look(self) -> None:
         """After the grace nothing new is sent: the program ends as soon as all is answered."""
--- a/tests/admission/test_controller.py
+++ b/tests/admission/test_controller.py
@@ -38,7 +38,7 @@
     node.pools.running[late] = None
     assert not list(node.answer_due(SECOND // 2))
     decision = next(node.answer_due(SECOND - 50_000))
-    assert decision.act is Action.FAIL and decision.request is late
+    assert decision.action is Action.FAIL and decision.request is late
 
 
 @pytest.fixture
@@ -50,7 +50,7 @@
 
 def test_a_receipted_request_in_the_hold_is_recorded_however_it_came_there(node, receipted):
     node.pools.queued[Request(receipted, arrived=0, due=5 * SECOND)] = None
-    assert next(node.review_queue(0)).act is Action.ADD_RECORD
+    assert next(node.review_queue(0)).action is Action.ADD_RECORD
 
 
 def test_a_node_that_honours_nothing_in_time_is_sick_even_with_a_stepped_back_limit(node, request_class):
@@ -67,7 +67,7 @@
 def test_spans_follow_the_shortest_soft_limit_where_that_is_short(latency_objective, span):
     quick = RequestClass("quick", latency_objective=latency_objective, deadline=5 * SECOND)
     node = AdmissionController(NodeSpec(request_classes=[quick]), random.Random(1))
-    assert [each.span for each in node.notify_callers(0) if each.act is Action.SET_TIMER] == [span]
+    assert [each.duration_us for each in node.notify_callers(0) if each.action is Action.SET_TIMER] == [span]
     assert node.timing.guard == span
 
 
@@ -91,7 +91,7 @@
     node.pools.running.update({booked: None, pure: None})
     assert not list(node.answer_due(SECOND // 2))
     decision = next(node.answer_due(3 * SECOND))
-    assert decision.act is Action.FAIL and decision.request is pure
+    assert decision.action is Action.FAIL and decision.request is pure
     assert not list(node.answer_due(3 * SECOND))
 
 
@@ -111,8 +111,8 @@
     assert not list(node.answer_due(3 * SECOND))
     node.pools.queued[Request(request_class, arrived=3 * SECOND, due=8 * SECOND)] = None
     decision = next(node.answer_due(3 * SECOND))
-    assert decision.act is Action.REJECT and decision.request is late
-    assert next(node.abort_unwanted(3 * SECOND)).act is Action.ABORT
+    assert decision.action is Action.REJECT and decision.request is late
+    assert next(node.abort_unwanted(3 * SECOND)).action is Action.ABORT
 
 
 @pytest.fixture
@@ -121,7 +121,7 @@
         cores=2,
         max_concurrency_per_core=8.0,
         memory_kb=10_000.0,
-        below=Downstream.TIER,
+        downstream=Downstream.TIER,
         request_classes=[receipted],
     )
     return AdmissionController(machine, random.Random(1))
@@ -147,7 +147,7 @@
         request = Request(one, arrived=0, due=5 * SECOND, started=0)
         caller.pools.calling[request] = None
         caller.on_call_completed(0, request, Outcome.TIMED_OUT, SECOND)
-        assert next(caller.release_calls(SECOND)).act is act
+        assert next(caller.release_calls(SECOND)).action is act
 
 
 def test_a_pure_call_to_a_tier_is_not_waited_for_much_longer_than_usual(caller, request_class, receipted):
@@ -155,7 +155,7 @@
     for one, longest in ((request_class, SECOND), (receipted, 5 * SECOND)):
         caller.pools.awaiting_call.clear()
         caller.pools.awaiting_call[Request(one, arrived=0, due=5 * SECOND, started=0)] = None
-        assert 0 < next(caller.release_calls(0)).span <= longest
+        assert 0 < next(caller.release_calls(0)).duration_us <= longest
 
 
 def test_a_receipted_run_whose_caller_left_goes_on_for_its_repeat(node, request_class, receipted):
@@ -170,19 +170,19 @@
 
 def test_two_repeats_of_one_deferred_try_get_one_run(node, receipted):
     first = Request(receipted, arrived=0, due=5 * SECOND, state=RequestState.ENDED)
-    again = [Request(receipted, arrived=SECOND, due=6 * SECOND, repeats=first) for _ in range(2)]
+    again = [Request(receipted, arrived=SECOND, due=6 * SECOND, original=first) for _ in range(2)]
     node.pools.queued.update(dict.fromkeys(again))
-    assert next(node.review_queue(SECOND)).act is Action.ADD_RECORD
+    assert next(node.review_queue(SECOND)).action is Action.ADD_RECORD
     assert next(node.start_queued(SECOND)).request is again[0]
     assert not list(node.start_queued(SECOND))
     shared = next(node.review_queue(SECOND))
-    assert shared.act is Action.COALESCE and shared.request is again[1]
+    assert shared.action is Action.COALESCE and shared.request is again[1]
 
 
 def test_a_repeat_of_a_run_that_came_to_nothing_is_neither_run_nor_deferred(node, receipted):
     first = Request(receipted, arrived=0, due=5 * SECOND, state=RequestState.ENDED, started=0)
-    node.pools.queued[Request(receipted, arrived=SECOND, due=6 * SECOND, repeats=first)] = None
-    assert next(node.review_queue(SECOND)).act is Action.FAIL
+    node.pools.queued[Request(receipted, arrived=SECOND, due=6 * SECOND, original=first)] = None
+    assert next(node.review_queue(SECOND)).action is Action.FAIL
 
 
 def test_the_entry_of_a_try_that_never_ran_is_struck(node, receipted):
@@ -193,7 +193,7 @@
     unrun = Request(receipted, arrived=0, due=SECOND)
     node.records.expiry[unrun] = 9 * SECOND
     node.fail(unrun)
-    assert [each.act for each in node.delete_unrun_records()] == [
+    assert [each.action for each in node.delete_unrun_records()] == [
         Action.DELETE_RECORD
     ] and not node.pools.has_ended_unrun
 
@@ -235,7 +235,7 @@
     )
     node.pools.new[better] = None
     decisions = list(node.admit_new(0))
-    assert [each.act for each in decisions] == [Action.REJECT] and decisions[0].request in plain[2:4]
+    assert [each.action for each in decisions] == [Action.REJECT] and decisions[0].request in plain[2:4]
     assert better in node.pools.queued
 
 
@@ -244,12 +244,12 @@
     node.pools.queued[Request(request_class, arrived=0, due=9 * SECOND, size_kb=200.0)] = None
     assert not list(node.start_queued(0))
     node.memory.limit_kb = 2000.0
-    assert next(node.start_queued(0)).act is Action.START
+    assert next(node.start_queued(0)).action is Action.START
 
 
 def test_a_cold_node_takes_a_smaller_crowd():
     told = NodeSpec(
-        cores=2, max_concurrency_per_core=8.0, cold=True, cold_speed_share=0.25, warmup_us=10 * SECOND
+        cores=2, max_concurrency_per_core=8.0, starts_cold=True, cold_speed_share=0.25, warmup_us=10 * SECOND
     )
     cold, warm = (
         AdmissionController(told, random.Random(1)),
@@ -280,16 +280,16 @@
 
 def test_calls_stay_under_a_share_of_less_than_one(request_class):
     request_class.latency_objective = 9 * SECOND
-    machine = NodeSpec(below=Downstream.SHARED, call_quota=0.5, call_quota_window_us=5 * SECOND)
+    machine = NodeSpec(downstream=Downstream.SHARED, call_quota=0.5, call_quota_window_us=5 * SECOND)
     node = AdmissionController(machine, random.Random(1))
     node.pools.awaiting_call[Request(request_class, arrived=0, due=9 * SECOND, started=0)] = None
-    assert next(node.release_calls(0)).span <= 2.5 * SECOND
+    assert next(node.release_calls(0)).duration_us <= 2.5 * SECOND
     call = next(iter(node.pools.calling))
     node.on_call_completed(SECOND, call, Outcome.COMPLETED, SECOND)
     node.pools.awaiting_call[call] = None
     node.pools.calling.clear()
     assert not list(node.release_calls(3 * SECOND))
-    assert next(node.release_calls(4 * SECOND)).act is Action.CALL
+    assert next(node.release_calls(4 * SECOND)).action is Action.CALL
 
 
 def test_idle_connections_of_strangers_are_closed_soon_and_those_of_a_few_callers_kept(node):
@@ -313,9 +313,9 @@
 
 def test_a_node_too_slow_for_the_soft_limit_sends_on_and_tries_one_at_a_time(node, request_class):
     request = Request(request_class, arrived=0, due=9 * SECOND)
-    assert node.reject(0, request).flag
+    assert node.reject(0, request).is_last
     node.service_times.samples[request_class] = [3 * SECOND] * 4
-    assert not node.reject(0, request).flag
+    assert not node.reject(0, request).is_last
     assert not node.deadlines.would_be_late(0, request)
     node.pools.running[Request(request_class, arrived=0, due=9 * SECOND, started=0)] = None
     assert node.deadlines.would_be_late(0, request)
@@ -339,7 +339,7 @@
     caller.pools.calling[Request(receipted, arrived=0, due=9 * SECOND, started=0, called_at=0)] = None
     caller.pools.awaiting_call[Request(request_class, arrived=0, due=9 * SECOND, started=0)] = None
     assert not list(caller.release_calls(100_000))
-    assert next(caller.release_calls(SECOND)).act is Action.CALL
+    assert next(caller.release_calls(SECOND)).action is Action.CALL
 
 
 def test_calls_that_would_wait_long_are_omitted_where_the_answer_still_earns(request_class):
@@ -347,14 +347,15 @@
         "poorer", latency_objective=2 * SECOND, deadline=5 * SECOND, value_share_without_call=0.5
     )
     node = AdmissionController(
-        NodeSpec(below=Downstream.SHARED, call_quota=2.0, request_classes=[request_class]), random.Random(1)
+        NodeSpec(downstream=Downstream.SHARED, call_quota=2.0, request_classes=[request_class]),
+        random.Random(1),
     )
     node.calls.times.extend([(SECOND, True)] * 8)
     pure, first, second = (
         Request(each, arrived=0, due=5 * SECOND) for each in (request_class, poorer, poorer)
     )
     node.pools.awaiting_call.update(dict.fromkeys((second, first, pure)))
-    decided = [(each.act, each.request) for each in node.release_calls(0)]
+    decided = [(each.action, each.request) for each in node.release_calls(0)]
     assert decided == [(Action.CALL, pure), (Action.SKIP_CALL, second), (Action.SKIP_CALL, first)]
 
 
@@ -378,7 +379,7 @@
 
 @pytest.fixture
 def crowded_by_strangers():
-    node = AdmissionController(NodeSpec(cores=2, connections_idle=30 * SECOND), random.Random(1))
+    node = AdmissionController(NodeSpec(cores=2, idle_timeout_us=30 * SECOND), random.Random(1))
     node.connections.recent_callers.extend(range(64))
     return node
 
@@ -427,7 +428,7 @@
         cores=2,
         memory_kb=1e6,
         request_classes=[request_class],
-        shares={"a": 1.0, "b": 1.0},
+        tenant_quotas={"a": 1.0, "b": 1.0},
         over_quota_value_share=0.05,
     )
     node = AdmissionController(told, random.Random(1))
@@ -461,7 +462,7 @@
     assert not node.quotas.is_over(one)
     node.pools.queued[one] = None
     node.concurrency.running_limit = 3.0
-    assert [each.act for each in node.start_queued(SECOND)] == [Action.START]
+    assert [each.action for each in node.start_queued(SECOND)] == [Action.START]
     assert node.quotas.is_over(one)
     for _ in range(40):
         node.update(node.next_update)
@@ -491,7 +492,7 @@
 
 @pytest.mark.parametrize(("callers", "kept"), [(0, False), (3, True), (32, True), (33, False)])
 def test_connections_are_kept_from_the_start_where_the_callers_told_are_few(callers, kept):
-    node = AdmissionController(NodeSpec(connections_idle=30 * SECOND, callers=callers), random.Random(1))
+    node = AdmissionController(NodeSpec(idle_timeout_us=30 * SECOND, callers=callers), random.Random(1))
     assert (node.connections.current() == 30 * SECOND) is kept
 
 
@@ -502,10 +503,10 @@
     first.state, first.succeeded = state, state is RequestState.ENDED
     if state is not RequestState.ENDED:
         (node.pools.queued if state is RequestState.QUEUED else node.pools.running)[first] = None
-    late = Request(receipted, arrived=0, due=3 * SECOND, repeats=first)
+    late = Request(receipted, arrived=0, due=3 * SECOND, original=first)
     node.on_request(3 * SECOND, late)
     decisions = []
     while (decision := node.next_decision(3 * SECOND)) is not None:
-        decisions.append((decision.act, decision.request))
+        decisions.append((decision.action, decision.request))
     assert [act for act, request in decisions if request is late] == [Action.FAIL]
     assert late.state is RequestState.ENDED
--- a/tests/admission/test_node_spec.py
+++ b/tests/admission/test_node_spec.py
@@ -97,9 +97,9 @@
 
 def test_a_tenant_s_share_is_this_node_s_equal_part_of_it():
     machine = decode_node_spec(TOLD["settings"])
-    assert machine.shares == {"a": 2.0} and machine.over_quota_value_share == 0.05
+    assert machine.tenant_quotas == {"a": 2.0} and machine.over_quota_value_share == 0.05
     bare = copy.deepcopy(TOLD)
     for key in ("servers", "overShareWorth", "orgs"):
         del bare["settings"][key]
     machine = decode_node_spec(bare["settings"])
-    assert machine.shares == {} and machine.over_quota_value_share == 1.0
+    assert machine.tenant_quotas == {} and machine.over_quota_value_share == 1.0
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -124,7 +124,7 @@
         said = b"i=%s,s=1000,f=1,m=9,p=0.5,k=%s" % (ident, b"5c" * 16)
         connection.take([b"REQ", b"%d" % tag, b"save", said, body])
     first, other, repeat = (each.request for each in connection.cases.values())
-    assert repeat.repeats is first and other.repeats is None
+    assert repeat.original is first and other.original is None
 
 
 def test_the_key_of_another_tenant_is_another_key_and_no_lot_of_parts_reads_like_another(connection, host):
@@ -134,7 +134,7 @@
         said = b"i=%016d,s=1000,f=1,m=9,p=0.5,t=%s,k=%s" % (tag, tenant, b"5c" * 16)
         connection.take([b"REQ", b"%d" % tag, b"save", said, b"x"])
     first, other, repeat = (each.request for each in connection.cases.values())
-    assert repeat.repeats is first and other.repeats is None
+    assert repeat.original is first and other.original is None
     assert mark(b"", b"a", b"b c") != mark(b"", b"a b", b"c") != mark(b"a", b"b", b"c")
 
 
@@ -167,7 +167,7 @@
 def test_a_caller_at_rest_for_longer_than_told_is_sent_away_from_the_start(
     connection, host, deadlines, report
 ):
-    host.machine.connections_idle = 30 * SECOND
+    host.machine.idle_timeout_us = 30 * SECOND
     assert Dispatchers(host, deadlines, report, 100).idle_span == 30 * SECOND
 
 
--- a/tests/node/test_host.py
+++ b/tests/node/test_host.py
@@ -40,7 +40,7 @@
 
 
 def test_a_call_spends_its_connection_for_that_request(host, case):
-    host.place_call(Decision(Action.CALL, case.request, span=SECOND), case)
+    host.place_call(Decision(Action.CALL, case.request, duration_us=SECOND), case)
     assert case.spent == list(host.catalogue.links)
 
 
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("up_after", [0.0, 0.1, 5.0])
 def test_the_grace_counts_from_the_notice_also_where_the_interpreter_is_up_later(host, reactor, up_after):
-    host.node, host.machine.grace = None, SECOND
+    host.node, host.machine.drain_grace_us = None, SECOND
     reactor.advance(10)
     host.must_leave(20 * SECOND)
     reactor.advance(up_after)
@@ -89,7 +89,7 @@
 
 def test_sharers_of_a_run_that_failed_are_given_up(host, receipted, answers):
     first, second = Request(receipted, 0, 0, started=1), Request(receipted, 0, 0)
-    second.repeats = first
+    second.original = first
     cases = [Case(each, ID, b"", b"k", lambda *answer: answers.append(answer[0])) for each in (first, second)]
     for each in cases:
         each.request.number = host.cases.take(each)
@@ -110,7 +110,7 @@
 
 
 def test_a_sharer_whose_caller_left_waits_no_longer(host, case, receipted):
-    case.request.repeats = first = Request(receipted, 0, 0, started=1)
+    case.request.original = first = Request(receipted, 0, 0, started=1)
     host.receipts.record(0, b"k", first, SECOND)
     host.receipts.share(first, case)
     host.caller_left(case)
--- a/tests/node/test_windows.py
+++ b/tests/node/test_windows.py
@@ -33,7 +33,7 @@
             cores=1,
             memory_kb=2_000.0,
             running_memory_factor=4,
-            halt=Preemption.ABORT,
+            preemption=Preemption.ABORT,
             request_classes=[self.request_class],
         )
         interpreter = Interpreter(self.reactor, ("", 0), deadlines, report)
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -21,8 +21,8 @@
     CONNECT_WAIT,
     LINKS_MOST,
     OPEN_MOST,
-    CapacitySignal,
     NodeLinks,
+    Told,
     Try,
     read_answer,
 )
@@ -102,20 +102,20 @@
     link.dataReceived(b"".join(array(b"2", b"503", b"v=0.5,w=120,l=1", b"")))
     link.dataReceived(b"".join(array(b"1", b"200", b"v=0.25", b"made")))
     link.dataReceived(b"".join(array(b"1", b"200", b"", b"again")))
-    assert second == [CapacitySignal(Came.DEFERRED, b"", 120_000, True, 0.5)]
-    assert first == [CapacitySignal(Came.HONOURED, b"made", 0, False, 0.25)] and node.said == [0.5, 0.25]
+    assert second == [Told(Came.DEFERRED, b"", 120_000, True, 0.5)]
+    assert first == [Told(Came.HONOURED, b"made", 0, False, 0.25)] and node.said == [0.5, 0.25]
 
 
 @pytest.mark.parametrize(
     ("words", "told"),
     [
-        ([b"200"], CapacitySignal(Came.HONOURED)),
-        ([b"500", b"", b""], CapacitySignal(Came.FAILED)),
-        ([b"odd", b"v=1"], CapacitySignal(Came.FAILED, value=1.0)),
-        ([b"503", b"w=nan,v=inf,l=0"], CapacitySignal(Came.DEFERRED)),
-        ([b"503", b"w=-1,v=x"], CapacitySignal(Came.DEFERRED)),
-        ([b"503", b"w=999999999,l=1"], CapacitySignal(Came.DEFERRED, last=True)),
-        ([b"503", b",,=,w"], CapacitySignal(Came.DEFERRED)),
+        ([b"200"], Told(Came.HONOURED)),
+        ([b"500", b"", b""], Told(Came.FAILED)),
+        ([b"odd", b"v=1"], Told(Came.FAILED, value=1.0)),
+        ([b"503", b"w=nan,v=inf,l=0"], Told(Came.DEFERRED)),
+        ([b"503", b"w=-1,v=x"], Told(Came.DEFERRED)),
+        ([b"503", b"w=999999999,l=1"], Told(Came.DEFERRED, last=True)),
+        ([b"503", b",,=,w"], Told(Came.DEFERRED)),
     ],
 )
 def test_what_an_answer_says_that_cannot_be_read_is_as_if_it_were_not_there(words, told):
@@ -130,7 +130,7 @@
     two, second = tried(node)
     node.send(two)
     reactor.tcpClients[-1][2].clientConnectionFailed(None, None)
-    assert first == [CapacitySignal(Came.LOST)] and second == [CapacitySignal(Came.UNSENT)] and not node.links
+    assert first == [Told(Came.LOST)] and second == [Told(Came.UNSENT)] and not node.links
 
 
 def test_a_link_that_does_not_come_up_is_given_up(reactor, node):
@@ -179,7 +179,7 @@
     link.dataReceived(bad + b"y" * 40)
     assert link.transport.aborted and not report.counts["node errors"]
     link.connectionLost()
-    assert first == [CapacitySignal(Came.LOST)]
+    assert first == [Told(Came.LOST)]
 
 
 # -- the whole router but for its sockets ------------------------------------------------------------------
@@ -196,7 +196,7 @@
 
     rng = random.Random(1)
     machine = NodeSpec(
-        request_classes=[LOOK, SAVE], told=Value.PRIORITY_THRESHOLD, max_retry_after_us=500_000
+        request_classes=[LOOK, SAVE], capacity_signal=Value.PRIORITY_THRESHOLD, max_retry_after_us=500_000
     )
     core = Router("a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, Value.PRIORITY_THRESHOLD, rng, clock())
     addresses = {"n1": ("10.0.0.1", 1), "n2": ("10.0.0.2", 2)}
--- a/tests/test_cold_sum.py
+++ b/tests/test_cold_sum.py
@@ -23,7 +23,7 @@
 )
 
 SECOND = 1_000_000
-LOOK = RequestClass("look", latency_objective=2 * SECOND, deadline=5 * SECOND, calls=True)
+LOOK = RequestClass("look", latency_objective=2 * SECOND, deadline=5 * SECOND, calls_downstream=True)
 SAVE = RequestClass(
     "save", Effect.KEYED, latency_objective=2 * SECOND, deadline=5 * SECOND, window=9 * SECOND
 )
@@ -42,7 +42,12 @@
         "running_memory_factor": 16,
         "request_classes": [LOOK, SAVE],
     }
-    known |= {"cold": True, "cold_speed_share": 0.24, "warmup_us": 18 * SECOND, "max_retry_after_us": SECOND}
+    known |= {
+        "starts_cold": True,
+        "cold_speed_share": 0.24,
+        "warmup_us": 18 * SECOND,
+        "max_retry_after_us": SECOND,
+    }
     return AdmissionController(NodeSpec(**(known | changes)), random.Random(seed))
 
 
@@ -60,11 +65,11 @@
 
 @pytest.mark.parametrize("callers", SENDERS)
 def test_all_windows_that_are_told_together_let_in_what_a_cold_node_survives(callers):
-    node, window = cold(told=CapacitySignal.WINDOW, callers=callers), None
+    node, window = cold(capacity_signal=CapacitySignal.WINDOW, callers=callers), None
     for now in range(0, 18 * SECOND, PERIOD):
         node.on_timer(now, ResourceUsage(busy=0.5, runnable=1))
         for decision in pulled(node, now):
-            window = decision.amount if decision.act is Action.ADVERTISE_CAPACITY else window
+            window = decision.capacity if decision.action is Action.ADVERTISE_CAPACITY else window
         assert callers * window <= allowed(survives(now)), now
 
 
@@ -72,8 +77,8 @@
 @pytest.mark.parametrize("told", [CapacitySignal.PRIORITY_THRESHOLD, CapacitySignal.PROBABILITY])
 def test_what_callers_keep_back_at_a_cold_start_leaves_what_it_can_do(told, callers):
     """Each has its part of a full load for a warm node, and sends what the free value lets it."""
-    node, rng = cold(told=told, callers=callers), random.Random(callers)
-    value = next(each.amount for each in pulled(node, 0) if each.act is Action.ADVERTISE_CAPACITY)
+    node, rng = cold(capacity_signal=told, callers=callers), random.Random(callers)
+    value = next(each.capacity for each in pulled(node, 0) if each.action is Action.ADVERTISE_CAPACITY)
     full = 10.0  # requests that a warm node can begin in the time of one run, with its crowd of 6 a core
     lots = [rng.random() for _ in range(callers) for _ in range(round(full / callers * 100))]
     sent = (
@@ -84,12 +89,12 @@
 
 @pytest.mark.parametrize("callers", SENDERS)
 def test_callers_that_a_cold_node_turned_away_together_do_not_come_back_together(callers):
-    node = cold(told=CapacitySignal.PRIORITY_THRESHOLD, callers=callers)
+    node = cold(capacity_signal=CapacitySignal.PRIORITY_THRESHOLD, callers=callers)
     pulled(node, 0)
     node.memory.limit_kb = 0.0  # as good a reason as any to turn away all
     for caller in range(callers):
         node.on_request(0, Request(LOOK, 0, 5 * SECOND, caller=caller, size_kb=20))
-    back = [each.span for each in pulled(node, 0) if each.act is Action.REJECT]
+    back = [each.duration_us for each in pulled(node, 0) if each.action is Action.REJECT]
     assert len(back) == callers and all(0 < span <= SECOND for span in back)
     together = max(sum(start <= span < start + PERIOD for span in back) for start in back)
     assert together <= allowed(survives(0))
@@ -100,7 +105,11 @@
 def test_what_all_nodes_send_to_something_cold_below_is_what_it_survives_in_its_time(senders, answers_after):
     """All start at once, each with as much as it likes to call, and what is below is slow to answer."""
     survived, span = 9.0, 5 * SECOND
-    machine = {"below": Downstream.SHARED, "call_quota": survived / senders, "call_quota_window_us": span}
+    machine = {
+        "downstream": Downstream.SHARED,
+        "call_quota": survived / senders,
+        "call_quota_window_us": span,
+    }
     nodes = [cold(seed, **machine) for seed in range(senders)]
     out, held = [], []  # calls under way: until when, and whose; how many, a tick
     for now in range(0, 15 * SECOND, PERIOD // 2):
@@ -116,10 +125,10 @@
                 node.on_call_needed(now, request)
             node.on_timer(now, ResourceUsage())
             for decision in pulled(node, now):
-                if decision.act is Action.CALL:
-                    took = min(decision.span, answers_after)
+                if decision.action is Action.CALL:
+                    took = min(decision.duration_us, answers_after)
                     out.append((now + took, node, decision.request, took))
-                elif decision.act is Action.FAIL:
+                elif decision.action is Action.FAIL:
                     out = [each for each in out if each[2] is not decision.request]
                     node.on_run_completed(now, decision.request, Outcome.ABORTED, 0)
         held.append(len(out))
@@ -135,18 +144,18 @@
     )
     first = Request(SAVE, 0, 5 * SECOND, size_kb=20)
     node.on_request(0, first)
-    assert Action.START in [each.act for each in pulled(node, 0)]
+    assert Action.START in [each.action for each in pulled(node, 0)]
     answered = set()
     for number in range(40):
-        lot = [Request(SAVE, 1, 5 * SECOND, repeats=first, size_kb=20) for _ in range(20)]
+        lot = [Request(SAVE, 1, 5 * SECOND, original=first, size_kb=20) for _ in range(20)]
         for each in lot:
             node.on_request(number * 1000, each)
         for decision in pulled(node, number * 1000):
-            assert decision.act not in (
+            assert decision.action not in (
                 Action.START,
                 Action.REJECT,
             )  # it runs already: neither again, nor refused
-            if decision.act is Action.FAIL:
+            if decision.action is Action.FAIL:
                 assert decision.request not in answered
                 answered.add(decision.request)
         assert node.memory.used_kb() <= 10_000
