--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -20,22 +20,24 @@
 from lichencleat.consensus.state import Part, State, founded
 from lichencleat.consensus.terms import Group, Member
 from lichencleat.failover.state import Zones
-from lichencleat.leases.expiry import Expiry
-from lichencleat.leases.jobs import Jobs
+from lichencleat.leases.candidate_expiry import CandidateExpiry
+from lichencleat.leases.lease_state import LeaseState
 from lichencleat.log.lines import make_log
 from lichencleat.programs import run_program
-from lichencleat.quotas.pools import Pools
+from lichencleat.quotas.quota_state import QuotaState
 from lichencleat.recovery.state import Fleet
+from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
-from lichencleat.store.room import Bounds
 from lichencleat.store.store import open_store
 
-BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=256 << 20, entries=200_000)  # logs are cut at snapshots
+BOUNDS = StoreLimits(
+    segment_bytes=8 << 20, max_disk_bytes=256 << 20, max_entries=200_000
+)  # logs are cut at snapshots
 # two snapshots of up to 160 MiB (the one that stands, the one that is written), two lots of the log of 32 MiB
 # each, and as much again that is not cleaned yet
-DISTRIBUTION_BOUNDS = Bounds(segment_bytes=8 << 20, disk_bytes=1 << 30, entries=200_000)
+DISTRIBUTION_BOUNDS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=1 << 30, max_entries=200_000)
 STOPPED, WRONG, LEFT = 0, 2, 3  # exit codes
 
 
@@ -43,7 +45,7 @@
     """What, where and what to do, in one line."""
 
 
-def bounds_of(chosen: QuorumChoice) -> Bounds:
+def bounds_of(chosen: QuorumChoice) -> StoreLimits:
     return DISTRIBUTION_BOUNDS if chosen.distribution else BOUNDS
 
 
@@ -81,11 +83,11 @@
 
 def parts() -> dict[str, Part]:
     """What the group decides on; the same at each member."""
-    jobs = Jobs()
+    jobs = LeaseState()
     return {
         "facts": Facts(),
         "owners": jobs,
-        "shares": Pools(jobs),
+        "shares": QuotaState(jobs),
         "revive": Fleet(jobs),
         "zones": Zones(jobs),
     }
@@ -102,15 +104,15 @@
     """What the leader says of candidates that are gone."""
 
     def __init__(self) -> None:
-        self.expiry = Expiry()
+        self.expiry = CandidateExpiry()
 
     def tend(self, state: State | None, now: int) -> list[tuple[str, Any]]:
         if state is None:
-            self.expiry.leads_no_more()
+            self.expiry.reset()
             return []
         jobs = state.parts["owners"]
-        assert isinstance(jobs, Jobs)
-        return [("owners", each) for each in self.expiry.due(now, jobs.candidates)]
+        assert isinstance(jobs, LeaseState)
+        return [("owners", each) for each in self.expiry.find_expired(now, jobs.candidates)]
 
 
 class Running:
--- /dev/null
+++ b/lichencleat/store/capacity.py
@@ -0,0 +1,98 @@
+"""Capacity: the store's limits, and which batches of a commit still fit them. No I/O."""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from lichencleat.store import framing
+from lichencleat.store.batch import Batch
+from lichencleat.store.errors import FullError, Limit, StoreError
+from lichencleat.store.index import ENTRY_BYTES, Index
+
+MIB = 1 << 20
+SPARE_SEGMENTS = 2  # of the limit on segments, left to compaction
+
+
+@dataclass(frozen=True, slots=True)
+class StoreLimits:
+    """How large a store may grow. The defaults suit a node with some hundred MB and 1,024 descriptors."""
+
+    segment_bytes: int = 16 * MIB  # a segment is sealed once it is this large; each holds a descriptor
+    max_disk_bytes: int = 1024 * MIB  # of all segments, the space kept back for compaction included
+    max_entries: int = 2_000_000
+    max_memory_bytes: int = 512 * MIB  # of index entries, estimated
+    max_segments: int = 512  # files open at once
+    keep_reserve: bool = True  # keep a file of one segment's size, for compaction when the disk is full
+    max_undo_entries: int = 1_000_000  # changes that a snapshot outlives
+
+    @property
+    def reserve_bytes(self) -> int:
+        """What compacting one segment may need: its size and some overhead."""
+        return self.segment_bytes + self.segment_bytes // 16
+
+
+class CapacityCheck:
+    """What is left for the batches of one commit; each batch that is admitted reduces it."""
+
+    def __init__(
+        self, limits: StoreLimits, index: Index, disk_bytes: int, needs_segment: bool, segment_count: int
+    ) -> None:
+        """Starts from the store's state before the commit.
+
+        Args:
+            limits: The store's limits.
+            index: Its entries.
+            disk_bytes: Size of all segments.
+            needs_segment: Whether the commit has to begin a new one.
+            segment_count: How many there are.
+        """
+        self.limits = limits
+        self.index = index
+        self.disk_bytes = disk_bytes
+        self.out_of_segments = needs_segment and segment_count >= limits.max_segments - SPARE_SEGMENTS
+        self.added_entries = 0
+        self.added_memory = 0
+        self.near_index_limit = False
+
+    def expect(self, changes: int, size: int) -> None:
+        """Announce the total of all batches to come, in changes and bytes.
+
+        Where the index has space for all of them, `admit` need not count the new keys of each.
+        """
+        memory = self.index.memory + ENTRY_BYTES * changes + size
+        too_many = len(self.index) + changes > self.limits.max_entries
+        self.near_index_limit = too_many or memory > self.limits.max_memory_bytes
+
+    def admit(self, batch: Batch) -> StoreError | None:
+        """Count the batch in and return None, or return an error that names the limit it would exceed.
+
+        Batches that only delete may use half of the space kept back for compaction.
+        """
+        limits = self.limits
+        size = self.disk_bytes + batch.bytes + framing.MAX_FRAME_OVERHEAD_BYTES  # with its commit record
+        kept_back = limits.reserve_bytes if batch.has_puts else limits.reserve_bytes // 2
+        if size > limits.max_disk_bytes - kept_back:
+            detail = f"({limits.max_disk_bytes}, {kept_back} of them kept for cleaning)"
+            return FullError(Limit.DISK_BYTES, detail)
+        if self.out_of_segments:
+            return FullError(Limit.SEGMENTS, f"({limits.max_segments})")
+        if self.near_index_limit:
+            error = self._admit_to_index(batch)
+            if error is not None:
+                return error
+        self.disk_bytes = size
+        return None
+
+    def _admit_to_index(self, batch: Batch) -> StoreError | None:
+        limits = self.limits
+        locations = self.index.locations
+        new = {key for key, value, _ in batch.changes if value is not None and key not in locations}
+        entries = self.added_entries + len(new)
+        memory = self.added_memory + sum(map(len, new)) + ENTRY_BYTES * len(new)
+        if new and len(locations) + entries > limits.max_entries:
+            return FullError(Limit.ENTRIES, f"({limits.max_entries})")
+        if new and self.index.memory + memory > limits.max_memory_bytes:
+            return FullError(Limit.MEMORY, f"({limits.max_memory_bytes})")
+        self.added_entries = entries
+        self.added_memory = memory
+        return None
--- /dev/null
+++ b/lichencleat/store/reader.py
@@ -0,0 +1,151 @@
+"""Reader: single values, snapshots, chunks and scans, from any thread, while one other writes."""
+
+from __future__ import annotations
+
+from collections.abc import Iterator
+from dataclasses import dataclass
+
+from lichencleat.store import framing
+from lichencleat.store.errors import (
+    ClosedError,
+    CorruptDataError,
+    Finding,
+    FullError,
+    Limit,
+    SnapshotEndedError,
+)
+from lichencleat.store.index import Snapshot, is_expired, length_of, offset_of, segment_of
+from lichencleat.store.log import Log
+from lichencleat.store.segments import Segment
+
+CHUNK_ENTRIES = 256  # looked up at once by a scan: the lock is held for some 0.1 ms
+MAX_SNAPSHOTS = 64  # each may hold files that compaction would remove, and an undo list
+
+
+@dataclass(slots=True)
+class _PinnedEntry:
+    """An entry to be read, and its segment, which is kept open meanwhile."""
+
+    key: bytes
+    location: int
+    segment: Segment
+
+
+class Reader:
+    """Reads values; holds the log's lock only to look locations up, never while the disk is used."""
+
+    def __init__(self, log: Log) -> None:
+        self.log = log
+        self.closed = False
+
+    def get(self, key: bytes) -> bytes | None:
+        """The value, or None. Raises CorruptDataError where its bytes are not those that were confirmed."""
+        log = self.log
+        with log.lock:
+            self._check_open()
+            location = log.index.get(key, log.tick())
+            if location is None:
+                return None
+            segment = log.segments[segment_of(location)]
+            segment.reference_count += 1
+        try:
+            return self.read_value(segment, key, location)
+        finally:
+            with log.lock:
+                log.release(segment)
+
+    def read_value(self, segment: Segment, key: bytes, location: int) -> bytes:
+        """Read the value at a location of a segment that the caller keeps open. Raises CorruptDataError."""
+        offset, length = offset_of(location), length_of(location)
+        try:
+            data = self.log.disk.read(segment.file, offset, length)
+        except OSError as error:
+            self.log.counts["damaged reads"] += 1
+            finding = Finding(segment.name, offset, f"can't be read: {error.strerror}")
+            raise CorruptDataError([finding]) from error
+        body = framing.decode_frame(data, segment.salt, offset)
+        if body is not None:
+            _, _, _, _, found_key, value = framing.decode_body(body)
+            if found_key == key:
+                return bytes(value)
+        self.log.counts["damaged reads"] += 1
+        raise CorruptDataError([Finding(segment.name, offset, "a confirmed record is not whole")])
+
+    def snapshot(self) -> Snapshot:
+        """Take a snapshot of the entries; `release` gives it back. Raises FullError, ClosedError."""
+        log = self.log
+        with log.lock:
+            self._check_open()
+            if len(log.pins) >= MAX_SNAPSHOTS:
+                raise FullError(Limit.SNAPSHOTS, f"({MAX_SNAPSHOTS})")
+            snapshot = log.index.snapshot(log.sequence)
+            log.pins[snapshot] = {}
+            return snapshot
+
+    def release(self, snapshot: Snapshot) -> None:
+        """Close a snapshot and the files that were kept for it."""
+        with self.log.lock:
+            self.log.unpin(snapshot)
+
+    def chunk(
+        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, limit: int = CHUNK_ENTRIES
+    ) -> list[tuple[bytes, bytes]]:
+        """Return up to `limit` keys and values of the snapshot from `cursor` on, in order.
+
+        The next chunk begins at the last key and a zero byte. The last chunk is empty.
+
+        Raises:
+            SnapshotEndedError: If the snapshot was closed or has ended.
+            CorruptDataError: If a value can't be read.
+        """
+        while True:
+            following, pinned = self._pin_entries(snapshot, cursor, prefix, limit)
+            try:
+                found = [
+                    (each.key, self.read_value(each.segment, each.key, each.location)) for each in pinned
+                ]
+            finally:
+                with self.log.lock:
+                    for each in pinned:
+                        self.log.release(each.segment)
+            if found or following is None:
+                return found
+            cursor = following  # all of these have expired
+
+    def scan(self, prefix: bytes = b"", snapshot: Snapshot | None = None) -> Iterator[tuple[bytes, bytes]]:
+        """Yield keys and values in order of keys, as of when the scan began or the snapshot was taken."""
+        taken = snapshot if snapshot is not None else self.snapshot()
+        cursor = prefix
+        try:
+            while found := self.chunk(taken, cursor, prefix):
+                yield from found
+                cursor = found[-1][0] + b"\0"
+        finally:
+            if snapshot is None:
+                self.release(taken)
+
+    def _check_open(self) -> None:
+        if self.closed:
+            raise ClosedError
+
+    def _pin_entries(
+        self, snapshot: Snapshot, cursor: bytes, prefix: bytes, limit: int
+    ) -> tuple[bytes | None, list[_PinnedEntry]]:
+        """The cursor behind the next rows (None: there are none) and those of them that have not expired."""
+        log = self.log
+        with log.lock:
+            if not snapshot.is_open:
+                raise SnapshotEndedError
+            rows = snapshot.chunk(cursor, prefix, limit)
+            if not rows:
+                return None, []
+            now = log.tick()
+            removed = log.pins[snapshot]
+            pinned = []
+            for key, location in rows:
+                if not is_expired(location, now):
+                    number = segment_of(location)
+                    segment = log.segments.get(number) or removed[number]
+                    segment.reference_count += 1
+                    pinned.append(_PinnedEntry(key, location, segment))
+        return rows[-1][0] + b"\0", pinned
--- a/tests/compatibility/running_member.py
+++ b/tests/compatibility/running_member.py
@@ -34,7 +34,7 @@
     identity = Identity(MARK, "fleet", "v1", 11, 4, group == "distribution")
     founding = Journal().found(founded(Group((me,))))
     assert engine.commit([founding.put(IDENTITY, msgspec.msgpack.encode(identity))]) == [None]
-    store = Store(reactor, engine, execute, execute, upkeep=False)
+    store = Store(reactor, engine, execute, execute, maintenance=False)
     serves = Voting(reactor, "v1", "north", MagicMock()) if group == "distribution" else None
     return Process(
         reactor,
