--- a/lichencleat/capacity/needs.py
+++ b/lichencleat/capacity/needs.py
@@ -10,13 +10,13 @@
 from lichencleat.capacity import sizes as of
 from lichencleat.capacity.sizes import SECOND, Size, Times, look_bytes, looks, once
 from lichencleat.capacity.target import Target
-from lichencleat.config.file import SIZE_MOST
+from lichencleat.config.loading import MAX_CONFIG_CHARACTERS
 from lichencleat.consensus.arrival import SNAPSHOT_MOST
-from lichencleat.failover import judge
+from lichencleat.failover import controller
 from lichencleat.leases import messages as owners
 from lichencleat.quotas import messages as shares
 from lichencleat.quotas.allocator import POLL_INTERVAL_TERMS as DEAL
-from lichencleat.recovery.seat import PLAN
+from lichencleat.recovery.planner_task import POLL_INTERVAL_S
 
 CONFIG = "distribution: relays in tiers ([config_distribution.md](config_distribution.md))"
 SOME = "a few are members: relays and voters, not nodes"
@@ -43,7 +43,7 @@
 )
 TURN_US = Budget("a turn of the reactor", lambda t: t.turn_ms * 1e3)
 BACK = Budget("back after a power loss (supposed)", lambda t: t.back_in_s)
-FILE = Budget("the file's most characters", lambda t: SIZE_MOST)
+FILE = Budget("the file's most characters", lambda t: MAX_CONFIG_CHARACTERS)
 SNAPSHOT = Budget("a snapshot's most bytes", lambda t: SNAPSHOT_MOST / 1e6)
 
 
@@ -83,7 +83,11 @@
     return 2 * target.restarts_a_second
 
 
-DEALS, PLANS, JUDGES = DEAL * shares.DEFAULT_TERM_US, PLAN * SECOND, judge.LOOK  # µs between two looks
+DEALS, PLANS, JUDGES = (
+    DEAL * shares.DEFAULT_TERM_US,
+    POLL_INTERVAL_S * SECOND,
+    controller.POLL_INTERVAL_US,
+)  # µs between two looks
 ONE = "one process, one reactor"
 PER_CALLER = "a connection a caller"
 EACH = "each caller to each node"
--- a/lichencleat/consensus/program.py
+++ b/lichencleat/consensus/program.py
@@ -12,20 +12,20 @@
 
 from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.consensus.facts import Facts
-from lichencleat.consensus.file import QuorumChoice, host_port
+from lichencleat.consensus.file import QuorumChoice, parse_address
 from lichencleat.consensus.journal import TOP, Journal
 from lichencleat.consensus.process import Process
 from lichencleat.consensus.seats import IDENTITY, Identity, wake_up
 from lichencleat.consensus.serves import Serves
 from lichencleat.consensus.state import Part, State, founded
 from lichencleat.consensus.terms import Group, Member
-from lichencleat.failover.state import Zones
+from lichencleat.failover.state import FailoverState
 from lichencleat.leases.candidate_expiry import CandidateExpiry
 from lichencleat.leases.lease_state import LeaseState
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.programs import run_program
 from lichencleat.quotas.quota_state import QuotaState
-from lichencleat.recovery.state import Fleet
+from lichencleat.recovery.state import FleetState
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.engine import Engine
@@ -70,7 +70,7 @@
             )
         identity = wake_up(lambda key: None, rng, chosen.group, chosen.name, chosen.distribution)
         identity.group, identity.start = rng.randbytes(8), 0
-        host, port = host_port(chosen.address or chosen.listen)
+        host, port = parse_address(chosen.address or chosen.listen)
         group = Group((Member(identity.seat, chosen.name, host, port, True, chosen.zone),))
         batch = Journal().found(founded(group)).put(IDENTITY, msgspec.msgpack.encode(identity))
         (wrong,) = engine.commit([batch])
@@ -88,8 +88,8 @@
         "facts": Facts(),
         "owners": jobs,
         "shares": QuotaState(jobs),
-        "revive": Fleet(jobs),
-        "zones": Zones(jobs),
+        "revive": FleetState(jobs),
+        "zones": FailoverState(jobs),
     }
 
 
@@ -124,7 +124,7 @@
         self.code = STOPPED
         self.process: Process | None = None
         self.stopping = False
-        self.log = make_log(
+        self.log = create_logger(
             unix_time,
             chosen.log.form,
             process=chosen.name,
@@ -159,7 +159,7 @@
                 )
                 return
             yield store.put(IDENTITY, msgspec.msgpack.encode(identity))
-            listen = host_port(chosen.listen)
+            listen = parse_address(chosen.listen)
             serves: Serves | None = None
             own: tuple[Any, Any] = (parts, ExpiryTender().tend)
             if chosen.distribution:
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -11,20 +11,21 @@
 
 from lichencleat.admission.types import NodeSpec
 from lichencleat.clocks import make_reactor, unix_time
-from lichencleat.config.file import WrongFileError
+from lichencleat.config.errors import InvalidConfigError
 from lichencleat.consensus.client import Client
-from lichencleat.failover.terms import Zone
+from lichencleat.failover.controller_task import FailoverControllerTask
+from lichencleat.failover.messages import Zone
 from lichencleat.leases.lease_client import LeaseClient
-from lichencleat.log.lines import make_log
+from lichencleat.log.structured import create_logger
 from lichencleat.node.assembly import UnixClock
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.structured import StructuredReport
 from lichencleat.programs import run_program
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterHost
-from lichencleat.router.file import RouterChoice, RouterFile, host_port, read_router
+from lichencleat.router.file import RouterChoice, RouterFile, parse_address, read_router
+from lichencleat.router.health_reporter import HealthReporter
 from lichencleat.router.links import LINKS_MOST
-from lichencleat.router.seat import Judging, Telling
 
 STOPPED, WRONG = 0, 2  # exit codes
 BELIEFS = 10_000_000  # µs between lines that tell what the router believes
@@ -45,7 +46,7 @@
         chosen = file.router
         self.code = STOPPED
         self.clock = UnixClock()
-        self.log = make_log(
+        self.log = create_logger(
             unix_time, file.log.form, process=chosen.name, role="router", zone=chosen.zone, pid=os.getpid()
         )
         self.report = StructuredReport(chosen.name, self.clock, file.log.form)
@@ -83,13 +84,13 @@
             int(chosen.memory_mb * MB),
         )
         self.clients: list[Client] = []
-        self.telling: Telling | None = None
+        self.telling: HealthReporter | None = None
         self.holder: LeaseClient | None = None
         self.stop_at: int | None = None
         self.ended = False
 
     def start(self) -> None:
-        host, port = host_port(self.chosen.listen)
+        host, port = parse_address(self.chosen.listen)
         try:
             self.callers.listen(self.reactor, (host, port))
         except CannotListenError as wrong:
@@ -104,12 +105,12 @@
         self.deadlines.after(BELIEFS, self.beliefs_again)
 
     def join(self, group: str) -> None:
-        self.telling = Telling(
+        self.telling = HealthReporter(
             self.reactor, self.client(group), self.core, self.chosen.name, self.clock, self.log
         )
         self.telling.start()
         if self.chosen.candidate:
-            work = Judging(self.reactor, self.client(group), self.log)
+            work = FailoverControllerTask(self.reactor, self.client(group), self.log)
             name, zone = self.chosen.name, self.chosen.zone
             self.holder = LeaseClient(self.reactor, self.client(group), name, zone, work, self.rng, self.log)
             work.lease_client = self.holder
@@ -117,7 +118,7 @@
             self.holder.start()
 
     def client(self, group: str) -> Client:
-        addresses = [host_port(each) for each in self.chosen.members]
+        addresses = [parse_address(each) for each in self.chosen.members]
         made = Client(self.reactor, group, addresses, self.rng, self.chosen.name)
         self.clients.append(made)
         return made
@@ -135,7 +136,7 @@
         """
         try:
             file, _, _ = read_router(self.path)
-        except WrongFileError as wrong:
+        except InvalidConfigError as wrong:
             self.report.count("router", "files refused")
             self.log.warning("the file before stays in force", reason=str(wrong))
             return
@@ -150,7 +151,7 @@
         else:
             self.core.nodes.members({name: list(each.nodes) for name, each in new.zones.items()})
             self.host.members(addresses_of(new))
-            self.core.near.zones = zones_of(new)
+            self.core.locality.zones = zones_of(new)
         late = f"{', '.join(fixed)} changed, which needs a restart" if fixed else ""
         self.log.info("file read again", nodes=len(self.host.nodes), late=late)
 
@@ -211,14 +212,14 @@
 
 
 def zones_of(chosen: RouterChoice) -> dict[str, Zone]:
-    """As `zones.near` has them: the ways from this router's zone."""
+    """As `failover.locality_routing` has them: the ways from this router's zone."""
     far = {name: int(each.far_ms * 1_000) for name, each in chosen.zones.items() if name != chosen.zone}
     return {name: Zone("", 0.0, far if name == chosen.zone else {}) for name in chosen.zones}
 
 
 def addresses_of(chosen: RouterChoice) -> dict[str, tuple[str, int]]:
     return {
-        name: host_port(address) for zone in chosen.zones.values() for name, address in zone.nodes.items()
+        name: parse_address(address) for zone in chosen.zones.values() for name, address in zone.nodes.items()
     }
 
 
--- a/tests/compatibility/directories.py
+++ b/tests/compatibility/directories.py
@@ -25,8 +25,8 @@
 from lichencleat.consensus.seats import Life, wake_up
 from lichencleat.consensus.state import State
 from lichencleat.consensus.terms import Entry, Snapshot
-from lichencleat.idempotency.records import decode_entry, decode_seen, decode_whose, mark
-from lichencleat.recovery import boot, figures
+from lichencleat.idempotency.records import decode_heartbeat, decode_ownership, decode_record, record_key
+from lichencleat.recovery import boot_record, service_times
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
@@ -139,25 +139,25 @@
             assert value is not None, key
             return value
 
-        entries = {key: decode_entry(get(mark(key.encode()))) for key in keys}
+        entries = {key: decode_record(get(record_key(key.encode()))) for key in keys}
         return {
-            "marks": {key: mark(key.encode()).hex() for key in keys},
+            "marks": {key: record_key(key.encode()).hex() for key in keys},
             "entries": {key: msgspec.structs.astuple(entry) for key, entry in entries.items()},
-            "whose": msgspec.structs.astuple(decode_whose(get(CONSTANTS["keyed.records.WHOSE"]))),
-            "seen": msgspec.structs.astuple(decode_seen(get(CONSTANTS["keyed.records.SEEN"]))),
+            "whose": msgspec.structs.astuple(decode_ownership(get(CONSTANTS["keyed.records.WHOSE"]))),
+            "seen": msgspec.structs.astuple(decode_heartbeat(get(CONSTANTS["keyed.records.SEEN"]))),
         }
 
 
 def read_boot_and_figures(path: Path, longest: dict[str, int]) -> dict[str, Any]:
     """What a start finds of the life before, and what it makes of it."""
     with open_engine(path) as engine:
-        before = boot.found(engine.get(CONSTANTS["revive.seat.BOOT"]), "fleet")
+        before = boot_record.load_previous(engine.get(CONSTANTS["revive.seat.BOOT"]), "fleet")
         learned = engine.get(CONSTANTS["revive.seat.FIGURES"])
     assert before is not None and learned is not None
     return {
         "boot": msgspec.structs.astuple(before),
-        "boot_of_the_next_start": msgspec.structs.astuple(boot.begun(before, NOW_US, "fleet")),
-        "recalled": figures.recalled(learned, 2.0, longest)[0],
+        "boot_of_the_next_start": msgspec.structs.astuple(boot_record.create_record(before, NOW_US, "fleet")),
+        "recalled": service_times.load_service_times(learned, 2.0, longest).run_times,
     }
 
 
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -13,17 +13,17 @@
 from lichencleat.consensus.seats import Life
 from lichencleat.consensus.state import State, command
 from lichencleat.consensus.terms import Entry, What
-from lichencleat.failover.terms import Define as DefineZone
+from lichencleat.failover.messages import DefineZone
 from lichencleat.leases.lease_state import LeaseState
 from lichencleat.leases.messages import DefineJob
 from lichencleat.quotas.messages import DefinePool
-from lichencleat.recovery.terms import Report
+from lichencleat.recovery.messages import NodeReport
 
 COMMANDS = {
     "facts": Set("fact", b"v"),
     "owners": DefineJob("job", "zone"),
     "shares": DefinePool("pool", 10, 1, 4),
-    "revive": Report("node", "zone", 1, True, 0, 1, True, True, 0.5),
+    "revive": NodeReport("node", "zone", 1, True, 0, 1, True, True, 0.5),
     "zones": DefineZone("zone", "region", 1.0),
     "distribution": Publish((Change("tenant", "acme", b"{}"),)),
 }
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -9,23 +9,15 @@
 
 from lichencleat.admission.types import CapacitySignal as Value
 from lichencleat.admission.types import Effect, NodeSpec, RequestClass
-from lichencleat.config.file import WrongFileError
-from lichencleat.failover.terms import Zone
+from lichencleat.config.errors import InvalidConfigError
+from lichencleat.failover.messages import Zone
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.report import Report
 from lichencleat.node.resp import ArrayReader, array
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterConnection, RouterHost, again
 from lichencleat.router.file import read_router
-from lichencleat.router.links import (
-    CONNECT_WAIT,
-    LINKS_MOST,
-    OPEN_MOST,
-    NodeLinks,
-    Told,
-    Try,
-    read_answer,
-)
+from lichencleat.router.links import CONNECT_WAIT, LINKS_MOST, OPEN_MOST, NodeLinks, Told, Try, read_answer
 from lichencleat.router.terms import Came
 
 SECOND = 1_000_000
@@ -369,7 +361,7 @@
     ],
 )
 def test_a_mistake_in_the_file_is_one_line_with_its_place(written, change, said):
-    with pytest.raises(WrongFileError) as wrong:
+    with pytest.raises(InvalidConfigError) as wrong:
         read_router(written(change))
     assert said in str(wrong.value) and "\n" not in str(wrong.value)
 
@@ -378,5 +370,5 @@
     "settings", [[], {}, {"classes": []}, {"classes": [{"name": "x"}]}, "x", {"settings": 1}]
 )
 def test_settings_that_are_none_are_told_with_the_line_that_names_them(written, settings):
-    with pytest.raises(WrongFileError, match="line 5: router.settings"):
+    with pytest.raises(InvalidConfigError, match="line 5: router.settings"):
         read_router(written(settings=settings))
