--- a/tests/idempotency/test_idempotency_service.py
+++ b/tests/idempotency/test_idempotency_service.py
@@ -3,12 +3,12 @@
 import random
 
 import pytest
-from lichencleat.store.faulty import FaultyDisk
 from node_lifecycle import Environment, NodeIncarnation
 
 from lichencleat.idempotency.service import MAX_PENDING_ARRIVALS
 from lichencleat.testkit.explore_keyed import MISTAKES, play
 from lichencleat.testkit.explore_keyed import World as Explored
+from lichencleat.testkit.faulty_disk import FaultyDisk
 
 SECOND = 1_000_000
 
