--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -8,13 +8,16 @@
 from lichencleat.capacity.needs import CONFIG, SOME
 from lichencleat.capacity.sizes import Size
 from lichencleat.config_distribution import terms as distribution
-from lichencleat.consensus import facts, group, links, sessions
+from lichencleat.consensus import configuration as group
+from lichencleat.consensus import key_value as facts
+from lichencleat.consensus import sessions
 from lichencleat.failover import messages as failover
 from lichencleat.flows import collector
 from lichencleat.leases import messages as owners
 from lichencleat.membership import member_table
 from lichencleat.quotas import messages as shares
 from lichencleat.recovery import messages as recovery
+from lichencleat.transport import inbound
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,15 +39,15 @@
     Bound("member", "members: each node", "members.table.MEMBERS_MOST",
           member_table.MAX_MEMBERS, of.nodes, SOME),
     Bound("voter", "members of a group: each node a learner", "quorum.group.MEMBERS_MOST",
-          group.MEMBERS_MOST, of.nodes,
+          group.MAX_MEMBERS, of.nodes,
           CONFIG),
-    Bound("voter", "facts: routes and tenants", "quorum.facts.FACTS_MOST", facts.FACTS_MOST, of.records,
+    Bound("voter", "facts: routes and tenants", "quorum.facts.FACTS_MOST", facts.MAX_KEYS, of.records,
           CONFIG),
     Bound("voter", "connections: each node asks one group", "quorum.links.CONNECTIONS_MOST",
-          links.CONNECTIONS_MOST,
+          inbound.MAX_CONNECTIONS,
           of.nodes),
     Bound("voter", "sessions: each node asks one group", "quorum.sessions.SESSIONS_MOST",
-          sessions.SESSIONS_MOST,
+          sessions.MAX_SESSIONS,
           of.nodes),
     Bound("owner", "candidates: each node", "owners.terms.CANDIDATES_MOST", owners.MAX_CANDIDATES,
           of.nodes, CANDIDATES),
@@ -74,10 +77,10 @@
     "flows.collector.TENANTS_MOST": "flows.collector.TENANTS_MOST",
     "members.table.MEMBERS_MOST": "membership.member_table.MAX_MEMBERS",
     "owners.terms.CANDIDATES_MOST": "leases.messages.MAX_CANDIDATES",
-    "quorum.facts.FACTS_MOST": "consensus.facts.FACTS_MOST",
-    "quorum.group.MEMBERS_MOST": "consensus.group.MEMBERS_MOST",
-    "quorum.links.CONNECTIONS_MOST": "consensus.links.CONNECTIONS_MOST",
-    "quorum.sessions.SESSIONS_MOST": "consensus.sessions.SESSIONS_MOST",
+    "quorum.facts.FACTS_MOST": "consensus.key_value.MAX_KEYS",
+    "quorum.group.MEMBERS_MOST": "consensus.configuration.MAX_MEMBERS",
+    "quorum.links.CONNECTIONS_MOST": "transport.inbound.MAX_CONNECTIONS",
+    "quorum.sessions.SESSIONS_MOST": "consensus.sessions.MAX_SESSIONS",
     "revive.terms.NODES_MOST": "recovery.messages.MAX_NODES",
     "shares.terms.NODES_MOST": "quotas.messages.MAX_NODES",
     "zones.terms.SOURCES_MOST": "failover.messages.MAX_ROUTERS",
--- a/lichencleat/cli/consensus.py
+++ b/lichencleat/cli/consensus.py
@@ -14,12 +14,15 @@
 from twisted.internet.task import deferLater
 
 from lichencleat.cli import output
+from lichencleat.config.addresses import parse_address
 from lichencleat.config.errors import InvalidConfigError
-from lichencleat.consensus import program
-from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.file import QuorumChoice, parse_address, read_quorum
-from lichencleat.consensus.terms import Reason
+from lichencleat.coordinator.daemon import run_coordinator
+from lichencleat.coordinator.settings import QuorumSettings, read_quorum_settings
+from lichencleat.coordinator.storage import BootstrapError, bootstrap_group
 from lichencleat.store.errors import StoreError
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.group_client import GroupClient
+from lichencleat.transport.outcomes import RejectReason
 
 HEAD = ["name", "address", "zone", "votes", "role", "term", "applied", "last", "start", "seat"]
 PATIENCE = 10.0  # s for a command's question
@@ -34,9 +37,9 @@
     """A few voters that agree on small facts."""
 
 
-def chosen(path: str, member: bool = False) -> QuorumChoice:
+def chosen(path: str, member: bool = False) -> QuorumSettings:
     try:
-        return read_quorum(path, member)
+        return read_quorum_settings(path, member)
     except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
 
@@ -46,17 +49,20 @@
 def found(file: str) -> None:
     """Make a new group, with the member of FILE as its only voter."""
     try:
-        identity = program.found(chosen(file, member=True), random.Random(os.urandom(16)))
-    except (program.NotFoundedError, StoreError) as wrong:
+        identity = bootstrap_group(chosen(file, member=True), random.Random(os.urandom(16)))
+    except (BootstrapError, StoreError) as wrong:
         raise output.WrongInput(f"quorum found: {wrong}") from wrong
-    output.pairs({"group": identity.group.hex(), "member": identity.member, "seat": identity.seat}, False)
+    output.pairs(
+        {"group": identity.cluster_id.hex(), "member": identity.member_name, "seat": identity.member_id},
+        False,
+    )
 
 
 @group.command()
 @FILE
 def run(file: str) -> None:
     """Run the member of FILE until SIGTERM."""
-    raise click.exceptions.Exit(program.run(chosen(file, member=True)))
+    raise click.exceptions.Exit(run_coordinator(chosen(file, member=True)))
 
 
 def on_reactor(main: Callable[[Any], Any]) -> None:
@@ -73,17 +79,17 @@
         failed[0].raiseException()
 
 
-def talk(what: Callable[[Any, Client], Any], quorum: QuorumChoice, *addresses: str) -> Any:
+def talk(what: Callable[[Any, GroupClient], Any], quorum: QuorumSettings, *addresses: str) -> Any:
     """Runs a conversation with the group on a reactor of its own; a group that fails is one line."""
     told: list[Any] = []
 
     @inlineCallbacks
     def main(reactor: Any) -> Any:
         places = [parse_address(each) for each in addresses or quorum.members]
-        client = Client(reactor, quorum.group, places, random.Random(os.urandom(16)))
+        client = GroupClient(reactor, quorum.group, places, random.Random(os.urandom(16)))
         try:
             told.append((yield what(reactor, client)))
-        except GroupError as wrong:
+        except RequestFailedError as wrong:
             told.append(wrong)
         finally:
             client.close()
@@ -91,31 +97,31 @@
     on_reactor(main)
     if not told:
         raise click.ClickException("the conversation with the group broke off")
-    if isinstance(told[0], GroupError):
+    if isinstance(told[0], RequestFailedError):
         raise output.WrongData(f"quorum: {told[0]} ({', '.join(addresses or quorum.members)})")
     return told[0]
 
 
 @inlineCallbacks
-def ask_all(reactor: Any, quorum: QuorumChoice, addresses: list[str], what: str = "status") -> Any:
+def ask_all(reactor: Any, quorum: QuorumSettings, addresses: list[str], what: str = "status") -> Any:
     """What each member answers, or why it does not."""
     found: dict[str, Any] = {}
     clients = {
-        each: Client(reactor, quorum.group, [parse_address(each)], random.Random(os.urandom(16)))
+        each: GroupClient(reactor, quorum.group, [parse_address(each)], random.Random(os.urandom(16)))
         for each in addresses
     }
     asked = {each: client.call(what, None, 2.0) for each, client in clients.items()}
     for address, answer in asked.items():
         try:
             found[address] = yield answer
-        except GroupError as wrong:
-            found[address] = wrong.why
+        except RequestFailedError as wrong:
+            found[address] = wrong.reason
     for client in clients.values():
         client.close()
     return found
 
 
-def look(quorum: QuorumChoice) -> tuple[dict[str, Any], dict[str, Any] | None]:
+def look(quorum: QuorumSettings) -> tuple[dict[str, Any], dict[str, Any] | None]:
     """What each member says, and the word of the one that leads in the newest term."""
     told: list[dict[str, Any]] = []
 
@@ -188,7 +194,7 @@
     who = [new["seat"], new["member"], host, port, new["zone"]]
 
     @inlineCallbacks
-    def ask(reactor: Any, client: Client) -> Any:
+    def ask(reactor: Any, client: GroupClient) -> Any:
         listed = new["members"] and any(m["seat"] == new["seat"] and m["votes"] for m in new["members"])
         if not listed:
             yield client.call("add", [*who, False], PATIENCE)
@@ -199,8 +205,8 @@
             try:
                 yield client.call("add", [*who, True], PATIENCE)
                 return None
-            except GroupError as wrong:
-                if wrong.why != Reason.BEHIND.value or reactor.seconds() > until:
+            except RequestFailedError as wrong:
+                if wrong.reason != RejectReason.LEARNER_BEHIND.value or reactor.seconds() > until:
                     raise
             yield deferLater(reactor, LOOK, lambda: None)
 
@@ -208,7 +214,7 @@
     click.echo(f"{new['member']} is in the group" + (" and follows" if learner else " and votes"))
 
 
-def seat_of(quorum: QuorumChoice, name: str) -> int:
+def seat_of(quorum: QuorumSettings, name: str) -> int:
     _, leader = look(quorum)
     if leader is None:
         raise output.WrongData("quorum: nobody leads; nothing was changed")
@@ -239,7 +245,7 @@
     seat = seat_of(quorum, name)
 
     @inlineCallbacks
-    def ask(reactor: Any, client: Client) -> Any:
+    def ask(reactor: Any, client: GroupClient) -> Any:
         yield client.call("transfer", seat, PATIENCE)
         for _ in range(50):
             status = yield client.call("status", None, PATIENCE)
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -17,7 +17,7 @@
 from lichencleat.idempotency.interfaces import Report, RequestEngine, Timers
 from lichencleat.idempotency.service import IdempotencyService
 from lichencleat.store.capacity import StoreLimits
-from lichencleat.store.disk import Disk, RealDisk
+from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
 from lichencleat.store.store import open_store
 
@@ -70,7 +70,8 @@
     )
     rng = random.Random(os.urandom(16))
     try:
-        store = yield open_store(reactor, directory, clock, rng, bounds, disk=_open_disk(config))
+        disk = open_disk(config.disk, directory)
+        store = yield open_store(reactor, directory, clock, rng, bounds, disk=disk)
     except (StoreError, OSError) as error:
         raise ServiceStartError(directory, error) from error
     try:
@@ -78,11 +79,3 @@
     except (ForeignDirectoryError, StoreError, ValueError) as error:
         yield store.close()
         raise ServiceStartError(directory, error) from error
-
-
-def _open_disk(config: IdempotencyConfig) -> Disk:
-    if config.disk == "held back":
-        from lichencleat.testkit.cluster.heldback import HeldBackDisk  # for tests: not imported otherwise
-
-        return HeldBackDisk(config.directory, create=True)
-    return RealDisk(config.directory, create=True)
--- a/lichencleat/idempotency/service.py
+++ b/lichencleat/idempotency/service.py
@@ -12,7 +12,7 @@
 
 from twisted.internet.defer import Deferred, inlineCallbacks, succeed
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.idempotency.earlier_runs import EarlierRuns
 from lichencleat.idempotency.index import RecordIndex
 from lichencleat.idempotency.intents import IntentLog
--- a/lichencleat/membership/datagram_transport.py
+++ b/lichencleat/membership/datagram_transport.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import DatagramProtocol
 from twisted.internet.udp import Port
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.membership.dissemination import MAX_DATAGRAM_BYTES
 from lichencleat.membership.gossip import GossipMember
 from lichencleat.membership.messages import GossipMessage, MemberUpdate
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -14,7 +14,6 @@
 
 from lichencleat.config.addresses import parse_address
 from lichencleat.config.schema import FleetConfig
-from lichencleat.consensus.client import Client
 from lichencleat.leases.lease_client import LeaseClient, LeaseListener
 from lichencleat.quotas.allocator_task import AllocatorTask
 from lichencleat.quotas.quota_client import QuotaClient
@@ -24,6 +23,7 @@
 from lichencleat.recovery.planner_task import RolloutPlannerTask
 from lichencleat.recovery.readiness_gate import ReadinessGate
 from lichencleat.recovery.reporter import RecoveryReporter
+from lichencleat.transport.group_client import GroupClient
 
 SECOND = 1_000_000  # µs
 
@@ -59,14 +59,14 @@
     ) -> None:
         """`host`: as net.host.Host; `keyed`: as idempotency.service.IdempotencyService, or None."""
         self.reactor, self.name, self.chosen, self.rng, self.log = reactor, name, chosen, rng, log
-        self.clients: list[Client] = []
+        self.clients: list[GroupClient] = []
         self.seat = self.make_seat(host) if chosen.shares is not None else None
         self.back = self.make_return(host, keyed, unix) if chosen.revive else None
         self.holder = self.make_holder() if chosen.candidate else None
 
-    def client(self) -> Client:
+    def client(self) -> GroupClient:
         addresses = [parse_address(each) for each in self.chosen.members]
-        made = Client(self.reactor, self.chosen.group, addresses, self.rng, self.name)
+        made = GroupClient(self.reactor, self.chosen.group, addresses, self.rng, self.name)
         self.clients.append(made)
         return made
 
--- a/lichencleat/node/program.py
+++ b/lichencleat/node/program.py
@@ -13,11 +13,11 @@
 from twisted.logger import globalLogBeginner
 
 from lichencleat.admission.node_spec import InvalidInputError
-from lichencleat.clocks import make_reactor
 from lichencleat.node.assembly import RealNode, UnixClock
 from lichencleat.node.config import read_told
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.report import Report
+from lichencleat.reactor import make_reactor
 
 EXTRAS = {"crc32c": "store", "sortedcontainers": "store", "structlog": "fleet", "xxhash": "fleet"}
 TIDY = 10_000_000  # µs between full collections: they take 2 ms, and closed connections are cycles
--- a/lichencleat/quotas/quota_state.py
+++ b/lichencleat/quotas/quota_state.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.leases.lease_state import LeaseState
 from lichencleat.quotas.messages import (
     MAX_LIMIT,
--- a/lichencleat/recovery/boot_record.py
+++ b/lichencleat/recovery/boot_record.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 MAX_CLOCK_BEHIND_US = 1_000_000  # a clock may be behind the last record: twice what adjustments amount to
 MAX_CLOCK_AHEAD_US = 366 * 86_400_000_000  # down for longer than a year is a clock that is wrong
--- a/lichencleat/recovery/service_times.py
+++ b/lichencleat/recovery/service_times.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 
 FORMAT = 1
 MAX_CLASSES = 256  # request classes that are kept: more than any settings name, a few KB
--- a/lichencleat/recovery/state.py
+++ b/lichencleat/recovery/state.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.leases.lease_state import LeaseState
 from lichencleat.recovery.messages import (
     JOB,
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -10,9 +10,8 @@
 from twisted.internet.error import CannotListenError
 
 from lichencleat.admission.types import NodeSpec
-from lichencleat.clocks import make_reactor, unix_time
 from lichencleat.config.errors import InvalidConfigError
-from lichencleat.consensus.client import Client
+from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
 from lichencleat.failover.controller_task import FailoverControllerTask
 from lichencleat.failover.messages import Zone
 from lichencleat.leases.lease_client import LeaseClient
@@ -20,14 +19,14 @@
 from lichencleat.node.assembly import UnixClock
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.structured import StructuredReport
-from lichencleat.programs import run_program
+from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.router.core import Router
 from lichencleat.router.door import Callers, RouterHost
 from lichencleat.router.file import RouterChoice, RouterFile, parse_address, read_router
 from lichencleat.router.health_reporter import HealthReporter
 from lichencleat.router.links import LINKS_MOST
+from lichencleat.transport.group_client import GroupClient
 
-STOPPED, WRONG = 0, 2  # exit codes
 BELIEFS = 10_000_000  # µs between lines that tell what the router believes
 LOOK = 20_000  # µs between looks whether all is answered, while leaving
 CROSSING = 300_000  # µs after goaway for what crosses it, and for the last answers to go out
@@ -44,7 +43,7 @@
     ) -> None:
         self.reactor, self.path, self.chosen, self.machine = reactor, path, file.router, machine
         chosen = file.router
-        self.code = STOPPED
+        self.exit_code = EXIT_STOPPED
         self.clock = UnixClock()
         self.log = create_logger(
             unix_time, file.log.form, process=chosen.name, role="router", zone=chosen.zone, pid=os.getpid()
@@ -83,7 +82,7 @@
             None,
             int(chosen.memory_mb * MB),
         )
-        self.clients: list[Client] = []
+        self.clients: list[GroupClient] = []
         self.telling: HealthReporter | None = None
         self.holder: LeaseClient | None = None
         self.stop_at: int | None = None
@@ -95,7 +94,7 @@
             self.callers.listen(self.reactor, (host, port))
         except CannotListenError as wrong:
             self.log.warning("can't start", reason=str(wrong))
-            self.stop(WRONG)
+            self.stop(EXIT_CANNOT_START)
             return
         for number, call in ((signal.SIGHUP, self.reload), (signal.SIGUSR1, self.tell_beliefs)):
             signal.signal(number, lambda *_, call=call: self.reactor.callFromThread(call))
@@ -117,9 +116,9 @@
             self.holder.leases.job_prefixes = ["zones"]
             self.holder.start()
 
-    def client(self, group: str) -> Client:
+    def client(self, group: str) -> GroupClient:
         addresses = [parse_address(each) for each in self.chosen.members]
-        made = Client(self.reactor, group, addresses, self.rng, self.chosen.name)
+        made = GroupClient(self.reactor, group, addresses, self.rng, self.chosen.name)
         self.clients.append(made)
         return made
 
@@ -157,7 +156,7 @@
 
     # -- leaving -----------------------------------------------------------------------------------------
 
-    def told_to_leave(self) -> None:
+    def request_stop(self) -> None:
         """The notice: only the first one counts. What is in hand is answered, callers are asked to go."""
         if self.stop_at is not None or self.ended:
             return
@@ -194,14 +193,14 @@
         self.log.info("left", unanswered=self.host.owed())
         if len(self.callers.connections):
             self.callers.shut()
-            self.deadlines.after(LAST, self.stop, STOPPED)
+            self.deadlines.after(LAST, self.stop, EXIT_STOPPED)
         else:
-            self.stop(STOPPED)
+            self.stop(EXIT_STOPPED)
 
     def stop(self, code: int) -> None:
         if self.ended:
             return
-        self.ended, self.code = True, code
+        self.ended, self.exit_code = True, code
         self.host.close()
         for client in self.clients:
             client.close()
@@ -226,4 +225,4 @@
 def run(path: str, file: RouterFile, machine: NodeSpec, tenants: frozenset[bytes]) -> int:
     """The exit code: 0 told to leave, 2 could not start."""
     reactor = make_reactor()
-    return run_program(reactor, Running(reactor, path, file, machine, tenants))
+    return run_daemon(reactor, Running(reactor, path, file, machine, tenants))
--- a/lichencleat/store/segments.py
+++ b/lichencleat/store/segments.py
@@ -7,7 +7,7 @@
 import msgspec
 from crc32c import crc32c
 
-from lichencleat.decoding import UNDECODABLE
+from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.store import file_names, framing
 from lichencleat.store.disk import FileHandle
 
--- a/lichencleat/testkit/cluster/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -17,14 +17,15 @@
 
 import yaml
 
-from lichencleat.clocks import RIG
-from lichencleat.consensus.client import Client, GroupError
-from lichencleat.consensus.facts import Changed, Fact
+from lichencleat.consensus.key_value import KeyValueEntry, SetResult
 from lichencleat.testkit.checkers.linear import Call
 from lichencleat.testkit.cluster import clock
 from lichencleat.testkit.cluster.heldback import FULL
 from lichencleat.testkit.cluster.relay import CLIENT, LOCAL, Relays
+from lichencleat.transport.errors import RequestFailedError
+from lichencleat.transport.group_client import GroupClient
 
+PROGRAM = "lichencleat.testkit.cluster.run_program"
 OLDER = "lichencleat.testkit.cluster.older_voter"
 PATIENCE = 10.0  # s: only a failing test waits so long
 FAST = {"beat_ms": 30, "election_ms": 180, "spread_ms": 180, "transfer_ms": 400}
@@ -162,13 +163,13 @@
         self.relays: Any = relays or Relays()
         self.children: list[subprocess.Popen] = []
         self.reserved: list[socket.socket] = []
-        self.clients: list[Client] = []
+        self.clients: list[GroupClient] = []
         self.voters: dict[str, Voter] = {}
         for number in range(1, voters + 1):
             name = f"v{number}"
             self.voters[name] = Voter(self, name, disk)
 
-    def program(self, words: list[str], module: str = "lichencleat", **more: Any) -> subprocess.Popen:
+    def program(self, words: list[str], module: str = PROGRAM, **more: Any) -> subprocess.Popen:
         root = Path(__file__).resolve().parents[3]
         child = subprocess.Popen([sys.executable, "-m", module, *words], cwd=root, **more)
         self.children.append(child)
@@ -176,7 +177,7 @@
 
     def variables(self, name: str) -> dict[str, str]:
         """The environment of the process of that name: its clocks run by the rig's word."""
-        return {**os.environ, RIG: self.clock_file(name)}
+        return {**os.environ, clock.CLOCK_FILE_VARIABLE: self.clock_file(name)}
 
     def clock_file(self, name: str) -> str:
         return str(self.path / f"{name}.clock")
@@ -215,7 +216,7 @@
         def promoted() -> bool:
             try:
                 self.ask(client.call, "add", [*who, True], PATIENCE)
-            except GroupError:
+            except RequestFailedError:
                 return False
             return True
 
@@ -223,27 +224,27 @@
 
     # -- looking -------------------------------------------------------------------------------------
 
-    def client(self) -> Client:
+    def client(self) -> GroupClient:
         addresses = [(LOCAL, each.relay) for each in self.voters.values()]
         made = self.relays.call(
-            Client, self.relays.reactor, GROUP, addresses, random.Random(len(self.clients))
+            GroupClient, self.relays.reactor, GROUP, addresses, random.Random(len(self.clients))
         )
         self.clients.append(made)
         return made
 
     def ask(self, call: Callable[..., Any], *args: Any) -> Any:
-        """Does a client's call on the relays' reactor and waits for it. Raises GroupError."""
+        """Does a client's call on the relays' reactor and waits for it. Raises RequestFailedError."""
         return self.relays.call(call, *args)
 
     def status(self, voter: Voter) -> dict[str, Any] | None:
         if voter.running is None or voter.running.poll() is not None:
             return None
         made = self.relays.call(
-            Client, self.relays.reactor, GROUP, [(LOCAL, voter.port)], random.Random(1)
+            GroupClient, self.relays.reactor, GROUP, [(LOCAL, voter.port)], random.Random(1)
         )  # past the relay: a look is no traffic
         try:
             return self.ask(made.call, "status", None, 1.0)
-        except GroupError:
+        except RequestFailedError:
             return None
         finally:
             self.relays.call(made.close)
@@ -353,13 +354,13 @@
         call.returned = self.now()
         name = call.what[1]
         if call.what[0] == "get":
-            fact = Fact(*told) if told else None
+            fact = KeyValueEntry(*told) if told else None
             self.known[name] = (fact.value, fact.revision) if fact else (None, 0)
             call.told = self.known[name][0]
             return
-        answer = Changed(*told)
-        call.told = answer.done
-        if answer.done:
+        answer = SetResult(*told)
+        call.told = answer.is_applied
+        if answer.is_applied:
             self.known[name] = call.what[2], answer.revision
 
     def count(self) -> int:
