--- a/lichencleat/idempotency/earlier_runs.py
+++ b/lichencleat/idempotency/earlier_runs.py
@@ -63,7 +63,7 @@
         if run is None:
             return
         self._report.count("keyed", f"earlier runs told of: {outcome.name.lower()}")
-        if outcome not in (Outcome.COMPLETED, Outcome.ERRED):
+        if outcome not in (Outcome.COMPLETED, Outcome.FAILED):
             self._answer_waiting(run.key, None)
             return
         completed = complete_record(run.record, outcome, result)
--- a/lichencleat/idempotency/intents.py
+++ b/lichencleat/idempotency/intents.py
@@ -74,7 +74,7 @@
         key, body_digest = split_request_key(case.key)
         record = IdempotencyRecord(
             RecordState.OPEN,
-            request.tariff.name,
+            request.request_class.name,
             arrived=self._time.from_unix(request.arrived),
             expires=self._time.now() + window,
             due=self._time.from_unix(request.due),
--- a/lichencleat/idempotency/lookups.py
+++ b/lichencleat/idempotency/lookups.py
@@ -40,7 +40,7 @@
             self._report.count("keyed", "keys with another body")
             self._engine.refuses(case)
             return False
-        case.request.repeats_unknown = found is not LookupResult.NEW
+        case.request.original_unknown = found is not LookupResult.NEW
         return True
 
     def answer_repeat(self, case: PendingRequest) -> None:
--- a/lichencleat/recovery/interfaces.py
+++ b/lichencleat/recovery/interfaces.py
@@ -6,10 +6,11 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable, Mapping, Sized
+from collections.abc import Callable, Mapping
 from typing import Protocol
 
-from lichencleat.admission.types import Machine, Tariff
+from lichencleat.admission.service_times import ServiceTimes
+from lichencleat.admission.types import NodeSpec, RequestClass
 
 StoreReader = Callable[[bytes], bytes | None]  # the stored value of a key, None if there is none
 
@@ -18,15 +19,11 @@
     """The admission decisions, as far as they know how long runs take."""
 
     @property
-    def run_times(self) -> Mapping[Tariff, Sized]:
-        """The last run times, by request class."""
+    def service_times(self) -> ServiceTimes:
+        """The last service times, by request class."""
         ...
 
-    def usual_run(self, tariff: Tariff | None = None) -> float:
-        """µs of a usual run of a request class."""
-        ...
-
-    def ran_before(self, now: int, tariff: Tariff, took: int) -> None:
+    def seed_run_time(self, now: int, request_class: RequestClass, took: int) -> None:
         """Take a run of the previous process as a first estimate."""
         ...
 
@@ -35,7 +32,7 @@
     """The request engine of a node that recovers."""
 
     @property
-    def machine(self) -> Machine:
+    def machine(self) -> NodeSpec:
         """The settings of the node."""
         ...
 
@@ -45,7 +42,7 @@
         ...
 
     @property
-    def tariffs(self) -> Mapping[bytes, Tariff]:
+    def request_classes(self) -> Mapping[bytes, RequestClass]:
         """The request classes by name."""
         ...
 
--- a/lichencleat/recovery/service_time_store.py
+++ b/lichencleat/recovery/service_time_store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lichencleat.admission.controller import RUNS_FEW
+from lichencleat.admission.service_times import RUNS_FEW
 from lichencleat.leases.interfaces import Logger
 from lichencleat.recovery.interfaces import RecoveringHost, StoreReader
 from lichencleat.recovery.service_times import encode_merged, load_service_times
@@ -28,7 +28,7 @@
     def on_store_opened(self, read: StoreReader) -> None:
         """Load the service times of the previous process."""
         machine = self.host.machine
-        max_run_times = {each.name: each.hard_limit for each in machine.tariffs}
+        max_run_times = {each.name: each.deadline for each in machine.request_classes}
         loaded = load_service_times(read(SERVICE_TIMES_KEY), machine.cores, max_run_times)
         self.previous = loaded.run_times
         self.is_pending = bool(self.previous)
@@ -46,9 +46,9 @@
     def to_entry(self, is_last: bool) -> tuple[bytes, bytes]:
         """Return key and value to be stored with a heartbeat."""
         node = self.host.node
-        run_times = node.run_times if node is not None else {}
+        run_times = node.service_times.samples if node is not None else {}
         current = {
-            each.name: int(node.usual_run(each))
+            each.name: int(node.service_times.usual(each))
             for each, times in run_times.items()
             if node is not None and len(times) >= RUNS_FEW
         }
@@ -60,4 +60,4 @@
         if self.is_pending and node is not None:
             self.is_pending = False
             for name, duration in self.previous.items():
-                node.ran_before(self.host.clock(), self.host.tariffs[name.encode()], duration)
+                node.seed_run_time(self.host.clock(), self.host.request_classes[name.encode()], duration)
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -9,7 +9,7 @@
 
 from twisted.internet.error import CannotListenError
 
-from lichencleat.admission.types import Machine
+from lichencleat.admission.types import NodeSpec
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
 from lichencleat.failover.controller_task import FailoverControllerTask
@@ -39,7 +39,7 @@
     """Brings a router up on the reactor, and down at a signal."""
 
     def __init__(
-        self, reactor: Any, path: str, file: RouterFile, machine: Machine, tenants: frozenset[bytes]
+        self, reactor: Any, path: str, file: RouterFile, machine: NodeSpec, tenants: frozenset[bytes]
     ) -> None:
         self.reactor, self.path, self.chosen, self.machine = reactor, path, file.router, machine
         chosen = file.router
@@ -56,11 +56,11 @@
             chosen.zone,
             zones_of(chosen),
             {name: list(each.nodes) for name, each in chosen.zones.items()},
-            machine.told,
+            machine.capacity_signal,
             self.rng,
             self.clock(),
             chosen.routers,
-            machine.grace,
+            machine.drain_grace_us,
         )
         self.host = RouterHost(
             reactor,
@@ -171,7 +171,7 @@
         if self.holder is not None:
             self.holder.leave()
         latest = max(0, self.stop_at - now - CLOSED_BY - CROSSING)
-        self.deadlines.after(min(self.machine.grace, latest), self.look)
+        self.deadlines.after(min(self.machine.drain_grace_us, latest), self.look)
 
     def look(self) -> None:
         """After the grace nothing new is sent: the program ends as soon as all is answered."""
@@ -222,7 +222,7 @@
     }
 
 
-def run(path: str, file: RouterFile, machine: Machine, tenants: frozenset[bytes]) -> int:
+def run(path: str, file: RouterFile, machine: NodeSpec, tenants: frozenset[bytes]) -> int:
     """The exit code: 0 told to leave, 2 could not start."""
     reactor = make_reactor()
     return run_daemon(reactor, Running(reactor, path, file, machine, tenants))
--- a/tests/node/test_host.py
+++ b/tests/node/test_host.py
@@ -3,7 +3,7 @@
 import pytest
 from net_parts import ID, SECOND
 
-from lichencleat.admission.types import Act, Decision, Outcome, Request
+from lichencleat.admission.types import Action, Decision, Outcome, Request
 from lichencleat.node.host import Answer, Case
 from lichencleat.node.interpreter import Run
 
@@ -20,50 +20,50 @@
 
 def test_a_run_that_ends_by_itself_means_that_its_caller_left(host, case, answers):
     case.run = Run(ID, print, print)
-    host.node.running[case.request] = None
-    host.run_ended(case, Outcome.STOPPED, 0, b"")
-    assert answers == [Answer.GIVEN_UP] and not host.node.held and not len(host.cases)
+    host.node.pools.running[case.request] = None
+    host.run_ended(case, Outcome.ABORTED, 0, b"")
+    assert answers == [Answer.GIVEN_UP] and not host.node.pools.queued and not len(host.cases)
 
 
 def test_a_stopped_run_goes_back_to_the_hold_where_its_answer_is_owed(host, case, answers):
     case.run = Run(ID, print, print)
     case.run.stopping = True
-    host.node.running[case.request] = None
-    host.run_ended(case, Outcome.STOPPED, 0, b"")
-    assert not answers and case.request in host.node.held
+    host.node.pools.running[case.request] = None
+    host.run_ended(case, Outcome.ABORTED, 0, b"")
+    assert not answers and case.request in host.node.pools.queued
 
 
 def test_a_call_that_was_dropped_tells_the_decisions_nothing(host, case, place):
-    host.node.calling[case.request] = None
-    host.call_ended(case, place()[0], Outcome.CUT, b"")
-    assert case.request in host.node.calling and not host.node.call_times
+    host.node.pools.calling[case.request] = None
+    host.call_ended(case, place()[0], Outcome.INTERRUPTED, b"")
+    assert case.request in host.node.pools.calling and not host.node.calls.times
 
 
 def test_a_call_spends_its_connection_for_that_request(host, case):
-    host.place_call(Decision(Act.CALL, case.request, span=SECOND), case)
+    host.place_call(Decision(Action.CALL, case.request, duration_us=SECOND), case)
     assert case.spent == list(host.catalogue.links)
 
 
 def test_what_proved_not_to_have_run_leaves_its_key_to_a_repeat(host, case, answers):
     host.receipts.read(b"k", case.request)
     host.receipts.record(0, b"k", case.request, SECOND)
-    host.node.receipts[case.request] = SECOND
+    host.node.records.expiry[case.request] = SECOND
     case.run, case.request.started = Run(ID, print, print), 1
-    host.node.running[case.request] = None
-    host.run_ended(case, Outcome.UNREACHED, 0, b"")
+    host.node.pools.running[case.request] = None
+    host.run_ended(case, Outcome.UNREACHABLE, 0, b"")
     host.pull()
     assert answers == [Answer.GIVEN_UP] and not host.receipts.by_key
 
 
 def test_a_try_deferred_before_it_was_recorded_leaves_no_entry(host, case):
     host.receipts.read(b"k", case.request)
-    host.defer(Decision(Act.DEFER, case.request), case)
+    host.defer(Decision(Action.REJECT, case.request), case)
     assert not host.receipts.by_key and not host.receipts.by_request
 
 
 def test_an_error_with_one_request_fails_that_one_alone(host, case, answers, report):
-    host.carries_out[Act.DEFER] = lambda decision, case: 1 / 0
-    host.carry_out(Decision(Act.DEFER, case.request))
+    host.carries_out[Action.REJECT] = lambda decision, case: 1 / 0
+    host.carry_out(Decision(Action.REJECT, case.request))
     assert answers == [Answer.GIVEN_UP] and report.counts["node errors"] == 1
 
 
@@ -79,25 +79,25 @@
 
 @pytest.mark.parametrize("up_after", [0.0, 0.1, 5.0])
 def test_the_grace_counts_from_the_notice_also_where_the_interpreter_is_up_later(host, reactor, up_after):
-    host.node, host.machine.grace = None, SECOND
+    host.node, host.machine.drain_grace_us = None, SECOND
     reactor.advance(10)
     host.must_leave(20 * SECOND)
     reactor.advance(up_after)
     host.begin(False)
-    assert host.node.no_run_after == 11 * SECOND
+    assert host.node.draining.no_run_after == 11 * SECOND
 
 
 def test_sharers_of_a_run_that_failed_are_given_up(host, receipted, answers):
     first, second = Request(receipted, 0, 0, started=1), Request(receipted, 0, 0)
-    second.repeats = first
+    second.original = first
     cases = [Case(each, ID, b"", b"k", lambda *answer: answers.append(answer[0])) for each in (first, second)]
     for each in cases:
         each.request.number = host.cases.take(each)
     host.receipts.record(0, b"k", first, SECOND)
-    host.node.running[first] = host.node.sharing[second] = None
-    host.share(Decision(Act.SHARE, second), cases[1])
+    host.node.pools.running[first] = host.node.pools.coalesced[second] = None
+    host.share(Decision(Action.COALESCE, second), cases[1])
     assert list(host.receipts.by_request[first].sharers) == [cases[1]]
-    host.run_ended(cases[0], Outcome.ERRED, 0, b"")
+    host.run_ended(cases[0], Outcome.FAILED, 0, b"")
     assert answers == [Answer.GIVEN_UP] * 2 and not len(host.cases)
 
 
@@ -110,7 +110,7 @@
 
 
 def test_a_sharer_whose_caller_left_waits_no_longer(host, case, receipted):
-    case.request.repeats = first = Request(receipted, 0, 0, started=1)
+    case.request.original = first = Request(receipted, 0, 0, started=1)
     host.receipts.record(0, b"k", first, SECOND)
     host.receipts.share(first, case)
     host.caller_left(case)
--- a/tests/recovery/recovering_host.py
+++ b/tests/recovery/recovering_host.py
@@ -2,9 +2,9 @@
 
 from types import SimpleNamespace
 
-from service_time_cases import TARIFFS
+from service_time_cases import REQUEST_CLASSES
 
-from lichencleat.admission.types import Machine
+from lichencleat.admission.types import NodeSpec
 from lichencleat.node.host import Host
 
 
@@ -18,8 +18,10 @@
 
 def make_host():
     """A host whose interpreter is not up yet."""
-    machine = Machine(cores=2, tariffs=TARIFFS)
-    made = SimpleNamespace(machine=machine, node=None, tariffs={t.name.encode(): t for t in TARIFFS})
+    machine = NodeSpec(cores=2, request_classes=REQUEST_CLASSES)
+    made = SimpleNamespace(
+        machine=machine, node=None, request_classes={t.name.encode(): t for t in REQUEST_CLASSES}
+    )
     made.clock = lambda: 0
     made.told = []
     made.may_serve = lambda *what: made.told.append(what)
--- a/tests/recovery/test_recovery_reporter.py
+++ b/tests/recovery/test_recovery_reporter.py
@@ -6,7 +6,7 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.task import Clock
 
-from lichencleat.admission.controller import Node
+from lichencleat.admission.controller import AdmissionController
 from lichencleat.recovery.boot_record import ClockCheck
 from lichencleat.recovery.boot_record_store import BootRecordStore
 from lichencleat.recovery.readiness_gate import ReadinessGate
@@ -33,7 +33,7 @@
         reactor, Client(), host, gate, record, lambda: True, lambda: 0, RecordingLog()
     )
     reporter.service_times.on_store_opened({SERVICE_TIMES_KEY: encode_merged(2, {}, {"look": 20_000})}.get)
-    host.node = Node(host.machine, random.Random(1))
+    host.node = AdmissionController(host.machine, random.Random(1))
     reporter.start()
     assert [each.speed for each in reports] == [50.0] and host.told[0][0] == 0.0
     reporter.stop()
--- a/tests/recovery/test_service_times.py
+++ b/tests/recovery/test_service_times.py
@@ -4,10 +4,11 @@
 
 import msgspec
 import pytest
-from service_time_cases import LONGEST, SECOND, TARIFFS, complete_run
+from service_time_cases import LONGEST, REQUEST_CLASSES, SECOND, complete_run
 
-from lichencleat.admission.controller import RUNS_FEW, Node
-from lichencleat.admission.types import Machine
+from lichencleat.admission.controller import AdmissionController
+from lichencleat.admission.service_times import RUNS_FEW
+from lichencleat.admission.types import NodeSpec
 from lichencleat.recovery.service_times import (
     FORMAT,
     MAX_CLASSES,
@@ -58,12 +59,15 @@
 
 
 def test_admission_outweighs_the_estimate_by_the_first_runs():
-    look, save = TARIFFS
-    node = Node(Machine(cores=2, tariffs=TARIFFS), random.Random(1))
-    node.ran_before(0, look, 900)
-    assert node.usual_run(look) == node.usual_run(save) == 900
+    look, save = REQUEST_CLASSES
+    node = AdmissionController(NodeSpec(cores=2, request_classes=REQUEST_CLASSES), random.Random(1))
+    node.seed_run_time(0, look, 900)
+    assert node.service_times.usual(look) == node.service_times.usual(save) == 900
     for _ in range(RUNS_FEW - 1):
         complete_run(node, look, 100)
-    assert node.usual_run(look) == 100
-    node.ran_before(0, look, 900)
-    assert list(node.run_times[look]) == [900, 100, 100, 100] and not node.run_times[save]
+    assert node.service_times.usual(look) == 100
+    node.seed_run_time(0, look, 900)
+    assert (
+        list(node.service_times.samples[look]) == [900, 100, 100, 100]
+        and not node.service_times.samples[save]
+    )
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -7,8 +7,8 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from lichencleat.admission.types import Effect, Machine, Tariff
-from lichencleat.admission.types import Told as Value
+from lichencleat.admission.types import CapacitySignal as Value
+from lichencleat.admission.types import Effect, NodeSpec, RequestClass
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.failover.messages import Zone
 from lichencleat.node.deadlines import Deadlines
@@ -177,8 +177,8 @@
 # -- the whole router but for its sockets ------------------------------------------------------------------
 
 
-LOOK = Tariff("look", soft_limit=SECOND, hard_limit=4 * SECOND)
-SAVE = Tariff("save", Effect.RECEIPTED, soft_limit=SECOND, hard_limit=4 * SECOND, window=10 * SECOND)
+LOOK = RequestClass("look", latency_objective=SECOND, deadline=4 * SECOND)
+SAVE = RequestClass("save", Effect.KEYED, latency_objective=SECOND, deadline=4 * SECOND, window=10 * SECOND)
 
 
 @pytest.fixture
@@ -187,8 +187,10 @@
         return int(reactor.seconds() * SECOND)
 
     rng = random.Random(1)
-    machine = Machine(tariffs=[LOOK, SAVE], told=Value.LEVEL, advice_most=500_000)
-    core = Router("a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, Value.LEVEL, rng, clock())
+    machine = NodeSpec(
+        request_classes=[LOOK, SAVE], capacity_signal=Value.PRIORITY_THRESHOLD, max_retry_after_us=500_000
+    )
+    core = Router("a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, Value.PRIORITY_THRESHOLD, rng, clock())
     addresses = {"n1": ("10.0.0.1", 1), "n2": ("10.0.0.2", 2)}
     return RouterHost(reactor, core, machine, addresses, clock, deadlines, report, rng)
 
@@ -200,7 +202,7 @@
     return made
 
 
-def req(reactor, tag, tariff=b"look", ident=b"00000000000000a1", **more):
+def req(reactor, tag, request_class=b"look", ident=b"00000000000000a1", **more):
     fields = {
         "i": ident.decode(),
         "s": int(reactor.seconds() * 1000),
@@ -210,7 +212,7 @@
         **more,
     }
     text = ",".join(f"{name}={value}" for name, value in fields.items()).encode()
-    return b"".join(array(b"REQ", b"%d" % tag, tariff, text, b"body")), text
+    return b"".join(array(b"REQ", b"%d" % tag, request_class, text, b"body")), text
 
 
 def turn(reactor):
@@ -236,7 +238,7 @@
 
 
 def test_a_second_try_goes_elsewhere_with_all_but_its_name(reactor, host, caller):
-    data, text = req(reactor, 7, k=KEY.decode(), tariff=b"save")
+    data, text = req(reactor, 7, k=KEY.decode(), request_class=b"save")
     caller.dataReceived(data)
     turn(reactor)
     first = connected(reactor)
@@ -275,7 +277,7 @@
 def test_a_node_that_never_answers_costs_its_caller_no_lateness_and_is_not_sent_more_there(
     reactor, host, caller
 ):
-    caller.dataReceived(req(reactor, 1, tariff=b"save", k=KEY.decode())[0])
+    caller.dataReceived(req(reactor, 1, request_class=b"save", k=KEY.decode())[0])
     turn(reactor)
     link = connected(reactor)
     for _ in range(400):
@@ -336,7 +338,9 @@
 def test_a_file_is_read_with_the_settings_that_it_names(written):
     for settings in (SETTINGS, {"settings": SETTINGS, "name": "n1"}):
         file, machine, tenants = read_router(written(settings=settings))
-        assert file.router.zones["b"].far_ms == 20 and [each.name for each in machine.tariffs] == ["look"]
+        assert file.router.zones["b"].far_ms == 20 and [each.name for each in machine.request_classes] == [
+            "look"
+        ]
         assert not tenants
 
 
