--- a/lichencleat/admission/node_spec.py
+++ b/lichencleat/admission/node_spec.py
@@ -1,8 +1,13 @@
-"""Start settings, as the bench and the platform both hand them, made into the `NodeSpec` of the decisions."""
+"""Decoder of a node's start settings into `NodeSpec`, for the bench adapter and the platform's node.
+
+Unknown keys are ignored. A known key with a value that the wire does not allow raises `InvalidInputError`.
+"""
 
 from __future__ import annotations
 
-from typing import Any
+from collections.abc import Iterator, Mapping, Sequence
+from dataclasses import dataclass
+from typing import TypeVar
 
 from lichencleat.admission.types import (
     CapacitySignal,
@@ -15,145 +20,246 @@
 )
 
 EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.KEYED, "single_shot": Effect.NON_IDEMPOTENT}
-HALTS = {"none": Preemption.NONE, "abort": Preemption.ABORT, "suspend": Preemption.SUSPEND}
-TOLD = {
+PREEMPTIONS = {"none": Preemption.NONE, "abort": Preemption.ABORT, "suspend": Preemption.SUSPEND}
+CAPACITY_SIGNALS = {
     "none": CapacitySignal.NONE,
     "threshold": CapacitySignal.PRIORITY_THRESHOLD,
     "window": CapacitySignal.WINDOW,
     "share_of": CapacitySignal.PROBABILITY,
 }
-BELOW = {"none": Downstream.NONE, "shared": Downstream.SHARED, "tier": Downstream.TIER}
-GAUGES = {
+DOWNSTREAMS = {"none": Downstream.NONE, "shared": Downstream.SHARED, "tier": Downstream.TIER}
+GAUGES = {  # the wire's names of gauges, and the fields of ResourceUsage
     "cpu_busy": "busy",
     "runnable": "runnable",
     "mem_used": "memory",
     "sockets": "connections",
 }
 
+MAX_AMOUNT = 1e12  # more than the seconds, kilobytes or calls of any machine
+MICROSECONDS_PER_SECOND = 1_000_000
+ROOT = "settings"  # path of the whole settings
 
-MAX_AMOUNT = 1e12  # of any figure: more than the seconds, kilobytes or calls of any machine
+ValueT = TypeVar("ValueT")
 
 
 class InvalidInputError(Exception):
-    """A line that is not what the wire allows; its text says what and where."""
+    """Input that the wire does not allow; its text says what and where."""
+
+
+class InvalidAmountError(InvalidInputError):
+    """A setting that is not a number, below 0 or above `MAX_AMOUNT`."""
+
+    def __init__(self, path: str, value: object) -> None:
+        super().__init__(f"{path}: no figure from 0 to {MAX_AMOUNT:.0e}: {value!r:.60}")
+        self.path = path
+        self.value = value
+
+
+class InvalidTypeError(InvalidInputError):
+    """A setting that is not of the expected container type."""
+
+    def __init__(self, path: str, expected: type, value: object) -> None:
+        super().__init__(f"{path}: no {expected.__name__}: {value!r:.60}")
+        self.path = path
+        self.expected = expected
+        self.value = value
+
+
+class UnknownValueError(InvalidInputError):
+    """A value that is none of the names allowed in its place."""
+
+    def __init__(self, path: str, value: object) -> None:
+        super().__init__(f"{path}: unknown value {value!r:.60}")
+        self.path = path
+        self.value = value
+
+
+class UnnamedEntryError(InvalidInputError):
+    """An entry of a list (a class or a tenant) that is not an object with a name."""
 
+    def __init__(self, path: str, entry_kind: str, value: object) -> None:
+        super().__init__(f"{path}: no {entry_kind} with its name: {value!r:.60}")
+        self.path = path
+        self.value = value
 
-def micros(seconds: float | None) -> int:
-    return round((seconds or 0) * 1_000_000)
 
+def to_microseconds(seconds: float | None) -> int:
+    """Convert seconds to whole microseconds; None counts as 0."""
+    return round((seconds or 0) * MICROSECONDS_PER_SECOND)
 
-def amount(told: dict, key: str, where: str) -> float:
-    """A figure of the settings, 0 where it is not told. Guards the decisions against what is no figure.
 
-    Raises InvalidInputError for one that is no number, below 0, or beyond any machine.
+def look_up(table: Mapping[str, ValueT], name: object, default: ValueT, path: str) -> ValueT:
+    """Return the table's value for a name, or the default if the name is None.
+
+    Raises:
+        UnknownValueError: if the name is not in the table.
+    """
+    if name is None:
+        return default
+    if not isinstance(name, str) or name not in table:
+        raise UnknownValueError(path, name)
+    return table[name]
+
+
+def check_amount(value: object, path: str) -> float:
+    """Return a number of the settings, 0 if it is None.
+
+    Raises:
+        InvalidAmountError: if it is not a number from 0 to `MAX_AMOUNT`.
     """
-    value = told.get(key)
     if value is None:
         return 0
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 <= value <= MAX_AMOUNT:
-        raise InvalidInputError(f"{where}.{key}: no figure from 0 to {MAX_AMOUNT:.0e}: {value!r:.60}")
+        raise InvalidAmountError(path, value)
     return value
 
 
-def part(told: dict, key: str, kind: type, where: str) -> Any:
-    """Return a part of the settings, empty where it is missing.
+@dataclass(frozen=True, slots=True)
+class Section:
+    """A JSON object of the settings with its path, which error texts name."""
 
-    Raises:
-        InvalidInputError: if it is of another type.
-    """
-    value = told.get(key)
-    if value is not None and not isinstance(value, kind):
-        raise InvalidInputError(f"{where}{key}: no {kind.__name__}: {value!r:.60}")
-    return kind() if value is None else value
+    values: Mapping[str, object]
+    path: str = ROOT
 
+    def amount(self, key: str) -> float:
+        """Return a number, 0 if it is missing; raises InvalidAmountError."""
+        return check_amount(self.values.get(key), f"{self.path}.{key}")
 
-def choose(table: dict[str, Any], name: Any, default: Any, where: str) -> Any:
-    if name is None:
-        return default
-    if not isinstance(name, str) or name not in table:
-        raise InvalidInputError(f"{where}: unknown value {name!r:.60}")
-    return table[name]
+    def duration_us(self, key: str) -> int:
+        """Return a duration, given in seconds, in µs; 0 if it is missing. Raises InvalidAmountError."""
+        return to_microseconds(self.amount(key))
+
+    def choice(self, key: str, table: Mapping[str, ValueT], default: ValueT) -> ValueT:
+        """Return the table's value for the name under a key; raises UnknownValueError."""
+        return look_up(table, self.values.get(key), default, f"{self.path}.{key}")
+
+    def flag(self, key: str) -> bool:
+        """Return whether a key has a true value."""
+        return bool(self.values.get(key))
+
+    def section(self, key: str) -> Section:
+        """Return a nested object, empty if it is missing; raises InvalidTypeError."""
+        return Section(self._container(key, dict), key)
+
+    def entries(self, key: str) -> list[object]:
+        """Return a list, empty if it is missing; raises InvalidTypeError."""
+        return self._container(key, list)
+
+    def named_entries(self, key: str, entry_kind: str) -> Iterator[tuple[str, Section]]:
+        """Yield the names and sections of a list of objects.
+
+        Raises:
+            InvalidTypeError: if the value is not a list.
+            UnnamedEntryError: if an entry is not an object with a name.
+        """
+        for index, entry in enumerate(self.entries(key)):
+            path = f"{key}[{index}]"
+            name = entry.get("name") if isinstance(entry, dict) else None
+            if not isinstance(entry, dict) or not isinstance(name, str):
+                raise UnnamedEntryError(path, entry_kind, entry)
+            yield name, Section(entry, path)
 
+    def _container(self, key: str, kind: type[ValueT]) -> ValueT:
+        value = self.values.get(key)
+        if value is None:
+            return kind()
+        if not isinstance(value, kind):
+            raise InvalidTypeError(key if self.path == ROOT else f"{self.path}.{key}", kind, value)
+        return value
 
-def decode_shares(told: dict) -> dict[str, float]:
-    """Each tenant's share, in requests a second at one of the nodes that there are at this start."""
-    nodes, shares = max(1.0, amount(told, "servers", "settings")), {}
-    for at, each in enumerate(part(told, "orgs", list, "")):
-        where = f"orgs[{at}]"
-        if not isinstance(each, dict) or not isinstance(each.get("name"), str):
-            raise InvalidInputError(f"{where}: no tenant with its name: {each!r:.60}")
-        if quota := amount(each, "quotaPerS", where):
-            shares[each["name"]] = quota / nodes
-    return shares
-
-
-def decode_node_spec(told: dict) -> NodeSpec:
-    """The machine as the settings tell it; keys that are not known here are passed over."""
-    own, rules = part(told, "specifics", dict, ""), part(told, "invariants", dict, "")
-    allowed = part(told, "allowed", dict, "")
-    calls, without = (
-        part(own, "classCalls", list, "specifics."),
-        part(own, "classSkipWorth", list, "specifics."),
+
+def decode_tenant_quotas(settings: Section) -> dict[str, float]:
+    """Return each tenant's quota at this node, in requests a second: an equal part for each server."""
+    servers = max(1.0, settings.amount("servers"))
+    quotas = {}
+    for name, tenant in settings.named_entries("orgs", "tenant"):
+        if quota := tenant.amount("quotaPerS"):
+            quotas[name] = quota / servers
+    return quotas
+
+
+def decode_request_classes(settings: Section, specifics: Section) -> list[RequestClass]:
+    """Return the request classes; what they call downstream stands in lists of the node's specifics."""
+    calls = specifics.entries("classCalls")
+    values_without_call = specifics.entries("classSkipWorth")
+    return [
+        decode_request_class(name, section, index, calls, values_without_call)
+        for index, (name, section) in enumerate(settings.named_entries("classes", "class"))
+    ]
+
+
+def decode_request_class(
+    name: str, section: Section, index: int, calls: Sequence[object], values_without_call: Sequence[object]
+) -> RequestClass:
+    """Return one request class; the lists hold a value for each class, or are shorter."""
+    value_without_call = values_without_call[index] if index < len(values_without_call) else 0
+    return RequestClass(
+        name=name,
+        effect=section.choice("effect", EFFECTS, Effect.IDEMPOTENT),
+        latency_objective=to_microseconds(section.amount("aim") or section.amount("deadline")),
+        deadline=section.duration_us("deadline"),
+        value=section.amount("worth"),
+        late_value_share=section.amount("lateWorth"),
+        objective_stretch=section.amount("aimStretch"),
+        window=section.duration_us("window"),
+        calls_downstream=bool(calls[index]) if index < len(calls) else False,
+        value_share_without_call=check_amount(value_without_call, f"specifics.classSkipWorth[{index}].worth"),
     )
 
-    def number(key: str, of: dict = own, where: str = "specifics") -> float:
-        return amount(of, key, where)
-
-    over = told.get("overShareWorth")
-    request_classes = []
-    for at, each in enumerate(part(told, "classes", list, "")):
-        where = f"classes[{at}]"
-        if not isinstance(each, dict) or not isinstance(each.get("name"), str):
-            raise InvalidInputError(f"{where}: no class with its name: {each!r:.60}")
-        skip = {"worth": without[at] if at < len(without) else 0}
-        request_classes.append(
-            RequestClass(
-                name=each["name"],
-                effect=choose(EFFECTS, each.get("effect"), Effect.IDEMPOTENT, f"{where}.effect"),
-                latency_objective=micros(number("aim", each, where) or number("deadline", each, where)),
-                deadline=micros(number("deadline", each, where)),
-                value=number("worth", each, where),
-                late_value_share=number("lateWorth", each, where),
-                objective_stretch=number("aimStretch", each, where),
-                window=micros(number("window", each, where)),
-                calls_downstream=bool(calls[at]) if at < len(calls) else False,
-                value_share_without_call=amount(skip, "worth", f"specifics.classSkipWorth[{at}]"),
-            )
-        )
+
+def decode_node_spec(raw_settings: Mapping[str, object]) -> NodeSpec:
+    """Return the node described by the settings.
+
+    Raises:
+        InvalidInputError: if a known setting has a value that the wire does not allow.
+    """
+    settings = Section(raw_settings)
+    specifics = settings.section("specifics")
+    invariants = settings.section("invariants")
+    allowed = settings.section("allowed")
+    request_classes = decode_request_classes(settings, specifics)
     return NodeSpec(
-        cores=int(number("cores")) or 1,
-        memory_kb=number("memoryKb"),
-        running_memory_factor=number("blowup") or 1.0,
-        record_kb=number("entryKb"),
-        max_concurrency_per_core=number("tipMultiple", rules, "invariants") or 2.0,
-        starts_cold=bool(own.get("cold")),
-        cold_speed_share=number("coldFrom", rules, "invariants") or 1.0,
-        warmup_us=micros(number("cold", rules, "invariants")),
-        preemption=choose(HALTS, own.get("halt"), Preemption.NONE, "specifics.halt"),
-        capacity_signal=choose(TOLD, own.get("advert"), CapacitySignal.NONE, "specifics.advert"),
-        callers=int(number("callers")),
-        max_retry_after_us=micros(number("maxRetryAfter", allowed, "allowed")),
-        downstream=choose(BELOW, own.get("below"), Downstream.NONE, "specifics.below"),
-        call_quota=number("callsOut"),
-        call_quota_window_us=micros(number("depWindow")),
-        idle_timeout_us=micros(number("callerIdle")),
-        freshness_us=micros(number("fresh")),
-        health_checks_do_work=bool(own.get("fullChecks")),
-        drain_grace_us=micros(number("stopSendingWithin", rules, "invariants")),
-        resolution=micros(number("resolution", told, "settings")),
-        callers_send_deadline=bool(own.get("passesDeadline")),
-        value_by_work=told.get("worthBy") == "work",
-        tenant_quotas=decode_shares(told),
-        over_quota_value_share=1.0 if over is None else amount(told, "overShareWorth", "settings"),
+        cores=int(specifics.amount("cores")) or 1,
+        memory_kb=specifics.amount("memoryKb"),
+        running_memory_factor=specifics.amount("blowup") or 1.0,
+        record_kb=specifics.amount("entryKb"),
+        max_concurrency_per_core=invariants.amount("tipMultiple") or 2.0,
+        starts_cold=specifics.flag("cold"),
+        cold_speed_share=invariants.amount("coldFrom") or 1.0,
+        warmup_us=invariants.duration_us("cold"),
+        preemption=specifics.choice("halt", PREEMPTIONS, Preemption.NONE),
+        capacity_signal=specifics.choice("advert", CAPACITY_SIGNALS, CapacitySignal.NONE),
+        callers=int(specifics.amount("callers")),
+        max_retry_after_us=allowed.duration_us("maxRetryAfter"),
+        downstream=specifics.choice("below", DOWNSTREAMS, Downstream.NONE),
+        call_quota=specifics.amount("callsOut"),
+        call_quota_window_us=specifics.duration_us("depWindow"),
+        idle_timeout_us=specifics.duration_us("callerIdle"),
+        freshness_us=specifics.duration_us("fresh"),
+        health_checks_do_work=specifics.flag("fullChecks"),
+        drain_grace_us=invariants.duration_us("stopSendingWithin"),
+        resolution=settings.duration_us("resolution"),
+        callers_send_deadline=specifics.flag("passesDeadline"),
+        value_by_work=raw_settings.get("worthBy") == "work",
+        tenant_quotas=decode_tenant_quotas(settings),
+        over_quota_value_share=decode_over_quota_value_share(settings),
         request_classes=request_classes,
     )
 
 
-def decode_gauges(told: dict) -> list[str | None]:
-    """The gauges in the order in which their readings come; None for one that is not known here."""
-    names = part(part(told, "specifics", dict, ""), "gauges", list, "specifics.")
+def decode_over_quota_value_share(settings: Section) -> float:
+    """Return the share of the value earned beyond a tenant's quota; all of it if it is not set."""
+    if settings.values.get("overShareWorth") is None:
+        return 1.0
+    return settings.amount("overShareWorth")
+
+
+def decode_gauges(raw_settings: Mapping[str, object]) -> list[str | None]:
+    """Return the fields of `ResourceUsage` in the order of the readings; None for an unknown gauge."""
+    names = Section(raw_settings).section("specifics").entries("gauges")
     return [GAUGES.get(name) if isinstance(name, str) else None for name in names]
 
 
-def read_gauges(names: list[str | None], readings: list[float]) -> ResourceUsage:
+def read_gauges(names: Sequence[str | None], readings: Sequence[float]) -> ResourceUsage:
+    """Return the readings as `ResourceUsage`; readings of unknown gauges are ignored."""
     return ResourceUsage(**{name: value for name, value in zip(names, readings, strict=False) if name})
--- a/lichencleat/bench_adapter/wire.py
+++ b/lichencleat/bench_adapter/wire.py
@@ -13,11 +13,11 @@
 from lichencleat.admission.controller import AdmissionController
 from lichencleat.admission.node_spec import (
     InvalidInputError,
-    choose,
     decode_gauges,
     decode_node_spec,
-    micros,
+    look_up,
     read_gauges,
+    to_microseconds,
 )
 from lichencleat.admission.types import Action, Decision, Outcome, Request
 
@@ -56,7 +56,7 @@
             "blocked": self.blocked,
             "called": self.called,
             "clientLeft": self.client_left,
-            "notice": lambda now, left: self.node.start_draining(now, now + micros(left)),
+            "notice": lambda now, left: self.node.start_draining(now, now + to_microseconds(left)),
             "fired": self.fired,
         }
 
@@ -65,8 +65,8 @@
         rank, who, repeat_of, org, subject, marks, cost, left, size, backlog = rest[:10]
         if qos not in self.request_classes:
             raise InvalidInputError(f"inbound {corr!r}: unknown class {qos!r}")
-        request_class, arrived = self.request_classes[qos], now - micros(backlog)
-        due = now + micros(left) if self.passes_limit and left else arrived + request_class.deadline
+        request_class, arrived = self.request_classes[qos], now - to_microseconds(backlog)
+        due = now + to_microseconds(left) if self.passes_limit and left else arrived + request_class.deadline
         request = Request(
             request_class=request_class,
             arrived=arrived,
@@ -78,7 +78,7 @@
             original_unknown=bool(repeat_of) and repeat_of not in self.requests,
             has_key=bool(subject),
             is_retry=bool((marks or 0) & RETRY),
-            cost=micros(cost) if (marks or 0) & HINTED else 0,
+            cost=to_microseconds(cost) if (marks or 0) & HINTED else 0,
             size_kb=size or 0.0,
         )
         self.requests[corr] = request
@@ -88,7 +88,9 @@
     def settled(self, now: int, corr: str, status: str, lag: float | None = None) -> None:
         request = self.requests.get(corr)
         if request is not None:
-            self.node.on_run_completed(now, request, choose(OUTCOMES, status, None, "settled"), micros(lag))
+            self.node.on_run_completed(
+                now, request, look_up(OUTCOMES, status, None, "settled"), to_microseconds(lag)
+            )
 
     def blocked(self, now: int, corr: str) -> None:
         request = self.requests.get(corr)
@@ -98,7 +100,9 @@
     def called(self, now: int, corr: str, status: str, lag: float | None = None) -> None:
         request = self.requests.get(corr)
         if request is not None:
-            self.node.on_call_completed(now, request, choose(OUTCOMES, status, None, "called"), micros(lag))
+            self.node.on_call_completed(
+                now, request, look_up(OUTCOMES, status, None, "called"), to_microseconds(lag)
+            )
 
     def client_left(self, now: int, corr: str) -> None:
         request = self.requests.get(corr)
@@ -180,7 +184,7 @@
         for key, kind in (("clock", (int, float)), ("turn", int), ("nodes", list)):
             if not isinstance(batch.get(key), kind):
                 raise InvalidInputError(f"a batch needs {key!r}, got {batch.get(key)!r}")
-        now, nodes = micros(batch["clock"]), []
+        now, nodes = to_microseconds(batch["clock"]), []
         for entry in batch["nodes"]:
             if not isinstance(entry, dict) or "who" not in entry or not isinstance(entry.get("inbox"), list):
                 raise InvalidInputError(
