--- a/lichencleat/bench_adapter/__init__.py
+++ b/lichencleat/bench_adapter/__init__.py
@@ -1,1 +1,4 @@
-"""The adapter between the simulator's wire and the decisions; it holds no decision."""
+"""The adapter between the operators' simulator and the admission controller; it decides nothing.
+
+`wire` handles batches, `instance` feeds one node's events to its controller, `actions` encodes decisions.
+"""
--- a/lichencleat/bench_adapter/__main__.py
+++ b/lichencleat/bench_adapter/__main__.py
@@ -1,21 +1,23 @@
-"""`python -m lichencleat.bench_adapter`: reads batches on standard input and answers each on standard
-output."""
+"""The program `python -m lichencleat.bench_adapter`: answers batches on standard input on standard output."""
 
 import sys
 
 from lichencleat.admission.node_spec import InvalidInputError
 from lichencleat.bench_adapter.wire import Wire
 
+EXIT_INVALID_INPUT = 2
+
 
 def main() -> int:
+    """Answer batches until the input ends; returns the exit code."""
     wire = Wire()
-    for number, line in enumerate(sys.stdin, 1):
+    for line_number, line in enumerate(sys.stdin, 1):
         try:
-            reply = wire.answer(line)
-        except InvalidInputError as bad:
-            print(f"benchlink: line {number}: {bad}", file=sys.stderr)
-            return 2
-        sys.stdout.write(reply)
+            answer = wire.answer(line)
+        except InvalidInputError as error:
+            print(f"benchlink: line {line_number}: {error}", file=sys.stderr)
+            return EXIT_INVALID_INPUT
+        sys.stdout.write(answer)
         sys.stdout.flush()
     return 0
 
--- a/lichencleat/bench_adapter/wire.py
+++ b/lichencleat/bench_adapter/wire.py
@@ -1,220 +1,124 @@
-"""Decodes batches into calls of the decisions, and encodes what they decide."""
+"""Batches of the simulator's wire: one JSON line in, one JSON line out, for all nodes of the process."""
 
 from __future__ import annotations
 
 import json
-import random
 import sys
 import traceback
-from collections.abc import Callable
-from typing import Any
-from weakref import WeakKeyDictionary, WeakValueDictionary
-
-from lichencleat.admission.controller import AdmissionController
-from lichencleat.admission.node_spec import (
-    InvalidInputError,
-    decode_gauges,
-    decode_node_spec,
-    look_up,
-    read_gauges,
-    to_microseconds,
+from typing import NamedTuple, cast
+
+from lichencleat.admission.node_spec import InvalidInputError, to_microseconds
+from lichencleat.bench_adapter.actions import encode_panic
+from lichencleat.bench_adapter.errors import (
+    InvalidBatchFieldError,
+    InvalidInboxError,
+    InvalidNodeEntryError,
+    InvalidOpeningError,
+    NotAnObjectError,
+    NotJsonError,
+    UnknownInstanceError,
+    UnnamedEventError,
 )
-from lichencleat.admission.types import Action, Decision, Outcome, Request
-
-OUTCOMES = {
-    "completed": Outcome.COMPLETED,
-    "errored": Outcome.FAILED,
-    "saturated": Outcome.REJECTED,
-    "overdue": Outcome.TIMED_OUT,
-    "refused_conn": Outcome.UNREACHABLE,
-    "severed": Outcome.INTERRUPTED,
-    "recalled": Outcome.ABORTED,
-    "superseded": Outcome.SUPERSEDED,
-}
-HINTED, RETRY = 1, 2  # bits of a request's marks
-
-
-def seconds(span: int) -> float:
-    return span / 1_000_000
-
-
-class Instance:
-    """One node: its decisions, and the names under which the wire knows what they speak of."""
-
-    def __init__(self, seed: int, told: dict) -> None:
-        machine = decode_node_spec(told)
-        own = told.get("specifics") or {}
-        self.request_classes = {each.name: each for each in machine.request_classes}
-        self.passes_limit = bool(own.get("passesDeadline"))
-        self.gauges = decode_gauges(told)
-        self.requests: WeakValueDictionary[str, Request] = WeakValueDictionary()
-        self.ids: WeakKeyDictionary[Request, str] = WeakKeyDictionary()
-        self.node = AdmissionController(machine, random.Random(seed))
-        self.inputs: dict[str, Callable] = {
-            "inbound": self.inbound,
-            "settled": self.settled,
-            "blocked": self.blocked,
-            "called": self.called,
-            "clientLeft": self.client_left,
-            "notice": lambda now, left: self.node.start_draining(now, now + to_microseconds(left)),
-            "fired": self.fired,
-        }
-
-    def inbound(self, now: int, corr: str, qos: str, *rest: Any) -> None:
-        rest += (None,) * (10 - len(rest))
-        rank, who, repeat_of, org, subject, marks, cost, left, size, backlog = rest[:10]
-        if qos not in self.request_classes:
-            raise InvalidInputError(f"inbound {corr!r}: unknown class {qos!r}")
-        request_class, arrived = self.request_classes[qos], now - to_microseconds(backlog)
-        due = now + to_microseconds(left) if self.passes_limit and left else arrived + request_class.deadline
-        request = Request(
-            request_class=request_class,
-            arrived=arrived,
-            due=max(due, now),
-            rank=rank or 0.0,
-            caller=who or 0,
-            tenant=org or "",
-            original=self.requests.get(repeat_of) if repeat_of else None,
-            original_unknown=bool(repeat_of) and repeat_of not in self.requests,
-            has_key=bool(subject),
-            is_retry=bool((marks or 0) & RETRY),
-            cost=to_microseconds(cost) if (marks or 0) & HINTED else 0,
-            size_kb=size or 0.0,
-        )
-        self.requests[corr] = request
-        self.ids[request] = corr
-        self.node.on_request(now, request)
-
-    def settled(self, now: int, corr: str, status: str, lag: float | None = None) -> None:
-        request = self.requests.get(corr)
-        if request is not None:
-            self.node.on_run_completed(
-                now, request, look_up(OUTCOMES, status, None, "settled"), to_microseconds(lag)
-            )
-
-    def blocked(self, now: int, corr: str) -> None:
-        request = self.requests.get(corr)
-        if request is not None:
-            self.node.on_call_needed(now, request)
-
-    def called(self, now: int, corr: str, status: str, lag: float | None = None) -> None:
-        request = self.requests.get(corr)
-        if request is not None:
-            self.node.on_call_completed(
-                now, request, look_up(OUTCOMES, status, None, "called"), to_microseconds(lag)
-            )
-
-    def client_left(self, now: int, corr: str) -> None:
-        request = self.requests.get(corr)
-        if request is not None:
-            self.node.on_caller_gone(now, request)
-
-    def fired(self, now: int, _tag: str, row: list | None = None) -> None:
-        self.node.on_timer(now, read_gauges(self.gauges, row or []))
-
-    def take(self, now: int, event: list) -> None:
-        name, *values = event
-        if name not in self.inputs:
-            raise InvalidInputError(f"unknown event {name!r}")
-        try:
-            self.inputs[name](now, *values)
-        except TypeError as wrong:
-            if wrong.__traceback__ is not None and wrong.__traceback__.tb_next is None:
-                raise InvalidInputError(f"{name}: values missing or too many: {values!r}") from wrong
-            raise
-
-    def decisions(self, now: int) -> list[list]:
-        outbox = []
-        while (decision := self.node.next_decision(now)) is not None:
-            outbox.append(self.encode(decision))
-        return outbox
-
-    def encode(self, decision: Decision) -> list:
-        name = WORDS[decision.action]
-        if decision.request is not None:
-            values: list = [self.ids[decision.request]]
-            if decision.action is Action.REJECT:
-                values += [seconds(decision.duration_us), decision.is_last]
-            elif decision.action in (Action.CALL, Action.ADD_RECORD):
-                values.append(seconds(decision.duration_us))
-        elif decision.action is Action.REPORT_HEALTH:
-            values = [decision.is_healthy, True]
-        elif decision.action is Action.ADVERTISE_CAPACITY:
-            values = [decision.capacity]
-        elif decision.action is Action.SET_IDLE_TIMEOUT:
-            values = [seconds(decision.duration_us)]
-        elif decision.action is Action.SET_TIMER:
-            values = [seconds(decision.duration_us), "wake"]
-        else:
-            values = [decision.text]
-        return [name, *values]
-
-
-WORDS = {
-    Action.START: "admit",
-    Action.ABORT: "suspend",
-    Action.REJECT: "bounce",
-    Action.FAIL: "giveUp",
-    Action.CALL: "askBelow",
-    Action.SKIP_CALL: "fallBack",
-    Action.ADD_RECORD: "pin",
-    Action.DELETE_RECORD: "erase",
-    Action.COALESCE: "join",
-    Action.REPORT_HEALTH: "reportHealth",
-    Action.ADVERTISE_CAPACITY: "publish",
-    Action.SET_IDLE_TIMEOUT: "closeIdle",
-    Action.SET_TIMER: "notifyMe",
-    Action.LOG: "trace",
-}
+from lichencleat.bench_adapter.instance import Instance
+
+BATCH_FIELDS: tuple[tuple[str, type | tuple[type, ...]], ...] = (
+    ("clock", (int, float)),
+    ("turn", int),
+    ("nodes", list),
+)
+
+
+class Batch(NamedTuple):
+    """The events of one turn."""
+
+    clock: float  # seconds
+    turn: int
+    nodes: list[object]
+
+
+class NodeInbox(NamedTuple):
+    """The events of one node in a batch."""
+
+    node_id: int
+    events: list[object]
+
+
+def decode_batch(line: str) -> Batch:
+    """Decode a line; raises InvalidBatchError."""
+    try:
+        fields = json.loads(line)
+    except ValueError as error:
+        raise NotJsonError(error) from error
+    if not isinstance(fields, dict):
+        raise NotAnObjectError
+    for key, kind in BATCH_FIELDS:
+        if not isinstance(fields.get(key), kind):
+            raise InvalidBatchFieldError(key, fields.get(key))
+    return Batch(fields["clock"], fields["turn"], fields["nodes"])
+
+
+def decode_node_inbox(turn: int, entry: object) -> NodeInbox:
+    """Decode one node's entry of a batch; raises InvalidNodeEntryError."""
+    if not isinstance(entry, dict) or "who" not in entry or not isinstance(entry.get("inbox"), list):
+        raise InvalidNodeEntryError(turn, entry)
+    return NodeInbox(entry["who"], entry["inbox"])
 
 
 class Wire:
-    """All the instances of this process, by the numbers that the wire gives them."""
+    """All the instances of this process, by the node ids that the wire gives them."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
 
     def answer(self, line: str) -> str:
+        """Handle a batch and return the line that answers it.
+
+        An unexpected exception in a node is printed with its traceback, and reported as its only action.
+
+        Raises:
+            InvalidInputError: if the batch or one of its events is not what the wire allows.
+        """
+        batch = decode_batch(line)
+        now = to_microseconds(batch.clock)
+        nodes = []
+        for entry in batch.nodes:
+            inbox = decode_node_inbox(batch.turn, entry)
+            actions = self._handle_inbox(now, batch.turn, inbox)
+            if actions:
+                nodes.append({"who": inbox.node_id, "outbox": actions})
+        return json.dumps({"turn": batch.turn, "nodes": nodes}, separators=(",", ":")) + "\n"
+
+    def _handle_inbox(self, now: int, turn: int, inbox: NodeInbox) -> list[list[object]]:
         try:
-            batch = json.loads(line)
-        except ValueError as wrong:
-            raise InvalidInputError(f"not JSON: {wrong}") from wrong
-        if not isinstance(batch, dict):
-            raise InvalidInputError("a batch must be an object")
-        for key, kind in (("clock", (int, float)), ("turn", int), ("nodes", list)):
-            if not isinstance(batch.get(key), kind):
-                raise InvalidInputError(f"a batch needs {key!r}, got {batch.get(key)!r}")
-        now, nodes = to_microseconds(batch["clock"]), []
-        for entry in batch["nodes"]:
-            if not isinstance(entry, dict) or "who" not in entry or not isinstance(entry.get("inbox"), list):
-                raise InvalidInputError(
-                    f"turn {batch['turn']}: a node needs 'who' and 'inbox', got {entry!r:.200}"
-                )
-            try:
-                outbox = self.inbox(now, entry["who"], entry["inbox"])
-            except InvalidInputError as bad:
-                raise InvalidInputError(f"turn {batch['turn']}, node {entry['who']}: {bad}") from bad
-            except Exception as failure:
-                traceback.print_exc(file=sys.stderr)
-                outbox = [["panic", f"{type(failure).__name__}: {failure}"]]
-            if outbox:
-                nodes.append({"who": entry["who"], "outbox": outbox})
-        return json.dumps({"turn": batch["turn"], "nodes": nodes}, separators=(",", ":")) + "\n"
-
-    def inbox(self, now: int, who: int, events: list) -> list[list]:
-        for event in events:
-            if not isinstance(event, list) or not event or not isinstance(event[0], str):
-                raise InvalidInputError(
-                    f"an event must be an array that begins with its name, got {event!r:.200}"
-                )
-            if event[0] == "openInstance":
-                if len(event) < 3 or not isinstance(event[2], dict):
-                    raise InvalidInputError("openInstance: needs a seed and the settings")
-                self.instances[who] = Instance(event[1], event[2])
-            elif who not in self.instances:
-                raise InvalidInputError(f"{event[0]}: no such instance")
-            elif event[0] == "exit":
-                del self.instances[who]
-            else:
-                self.instances[who].take(now, event)
-        return self.instances[who].decisions(now) if who in self.instances else []
+            for event in inbox.events:
+                self._handle_event(now, inbox.node_id, event)
+            instance = self.instances.get(inbox.node_id)
+            return [] if instance is None else instance.take_actions(now)
+        except InvalidInputError as error:
+            raise InvalidInboxError(turn, inbox.node_id, error) from error
+        except Exception as failure:  # noqa: BLE001 - the guard that turns a node's crash into a report
+            traceback.print_exc(file=sys.stderr)
+            return [encode_panic(failure)]
+
+    def _handle_event(self, now: int, node_id: int, event: object) -> None:
+        if not isinstance(event, list) or not event or not isinstance(event[0], str):
+            raise UnnamedEventError(event)
+        name, *values = event
+        if name == "openInstance":
+            self.instances[node_id] = open_instance(values)
+        elif node_id not in self.instances:
+            raise UnknownInstanceError(name)
+        elif name == "exit":
+            del self.instances[node_id]
+        else:
+            self.instances[node_id].handle_event(now, name, values)
+
+
+def open_instance(values: list[object]) -> Instance:
+    """Create the instance that an `openInstance` event describes; raises InvalidInputError."""
+    match values:
+        case [seed, dict(settings), *_]:
+            # A seed that `Random` does not take is reported as a panic of the node.
+            return Instance(cast(int, seed), settings)
+        case _:
+            raise InvalidOpeningError
--- a/tests/test_benchlink.py
+++ b/tests/test_benchlink.py
@@ -90,11 +90,12 @@
         batch(wire, save)  # the class of another instance
     assert batch(wire, ["openInstance", 5, other], save, who=1)["nodes"]
     ended = batch(wire, ["settled", "00000000000000a1", "completed", 0.01], who=0, turn=2)
-    assert wire.instances[0].node.service_times.samples is not wire.instances[1].node.service_times.samples
+    controllers = [wire.instances[node_id].controller for node_id in (0, 1)]
+    assert controllers[0].service_times.samples is not controllers[1].service_times.samples
     assert ended["nodes"] == [] or ended["nodes"][0]["who"] == 0
-    assert [len(each) for each in wire.instances[1].node.service_times.samples.values()] == [0]
-    assert wire.instances[1].node.records.expiry and not wire.instances[0].node.records.expiry
+    assert [len(each) for each in wire.instances[1].controller.service_times.samples.values()] == [0]
+    assert wire.instances[1].controller.records.expiry and not wire.instances[0].controller.records.expiry
     batch(wire, ["exit"], ["openInstance", 5, other], who=1, turn=3)
-    assert not wire.instances[1].node.records.expiry and not list(wire.instances[1].requests)
+    assert not wire.instances[1].controller.records.expiry and not list(wire.instances[1].requests)
     outbox = batch(wire, again, who=1, turn=4)["nodes"][0]["outbox"]
     assert not [each for each in outbox if each[0] == "admit"]  # it repeats one that this life does not know
