--- a/lichencleat/admission/node_spec.py
+++ b/lichencleat/admission/node_spec.py
@@ -141,18 +141,18 @@
         """Return a nested object, empty if it is missing; raises InvalidTypeError."""
         return Section(self._container(key, dict), key)
 
-    def entries(self, key: str) -> list[object]:
+    def list_entries(self, key: str) -> list[object]:
         """Return a list, empty if it is missing; raises InvalidTypeError."""
         return self._container(key, list)
 
-    def named_entries(self, key: str, entry_kind: str) -> Iterator[tuple[str, Section]]:
+    def iterate_named_entries(self, key: str, entry_kind: str) -> Iterator[tuple[str, Section]]:
         """Yield the names and sections of a list of objects.
 
         Raises:
             InvalidTypeError: if the value is not a list.
             UnnamedEntryError: if an entry is not an object with a name.
         """
-        for index, entry in enumerate(self.entries(key)):
+        for index, entry in enumerate(self.list_entries(key)):
             path = f"{key}[{index}]"
             name = entry.get("name") if isinstance(entry, dict) else None
             if not isinstance(entry, dict) or not isinstance(name, str):
@@ -172,7 +172,7 @@
     """Return each tenant's quota at this node, in requests a second: an equal part for each server."""
     servers = max(1.0, settings.amount("servers"))
     quotas = {}
-    for name, tenant in settings.named_entries("orgs", "tenant"):
+    for name, tenant in settings.iterate_named_entries("orgs", "tenant"):
         if quota := tenant.amount("quotaPerS"):
             quotas[name] = quota / servers
     return quotas
@@ -180,11 +180,11 @@
 
 def decode_request_classes(settings: Section, specifics: Section) -> list[RequestClass]:
     """Return the request classes; what they call downstream stands in lists of the node's specifics."""
-    calls = specifics.entries("classCalls")
-    values_without_call = specifics.entries("classSkipWorth")
+    calls = specifics.list_entries("classCalls")
+    values_without_call = specifics.list_entries("classSkipWorth")
     return [
         decode_request_class(name, section, index, calls, values_without_call)
-        for index, (name, section) in enumerate(settings.named_entries("classes", "class"))
+        for index, (name, section) in enumerate(settings.iterate_named_entries("classes", "class"))
     ]
 
 
@@ -256,7 +256,7 @@
 
 def decode_gauges(raw_settings: Mapping[str, object]) -> list[str | None]:
     """Return the fields of `ResourceUsage` in the order of the readings; None for an unknown gauge."""
-    names = Section(raw_settings).section("specifics").entries("gauges")
+    names = Section(raw_settings).section("specifics").list_entries("gauges")
     return [GAUGES.get(name) if isinstance(name, str) else None for name in names]
 
 
--- a/tests/admission/test_node_spec.py
+++ b/tests/admission/test_node_spec.py
@@ -12,7 +12,7 @@
 from lichencleat.admission.types import Request, ResourceUsage
 from lichencleat.node.config import read_told
 
-ODD = [
+ODD_VALUES = [
     None,
     "x",
     "",
@@ -30,8 +30,15 @@
     10**400,
     1e-320,
 ]
-MORE = {"callers": 5, "callsOut": 0.3, "depWindow": 5.0, "callerIdle": 30, "fresh": 0.0, "cold": True}
-TOLD = {
+OPTIONAL_SPECIFICS = {
+    "callers": 5,
+    "callsOut": 0.3,
+    "depWindow": 5.0,
+    "callerIdle": 30,
+    "fresh": 0.0,
+    "cold": True,
+}
+CONFIG = {
     "name": "n1",
     "listen": "127.0.0.1:0",
     "vm": "127.0.0.1:1",
@@ -45,22 +52,22 @@
         "orgs": [{"name": "a", "quotaPerS": 12.0, "portion": 1.0}],
         "servers": 6,
         "overShareWorth": 0.05,
-        "specifics": {**SETTINGS["specifics"], **MORE},
+        "specifics": {**SETTINGS["specifics"], **OPTIONAL_SPECIFICS},
     },
 }
 
 
-def places(part, way=()):
+def iterate_paths(part, path=()):
     for key in part if isinstance(part, dict) else range(len(part)):
-        yield (*way, key)
+        yield (*path, key)
         if isinstance(part[key], dict | list):
-            yield from places(part[key], (*way, key))
+            yield from iterate_paths(part[key], (*path, key))
 
 
-def decides(told):
-    node, now = AdmissionController(told.machine, random.Random(1)), 1_000_000_000
+def run_decision_rounds(config):
+    node, now = AdmissionController(config.machine, random.Random(1)), 1_000_000_000
     for _ in range(3):
-        request_class = told.machine.request_classes[0]
+        request_class = config.machine.request_classes[0]
         node.on_request(
             now, Request(request_class, now, now + request_class.deadline, size_kb=20.0, tenant="a")
         )
@@ -70,35 +77,35 @@
         now += node.timing.period
 
 
-@pytest.mark.parametrize("way", list(places(TOLD)), ids=lambda way: ".".join(map(str, way)))
-def test_an_odd_value_in_any_place_is_one_clear_line_or_does_no_harm(tmp_path, way):
-    config = tmp_path / "config.json"
-    for odd in ODD:
-        told = copy.deepcopy(TOLD)
-        within = told
-        for key in way[:-1]:
+@pytest.mark.parametrize("path", list(iterate_paths(CONFIG)), ids=lambda path: ".".join(map(str, path)))
+def test_config_with_odd_value_raises_one_line_or_node_decides(tmp_path, path):
+    config_file = tmp_path / "config.json"
+    for odd in ODD_VALUES:
+        config = copy.deepcopy(CONFIG)
+        within = config
+        for key in path[:-1]:
             within = within[key]
-        within[way[-1]] = odd
-        config.write_text(json.dumps(told))
+        within[path[-1]] = odd
+        config_file.write_text(json.dumps(config))
         try:
-            read = read_told({"BALANCER_CONFIG": str(config)})
+            read = read_told({"BALANCER_CONFIG": str(config_file)})
         except InvalidInputError as bad:
             assert str(bad).startswith("BALANCER_CONFIG: ") and "\n" not in str(bad) and len(str(bad)) < 300
         else:
-            decides(read)
+            run_decision_rounds(read)
 
 
-def test_the_configuration_itself_is_taken_as_it_is(tmp_path):
-    config = tmp_path / "config.json"
-    config.write_text(json.dumps(TOLD))
-    read = read_told({"BALANCER_CONFIG": str(config)})
+def test_config_is_read_unchanged(tmp_path):
+    config_file = tmp_path / "config.json"
+    config_file.write_text(json.dumps(CONFIG))
+    read = read_told({"BALANCER_CONFIG": str(config_file)})
     assert read.seed == str(2**70) and read.memory == 96 << 20 and read.machine.callers == 5
 
 
-def test_a_tenant_s_share_is_this_node_s_equal_part_of_it():
-    machine = decode_node_spec(TOLD["settings"])
+def test_node_spec_tenant_quota_is_equal_part_for_each_server():
+    machine = decode_node_spec(CONFIG["settings"])
     assert machine.tenant_quotas == {"a": 2.0} and machine.over_quota_value_share == 0.05
-    bare = copy.deepcopy(TOLD)
+    bare = copy.deepcopy(CONFIG)
     for key in ("servers", "overShareWorth", "orgs"):
         del bare["settings"][key]
     machine = decode_node_spec(bare["settings"])
