--- a/lichencleat/bench_adapter/instance.py
+++ b/lichencleat/bench_adapter/instance.py
@@ -3,8 +3,8 @@
 from __future__ import annotations
 
 import random
-from collections.abc import Callable, Mapping, Sequence
-from typing import NamedTuple, cast
+from collections.abc import Callable, Mapping
+from typing import cast
 from weakref import WeakKeyDictionary, WeakValueDictionary
 
 from lichencleat.admission.controller import AdmissionController
@@ -15,7 +15,7 @@
     read_gauges,
     to_microseconds,
 )
-from lichencleat.admission.types import Decision, Outcome, Request, RequestClass
+from lichencleat.admission.types import Outcome, Request
 from lichencleat.bench_adapter.actions import encode_node_action, encode_request_action
 from lichencleat.bench_adapter.errors import EventValuesError, UnknownEventError, UnknownRequestClassError
 
@@ -33,29 +33,6 @@
 RETRY_FLAG = 2
 
 
-class ArrivalDetails(NamedTuple):
-    """The optional values of an `inbound` event, in the wire's order; times are in seconds."""
-
-    rank: float | None
-    caller: int | None
-    original_id: str | None
-    tenant: str | None
-    idempotency_key: str | None
-    flags: int | None
-    cost: float | None
-    time_left: float | None  # until its caller gives up
-    size_kb: float | None
-    backlog_delay: float | None  # since it reached the machine
-
-
-MISSING_DETAILS = (None,) * len(ArrivalDetails._fields)
-
-
-def decode_arrival_details(values: Sequence[object]) -> ArrivalDetails:
-    """Name the optional values of an arrival; missing ones become None, further ones are ignored."""
-    return ArrivalDetails._make((*values, *MISSING_DETAILS)[: len(MISSING_DETAILS)])
-
-
 class Instance:
     """One node: its admission controller, and the wire's ids of its requests."""
 
@@ -83,49 +60,64 @@
         Raises:
             InvalidInputError: if the event is unknown or its values are not what the wire allows.
         """
-        handler = self._event_handlers.get(name)
-        if handler is None:
+        if name not in self._event_handlers:
             raise UnknownEventError(name)
         try:
-            handler(now, *values)
+            self._event_handlers[name](now, *values)
         except TypeError as error:
             # Without a further frame the call itself failed: the values do not fit the handler's parameters.
             if error.__traceback__ is not None and error.__traceback__.tb_next is None:
                 raise EventValuesError(name, values) from error
             raise
 
-    def on_arrival(self, now: int, request_id: str, class_name: str, *optional_values: object) -> None:
-        """Handle `inbound`: a request arrived."""
-        details = decode_arrival_details(optional_values)
+    def on_arrival(  # noqa: PLR0913 - the values of the event, in the wire's order
+        self,
+        now: int,
+        request_id: str,
+        class_name: str,
+        rank: float | None = None,
+        caller: int | None = None,
+        original_id: str | None = None,
+        tenant: str | None = None,
+        idempotency_key: str | None = None,
+        flags: int | None = None,
+        cost: float | None = None,
+        time_left: float | None = None,
+        size_kb: float | None = None,
+        backlog_delay: float | None = None,
+        *_unknown: object,
+    ) -> None:
+        """Handle `inbound`: a request arrived.
+
+        `cost`, `time_left` (until its caller gives up) and `backlog_delay` (since it reached the machine) are
+        in seconds.
+        """
         if class_name not in self.request_classes:
             raise UnknownRequestClassError(request_id, class_name)
-        request = self._create_request(now, self.request_classes[class_name], details)
-        self.requests[request_id] = request
-        self.request_ids[request] = request_id
-        self.controller.on_request(now, request)
-
-    def _create_request(self, now: int, request_class: RequestClass, details: ArrivalDetails) -> Request:
-        arrived = now - to_microseconds(details.backlog_delay)
-        if self.callers_send_deadline and details.time_left:
-            due = now + to_microseconds(details.time_left)
+        request_class = self.request_classes[class_name]
+        arrived = now - to_microseconds(backlog_delay)
+        if self.callers_send_deadline and time_left:
+            due = now + to_microseconds(time_left)
         else:
             due = arrived + request_class.deadline
-        original_id = details.original_id
-        flags = details.flags or 0
-        return Request(
+        flags = flags or 0
+        request = Request(
             request_class=request_class,
             arrived=arrived,
             due=max(due, now),
-            rank=details.rank or 0.0,
-            caller=details.caller or 0,
-            tenant=details.tenant or "",
+            rank=rank or 0.0,
+            caller=caller or 0,
+            tenant=tenant or "",
             original=self.requests.get(original_id) if original_id else None,
             original_unknown=bool(original_id) and original_id not in self.requests,
-            has_key=bool(details.idempotency_key),
+            has_key=bool(idempotency_key),
             is_retry=bool(flags & RETRY_FLAG),
-            cost=to_microseconds(details.cost) if flags & COST_HINTED_FLAG else 0,
-            size_kb=details.size_kb or 0.0,
+            cost=to_microseconds(cost) if flags & COST_HINTED_FLAG else 0,
+            size_kb=size_kb or 0.0,
         )
+        self.requests[request_id] = request
+        self.request_ids[request] = request_id
+        self.controller.on_request(now, request)
 
     def on_run_completed(self, now: int, request_id: str, status: str, took: float | None = None) -> None:
         """Handle `settled`: a run ended, after so many seconds."""
@@ -165,14 +157,13 @@
         """Run a decision round and return its actions as the wire's arrays."""
         actions = []
         while (decision := self.controller.next_decision(now)) is not None:
-            actions.append(self._encode(decision))
+            request = decision.request
+            if request is None:
+                actions.append(encode_node_action(decision))
+            else:
+                actions.append(encode_request_action(decision, self.request_ids[request]))
         return actions
 
-    def _encode(self, decision: Decision) -> list[object]:
-        if decision.request is None:
-            return encode_node_action(decision)
-        return encode_request_action(decision, self.request_ids[decision.request])
-
 
 def decode_outcome(status: str, event_name: str) -> Outcome:
     """Return the outcome for a status; raises UnknownValueError.
--- a/lichencleat/bench_adapter/wire.py
+++ b/lichencleat/bench_adapter/wire.py
@@ -90,28 +90,29 @@
 
     def _handle_inbox(self, now: int, turn: int, inbox: NodeInbox) -> list[list[object]]:
         try:
-            for event in inbox.events:
-                self._handle_event(now, inbox.node_id, event)
-            instance = self.instances.get(inbox.node_id)
-            return [] if instance is None else instance.take_actions(now)
+            self._handle_events(now, inbox.node_id, inbox.events)
+            if inbox.node_id not in self.instances:
+                return []
+            return self.instances[inbox.node_id].take_actions(now)
         except InvalidInputError as error:
             raise InvalidInboxError(turn, inbox.node_id, error) from error
         except Exception as failure:  # noqa: BLE001 - the guard that turns a node's crash into a report
             traceback.print_exc(file=sys.stderr)
             return [encode_panic(failure)]
 
-    def _handle_event(self, now: int, node_id: int, event: object) -> None:
-        if not isinstance(event, list) or not event or not isinstance(event[0], str):
-            raise UnnamedEventError(event)
-        name, *values = event
-        if name == "openInstance":
-            self.instances[node_id] = open_instance(values)
-        elif node_id not in self.instances:
-            raise UnknownInstanceError(name)
-        elif name == "exit":
-            del self.instances[node_id]
-        else:
-            self.instances[node_id].handle_event(now, name, values)
+    def _handle_events(self, now: int, node_id: int, events: list[object]) -> None:
+        for event in events:
+            if not isinstance(event, list) or not event or not isinstance(event[0], str):
+                raise UnnamedEventError(event)
+            name, *values = event
+            if name == "openInstance":
+                self.instances[node_id] = open_instance(values)
+            elif node_id not in self.instances:
+                raise UnknownInstanceError(name)
+            elif name == "exit":
+                del self.instances[node_id]
+            else:
+                self.instances[node_id].handle_event(now, name, values)
 
 
 def open_instance(values: list[object]) -> Instance:
