--- a/tests/fleet/test_fleet_return.py
+++ b/tests/fleet/test_fleet_return.py
@@ -55,7 +55,7 @@
     fleet = Fleet(tmp_path, nodes=2)
     try:
         slow = fleet.nodes["n2"].engine
-        fleet.rig.relays.call(lambda: setattr(slow, "work", 0.08))  # eight times the other's
+        fleet.rig.relays.call(lambda: setattr(slow, "work", 0.16))  # sixteen times the other's
         fleet.work(60)
         for each in fleet.nodes.values():  # its last sign of life stands on the disk once it has ended
             each.signal(15)
@@ -67,8 +67,8 @@
         for name, each in fleet.nodes.items():
             (said,) = re.findall(r'event=recalls .*runs="(.*?)"', each.said())
             took[name] = dict(re.findall(r"(\w+) ([\d.]+) ms", said))
-        # with the call below, 30 ms of both: about 110 ms and 40
-        assert float(took["n2"]["look"]) > 2 * float(took["n1"]["look"]) > 60
+        # with the call below, 30 ms of both: about 190 ms and 40; a busy machine adds some ms to both
+        assert float(took["n2"]["look"]) > 2.5 * float(took["n1"]["look"]) > 75
         fleet.work()
         assert fleet.judge() is None
     finally:
