--- a/lichencleat/consensus/key_value.py
+++ b/lichencleat/consensus/key_value.py
@@ -6,6 +6,7 @@
 
 from lichencleat.decode_errors import UNDECODABLE
 
+STATE_PART = "facts"  # the name of this part of the replicated state
 MAX_KEYS = 65_536
 MAX_VALUE_BYTES = 65_536  # of one value: a snapshot holds them all
 NO_REVISION = 0  # of a key that does not exist
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -20,6 +20,7 @@
 from lichencleat.consensus.extension import GuardedExtension, MemberExtension
 from lichencleat.consensus.greetings import Greetings, load_incarnations
 from lichencleat.consensus.identity import Identity, PeerIncarnations
+from lichencleat.consensus.key_value import STATE_PART as KEY_VALUES
 from lichencleat.consensus.key_value import KeyValueState
 from lichencleat.consensus.leader_proposals import (
     DueProposals,
@@ -54,7 +55,7 @@
 
 def make_key_value_states() -> dict[str, ReplicatedState]:
     """Return the states of a group that replicates keys and values only."""
-    return {"facts": KeyValueState()}
+    return {KEY_VALUES: KeyValueState()}
 
 
 @dataclass(frozen=True, slots=True)
--- a/lichencleat/coordinator/candidate_expiry.py
+++ b/lichencleat/coordinator/candidate_expiry.py
@@ -4,9 +4,9 @@
 
 from lichencleat.consensus.leader_proposals import LeaderProposal
 from lichencleat.consensus.state_machine import StateMachine
-from lichencleat.coordinator.states import LEASES
 from lichencleat.leases.candidate_expiry import CandidateExpiry
 from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import STATE_PART as LEASES
 
 
 class CandidateExpiryProposer:
--- a/lichencleat/coordinator/states.py
+++ b/lichencleat/coordinator/states.py
@@ -5,18 +5,18 @@
 
 from __future__ import annotations
 
+from lichencleat.consensus.key_value import STATE_PART as KEY_VALUES
 from lichencleat.consensus.key_value import KeyValueState
 from lichencleat.consensus.state_machine import ReplicatedState
+from lichencleat.failover.messages import STATE_PART as FAILOVER
 from lichencleat.failover.state import FailoverState
 from lichencleat.leases.lease_state import LeaseState
+from lichencleat.leases.messages import STATE_PART as LEASES
+from lichencleat.quotas.messages import STATE_PART as QUOTAS
 from lichencleat.quotas.quota_state import QuotaState
+from lichencleat.recovery.messages import STATE_PART as RECOVERY
 from lichencleat.recovery.state import FleetState
 
-KEY_VALUES = "facts"
-LEASES = "owners"
-QUOTAS = "shares"
-RECOVERY = "revive"
-FAILOVER = "zones"
 CONFIG_DISTRIBUTION = "distribution"
 
 
--- a/lichencleat/leases/lease_client.py
+++ b/lichencleat/leases/lease_client.py
@@ -18,6 +18,7 @@
 from lichencleat.leases.messages import (
     LEASE_DURATION_US,
     MAX_CLOCK_DRIFT,
+    STATE_PART,
     Leave,
     ReleaseJob,
     RenewalReply,
@@ -27,7 +28,6 @@
 from lichencleat.transport.twisted_types import ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-PART = "owners"  # the part of the replicated state that holds the leases
 LEAVE_TIMEOUT_S = 2.0  # without a reply the lease runs out by itself
 
 
@@ -70,7 +70,7 @@
         lease: int = LEASE_DURATION_US,
         drift: float = MAX_CLOCK_DRIFT,
     ) -> None:
-        super().__init__(reactor, client, PART, log)
+        super().__init__(reactor, client, STATE_PART, log)
         self.listener = listener
         self.leases = HeldLeases(name, zone, rng.getrandbits(48), lease, drift)
         self.timeout_s = lease / MICROSECONDS_PER_SECOND
@@ -129,7 +129,7 @@
         if self.stopped or self.leases.releasing.get(job) != token:
             return
         command = ReleaseJob(self.leases.name, job, token, crashed)
-        reply = self.client.propose(PART, command, self.timeout_s)
+        reply = self.client.propose(STATE_PART, command, self.timeout_s)
         reply.addCallbacks(
             lambda _: self.leases.on_released(job), lambda _: self.propose_release(job, token, crashed)
         )
@@ -151,6 +151,8 @@
             self.notify_lost(job, "this process leaves")
         self.leases.leave()
         self.stop()
-        reply = self.client.propose(PART, Leave(self.leases.name, self.leases.incarnation), LEAVE_TIMEOUT_S)
+        reply = self.client.propose(
+            STATE_PART, Leave(self.leases.name, self.leases.incarnation), LEAVE_TIMEOUT_S
+        )
         reply.addErrback(lambda failure: self.log.warning("left untold", reason=failure.getErrorMessage()))
         return reply.addCallback(lambda _: None)
--- a/lichencleat/leases/messages.py
+++ b/lichencleat/leases/messages.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+STATE_PART = "owners"  # the name of this part of the replicated state
 LEASE_DURATION_US = 1_000_000  # how long a holder may act on one renewal, so how long a dead one is missed
 MAX_CLOCK_DRIFT = 0.1  # relative difference of two machines' clock rates; 10% is far beyond any that works
 RENEWALS_PER_LEASE = 3  # two renewals in a row may be lost
--- a/lichencleat/quotas/allocator_task.py
+++ b/lichencleat/quotas/allocator_task.py
@@ -9,8 +9,7 @@
 from lichencleat.leases.leader_task import LeaderTask
 from lichencleat.log.interfaces import EventLogger
 from lichencleat.quotas.allocator import POLL_INTERVAL_TERMS, Allocator
-from lichencleat.quotas.messages import CommandReply, GrantExpired, Pool, allocator_job
-from lichencleat.quotas.quota_client import PART
+from lichencleat.quotas.messages import STATE_PART, CommandReply, GrantExpired, Pool, allocator_job
 from lichencleat.transport.twisted_types import ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
@@ -34,7 +33,7 @@
     """
 
     def __init__(self, reactor: ReactorClock, client: GroupClient, pool: str, log: EventLogger) -> None:
-        super().__init__(reactor, client, PART, allocator_job(pool), log)
+        super().__init__(reactor, client, STATE_PART, allocator_job(pool), log)
         self.pool = pool
         self.query = pool
 
@@ -55,7 +54,7 @@
             return
         pool = msgspec.convert(state, Pool)
         for command in decider.decide(self.now(), pool):
-            self.propose(PART, command)
+            self.propose(STATE_PART, command)
         self.schedule_poll(decider, pool.term * POLL_INTERVAL_TERMS / MICROSECONDS_PER_SECOND)
 
     def on_propose(self, command: object) -> None:
--- a/lichencleat/quotas/messages.py
+++ b/lichencleat/quotas/messages.py
@@ -8,6 +8,7 @@
 
 import msgspec
 
+STATE_PART = "shares"  # the name of this part of the replicated state
 DEFAULT_TERM_US = 5_000_000  # how long a node may use a grant on one renewal; calls under it end within it
 RENEWALS_PER_TERM = 3  # two renewals in a row may be lost
 MAX_POOLS = 64
--- a/lichencleat/quotas/quota_client.py
+++ b/lichencleat/quotas/quota_client.py
@@ -13,13 +13,11 @@
 from lichencleat.leases.interfaces import GroupClient
 from lichencleat.leases.periodic_proposer import PeriodicProposer, Proposal
 from lichencleat.log.interfaces import EventLogger
-from lichencleat.quotas.messages import QuotaReply
+from lichencleat.quotas.messages import STATE_PART, QuotaReply
 from lichencleat.quotas.quota_grant import QuotaGrant
 from lichencleat.transport.twisted_types import ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-PART = "shares"  # the part of the replicated state that holds the pools
-
 
 class QuotaClient(PeriodicProposer):
     """Keeps one node's grant in one pool renewed until `stop`.
@@ -44,7 +42,7 @@
         on_limit_changed: Callable[[int], None],
         log: EventLogger,
     ) -> None:
-        super().__init__(reactor, client, PART, log)
+        super().__init__(reactor, client, STATE_PART, log)
         self.grant = grant
         self.count_calls = count_calls
         self.on_limit_changed = on_limit_changed
--- a/lichencleat/recovery/planner_task.py
+++ b/lichencleat/recovery/planner_task.py
@@ -10,8 +10,8 @@
 from lichencleat.leases.interfaces import GroupClient
 from lichencleat.leases.leader_task import LeaderTask
 from lichencleat.log.interfaces import EventLogger
+from lichencleat.quotas.messages import STATE_PART as QUOTAS_PART
 from lichencleat.quotas.messages import SetAllocatableShare
-from lichencleat.quotas.quota_client import PART as QUOTAS_PART
 from lichencleat.recovery.messages import (
     JOB,
     STATE_PART,
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -113,7 +113,7 @@
             name, zone = self.chosen.name, self.chosen.zone
             self.holder = LeaseClient(self.reactor, self.client(group), name, zone, work, self.rng, self.log)
             work.lease_client = self.holder
-            self.holder.leases.job_prefixes = ["zones"]
+            self.holder.leases.job_prefixes = [work.job]
             self.holder.start()
 
     def client(self, group: str) -> GroupClient:
