--- a/tests/fleet/test_fleet_return.py
+++ b/tests/fleet/test_fleet_return.py
@@ -2,11 +2,23 @@
 `python -m tests.fleet.revive`.
 """
 
+import random
 import re
 
 import pytest
 
-from lichencleat.testkit.cluster.fleet import Fleet
+from lichencleat.testkit.cluster.fleet import LIMIT, Fleet
+from lichencleat.testkit.cluster.peers import Dependency
+
+CALL_MS = 30  # of the dependency, in the middle of each run of the class "look"
+WORK_MS = {"n1": 10, "n2": 160}  # of a run at each node's interpreter, besides the call
+
+
+class FixedTimes(random.Random):
+    """Gives the mean wherever a stand-in draws a time, so that no run takes less than it is told to."""
+
+    def expovariate(self, lambd=1.0):
+        return 1 / lambd
 
 
 @pytest.fixture
@@ -52,10 +64,15 @@
 
 
 def test_nodes_recall_their_own_speed_from_their_disks(tmp_path):
-    fleet = Fleet(tmp_path, nodes=2)
+    fleet = Fleet(
+        tmp_path,
+        nodes=2,
+        dependency=lambda reactor: Dependency(reactor, FixedTimes(1), CALL_MS / 1000, LIMIT),
+    )
     try:
-        slow = fleet.nodes["n2"].engine
-        fleet.rig.relays.call(lambda: setattr(slow, "work", 0.16))  # sixteen times the other's
+        for name, each in fleet.nodes.items():
+            engine, work = each.engine, WORK_MS[name] / 1000
+            fleet.rig.relays.call(lambda e=engine, w=work: vars(e).update(rng=FixedTimes(1), work=w))
         fleet.work(60)
         for each in fleet.nodes.values():  # its last sign of life stands on the disk once it has ended
             each.signal(15)
@@ -67,8 +84,10 @@
         for name, each in fleet.nodes.items():
             (said,) = re.findall(r'event=recalls .*runs="(.*?)"', each.said())
             took[name] = dict(re.findall(r"(\w+) ([\d.]+) ms", said))
-        # with the call below, 30 ms of both: about 190 ms and 40; a busy machine adds some ms to both
-        assert float(took["n2"]["look"]) > 2.5 * float(took["n1"]["look"]) > 75
+        # No run is shorter than its work and its call; a busy machine adds some ms to both nodes.
+        for name, work_ms in WORK_MS.items():
+            assert float(took[name]["look"]) >= work_ms + CALL_MS
+        assert float(took["n2"]["look"]) > 2.5 * float(took["n1"]["look"])
         fleet.work()
         assert fleet.judge() is None
     finally:
