--- a/lichencleat/__init__.py
+++ b/lichencleat/__init__.py
@@ -1,1 +1,1 @@
-"""Admission and scheduling for servers behind others' balancers."""
+"""Admission control, scheduling and fleet coordination for servers behind others' load balancers."""
--- a/lichencleat/__main__.py
+++ b/lichencleat/__main__.py
@@ -1,4 +1,4 @@
-"""The program ``python -m lichencleat``: with a command, that command; without one, the node.
+"""The program ``python -m lichencleat``: runs a command if one is given, otherwise the node.
 
 The node is configured by the platform's environment.
 """
@@ -22,7 +22,7 @@
             print(f"lichencleat: needs {missing.name}: pip install 'lichencleat[commands]'", file=sys.stderr)
             return 2
         return run(sys.argv[1:])
-    # the imports take a while; the configuration is read after them, and no request is accepted before
+    # The imports take a while. The configuration is read and requests are accepted only after them.
     ignore_early_signals()
     from lichencleat.node.program import main as node
 
--- a/lichencleat/daemon.py
+++ b/lichencleat/daemon.py
@@ -10,23 +10,23 @@
 from lichencleat.log.interfaces import EventLogger
 from lichencleat.reactor import Reactor
 
-EXIT_STOPPED = 0  # told to stop
+EXIT_STOPPED = 0  # stopped on request
 EXIT_CANNOT_START = 2
 
 
 class Daemon(Protocol):
-    """A program that is brought up on the reactor and stops the reactor itself once it has ended."""
+    """A program that starts on the reactor and stops the reactor when it has ended."""
 
     @property
     def log(self) -> EventLogger:
-        """Where errors of the reactor are reported."""
+        """The logger for errors of the reactor."""
 
     @property
     def exit_code(self) -> int:
         """The exit code of the process, valid once the reactor has stopped."""
 
     def start(self) -> object:
-        """Start; called once the reactor runs."""
+        """Start the program; called once the reactor runs."""
 
     def request_stop(self) -> None:
         """Begin a graceful shutdown; may be called more than once."""
@@ -45,7 +45,7 @@
             daemon.log.warning("error", trace=failure.getBriefTraceback().replace("\n", " | "))
 
     globalLogBeginner.beginLoggingTo(
-        [log_failure],  # type: ignore[list-item]  # a function that provides the zope interface
+        [log_failure],  # type: ignore[list-item]  # a function that satisfies the zope interface
         redirectStandardIO=False,
         discardBuffer=True,
     )
--- a/lichencleat/decode_errors.py
+++ b/lichencleat/decode_errors.py
@@ -1,7 +1,7 @@
-"""The errors that decoding raises for bytes which do not hold what was expected.
+"""The errors that decoding raises for bytes that do not encode the expected type.
 
-Code that decodes what it read from a socket, a log or a file catches them. msgspec raises UnicodeDecodeError
-for text that is not UTF-8, and that is not a subclass of its own MsgspecError.
+Code that decodes data from a socket, a log or a file catches these errors. msgspec raises UnicodeDecodeError
+for text that is not UTF-8, and UnicodeDecodeError is not a subclass of MsgspecError.
 """
 
 from __future__ import annotations
--- a/lichencleat/log/__init__.py
+++ b/lichencleat/log/__init__.py
@@ -1,5 +1,5 @@
-"""Structured logs of the program's processes, and the merge of many logs into one order.
+"""Structured logs of the program's processes, and the merge of many logs by time.
 
-`structured` creates loggers that write one event a line with its fields and limit the rate of each event;
-`merge` orders the lines that many processes wrote.
+`structured` creates loggers that write one event with its fields per line and limit the rate of each event.
+`merge` orders the lines of many processes.
 """
--- a/lichencleat/log/interfaces.py
+++ b/lichencleat/log/interfaces.py
@@ -1,6 +1,6 @@
-"""The interface through which every package logs; `structured` makes loggers that have it.
+"""The interface through which every package logs; `structured` creates loggers that implement it.
 
-It stands apart from `structured`, so that code which only logs does not load structlog.
+The interface is not part of `structured`, so that code which only logs does not load structlog.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class EventLogger(Protocol):
-    """Logs one event a line, with its fields by name."""
+    """Logs one event per line, with its fields as keyword arguments."""
 
     def info(self, event: str, /, **fields: object) -> object:
         """Log an event of normal operation."""
--- a/lichencleat/log/merge.py
+++ b/lichencleat/log/merge.py
@@ -1,6 +1,6 @@
 """Merges the logs of many processes by the time of each line, without any I/O.
 
-Lines of one file keep their order: a line counts as no earlier than the one before it in its file, also where
+Lines of one file keep their order: a line counts as no earlier than the previous line of its file, even if
 the process's clock stepped back.
 """
 
@@ -16,11 +16,11 @@
 
 JSON_TIME = re.compile(r"(\d+)\.(\d{6})")
 LOGFMT_TIME = re.compile(r"(?:^|\s)at=(\d+)\.(\d{6})(?:\s|$)")
-PLAIN_TIME = re.compile(r"^\S+ (\d+)\.(\d{3}) ")  # a node's own line, where structured logging is off
+PLAIN_TIME = re.compile(r"^\S+ (\d+)\.(\d{3}) ")  # a node's plain line, if structured logging is off
 
 
 class TimedLine(NamedTuple):
-    """A line with the keys that order it."""
+    """A line with the keys by which it is ordered."""
 
     time_us: int  # of Unix time
     file_index: int
@@ -29,7 +29,7 @@
 
 
 def timestamp_of(line: str) -> int | None:
-    """Returns when the line was written, in µs of Unix time, or None where it does not say."""
+    """Returns when the line was written, in µs of Unix time, or None if it has no timestamp."""
     found = _match_json_time(line) if line.startswith("{") else LOGFMT_TIME.search(line)
     if found:
         return int(found[1]) * MICROSECONDS_PER_SECOND + int(found[2])
@@ -46,7 +46,7 @@
 
 
 def _add_times(lines: Iterable[str], name: str, file_index: int) -> Iterator[TimedLine]:
-    """Yields the lines with times that never fall; a line without a time has that of the one before."""
+    """Yields the lines with times that never decrease; a line without one has that of the line before."""
     last = 0
     for line in lines:
         text = line.rstrip("\n")
@@ -55,7 +55,7 @@
 
 
 def merge(files: Iterable[tuple[str, Iterable[str]]]) -> Iterator[tuple[str, str]]:
-    """Merges files, given as name and lines; yields name and line in the order of time."""
+    """Merges files, given as pairs of name and lines; yields name and line in order of time."""
     streams = [_add_times(lines, name, index) for index, (name, lines) in enumerate(files)]
     for each in heapq.merge(*streams, key=lambda each: (each.time_us, each.file_index)):
         yield each.name, each.line
--- a/lichencleat/log/structured.py
+++ b/lichencleat/log/structured.py
@@ -1,6 +1,6 @@
-"""Structured log lines: one event a line with its fields, as logfmt or JSON, to standard error.
+"""Structured log lines: one event with its fields per line, as logfmt or JSON, to standard error.
 
-Each event has a bound on its lines a second; the next line of that event says how many were left out.
+The lines of each event are limited per second; the event's next line states how many were dropped.
 """
 
 from __future__ import annotations
@@ -16,33 +16,33 @@
 from lichencleat.log.interfaces import EventLogger
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-MAX_LINES_PER_EVENT = 10  # a second: enough to see what happens, too few to cost a core
-MAX_EVENTS = 512  # events counted each by itself; further ones share one count
+MAX_LINES_PER_EVENT = 10  # per second: enough to see what happens, too few to take up a core
+MAX_EVENTS = 512  # events with a count of their own; further events share one
 
 Clock = Callable[[], int]  # µs of Unix time
 
 
 @dataclass(slots=True)
 class EventCount:
-    """Lines of one event."""
+    """Counts of the lines of one event."""
 
-    second: int = 0  # of the clock, that `lines` counts
+    second: int = 0  # of the clock, in which `lines` were counted
     lines: int = 0
-    dropped: int = 0  # since the last line that was written
+    dropped: int = 0  # since the last written line
 
 
 class RateLimiter:
-    """A structlog processor that drops the lines of an event beyond its bound a second."""
+    """A structlog processor that drops an event's lines beyond the limit per second."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
         self._counts: dict[str, EventCount] = {}
 
     def __call__(self, logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
-        """Adds `left_out`, where lines were dropped before this one.
+        """Adds the field `left_out`, the number of lines dropped before this one, if there are any.
 
         Raises:
-            structlog.DropEvent: the event is over its bound.
+            structlog.DropEvent: the event is over its limit.
         """
         count = self._count_of(str(event.get("event", "")))
         second = self._clock() // MICROSECONDS_PER_SECOND
@@ -65,7 +65,7 @@
 
 
 def add_timestamp(clock: Clock) -> Processor:
-    """Returns a structlog processor that adds time (`at`, s of Unix time) and level."""
+    """Returns a structlog processor that adds the time (`at`, seconds of Unix time) and the level."""
 
     def add(logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
         now = clock()
@@ -79,13 +79,13 @@
 def create_logger(
     clock: Clock, form: str = "logfmt", file: TextIO | None = None, **fields: object
 ) -> EventLogger:
-    """Creates a logger whose every line carries `fields` (process, role, group ...).
+    """Creates a logger that adds `fields` (process, role, group ...) to each line.
 
     Args:
-        clock: Gives µs of Unix time.
+        clock: Returns µs of Unix time.
         form: "logfmt" or "json".
-        file: Where the lines go; standard error by default.
-        **fields: Fields of every line, in their order.
+        file: The output file; standard error by default.
+        **fields: Fields of every line, in this order.
     """
     logger = structlog.wrap_logger(
         structlog.PrintLogger(file or sys.stderr),
--- a/lichencleat/reactor.py
+++ b/lichencleat/reactor.py
@@ -1,7 +1,7 @@
 """The Twisted reactor and the clocks of every process.
 
-Timers and leases run on the monotonic clock, so a step of the system's clock moves neither. Times that other
-processes are told are Unix time.
+Timers and leases use the monotonic clock, so a step of the system clock does not affect them. Times sent to
+other processes are Unix time.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     """The two clocks of a process."""
 
     def monotonic(self) -> float:
-        """Return seconds from an arbitrary start; never goes back."""
+        """Return seconds since an arbitrary start; the value never decreases."""
 
     def unix_ns(self) -> int:
         """Return Unix time in ns; it may step in either direction."""
@@ -45,7 +45,7 @@
 
 
 def install_clock(clock: Clock) -> None:
-    """Replace the clocks of this process; call it before the reactor is made.
+    """Replace the clocks of this process; must be called before the reactor is made.
 
     The test kit uses it to run processes whose clocks drift or step.
     """
--- a/lichencleat/units.py
+++ b/lichencleat/units.py
@@ -1,4 +1,4 @@
-"""Conversions between units of time: times are whole microseconds, timers of the reactor take seconds."""
+"""Conversions between units of time: times are whole microseconds, the reactor's timers take seconds."""
 
 from __future__ import annotations
 
--- a/tests/log/test_structured_log.py
+++ b/tests/log/test_structured_log.py
@@ -30,7 +30,8 @@
 
 
 def test_merge_orders_lines_by_time_and_keeps_the_order_of_each_file():
-    one = ["at=5.000000 event=a", "  more of a", "at=3.000000 event=b"]  # its clock stepped back
+    # The clock of this process stepped back.
+    one = ["at=5.000000 event=a", "  more of a", "at=3.000000 event=b"]
     two = ["n3 4.500 believes", "at=5.500000 event=c"]
     merged = [(name, line[-1]) for name, line in merge([("one", one), ("two", two)])]
     assert merged == [("two", "s"), ("one", "a"), ("one", "a"), ("one", "b"), ("two", "c")]
