--- a/lichencleat/bench_adapter/__main__.py
+++ b/lichencleat/bench_adapter/__main__.py
@@ -1,4 +1,4 @@
-"""The program `python -m lichencleat.bench_adapter`: answers batches on standard input on standard output."""
+"""The program `python -m lichencleat.bench_adapter`: answers batches from stdin on stdout."""
 
 import sys
 
--- a/lichencleat/bench_adapter/instance.py
+++ b/lichencleat/bench_adapter/instance.py
@@ -1,4 +1,4 @@
-"""One simulated node: its admission controller, fed with events of the wire."""
+"""One simulated node: passes the wire's events to its admission controller."""
 
 from __future__ import annotations
 
@@ -29,8 +29,8 @@
     "recalled": Outcome.ABORTED,
     "superseded": Outcome.SUPERSEDED,
 }
-COST_HINTED_FLAG = 1  # flags of an arrival: its cost is known
-RETRY_FLAG = 2
+COST_HINTED_FLAG = 1  # bit in the flags of an arrival: the event carries the request's cost
+RETRY_FLAG = 2  # bit in the flags of an arrival: the request is a retry
 
 
 class Instance:
@@ -65,7 +65,7 @@
         try:
             self._event_handlers[name](now, *values)
         except TypeError as error:
-            # Without a further frame the call itself failed: the values do not fit the handler's parameters.
+            # Without a further frame the call itself failed: the values don't fit the handler's parameters.
             if error.__traceback__ is not None and error.__traceback__.tb_next is None:
                 raise EventValuesError(name, values) from error
             raise
@@ -89,8 +89,8 @@
     ) -> None:
         """Handle `inbound`: a request arrived.
 
-        `cost`, `time_left` (until its caller gives up) and `backlog_delay` (since it reached the machine) are
-        in seconds.
+        `cost`, `time_left` (until the caller gives up) and `backlog_delay` (since the request reached the
+        machine) are in seconds.
         """
         if class_name not in self.request_classes:
             raise UnknownRequestClassError(request_id, class_name)
@@ -120,7 +120,7 @@
         self.controller.on_request(now, request)
 
     def on_run_completed(self, now: int, request_id: str, status: str, took: float | None = None) -> None:
-        """Handle `settled`: a run ended, after so many seconds."""
+        """Handle `settled`: a run ended after `took` seconds."""
         request = self.requests.get(request_id)
         if request is not None:
             outcome = decode_outcome(status, "settled")
@@ -133,24 +133,24 @@
             self.controller.on_call_needed(now, request)
 
     def on_call_completed(self, now: int, request_id: str, status: str, took: float | None = None) -> None:
-        """Handle `called`: a downstream call ended, after so many seconds."""
+        """Handle `called`: a downstream call ended after `took` seconds."""
         request = self.requests.get(request_id)
         if request is not None:
             outcome = decode_outcome(status, "called")
             self.controller.on_call_completed(now, request, outcome, to_microseconds(took))
 
     def on_caller_gone(self, now: int, request_id: str) -> None:
-        """Handle `clientLeft`: nobody waits for the request any more."""
+        """Handle `clientLeft`: the caller no longer waits for the request."""
         request = self.requests.get(request_id)
         if request is not None:
             self.controller.on_caller_gone(now, request)
 
     def on_stop_notice(self, now: int, time_left: float) -> None:
-        """Handle `notice`: the node is stopped in so many seconds."""
+        """Handle `notice`: the node will be stopped in `time_left` seconds."""
         self.controller.start_draining(now, now + to_microseconds(time_left))
 
     def on_timer(self, now: int, _tag: str, readings: list[float] | None = None) -> None:
-        """Handle `fired`: the timer fired; the gauges' readings come with it."""
+        """Handle `fired`: the timer fired; the event carries the gauges' readings."""
         self.controller.on_timer(now, read_gauges(self.gauges, readings or []))
 
     def take_actions(self, now: int) -> list[list[object]]:
@@ -168,6 +168,6 @@
 def decode_outcome(status: str, event_name: str) -> Outcome:
     """Return the outcome for a status; raises UnknownValueError.
 
-    The wire always sends a status. A null in its place is passed on as None, which equals no outcome.
+    The wire always sends a status. A null in its place becomes None, which equals no outcome.
     """
     return cast(Outcome, look_up(OUTCOMES, status, None, event_name))
--- a/lichencleat/bench_adapter/wire.py
+++ b/lichencleat/bench_adapter/wire.py
@@ -65,7 +65,7 @@
 
 
 class Wire:
-    """All the instances of this process, by the node ids that the wire gives them."""
+    """Answers batches; holds all instances of this process by their node ids on the wire."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
@@ -73,7 +73,7 @@
     def answer(self, line: str) -> str:
         """Handle a batch and return the line that answers it.
 
-        An unexpected exception in a node is printed with its traceback, and reported as its only action.
+        An unexpected exception in a node is printed with its traceback and reported as its only action.
 
         Raises:
             InvalidInputError: if the batch or one of its events is not what the wire allows.
@@ -96,7 +96,7 @@
             return self.instances[inbox.node_id].take_actions(now)
         except InvalidInputError as error:
             raise InvalidInboxError(turn, inbox.node_id, error) from error
-        except Exception as failure:  # noqa: BLE001 - the guard that turns a node's crash into a report
+        except Exception as failure:  # noqa: BLE001 - a node's crash is reported to the simulator
             traceback.print_exc(file=sys.stderr)
             return [encode_panic(failure)]
 
@@ -119,7 +119,7 @@
     """Create the instance that an `openInstance` event describes; raises InvalidInputError."""
     match values:
         case [seed, dict(settings), *_]:
-            # A seed that `Random` does not take is reported as a panic of the node.
+            # A seed that `Random` rejects is reported as a panic of the node.
             return Instance(cast(int, seed), settings)
         case _:
             raise InvalidOpeningError
