--- a/lichencleat/admission/backpressure.py
+++ b/lichencleat/admission/backpressure.py
@@ -1,4 +1,4 @@
-"""Backpressure: the capacity that is advertised to callers, and the advice that goes with a rejection."""
+"""Backpressure: the capacity advertised to callers, and the retry-after time of rejections."""
 
 from __future__ import annotations
 
@@ -11,25 +11,27 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import CapacitySignal, NodeSpec
 
-TOLD_UP = 0.08  # shed fraction, per period with rejections: callers hear it about once a second
-TOLD_DOWN = 0.02  # per period without: gentler, so that the load does not come back in one wave
-TOLD_MOST = 0.85  # leaves the best-paid callers a way in
-TOLD_IDLE = 0.75  # of the cores: with that little to do, callers keep back what could be served
-TOLD_STEP = 0.02  # a smaller change is not worth saying
-WINDOW_WIDE = 3  # times what a node can have in flight: callers differ much in what they send
-WINDOW_LEAST = 0.2  # outstanding for each caller: below it a node would hear from nobody
-ADVICE = 300_000  # µs to stay away when full: a few run times, the queue will have turned over
-SHED_FEW = 0.5  # of the last arrivals: with fewer rejected, others may have capacity, so callers may try them
-ARRIVALS_KEPT = 16  # last arrivals, for the part of them that was rejected
+SHED_INCREASE = 0.08  # of the shed fraction per period with rejections; callers see it about once a second
+SHED_DECREASE = 0.02  # per period without rejections; slower, so that load does not return in one wave
+MAX_SHED_FRACTION = 0.85  # below 1, so that requests of the highest value are still sent
+MAX_IDLE_UTILIZATION = 0.75  # busy share of the cores; below it callers hold back load that could be served
+MIN_ADVERTISED_CHANGE = 0.02  # smaller changes are not advertised; relative for capacities above 1
+# Sum of all callers' windows, in requests that the node can have in flight; callers' rates differ widely.
+CALLER_WINDOW_FACTOR = 3
+MIN_CALLER_WINDOW = 0.2  # outstanding requests per caller; with less, the node might get no requests
+DEFAULT_RETRY_AFTER_US = 300_000  # of a full node: a few service times, by then the queue has turned over
+# Of the last arrivals. With fewer rejected, other nodes may have capacity, so callers may try them.
+MAX_REJECTED_SHARE = 0.5
+ARRIVAL_SAMPLES = 16  # last arrivals, from which the rejected share is computed
 
 
 class Backpressure:
-    """Says how much of their load callers are to keep back, and when a rejected one may come again."""
+    """Computes how much load callers should hold back, and when rejected callers may retry."""
 
     def __init__(
         self,
         spec: NodeSpec,
-        chance: random.Random,
+        rng: random.Random,
         timing: Timing,
         slow_start: SlowStart,
         pools: RequestPools,
@@ -39,52 +41,53 @@
         self.callers = max(1, spec.callers)
         self.max_retry_after = spec.max_retry_after_us
         self.callers_send_deadline = spec.callers_send_deadline
-        self.chance = chance
+        self.rng = rng
         self.timing = timing
         self.slow_start = slow_start
         self.pools = pools
         self.concurrency = concurrency
-        # Guards a cold node against all who hear it: each keeps back the share that it can't do yet, however
-        # many they are. Harm: for its first second an idle one is told to be able to do less than it is.
-        self.shed_fraction = min(TOLD_MOST, 1 - slow_start.cold_speed_share)
-        self.admitted_share = 1.0  # of the arrivals: less while the fleet recovers
-        self.recent_rejections: deque[bool] = deque([False] * ARRIVALS_KEPT, ARRIVALS_KEPT)
+        # Prevents overload of a cold node: each caller holds back the share of its load that the node can't
+        # serve yet, regardless of the number of callers. Cost: for its first second an idle node advertises
+        # less capacity than it has.
+        self.shed_fraction = min(MAX_SHED_FRACTION, 1 - slow_start.cold_speed_share)
+        self.admitted_share = 1.0  # of the arrivals; below 1 while the fleet recovers
+        self.recent_rejections: deque[bool] = deque([False] * ARRIVAL_SAMPLES, ARRIVAL_SAMPLES)
         self._rejected_in_period = 0
         self._advertised = -1.0
 
     def on_queued(self) -> None:
-        """Note an arrival that was admitted."""
+        """Record an admitted arrival."""
         self.recent_rejections.append(False)
 
     def on_rejected(self) -> None:
-        """Note a request that was rejected."""
+        """Record a rejected request."""
         self._rejected_in_period += 1
         self.recent_rejections.append(True)
 
-    def update(self, is_idle: bool, reads_late: bool) -> None:
-        """Move the shed fraction by one step, and begin a new period."""
-        pressed = self._rejected_in_period or reads_late
-        step = -TOLD_UP if is_idle else TOLD_UP if pressed else -TOLD_DOWN
+    def update(self, is_idle: bool, is_reading_late: bool) -> None:
+        """Move the shed fraction by one step and begin a new period."""
+        is_overloaded = self._rejected_in_period or is_reading_late
+        step = -SHED_INCREASE if is_idle else SHED_INCREASE if is_overloaded else -SHED_DECREASE
         self.shed_fraction += step * self.timing.scale
-        self.shed_fraction = min(TOLD_MOST, max(0.0, self.shed_fraction))
+        self.shed_fraction = min(MAX_SHED_FRACTION, max(0.0, self.shed_fraction))
         self._rejected_in_period = 0
 
-    def is_shut_out(self) -> bool:
-        """Draw whether an arrival is rejected because the fleet recovers."""
-        return self.admitted_share < 1 and self.chance.random() >= self.admitted_share
+    def draw_recovery_rejection(self) -> bool:
+        """Return whether to reject an arrival because the fleet recovers; a random draw."""
+        return self.admitted_share < 1 and self.rng.random() >= self.admitted_share
 
     def take_changed_capacity(self, now: int) -> float | None:
-        """Return the capacity to advertise, or None where it is as callers know it."""
+        """Return the capacity to advertise, or None if it has not changed since it was last advertised."""
         capacity = self.capacity(now)
         if capacity is None:
             return None
-        if abs(capacity - self._advertised) <= TOLD_STEP * max(1.0, abs(self._advertised)):
+        if abs(capacity - self._advertised) <= MIN_ADVERTISED_CHANGE * max(1.0, abs(self._advertised)):
             return None
         self._advertised = capacity
         return capacity
 
     def capacity(self, now: int) -> float | None:
-        """Return the capacity in the form that callers use; None where they use none."""
+        """Return the capacity as the node's capacity signal defines it; None if it has no signal."""
         match self.signal:
             case CapacitySignal.PRIORITY_THRESHOLD:
                 return round(self.shed_fraction, 2)
@@ -98,31 +101,36 @@
     def _window(self, now: int) -> float:
         at_calls = len(self.pools.awaiting_call) + len(self.pools.calling)
         outstanding = at_calls + self.concurrency.running_limit + self.concurrency.reference
-        wide = max(WINDOW_LEAST, WINDOW_WIDE * outstanding * (1 - self.shed_fraction) / self.callers)
+        window = max(
+            MIN_CALLER_WINDOW, CALLER_WINDOW_FACTOR * outstanding * (1 - self.shed_fraction) / self.callers
+        )
         if self.slow_start.speed(now) == 1:
-            return wide
-        # cold, all windows together let in what it survives, as all may be used at once
-        return min(wide, self.slow_start.survivable_concurrency(now) / self.callers)
+            return window
+        # While the node is cold, the windows add up to at most the concurrency that it survives, as callers
+        # may use all of them at once.
+        return min(window, self.slow_start.survivable_concurrency(now) / self.callers)
 
-    def retry_after(self, now: int, fails_alone: bool) -> tuple[int, bool]:
-        """Return for how long (µs) a rejected caller is to stay away, and whether it must not try elsewhere.
+    def retry_after(self, now: int, is_local_problem: bool) -> tuple[int, bool]:
+        """Return the retry-after time (µs) of a rejection, and whether the caller must not retry elsewhere.
 
-        `fails_alone`: other nodes may do better than this one.
+        `is_local_problem` means that other nodes may be able to serve the request.
         """
-        span = self.max_retry_after if fails_alone else min(ADVICE, self.max_retry_after)
-        if self.admitted_share < 1:  # drawn over the span: those that come back at once would be a herd
-            span = int(self.max_retry_after * (1 + 3 * self.chance.random()) / 4)
-            fails_alone = True
-        elif self.slow_start.speed(now) < 1:  # likewise, over half to three times the usual one
-            span = min(self.max_retry_after, int(span * (1 + 5 * self.chance.random()) / 2))
-        return span, not (fails_alone or self.may_retry_elsewhere())
+        delay = (
+            self.max_retry_after if is_local_problem else min(DEFAULT_RETRY_AFTER_US, self.max_retry_after)
+        )
+        if self.admitted_share < 1:  # randomized, so that rejected callers do not return all at once
+            delay = int(self.max_retry_after * (1 + 3 * self.rng.random()) / 4)
+            is_local_problem = True
+        elif self.slow_start.speed(now) < 1:  # randomized too, from half to three times the usual delay
+            delay = min(self.max_retry_after, int(delay * (1 + 5 * self.rng.random()) / 2))
+        return delay, not (is_local_problem or self.may_retry_elsewhere())
 
     def may_retry_elsewhere(self) -> bool:
-        """Draw whether a caller whose deadline is known may try elsewhere.
+        """Return whether a caller that sends its deadline may retry elsewhere; a random draw.
 
-        The less often the more is rejected here. Guards against losses by chance while others idle. Harm:
-        each attempt is read again.
+        The probability falls as the share of rejected arrivals rises. Prevents requests from failing by
+        chance while other nodes are idle. Cost: a node reads each further attempt.
         """
         if not self.callers_send_deadline:
             return False
-        return self.chance.random() * SHED_FEW >= sum(self.recent_rejections) / ARRIVALS_KEPT
+        return self.rng.random() * MAX_REJECTED_SHARE >= sum(self.recent_rejections) / ARRIVAL_SAMPLES
--- a/lichencleat/admission/concurrency.py
+++ b/lichencleat/admission/concurrency.py
@@ -1,7 +1,7 @@
-"""The concurrency limit: an integral controller on the queue's length, and the running limit beside it.
+"""The concurrency limit: an integral controller on the queue's length, and the running limit.
 
-This is the design's loop (docs/design.md): `limit` bounds queued and running requests, `running_limit` bounds
-the running ones.
+This is the control loop of docs/design.md: `limit` bounds the queued and running requests together,
+`running_limit` bounds the running requests.
 """
 
 from __future__ import annotations
@@ -12,16 +12,16 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec
 
-GAIN = 0.2  # of the limit per queued request and period: low, as the paper prefers; its range takes about 1 s
-HOLD_WAIT = 0.2  # of the shortest objective, for the wait in the queue: the run and its calls need the rest
-CLIMB = 1 / 3  # of the cores, added to the running limit per period: doubles it in a third of a second
-STEP_BACK = 1 / 6  # of the cores, off the running limit per period: gentler, the crowd comes and goes
-CROWDED = 1.34  # wanting a core, per core: beyond a third more than cores, more runs only slow each other
-LIMIT_LEAST = 1 / 3  # of the cores: reading and connections may take the rest
+GAIN = 0.2  # per queued request and period; low, as the paper prefers: the limit's range takes about 1 s
+QUEUEING_TIME_SHARE = 0.2  # of the shortest objective; the run and its calls need the rest
+RUNNING_LIMIT_INCREASE = 1 / 3  # per core and period; doubles the initial limit in a third of a second
+RUNNING_LIMIT_DECREASE = 1 / 6  # per core and period; slower than the increase, as overload comes and goes
+MAX_RUNNABLE_PER_CORE = 1.34  # with over a third more tasks than cores, runs only slow each other
+MIN_RUNNING_LIMIT_PER_CORE = 1 / 3  # reading and connections may need the rest
 
 
 class ConcurrencyLimit:
-    """Moves both limits once each period."""
+    """Updates both limits once each period."""
 
     def __init__(
         self,
@@ -41,25 +41,28 @@
         self.limit = 2.0 * spec.cores
 
     def update(self, now: int, runnable: float) -> None:
-        """Move both limits by one step. `runnable` is how much wants a core."""
+        """Move both limits by one step; `runnable` is the number of tasks that want a core."""
         self._update_running_limit(now, runnable)
         self._update_limit(now)
 
     def _update_running_limit(self, now: int, runnable: float) -> None:
         running = len(self.pools.running)
         bound = self.slow_start.concurrency_bound(now)
-        if runnable > self.cores * CROWDED:
-            self.running_limit = max(self.cores * LIMIT_LEAST, self.running_limit - self.cores * STEP_BACK)
+        if runnable > self.cores * MAX_RUNNABLE_PER_CORE:
+            self.running_limit = max(
+                self.cores * MIN_RUNNING_LIMIT_PER_CORE,
+                self.running_limit - self.cores * RUNNING_LIMIT_DECREASE,
+            )
         elif self.pools.queued and running >= round(self.running_limit) and runnable <= self.cores:
-            self.running_limit = min(bound, self.running_limit + self.cores * CLIMB)
+            self.running_limit = min(bound, self.running_limit + self.cores * RUNNING_LIMIT_INCREASE)
         self.running_limit = max(1.0, min(self.running_limit, bound))
 
     def _update_limit(self, now: int) -> None:
-        """Apply the design's step, u += Ki (ref - QL)."""
+        """Apply the update step of the design: u += Ki (ref - QL)."""
         queued = len(self.pools.queued)
         service_time = max(1.0, self.service_times.current(now))
-        fits = self.running_limit * self.timing.shortest_objective * HOLD_WAIT / service_time
-        self.reference = max(1.0, min(float(self.cores), fits))
+        max_queued = self.running_limit * self.timing.shortest_objective * QUEUEING_TIME_SHARE / service_time
+        self.reference = max(1.0, min(float(self.cores), max_queued))
         self.limit += GAIN * (self.reference - queued)
         in_flight = queued + len(self.pools.running)
         self.limit = max(self.running_limit, min(self.limit, in_flight + self.running_limit))
--- a/lichencleat/admission/connections.py
+++ b/lichencleat/admission/connections.py
@@ -7,56 +7,68 @@
 
 from lichencleat.admission.types import NodeSpec
 
-CALLERS_KEPT = 64  # last arrivals: some ten seconds' worth on two cores
-CALLERS_BACK = 0.5  # of them from a caller seen among them: with fewer, callers are strangers
-IDLE_SOON = 100_000  # µs after which strangers' idle connections are closed: nothing more will come on them
-IDLE_PERIOD = 1_000_000  # µs between changes of that span: some ten arrivals' worth
-IDLE_GAIN = 3  # of its logarithm, by what wants a core beside runs: e-fold within a third of a core too much
-IDLE_STEPS = (2 / 3, 8)  # times, at the most in one change: open again gently, shut in two or three
-BESIDE = 1.5  # wanting a core beside runs, per core: reading is one at the most, the rest opens connections
+MAX_CALLER_SAMPLES = 64  # of the last arrivals: about ten seconds on two cores
+MIN_RETURNING_SHARE = 0.5  # of the last arrivals; with fewer from a repeated caller, callers do not return
+MIN_IDLE_TIMEOUT_US = 100_000  # of one-time callers' connections: no further request is expected on them
+UPDATE_PERIOD_US = 1_000_000  # between changes of the one-time callers' timeout: about ten arrivals
+# Change of the timeout's logarithm per task and core over the maximum: a third too much is a factor of e.
+TIMEOUT_GAIN = 3
+# Bounds of the factor of one change: the maximum timeout is reached in two or three changes, and left slowly.
+TIMEOUT_STEP_RANGE = (2 / 3, 8)
+MAX_OTHER_RUNNABLE_PER_CORE = 1.5  # tasks besides runs; reading is at most one, the rest open connections
 
 
 class IdleTimeout:
-    """Keeps connections of callers known to come back, or so few that they will be; closes strangers' soon.
+    """Keeps connections of callers that return or are few enough to return; closes those of others soon.
 
-    Guards against a table full of idle connections, which also slows the node. Harm: handshakes.
+    Prevents a table full of idle connections, which also slows the node. Cost: more handshakes.
     """
 
     def __init__(self, spec: NodeSpec) -> None:
         self.cores = spec.cores
         self.max_timeout = spec.idle_timeout_us
-        self.has_few_callers = 0 < spec.callers <= CALLERS_BACK * CALLERS_KEPT
-        self.recent_callers: deque[int] = deque(maxlen=CALLERS_KEPT)
-        self.is_crowded = False  # connections take the cores, over the last period
-        self._strangers_timeout = float(IDLE_SOON)
+        self.has_few_callers = 0 < spec.callers <= MIN_RETURNING_SHARE * MAX_CALLER_SAMPLES
+        self.recent_callers: deque[int] = deque(maxlen=MAX_CALLER_SAMPLES)
+        self.is_overloaded = False  # connections took up the cores in the last period
+        self._one_time_caller_timeout = float(MIN_IDLE_TIMEOUT_US)
         self._next_update = 0
-        self._beside_sum: float = 0
-        self._beside_samples = 0
+        self._other_runnable_sum: float = 0
+        self._other_runnable_samples = 0
 
     def current(self) -> int:
-        """Return the timeout (µs) that the host is to use from now on."""
-        seen = self.recent_callers
-        if self.has_few_callers or len(seen) - len(set(seen)) >= CALLERS_BACK * CALLERS_KEPT:
+        """Return the timeout (µs) that the host should use from now on."""
+        callers = self.recent_callers
+        if (
+            self.has_few_callers
+            or len(callers) - len(set(callers)) >= MIN_RETURNING_SHARE * MAX_CALLER_SAMPLES
+        ):
             return self.max_timeout
-        return int(min(self._strangers_timeout, self.max_timeout))
+        return int(min(self._one_time_caller_timeout, self.max_timeout))
 
-    def update(self, now: int, beside: float) -> None:
-        """Move the timeout by integral feedback on its logarithm; `beside` wants a core beside the runs.
+    def update(self, now: int, other_runnable: float) -> None:
+        """Move the timeout by integral feedback on its logarithm.
 
-        Where opening connections and reading take the cores, a table left full turns callers away for
-        nothing; where they take little, it is emptied, as it takes capacity and keeps callers out. Guards
-        against any crowd of attempts: walks through the list, clients' retries, a caller's burst. Harm: a
-        caller that makes one attempt finds no room while the table is full.
+        While opening connections and reading take up the cores, the connection table is left full, as a full
+        table refuses callers at no cost. Otherwise it is emptied, as a full table takes capacity and keeps
+        callers out. Prevents overload by connection attempts of any origin: callers that try one node of
+        their list after another, clients' retries, a caller's burst. Cost: a caller that makes a single
+        attempt is refused while the table is full.
+
+        `other_runnable` is the number of tasks besides runs that want a core.
         """
-        self._beside_sum += max(0, beside)
-        self._beside_samples += 1
+        self._other_runnable_sum += max(0, other_runnable)
+        self._other_runnable_samples += 1
         if now < self._next_update:
             return
-        over = self._beside_sum / self._beside_samples / self.cores - BESIDE
-        self.is_crowded = over > 0
-        least, most = IDLE_STEPS
-        timeout = self._strangers_timeout * min(most, max(least, exp(min(most, IDLE_GAIN * over))))
-        self._strangers_timeout = max(IDLE_SOON, min(timeout, self.max_timeout))
-        self._next_update = now + IDLE_PERIOD
-        self._beside_sum = 0
-        self._beside_samples = 0
+        excess = (
+            self._other_runnable_sum / self._other_runnable_samples / self.cores - MAX_OTHER_RUNNABLE_PER_CORE
+        )
+        self.is_overloaded = excess > 0
+        min_factor, max_factor = TIMEOUT_STEP_RANGE
+        timeout = self._one_time_caller_timeout * min(
+            max_factor, max(min_factor, exp(min(max_factor, TIMEOUT_GAIN * excess)))
+        )
+        self._one_time_caller_timeout = max(MIN_IDLE_TIMEOUT_US, min(timeout, self.max_timeout))
+        self._next_update = now + UPDATE_PERIOD_US
+        self._other_runnable_sum = 0
+        self._other_runnable_samples = 0
--- a/lichencleat/admission/controller.py
+++ b/lichencleat/admission/controller.py
@@ -1,12 +1,12 @@
-"""Admission control for one node: what it queues, runs, rejects or fails, and what callers are told.
+"""Admission control for one node: which requests it queues, runs, rejects or fails, and what it reports.
 
-A host makes one `AdmissionController` at each start and calls it when something happens (`on_request`,
-`on_timer`, `start_draining` and so on), which only updates what is known. After each lot of calls it pulls
-`next_decision` until that gives None. The types of that interface stand in `types.py`.
+A host makes one `AdmissionController` at each start and reports events to it (`on_request`, `on_timer`,
+`start_draining` and so on), which only update the controller's state. After each batch of events the host
+calls `next_decision` until it returns None. `types.py` defines the types of this interface.
 
-The design (docs/design.md) decides the ordinary path: `concurrency.py` moves the concurrency limit by
-integral feedback on the length of the queue. The other modules of this package each hold one more concern;
-this one owns them all, and runs the round of decisions.
+The ordinary path follows docs/design.md: `concurrency.py` moves the concurrency limit by integral feedback on
+the length of the queue. Each other module of this package handles one further concern; this module owns all
+of them and runs the decision rounds.
 """
 
 from __future__ import annotations
@@ -14,17 +14,17 @@
 import random
 from collections.abc import Iterator
 
-from lichencleat.admission.backpressure import TOLD_IDLE, Backpressure
+from lichencleat.admission.backpressure import MAX_IDLE_UTILIZATION, Backpressure
 from lichencleat.admission.concurrency import ConcurrencyLimit
 from lichencleat.admission.connections import IdleTimeout
 from lichencleat.admission.deadlines import DeadlineGuard, objective_end
-from lichencleat.admission.downstream import CALL_TRIES, DownstreamCalls
+from lichencleat.admission.downstream import MAX_CALL_ATTEMPTS, DownstreamCalls
 from lichencleat.admission.draining import Draining
 from lichencleat.admission.memory import MemoryBudget
-from lichencleat.admission.outliers import READ_LATE, OutlierDetector
+from lichencleat.admission.outliers import LATE_READ_DELAY_US, OutlierDetector
 from lichencleat.admission.pools import RequestPools
 from lichencleat.admission.queueing import Queue
-from lichencleat.admission.records import IdempotencyRecords, find_original, has_run
+from lichencleat.admission.records import IdempotencyRecords, find_original, has_unrepeatable_run
 from lichencleat.admission.service_times import ServiceTimes
 from lichencleat.admission.slow_start import SlowStart
 from lichencleat.admission.tenant_quotas import TenantQuotas
@@ -41,13 +41,13 @@
     ResourceUsage,
 )
 
-BUSY = 0.9  # of the cores, as the host measures it: nothing to gain from more runs
+MIN_BUSY_UTILIZATION = 0.9  # busy share of the cores; above it further runs gain nothing
 
 
 class AdmissionController:
     """Owns the state of one node's admission control and decides in rounds; times are in µs."""
 
-    def __init__(self, spec: NodeSpec, chance: random.Random) -> None:
+    def __init__(self, spec: NodeSpec, rng: random.Random) -> None:
         self.cores = spec.cores
         self.timing = Timing(spec)
         self.pools = RequestPools()
@@ -70,29 +70,29 @@
             spec, self.timing, self.pools, self.service_times, self.concurrency, self.outliers
         )
         self.backpressure = Backpressure(
-            spec, chance, self.timing, self.slow_start, self.pools, self.concurrency
+            spec, rng, self.timing, self.slow_start, self.pools, self.concurrency
         )
         self.usage = ResourceUsage()
         self.is_healthy = True
-        self.to_abort: dict[Request, None] = {}  # running requests that nobody may wait for
+        self.to_abort: dict[Request, None] = {}  # running requests for which possibly nobody waits
         self.next_update = 0
-        self.wake_at = 0  # when the timer that is set fires; 0 for none
-        self._round: Iterator[Decision] | None = None  # what is left to pull
-        # told once that it is healthy, a node's health checks are answered from store
+        self.wake_at = 0  # when the current timer fires; 0 if none is set
+        self._round: Iterator[Decision] | None = None  # the remaining decisions of the current round
+        # Once health has been reported, the host answers health checks from the last report.
         self._reported_health = None if spec.health_checks_do_work else True
         self._reported_idle_timeout = spec.idle_timeout_us
 
-    # --- events: they only update what is known ---
+    # --- events: they only update the state ---
 
     def on_request(self, now: int, request: Request) -> None:
-        """Take in an arrival."""
+        """Handle the arrival of a request."""
         self.pools.new[request] = None
         self.service_times.add_cost(request)
         self.outliers.on_read(now, request)
         self.connections.recent_callers.append(request.caller)
 
     def on_run_completed(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
-        """Take in the end of a run; an aborted one that is owed an answer is queued again."""
+        """Handle the end of a run; an aborted request that is not answered yet is queued again."""
         if outcome is Outcome.COMPLETED and request in self.pools.running:
             self.service_times.add(request.request_class, took)
         if outcome in (Outcome.COMPLETED, Outcome.FAILED):
@@ -106,38 +106,38 @@
             self.pools.move(request, self.pools.queued, RequestState.QUEUED)
 
     def seed_run_time(self, _now: int, request_class: RequestClass, took: int) -> None:
-        """Take in the usual time in the process before: a first guess, if no run has ended in this one."""
+        """Use a service time of the previous process as a first guess, if no run has ended in this one."""
         self.service_times.seed(request_class, took)
 
     def on_outcome_pending(self, now: int, request: Request, took: int) -> None:
-        """Take in that a run has ended and its outcome is being recorded: `on_run_completed` follows."""
+        """Handle the end of a run whose outcome is being recorded; `on_run_completed` follows."""
         self.service_times.add(request.request_class, took)
         self.outliers.progress_at = now
         self.pools.move(request, self.pools.coalesced, RequestState.COALESCED)
 
     def set_recording_available(self, _now: int, is_available: bool) -> None:
-        """Say whether the host is able to make idempotency records."""
+        """Set whether the host is able to make idempotency records."""
         self.records.is_available = is_available
 
     def set_admitted_share(self, _now: int, share: float) -> None:
-        """Say which share of its arrivals the node may admit while the fleet recovers."""
+        """Set the share of its arrivals that the node may admit while the fleet recovers."""
         self.backpressure.admitted_share = share
 
     def on_record_failed(self, _now: int, request: Request) -> None:
-        """Take in that the record of a request could not be made, so its run was not begun."""
+        """Handle a failure to make a request's record; its run was not started."""
         self.records.expiry.pop(request, None)
         request.started = None
         self.pools.move(request, self.pools.queued, RequestState.QUEUED)
 
     def on_call_needed(self, now: int, request: Request) -> None:
-        """Take in that a run waits for its call."""
+        """Handle a run that has reached its downstream call and waits for it."""
         self.outliers.progress_at = now
         self.pools.move(request, self.pools.awaiting_call, RequestState.AWAITING_CALL)
         request.call_not_before = now
         request.failed_calls = 0
 
     def on_call_completed(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
-        """Take in the end of a call: the run goes on, or the call may be tried again."""
+        """Handle the end of a downstream call: the run continues, or the call may be retried."""
         if request not in self.pools.calling:
             return
         self.calls.on_completed(now, request, outcome, took)
@@ -147,11 +147,11 @@
             self.pools.move(request, self.pools.awaiting_call, RequestState.AWAITING_CALL)
 
     def set_call_quota(self, _now: int, quota: float) -> None:
-        """Say how many calls may be in flight, as agreed with other nodes; those that are may stay."""
+        """Set the fleet's quota of calls in flight for this node; calls already in flight continue."""
         self.calls.granted_quota = quota
 
     def on_caller_gone(self, _now: int, request: Request) -> None:
-        """Take in that nobody waits for a request any more."""
+        """Handle a caller that no longer waits for its request."""
         request.answered = True
         waits_for_run = request.state is RequestState.COALESCED and request.started is None
         if request in self.pools.running:
@@ -160,7 +160,7 @@
             self.pools.end(request)
 
     def start_draining(self, now: int, stops_at: int) -> None:
-        """Take in the notice that the process is stopped at that time."""
+        """Handle the notice that the process will be stopped at `stops_at`."""
         self.draining.start(now, stops_at)
         self.is_healthy = False
         pools = self.pools
@@ -168,11 +168,11 @@
             self.draining.advance_due_time(request)
 
     def on_timer(self, _now: int, usage: ResourceUsage) -> None:
-        """Take in that the timer fired, with what the node measured."""
+        """Handle the timer, which comes with the node's measurements."""
         self.usage = usage
         self.wake_at = 0
 
-    # --- decisions, pulled one by one ---
+    # --- decisions, returned one by one ---
 
     def next_decision(self, now: int) -> Decision | None:
         """Return the next decision of the round; None at its end."""
@@ -183,11 +183,11 @@
         return decision
 
     def abandon_round(self) -> None:
-        """Drop what is left of a round, after an error in it."""
+        """Drop the remaining decisions of a round after an error in it."""
         self._round = None
 
     def decide(self, now: int) -> Iterator[Decision]:
-        """Run one round: each step looks once at what it may have to decide on."""
+        """Run one decision round; each step looks once at the requests that it may decide on."""
         if self.slow_start.started_at is None:
             self.slow_start.started_at = now
             self.outliers.reset_progress(now)
@@ -195,7 +195,7 @@
             self.update(now)
         yield from self.answer_due(now)
         yield from self.abort_unwanted(now)
-        yield from self.delete_unrun_records()
+        yield from self.delete_unstarted_records()
         yield from self.admit_new(now)
         yield from self.review_queue(now)
         yield from self.release_calls(now)
@@ -203,70 +203,75 @@
         yield from self.notify_callers(now)
 
     def update(self, now: int) -> None:
-        """Move all limits by one period."""
+        """Update all limits, once per period."""
         self.next_update = now + self.timing.period - self.timing.resolution
         self.quotas.update(self.timing.period)
         running = len(self.pools.running)
         runnable = running if self.usage.runnable is None else self.usage.runnable
         self.concurrency.update(now, runnable)
         self.queue.update(now, self.concurrency.limit)
-        is_idle = self.is_healthy and not self.pools.queued and (self.usage.busy or 0.0) < TOLD_IDLE
-        self.backpressure.update(is_idle, self.outliers.read_time(now) > READ_LATE)
+        is_idle = (
+            self.is_healthy and not self.pools.queued and (self.usage.busy or 0.0) < MAX_IDLE_UTILIZATION
+        )
+        self.backpressure.update(is_idle, self.outliers.read_delay(now) > LATE_READ_DELAY_US)
         self.connections.update(now, runnable - running)
         self.update_health(now)
-        self.to_abort.update(
-            (each, None) for each in self.pools.running if each.answered
-        )  # a hang ignores it
+        # A hung run ignores an abort, so answered runs are aborted again.
+        self.to_abort.update((each, None) for each in self.pools.running if each.answered)
         self.records.expire(now)
 
     def update_health(self, now: int) -> None:
-        """Judge whether this node does worse than the others may.
+        """Decide whether this node is healthy, compared with what other nodes may be able to serve.
 
-        Guards the fleet: a crowd of attempts strikes all nodes alike, and those that leave the list send it
-        to the rest. Harm: a node struck alone stays in the list while connections take its cores.
+        A node that is overloaded by connection attempts stays healthy: such attempts hit all nodes alike, and
+        a node that leaves the endpoint list sends its load to the others. Cost: a node that is hit alone
+        stays in the list while connections take up its cores.
         """
-        is_outlier = self.outliers.is_drowned(now) or self.outliers.is_sick(now)
-        self.is_healthy = not self.draining.is_active and (self.connections.is_crowded or not is_outlier)
+        is_outlier = self.outliers.is_read_delay_excessive(now) or self.outliers.is_missing_objectives(now)
+        self.is_healthy = not self.draining.is_active and (self.connections.is_overloaded or not is_outlier)
 
     def answer_due(self, now: int) -> Iterator[Decision]:
-        """Answer whatever is due before the next round: this guards the first rule."""
+        """Answer requests that are due before the next round, so that each is answered in time."""
         pools = self.pools
-        stalled = self.outliers.is_stalled(now)  # then a caller may still find another node in time
-        reads_late = self.outliers.read_time(now) > READ_LATE * self.timing.scale
-        crowded = bool(pools.queued) or reads_late
-        ran = (*pools.running, *pools.calling, *pools.awaiting_call)
-        for request in (*ran, *pools.queued, *pools.coalesced):
+        stalled = self.outliers.is_stalled(now)  # then callers may still reach another node in time
+        is_reading_late = self.outliers.read_delay(now) > LATE_READ_DELAY_US * self.timing.scale
+        is_contended = bool(pools.queued) or is_reading_late
+        started = (*pools.running, *pools.calling, *pools.awaiting_call)
+        for request in (*started, *pools.queued, *pools.coalesced):
             if request.answered:
                 continue
             idempotent = request.request_class.effect is Effect.IDEMPOTENT
-            stuck = stalled and idempotent and request in pools.running
-            if self.deadlines.is_due(now, request) or stuck:
+            is_stuck = stalled and idempotent and request in pools.running
+            if self.deadlines.is_due(now, request) or is_stuck:
                 yield self.fail(request)
-            elif crowded and request in ran and self.deadlines.is_worthless(now, request):
+            elif (
+                is_contended and request in started and self.deadlines.is_expired_and_abortable(now, request)
+            ):
                 yield self.reject(now, request)
 
     def abort_unwanted(self, now: int) -> Iterator[Decision]:
-        """Abort work for which nobody waits, unless a repeat waits for its outcome.
+        """Abort runs for which nobody waits, unless a repeat waits for the outcome.
 
-        Nor is a keyed run aborted within its objective: its caller mostly asks again, to share it, while
-        an aborted one can neither run again nor be rejected. Harm: one run for nobody.
+        A keyed run is not aborted within its objective: its caller mostly repeats the request and shares the
+        run, while an aborted keyed request can neither run again nor be rejected. Cost: some runs finish for
+        nobody.
         """
         unwanted = self.to_abort
         self.to_abort = {}
         shared = {each.original for each in self.pools.coalesced}
         for request in unwanted if self.deadlines.can_abort else ():
             keyed = request.request_class.effect is Effect.KEYED
-            kept = keyed and now < objective_end(request)
-            if request in self.pools.running and not kept and request not in shared:
+            keeps_running = keyed and now < objective_end(request)
+            if request in self.pools.running and not keeps_running and request not in shared:
                 yield Decision(Action.ABORT, request)
 
-    def delete_unrun_records(self) -> Iterator[Decision]:
-        """Delete the records that guard nothing and take memory."""
-        for request in self.records.pop_unrun():
+    def delete_unstarted_records(self) -> Iterator[Decision]:
+        """Delete the records of requests that ended without a run, to free their memory."""
+        for request in self.records.pop_unstarted():
             yield Decision(Action.DELETE_RECORD, request)
 
     def admit_new(self, now: int) -> Iterator[Decision]:
-        """Queue an arrival if the limit and the rules allow, else reject it at once."""
+        """Queue new arrivals that the limits and rules allow; reject the others at once."""
         for request in list(self.pools.new):
             self.draining.advance_due_time(request)
             if request.original or request.original_unknown:
@@ -286,9 +291,10 @@
     def admit_repeat(self, now: int, request: Request) -> Iterator[Decision]:
         """Queue a repeat, which may then share the run of the attempt that it repeats.
 
-        Guards the memory against a storm of repeats that wait for one run. Harm: they are not told
-        how it ends, and may ask again. One whose first attempt is over is answered in this round, and
-        at once where it is due before the next: sharing takes work, too.
+        While the memory budget is exceeded, repeats of an unfinished attempt are answered at once. This
+        bounds the memory that repeats of one run take. Cost: their callers do not learn the outcome and may
+        repeat again. A repeat of an ended attempt is answered in this round. A repeat that is due before the
+        next round fails at once, as sharing a run takes work too.
         """
         original = request.original
         if self.deadlines.is_due(now, request):
@@ -301,10 +307,10 @@
             yield self.fail(request)
 
     def may_queue(self, now: int, request: Request) -> bool:
-        """Return whether an arrival is of use here and all rules allow it."""
-        shut_out = self.backpressure.is_shut_out()
+        """Return whether an arrival can be answered in time here and all rules allow it."""
+        rejected_for_recovery = self.backpressure.draw_recovery_rejection()
         return not (
-            shut_out
+            rejected_for_recovery
             or self.deadlines.is_due(now, request)
             or self.deadlines.would_be_late(now, request, len(self.pools.queued))
             or not self.draining.may_run(request)
@@ -313,14 +319,18 @@
         )
 
     def is_full(self) -> bool:
-        """Return whether the concurrency limit is reached, and more runs would gain nothing."""
+        """Return whether the concurrency limit is reached and further runs would gain nothing."""
         queued = len(self.pools.queued)
         running = len(self.pools.running)
-        busy = running >= self.cores or (self.usage.busy or 0.0) > BUSY or self.calls.are_clogged()
+        busy = (
+            running >= self.cores
+            or (self.usage.busy or 0.0) > MIN_BUSY_UTILIZATION
+            or self.calls.are_congested()
+        )
         return bool(queued) and busy and queued + running >= self.concurrency.limit
 
     def review_queue(self, now: int) -> Iterator[Decision]:
-        """Let repeats share a run that there is, answer what is of no use any more, record the rest."""
+        """Let repeats share an existing run, answer requests that can't succeed, record the rest."""
         for request in list(self.pools.queued):
             original = request.original = find_original(request)
             if request.original_unknown or (original is not None and original.started is not None):
@@ -329,19 +339,19 @@
                     yield Decision(Action.COALESCE, request)
                     continue
                 if request.request_class.effect is not Effect.IDEMPOTENT:
-                    yield self.fail(request)  # it ran and came to nothing: neither rerun nor rejected
+                    yield self.fail(request)  # its run failed, so it is neither run again nor rejected
                     continue
             if original is not None:
                 if original.state is not RequestState.ENDED:
-                    continue  # its original is queued here: that one runs, and this one shares
+                    continue  # the original is queued here: it will run, and this repeat shares the run
                 self.records.replace(original, request)
             yield from self.review_first_attempt(now, request)
 
     def review_first_attempt(self, now: int, request: Request) -> Iterator[Decision]:
-        """Answer a queued request that is of no use, else make its record if it needs one."""
-        lacks_record = self.takes_record(request) and request not in self.records.expiry
+        """Answer a queued request that can't succeed, else make its record if it needs one."""
+        lacks_record = self.needs_record(request) and request not in self.records.expiry
         keyed = request.request_class.effect is Effect.KEYED
-        if has_run(request):
+        if has_unrepeatable_run(request):
             yield self.fail(request)
         elif (
             (lacks_record and keyed and not self.records.is_available)
@@ -350,16 +360,18 @@
             or self.outliers.is_stalled(now)
         ):
             yield self.reject(now, request)
-        elif lacks_record:  # however it came into the queue: without, it never starts
+        elif lacks_record:  # a keyed request never starts without a record, however it came into the queue
             yield Decision(Action.ADD_RECORD, request, duration_us=self.records.add(now, request))
 
-    def takes_record(self, request: Request) -> bool:
-        """Return whether a request is to have a record before its run."""
-        shares_read = self.records.freshness > 0 and request.has_key and self.memory.can_record_read()
-        return shares_read or request.request_class.effect is Effect.KEYED
+    def needs_record(self, request: Request) -> bool:
+        """Return whether a request gets a record before its run."""
+        records_idempotent = (
+            self.records.freshness > 0 and request.has_key and self.memory.can_record_idempotent()
+        )
+        return records_idempotent or request.request_class.effect is Effect.KEYED
 
     def release_calls(self, now: int) -> Iterator[Decision]:
-        """Let calls go out by what they add to the value, under the limit; skip some where they clog."""
+        """Send calls in the order of the value they add, under the limit; skip some under congestion."""
 
         def added_value(each: Request) -> float:
             return self.queue.value(each) * (1 - each.request_class.value_share_without_call)
@@ -367,38 +379,38 @@
         ordered = sorted(self.pools.awaiting_call, key=added_value, reverse=True)
         for position, request in enumerate(ordered):
             if request.answered:
-                self.pools.move(request, self.pools.calling, RequestState.CALLING)  # the host ends it
+                self.pools.move(request, self.pools.calling, RequestState.CALLING)  # the host ends the call
             elif self.is_call_given_up(now, request, position):
                 yield self.finish_without_call(now, request)
             elif self.calls.can_call(now, request):
                 self.pools.move(request, self.pools.calling, RequestState.CALLING)
                 request.called_at = now
-                duration = self.calls.duration(now, request, self.call_use_ends(now, request))
+                duration = self.calls.duration(now, request, self.call_deadline(now, request))
                 yield Decision(Action.CALL, request, duration_us=duration)
 
     def is_call_given_up(self, now: int, request: Request, position: int) -> bool:
-        """Return whether a call is of no use any more, or waits too long where it can be skipped."""
-        if request.failed_calls >= CALL_TRIES:
+        """Return whether a call can't earn its value any more, or can be skipped and would wait too long."""
+        if request.failed_calls >= MAX_CALL_ATTEMPTS:
             return True
-        if earns_nothing_late(request) and now >= objective_end(request):
+        if has_no_late_value(request) and now >= objective_end(request):
             return True
         return request.request_class.value_share_without_call > 0 and self.calls.would_wait_long(position)
 
     def finish_without_call(self, now: int, request: Request) -> Decision:
-        """Let a run go on without its call where that still earns, else fail it."""
+        """Continue a run without its call if that still earns value, else fail the request."""
         if request.request_class.value_share_without_call > 0 and now < objective_end(request):
             self.pools.move(request, self.pools.running, RequestState.RUNNING)
             return Decision(Action.SKIP_CALL, request)
         return self.fail(request)
 
-    def call_use_ends(self, now: int, request: Request) -> int:
-        """Return the time after which the answer to a call is of no use."""
-        if earns_nothing_late(request):
+    def call_deadline(self, now: int, request: Request) -> int:
+        """Return the time after which the answer to a call is useless."""
+        if has_no_late_value(request):
             return min(request.due, max(objective_end(request), now + self.timing.period))
         return request.due
 
     def start_queued(self, now: int) -> Iterator[Decision]:
-        """Start queued requests under the running limit and what the node survives."""
+        """Start queued requests, up to the running limit and the concurrency that the node survives."""
         for request in self.queue.start_order(now):
             if len(self.pools.running) >= round(self.concurrency.running_limit):
                 return
@@ -414,20 +426,20 @@
             yield Decision(Action.START, request)
 
     def can_start(self, request: Request) -> bool:
-        """Return whether nothing but the limits keeps a queued request from starting."""
+        """Return whether a queued request may start, the limits aside."""
         if request.original is not None or not self.records.may_start(request):
             return False
         request_class = request.request_class
         if (
             request_class.calls_downstream
             and not request_class.value_share_without_call
-            and self.calls.are_clogged()
+            and self.calls.are_congested()
         ):
             return False
         return self.memory.can_start(request)
 
     def notify_callers(self, now: int) -> Iterator[Decision]:
-        """Report what has changed of health, capacity and idle timeout, and set the timer."""
+        """Report changes of health, capacity and idle timeout, and set the timer."""
         if self.is_healthy != self._reported_health:
             self._reported_health = self.is_healthy
             yield Decision(Action.REPORT_HEALTH, is_healthy=self.is_healthy)
@@ -445,31 +457,31 @@
     # --- answers ---
 
     def reject(self, now: int, request: Request) -> Decision:
-        """Answer that a request did not run, and when and where its caller may try again."""
+        """Reject a request, and state when and where its caller may retry."""
         self.fail(request)
-        fails_alone = (
+        is_local_problem = (
             self.outliers.is_stalled(now)
             or self.draining.is_active
             or self.outliers.is_slow(now, request.request_class)
         )
         self.backpressure.on_rejected()
-        duration, is_last = self.backpressure.retry_after(now, fails_alone)
-        return Decision(Action.REJECT, request, duration_us=duration, is_last=is_last)
+        duration, no_retry_elsewhere = self.backpressure.retry_after(now, is_local_problem)
+        return Decision(Action.REJECT, request, duration_us=duration, no_retry_elsewhere=no_retry_elsewhere)
 
     def fail(self, request: Request) -> Decision:
-        """Answer that a request failed, and drop it unless it runs or is at a call."""
+        """Answer that a request failed, and drop it unless it runs or waits for a call."""
         request.answered = True
         if request in self.pools.running:
             self.to_abort[request] = None
         elif request in self.pools.awaiting_call:
-            # dropped when the host says that it ended
+            # Dropped when the host reports its end.
             self.pools.move(request, self.pools.calling, RequestState.CALLING)
         elif request not in self.pools.calling:
             self.pools.end(request)
         return Decision(Action.FAIL, request)
 
 
-def earns_nothing_late(request: Request) -> bool:
-    """Return whether an answer after the objective is worth nothing, and another run does no harm."""
+def has_no_late_value(request: Request) -> bool:
+    """Return whether an answer after the objective earns nothing, and a second run does no harm."""
     request_class = request.request_class
     return request_class.effect is Effect.IDEMPOTENT and not request_class.late_value_share
--- a/lichencleat/admission/deadlines.py
+++ b/lichencleat/admission/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline guard: what is due before the next round, and what can no longer earn its value."""
+"""The deadline guard: finds requests that are due before the next round or can no longer earn their value."""
 
 from __future__ import annotations
 
@@ -31,35 +31,35 @@
         self.outliers = outliers
 
     def is_due(self, now: int, request: Request) -> bool:
-        """Return whether a request must be answered in this round, as the next comes too late."""
+        """Return whether a request must be answered in this round, as the next round comes too late."""
         return request.due <= now + self.timing.guard
 
     def would_be_late(self, now: int, request: Request, ahead: int = 0) -> bool:
-        """Return whether a request would end after its objective, with so many before it.
+        """Return whether a request would end after its objective, with `ahead` requests before it.
 
-        Guards against work that earns nothing. An idle core tries all the same: that is how a node learns
-        that it is no longer slow.
+        Prevents work that earns nothing. If a core is idle, the request runs nevertheless: this is how a node
+        learns that it is no longer slow.
         """
         idle = 0 if ahead else self.cores - len(self.pools.running)
         if idle > 0 and (not self.pools.running or not self.outliers.is_slow(now, request.request_class)):
             return False
         wait = self._queueing_time(now, ahead) if ahead else 0.0
-        usual = self.service_times.current(now, request.request_class)
-        own = usual * self.service_times.relative_size(request)
-        return now + wait + own > min(request.due, objective_end(request))
+        service_time = self.service_times.current(now, request.request_class)
+        own_time = service_time * self.service_times.relative_size(request)
+        return now + wait + own_time > min(request.due, objective_end(request))
 
     def _queueing_time(self, now: int, ahead: int) -> float:
         slots = max(self.concurrency.running_limit, self.cores)
         return self.service_times.current(now) * ahead / slots
 
-    def is_worthless(self, now: int, request: Request) -> bool:
-        """Return whether a running request is past its objective, earns nothing, and can be aborted."""
+    def is_expired_and_abortable(self, now: int, request: Request) -> bool:
+        """Return whether a running request is past its objective, earns nothing and can be aborted."""
         earns = now < objective_end(request) or request.request_class.late_value_share
         return not earns and request.request_class.effect is Effect.IDEMPOTENT and self.can_abort
 
 
 def objective_end(request: Request) -> int:
-    """Return the time until which an answer earns the whole value of a request."""
+    """Return the time until which an answer earns the full value of a request."""
     request_class = request.request_class
     objective = request_class.latency_objective + int(request_class.objective_stretch * request.cost)
     return request.arrived + min(request_class.deadline, objective)
--- a/lichencleat/admission/downstream.py
+++ b/lichencleat/admission/downstream.py
@@ -1,4 +1,4 @@
-"""The limit on calls to the layer below, and the retries of such calls."""
+"""The limit on downstream calls, and their retries."""
 
 from __future__ import annotations
 
@@ -9,47 +9,52 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import Downstream, Effect, NodeSpec, Outcome, Request
 
-CALLS_PART = 0.7  # of this node's part of what the dependency survives: cold nodes call more, calls linger
-CALLS_LEAST = 0.25  # of the calls part, where that is under one: keeps a slowed dependency at work
-CALLS_AHEAD = 300_000  # µs by which they may be ahead of that part: usual calls are not held up by it
-CALLS_CUT = 0.8  # of the limit, once for each round of calls that comes back slow or failed
-CALLS_SLOW = 5  # last few calls, in the quick quarter of those kept: beyond chance, it is overloaded below
-CALLS_KEPT = 64  # last call times: some ten seconds' worth, so that the quick quarter outlasts a slow spell
-CALLS_FEW = 8  # of them tell how calls go now: fewer would mistake one long call for an overload
-CLOGGED = 0.25  # of the longest objective, for the wait at a call: half of the shortest, mostly
-CALL_TRIES = 3  # of one call: further ones have cost more than the answer is worth
-CALL_PATIENCE = 6  # times the median of recent calls: few usual ones are that long, and the longest earn most
-CALL_PATIENCE_LEAST = 300_000  # µs: three wake-ups, under which a repeat gains nothing
-FAR = 3_600_000_000  # µs: longer than any deadline
-CALL_PAUSE = 50_000  # µs before a call that never ran is tried again: lets the layer below take in answers
+CALL_QUOTA_SHARE = 0.7  # of this node's call quota; cold nodes call more, and calls linger at the dependency
+MIN_CALL_LIMIT_SHARE = 0.25  # of the maximum limit, but not above 1 call; keeps a slow dependency at work
+MAX_PACING_LEAD_US = 300_000  # how far calls may run ahead of their pace, to delay no usual calls
+LIMIT_DECREASE_FACTOR = 0.8  # once per round of calls that end slow or failed
+# Calls are slow if the median of the recent ones exceeds this multiple of the first quartile of all samples.
+# So large a difference is not chance but an overload downstream.
+SLOW_CALL_FACTOR = 5
+MAX_CALL_SAMPLES = 64  # about ten seconds of calls, so that the first quartile outlasts a slow period
+RECENT_CALL_SAMPLES = 8  # for the current state; with fewer, one long call would look like an overload
+MAX_CALL_WAIT_SHARE = 0.25  # of the longest objective, to wait for a call: mostly half of the shortest
+MAX_CALL_ATTEMPTS = 3  # per call; further attempts cost more than the answer is worth
+HEDGE_TIMEOUT_FACTOR = 6  # times the median call; few usual calls are that long, and the longest earn most
+MIN_HEDGE_TIMEOUT_US = 300_000  # three rounds; with a shorter timeout a second call gains nothing
+MAX_CALL_DURATION_US = 3_600_000_000  # longer than any deadline, so no bound in practice
+CALL_RETRY_DELAY_US = 50_000  # before a call that never ran is retried: gives the dependency time for answers
 
 
 class DownstreamCalls:
-    """Bounds the calls in flight, by how the last ones went; times are in µs."""
+    """Bounds the calls in flight by the results of recent calls; times are in µs."""
 
     def __init__(self, spec: NodeSpec, timing: Timing, pools: RequestPools) -> None:
         self.timing = timing
         self.pools = pools
         self.is_hedged = spec.downstream is Downstream.TIER
         shared = spec.downstream is Downstream.SHARED and spec.call_quota > 0
-        self.max_limit = spec.call_quota * CALLS_PART if shared else float("inf")
-        self.min_limit = min(1.0, self.max_limit * CALLS_LEAST)
+        self.max_limit = spec.call_quota * CALL_QUOTA_SHARE if shared else float("inf")
+        self.min_limit = min(1.0, self.max_limit * MIN_CALL_LIMIT_SHARE)
         self.limit = min(self.max_limit, float(spec.cores))
         self.granted_quota = float("inf")
-        self.max_duration = self.max_limit * spec.call_quota_window_us if self.max_limit < 1 else FAR
-        self.times: deque[tuple[int, bool]] = deque(maxlen=CALLS_KEPT)  # and whether it came back
+        self.max_duration = (
+            self.max_limit * spec.call_quota_window_us if self.max_limit < 1 else MAX_CALL_DURATION_US
+        )
+        self.times: deque[tuple[int, bool]] = deque(maxlen=MAX_CALL_SAMPLES)  # duration, succeeded
         self._limit_cut_at = 0
         self._next_call_at = 0
-        self._timeout: int | None = None  # worked out since the last call ended
+        self._timeout: int | None = None  # cached hedge timeout; None after a call has ended
 
     def on_completed(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
-        """Learn from a call that has ended, and say when it may be tried again if it failed."""
+        """Update the limit after a call has ended, and schedule the retry of a failed call."""
         succeeded = outcome is Outcome.COMPLETED
-        if not (self.is_hedged and outcome is Outcome.TIMED_OUT):  # that tells our timeout, not how calls go
+        if not (self.is_hedged and outcome is Outcome.TIMED_OUT):  # else `took` is the hedge timeout
             self.times.append((took, succeeded))
             self._timeout = None
-        # Guards the dependency against nodes with one call there each, but all at once: under a limit of one,
-        # each pays back its time before the next. Harm: a keyed call abandoned for it is not repeated.
+        # Prevents overload of the dependency by many nodes that each have one call in flight at the same
+        # time: under a limit of 1, a node delays its next call in proportion to the duration of the last one.
+        # Cost: a keyed call that is abandoned because of the delay is not repeated.
         if self.limit < 1:
             self._next_call_at = max(self._next_call_at, now) + int(took / self.limit)
         self._move_limit(now, succeeded, took)
@@ -59,7 +64,7 @@
     def _move_limit(self, now: int, succeeded: bool, took: int) -> None:
         if self.are_slow():
             if now - took >= self._limit_cut_at:
-                self.limit = max(self.min_limit, self.limit * CALLS_CUT)
+                self.limit = max(self.min_limit, self.limit * LIMIT_DECREASE_FACTOR)
                 self._limit_cut_at = now
         elif succeeded and self.count_in_flight(now) >= self.limit - 1:
             step = min(1 / self.limit, self.limit)
@@ -68,70 +73,76 @@
     def _schedule_retry(self, now: int, request: Request, outcome: Outcome) -> None:
         never_ran = outcome in (Outcome.REJECTED, Outcome.UNREACHABLE)
         idempotent = request.request_class.effect is Effect.IDEMPOTENT
-        request.failed_calls += 1 if never_ran or idempotent else CALL_TRIES
-        pause = int(CALL_PAUSE * self.timing.scale)
-        request.call_not_before = now + pause * request.failed_calls
+        request.failed_calls += 1 if never_ran or idempotent else MAX_CALL_ATTEMPTS
+        delay = int(CALL_RETRY_DELAY_US * self.timing.scale)
+        request.call_not_before = now + delay * request.failed_calls
 
     def are_slow(self) -> bool:
         """Return whether the last calls were slow or failed.
 
-        Guards against quick refusals below: counted as quick calls, they made all others look slow.
+        Only the times of successful calls are compared: next to fast rejections, all other calls would look
+        slow.
         """
-        last = list(self.times)[-CALLS_FEW:]
-        good = [took for took, succeeded in last if succeeded]
-        if len(last) < CALLS_FEW or len(good) <= CALLS_FEW / 2:
-            return len(last) == CALLS_FEW
+        recent = list(self.times)[-RECENT_CALL_SAMPLES:]
+        recent_times = [took for took, succeeded in recent if succeeded]
+        if len(recent) < RECENT_CALL_SAMPLES or len(recent_times) <= RECENT_CALL_SAMPLES / 2:
+            return len(recent) == RECENT_CALL_SAMPLES
         ordered = sorted(took for took, succeeded in self.times if succeeded)
-        return median(good) > CALLS_SLOW * ordered[len(ordered) // 4]
+        return median(recent_times) > SLOW_CALL_FACTOR * ordered[len(ordered) // 4]
 
     def count_in_flight(self, now: int) -> int:
-        """Count the calls that the limit holds: not those far over their time, at lost nodes of a tier."""
+        """Count the calls in flight that the limit bounds.
+
+        Calls to a tier beyond the hedge timeout are not counted, as the nodes that they call may be lost.
+        """
         since = now - self.hedge_timeout() if self.is_hedged else 0
         return sum(each.called_at >= since for each in self.pools.calling)
 
     def hedge_timeout(self) -> int:
-        """Return after how long an idempotent call to one of many nodes does better with another.
+        """Return the time after which an idempotent call to a tier is better retried at another node.
 
-        Some are slow or silent. Harm where all are slow: work is done twice, so it follows recent calls, and
-        the last try waits on.
+        Some nodes of a tier may be slow or silent. Cost where all are slow: work is done twice. Therefore the
+        timeout follows the recent calls, and the last attempt has no hedge timeout.
         """
         if self._timeout is None:
             ordered = sorted(took for took, succeeded in self.times if succeeded)
-            usual = ordered[len(ordered) // 2] if len(ordered) >= CALLS_FEW else FAR
-            least = int(CALL_PATIENCE_LEAST * self.timing.scale)
-            self._timeout = min(FAR, max(least, CALL_PATIENCE * usual))
+            median_time = (
+                ordered[len(ordered) // 2] if len(ordered) >= RECENT_CALL_SAMPLES else MAX_CALL_DURATION_US
+            )
+            min_timeout = int(MIN_HEDGE_TIMEOUT_US * self.timing.scale)
+            self._timeout = min(MAX_CALL_DURATION_US, max(min_timeout, HEDGE_TIMEOUT_FACTOR * median_time))
         return self._timeout
 
     def effective_limit(self) -> float:
-        """Return the limit, as the quota granted by the fleet bounds it."""
-        return min(self.limit, max(self.granted_quota, CALLS_LEAST))
+        """Return the limit, bounded by the quota that the fleet has granted."""
+        return min(self.limit, max(self.granted_quota, MIN_CALL_LIMIT_SHARE))
 
-    def usual_time(self) -> float:
-        """Return the median time of the last few calls."""
-        return median([took for took, _ in self.times][-CALLS_FEW:] or [0.0])
+    def recent_median(self) -> float:
+        """Return the median duration of the last few calls."""
+        return median([took for took, _ in self.times][-RECENT_CALL_SAMPLES:] or [0.0])
 
     def would_wait_long(self, ahead: int) -> bool:
-        """Return whether a call waits long with so many before it, and calls as slow as the last few."""
-        wait = ahead * self.usual_time() / self.effective_limit()
-        return wait > self.timing.longest_objective * CLOGGED
+        """Return whether a call behind `ahead` others waits too long, if all take as long as recent ones."""
+        wait = ahead * self.recent_median() / self.effective_limit()
+        return wait > self.timing.longest_objective * MAX_CALL_WAIT_SHARE
 
-    def are_clogged(self) -> bool:
-        """Return whether what is begun now would wait long at its call."""
+    def are_congested(self) -> bool:
+        """Return whether a run that starts now would wait too long for its call."""
         awaiting = len(self.pools.awaiting_call)
         if not awaiting:
             return False
         return awaiting >= self.effective_limit() or self.would_wait_long(awaiting + len(self.pools.running))
 
     def can_call(self, now: int, request: Request) -> bool:
-        """Return whether the call of a request may go out now."""
-        if now < max(request.call_not_before, self._next_call_at - CALLS_AHEAD):
+        """Return whether the call of a request may be sent now."""
+        if now < max(request.call_not_before, self._next_call_at - MAX_PACING_LEAD_US):
             return False
         return self.count_in_flight(now) < self.limit and len(self.pools.calling) < self.granted_quota
 
     def duration(self, now: int, request: Request, until: int) -> int:
-        """Return how long a call that is let out now may take, with the answer of no use after `until`."""
+        """Return the time limit of a call that is sent now and whose answer is useless after `until`."""
         duration = min(max(until - now, self.timing.guard), int(self.max_duration))
         idempotent = request.request_class.effect is Effect.IDEMPOTENT
-        if idempotent and self.is_hedged and request.failed_calls < CALL_TRIES - 1:
+        if idempotent and self.is_hedged and request.failed_calls < MAX_CALL_ATTEMPTS - 1:
             return min(duration, self.hedge_timeout())
         return duration
--- a/lichencleat/admission/draining.py
+++ b/lichencleat/admission/draining.py
@@ -1,15 +1,15 @@
-"""Draining: what a node still does between the notice to stop and its end."""
+"""Draining: which requests a node still runs and answers between the stop notice and its end."""
 
 from __future__ import annotations
 
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec, Request
 
-LEAVE_MARGIN = 300_000  # µs before the stop by which all is answered: three wake-ups
+DRAIN_MARGIN_US = 300_000  # before the stop, all requests are answered by then: three rounds
 
 
 class Draining:
-    """Holds the times (µs) of an orderly drain; None before the notice."""
+    """Holds the times (µs) of an orderly drain; None before the stop notice."""
 
     def __init__(self, spec: NodeSpec, timing: Timing) -> None:
         self.grace = spec.drain_grace_us
@@ -19,16 +19,16 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether the notice to stop has come."""
+        """Whether the stop notice has arrived."""
         return self.answers_until is not None
 
     def start(self, now: int, stops_at: int) -> None:
-        """Take in the notice: the process is stopped at `stops_at`."""
-        self.answers_until = stops_at - LEAVE_MARGIN
+        """Handle the notice that the process will be stopped at `stops_at`."""
+        self.answers_until = stops_at - DRAIN_MARGIN_US
         self.no_run_after = now + self.grace
 
     def advance_due_time(self, request: Request) -> None:
-        """Let a request be answered before the stop."""
+        """Make a request due before the stop."""
         if self.answers_until is not None:
             request.due = min(request.due, self.answers_until + self.timing.guard)
 
--- a/lichencleat/admission/memory.py
+++ b/lichencleat/admission/memory.py
@@ -6,26 +6,28 @@
 from lichencleat.admission.records import IdempotencyRecords
 from lichencleat.admission.types import NodeSpec, Request
 
-MEMORY_PART = 0.85  # of the memory: leaves room for what is being read while decisions are made
-ENTRY_PART = 0.5  # of the memory part: records of idempotent requests only save work, so runs come first
+MEMORY_BUDGET_SHARE = 0.85  # leaves memory for requests that are read during a decision round
+IDEMPOTENT_RECORD_SHARE = 0.5  # of the budget; such records only save work, so runs come first
 
 
 class MemoryBudget:
-    """Compares the memory in use with a part of what the node has, in kilobytes."""
+    """Compares the memory in use with a share of the node's memory, in kilobytes."""
 
     def __init__(self, spec: NodeSpec, pools: RequestPools, records: IdempotencyRecords) -> None:
-        self.limit_kb = spec.memory_kb * MEMORY_PART or float("inf")
+        self.limit_kb = spec.memory_kb * MEMORY_BUDGET_SHARE or float("inf")
         self.running_memory_factor = spec.running_memory_factor
         self.record_kb = spec.record_kb
         self.pools = pools
         self.records = records
 
     def used_kb(self) -> float:
-        """Return what all requests and records take."""
+        """Return the memory used by all requests and records."""
         pools = self.pools
-        ran = sum(each.size_kb for each in pools.started())
-        waiting = sum(each.size_kb for each in (*pools.new, *pools.queued, *pools.coalesced))
-        return ran * self.running_memory_factor + waiting + len(self.records.expiry) * self.record_kb
+        started_kb = sum(each.size_kb for each in pools.started())
+        waiting_kb = sum(each.size_kb for each in (*pools.new, *pools.queued, *pools.coalesced))
+        return (
+            started_kb * self.running_memory_factor + waiting_kb + len(self.records.expiry) * self.record_kb
+        )
 
     def is_exceeded(self) -> bool:
         """Return whether more is in use than the budget allows."""
@@ -35,6 +37,6 @@
         """Return whether there is memory for the run of a queued request."""
         return self.used_kb() + request.size_kb * (self.running_memory_factor - 1) <= self.limit_kb
 
-    def can_record_read(self) -> bool:
+    def can_record_idempotent(self) -> bool:
         """Return whether there is memory for the record of an idempotent request."""
-        return self.used_kb() < self.limit_kb * ENTRY_PART
+        return self.used_kb() < self.limit_kb * IDEMPOTENT_RECORD_SHARE
--- a/lichencleat/admission/node_spec.py
+++ b/lichencleat/admission/node_spec.py
@@ -1,6 +1,6 @@
-"""Decoder of a node's start settings into `NodeSpec`, for the bench adapter and the platform's node.
+"""Decoding of a node's start settings into `NodeSpec`, for the bench adapter and the platform's node.
 
-Unknown keys are ignored. A known key with a value that the wire does not allow raises `InvalidInputError`.
+Unknown keys are ignored. A known key with an invalid value raises `InvalidInputError`.
 """
 
 from __future__ import annotations
@@ -28,45 +28,45 @@
     "share_of": CapacitySignal.PROBABILITY,
 }
 DOWNSTREAMS = {"none": Downstream.NONE, "shared": Downstream.SHARED, "tier": Downstream.TIER}
-GAUGES = {  # the wire's names of gauges, and the fields of ResourceUsage
+GAUGES = {  # gauge names on the wire to fields of ResourceUsage
     "cpu_busy": "busy",
     "runnable": "runnable",
     "mem_used": "memory",
     "sockets": "connections",
 }
 
-MAX_AMOUNT = 1e12  # more than the seconds, kilobytes or calls of any machine
+MAX_AMOUNT = 1e12  # more than the seconds, kilobytes or calls of any machine, so larger values are mistakes
 MICROSECONDS_PER_SECOND = 1_000_000
-ROOT = "settings"  # path of the whole settings
+ROOT = "settings"  # path of the top level in error texts
 
 ValueT = TypeVar("ValueT")
 
 
 class InvalidInputError(Exception):
-    """Input that the wire does not allow; its text says what and where."""
+    """Invalid input from the wire or the settings; its text says what is wrong and where."""
 
 
 class InvalidAmountError(InvalidInputError):
     """A setting that is not a number, below 0 or above `MAX_AMOUNT`."""
 
     def __init__(self, path: str, value: object) -> None:
-        super().__init__(f"{path}: no figure from 0 to {MAX_AMOUNT:.0e}: {value!r:.60}")
+        super().__init__(f"{path}: expected a number from 0 to {MAX_AMOUNT:.0e}, got {value!r:.60}")
         self.path = path
         self.value = value
 
 
 class InvalidTypeError(InvalidInputError):
-    """A setting that is not of the expected container type."""
+    """A setting that is not of the expected container type, object or list."""
 
     def __init__(self, path: str, expected: type, value: object) -> None:
-        super().__init__(f"{path}: no {expected.__name__}: {value!r:.60}")
+        super().__init__(f"{path}: expected a {expected.__name__}, got {value!r:.60}")
         self.path = path
         self.expected = expected
         self.value = value
 
 
 class UnknownValueError(InvalidInputError):
-    """A value that is none of the names allowed in its place."""
+    """A value that is not one of the names allowed for its setting."""
 
     def __init__(self, path: str, value: object) -> None:
         super().__init__(f"{path}: unknown value {value!r:.60}")
@@ -75,10 +75,10 @@
 
 
 class UnnamedEntryError(InvalidInputError):
-    """An entry of a list (a class or a tenant) that is not an object with a name."""
+    """A list entry (a class or a tenant) that is not an object with a name."""
 
     def __init__(self, path: str, entry_kind: str, value: object) -> None:
-        super().__init__(f"{path}: no {entry_kind} with its name: {value!r:.60}")
+        super().__init__(f"{path}: expected a {entry_kind} with a name, got {value!r:.60}")
         self.path = path
         self.value = value
 
@@ -102,7 +102,7 @@
 
 
 def check_amount(value: object, path: str) -> float:
-    """Return a number of the settings, 0 if it is None.
+    """Return a number from the settings, 0 if it is None.
 
     Raises:
         InvalidAmountError: if it is not a number from 0 to `MAX_AMOUNT`.
@@ -116,7 +116,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Section:
-    """A JSON object of the settings with its path, which error texts name."""
+    """A JSON object of the settings, with the path that error texts name."""
 
     values: Mapping[str, object]
     path: str = ROOT
@@ -169,7 +169,7 @@
 
 
 def decode_tenant_quotas(settings: Section) -> dict[str, float]:
-    """Return each tenant's quota at this node, in requests a second: an equal part for each server."""
+    """Return each tenant's quota at this node, in requests per second: an equal part for each server."""
     servers = max(1.0, settings.amount("servers"))
     quotas = {}
     for name, tenant in settings.iterate_named_entries("orgs", "tenant"):
@@ -179,7 +179,7 @@
 
 
 def decode_request_classes(settings: Section, specifics: Section) -> list[RequestClass]:
-    """Return the request classes; what they call downstream stands in lists of the node's specifics."""
+    """Return the request classes; lists in the node's specifics hold their downstream calls."""
     calls = specifics.list_entries("classCalls")
     values_without_call = specifics.list_entries("classSkipWorth")
     return [
@@ -191,7 +191,7 @@
 def decode_request_class(
     name: str, section: Section, index: int, calls: Sequence[object], values_without_call: Sequence[object]
 ) -> RequestClass:
-    """Return one request class; the lists hold a value for each class, or are shorter."""
+    """Return one request class; the lists hold one value per class and may be shorter."""
     value_without_call = values_without_call[index] if index < len(values_without_call) else 0
     return RequestClass(
         name=name,
@@ -211,7 +211,7 @@
     """Return the node described by the settings.
 
     Raises:
-        InvalidInputError: if a known setting has a value that the wire does not allow.
+        InvalidInputError: if a known setting has an invalid value.
     """
     settings = Section(raw_settings)
     specifics = settings.section("specifics")
@@ -248,7 +248,7 @@
 
 
 def decode_over_quota_value_share(settings: Section) -> float:
-    """Return the share of the value earned beyond a tenant's quota; all of it if it is not set."""
+    """Return the share of the value earned beyond a tenant's quota; 1 if it is not set."""
     if settings.values.get("overShareWorth") is None:
         return 1.0
     return settings.amount("overShareWorth")
--- a/lichencleat/admission/pools.py
+++ b/lichencleat/admission/pools.py
@@ -6,7 +6,7 @@
 
 
 class RequestPools:
-    """Holds each request in one pool, in the order in which requests came there."""
+    """Holds each request in one pool, in the order in which the requests entered it."""
 
     def __init__(self) -> None:
         self.new: dict[Request, None] = {}
@@ -15,7 +15,7 @@
         self.awaiting_call: dict[Request, None] = {}
         self.calling: dict[Request, None] = {}
         self.coalesced: dict[Request, None] = {}
-        self.has_ended_unrun = False  # some request ended without a run since the records were looked through
+        self.has_ended_unstarted = False  # since the idempotency records were last checked
 
     def started(self) -> tuple[Request, ...]:
         """Return the requests whose run has begun, those at a call among them."""
@@ -26,16 +26,16 @@
         return len(self.running) + len(self.awaiting_call) + len(self.calling)
 
     def move(self, request: Request, pool: dict[Request, None], state: RequestState) -> None:
-        """Take a request out of its pool and put it at the end of another."""
+        """Move a request from its pool to the end of another."""
         self._remove(request)
         pool[request] = None
         request.state = state
 
     def end(self, request: Request) -> None:
-        """Take a request out of its pool for good."""
+        """Remove a request from its pool; it has ended."""
         self._remove(request)
         request.state = RequestState.ENDED
-        self.has_ended_unrun = self.has_ended_unrun or request.started is None
+        self.has_ended_unstarted = self.has_ended_unstarted or request.started is None
 
     def _remove(self, request: Request) -> None:
         for pool in (
--- a/lichencleat/admission/records.py
+++ b/lichencleat/admission/records.py
@@ -1,6 +1,7 @@
 """Idempotency records: a keyed request runs once, and its repeats share that run.
 
-The host keeps the records; this says which there are, until when, and what an attempt repeats.
+The host stores the records; this module tracks which records exist, when they expire, and which attempt a
+request repeats.
 """
 
 from __future__ import annotations
@@ -13,7 +14,7 @@
 
 
 class IdempotencyRecords:
-    """The index of the records on this node, with the time (µs) at which each expires."""
+    """The index of the records on this node, with the time (µs) at which each record expires."""
 
     def __init__(self, spec: NodeSpec, timing: Timing, pools: RequestPools) -> None:
         self.freshness = spec.freshness_us
@@ -23,49 +24,49 @@
         self.is_available = True  # the host is able to make records
 
     def add(self, now: int, request: Request) -> int:
-        """Make the record of a run that may begin, and return how long it lasts.
+        """Add the record of a run that may start, and return how long the record lasts.
 
-        It covers the window counted from the arrival of the request.
+        The record covers the window that begins with the arrival of the request.
         """
         keyed = request.request_class.effect is Effect.KEYED
-        lasts = request.request_class.window if keyed else self.freshness
-        until = request.arrived + lasts + self.timing.guard
+        retention = request.request_class.window if keyed else self.freshness
+        until = request.arrived + retention + self.timing.guard
         self.expiry[request] = until
         return max(until - now, self.timing.guard)
 
     def expire(self, now: int) -> None:
-        """Drop the records that are past their window."""
+        """Drop the records whose window has passed."""
         self.expiry = {each: until for each, until in self.expiry.items() if until > now}
 
-    def pop_unrun(self) -> Iterator[Request]:
-        """Drop and yield the records of attempts that ended without a run: they guard nothing."""
-        candidates = list(self.expiry) if self.pools.has_ended_unrun else []
-        self.pools.has_ended_unrun = False
+    def pop_unstarted(self) -> Iterator[Request]:
+        """Drop and yield the records of attempts that ended without a run, as they prevent no second run."""
+        candidates = list(self.expiry) if self.pools.has_ended_unstarted else []
+        self.pools.has_ended_unstarted = False
         for request in candidates:
             if request.state is RequestState.ENDED and request.started is None:
                 del self.expiry[request]
                 yield request
 
     def replace(self, original: Request, request: Request) -> None:
-        """Let a repeat take the place of an attempt that ended without a run.
+        """Replace an attempt that ended without a run by a repeat of it.
 
-        Guards against two repeats of one rejected attempt that are read together: the first of them takes its
-        place, and the second repeats that one.
+        Prevents two runs when two repeats of one rejected attempt are read together: the first repeat
+        replaces the attempt, and the second one counts as a repeat of the first.
         """
         original.replacement = request
         request.original = None
         self.expiry.pop(original, None)
 
     def may_start(self, request: Request) -> bool:
-        """Return whether a request has the record that it needs before its run."""
+        """Return whether a request has the record that it needs before it runs."""
         return request.request_class.effect is not Effect.KEYED or request in self.expiry
 
 
 def find_original(request: Request) -> Request | None:
-    """Return the attempt that a request repeats, or the one that took its place.
+    """Return the attempt that a request repeats, or the attempt that replaced it.
 
-    Guards the windows of several attempts of one key that were read out of their order: a repeat runs only
-    where each of those that it repeats has ended without a run.
+    Several attempts with one key may be read out of order. A repeat runs only if each attempt that it repeats
+    has ended without a run.
     """
     original = request.original
     while original is not None:
@@ -78,6 +79,6 @@
     return original
 
 
-def has_run(request: Request) -> bool:
-    """Return whether a request has begun that must not run again."""
+def has_unrepeatable_run(request: Request) -> bool:
+    """Return whether a request has started and must not run again."""
     return request.started is not None and request.request_class.effect is not Effect.IDEMPOTENT
--- a/lichencleat/admission/service_times.py
+++ b/lichencleat/admission/service_times.py
@@ -1,4 +1,4 @@
-"""Service times: how long runs take here, by request class."""
+"""Service times: how long runs take on this node, by request class."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from lichencleat.admission.pools import RequestPools
 from lichencleat.admission.types import NodeSpec, Request, RequestClass
 
-RUNS_KEPT = 16  # last run times of each class: a few seconds' worth on a busy node
-RUNS_FEW = 4  # of one class: with fewer, all classes' runs tell more
+MAX_RUN_SAMPLES = 16  # per class: a few seconds of runs on a busy node
+MIN_RUN_SAMPLES = 4  # of one class; with fewer, the median of all classes is more reliable
 
 
 class ServiceTimes:
@@ -19,47 +19,50 @@
         self.cores = spec.cores
         self.pools = pools
         self.samples: dict[RequestClass, deque[int]] = {
-            each: deque(maxlen=RUNS_KEPT) for each in spec.request_classes
+            each: deque(maxlen=MAX_RUN_SAMPLES) for each in spec.request_classes
         }
         self.costs: dict[RequestClass, deque[int]] = {
-            each: deque(maxlen=RUNS_KEPT) for each in spec.request_classes
+            each: deque(maxlen=MAX_RUN_SAMPLES) for each in spec.request_classes
         }
-        self._medians: dict[RequestClass | None, float] = {}  # worked out since the last run ended
+        self._medians: dict[RequestClass | None, float] = {}  # cached; cleared when a run ends
 
     def add(self, request_class: RequestClass, took: int) -> None:
         """Add the service time of a run that has ended."""
-        self.samples.setdefault(request_class, deque(maxlen=RUNS_KEPT)).append(took)
+        self.samples.setdefault(request_class, deque(maxlen=MAX_RUN_SAMPLES)).append(took)
         self._medians.clear()
 
     def seed(self, request_class: RequestClass, took: int) -> None:
-        """Take the usual time of the process before as a first guess, if no run of this one has ended."""
-        samples = self.samples.setdefault(request_class, deque(maxlen=RUNS_KEPT))
+        """Use a service time of the previous process as the first sample, if there is no sample yet."""
+        samples = self.samples.setdefault(request_class, deque(maxlen=MAX_RUN_SAMPLES))
         if not samples:
             samples.append(took)
             self._medians.clear()
 
     def add_cost(self, request: Request) -> None:
-        """Add the core time that a request is expected to take, where it is told."""
+        """Add the expected core time of a request, if it is known."""
         if request.cost:
-            self.costs.setdefault(request.request_class, deque(maxlen=RUNS_KEPT)).append(request.cost)
+            self.costs.setdefault(request.request_class, deque(maxlen=MAX_RUN_SAMPLES)).append(request.cost)
 
     def usual(self, request_class: RequestClass | None = None) -> float:
-        """Return the median time of a run, of this class if enough of it is known."""
+        """Return the median service time, of the class alone if it has enough samples."""
         own = self.samples.get(request_class, ()) if request_class else ()
-        request_class = request_class if len(own) >= RUNS_FEW else None
+        request_class = request_class if len(own) >= MIN_RUN_SAMPLES else None
         if request_class not in self._medians:
             times = own if request_class else [took for times in self.samples.values() for took in times]
             self._medians[request_class] = median(times or [0.0])
         return self._medians[request_class]
 
     def current(self, now: int, request_class: RequestClass | None = None) -> float:
-        """Return the usual time of a run; what is under way tells sooner than what has ended."""
-        under_way = [now - each.started for each in self.pools.started() if each.started]
-        age = median(under_way) if len(under_way) >= self.cores else 0.0
+        """Return the median service time, or the median age of current runs if that is longer.
+
+        Current runs show a slowdown sooner than ended runs.
+        """
+        ages = [now - each.started for each in self.pools.started() if each.started]
+        age = median(ages) if len(ages) >= self.cores else 0.0
         return max(self.usual(request_class), age)
 
     def relative_size(self, request: Request) -> float:
-        """Return the expected cost of a request in medians of its class; 1 where it is not told."""
+        """Return the expected cost of a request as a multiple of its class's median; 1 if it is unknown."""
         costs = self.costs.get(request.request_class, ())
-        known = request.cost and len(costs) >= RUNS_FEW
-        return request.cost / max(1.0, median(costs)) if known else 1.0
+        is_known = request.cost and len(costs) >= MIN_RUN_SAMPLES
+        return request.cost / max(1.0, median(costs)) if is_known else 1.0
--- a/lichencleat/admission/timing.py
+++ b/lichencleat/admission/timing.py
@@ -1,24 +1,25 @@
-"""The length of a round, and the guard time before a deadline, derived from the latency objectives."""
+"""The period of decision rounds and the guard time before a deadline, derived from the latency objectives."""
 
 from __future__ import annotations
 
 from lichencleat.admission.types import NodeSpec
 
-PERIOD = 100_000  # µs: a tenth of the shortest wait that matters, and ten wake-ups a second cost little
-SOFT_USUAL = 1_300_000  # µs: the shortest objective that these spans suit; shorter ones shorten them alike
-PACE_LEAST = 0.2  # of those spans: quicker rounds would cost more than they gain
-NO_OBJECTIVE = 700_000  # µs, for the longest objective of a node without classes
+PERIOD = 100_000  # µs: a tenth of the shortest wait that matters; ten rounds a second cost little
+REFERENCE_OBJECTIVE_US = 1_300_000  # objective that the time constants suit; a shorter one scales them down
+MIN_SCALE = 0.2  # of the time constants; faster rounds would cost more than they gain
+DEFAULT_LONGEST_OBJECTIVE_US = 700_000  # of a node without request classes
 
 
 class Timing:
-    """Spans in µs that all concerns of one controller share."""
+    """Time constants (µs) shared by all modules of one controller."""
 
     def __init__(self, spec: NodeSpec) -> None:
         objectives = [each.latency_objective for each in spec.request_classes]
-        self.shortest_objective = min(objectives, default=SOFT_USUAL)
-        self.longest_objective = max(objectives, default=NO_OBJECTIVE)
-        # Guards against judging quick work by slow work's spans. Harm: more wake-ups, down to 20 ms apart.
-        self.scale = min(1.0, max(PACE_LEAST, self.shortest_objective / SOFT_USUAL))
+        self.shortest_objective = min(objectives, default=REFERENCE_OBJECTIVE_US)
+        self.longest_objective = max(objectives, default=DEFAULT_LONGEST_OBJECTIVE_US)
+        # Prevents short requests from being judged by the time constants of long ones. Cost: more rounds,
+        # down to 20 ms apart.
+        self.scale = min(1.0, max(MIN_SCALE, self.shortest_objective / REFERENCE_OBJECTIVE_US))
         self.period = int(PERIOD * self.scale)
         self.resolution = spec.resolution
-        self.guard = self.period + 2 * spec.resolution  # an answer due sooner than this goes out now
+        self.guard = self.period + 2 * spec.resolution  # answers that are due sooner are sent now
--- a/lichencleat/admission/types.py
+++ b/lichencleat/admission/types.py
@@ -1,6 +1,6 @@
 """Types of the interface between an admission controller and its host.
 
-Times are whole microseconds. Nothing here decides.
+Times are whole microseconds. The module contains no decision logic.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 
 
 class Effect(Enum):
-    """What a second run of a request would do."""
+    """Whether a request may run twice, and whether its repeats can be recognized."""
 
-    IDEMPOTENT = auto()  # no harm
-    KEYED = auto()  # must not happen; a mark tells the repeat
-    NON_IDEMPOTENT = auto()  # must not happen; nothing tells the repeat
+    IDEMPOTENT = auto()  # a second run does no harm
+    KEYED = auto()  # must not run twice; a key identifies repeats
+    NON_IDEMPOTENT = auto()  # must not run twice; nothing identifies repeats
 
 
 class Preemption(Enum):
-    """What a node can do to running work."""
+    """What a node can do to a running request."""
 
     NONE = auto()
     ABORT = auto()
@@ -26,48 +26,48 @@
 
 
 class CapacitySignal(Enum):
-    """What callers read in the advertised capacity that goes with every answer."""
+    """How callers interpret the advertised capacity that accompanies every answer."""
 
     NONE = auto()
-    PRIORITY_THRESHOLD = auto()  # they send nothing of lower rank
-    WINDOW = auto()  # each has at most so many outstanding here
-    PROBABILITY = auto()  # they skip this node but for this probability
+    PRIORITY_THRESHOLD = auto()  # callers send no requests of lower rank
+    WINDOW = auto()  # maximum of outstanding requests of each caller at this node
+    PROBABILITY = auto()  # callers send a request to this node with this probability
 
 
 class Downstream(Enum):
-    """What the requests of this node call."""
+    """What the requests of this node call while they run."""
 
     NONE = auto()
-    SHARED = auto()  # one dependency, common to all nodes
+    SHARED = auto()  # one dependency, shared by all nodes
     TIER = auto()  # further nodes with the same admission control
 
 
 class Outcome(Enum):
-    """How a run or a call came to its end."""
+    """How a run or a downstream call ended."""
 
     COMPLETED = auto()
     FAILED = auto()
     ABORTED = auto()
     TIMED_OUT = auto()
     INTERRUPTED = auto()
-    REJECTED = auto()  # proves that it never ran
-    UNREACHABLE = auto()  # proves that it never ran
-    SUPERSEDED = auto()  # nothing was started
+    REJECTED = auto()  # proves that the request never ran
+    UNREACHABLE = auto()  # proves that the request never ran
+    SUPERSEDED = auto()  # no run was started
 
 
 class RequestState(Enum):
-    """Where a request stands on this node; the values are the words of status lines."""
+    """The state of a request on this node; the values appear in status lines."""
 
     QUEUED = "held"
     RUNNING = "running"
-    AWAITING_CALL = "asking"  # at a call that has not gone out
+    AWAITING_CALL = "asking"  # needs a downstream call that has not been sent
     CALLING = "calling"
-    COALESCED = "sharing"  # waits for the outcome of the one it repeats
+    COALESCED = "sharing"  # waits for the outcome of the attempt that it repeats
     ENDED = "ended"
 
 
 class Action(Enum):
-    """What the host is asked to do."""
+    """The kinds of decisions that a host carries out."""
 
     START = auto()
     ABORT = auto()
@@ -87,48 +87,48 @@
 
 @dataclass(eq=False, slots=True)
 class RequestClass:
-    """What all requests of one kind have in common; times are in µs."""
+    """Properties shared by all requests of one class; times are in µs."""
 
     name: str
     effect: Effect = Effect.IDEMPOTENT
-    latency_objective: int = 0  # an answer after it is worth less, or nothing
+    latency_objective: int = 0  # an answer after this time is worth less, or nothing
     deadline: int = 0
     value: float = 1.0
     late_value_share: float = 0.0  # share of the value earned after the objective
-    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's own work
-    window: int = 0  # keyed: how long after its arrival it may come again
+    objective_stretch: float = 0.0  # the objective grows by this multiple of the request's cost
+    window: int = 0  # keyed requests: how long after its arrival a request may be repeated
     calls_downstream: bool = False
-    value_share_without_call: float = 0.0  # share of the value kept where a call was skipped
+    value_share_without_call: float = 0.0  # share of the value earned if the call is skipped
 
 
 @dataclass(slots=True)
 class NodeSpec:
-    """What a node is told when it starts."""
+    """The start settings of a node."""
 
     cores: int = 1
     memory_kb: float = 0.0
-    running_memory_factor: float = 1.0  # memory of a running request, in that of a queued one
+    running_memory_factor: float = 1.0  # memory of a running request, as a multiple of that of a queued one
     record_kb: float = 0.0
-    max_concurrency_per_core: float = 2.0  # running requests on the cores that a warm node survives
+    max_concurrency_per_core: float = 2.0  # running requests per core that a warm node survives
     starts_cold: bool = False
-    cold_speed_share: float = 1.0  # of its speed, at the least, at a cold start
+    cold_speed_share: float = 1.0  # minimum speed at a cold start, as a share of full speed
     warmup_us: int = 0
     preemption: Preemption = Preemption.NONE
     capacity_signal: CapacitySignal = CapacitySignal.NONE
-    callers: int = 0  # that there are at its start, 0 where not known
-    max_retry_after_us: int = 0  # 0 where callers do not heed it
+    callers: int = 0  # number of callers at the start, 0 if unknown
+    max_retry_after_us: int = 0  # 0 if callers ignore retry-after times
     downstream: Downstream = Downstream.NONE
-    call_quota: float = 0.0  # this node's part of the calls that the dependency survives
+    call_quota: float = 0.0  # this node's part of the concurrent calls that the dependency survives
     call_quota_window_us: int = 0
-    idle_timeout_us: int = 0  # after which callers close connections, 0 where not known
-    freshness_us: int = 0  # how long the answer of an idempotent request may serve its repeats, 0 for never
-    health_checks_do_work: bool = False  # health checks do real work unless answered from store
-    drain_grace_us: int = 0  # after the notice to stop, what arrives later is not run
-    resolution: int = 0  # µs, at the least, between two lots of events
-    callers_send_deadline: bool = False  # requests say how long their caller waits
-    value_by_work: bool = False  # the value is for each unit of work, not for each request
-    tenant_quotas: dict[str, float] = field(default_factory=dict)  # requests a second here
-    over_quota_value_share: float = 1.0  # share of the value earned by a tenant's requests beyond its quota
+    idle_timeout_us: int = 0  # after which callers close idle connections, 0 if unknown
+    freshness_us: int = 0  # how long an idempotent request's answer may be returned to repeats, 0 for never
+    health_checks_do_work: bool = False  # unless the host answers them from the last health report
+    drain_grace_us: int = 0  # requests that arrive later than this after the stop notice are not run
+    resolution: int = 0  # µs, minimum time between two batches of events
+    callers_send_deadline: bool = False  # requests state how long their caller waits
+    value_by_work: bool = False  # the value counts per unit of work, not per request
+    tenant_quotas: dict[str, float] = field(default_factory=dict)  # requests per second at this node
+    over_quota_value_share: float = 1.0  # share of the value earned by requests beyond the tenant's quota
     request_classes: list[RequestClass] = field(default_factory=list)
 
 
@@ -137,18 +137,18 @@
     """One attempt of a request on this node; times are in µs of the host's clock."""
 
     request_class: RequestClass
-    arrived: int  # at the machine, before it was read
-    due: int  # by now it must have its answer
-    rank: float = 0.0  # by value, from 0 to under 1; see CapacitySignal.PRIORITY_THRESHOLD
+    arrived: int  # when it reached the machine, before it was read
+    due: int  # time by which it must be answered
+    rank: float = 0.0  # by value, from 0 to below 1; see CapacitySignal.PRIORITY_THRESHOLD
     caller: int = 0
     tenant: str = ""
-    original: Request | None = None  # the attempt that it repeats
-    other_originals: list[Request] = field(default_factory=list)  # of its key, whose windows it is in
-    original_unknown: bool = False  # it repeats one that the host no longer has
-    replacement: Request | None = None  # the repeat that took its place, as it never ran
+    original: Request | None = None  # the attempt that this request repeats
+    other_originals: list[Request] = field(default_factory=list)  # others of its key, in their windows
+    original_unknown: bool = False  # it repeats an attempt that the host no longer has
+    replacement: Request | None = None  # the repeat that replaced this attempt, which never ran
     has_key: bool = False
     is_retry: bool = False
-    cost: int = 0  # core time expected, 0 where not known
+    cost: int = 0  # expected core time, 0 if unknown
     size_kb: float = 0.0
     state: RequestState = RequestState.QUEUED
     answered: bool = False
@@ -157,27 +157,27 @@
     called_at: int = 0
     call_not_before: int = 0
     failed_calls: int = 0
-    number: int = -1  # the host's own, for hosts that keep requests in numbered slots
+    number: int = -1  # slot number, for hosts that keep requests in numbered slots
 
 
 @dataclass(slots=True)
 class ResourceUsage:
-    """The node's own measurements; None where it has no such gauge."""
+    """The node's own measurements; None if the node lacks the gauge."""
 
-    busy: float | None = None  # share of the cores
-    runnable: float | None = None  # everything that wants a core: runs, reading, connections
+    busy: float | None = None  # share of the cores in use
+    runnable: float | None = None  # tasks that want a core: running requests, reading, connections
     memory: float | None = None
     connections: float | None = None
 
 
 @dataclass(slots=True)
 class Decision:
-    """One thing that the host is to do."""
+    """One decision for the host to carry out."""
 
     action: Action
     request: Request | None = None
-    duration_us: int = 0  # of a retry-after, a call, a record, an idle timeout or a timer; 0 for none
-    capacity: float = 0.0  # ADVERTISE_CAPACITY: in the form of the node's CapacitySignal
-    is_last: bool = False  # REJECT: the caller must not try elsewhere
+    duration_us: int = 0  # of a retry-after, call, record, idle timeout or timer; 0 for none
+    capacity: float = 0.0  # ADVERTISE_CAPACITY: as the node's CapacitySignal defines it
+    no_retry_elsewhere: bool = False  # REJECT: the caller must not retry at another node
     is_healthy: bool = False  # REPORT_HEALTH
     text: str = ""  # LOG
--- a/lichencleat/bench_adapter/actions.py
+++ b/lichencleat/bench_adapter/actions.py
@@ -1,4 +1,4 @@
-"""Encoder of decisions into actions of the simulator's wire."""
+"""Encoding of decisions as actions of the simulator's wire."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     Action.SET_TIMER: "notifyMe",
     Action.LOG: "trace",
 }
-TIMER_TAG = "wake"  # comes back with the `fired` event; there is one timer a node
+TIMER_TAG = "wake"  # returned with the `fired` event; each node has one timer
 
 
 def to_seconds(duration_us: int) -> float:
@@ -35,7 +35,7 @@
     encoded: list[object] = [ACTION_NAMES[action], request_id]
     if action is Action.REJECT:
         encoded.append(to_seconds(decision.duration_us))
-        encoded.append(decision.is_last)
+        encoded.append(decision.no_retry_elsewhere)
     elif action is Action.CALL or action is Action.ADD_RECORD:
         encoded.append(to_seconds(decision.duration_us))
     return encoded
@@ -46,7 +46,7 @@
     action = decision.action
     name = ACTION_NAMES[action]
     if action is Action.REPORT_HEALTH:
-        return [name, decision.is_healthy, True]  # to health checks and to the endpoint list
+        return [name, decision.is_healthy, True]  # reported to health checks and the endpoint list
     if action is Action.ADVERTISE_CAPACITY:
         return [name, decision.capacity]
     if action is Action.SET_IDLE_TIMEOUT:
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -407,7 +407,7 @@
 
     def defer(self, decision: Decision, case: Case) -> None:
         self.drop_call(case)
-        self.answer(case, Answer.DEFERRED, span=decision.duration_us, last=decision.is_last)
+        self.answer(case, Answer.DEFERRED, span=decision.duration_us, last=decision.no_retry_elsewhere)
         for sharer in self.receipts.ended(case.request, None) if self.keyed is not None else ():
             self.end_share(sharer, None)  # they waited for a run that was not begun after all
         self.release(case)
--- a/lichencleat/recovery/service_time_store.py
+++ b/lichencleat/recovery/service_time_store.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lichencleat.admission.service_times import RUNS_FEW
+from lichencleat.admission.service_times import MIN_RUN_SAMPLES
 from lichencleat.log.interfaces import EventLogger
 from lichencleat.recovery.interfaces import RecoveringHost, StoreReader
 from lichencleat.recovery.service_times import encode_merged, load_service_times
@@ -50,7 +50,7 @@
         current = {
             each.name: int(node.service_times.usual(each))
             for each, times in run_times.items()
-            if node is not None and len(times) >= RUNS_FEW
+            if node is not None and len(times) >= MIN_RUN_SAMPLES
         }
         return SERVICE_TIMES_KEY, encode_merged(self.host.machine.cores, self.previous, current)
 
--- a/tests/admission/test_node_spec.py
+++ b/tests/admission/test_node_spec.py
@@ -1,4 +1,4 @@
-"""Whatever a configuration says in any place: one clear line, or a node that can decide."""
+"""A configuration with an odd value in any place yields a one-line error or a node that can decide."""
 
 import copy
 import json
@@ -103,10 +103,10 @@
 
 
 def test_node_spec_tenant_quota_is_equal_part_for_each_server():
-    machine = decode_node_spec(CONFIG["settings"])
-    assert machine.tenant_quotas == {"a": 2.0} and machine.over_quota_value_share == 0.05
+    spec = decode_node_spec(CONFIG["settings"])
+    assert spec.tenant_quotas == {"a": 2.0} and spec.over_quota_value_share == 0.05
     bare = copy.deepcopy(CONFIG)
     for key in ("servers", "overShareWorth", "orgs"):
         del bare["settings"][key]
-    machine = decode_node_spec(bare["settings"])
-    assert machine.tenant_quotas == {} and machine.over_quota_value_share == 1.0
+    spec = decode_node_spec(bare["settings"])
+    assert spec.tenant_quotas == {} and spec.over_quota_value_share == 1.0
--- a/tests/recovery/test_service_times.py
+++ b/tests/recovery/test_service_times.py
@@ -7,7 +7,7 @@
 from service_time_cases import LONGEST, REQUEST_CLASSES, SECOND, complete_run
 
 from lichencleat.admission.controller import AdmissionController
-from lichencleat.admission.service_times import RUNS_FEW
+from lichencleat.admission.service_times import MIN_RUN_SAMPLES
 from lichencleat.admission.types import NodeSpec
 from lichencleat.recovery.service_times import (
     FORMAT,
@@ -63,7 +63,7 @@
     node = AdmissionController(NodeSpec(cores=2, request_classes=REQUEST_CLASSES), random.Random(1))
     node.seed_run_time(0, look, 900)
     assert node.service_times.usual(look) == node.service_times.usual(save) == 900
-    for _ in range(RUNS_FEW - 1):
+    for _ in range(MIN_RUN_SAMPLES - 1):
         complete_run(node, look, 100)
     assert node.service_times.usual(look) == 100
     node.seed_run_time(0, look, 900)
