--- a/lichencleat/admission/concurrency.py
+++ b/lichencleat/admission/concurrency.py
@@ -12,7 +12,9 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec
 
-GAIN = 0.2  # per queued request and period; low, as the paper prefers: the limit's range takes about 1 s
+# Change of the limit per period and queued request off the reference. Low, as the paper prefers: the limit
+# crosses its range in about 1 s.
+GAIN = 0.2
 QUEUEING_TIME_SHARE = 0.2  # of the shortest objective; the run and its calls need the rest
 RUNNING_LIMIT_INCREASE = 1 / 3  # per core and period; doubles the initial limit in a third of a second
 RUNNING_LIMIT_DECREASE = 1 / 6  # per core and period; slower than the increase, as overload comes and goes
--- a/lichencleat/admission/connections.py
+++ b/lichencleat/admission/connections.py
@@ -8,10 +8,10 @@
 from lichencleat.admission.types import NodeSpec
 
 MAX_CALLER_SAMPLES = 64  # of the last arrivals: about ten seconds on two cores
-MIN_RETURNING_SHARE = 0.5  # of the last arrivals; with fewer from a repeated caller, callers do not return
+MIN_RETURNING_SHARE = 0.5  # of the last arrivals, from callers seen before; below it, callers do not return
 MIN_IDLE_TIMEOUT_US = 100_000  # of one-time callers' connections: no further request is expected on them
 UPDATE_PERIOD_US = 1_000_000  # between changes of the one-time callers' timeout: about ten arrivals
-# Change of the timeout's logarithm per task and core over the maximum: a third too much is a factor of e.
+# Of the timeout's logarithm, per task and core above the maximum: an excess of a third is a factor of e.
 TIMEOUT_GAIN = 3
 # Bounds of the factor of one change: the maximum timeout is reached in two or three changes, and left slowly.
 TIMEOUT_STEP_RANGE = (2 / 3, 8)
--- a/lichencleat/admission/controller.py
+++ b/lichencleat/admission/controller.py
@@ -221,7 +221,7 @@
         self.records.expire(now)
 
     def update_health(self, now: int) -> None:
-        """Decide whether this node is healthy, compared with what other nodes may be able to serve.
+        """Set whether this node is healthy; it is not if other nodes may serve its requests better.
 
         A node that is overloaded by connection attempts stays healthy: such attempts hit all nodes alike, and
         a node that leaves the endpoint list sends its load to the others. Cost: a node that is hit alone
--- a/lichencleat/admission/downstream.py
+++ b/lichencleat/admission/downstream.py
@@ -10,14 +10,16 @@
 from lichencleat.admission.types import Downstream, Effect, NodeSpec, Outcome, Request
 
 CALL_QUOTA_SHARE = 0.7  # of this node's call quota; cold nodes call more, and calls linger at the dependency
-MIN_CALL_LIMIT_SHARE = 0.25  # of the maximum limit, but not above 1 call; keeps a slow dependency at work
+# Of the maximum limit, but not above 1 call; keeps a slow dependency at work.
+# Also the minimum at which a granted quota is counted.
+MIN_CALL_LIMIT_SHARE = 0.25
 MAX_PACING_LEAD_US = 300_000  # how far calls may run ahead of their pace, to delay no usual calls
 LIMIT_DECREASE_FACTOR = 0.8  # once per round of calls that end slow or failed
 # Calls are slow if the median of the recent ones exceeds this multiple of the first quartile of all samples.
 # So large a difference is not chance but an overload downstream.
 SLOW_CALL_FACTOR = 5
 MAX_CALL_SAMPLES = 64  # about ten seconds of calls, so that the first quartile outlasts a slow period
-RECENT_CALL_SAMPLES = 8  # for the current state; with fewer, one long call would look like an overload
+RECENT_CALL_SAMPLES = 8  # show the current state; with fewer, one long call would look like an overload
 MAX_CALL_WAIT_SHARE = 0.25  # of the longest objective, to wait for a call: mostly half of the shortest
 MAX_CALL_ATTEMPTS = 3  # per call; further attempts cost more than the answer is worth
 HEDGE_TIMEOUT_FACTOR = 6  # times the median call; few usual calls are that long, and the longest earn most
--- a/lichencleat/admission/draining.py
+++ b/lichencleat/admission/draining.py
@@ -5,7 +5,7 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec, Request
 
-DRAIN_MARGIN_US = 300_000  # before the stop, all requests are answered by then: three rounds
+DRAIN_MARGIN_US = 300_000  # all requests are answered this long before the stop: three rounds
 
 
 class Draining:
--- a/lichencleat/admission/queueing.py
+++ b/lichencleat/admission/queueing.py
@@ -9,7 +9,7 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec, Request
 
-MIN_FULL_TIME_FOR_LIFO_US = 1_000_000  # the queue turns over several times meanwhile
+MIN_FULL_TIME_FOR_LIFO_US = 1_000_000  # several turnovers of the queue; after it, the newest request is first
 
 
 class Queue:
--- a/lichencleat/config/schema.py
+++ b/lichencleat/config/schema.py
@@ -35,14 +35,14 @@
     """Flow export. If absent, flow export is off."""
 
     collectors: Annotated[list[CollectorConfig], Meta(min_length=1, max_length=8)]
-    enterprise: Annotated[int, Meta(ge=1, le=0xFFFFFFFF)] = 32_473
-    domain: Annotated[int, Meta(ge=0, le=0xFFFFFFFF)] = 1
-    to: Literal["all", "first that lives"] = "all"
+    enterprise: Annotated[int, Meta(ge=1, le=0xFFFFFFFF)] = 32_473  # number of the private elements
+    domain: Annotated[int, Meta(ge=0, le=0xFFFFFFFF)] = 1  # observation domain
+    to: Literal["all", "first that lives"] = "all"  # all collectors, or the first reachable one
     active_s: Seconds = 60.0
     idle_s: Seconds = 15.0
-    waiting: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000
+    waiting: Annotated[int, Meta(ge=1, le=1_000_000)] = 10_000  # maximum of records queued per collector
     message_bytes: Annotated[int, Meta(ge=512, le=65_000)] = 1_400
-    flush_s: Annotated[float, Meta(ge=0, le=60)] = 0.2
+    flush_s: Annotated[float, Meta(ge=0, le=60)] = 0.2  # maximum time for the last records at the stop
     links: bool = False  # also meter the connections to the interpreter and of downstream calls
 
 
