--- a/lichencleat/leases/candidate_expiry.py
+++ b/lichencleat/leases/candidate_expiry.py
@@ -1,8 +1,8 @@
-"""When the group's leader may expire a candidate: not before its lease can be over.
+"""Decides when the group's leader may expire a candidate: only once the candidate's lease is over.
 
-The leader counts on its own monotonic clock from the moment at which it applied the renewal, which is later
-than the moment from which the candidate counts. A new leader counts anew. The delay is longer than the lease
-by the drift of both clocks.
+The leader measures with its own monotonic clock, starting when it first sees the applied renewal. The
+candidate starts earlier, when it requests the renewal. A new leader starts the measurement again. The delay
+exceeds the lease by the largest drift between the two clocks.
 """
 
 from __future__ import annotations
@@ -13,20 +13,25 @@
 
 
 def expiry_delay(lease: int = LEASE_DURATION_US, drift: float = MAX_CLOCK_DRIFT) -> int:
-    """µs of the leader's clock after which no candidate's lease can last, at rates that differ by `drift`."""
+    """Return after how many µs of the leader's clock a lease is over if clock rates differ by `drift`."""
     return round(lease * (1 + drift))
 
 
 @dataclass(frozen=True, slots=True)
 class SeenRenewal:
-    """A renewal, and when the leader has seen it first (µs of its monotonic clock)."""
+    """A candidate's last renewal.
+
+    Attributes:
+        index: Index of its log entry.
+        seen_at: When the leader first saw it, in µs of the leader's monotonic clock.
+    """
 
     index: int
     seen_at: int
 
 
 class CandidateExpiry:
-    """Tracks on the leader how long each candidate has not renewed.
+    """Tracks on the leader how long ago each candidate last renewed its lease.
 
     Args:
         lease: Duration of a lease in µs.
@@ -38,11 +43,11 @@
         self.renewals: dict[str, SeenRenewal] = {}
 
     def reset(self) -> None:
-        """Forget all that was seen, when leadership is lost."""
+        """Forget all renewals; called when leadership is lost."""
         self.renewals.clear()
 
     def find_expired(self, now: int, candidates: dict[str, Candidate]) -> list[CandidateExpired]:
-        """Return the expiries to propose at `now` (µs). Called while leading, a few times a lease."""
+        """Return the expirations to propose at `now` (µs); the leader calls this several times per lease."""
         for name in self.renewals.keys() - candidates.keys():
             del self.renewals[name]
         expired = []
--- a/lichencleat/leases/fencing.py
+++ b/lichencleat/leases/fencing.py
@@ -1,16 +1,16 @@
-"""The check of fencing tokens, for receivers that act on the results of jobs."""
+"""The check of fencing tokens by receivers that act on the results of jobs."""
 
 from __future__ import annotations
 
-MAX_TOKENS = 4_096  # jobs that are remembered; the group has far fewer
+MAX_TOKENS = 4_096  # jobs that are remembered; a consensus group allows far fewer
 
 
 class Fence:
-    """Accepts no older token after a newer one.
+    """Rejects a job's token that is older than one accepted before.
 
     Args:
-        tokens: The tokens accepted so far. A receiver stores them together with the results, as an old token
-            would be accepted after a restart otherwise.
+        tokens: Newest accepted token of each job. A receiver must store them together with the results;
+            otherwise it accepts an old token after a restart.
     """
 
     def __init__(self, tokens: dict[str, int] | None = None) -> None:
@@ -18,7 +18,7 @@
         self.rejected = 0
 
     def accept(self, job: str, token: int) -> bool:
-        """Remember `token` and return True, or return False if a newer one was accepted before."""
+        """Record `token` and return True, or return False if it is too old or there are too many jobs."""
         known = self.tokens.get(job, 0)
         if token < known or (known == 0 and len(self.tokens) >= MAX_TOKENS):
             self.rejected += 1
--- a/lichencleat/leases/held_leases.py
+++ b/lichencleat/leases/held_leases.py
@@ -1,7 +1,8 @@
-"""The leases that a candidate holds: what it may act on and until when, by its own monotonic clock.
+"""The leases that a candidate holds: which jobs it may act on and until when, by its own monotonic clock.
 
-A lease counts from the moment before its renewal was requested, less the drift of clocks. So it ends here
-before the leader may expire this candidate. A reply that comes late is worth what is left of the lease.
+The candidate measures a lease from just before it requests the renewal, and shortens it by the largest clock
+drift. So the lease ends here before the leader may expire this candidate. After a late reply, only the rest
+of that time remains.
 """
 
 from __future__ import annotations
@@ -18,13 +19,13 @@
 class HeldLeases:
     """State of one candidate, without I/O.
 
-    The caller sends what `next_renewal` returns, passes the reply to `on_renewed` or the failure to
-    `on_renewal_failed`, and acts only under a token from `fencing_token`.
+    The caller sends the command that `next_renewal` returns, passes the reply to `on_renewed` or the failure
+    to `on_renewal_failed`, and acts on a job only under a token from `fencing_token`.
 
     Args:
         name: Name of the candidate.
         zone: Zone that it runs in.
-        incarnation: Drawn at its start.
+        incarnation: Random number drawn when the process starts.
         lease: Duration of a lease in µs.
         drift: Largest relative difference between the rates of two machines' clocks.
     """
@@ -42,20 +43,20 @@
         self.incarnation = incarnation
         self.duration = round(lease * (1 - drift))
         self.renewal_interval = lease // RENEWALS_PER_LEASE
-        self.valid_until = 0  # µs: `held_tokens` may be acted under before
+        self.valid_until = 0  # µs; the tokens in `held_tokens` are valid before this time
         self.held_tokens: dict[str, int] = {}  # job -> fencing token
-        self.requested_at: int | None = None  # µs: when the renewal under way was requested
+        self.requested_at: int | None = None  # µs; None while no renewal is in flight
         self.next_request_at = 0  # µs
         self.healthy = True
         self.job_prefixes: list[str] = []  # see messages.Candidate
-        self.to_release: list[str] = []  # held jobs that the group has asked back
-        # Jobs that are no longer acted on, but not known to be released yet; the reply to an older renewal
-        # must not start them again.
+        self.to_release: list[str] = []  # held jobs that the group wants released
+        # Job -> token. The process has stopped these jobs, but their release is not known to be committed.
+        # The reply to an older renewal still lists them and must not start them again.
         self.releasing: dict[str, int] = {}
         self.leaving = False
 
     def next_renewal(self, now: int) -> RenewLease | None:
-        """Return the renewal to send at `now` (µs), None if it is not due or another one is under way."""
+        """Return the renewal to send at `now` (µs), None if none is due or another one is in flight."""
         if self.requested_at is not None or now < self.next_request_at or self.leaving:
             return None
         self.drop_expired(now)
@@ -65,7 +66,7 @@
         )
 
     def on_renewed(self, now: int, reply: RenewalReply) -> dict[str, int]:
-        """Handle the reply to the renewal under way, and return the jobs to start with their tokens."""
+        """Handle the reply to the renewal in flight; return the jobs to start, with their tokens."""
         requested_at = self.requested_at
         assert requested_at is not None
         self.requested_at = None
@@ -84,12 +85,12 @@
         return acquired
 
     def on_renewal_failed(self, now: int) -> None:
-        """Handle that no reply came: the lease counts from the renewal before, and the next one is soon."""
+        """Handle a renewal without a reply: keep the previous lease's end, and retry sooner than usual."""
         self.requested_at = None
         self.next_request_at = now + self.renewal_interval // RENEWALS_PER_LEASE
 
     def drop_expired(self, now: int) -> list[str]:
-        """Return the jobs that end as the lease is over at `now` (µs); nothing is held afterwards."""
+        """Drop all jobs if the lease is over at `now` (µs); return the jobs that were dropped."""
         if now < self.valid_until or not self.held_tokens:
             return []
         expired = list(self.held_tokens)
@@ -98,15 +99,18 @@
         return expired
 
     def fencing_token(self, now: int, job: str) -> int | None:
-        """The token to act on `job` under; None if the lease is not held, or not certainly any more.
+        """The token to act on `job` under; None if the lease is not held or may be over at `now` (µs).
 
-        The process may pause between this check and the act; so the token goes with the act, and the receiver
-        checks it.
+        The process may pause between this check and the action. So it sends the token with the action, and
+        the receiver checks it.
         """
         return self.held_tokens.get(job) if now < self.valid_until else None
 
     def start_release(self, job: str) -> int | None:
-        """Stop holding `job`, and return the token to release it under until `on_released`."""
+        """Stop holding `job`; return the token to release it under, None if the job is not held.
+
+        The job is not acquired again under that token before `on_released` is called.
+        """
         self.to_release = [each for each in self.to_release if each != job]
         token = self.held_tokens.pop(job, None)
         if token is not None:
@@ -114,16 +118,16 @@
         return token
 
     def on_released(self, job: str) -> None:
-        """Handle that the release is committed: another candidate may hold the job now."""
+        """Handle a committed release: another candidate may now hold the job."""
         self.releasing.pop(job, None)
 
     def leave(self) -> None:
-        """Give up all leases and request no more."""
+        """Give up all leases, and send no more renewals."""
         self.leaving = True
         self.held_tokens = {}
 
     def next_action_at(self) -> int:
-        """When the lease ends or its next renewal is due, in µs."""
+        """The time in µs at which the lease ends or the next renewal is due, whichever is earlier."""
         times = [self.valid_until] if self.held_tokens else []
         if self.requested_at is None and not self.leaving:
             times.append(self.next_request_at)
--- a/lichencleat/leases/interfaces.py
+++ b/lichencleat/leases/interfaces.py
@@ -1,4 +1,4 @@
-"""The interface through which leases, and what is built on them, use the consensus group."""
+"""The interface of the consensus group that leases, and the packages built on them, depend on."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 
 
 class GroupClient(Protocol):
-    """A client of the consensus group; commands and queries are addressed to a part of its state."""
+    """A client of the consensus group. A command or query is addressed to a part of the replicated state."""
 
     def propose(self, part: str, command: object, timeout: float, /) -> Deferred[Any]:
-        """Have `command` applied once; fires with its reply, or fails after `timeout` seconds."""
+        """Have `command` applied once; fires with the decoded reply, or fails after `timeout` seconds."""
         ...
 
     def read(self, part: str, query: object, timeout: float, /) -> Deferred[Any]:
-        """Read linearizably; fires with the decoded answer, or fails after `timeout` seconds."""
+        """Run a linearizable read; fires with the decoded answer, or fails after `timeout` seconds."""
         ...
--- a/lichencleat/leases/leader_task.py
+++ b/lichencleat/leases/leader_task.py
@@ -1,9 +1,9 @@
-"""A task that runs in whichever process holds the lease of its job.
+"""A task that runs in the process that holds the lease on the task's job.
 
-The base of quota allocation, rollout planning and failover control. While the lease is held, the task polls
-a part of the replicated state and proposes the commands that its decision object derives from it. Each
-acquired lease gets a decision object of its own, which carries the fencing token; answers that were requested
-under an earlier lease are dropped.
+This is the base class of quota allocation, rollout planning and failover control. While the process holds the
+lease, the task polls a part of the replicated state, and a decision object derives the commands to propose.
+Each acquired lease has its own decision object, which carries the fencing token. Answers to reads that were
+requested under an earlier lease are dropped.
 """
 
 from __future__ import annotations
@@ -18,21 +18,21 @@
 from lichencleat.transport.twisted_types import DelayedCall, ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-REQUEST_TIMEOUT_S = 1.0  # for a read or a proposal; the next poll repeats what is still needed
+REQUEST_TIMEOUT_S = 1.0  # of a read or a proposal; after a failure the next poll decides again
 
-Decider = TypeVar("Decider")  # decides under one fencing token what to propose
+Decider = TypeVar("Decider")  # decision object: decides, under one fencing token, which commands to propose
 
 
 class FencingTokens(Protocol):
-    """Knows which leases this process holds; implemented by `LeaseClient`."""
+    """The fencing tokens of the leases that this process holds; implemented by `LeaseClient`."""
 
     def fencing_token(self, job: str) -> int | None:
-        """The token of the job's lease, None while this process must not act."""
+        """The token of the lease on `job`; None while this process must not act on it."""
         ...
 
 
 class LeaderTask(ABC, Generic[Decider]):
-    """Owns the timer of the polls while the lease is held. Implements `LeaseListener`.
+    """Polls while this process holds the lease, and owns the poll timer. Implements `LeaseListener`.
 
     Args:
         reactor: Source of the monotonic clock and of the timer.
@@ -62,13 +62,13 @@
         return int(self.reactor.seconds() * MICROSECONDS_PER_SECOND)
 
     def on_lease_acquired(self, job: str, fencing_token: int) -> None:
-        """Start to work if the lease is that of this task's job."""
+        """Start polling if the lease is on this task's job."""
         if job == self.job:
             self.decider = self.create_decider(fencing_token)
             self.poll()
 
     def on_lease_lost(self, job: str, reason: str) -> None:
-        """Stop at once if the lease is that of this task's job."""
+        """Stop at once if the lease is on this task's job."""
         if job == self.job:
             self.decider = None
             if self.timer is not None and self.timer.active():
@@ -79,7 +79,7 @@
         return self.lease_client is not None and self.lease_client.fencing_token(self.job) is not None
 
     def poll(self) -> None:
-        """Read the state, if the lease is held."""
+        """Request the state if this process holds the lease."""
         decider = self.decider
         if decider is not None:
             answer = self.client.read(self.part, self.query, REQUEST_TIMEOUT_S)
@@ -88,12 +88,12 @@
             )
 
     def schedule_poll(self, decider: Decider, delay_s: float) -> None:
-        """Poll again in `delay_s` seconds, unless `decider` is of an earlier lease."""
+        """Poll again in `delay_s` seconds, unless `decider` belongs to an earlier lease."""
         if decider is self.decider:
             self.timer = self.reactor.callLater(delay_s, self.poll)
 
     def on_answer(self, answer: object, decider: Decider) -> None:
-        """Pass the answer on, unless it was requested under an earlier lease."""
+        """Pass the answer to `on_state`, unless it was requested under an earlier lease."""
         if decider is self.decider:
             self.on_state(answer, decider)
 
@@ -104,8 +104,8 @@
     def propose(self, part: str, command: object) -> None:
         """Propose `command` unless the lease is over.
 
-        A pause may lie between that check and the proposal; the fencing token in the command is what keeps
-        a late one from being applied.
+        The process may pause between the check of the lease and the proposal. A command that is proposed too
+        late is rejected because of its old fencing token.
         """
         if not self.has_lease():
             return
@@ -121,12 +121,12 @@
 
     @abstractmethod
     def create_decider(self, fencing_token: int) -> Decider:
-        """Return the decision object of a lease that was just acquired."""
+        """Return the decision object for a newly acquired lease."""
 
     @abstractmethod
     def on_state(self, state: object, decider: Decider) -> None:
-        """Propose what follows from the state that was read, and schedule the next poll."""
+        """Propose the commands that `decider` derives from the state, and schedule the next poll."""
 
     @abstractmethod
     def on_proposal_failed(self, failure: Failure) -> None:
-        """Log that no reply came; the command may have been applied all the same."""
+        """Log a proposal without a reply; the command may have been applied nevertheless."""
--- a/lichencleat/leases/lease_client.py
+++ b/lichencleat/leases/lease_client.py
@@ -1,7 +1,7 @@
-"""The client of a process that takes on jobs: renews its lease and reports which jobs it won or lost.
+"""The client of a process that runs jobs: renews its lease, and reports which jobs were acquired or lost.
 
-What the process may do and until when is decided by `HeldLeases`; this module carries that out on the
-reactor.
+`HeldLeases` decides which jobs the process may act on and until when; this module does the timing and the
+requests.
 """
 
 from __future__ import annotations
@@ -28,23 +28,23 @@
 from lichencleat.transport.twisted_types import ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-LEAVE_TIMEOUT_S = 2.0  # without a reply the lease runs out by itself
+LEAVE_TIMEOUT_S = 2.0  # if the command is lost, the lease expires without it
 
 
 class LeaseListener(Protocol):
-    """Notified of leases; called in the reactor's thread, and returns at once."""
+    """Is notified of leases acquired and lost. Called in the reactor's thread, so it must not block."""
 
     def on_lease_acquired(self, job: str, fencing_token: int) -> None:
-        """The process may act on `job` under this fencing token."""
+        """Handle that the process may now act on `job` under this fencing token."""
         ...
 
     def on_lease_lost(self, job: str, reason: str) -> None:
-        """The process must not act on `job` any more under the token that it had."""
+        """Handle that the process must no longer act on `job` under the token it had."""
         ...
 
 
 class LeaseClient(PeriodicProposer):
-    """Renews the lease of one candidate until `leave`; the listener's jobs run under it.
+    """Renews the lease of one candidate until `leave` is called.
 
     Args:
         reactor: Source of the monotonic clock and of the timer.
@@ -76,56 +76,59 @@
         self.timeout_s = lease / MICROSECONDS_PER_SECOND
 
     def fencing_token(self, job: str) -> int | None:
-        """The token to send with an act on `job`; None: the process must not act. Ask before each act."""
+        """The token to send with an action on `job`, None if the process must not act.
+
+        Call this before each action.
+        """
         return self.leases.fencing_token(self.now(), job)
 
     def next_proposal(self, now: int) -> Proposal | None:
-        """End jobs whose lease is over, then return the renewal that is due."""
+        """Report jobs whose lease is over as lost, then return the renewal if one is due."""
         for job in self.leases.drop_expired(now):
             self.notify_lost(job, "the lease is over")
         renewal = self.leases.next_renewal(now)
         return Proposal(renewal, self.timeout_s) if renewal is not None else None
 
     def next_round_at(self, now: int) -> int:
-        """When the lease ends or its next renewal is due, in µs."""
+        """The time in µs at which the lease ends or the next renewal is due, whichever is earlier."""
         return self.leases.next_action_at()
 
     def on_reply(self, reply: object) -> None:
-        """Handle the reply to a renewal: jobs lost first, then jobs won, then jobs to hand over."""
+        """Handle the reply to a renewal: jobs lost, then jobs acquired, then jobs to release."""
         held_before = dict(self.leases.held_tokens)
         renewed = msgspec.convert(reply, RenewalReply)
         acquired = self.leases.on_renewed(self.now(), renewed)
         if renewed.rejection:
-            self.log.warning("refused", reason=renewed.rejection)
+            self.log.warning("lease renewal rejected", reason=renewed.rejection)
         held = self.leases.held_tokens
         for job in [each for each in held_before if each not in held or each in acquired]:
             self.notify_lost(job, renewed.rejection or "another one has it")
         for job, token in acquired.items():
-            self.log.info("begins", job=job, token=token)
+            self.log.info("lease acquired", job=job, token=token)
             self.listener.on_lease_acquired(job, token)
         for job in list(self.leases.to_release):
             self.release(job, crashed=False)
         self.schedule_round()
 
     def on_failure(self, failure: Failure) -> None:
-        """Renew again soon; the lease counts from the renewal before."""
+        """Schedule the retry of a renewal that failed; the previous lease's end does not change."""
         self.leases.on_renewal_failed(self.now())
-        self.log.warning("not renewed", reason=failure.getErrorMessage())
+        self.log.warning("lease renewal failed", reason=failure.getErrorMessage())
         self.schedule_round()
 
     def report_crash(self, job: str) -> None:
-        """Give back a job that failed here: another candidate gets it, or it is suspended."""
+        """Release a job that crashed here: it goes to another candidate, or is suspended."""
         self.release(job, crashed=True)
 
     def release(self, job: str, crashed: bool) -> None:
-        """Stop acting on `job`, then give its lease back."""
+        """Have the listener stop acting on `job`, then release its lease."""
         token = self.leases.start_release(job)
         if token is not None:
             self.notify_lost(job, "it failed here" if crashed else "it goes to another")
             self.propose_release(job, token, crashed)
 
     def propose_release(self, job: str, token: int, crashed: bool) -> None:
-        """Propose the release until it is committed; the job is not acquired under that token meanwhile."""
+        """Propose the release until it is committed; meanwhile the job is not acquired under that token."""
         if self.stopped or self.leases.releasing.get(job) != token:
             return
         command = ReleaseJob(self.leases.name, job, token, crashed)
@@ -135,15 +138,15 @@
         )
 
     def notify_lost(self, job: str, reason: str) -> None:
-        """Log that a job ends here, and tell the listener."""
-        self.log.info("ends", job=job, reason=reason)
+        """Log that the lease on a job is lost, and notify the listener."""
+        self.log.info("lease lost", job=job, reason=reason)
         self.listener.on_lease_lost(job, reason)
 
     def leave(self) -> Deferred[None]:
-        """Give up all leases at once, at a graceful shutdown.
+        """Give up all leases at once; called at a graceful shutdown.
 
         Returns:
-            Fires once the group has replied, or the reply is not awaited any longer; never fails.
+            Fires when the group has replied or LEAVE_TIMEOUT_S has passed; never fails.
         """
         if self.stopped:
             return succeed(None)
@@ -154,5 +157,7 @@
         reply = self.client.propose(
             STATE_PART, Leave(self.leases.name, self.leases.incarnation), LEAVE_TIMEOUT_S
         )
-        reply.addErrback(lambda failure: self.log.warning("left untold", reason=failure.getErrorMessage()))
+        reply.addErrback(
+            lambda failure: self.log.warning("leave not confirmed", reason=failure.getErrorMessage())
+        )
         return reply.addCallback(lambda _: None)
--- a/lichencleat/leases/lease_state.py
+++ b/lichencleat/leases/lease_state.py
@@ -1,7 +1,7 @@
 """The replicated state of leases: who holds which job under which fencing token.
 
-A part of the consensus group's state: no I/O and no clock, so it is the same at each member and after any
-restart. Commands are described in `messages`.
+This is a part of the consensus group's state. It uses no I/O and no clock, so it is the same on each member
+and after any restart. The commands are described in `messages`.
 """
 
 from __future__ import annotations
@@ -43,19 +43,19 @@
 
 
 class LeaseState:
-    """A part of the replicated state. Holders change in `grant` and `revoke` only."""
+    """A part of the replicated state. Only `grant` and `revoke` change a job's holder."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
         self.candidates: dict[str, Candidate] = {}
-        # The last token of each job that ever was: a job that is created anew continues from it.
+        # The last token of each job, dropped jobs included: a job that is created again continues from it.
         self.last_tokens: dict[str, int] = {}
 
     def apply(self, index: int, command: msgspec.Raw) -> CommandReply | RenewalReply:
         """Apply the encoded command of the log entry at `index`, then grant free jobs.
 
         Returns:
-            The reply to whoever proposed it; a command that does not decode is rejected.
+            The reply to the proposer; a command that cannot be decoded is rejected.
         """
         try:
             decoded = decode_command(command)
@@ -70,7 +70,7 @@
         return reply
 
     def execute(self, command: Command) -> CommandReply:
-        """Carry out a command that is no renewal."""
+        """Carry out any command but a renewal."""
         match command:
             case CandidateExpired():
                 return self.expire(command)
@@ -90,28 +90,28 @@
     # -- candidates --------------------------------------------------------------------------------------
 
     def renew(self, index: int, command: RenewLease) -> str:
-        """Register or renew a candidate; returns why not, or an empty string."""
+        """Register a candidate or renew its lease; return the reason if this is rejected, otherwise ""."""
         known = self.candidates.get(command.name)
         if known is not None and known.incarnation != command.incarnation:
-            # Another process of that name may still act: this one must wait until that one has expired.
+            # The earlier process of that name may still act; the new one must wait until it has expired.
             return "another one of that name has not gone yet"
         if known is None and len(self.candidates) >= MAX_CANDIDATES:
             return "too many candidates"
         if known is None and command.held_tokens:
-            return "it was gone"  # it must stop acting first, and then register anew
+            return "it was gone"  # it has expired: it must stop all its jobs and register again
         self.candidates[command.name] = Candidate(
             command.zone, command.healthy, command.incarnation, index, command.job_prefixes
         )
         return ""
 
     def renewal_reply(self, name: str) -> RenewalReply:
-        """Return what a candidate holds, and what it should release."""
+        """Return the jobs that a candidate holds, and those that it should release."""
         held = {job: each.fencing_token for job, each in self.jobs.items() if each.holder == name}
         to_release = [job for job in held if self.jobs[job].next_holder not in ("", name)]
         return RenewalReply(held, to_release)
 
     def expire(self, command: CandidateExpired) -> CommandReply:
-        """Remove a candidate that has not renewed since."""
+        """Remove a candidate, unless it has renewed since the renewal that the command names."""
         known = self.candidates.get(command.name)
         if known is None or known.renewal_index != command.renewal_index:
             return CommandReply(False, "it has renewed since")
@@ -138,7 +138,7 @@
     # -- jobs --------------------------------------------------------------------------------------------
 
     def is_current_token(self, job: str, token: int) -> bool:
-        """Whether that is the newest token of a job that is held by a candidate."""
+        """Whether a candidate holds the job, and holds it under `token`."""
         known = self.jobs.get(job)
         return known is not None and bool(known.holder) and known.fencing_token == token
 
@@ -155,7 +155,7 @@
         return CommandReply(True)
 
     def move(self, command: MoveJob) -> CommandReply:
-        """Note the candidate that a job is to go to."""
+        """Record the candidate that a job should go to once its holder releases it."""
         job = self.jobs.get(command.job)
         if job is None:
             return CommandReply(False, "no such job")
@@ -166,7 +166,7 @@
         return CommandReply(True)
 
     def define(self, command: DefineJob) -> CommandReply:
-        """Create a job, or change one and resume it."""
+        """Create a job, or change an existing one; resume it if it is suspended."""
         job = self.jobs.get(command.job)
         if job is None:
             if len(self.jobs) >= MAX_JOBS:
@@ -188,7 +188,7 @@
     # -- placement ---------------------------------------------------------------------------------------
 
     def place_jobs(self, index: int) -> None:
-        """Grant the free jobs, and mark one job that should move."""
+        """Grant the free jobs, and choose a new holder for at most one job that should move."""
         for name in sorted(self.jobs):
             job = self.jobs[name]
             if not job.holder:
@@ -202,7 +202,8 @@
     def grant(self, name: str, job: Job, holder: str, index: int) -> None:
         """Grant a free job.
 
-        The token is the log index: greater than any before, whoever led and whatever was dropped.
+        The token is the log index, so it is greater than all earlier tokens, whichever process was leader and
+        even if the job was dropped and created again.
         """
         job.holder = holder
         job.fencing_token = index
@@ -210,7 +211,7 @@
         self.last_tokens[name] = index
 
     def revoke(self, job: Job) -> None:
-        """Free a job."""
+        """Take a job from its holder."""
         job.holder = ""
 
     # -- the state as a whole ----------------------------------------------------------------------------
--- a/lichencleat/leases/messages.py
+++ b/lichencleat/leases/messages.py
@@ -1,7 +1,7 @@
 """Jobs, candidates, the commands on them and the replies.
 
-All structs are stored in the consensus log and snapshots or sent as msgpack arrays: the order of the fields
-and the tags must not change.
+All structs are encoded as msgpack arrays, which are sent or stored in the consensus log and in snapshots. The
+order of the fields and the tags must not change.
 """
 
 from __future__ import annotations
@@ -9,12 +9,12 @@
 import msgspec
 
 STATE_PART = "owners"  # the name of this part of the replicated state
-LEASE_DURATION_US = 1_000_000  # how long a holder may act on one renewal, so how long a dead one is missed
-MAX_CLOCK_DRIFT = 0.1  # relative difference of two machines' clock rates; 10% is far beyond any that works
+LEASE_DURATION_US = 1_000_000  # validity of one renewal, and about how long a dead holder's job is stalled
+MAX_CLOCK_DRIFT = 0.1  # relative difference of two machines' clock rates; intact clocks differ far less
 RENEWALS_PER_LEASE = 3  # two renewals in a row may be lost
 MAX_JOBS = 256
-MAX_CANDIDATES = 64  # each renews through the log, three times a lease
-MAX_CRASHES = 3  # holders that a job may crash before it is suspended
+MAX_CANDIDATES = 64  # each one writes RENEWALS_PER_LEASE log entries per lease duration
+MAX_CRASHES = 3  # crashes of its holders after which a job is suspended
 
 
 class Job(msgspec.Struct, array_like=True):
@@ -22,12 +22,12 @@
 
     Attributes:
         preferred_zone: Zone that the job should run in if a candidate there can run it; may be empty.
-        holder: Name of the candidate that holds the lease; empty while nobody does.
-        fencing_token: Index of the log entry that granted the lease last; it only grows.
-        next_holder: Candidate that the lease is to go to once its holder has released it; may be empty.
-        crash_count: Holders that the job has crashed since it was last defined.
-        last_crashed_holder: The holder that it crashed last, which is the last choice for it.
-        suspended: Whether it has crashed too many holders to be granted again.
+        holder: Name of the candidate that holds the lease; empty while none does.
+        fencing_token: Index of the log entry that last granted the lease; it only grows.
+        next_holder: Candidate that should get the lease once the holder has released it; may be empty.
+        crash_count: Number of times the job has crashed a holder since it was last defined.
+        last_crashed_holder: The holder that it crashed last; other candidates are preferred to this one.
+        suspended: Whether the job is not granted any more because it crashed MAX_CRASHES holders.
     """
 
     preferred_zone: str = ""
@@ -40,14 +40,14 @@
 
 
 class Candidate(msgspec.Struct, array_like=True):
-    """A process that takes on jobs.
+    """A process that can run jobs.
 
     Attributes:
         zone: Zone that it runs in.
-        healthy: Whether it should be given jobs.
-        incarnation: Drawn at its start; tells it from another process of the same name.
+        healthy: Whether jobs may be granted to it.
+        incarnation: Random number drawn when it starts; distinguishes processes of the same name.
         renewal_index: Index of the log entry of its last renewal.
-        job_prefixes: Prefixes of the names of the jobs that it can run; empty: it can run all.
+        job_prefixes: Prefixes of the names of the jobs that it can run; empty if it can run all jobs.
     """
 
     zone: str
@@ -61,7 +61,8 @@
     """Register a candidate, or renew its lease.
 
     Attributes:
-        held_tokens: The jobs that it believes to hold, with their fencing tokens; empty at first.
+        held_tokens: The jobs that the candidate assumes to hold, with their fencing tokens; empty in the
+            first renewal of an incarnation.
     """
 
     name: str
@@ -73,21 +74,21 @@
 
 
 class CandidateExpired(msgspec.Struct, frozen=True, array_like=True, tag="gone"):
-    """The leader has waited long enough after that renewal; without effect if there was a later one."""
+    """The leader states that a candidate's lease is over; ignored if the candidate has renewed since."""
 
     name: str
     renewal_index: int
 
 
 class Leave(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
-    """A candidate has stopped acting on all its jobs and takes on no more."""
+    """A candidate has stopped acting on all its jobs and is shutting down."""
 
     name: str
     incarnation: int
 
 
 class ReleaseJob(msgspec.Struct, frozen=True, array_like=True, tag="release"):
-    """A holder has stopped acting on a job; `crashed`: the job has made it fail."""
+    """A holder has stopped acting on a job; `crashed` is set if the job failed on it."""
 
     name: str
     job: str
@@ -96,21 +97,21 @@
 
 
 class MoveJob(msgspec.Struct, frozen=True, array_like=True, tag="move"):
-    """Move a job to another candidate; its holder releases it first."""
+    """Move a job to another candidate once its holder has released it."""
 
     job: str
     target: str
 
 
 class DefineJob(msgspec.Struct, frozen=True, array_like=True, tag="define"):
-    """Create a job, change its preferred zone, or resume one that is suspended."""
+    """Create a job or change its preferred zone; resume it if it is suspended."""
 
     job: str
     preferred_zone: str = ""
 
 
 class DropJob(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """Delete a job. One that is created anew under its name continues with greater fencing tokens."""
+    """Delete a job. If it is created again under the same name, its fencing tokens keep growing."""
 
     job: str
 
@@ -123,8 +124,8 @@
 
     Attributes:
         tokens: The jobs whose lease the candidate holds, with their fencing tokens.
-        to_release: Those among them that it should release.
-        rejection: Why it was not renewed; empty if it was.
+        to_release: The held jobs that the candidate should release.
+        rejection: Why the lease was not renewed; empty if it was.
     """
 
     tokens: dict[str, int]
@@ -133,7 +134,7 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
-    """The reply to any other command: whether it took effect, and if not, the reason."""
+    """The reply to any other command: whether it was accepted, and the reason if not."""
 
     accepted: bool
     reason: str = ""
--- a/lichencleat/leases/periodic_proposer.py
+++ b/lichencleat/leases/periodic_proposer.py
@@ -1,7 +1,7 @@
-"""A loop that proposes commands to the consensus group whenever they fall due.
+"""A loop that proposes each command to the consensus group when it is due.
 
-The base of the lease client, the quota client and the recovery client: it owns the timer, a subclass says
-which command is due, when the next round is due, and what a reply means.
+This is the base class of the lease client, the quota client and the recovery client. It owns the timer; a
+subclass decides which command is due and when the next round is due, and handles the replies.
 """
 
 from __future__ import annotations
@@ -16,24 +16,24 @@
 from lichencleat.transport.twisted_types import DelayedCall, ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-MAX_ROUND_INTERVAL_US = 100_000  # a round is run this often even if nothing is due
+MAX_ROUND_INTERVAL_US = 100_000  # a round runs at least this often, even if no command is due
 
 
 @dataclass(frozen=True, slots=True)
 class Proposal:
-    """A command that is due, and how long its reply is awaited."""
+    """A command to propose, and how long to wait for the reply."""
 
     command: object
     timeout_s: float
 
 
 class PeriodicProposer(ABC):
-    """Owns the timer of the rounds until `stop`; the client of the group belongs to the caller.
+    """Runs the rounds and owns their timer until `stop`; the caller owns the client of the group.
 
     Args:
         reactor: Source of the monotonic clock and of the timer.
         client: Client of the consensus group.
-        part: The part of the replicated state that the commands are for.
+        part: The part of the replicated state that the commands are addressed to.
         log: Logger of the process.
     """
 
@@ -52,11 +52,11 @@
         return int(self.reactor.seconds() * MICROSECONDS_PER_SECOND)
 
     def start(self) -> None:
-        """Run the first round at once."""
+        """Run the first round immediately."""
         self.run_round()
 
     def stop(self) -> None:
-        """Run no further rounds; a reply that is still awaited is handled when it comes."""
+        """Run no further rounds; the reply to a command in flight is still handled."""
         self.stopped = True
         self.cancel_timer()
 
@@ -72,7 +72,7 @@
         self.schedule_round()
 
     def schedule_round(self) -> None:
-        """Schedule the next round in place of one that is scheduled already."""
+        """Schedule the next round; this replaces a round that is already scheduled."""
         self.cancel_timer()
         if self.stopped:
             return
@@ -88,16 +88,16 @@
 
     @abstractmethod
     def next_proposal(self, now: int) -> Proposal | None:
-        """Do what is due at `now` (µs), and return the command to propose, if any."""
+        """Do the work that is due at `now` (µs), and return the command to propose, None if there is none."""
 
     @abstractmethod
     def next_round_at(self, now: int) -> int:
-        """The time in µs at which the next round is due; bounded by the interval limits."""
+        """The time in µs at which the next round is due; the caller bounds it by the interval limits."""
 
     @abstractmethod
     def on_reply(self, reply: object) -> None:
-        """Handle the decoded reply to the command proposed last."""
+        """Handle the decoded reply to a command."""
 
     @abstractmethod
     def on_failure(self, failure: Failure) -> None:
-        """Handle that no reply came; the command may have been applied all the same."""
+        """Handle a command without a reply; it may have been applied nevertheless."""
--- a/lichencleat/leases/placement.py
+++ b/lichencleat/leases/placement.py
@@ -1,6 +1,6 @@
 """Placement of jobs: which candidate gets a free job, and which job should move.
 
-Pure functions without randomness, so that all members of the group decide alike.
+All functions are pure and use no randomness, so all members of the group make the same decisions.
 """
 
 from __future__ import annotations
@@ -10,7 +10,8 @@
 
 from lichencleat.leases.messages import Candidate, Job
 
-# A job moves if its holder has this many jobs more than another candidate; with 1 it would swing.
+# A job moves if its holder has this many more jobs than another candidate. With 1, a job would move back and
+# forth between two candidates.
 MIN_LOAD_DIFFERENCE = 2
 
 
@@ -22,7 +23,7 @@
 
 
 def count_jobs(jobs: Mapping[str, Job], candidates: Mapping[str, Candidate]) -> dict[str, int]:
-    """Return how many jobs each candidate holds or is about to hold."""
+    """Return how many jobs each candidate has; a job that is about to move counts for its next holder."""
     counts = dict.fromkeys(candidates, 0)
     for job in jobs.values():
         holder = job.next_holder or job.holder
@@ -38,10 +39,11 @@
 
 
 def choose_holder(job_name: str, jobs: Mapping[str, Job], candidates: Mapping[str, Candidate]) -> str:
-    """Return the candidate that a free job should go to; empty if there is none.
+    """Return the candidate that a free job should go to; an empty string if there is none.
 
-    It must be healthy and able to run the job. Preferred are, in this order, the one that an operator chose,
-    one that the job did not crash last, one in the job's zone, one with few jobs.
+    The candidate must be healthy and able to run the job. The job's `next_holder` comes first. The other
+    candidates are compared by these criteria, in this order: not the one that the job crashed last, in the
+    job's preferred zone, fewest jobs.
     """
     job = jobs[job_name]
     if job.suspended:
@@ -59,10 +61,10 @@
 
 
 def find_relocation(jobs: Mapping[str, Job], candidates: Mapping[str, Candidate]) -> Relocation | None:
-    """Return one job that should move, or None while a move is under way or nothing should.
+    """Return one job that should move; None if none should, or while another move is in progress.
 
-    A job stays where it is unless its holder is unhealthy or cannot run it, or is in another zone than the
-    preferred one, or has many more jobs than a candidate that is as good.
+    A job moves only if its holder is unhealthy, cannot run it, is outside the preferred zone, or has at least
+    MIN_LOAD_DIFFERENCE more jobs than an equally suitable candidate.
     """
     if any(job.next_holder for job in jobs.values()):
         return None
@@ -82,8 +84,8 @@
 
     Args:
         job_name: Name of the job.
-        job: The job; its holder is a candidate.
-        candidates: All candidates.
+        job: The job; its holder must be one of the candidates.
+        candidates: All candidates, by name.
         counts: How many jobs each candidate has.
     """
 
