--- a/lichencleat/quotas/allocator.py
+++ b/lichencleat/quotas/allocator.py
@@ -1,8 +1,8 @@
-"""What the lease holder of a pool proposes each time it has read the pool.
+"""Decides which commands the allocator of a pool proposes after each read of the pool.
 
-A grant's term counts from the moment when the allocator has read of the renewal, which is later than the
-moment from which the node counts; a new lease holder counts anew. The delay is longer than the term by the
-drift of both clocks.
+The allocator measures a grant's term from the moment when it first reads the renewal. The node starts
+earlier, when it requests the renewal. A new lease holder starts the measurement again. The delay until a
+grant counts as expired exceeds the term by the largest drift between the two clocks.
 """
 
 from __future__ import annotations
@@ -11,11 +11,11 @@
 from lichencleat.quotas.allocation import compute_targets, select_changes
 from lichencleat.quotas.messages import Allocate, FencedCommand, GrantExpired, NodeQuota, Pool
 
-POLL_INTERVAL_TERMS = 0.1  # of a term: a demand is met within about half a renewal interval
+POLL_INTERVAL_TERMS = 0.1  # terms; short enough to meet a demand in about half a renewal interval
 
 
 def find_expirable_renewals(pool: Pool, quota: NodeQuota) -> list[int]:
-    """Return the log indexes of the renewals of a node under which more than its floor is reserved."""
+    """Return the log indexes of a node's renewals under which it has more than its floor."""
     indexes = []
     if quota.reserved > pool.floor or quota.target > pool.floor:
         indexes.append(quota.renewal_index)
@@ -25,11 +25,11 @@
 
 
 class Allocator:
-    """Decides under one fencing token; without I/O.
+    """Decides on a pool's targets and expired grants under one fencing token, without I/O.
 
     Args:
         pool: Name of the pool.
-        fencing_token: Of the lease that this process holds on the pool's job.
+        fencing_token: Token of the lease that this process holds on the pool's job.
         drift: Largest relative difference between the rates of two machines' clocks.
     """
 
@@ -37,14 +37,14 @@
         self.pool = pool
         self.fencing_token = fencing_token
         self.drift = drift
-        self.seen_at: dict[tuple[str, int], int] = {}  # node, renewal index -> µs when it was read first
+        self.seen_at: dict[tuple[str, int], int] = {}  # (node, renewal index) -> µs of the first read
 
     def decide(self, now: int, pool: Pool) -> list[FencedCommand]:
         """Return the commands to propose.
 
         Args:
             now: The monotonic time in µs at which the pool was read.
-            pool: The pool as read.
+            pool: The state of the pool at that read.
         """
         expired = self.find_expired(now, pool)
         commands: list[FencedCommand] = [*expired]
@@ -56,7 +56,7 @@
         return commands
 
     def find_expired(self, now: int, pool: Pool) -> list[GrantExpired]:
-        """Return the grants that have expired at `now` (µs), and note the renewals that are new."""
+        """Return the grants that have expired at `now` (µs), and record when new renewals were first read."""
         seen_at = {}
         expired = []
         delay = round(pool.term * (1 + self.drift))
--- a/lichencleat/quotas/allocator_task.py
+++ b/lichencleat/quotas/allocator_task.py
@@ -1,4 +1,4 @@
-"""The leader task that allocates a pool: polls it and proposes what the allocator decides."""
+"""The leader task that allocates a pool: polls the pool and proposes the allocator's commands."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 def is_accepted(reply: object) -> bool:
-    """Whether the reply says that the command was carried out."""
+    """Whether the reply states that the command was accepted."""
     try:
         return msgspec.convert(reply, CommandReply).accepted
-    except msgspec.ValidationError:  # voters of an older version know no pools
+    except msgspec.ValidationError:  # voters of an older version do not support pools
         return False
 
 
@@ -38,18 +38,18 @@
         self.query = pool
 
     def create_decider(self, fencing_token: int) -> Allocator:
-        """Return the allocator of a lease that was just acquired."""
+        """Return the allocator for a newly acquired lease."""
         return Allocator(self.pool, fencing_token)
 
     def on_read_failed(self, failure: Failure, decider: Allocator) -> None:
         """Log the failure and poll again."""
-        self.log.warning("pool not read", pool=self.pool, reason=failure.getErrorMessage())
+        self.log.warning("reading the pool failed", pool=self.pool, reason=failure.getErrorMessage())
         super().on_read_failed(failure, decider)
 
     def on_state(self, state: object, decider: Allocator) -> None:
-        """Propose what the allocator decides on the pool that was read."""
+        """Propose the commands that the allocator derives from the pool, and schedule the next poll."""
         if state is None:
-            self.log.warning("no such pool", pool=self.pool)
+            self.log.warning("pool does not exist", pool=self.pool)
             self.schedule_poll(decider, self.poll_interval_s)
             return
         pool = msgspec.convert(state, Pool)
@@ -58,15 +58,15 @@
         self.schedule_poll(decider, pool.term * POLL_INTERVAL_TERMS / MICROSECONDS_PER_SECOND)
 
     def on_propose(self, command: object) -> None:
-        """Log that a grant has expired."""
+        """Log the expiration of a grant that is about to be proposed."""
         if isinstance(command, GrantExpired):
-            self.log.info("grant over", pool=self.pool, node=command.node, token=command.fencing_token)
+            self.log.info("grant expired", pool=self.pool, node=command.node, token=command.fencing_token)
 
     def on_reply(self, reply: object) -> None:
-        """Log a command that was rejected, for example under an old fencing token."""
+        """Log a rejected command, for example one with an old fencing token."""
         if not is_accepted(reply):
-            self.log.info("not dealt", pool=self.pool, reason=str(reply))
+            self.log.info("allocator command not applied", pool=self.pool, reason=str(reply))
 
     def on_proposal_failed(self, failure: Failure) -> None:
-        """Log the failure; the next poll repeats what is still needed."""
-        self.log.warning("not dealt", pool=self.pool, reason=failure.getErrorMessage())
+        """Log the failure; the next poll proposes again what is still needed."""
+        self.log.warning("allocator command not applied", pool=self.pool, reason=failure.getErrorMessage())
--- a/lichencleat/quotas/messages.py
+++ b/lichencleat/quotas/messages.py
@@ -1,7 +1,8 @@
 """Pools, node quotas, the commands on them and the replies.
 
-All structs are stored in the consensus log and snapshots or sent as msgpack arrays: the order of the fields
-and the tags must not change. Limits, floors, demands and grants count calls in flight; times are in µs.
+All structs are encoded as msgpack arrays, which are sent or stored in the consensus log and in snapshots. The
+order of the fields and the tags must not change. Limits, floors, demands and grants are numbers of calls in
+flight; times are in µs.
 """
 
 from __future__ import annotations
@@ -9,28 +10,29 @@
 import msgspec
 
 STATE_PART = "shares"  # the name of this part of the replicated state
-DEFAULT_TERM_US = 5_000_000  # how long a node may use a grant on one renewal; calls under it end within it
+DEFAULT_TERM_US = 5_000_000  # validity of a grant after one renewal; calls under the grant end within it
 RENEWALS_PER_TERM = 3  # two renewals in a row may be lost
 MAX_POOLS = 64
 MAX_NODES = 1_024  # of one pool
 MAX_LIMIT = 1_000_000
-# A shorter term leaves time for renewals only; with a longer one a lost node's calls are missed for too long.
+# With a shorter term, nodes would do little else than renew. With a longer one, the calls reserved for a lost
+# node would stay unusable for too long.
 MIN_TERM_US = 300_000
 MAX_TERM_US = 600_000_000
 RECOVERY_JOB = "revive"  # the job whose lease holder may set the allocatable share
 
 
 class NodeQuota(msgspec.Struct, array_like=True):
-    """What one node has of a pool. `reserved` and `reserved_until_expiry` count against the limit.
+    """One node's quota in a pool. `reserved` and `reserved_until_expiry` count against the limit.
 
     Attributes:
-        incarnation: Drawn at the node's start.
-        request_number: Number of its last renewal; an older one that arrives late changes nothing.
-        reserved: Calls that it may have in flight until it reports fewer or its grant expires.
-        target: Calls that the allocator wants it to have.
-        demand: Calls that it last reported it could use.
-        renewal_index: Index of the log entry of its last renewal.
-        reserved_until_expiry: Calls that earlier incarnations may have in flight; together with `reserved`
+        incarnation: Random number drawn when the node starts.
+        request_number: Number of the node's last renewal; older renewals that arrive late are rejected.
+        reserved: Calls that the node may have in flight until it reports fewer or its grant expires.
+        target: Calls that the allocator wants the node to have.
+        demand: Calls that the node last reported it could use.
+        renewal_index: Index of the log entry of the node's last renewal.
+        reserved_until_expiry: Calls that earlier incarnations may have in flight; the sum with `reserved` is
             never below the floor.
         previous_renewal_index: Index of the log entry of the last renewal of those incarnations.
     """
@@ -49,11 +51,11 @@
     """A dependency's capacity and how it is divided among the nodes.
 
     Attributes:
-        limit: Calls in flight that the dependency survives.
+        limit: Calls in flight that the dependency can sustain.
         floor: Calls that each node may have in flight without a grant, once it has run for a term.
-        max_nodes: How many nodes there may be; the floor is reserved for each, present or not.
+        max_nodes: Maximum number of nodes; the floor is reserved for each of them, present or not.
         term: How long a grant lasts, in µs.
-        fencing_token: Of the lease holder that allocated last; 0: nobody has yet.
+        fencing_token: Token of the lease holder that allocated last; 0 if there was no allocation yet.
         node_quotas: The nodes that have asked for a grant.
         allocatable_share: Share of the limit beyond all floors that may be allocated; below 1 while the fleet
             recovers.
@@ -69,7 +71,7 @@
 
 
 class DefinePool(msgspec.Struct, frozen=True, array_like=True, tag="define"):
-    """Create a pool or change it; see `Pool`."""
+    """Create a pool or change it; the fields are those of `Pool`."""
 
     pool: str
     limit: int
@@ -79,13 +81,13 @@
 
 
 class DropPool(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """Delete a pool that no node has a quota in."""
+    """Delete a pool in which no node has a quota."""
 
     pool: str
 
 
 class ForgetNode(msgspec.Struct, frozen=True, array_like=True, tag="forget"):
-    """An operator states that a node is gone for good and uses not even its floor."""
+    """An operator states that a node will not return and no longer uses even its floor."""
 
     pool: str
     node: str
@@ -95,10 +97,10 @@
     """A node renews its grant.
 
     Attributes:
-        floor: The pool's floor as the node is configured.
-        term: The pool's term as the node is configured, in µs.
-        in_use: Calls that the node has at most in flight, from before the request until the reply.
-        demand: Calls that it could use.
+        floor: The pool's floor in the node's configuration.
+        term: The pool's term in the node's configuration, in µs.
+        in_use: Most calls that the node has in flight from before the request until the reply.
+        demand: Calls that the node could use.
     """
 
     pool: str
@@ -120,7 +122,7 @@
 
 
 class GrantExpired(msgspec.Struct, frozen=True, array_like=True, tag="over"):
-    """The allocator states that a grant has expired; without effect if the node has renewed since."""
+    """The allocator states that a grant has expired; ignored if the node has renewed since."""
 
     pool: str
     fencing_token: int
@@ -131,7 +133,7 @@
 class SetAllocatableShare(msgspec.Struct, frozen=True, array_like=True, tag="part"):
     """The recovery planner limits what may be allocated of every pool; see `Pool.allocatable_share`."""
 
-    fencing_token: int  # of RECOVERY_JOB
+    fencing_token: int  # of the lease on RECOVERY_JOB
     share: float
 
 
@@ -140,12 +142,12 @@
 
 
 class QuotaReply(msgspec.Struct, frozen=True, array_like=True):
-    """The reply to a request.
+    """The reply to a `QuotaRequest`.
 
     Attributes:
         amount: Calls that the node may have in flight.
-        fencing_token: Of the lease holder that allocated last; 0: nobody has yet.
-        rejection: Why there is no grant; empty if there is one.
+        fencing_token: Token of the lease holder that allocated last; 0 if there was no allocation yet.
+        rejection: Why the request was rejected; empty if it was granted.
     """
 
     amount: int
@@ -154,12 +156,12 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
-    """The reply to any other command: whether it took effect, and if not, the reason."""
+    """The reply to any other command: whether it was accepted, and the reason if not."""
 
     accepted: bool
     reason: str = ""
 
 
 def allocator_job(pool: str) -> str:
-    """The job whose lease holder allocates that pool."""
+    """Return the name of the job whose lease holder allocates that pool."""
     return f"shares/{pool}"
--- a/lichencleat/quotas/quota_grant.py
+++ b/lichencleat/quotas/quota_grant.py
@@ -1,7 +1,8 @@
 """A node's grant in a pool: how many calls it may have in flight, and until when by its own monotonic clock.
 
-A grant counts from the moment before its renewal was requested, less the drift of clocks. After it the floor
-holds, which is reserved for the node at all times; where the group has rejected the node, nothing does.
+The node measures a grant from just before it requests the renewal, and shortens it by the largest clock
+drift. After the grant ends, the node may use the floor, which is always reserved for it. If the group has
+rejected the node, it may then send no calls.
 """
 
 from __future__ import annotations
@@ -9,22 +10,23 @@
 from lichencleat.leases.messages import MAX_CLOCK_DRIFT
 from lichencleat.quotas.messages import RENEWALS_PER_TERM, QuotaReply, QuotaRequest
 
-REPLY_TIMEOUT_TERMS = 0.3  # of a term: another request fits in after one that was lost
+REPLY_TIMEOUT_TERMS = 0.3  # terms; after a lost request, another one still fits into the term
 
 
 class QuotaGrant:
     """State of one node in one pool, without I/O.
 
-    The caller sends what `next_request` returns, passes the reply to `on_reply` or the failure to
-    `on_failure`, and sends calls only within `usable_calls`, each for no longer than `max_call_duration`.
+    The caller sends the request that `next_request` returns, and passes the reply to `on_reply` or the
+    failure to `on_failure`. It starts calls only while fewer than `usable_calls` are in flight, and ends each
+    within `max_call_duration`.
 
     Args:
         pool: Name of the pool.
         node: Name of the node.
-        incarnation: Drawn at the node's start.
+        incarnation: Random number drawn when the node starts.
         floor: The pool's floor.
         term: The pool's term in µs.
-        now: When the node has started, in µs.
+        now: Time of the node's start, in µs.
         drift: Largest relative difference between the rates of two machines' clocks.
     """
 
@@ -45,33 +47,36 @@
         self.term = term
         self.drift = drift
         self.amount = 0
-        self.valid_until = 0  # µs: the amount holds before, the floor after
+        self.valid_until = 0  # µs; the amount is usable before this time, the floor after it
         self.floor_from = now + round(
             term * (1 + drift)
         )  # calls of an earlier incarnation have ended by then
         self.fencing_token = 0
         self.request_number = 0
-        self.requested_at: int | None = None  # µs: when the request under way was sent
+        self.requested_at: int | None = None  # µs; None while no request is in flight
         self.next_request_at = now  # µs
         self.rejection = ""
         self.demand = 0  # the most that the node could have used since the last request
 
     def usable_calls(self, now: int) -> int:
-        """How many calls may be in flight; none may be sent while there are as many or more."""
+        """How many calls may be in flight at `now` (µs); no call may start while as many or more are."""
         if now < self.valid_until:
             return self.amount
         return 0 if self.rejection or now < self.floor_from else self.floor
 
     def note_demand(self, demand: int) -> None:
-        """Note how many calls the node could use."""
+        """Record how many calls the node could use now; the next request reports the largest number."""
         self.demand = max(self.demand, demand)
 
     def max_call_duration(self, now: int) -> int:
-        """µs that a call sent now may take: it ends within the grant, and in any case within a term."""
+        """The time in µs that a call sent at `now` may take.
+
+        The call ends within the grant; without a grant it ends within a term less the drift.
+        """
         return self.valid_until - now if now < self.valid_until else round(self.term * (1 - self.drift))
 
     def next_request(self, now: int, in_flight: int) -> QuotaRequest | None:
-        """Return the request to send at `now` (µs), None if it is not due or another one is under way."""
+        """Return the request to send at `now` (µs), None if none is due or another one is in flight."""
         if self.requested_at is not None or now < self.next_request_at:
             return None
         self.requested_at = now
@@ -91,7 +96,7 @@
         )
 
     def on_reply(self, now: int, reply: QuotaReply) -> None:
-        """Handle the reply to the request under way; a rejected node keeps its grant to the end."""
+        """Handle the reply to the request in flight; a rejected node keeps its grant until the grant ends."""
         requested_at = self.requested_at
         assert requested_at is not None
         self.requested_at = None
@@ -106,16 +111,16 @@
             self.fencing_token = reply.fencing_token
 
     def on_failure(self, now: int) -> None:
-        """Handle that no reply came: the grant counts from the renewal before, and the next one is soon."""
+        """Handle a request without a reply: keep the previous grant's end, and retry sooner than usual."""
         self.requested_at = None
         self.next_request_at = now + self.term // RENEWALS_PER_TERM // RENEWALS_PER_TERM
 
     def reply_timeout(self) -> int:
-        """How long to wait for a reply, in µs."""
+        """The time in µs to wait for a reply."""
         return round(self.term * REPLY_TIMEOUT_TERMS)
 
     def next_action_at(self, now: int) -> int:
-        """When the grant ends or its next renewal is due, in µs."""
+        """The time in µs at which the grant ends or the next renewal is due, whichever is earlier."""
         times = [self.valid_until] if now < self.valid_until else []
         if self.requested_at is None:
             times.append(self.next_request_at)
--- a/lichencleat/quotas/quota_state.py
+++ b/lichencleat/quotas/quota_state.py
@@ -1,8 +1,8 @@
 """The replicated state of quotas: how many calls are reserved for which node of which pool.
 
-A part of the consensus group's state: no I/O and no clock, so it is the same at each member. A reservation
-shrinks only when its node reports fewer calls, or when the allocator states that the grant has expired. So
-whatever is in flight, lost or late, the reservations cover at least what is used.
+This is a part of the consensus group's state. It uses no I/O and no clock, so it is the same on each member.
+A reservation shrinks only when its node reports fewer calls or the allocator states that the grant has
+expired. So the reservations always cover the calls in flight, even if requests or replies are lost or late.
 """
 
 from __future__ import annotations
@@ -50,10 +50,10 @@
 
 
 class QuotaState:
-    """A part of the replicated state. Reservations grow in `adjust_reservation` only.
+    """A part of the replicated state. Reservations above the floor grow in `adjust_reservation` only.
 
     Args:
-        leases: The leases of the same state, whose newest tokens decide on allocations.
+        leases: The replicated state of leases; fencing tokens of commands are checked against it.
     """
 
     def __init__(self, leases: LeaseState) -> None:
@@ -64,7 +64,7 @@
         """Apply the encoded command of the log entry at `index`.
 
         Returns:
-            The reply to whoever proposed it; a command that does not decode is rejected.
+            The reply to the proposer; a command that cannot be decoded is rejected.
         """
         try:
             decoded = decode_command(command)
@@ -83,7 +83,7 @@
         return self.execute(decoded, pool)
 
     def execute(self, command: DropPool | ForgetNode | FencedCommand, pool: Pool) -> CommandReply:
-        """Carry out a command on one pool."""
+        """Carry out a command on an existing pool."""
         match command:
             case DropPool():
                 return self.drop(command, pool)
@@ -97,7 +97,7 @@
         return self.expire_grant(command, pool)
 
     def has_current_token(self, command: FencedCommand) -> bool:
-        """Whether the command is of the lease holder, not of one that was paused and continues late."""
+        """Whether the command comes from the current lease holder, not from a late earlier one."""
         return self.leases.is_current_token(allocator_job(command.pool), command.fencing_token)
 
     # -- pools -------------------------------------------------------------------------------------------
@@ -119,7 +119,7 @@
 
     @staticmethod
     def invalid_values(command: DefinePool) -> str:
-        """Return what is wrong with the values of a definition; empty if nothing is."""
+        """Return why the values of a definition are invalid; an empty string if they are valid."""
         limit, floor, nodes = command.limit, command.floor, command.max_nodes
         if not (0 < limit <= MAX_LIMIT and 0 < nodes <= MAX_NODES and floor >= 0):
             return "a figure out of range"
@@ -130,7 +130,7 @@
         return ""
 
     def definition_conflict(self, known: Pool | None, command: DefinePool) -> str:
-        """Return why the pool cannot be defined so in this state; empty if it can."""
+        """Return why the definition conflicts with the current state; an empty string if it does not."""
         if known is None:
             return "too many pools" if len(self.pools) >= MAX_POOLS else ""
         present = len(known.node_quotas)
@@ -148,7 +148,7 @@
         return CommandReply(True)
 
     def set_allocatable_share(self, command: SetAllocatableShare) -> CommandReply:
-        """Limit what may be allocated of each pool while the fleet recovers."""
+        """Set which share of each pool may be allocated; the share is below 1 while the fleet recovers."""
         if not self.leases.is_current_token(RECOVERY_JOB, command.fencing_token):
             return CommandReply(False, STALE_TOKEN)
         for pool in self.pools.values():
@@ -158,7 +158,7 @@
     # -- nodes -------------------------------------------------------------------------------------------
 
     def renew(self, index: int, request: QuotaRequest) -> QuotaReply:
-        """Renew a node's grant; a node that is new gets the floor."""
+        """Renew a node's grant; a new node gets the floor."""
         pool = self.pools.get(request.pool)
         if pool is None:
             return QuotaReply(0, 0, "no such pool")
@@ -184,9 +184,10 @@
 
     @staticmethod
     def start_incarnation(quota: NodeQuota, incarnation: int, floor: int) -> None:
-        """Start anew for a restarted node.
+        """Reset the quota of a restarted node.
 
-        Calls of the process before may still be in flight: what it had stays reserved until it has expired.
+        Calls of the previous process may still be in flight, so its reservation is kept until its grant has
+        expired.
         """
         quota.reserved_until_expiry += quota.reserved
         quota.previous_renewal_index = quota.renewal_index
@@ -197,7 +198,7 @@
 
     @staticmethod
     def adjust_reservation(pool: Pool, quota: NodeQuota, in_use: int) -> None:
-        """Free what the node has given back, or reserve what it is to have as far as the limit allows."""
+        """Move the reservation toward the target: down to the calls in use, or up within the limit."""
         if quota.target < quota.reserved:
             quota.reserved = max(quota.target, min(quota.reserved, in_use))
         elif quota.target > quota.reserved:
@@ -207,7 +208,7 @@
     # -- the allocator -----------------------------------------------------------------------------------
 
     def allocate(self, command: Allocate, pool: Pool) -> CommandReply:
-        """Set the targets of nodes."""
+        """Set the targets of the nodes that the command names."""
         pool.fencing_token = command.fencing_token
         for name, target in command.targets.items():
             quota = pool.node_quotas.get(name)
@@ -216,7 +217,7 @@
         return CommandReply(True)
 
     def expire_grant(self, command: GrantExpired, pool: Pool) -> CommandReply:
-        """Free what was reserved under a renewal, down to the floor."""
+        """Free the calls reserved under a renewal, but keep the floor reserved."""
         quota = pool.node_quotas.get(command.node)
         index = command.renewal_index
         if quota is None or index not in (quota.renewal_index, quota.previous_renewal_index):
@@ -229,7 +230,7 @@
             quota.reserved_until_expiry = 0
             quota.previous_renewal_index = 0
         if not quota.reserved_until_expiry:
-            quota.reserved = max(quota.reserved, pool.floor)  # the node counts on it without a grant
+            quota.reserved = max(quota.reserved, pool.floor)  # the node may use its floor without a grant
         return CommandReply(True)
 
     # -- the state as a whole ----------------------------------------------------------------------------
