--- a/lichencleat/membership/dissemination.py
+++ b/lichencleat/membership/dissemination.py
@@ -1,4 +1,7 @@
-"""Dissemination of updates: each is piggybacked on a bounded number of datagrams, the least sent first."""
+"""Dissemination of member updates, which are piggybacked on other datagrams.
+
+Each update is sent a bounded number of times; updates sent least often are sent first.
+"""
 
 from __future__ import annotations
 
@@ -7,12 +10,12 @@
 
 from lichencleat.membership.messages import MemberUpdate
 
-MAX_DATAGRAM_BYTES = 1_200  # within the smallest path MTU that carries IPv6, so never fragmented
-UPDATE_OVERHEAD_BYTES = 40  # of an update besides its texts, at the most
+MAX_DATAGRAM_BYTES = 1_200  # below the minimum MTU of IPv6, so datagrams are not fragmented
+UPDATE_OVERHEAD_BYTES = 40  # upper bound of an update's encoded size without its strings
 
 
 def encoded_size(update: MemberUpdate) -> int:
-    """Returns an upper bound of an update's bytes in a datagram."""
+    """Return an upper bound of the bytes that an update takes in a datagram."""
     return (
         UPDATE_OVERHEAD_BYTES
         + len(update.name.encode())
@@ -23,42 +26,42 @@
 
 
 def retransmit_limit(member_count: int, multiplier: int) -> int:
-    """Returns how often an update is sent: with that, nearly every member of the group receives it."""
+    """Return how often a member sends an update, so that nearly every member of the group receives it."""
     return multiplier * math.ceil(math.log2(member_count + 2))
 
 
 class QueuedUpdate(NamedTuple):
-    """An update that is passed on."""
+    """An update to send, and how often it was sent already."""
 
     transmissions: int
     update: MemberUpdate
 
 
 class DisseminationQueue:
-    """At most one update a member: a newer one replaces the older."""
+    """The updates to send: at most one about each member, as a newer update replaces an older one."""
 
     def __init__(self) -> None:
         self._queue: dict[str, QueuedUpdate] = {}
 
     def enqueue(self, update: MemberUpdate) -> None:
-        """Starts to pass on an update."""
+        """Add an update; it replaces an older update about the same member."""
         self._queue[update.name] = QueuedUpdate(0, update)
 
     def discard(self, name: str) -> None:
-        """Stops passing on the update on a member, if there is one."""
+        """Remove the update about a member, if there is one."""
         self._queue.pop(name, None)
 
     def clear(self) -> None:
-        """Stops passing on anything."""
+        """Remove all updates."""
         self._queue.clear()
 
     def take(self, max_bytes: int, limit: int, first: str = "") -> tuple[MemberUpdate, ...]:
-        """Returns updates for one datagram, those sent least before others.
+        """Return updates for one datagram, those sent least often first.
 
         Args:
-            max_bytes: Room for the updates.
-            limit: An update is dropped from the queue after so many transmissions.
-            first: The update on this member, if there is one, goes before all others.
+            max_bytes: Size available for the updates.
+            limit: Number of transmissions after which an update is removed from the queue.
+            first: Name of the member whose update, if there is one, comes before all others.
         """
         taken: list[MemberUpdate] = []
         remaining = max_bytes
--- a/lichencleat/membership/gossip.py
+++ b/lichencleat/membership/gossip.py
@@ -1,7 +1,7 @@
-"""One member of the gossip, without any I/O.
+"""One member of the gossip protocol, without I/O.
 
-The host passes in what happens (`on_message`, `on_timer`, `leave`) and after each of these fetches the
-actions (`next_action`): datagrams to send and changes to report. It calls `on_timer` by `next_deadline`.
+The caller passes in events (`on_message`, `on_timer`, `leave`) and after each event fetches the actions
+(`next_action`): datagrams to send and changes to report. It calls `on_timer` no later than `next_deadline`.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 from lichencleat.membership.state_sync import StateSync
 from lichencleat.membership.suspicion import SuspicionTracker
 
-SEQUENCE_BITS = 30  # of the first sequence number, which is random
+SEQUENCE_BITS = 30  # size of the random first sequence number
 
 
 class GossipMember:
-    """This member, and what it knows of the others.
+    """This member, and its view of the other members.
 
     Args:
-        group: Datagrams of other groups are ignored.
-        own: This member; its incarnation is µs of Unix time at its start, to override an earlier one.
-        seeds: Addresses of members to join by; the own one is left out.
-        settings: The same at each member.
-        rng: Draws who is probed, asked and synchronized with.
-        now: µs of the host's clock.
+        group: Name of the group; datagrams of other groups are ignored.
+        own: This member; its incarnation is the Unix time of its start in µs, so it overrides earlier ones.
+        seeds: Addresses of members to join through; this member's own address is ignored.
+        settings: Settings of the protocol, the same on each member.
+        rng: Chooses the members to probe, to ask for indirect probes and to synchronize with.
+        now: Time in µs by the caller's monotonic clock.
     """
 
     def __init__(
@@ -71,11 +71,11 @@
         self._sync.join(now, own)
 
     def next_action(self) -> Action | None:
-        """Returns and removes the next thing to do, or None."""
+        """Remove and return the next action, None if there is none."""
         return self._outbox.next_action()
 
     def next_deadline(self) -> int:
-        """When `on_timer` is to be called at the latest, µs."""
+        """The latest time in µs at which `on_timer` should be called."""
         return min(
             self._sync.next_sync_at,
             *self._prober.iter_deadlines(),
@@ -84,7 +84,7 @@
         )
 
     def on_message(self, now: int, host: str, port: int, message: GossipMessage) -> None:
-        """Takes in a datagram that came from that address."""
+        """Handle a datagram that was received from that address."""
         if message.group != self._group or message.sender == self.own.name:
             return
         for update in message.updates:
@@ -93,7 +93,7 @@
             self._handle(now, host, port, message)
 
     def on_timer(self, now: int) -> None:
-        """Does what is due."""
+        """Do the work that is due at `now` (µs)."""
         if self._has_left:
             return
         self._indirect_prober.on_timer(now)
@@ -102,7 +102,7 @@
         self._sync.on_timer(now, self.own)
 
     def leave(self, now: int) -> None:
-        """Announces to some members that this one leaves; they pass it on."""
+        """Announce to some members, which disseminate it, that this member leaves."""
         self._has_left = True
         self.own = self.own.with_state(MemberState.LEFT)
         self.apply_update(now, self.own, "")
@@ -111,7 +111,14 @@
             self._outbox.send_update(each.host, each.port, self.own)
 
     def apply_update(self, now: int, update: MemberUpdate, sender: str) -> None:
-        """Applies an update and passes it on if it is news; `sender` is empty for an own conclusion."""
+        """Apply an update, and disseminate it if it is new.
+
+        Args:
+            now: Time in µs.
+            update: The update.
+            sender: Name of the member that it comes from; empty when this member announces that it leaves, or
+                declares a suspect dead.
+        """
         if update.name == self.own.name and not self._has_left:
             if update.precedence() > self.own.precedence():
                 self._refute(now, update)
@@ -148,7 +155,10 @@
             self._suspicions.confirm(update.name, sender)
 
     def _refute(self, now: int, update: MemberUpdate) -> None:
-        """Overrides what is said of this member by a new incarnation; a sign, too, that it answers late."""
+        """Override a wrong update about this member by a greater incarnation.
+
+        A suspicion also indicates that this member answers late, so its local health degrades.
+        """
         if update.state != MemberState.ALIVE:
             self.health.degrade()
         self.own = self.own.with_state(MemberState.ALIVE, update.incarnation + 1)
@@ -161,7 +171,7 @@
             self.apply_update(now, known.with_state(MemberState.SUSPECT), self.own.name)
 
     def _expire(self, now: int) -> None:
-        """Calls suspects dead that did not refute in time, and forgets those long dead."""
+        """Declare suspects dead that did not refute in time, and forget members that are dead for long."""
         for name in self._suspicions.expired(now):
             self.apply_update(now, self.table.members[name].with_state(MemberState.DEAD), "")
         for name in self.table.forget_dead(now, self._settings.dead_retention):
--- a/lichencleat/membership/member_table.py
+++ b/lichencleat/membership/member_table.py
@@ -1,6 +1,7 @@
-"""The member table: which update on each member holds.
+"""The member table: the latest update about each member.
 
-Updates form a semilattice: received in any order, any number of times, equal sets of them leave equal tables.
+Updates form a semilattice: two tables that received the same updates are equal, in whatever order and however
+often the updates arrived.
 """
 
 from __future__ import annotations
@@ -12,18 +13,18 @@
 
 from lichencleat.membership.messages import MemberState, MemberUpdate
 
-MAX_MEMBERS = 1_024  # updates on more are dropped: datagrams must not be able to fill the memory
+MAX_MEMBERS = 1_024  # updates about more members are dropped, so that datagrams cannot exhaust the memory
 
 
 class MemberTable:
-    """The latest update on each member."""
+    """The latest update about each member."""
 
     def __init__(self) -> None:
         self.members: dict[str, MemberUpdate] = {}
-        self._state_changed_at: dict[str, int] = {}  # µs, here
+        self._state_changed_at: dict[str, int] = {}  # name -> µs by this member's clock
 
     def apply(self, now: int, update: MemberUpdate) -> bool:
-        """Applies an update; returns whether it is news."""
+        """Apply an update; return whether it overrides the known one."""
         known = self.members.get(update.name)
         if known is None:
             is_accepted = len(self.members) < MAX_MEMBERS and update.state in MemberState._value2member_map_
@@ -37,7 +38,7 @@
         return True
 
     def forget_dead(self, now: int, retention: int) -> list[str]:
-        """Removes members that are dead or left for `retention` µs; returns their names."""
+        """Remove members that have been dead or have left for `retention` µs; return their names."""
         forgotten = [
             name
             for name, member in self.members.items()
@@ -49,14 +50,14 @@
         return forgotten
 
     def active(self) -> Iterator[MemberUpdate]:
-        """Yields the members that are alive or suspect."""
+        """Iterate over the members that are alive or suspect."""
         return (member for member in self.members.values() if member.state <= MemberState.SUSPECT)
 
     def active_count(self) -> int:
-        """The number of members that are alive or suspect."""
+        """Return the number of members that are alive or suspect."""
         return sum(1 for _ in self.active())
 
     def digest(self) -> int:
-        """Returns a checksum, equal for equal tables; never 0."""
+        """Return a checksum of the table; it is never 0, and equal tables have equal checksums."""
         rows = sorted((each.name, each.incarnation, each.state) for each in self.members.values())
         return crc32c(msgspec.msgpack.encode(rows)) or 1
--- a/lichencleat/membership/messages.py
+++ b/lichencleat/membership/messages.py
@@ -1,4 +1,7 @@
-"""Wire format of the gossip. The structs are arrays: fields may be renamed, but never moved or dropped."""
+"""Wire format of the gossip protocol.
+
+The structs are encoded as arrays: fields may be renamed, but must not be moved or removed.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 class MemberState(IntEnum):
-    """State of a member; of one incarnation, the greater number overrides. The numbers are the wire's."""
+    """State of a member. The numbers are on the wire; for the same incarnation, the greater one overrides."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -17,7 +20,7 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What is said of one member. The greater (incarnation, state) holds."""
+    """A statement about one member; the update with the greater (incarnation, state) overrides."""
 
     name: str
     state: int
@@ -28,11 +31,11 @@
     role: str = ""
 
     def precedence(self) -> tuple[int, int]:
-        """Returns what orders the updates on one member."""
+        """Return the sort key of updates about the same member; the greatest update overrides."""
         return self.incarnation, self.state
 
     def with_state(self, state: MemberState, incarnation: int | None = None) -> MemberUpdate:
-        """Returns the same member in another state, by default of the same incarnation."""
+        """Return an update about the same member in another state, by default for the same incarnation."""
         return MemberUpdate(
             self.name,
             state,
@@ -45,14 +48,14 @@
 
 
 class MessageKind(IntEnum):
-    """Kinds of datagrams. The numbers are the wire's."""
+    """Kinds of datagrams. The numbers are on the wire."""
 
     PING = 1
     ACK = 2
-    PING_REQUEST = 3  # probe the target for me
-    NACK = 4  # I probed the target, and it did not answer in time
-    SYNC_REQUEST = 5  # send me your table, unless its digest is mine
-    SYNC_STATE = 6  # a part of the table
+    PING_REQUEST = 3  # asks the recipient to probe the target
+    NACK = 4  # answer to PING_REQUEST: the target did not answer the probe in time
+    SYNC_REQUEST = 5  # asks for the recipient's table, unless both tables have the same digest
+    SYNC_STATE = 6  # a part of the sender's table
 
 
 class GossipMessage(msgspec.Struct, frozen=True, array_like=True):
@@ -60,8 +63,8 @@
 
     group: str
     kind: int
-    sequence: int  # of the probe, by its prober
+    sequence: int  # number that the prober gave to the probe
     sender: str
-    target: str = ""  # of a ping request, and of the answers to it
-    digest: int = 0  # of a sync request: of the sender's table
+    target: str = ""  # in a ping request and in the answers to it: the member to probe
+    digest: int = 0  # in a sync request: the digest of the sender's table
     updates: tuple[MemberUpdate, ...] = ()
--- a/lichencleat/membership/outbox.py
+++ b/lichencleat/membership/outbox.py
@@ -1,4 +1,4 @@
-"""What a member wants done: datagrams to send, with piggybacked updates, and changes to report."""
+"""The pending actions of a member: datagrams to send, with piggybacked updates, and changes to report."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 from lichencleat.membership.messages import GossipMessage, MemberState, MemberUpdate, MessageKind
 from lichencleat.membership.settings import GossipSettings
 
-HEADER_BYTES = 120  # of a datagram besides its updates, at the most
+HEADER_BYTES = 120  # upper bound of a datagram's size without its updates
 MAX_UPDATES_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES
-MAX_ACTIONS = 4_096  # not fetched yet: the oldest are dropped
+MAX_ACTIONS = 4_096  # pending ones; beyond that the oldest are dropped
 
 
 @dataclass(slots=True)
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class MemberChanged:
-    """The latest update on a member is another one now."""
+    """The latest update about a member has changed."""
 
     update: MemberUpdate
 
@@ -41,7 +41,7 @@
 
 
 class Outbox:
-    """Composes datagrams and queues them, with the changes, until the host fetches them."""
+    """Composes datagrams, and queues datagrams and changes until the caller fetches them."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         settings: GossipSettings,
         first_sequence: int,
     ) -> None:
-        """`sender` is this member's name; `first_sequence` the number of its first probe."""
+        """`sender` is this member's name, `first_sequence` the sequence number of its first probe."""
         self._group = group
         self._sender = sender
         self._table = table
@@ -62,37 +62,40 @@
         self._actions: deque[Action] = deque(maxlen=MAX_ACTIONS)
 
     def next_action(self) -> Action | None:
-        """Returns and removes the oldest action, or None."""
+        """Remove and return the oldest action, None if there is none."""
         return self._actions.popleft() if self._actions else None
 
     def next_sequence(self) -> int:
-        """Returns the sequence number of a new probe."""
+        """Return the sequence number of a new probe."""
         return next(self._sequence)
 
     def report_change(self, update: MemberUpdate) -> None:
-        """Queues a change."""
+        """Queue the report of a changed member."""
         self._actions.append(MemberChanged(update))
 
     def send(
         self, host: str, port: int, kind: MessageKind, sequence: int, target: str = "", recipient: str = ""
     ) -> None:
-        """Sends a datagram with piggybacked updates; a suspect `recipient` is first told that it is one."""
+        """Queue a datagram with piggybacked updates.
+
+        If `recipient` is not alive in the table, its own update is included, so that it can refute it.
+        """
         updates = self._piggyback(recipient)
         self._queue(host, port, GossipMessage(self._group, kind, sequence, self._sender, target, 0, updates))
 
     def send_update(self, host: str, port: int, update: MemberUpdate) -> None:
-        """Sends a ping whose answer is not waited for, with just this update."""
+        """Queue a ping that carries only this update; its answer is ignored."""
         message = GossipMessage(self._group, MessageKind.PING, 0, self._sender, updates=(update,))
         self._queue(host, port, message)
 
     def send_sync_request(self, host: str, port: int, *updates: MemberUpdate) -> None:
-        """Asks for the table there, unless it equals the one here."""
+        """Queue a request for the table of the member at that address, unless it equals the own table."""
         digest = self._table.digest()
         kind = MessageKind.SYNC_REQUEST
         self._queue(host, port, GossipMessage(self._group, kind, 0, self._sender, "", digest, updates))
 
     def send_table(self, host: str, port: int) -> None:
-        """Sends the whole table, in as many datagrams as it takes."""
+        """Queue the whole table, in as many datagrams as needed."""
         updates: list[MemberUpdate] = []
         remaining = MAX_UPDATES_BYTES
         for update in list(self._table.members.values()):
--- a/lichencleat/membership/probing.py
+++ b/lichencleat/membership/probing.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: this member's probes, and the indirect probes that it makes for others."""
+"""SWIM's failure detector: this member's own probes, and indirect probes on behalf of other members."""
 
 from __future__ import annotations
 
@@ -12,22 +12,22 @@
 from lichencleat.membership.outbox import Outbox
 from lichencleat.membership.settings import GossipSettings
 
-MAX_INDIRECT_PROBES = 256  # made for others, open at once
+MAX_INDIRECT_PROBES = 256  # unanswered ones on behalf of other members
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe of this member that is not answered yet."""
+    """An unanswered probe that this member started."""
 
     target: MemberUpdate
     sequence: int
     started_at: int  # µs
     helpers_asked: int = 0
-    nacks: int = 0  # helpers that got no answer either
+    nacks: int = 0  # helpers that got no answer from the target either
 
 
 class Prober:
-    """Probes one member an interval; each is probed once, in random order, before any is again."""
+    """Probes one member per interval, in rounds: each member once per round, in random order."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         now: int,
         on_probe_failed: Callable[[int, MemberUpdate], None],
     ) -> None:
-        """`on_probe_failed` gets the time and the member, as it was known when the probe began."""
+        """`on_probe_failed` is called with the time and the target's update when the probe started."""
         self._own_name = own_name
         self._table = table
         self._outbox = outbox
@@ -49,22 +49,22 @@
         self._rng = rng
         self._on_probe_failed = on_probe_failed
         self._probe: Probe | None = None
-        self._remaining: list[str] = []  # of this round, the next at the end
+        self._remaining: list[str] = []  # names to probe in this round; the last one is next
         self._next_probe_at = now + rng.randrange(settings.probe_interval)
 
     def on_ack(self, sequence: int) -> None:
-        """Ends the probe of that number, if it is the current one."""
+        """End the current probe if it has that sequence number."""
         if self._probe is not None and self._probe.sequence == sequence:
             self._probe = None
             self._health.improve()
 
     def on_nack(self, sequence: int) -> None:
-        """Counts a helper that got no answer."""
+        """Count a helper that got no answer from the target."""
         if self._probe is not None and self._probe.sequence == sequence:
             self._probe.nacks += 1
 
     def on_timer(self, now: int) -> None:
-        """Asks helpers, or ends the probe and begins the next, as is due."""
+        """Ask helpers for indirect probes, or fail the probe and start the next one, as due at `now` (µs)."""
         probe = self._probe
         if probe is not None and not probe.helpers_asked and now >= self._helpers_deadline(probe):
             self._ask_helpers(probe)
@@ -74,7 +74,7 @@
             self._begin(now)
 
     def iter_deadlines(self) -> Iterator[int]:
-        """Yields when `on_timer` has something to do, µs."""
+        """Yield the times in µs at which `on_timer` is due."""
         yield self._next_probe_at
         if self._probe is not None and not self._probe.helpers_asked:
             yield self._helpers_deadline(self._probe)
@@ -98,7 +98,7 @@
                 return
 
     def _start_round(self) -> bool:
-        """Draws the order of the next round; returns False where there is nobody else."""
+        """Draw the order of the next round; return False if there is no other member."""
         self._remaining = [each.name for each in self._table.active() if each.name != self._own_name]
         self._rng.shuffle(self._remaining)
         return bool(self._remaining)
@@ -114,7 +114,10 @@
         probe.helpers_asked = max(1, probe.helpers_asked)
 
     def _fail(self, now: int, probe: Probe) -> None:
-        """Reports the probe as failed; helpers that are silent, too, are a sign that this member is slow."""
+        """Report the probe as failed.
+
+        Missing nacks of helpers indicate that this member is slow, so its local health degrades.
+        """
         self._probe = None
         if probe.nacks < min(probe.helpers_asked, self._settings.indirect_probes) - 1:
             self._health.degrade()
@@ -123,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IndirectProbe:
-    """A probe made for another member."""
+    """A probe on behalf of another member."""
 
     request: GossipMessage
     target: MemberUpdate
@@ -131,16 +134,16 @@
 
 
 class IndirectProber:
-    """Probes targets for other members, and tells them of the answer or its absence."""
+    """Probes targets on behalf of other members, and replies with an ack or a nack."""
 
     def __init__(self, table: MemberTable, outbox: Outbox, settings: GossipSettings) -> None:
         self._table = table
         self._outbox = outbox
         self._settings = settings
-        self._probes: dict[int, IndirectProbe] = {}  # by the sequence number of the own ping
+        self._probes: dict[int, IndirectProbe] = {}  # by the sequence number of this member's ping
 
     def on_request(self, now: int, request: GossipMessage) -> None:
-        """Probes the target, if it is known and there is capacity."""
+        """Probe the target, unless it is unknown or too many probes are unanswered."""
         target = self._table.members.get(request.target)
         if target is None or len(self._probes) >= MAX_INDIRECT_PROBES:
             return
@@ -149,7 +152,7 @@
         self._outbox.send(target.host, target.port, MessageKind.PING, sequence, recipient=target.name)
 
     def on_ack(self, sequence: int) -> bool:
-        """Passes an ack on to the requester; returns whether it was of an indirect probe."""
+        """Forward an ack to the requester; return False if it answers no indirect probe."""
         probe = self._probes.pop(sequence, None)
         if probe is None:
             return False
@@ -157,14 +160,14 @@
         return True
 
     def on_timer(self, now: int) -> None:
-        """Tells requesters of targets that did not answer in time."""
+        """Send a nack for each target that did not answer in time."""
         for sequence, probe in list(self._probes.items()):
             if now - probe.started_at >= self._settings.probe_timeout:
                 del self._probes[sequence]
                 self._reply(probe, MessageKind.NACK)
 
     def iter_deadlines(self) -> Iterator[int]:
-        """Yields when `on_timer` has something to do, µs."""
+        """Iterate over the times in µs at which `on_timer` is due."""
         return (probe.started_at + self._settings.probe_timeout for probe in self._probes.values())
 
     def _reply(self, probe: IndirectProbe, kind: MessageKind) -> None:
--- a/lichencleat/membership/settings.py
+++ b/lichencleat/membership/settings.py
@@ -6,13 +6,15 @@
 
 
 class GossipSettings(msgspec.Struct, frozen=True):
-    """Intervals and multipliers, the same at each member. Times are µs."""
+    """Intervals and multipliers, the same on each member. Times are in µs."""
 
     probe_interval: int = 1_000_000
-    probe_timeout: int = 300_000  # for a direct answer; then others are asked to probe
+    probe_timeout: int = 300_000  # for a direct answer; after it, other members are asked for indirect probes
     indirect_probes: int = 3  # members that are asked
-    suspicion_multiplier: int = 4  # probe intervals, times the logarithm of the group: the shortest timeout
-    max_suspicion_multiplier: int = 6  # times that, where nobody else suspects the member
-    retransmit_multiplier: int = 3  # times the logarithm of the group: how often an update is passed on
-    sync_interval: int = 5_000_000  # between attempts to reach a dead member: so partitions merge again
-    dead_retention: int = 600_000_000  # dead members, and those that left, are forgotten then
+    # minimum suspicion timeout: this many probe intervals, times the logarithm of the group's size
+    suspicion_multiplier: int = 4
+    # maximum suspicion timeout: this many minimum timeouts; applies while no other member shares it
+    max_suspicion_multiplier: int = 6
+    retransmit_multiplier: int = 3  # transmissions of an update: this times the logarithm of the group's size
+    sync_interval: int = 5_000_000  # mean time between synchronizations, which also merge partitions
+    dead_retention: int = 600_000_000  # dead members and those that left are forgotten after it
--- a/lichencleat/membership/suspicion.py
+++ b/lichencleat/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicion: how long a suspect has to refute it, less the more members suspect it independently."""
+"""Suspicion: how long a suspect has to refute; the more members suspect it independently, the shorter."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from lichencleat.membership.member_table import MemberTable
 from lichencleat.membership.settings import GossipSettings
 
-MAX_CONFIRMATIONS = 3  # independent ones that bring the timeout down to its minimum
+MAX_CONFIRMATIONS = 3  # independent confirmations that reduce the timeout to its minimum
 
 
 @dataclass(slots=True)
 class Suspicion:
-    """One suspect."""
+    """The suspicion of one member: when it started, and the names of the members that share it."""
 
     since: int  # µs
     suspected_by: set[str] = field(default_factory=set)
@@ -29,15 +29,15 @@
         self._suspicions: dict[str, Suspicion] = {}
 
     def start(self, name: str, now: int, sender: str) -> None:
-        """Starts the timeout of a suspect; `sender` is empty where nobody else says so."""
+        """Start the timeout of a suspect; `sender` is the member that suspects it, or empty."""
         self._suspicions[name] = Suspicion(now, {sender} if sender else set())
 
     def confirm(self, name: str, sender: str) -> None:
-        """Notes that another member suspects it, too."""
+        """Record that another member also suspects this one."""
         self._suspicions[name].suspected_by.add(sender)
 
     def clear(self, name: str) -> None:
-        """Ends the suspicion of a member, if there is one."""
+        """End the suspicion of a member, if there is one."""
         self._suspicions.pop(name, None)
 
     def is_suspect(self, name: str) -> bool:
@@ -45,13 +45,16 @@
         return name in self._suspicions
 
     def expired(self, now: int) -> Iterator[str]:
-        """Yields suspects that did not refute in time, as the table is when each is looked at."""
+        """Yield the suspects that did not refute in time.
+
+        Each timeout depends on the size of the table at the moment when the iteration reaches the suspect.
+        """
         for name, suspicion in list(self._suspicions.items()):
             if now - suspicion.since >= self._timeout(suspicion):
                 yield name
 
     def iter_deadlines(self) -> Iterator[int]:
-        """Yields when each suspicion expires, µs."""
+        """Iterate over the times in µs at which the suspicions expire."""
         return (each.since + self._timeout(each) for each in self._suspicions.values())
 
     def _timeout(self, suspicion: Suspicion) -> int:
