--- a/lichencleat/transport/__init__.py
+++ b/lichencleat/transport/__init__.py
@@ -1,5 +1,6 @@
-"""What processes of a fleet share on their connections to one another.
+"""The transport that processes of a fleet use on connections to each other.
 
-Length-prefixed frames, greetings that name the caller and the cluster, requests with one response each, and
-a client that finds the leader of a group. Nothing here knows what a group decides on or how.
+It consists of length-prefixed frames, greetings that identify the caller and the cluster, requests with one
+response each, and a client that finds the leader of a group. It does not depend on what a group decides, nor
+on its consensus protocol.
 """
--- a/lichencleat/transport/identity.py
+++ b/lichencleat/transport/identity.py
@@ -1,4 +1,4 @@
-"""Identities in greetings: the incarnation of a member, and how a greeting is answered."""
+"""Identities in greetings: the incarnation of a member, and the result of a greeting."""
 
 from __future__ import annotations
 
@@ -6,30 +6,30 @@
 
 import msgspec
 
-CLIENT_ID = 0  # in the place of a member id: the caller is a client, or the recipient is not known
+CLIENT_ID = 0  # used as a member id when the caller is a client or the recipient is not known
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """One start of a member."""
+    """Identifies one start of a member; a later start is greater."""
 
-    start_count: int  # how often it was started, this time included
-    nonce: int  # drawn at the start
+    start_count: int  # number of starts, including this one
+    nonce: int  # random number drawn at the start
 
 
-NO_INCARNATION = Incarnation(0, 0)  # of a process that is no member
+NO_INCARNATION = Incarnation(0, 0)  # of a process that is not a member
 
 
 class GreetingResult(IntEnum):
-    """The answer to a greeting. The numbers are those on the wire."""
+    """The result of a greeting. The numbers are on the wire."""
 
     ACCEPTED = 0
     WRONG_CLUSTER = 1
     WRONG_MEMBER = 2  # the caller expected another member here
-    STALE_INCARNATION = 3  # a later incarnation is known, or another one with the same count
+    STALE_INCARNATION = 3  # a later incarnation is known, or another one with the same start count
 
     @property
     def log_reason(self) -> str:
-        """The words for it in log lines."""
+        """The text of this result in log lines."""
         return _LOG_REASONS[self]
 
 
--- a/lichencleat/transport/inbound.py
+++ b/lichencleat/transport/inbound.py
@@ -1,4 +1,4 @@
-"""Connections that others open to this process, and the listener that accepts them."""
+"""Connections that other processes open to this one, and the listener that accepts them."""
 
 from __future__ import annotations
 
@@ -20,34 +20,34 @@
 )
 from lichencleat.transport.twisted_types import TcpReactor
 
-MAX_CONNECTIONS = 1_024  # from clients and members; further ones are closed at once
-MAX_OPEN_REQUESTS = 256  # of one client
+MAX_CONNECTIONS = 1_024  # from clients and members; further connections are closed at once
+MAX_OPEN_REQUESTS = 256  # unanswered ones on one connection
 
 
 class ListenerOwner(Protocol):
-    """What a listener reports to."""
+    """Handles the events of a listener and its connections."""
 
     def on_greeting(self, connection: InboundConnection, greeting: Greeting) -> None:
-        """Decide on the greeting: set `connection.is_accepted` and send the response."""
+        """Accept or reject the greeting: set `connection.is_accepted` and send the response."""
 
-    def on_peer_message(self, message: Any) -> None:  # noqa: ANN401  # whatever the decoder of the owner gives
-        """Handle a message of the member that greeted."""
+    def on_peer_message(self, message: Any) -> None:  # noqa: ANN401  # its type depends on the owner's decoder
+        """Handle a message from the member that sent the greeting."""
 
     def on_request(self, connection: InboundConnection, request: ClientRequest) -> None:
-        """Handle a request; `connection.reply` takes the response, now or later."""
+        """Handle a request; pass the response to `connection.reply`, now or later."""
 
     def on_disconnected(self, connection: InboundConnection, member_id: int) -> None:
-        """Note that a connection which had greeted is gone."""
+        """Handle the end of a connection on which a greeting was received."""
 
     def count(self, event: str) -> None:
-        """Count an event that is no normal one."""
+        """Count an unusual event."""
 
 
 class InboundConnection(FramedProtocol):
     """A connection that a member or a client opened to this process."""
 
     def __init__(self, listener: Listener) -> None:
-        """Wait for the greeting; nothing else is read before it was accepted."""
+        """Create the connection; frames other than the greeting are rejected until it is accepted."""
         self.listener = listener
         self.decode_frame = listener.decode_frame
         self.greeting: Greeting | None = None
@@ -55,7 +55,7 @@
         self.open_requests = 0
 
     def connectionMade(self) -> None:
-        """Register with the listener, which bounds how many there are."""
+        """Register with the listener, or abort the connection if there are too many."""
         if len(self.listener.connections) >= MAX_CONNECTIONS:
             self.listener.owner.count("connections over the bound")
             self.tcp.abortConnection()
@@ -65,13 +65,13 @@
         self.tcp.setTcpKeepAlive(True)
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Report the end of a connection that had greeted."""
+        """Report the end of the connection if a greeting was received."""
         self.listener.connections.pop(self, None)
         if self.greeting is not None:
             self.listener.owner.on_disconnected(self, self.greeting.member_id)
 
     def stringReceived(self, string: bytes) -> None:
-        """Handle one frame; one out of place ends the connection."""
+        """Handle a frame; an undecodable or unexpected one aborts the connection."""
         frame = self.read(string)
         if isinstance(frame, Greeting) and self.greeting is None:
             self.greeting = frame
@@ -107,7 +107,7 @@
 
 
 class Listener(Factory):
-    """Accepts connections and owns them; `close` gives them back."""
+    """Accepts connections and owns them until `close`."""
 
     noisy = False
 
@@ -119,10 +119,10 @@
         port: int,
         decode: FrameDecoder = decode_frame,
     ) -> None:
-        """Listen at that address. `decode` decodes the frames of all connections.
+        """Listen on that address. `decode` decodes the frames of all connections.
 
         Raises:
-            CannotListenError: the address can't be listened at.
+            CannotListenError: Listening on the address is not possible.
         """
         self.owner = owner
         self.decode_frame = decode
@@ -130,11 +130,11 @@
         self.listening_port = reactor.listenTCP(port, self, interface=host)
 
     def buildProtocol(self, addr: IAddress | None) -> InboundConnection:
-        """Make the protocol of a new connection."""
+        """Create the protocol of a new connection."""
         return InboundConnection(self)
 
     def close(self) -> None:
-        """Accept no more connections and close those that there are."""
+        """Stop accepting connections, and close the open ones."""
         self.listening_port.stopListening()
         for connection in list(self.connections):
             connection.tcp.loseConnection()
--- a/lichencleat/transport/outbound.py
+++ b/lichencleat/transport/outbound.py
@@ -1,8 +1,8 @@
-"""Connections that a member opens to other members, and opens again as long as they are wanted.
+"""Connections that a member opens to other members, and opens again after a failure, until they are closed.
 
-A member's messages to another go over the connection that it opened itself, so each direction has one of its
-own and can fail by itself. A frame that exceeds the bound on unsent bytes is dropped; the protocol above
-sends what is missing again.
+A member sends its messages to another one over the connection that it opened itself. So each direction has
+its own connection and can fail independently. A frame that exceeds the bound on unsent bytes is dropped; the
+consensus protocol sends the missing messages again.
 """
 
 from __future__ import annotations
@@ -25,51 +25,51 @@
 )
 from lichencleat.transport.twisted_types import Connector, DelayedCall, TcpReactor
 
-MIN_BACKOFF_S = 0.05  # before a connection is opened again; doubled at each failure, with jitter
+MIN_BACKOFF_S = 0.05  # before a connection is opened again; doubled after each failure, with jitter
 MAX_BACKOFF_S = 1.0
-CONNECT_TIMEOUT_S = 3.0  # to open a connection, and as much again for the response to the greeting
+CONNECT_TIMEOUT_S = 3.0  # to open a connection; the response to the greeting may take as long again
 
 
 class PeerEndpoint(Protocol):
-    """The member that is called, and its address."""
+    """The id and the address of the member to connect to."""
 
     @property
     def member_id(self) -> int:
-        """Its id in the cluster."""
+        """The member's id in the cluster."""
 
     @property
     def host(self) -> str:
-        """Its address."""
+        """The member's host address."""
 
     @property
     def port(self) -> int:
-        """The TCP port at that address."""
+        """The member's TCP port."""
 
 
 class ConnectorOwner(Protocol):
-    """What a connector asks and reports to."""
+    """Provides the greetings of a connector and handles its events."""
 
     def make_greeting(self, recipient: int) -> Greeting:
-        """Return the greeting for that member."""
+        """Return the greeting to send to that member."""
 
     def on_greeting_response(self, member_id: int, response: GreetingResponse) -> bool:
-        """Return whether messages may be sent to the member."""
+        """Handle the response to a greeting; return whether messages may be sent to the member."""
 
-    def on_peer_message(self, message: Any) -> None:  # noqa: ANN401  # whatever the decoder of the owner gives
-        """Handle a message that came back over this connection."""
+    def on_peer_message(self, message: Any) -> None:  # noqa: ANN401  # its type depends on the owner's decoder
+        """Handle a message that the other member sent over this connection."""
 
     def on_link_lost(self, member_id: int) -> None:
-        """Note that a connection which was in use is gone."""
+        """Handle the loss of a connection that was in use."""
 
     def count(self, event: str) -> None:
-        """Count an event that is no normal one."""
+        """Count an unusual event."""
 
 
 class OutboundConnection(FramedProtocol):
-    """One connection to another member, from its opening to its end."""
+    """One connection to another member."""
 
     def __init__(self, peer: PeerConnector) -> None:
-        """Greet once the connection is made."""
+        """Create the connection; it sends the greeting once it is made."""
         self.peer = peer
         self.decode_frame = peer.decode_frame
 
@@ -80,23 +80,23 @@
         self.send(self.peer.owner.make_greeting(self.peer.endpoint.member_id))
 
     def stringReceived(self, string: bytes) -> None:
-        """Handle one frame; one out of place ends the connection."""
+        """Handle a frame; an undecodable or unexpected one aborts the connection."""
         frame = self.read(string)
         if isinstance(frame, GreetingResponse):
             self.peer.on_greeting_response(self, frame)
         elif isinstance(frame, PeerMessage) and frame.message.sender == self.peer.endpoint.member_id:
-            # from a member that does not know yet where this one is
+            # sent by a member that does not know this member's address yet
             self.peer.owner.on_peer_message(frame.message)
         elif frame is not None:
             self.tcp.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Have the connection opened again."""
+        """Notify the connector, which opens the connection again."""
         self.peer.on_connection_lost(self)
 
 
 class PeerConnector(ClientFactory):
-    """Owns the connection to one member; `close` gives it back."""
+    """Owns the connection to one member until `close`."""
 
     noisy = False
 
@@ -108,13 +108,13 @@
         rng: random.Random,
         decode: FrameDecoder = decode_frame,
     ) -> None:
-        """Begin to open the connection. `rng` draws the jitter; `decode` decodes the frames."""
+        """Start opening the connection. `rng` draws the jitter; `decode` decodes the frames."""
         self.owner = owner
         self.endpoint = endpoint
         self.decode_frame = decode
         self._reactor = reactor
         self._rng = rng
-        self._connection: OutboundConnection | None = None  # greeted, and accepted by the other side
+        self._connection: OutboundConnection | None = None  # set once both sides accept the greeting
         self._connector: Connector | None = None
         self._retry_call: DelayedCall | None = None
         self._greeting_timeout: DelayedCall | None = None
@@ -123,12 +123,12 @@
         self._connect()
 
     def send(self, frame: Frame) -> None:
-        """Send a frame, or drop and count it where there is no connection or too much is unsent."""
+        """Send a frame; drop and count it if there is no connection or too many bytes are unsent."""
         if self._connection is None or not self._connection.send(frame):
             self.owner.count("messages dropped")
 
     def close(self) -> None:
-        """Close the connection for good."""
+        """Close the connection, and do not open it again."""
         self._is_closed = True
         self._cancel_greeting_timeout()
         if self._retry_call is not None:
@@ -138,7 +138,7 @@
             self._connector.disconnect()
 
     def buildProtocol(self, addr: IAddress | None) -> OutboundConnection:
-        """Make the protocol of the connection that was opened; the greeting must be answered in time."""
+        """Create the protocol of the opened connection, and start the timeout of the greeting."""
         connection = OutboundConnection(self)
         self._greeting_timeout = self._reactor.callLater(
             CONNECT_TIMEOUT_S, self._on_greeting_timeout, connection
@@ -150,7 +150,7 @@
         self._schedule_retry()
 
     def on_greeting_response(self, connection: OutboundConnection, response: GreetingResponse) -> None:
-        """Use the connection, where both sides accept the other."""
+        """Use the connection if both sides accept each other, otherwise close it."""
         self._cancel_greeting_timeout()
         if self._is_closed or not self.owner.on_greeting_response(self.endpoint.member_id, response):
             connection.tcp.loseConnection()
@@ -159,7 +159,7 @@
         self._backoff_s = MIN_BACKOFF_S
 
     def on_connection_lost(self, connection: OutboundConnection) -> None:
-        """Report a connection that was in use, and try again after the backoff."""
+        """Report the loss of a connection that was in use, and try again after the backoff."""
         self._cancel_greeting_timeout()
         if self._connection is connection:
             self._connection = None
@@ -173,7 +173,7 @@
         )
 
     def _on_greeting_timeout(self, connection: OutboundConnection) -> None:
-        """Give up on a peer that accepts the connection and says nothing."""
+        """Abort the connection to a peer that accepted it but did not answer the greeting."""
         self._greeting_timeout = None
         connection.tcp.abortConnection()
 
--- a/lichencleat/transport/outcomes.py
+++ b/lichencleat/transport/outcomes.py
@@ -1,4 +1,4 @@
-"""The outcomes of requests as clients are told them. Values and names are on the wire."""
+"""The outcomes of requests that are sent to clients. Values and names are on the wire."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class RejectReason(Enum):
-    """Why a request is not carried out by this member. The values are sent to clients.
+    """Why this member does not carry out a request. The values are sent to clients.
 
-    Only LEADERSHIP_LOST leaves open whether the request will take effect.
+    After LEADERSHIP_LOST the request may still take effect; after any other reason it does not.
     """
 
     NOT_LEADER = "not the leader"
@@ -23,9 +23,9 @@
 
 
 class SessionOutcome(IntEnum):
-    """What became of a proposal. Numbers and names are sent to clients."""
+    """The outcome of a proposal. Numbers and names are sent to clients."""
 
-    DONE = 1  # applied, now or before; the result is that of the first time
-    UNKNOWN_SESSION = 2  # evicted or never opened; nothing was applied now, an earlier attempt may have been
-    PAST = 3  # the session is beyond it, and its result is no longer there
-    GAP = 4  # the proposal before it was never applied
+    DONE = 1  # applied now or by an earlier attempt; the result is that of the first time
+    UNKNOWN_SESSION = 2  # session evicted or never opened; not applied now, but maybe by an earlier attempt
+    PAST = 3  # the session has applied a later proposal, so the result of this one is no longer stored
+    GAP = 4  # the proposal with the previous sequence number was never applied
--- a/lichencleat/transport/twisted_types.py
+++ b/lichencleat/transport/twisted_types.py
@@ -1,6 +1,6 @@
-"""The parts of Twisted's reactor and transports that this project's protocols use, as typed protocols.
+"""The parts of Twisted's reactor and transports that this project uses, as `typing` protocols.
 
-Twisted declares them as zope interfaces, which a type checker can't follow.
+Twisted declares them as zope interfaces, which type checkers do not support.
 """
 
 from __future__ import annotations
@@ -8,59 +8,59 @@
 from collections.abc import Callable
 from typing import Any, Protocol, TypeAlias
 
-ProtocolFactory: TypeAlias = Any  # Twisted's factories have no type of their own
+ProtocolFactory: TypeAlias = Any  # Twisted's factories have no common type
 
 
 class DelayedCall(Protocol):
-    """A call that the reactor makes later."""
+    """A call that the reactor is scheduled to make."""
 
     def cancel(self) -> None:
-        """Cancel it; an error where it was made or cancelled already."""
+        """Cancel the call; raises an error if it was already made or cancelled."""
 
     def active(self) -> bool:
-        """Return whether it is still to be made."""
+        """Return whether the call is still pending."""
 
 
 class Connector(Protocol):
-    """A connection that was opened or is being opened from here."""
+    """An outbound connection that is open or being opened."""
 
     def disconnect(self) -> None:
-        """Close it, or stop opening it."""
+        """Close the connection, or stop opening it."""
 
 
 class ListeningPort(Protocol):
     """A port that accepts connections."""
 
     def stopListening(self) -> object:  # noqa: N802  # Twisted's name
-        """Accept no more connections."""
+        """Stop accepting connections."""
 
 
 class TcpTransport(Protocol):
     """One TCP connection."""
 
     def setTcpNoDelay(self, enabled: bool) -> None:  # noqa: N802  # Twisted's name
-        """Send small packets at once."""
+        """Send small packets without delay."""
 
     def setTcpKeepAlive(self, enabled: bool) -> None:  # noqa: N802  # Twisted's name
-        """Have the kernel check an idle connection."""
+        """Have the kernel check idle connections with keep-alive packets."""
 
     def loseConnection(self) -> None:  # noqa: N802  # Twisted's name
-        """Close it once everything is written."""
+        """Close the connection once all data is written."""
 
     def abortConnection(self) -> None:  # noqa: N802  # Twisted's name
-        """Close it at once."""
+        """Close the connection at once, and discard unsent data."""
 
 
 class ReactorClock(Protocol):
-    """The time of the reactor."""
+    """The monotonic clock and the timers of a reactor."""
 
     def seconds(self) -> float:
-        """Return seconds of the monotonic clock."""
+        """Return the time of the monotonic clock in seconds."""
 
     def callLater(  # noqa: N802  # Twisted's name
         self, delay: float, callable: Callable[..., object], *args: object
     ) -> DelayedCall:
-        """Call it after `delay` seconds."""
+        """Schedule the call after `delay` seconds."""
 
 
 class TcpReactor(ReactorClock, Protocol):
@@ -69,9 +69,9 @@
     def connectTCP(  # noqa: N802  # Twisted's name
         self, host: str, port: int, factory: ProtocolFactory, timeout: float = 30
     ) -> Connector:
-        """Open a connection; `timeout` in seconds."""
+        """Open a connection; `timeout` is in seconds."""
 
     def listenTCP(  # noqa: N802  # Twisted's name
         self, port: int, factory: ProtocolFactory, backlog: int = 50, interface: str = ""
     ) -> ListeningPort:
-        """Accept connections. Raises CannotListenError."""
+        """Accept connections. Raises CannotListenError if the address is not available."""
