--- a/lichencleat/leases/messages.py
+++ b/lichencleat/leases/messages.py
@@ -18,7 +18,7 @@
 
 
 class Job(msgspec.Struct, array_like=True):
-    """A piece of work that exactly one process does.
+    """A piece of work that at most one process does at a time.
 
     Attributes:
         preferred_zone: Zone that the job should run in if a candidate there can run it; may be empty.
--- a/lichencleat/quotas/quota_grant.py
+++ b/lichencleat/quotas/quota_grant.py
@@ -48,9 +48,8 @@
         self.drift = drift
         self.amount = 0
         self.valid_until = 0  # µs; the amount is usable before this time, the floor after it
-        self.floor_from = now + round(
-            term * (1 + drift)
-        )  # calls of an earlier incarnation have ended by then
+        # µs; the floor is usable from then on, because calls of an earlier incarnation have ended
+        self.floor_from = now + round(term * (1 + drift))
         self.fencing_token = 0
         self.request_number = 0
         self.requested_at: int | None = None  # µs; None while no request is in flight
