--- a/lichencleat/membership/outbox.py
+++ b/lichencleat/membership/outbox.py
@@ -78,7 +78,8 @@
     ) -> None:
         """Queue a datagram with piggybacked updates.
 
-        If `recipient` is not alive in the table, its own update is included, so that the recipient can refute it.
+        If the table says that `recipient` is not alive, the datagram includes that update, so that the
+        recipient can refute it.
         """
         updates = self._piggyback(recipient)
         self._queue(host, port, GossipMessage(self._group, kind, sequence, self._sender, target, 0, updates))
