--- a/lichencleat/quotas/allocation.py
+++ b/lichencleat/quotas/allocation.py
@@ -1,21 +1,23 @@
 """How much of a pool each node should have: its floor, then its demand as far as the limit allows.
 
-Max-min fairness (Bertsekas and Gallager, Data Networks, 1992, 6.5.2). What is left beyond all demands is
-divided evenly, and changes that are not worth a message are left out. Pure functions without randomness.
+Implements max-min fairness (Bertsekas and Gallager, Data Networks, 1992, 6.5.2). A part of what remains after
+all demands are met is divided evenly. Changes too small to justify a message are left out. All functions are
+pure and use no randomness.
 """
 
 from __future__ import annotations
 
 from lichencleat.quotas.messages import Pool
 
-MIN_RELATIVE_CHANGE = 0.15  # of a target; each change costs a renewal, and calls that are held back
-SURPLUS_SHARE = 0.5  # of what is left beyond all demands: a burst needs no round trip
+MIN_RELATIVE_CHANGE = 0.15  # of a target; each change costs a renewal and holds calls back
+SURPLUS_SHARE = 0.5  # of what remains after all demands; lets a node serve a burst without a round trip
 
 
 def compute_targets(pool: Pool) -> dict[str, int]:
     """Return the target of each node.
 
-    Their sum and the floors of absent nodes stay within the limit, or the share that may be allocated.
+    All floors, those of absent nodes included, are reserved first. The rest of the limit, scaled by
+    `allocatable_share`, bounds the sum of what the targets add to the floors.
     """
     quotas = pool.node_quotas
     if not quotas:
@@ -27,48 +29,52 @@
     demands = {name: max(0, quotas[name].demand - pool.floor) for name in names}
     current = {name: quotas[name].target for name in names}
     allocated = share_max_min_fairly(demands, max(0, available), current)
-    left = available - sum(allocated.values())
-    surplus = int(left * SURPLUS_SHARE) // len(names) if left > 0 else 0
+    remaining = available - sum(allocated.values())
+    surplus = int(remaining * SURPLUS_SHARE) // len(names) if remaining > 0 else 0
     return {name: pool.floor + allocated[name] + surplus for name in names}
 
 
 def share_max_min_fairly(demands: dict[str, int], available: int, current: dict[str, int]) -> dict[str, int]:
-    """Divide `available` in whole amounts, so that nobody gets more while another with less could use it.
+    """Divide `available` into integer amounts by max-min fairness.
+
+    No name whose demand is not met gets less than another one, except for a remainder of 1.
 
     Args:
-        demands: The most that each may get.
+        demands: The most that each name may get.
         available: The amount to divide.
-        current: What each has now. A remainder that cannot be divided stays with those that have most, or it
-            would wander with each small change.
+        current: The amount that each name has now. The remainder of the division goes to the names with the
+            largest current amounts; otherwise it would move between names with each small change.
     """
     allocated = dict.fromkeys(demands, 0)
-    waiting = sorted(demands, key=lambda name: (demands[name], name))
-    while waiting and available > 0:
-        even, remainder = divmod(available, len(waiting))
-        name = waiting[0]
-        if demands[name] > even:
-            by_current = sorted(waiting, key=lambda name: (-current.get(name, 0), name))
+    unsatisfied = sorted(demands, key=lambda name: (demands[name], name))
+    while unsatisfied and available > 0:
+        equal_share, remainder = divmod(available, len(unsatisfied))
+        name = unsatisfied[0]
+        if demands[name] > equal_share:
+            by_current = sorted(unsatisfied, key=lambda name: (-current.get(name, 0), name))
             for position, each in enumerate(by_current):
-                allocated[each] = min(demands[each], even + (position < remainder))
+                allocated[each] = min(demands[each], equal_share + (position < remainder))
             break
-        waiting.pop(0)
+        unsatisfied.pop(0)
         allocated[name] = demands[name]
         available -= demands[name]
     return allocated
 
 
 def select_changes(pool: Pool, targets: dict[str, int]) -> dict[str, int]:
-    """Return the targets that differ enough from those in force.
+    """Return the targets that differ from the current ones by more than the threshold.
 
-    That avoids a message for each call that starts or ends. While a node lacks what it needs, every
-    difference counts. A sum of old and new targets above the limit does no harm: a reservation grows only
-    into what is free.
+    The threshold avoids a message for each call that starts or ends. It is 0 while any node's reservation is
+    below both its demand and its target. The sum of old and new targets may exceed the limit without harm,
+    because a reservation grows only as far as calls are free.
     """
     quotas = pool.node_quotas
-    is_short = any(quotas[name].demand > quotas[name].reserved < amount for name, amount in targets.items())
+    has_shortage = any(
+        quotas[name].demand > quotas[name].reserved < amount for name, amount in targets.items()
+    )
     changes = {}
     for name, amount in targets.items():
-        threshold = 0 if is_short else max(1, int(quotas[name].target * MIN_RELATIVE_CHANGE))
+        threshold = 0 if has_shortage else max(1, int(quotas[name].target * MIN_RELATIVE_CHANGE))
         if abs(amount - quotas[name].target) > threshold:
             changes[name] = amount
     return changes
--- a/lichencleat/quotas/quota_client.py
+++ b/lichencleat/quotas/quota_client.py
@@ -1,6 +1,7 @@
-"""The client of a node in a pool: renews its grant and tells the node how many calls it may have in flight.
+"""The client of a node in a pool: renews the node's grant and reports how many calls may be in flight.
 
-What the grant allows and until when is decided by `QuotaGrant`; this module carries that out on the reactor.
+`QuotaGrant` decides how many calls the grant allows and until when; this module does the timing and the
+requests.
 """
 
 from __future__ import annotations
@@ -20,14 +21,14 @@
 
 
 class QuotaClient(PeriodicProposer):
-    """Keeps one node's grant in one pool renewed until `stop`.
+    """Keeps renewing one node's grant in one pool until `stop` is called.
 
     Args:
         reactor: Source of the monotonic clock and of the timer.
         client: Client of the consensus group.
         grant: State of the grant.
-        count_calls: Returns how many calls are in flight, and how many would be with no bound.
-        on_limit_changed: Called with each new bound on the calls in flight.
+        count_calls: Returns how many calls are in flight, and how many would be without a limit.
+        on_limit_changed: Called with each new limit on the calls in flight.
         log: Logger of the process.
     """
 
@@ -46,15 +47,15 @@
         self.grant = grant
         self.count_calls = count_calls
         self.on_limit_changed = on_limit_changed
-        self.limit: int | None = None  # the bound that the node was told last
+        self.limit: int | None = None  # the limit reported to the node last
         self.logged_rejection = ""
 
     def max_call_duration(self, duration: int) -> int:
-        """The time in µs that a call sent now may take: `duration` at most, and no longer than the grant."""
+        """The time in µs that a call sent now may take: at most `duration`, and no longer than the grant."""
         return max(1, min(duration, self.grant.max_call_duration(self.now())))
 
     def next_proposal(self, now: int) -> Proposal | None:
-        """Notify the node of a changed bound, then return the renewal that is due."""
+        """Report a changed limit to the node, then return the renewal if one is due."""
         self.update_limit(now)
         in_flight, wanted = self.count_calls()
         self.grant.note_demand(wanted)
@@ -64,17 +65,17 @@
         return Proposal(request, self.grant.reply_timeout() / MICROSECONDS_PER_SECOND)
 
     def next_round_at(self, now: int) -> int:
-        """When the grant ends or its next renewal is due, in µs."""
+        """The time in µs at which the grant ends or the next renewal is due, whichever is earlier."""
         return self.grant.next_action_at(now)
 
     def update_limit(self, now: int) -> None:
-        """Tell the node how many calls it may have in flight, if that has changed."""
+        """Report to the node how many calls may be in flight, if that has changed."""
         usable = self.grant.usable_calls(now)
         if usable == self.limit:
             return
         self.limit = usable
         self.log.info(
-            "grant",
+            "grant changed",
             pool=self.grant.pool,
             usable=usable,
             floor=self.grant.floor,
@@ -83,28 +84,28 @@
         self.on_limit_changed(usable)
 
     def on_reply(self, reply: object) -> None:
-        """Handle the reply to a renewal; a rejection is logged once."""
+        """Handle the reply to a renewal; consecutive rejections with the same reason are logged once."""
         try:
             renewed = msgspec.convert(reply, QuotaReply)
-        except msgspec.ValidationError:  # voters of an older version know no pools
+        except msgspec.ValidationError:  # voters of an older version do not support pools
             renewed = QuotaReply(0, 0, "the voters know no pools")
         self.grant.on_reply(self.now(), renewed)
         if renewed.rejection and renewed.rejection != self.logged_rejection:
-            self.log.warning("no seat", pool=self.grant.pool, reason=renewed.rejection)
+            self.log.warning("grant renewal rejected", pool=self.grant.pool, reason=renewed.rejection)
         self.logged_rejection = renewed.rejection
         self.update_limit(self.now())
         self.schedule_round()
 
     def on_failure(self, failure: Failure) -> None:
-        """Renew again soon; the grant counts from the renewal before."""
+        """Schedule the retry of a renewal that failed; the previous grant's end does not change."""
         self.grant.on_failure(self.now())
-        self.log.warning("grant not renewed", pool=self.grant.pool, reason=failure.getErrorMessage())
+        self.log.warning("grant renewal failed", pool=self.grant.pool, reason=failure.getErrorMessage())
         self.schedule_round()
 
     def describe(self) -> str:
-        """One line on the grant, for the status of the node."""
+        """Describe the grant in one line, for the status of the node."""
         now = self.now()
-        left = (self.grant.valid_until - now) // 1000
-        until = f"for {left} ms" if left > 0 else "as its floor"
+        left_ms = (self.grant.valid_until - now) // 1000
+        until = f"for {left_ms} ms" if left_ms > 0 else "as its floor"
         rejected = f", refused: {self.grant.rejection}" if self.grant.rejection else ""
         return f"{self.grant.pool}: {self.grant.usable_calls(now)} calls {until}{rejected}"
--- a/tests/fleet/test_fleet_shares.py
+++ b/tests/fleet/test_fleet_shares.py
@@ -33,7 +33,7 @@
     fleet.more([name for name in fleet.nodes if name != stopped])
     fleet.nodes[stopped].signal(signal.SIGCONT)
     fleet.more(fleet.nodes)
-    assert "event=grant" in fleet.nodes[old].said()
+    assert 'event="grant changed"' in fleet.nodes[old].said()
     code, said = fleet.rig.command("shares", "show", fleet.file, "below", "--json")
     assert code == 0 and '"n1"' in said
 
