--- a/lichencleat/membership/datagram_transport.py
+++ b/lichencleat/membership/datagram_transport.py
@@ -1,4 +1,4 @@
-"""The gossip's UDP socket and timer."""
+"""The UDP socket and the timer of a gossip member."""
 
 from __future__ import annotations
 
@@ -23,20 +23,20 @@
 
 @dataclass(slots=True)
 class TransportCounts:
-    """Datagrams since the start."""
+    """Counts of datagrams since the start."""
 
     sent: int = 0
     sent_bytes: int = 0
     received: int = 0
     undecodable: int = 0
-    lost: int = 0  # not sent
+    unsent: int = 0  # too large, or not accepted by the socket
 
 
 class GossipTransport(DatagramProtocol):
-    """Owns the socket and the timer; both are given back in `stop`."""
+    """Owns the socket and the timer until `stop`, which closes the one and cancels the other."""
 
     noisy = False
-    transport: Port | None  # type: ignore[assignment]  # an interface without types there
+    transport: Port | None  # type: ignore[assignment]  # untyped in Twisted
 
     def __init__(
         self,
@@ -44,7 +44,13 @@
         create_member: Callable[[int], GossipMember],
         on_member_changed: Callable[[MemberUpdate], None],
     ) -> None:
-        """`create_member` gets the time by the reactor's clock, µs."""
+        """Create the member.
+
+        Args:
+            reactor: Source of the monotonic clock and of the timer.
+            create_member: Creates the member; its argument is the time in µs by the reactor's clock.
+            on_member_changed: Called with each new update about a member.
+        """
         self._reactor = reactor
         self._on_member_changed = on_member_changed
         self._timer: DelayedCall | None = None
@@ -52,11 +58,11 @@
         self.counts = TransportCounts()
 
     def startProtocol(self) -> None:
-        """Sends the first datagrams: the socket is open."""
+        """Send the first datagrams; Twisted calls this once the socket is open."""
         self._run_actions()
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
-        """Passes a datagram to the member; counts one that can't be decoded."""
+        """Pass a datagram to the member; count and drop it if it cannot be decoded."""
         try:
             message = decode_message(data)
         except UNDECODABLE:
@@ -68,12 +74,12 @@
         self._run_actions()
 
     def leave(self) -> None:
-        """Announces that this member leaves."""
+        """Announce that this member leaves."""
         self.member.leave(self._now())
         self._run_actions()
 
     def stop(self) -> Deferred[None] | None:
-        """Closes the socket and cancels the timer."""
+        """Close the socket and cancel the timer."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
@@ -91,7 +97,7 @@
         self._run_actions()
 
     def _run_actions(self) -> None:
-        """Does what the member wants done, and sets the timer."""
+        """Carry out the member's pending actions, and restart the timer for its next deadline."""
         while (action := self.member.next_action()) is not None:
             if isinstance(action, SendDatagram):
                 self._send(action)
@@ -105,12 +111,12 @@
     def _send(self, send: SendDatagram) -> None:
         data = msgspec.msgpack.encode(send.message)
         if self.transport is None or len(data) > 2 * MAX_DATAGRAM_BYTES:
-            self.counts.lost += 1
+            self.counts.unsent += 1
             return
         try:
             self.transport.write(data, (send.host, send.port))
-        except OSError:  # a full buffer, an unreachable host: as a datagram that is lost on its way
-            self.counts.lost += 1
+        except OSError:  # for example a full buffer; the protocol tolerates lost datagrams
+            self.counts.unsent += 1
             return
         self.counts.sent += 1
         self.counts.sent_bytes += len(data)
--- a/lichencleat/membership/local_health.py
+++ b/lichencleat/membership/local_health.py
@@ -1,24 +1,24 @@
-"""Lifeguard's local health: a member that misses answers may be slow itself, and suspects others later."""
+"""Lifeguard's local health: a member that misses answers may itself be slow, so it then waits longer."""
 
 from __future__ import annotations
 
-MAX_SCORE = 8  # so intervals are stretched nine times at the most
+MAX_SCORE = 8  # intervals are multiplied by at most MAX_SCORE + 1, that is 9
 
 
 class LocalHealth:
-    """A score from 0, healthy, that stretches this member's intervals."""
+    """A score of this member: 0 is healthy, a greater one makes its intervals longer."""
 
     def __init__(self) -> None:
         self.score = 0
 
     def improve(self) -> None:
-        """A probe was answered."""
+        """Lower the score; called when a probe was answered."""
         self.score = max(0, self.score - 1)
 
     def degrade(self) -> None:
-        """There is a sign that this member is slow."""
+        """Raise the score; called when an event indicates that this member is slow."""
         self.score = min(MAX_SCORE, self.score + 1)
 
-    def stretch(self, span: int) -> int:
-        """Returns an interval, stretched by the score."""
-        return span * (self.score + 1)
+    def stretch(self, interval: int) -> int:
+        """Return the interval multiplied by the score plus 1."""
+        return interval * (self.score + 1)
--- a/lichencleat/membership/program.py
+++ b/lichencleat/membership/program.py
@@ -1,4 +1,4 @@
-"""`lichencleat members run`: one member's process; its view of the others goes to the log."""
+"""`lichencleat members run`: the process of one member, which logs its view of the other members."""
 
 from __future__ import annotations
 
@@ -26,17 +26,17 @@
 
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 
-PROBES_PER_SYNC = 5  # probe intervals in a sync interval
-LEAVE_DELAY_S = 0.2  # for the announcement to go out
+PROBES_PER_SYNC = 5  # probe intervals per sync interval
+LEAVE_DELAY_S = 0.2  # before the process stops; lets the announcement be sent
 EXIT_CANT_LISTEN = 2
 
 STATE_EVENTS = {
-    MemberState.ALIVE: "here",
+    MemberState.ALIVE: "alive",
     MemberState.SUSPECT: "suspect",
-    MemberState.DEAD: "gone",
+    MemberState.DEAD: "dead",
     MemberState.LEFT: "left",
 }
-"""Log events of a member that is in that state now."""
+"""The log event of a change to each state."""
 
 
 class MembershipConfig(Struct, forbid_unknown_fields=True, frozen=True):
@@ -52,7 +52,7 @@
     answer_ms: Annotated[int, Meta(ge=5, le=60_000)] = 300
 
     def gossip_settings(self) -> GossipSettings:
-        """Returns the protocol's settings."""
+        """Return the protocol's settings."""
         probe_interval = self.period_ms * MICROSECONDS_PER_MILLISECOND
         return GossipSettings(
             probe_interval=probe_interval,
@@ -62,31 +62,31 @@
 
 
 class MembershipFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file."""
+    """The whole settings file."""
 
     members: MembershipConfig
 
 
 def read_membership_config(path: str) -> MembershipConfig:
-    """Reads a member's file.
+    """Read a member's settings file.
 
     Raises:
-        InvalidConfigError: it can't be read or holds a mistake.
+        InvalidConfigError: The file cannot be read or is invalid.
     """
     file, document = parse_config(path, read_config_text(path), MembershipFile)
     config = file.members
     if config.answer_ms * 2 > config.period_ms:
         line = document.line_of("$.members.answer_ms") or document.line_of("$.members.period_ms")
         problem = (
-            f"members.answer_ms: {config.answer_ms} is over half a period "
-            f"({config.period_ms}); others need the other half to try, so make it smaller"
+            f"members.answer_ms: {config.answer_ms} is more than half of period_ms "
+            f"({config.period_ms}); indirect probes need the other half, so choose a smaller value"
         )
         raise InvalidConfigError.at(path, line, problem)
     return config
 
 
 def run(config: MembershipConfig) -> int:
-    """Takes part until SIGTERM; returns the exit code."""
+    """Run the member until SIGTERM; return the exit code."""
     reactor = make_reactor()
     log = create_logger(unix_time, process=config.name, role="members", group=config.group, pid=os.getpid())
     transport = create_transport(reactor, config, log)
@@ -109,7 +109,7 @@
 
 
 def create_transport(reactor: ReactorBase, config: MembershipConfig, log: EventLogger) -> GossipTransport:
-    """Creates the member, of a new incarnation, on its transport; changes go to the log."""
+    """Create the transport and its member, with a new incarnation; changes of members are logged."""
     host, port = parse_address(config.listen)
     incarnation = unix_time()
     own = MemberUpdate(config.name, MemberState.ALIVE, incarnation, host, port, config.zone, config.role)
@@ -133,12 +133,12 @@
 
 
 def log_counts(log: EventLogger, counts: TransportCounts) -> None:
-    """Logs the counts at the end."""
+    """Log the counts of datagrams; called at the end of the process."""
     log.info(
         "stopped",
         sent=counts.sent,
         sent_bytes=counts.sent_bytes,
         heard=counts.received,
         not_understood=counts.undecodable,
-        lost=counts.lost,
+        lost=counts.unsent,
     )
--- a/lichencleat/membership/state_sync.py
+++ b/lichencleat/membership/state_sync.py
@@ -1,4 +1,4 @@
-"""Synchronization of whole tables: joins, merges of partitions, and repair of lost updates."""
+"""Synchronization of whole tables, for joins, merges of partitions and the repair of lost updates."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 from lichencleat.membership.outbox import Outbox
 from lichencleat.membership.settings import GossipSettings
 
-SEED_PROBABILITY = 0.3  # of synchronizing with a seed: so islands that joined apart find each other
+SEED_PROBABILITY = 0.3  # of synchronizing with a seed; connects groups that formed separately
 
 
 class StateSync:
-    """Asks one member now and then for its table."""
+    """Periodically asks one member for its table."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         seeds: list[tuple[str, int]],
         rng: random.Random,
     ) -> None:
-        """`seeds`: addresses of members to join by, without this member's own."""
+        """`seeds` are addresses of members to join through, without this member's own address."""
         self._table = table
         self._outbox = outbox
         self._settings = settings
@@ -32,7 +32,7 @@
         self.next_sync_at = 0  # µs
 
     def join(self, now: int, own: MemberUpdate) -> None:
-        """Asks a seed for its table; again at the next sync until somebody answers."""
+        """Ask a seed for its table; until a member answers, the next synchronization repeats this."""
         half = self._settings.sync_interval // 2
         self.next_sync_at = now + half + self._rng.randrange(half)
         if self._seeds:
@@ -40,18 +40,22 @@
             self._outbox.send_sync_request(host, port, own)
 
     def on_timer(self, now: int, own: MemberUpdate) -> None:
-        """Synchronizes if it is due."""
+        """Synchronize if that is due at `now` (µs)."""
         if now >= self.next_sync_at:
             self._sync(now, own)
 
     def _sync(self, now: int, own: MemberUpdate) -> None:
-        """Tries a dead member, so that partitions merge; else a seed, or any member, to repair losses."""
+        """Ask one member for its table.
+
+        Choose a dead member if there is one, so that partitions merge; otherwise a seed or any active member,
+        to repair lost updates.
+        """
         interval = self._settings.sync_interval
         self.next_sync_at = now + interval // 2 + self._rng.randrange(interval)
         dead = [each for each in self._table.members.values() if each.state == MemberState.DEAD]
         if dead:
-            lost = self._rng.choice(dead)
-            self._outbox.send_sync_request(lost.host, lost.port, own, lost)
+            target = self._rng.choice(dead)
+            self._outbox.send_sync_request(target.host, target.port, own, target)
         elif self._table.active_count() == 1 or (self._seeds and self._rng.random() < SEED_PROBABILITY):
             self.join(now, own)
         else:
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -49,15 +49,15 @@
         )
 
     for each in children:
-        all_say("here", each)
+        all_say("alive", each)
     children["n4"].kill()
-    all_say("gone", "n4")
+    all_say("dead", "n4")
     os.kill(children["n3"].pid, signal.SIGSTOP)
-    all_say("gone", "n3", but=["n4"])
+    all_say("dead", "n3", but=["n4"])
     os.kill(children["n3"].pid, signal.SIGCONT)
     wait_until(
         lambda: all(
-            log(each).rfind("event=here") > log(each).rfind("event=gone") for each in ("n0", "n1", "n2")
+            log(each).rfind("event=alive") > log(each).rfind("event=dead") for each in ("n0", "n1", "n2")
         ),
         "n3 to be back everywhere",
     )
