--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -50,7 +50,7 @@
 
     def reply(self, reply: ClientResponse) -> None: ...
 
-    def waiting(self) -> int: ...
+    def unsent_bytes(self) -> int: ...
 
 
 class Asker:
@@ -109,7 +109,7 @@
             who = self.numbers[link] = self.last
             self.askers[who] = Asker(link)
         asker = self.askers[who]
-        if asker.number is not None or link.waiting():
+        if asker.number is not None or link.unsent_bytes():
             # its last answer is still open, or not read: what waits for it stays at one answer
             self.count("asked again before the answer")
             link.transport.abortConnection()
@@ -188,7 +188,7 @@
         number, asker.number = asker.number, None
         assert number is not None
         asker.link.reply(ClientResponse(number, done, content))
-        if asker.link.waiting() and asker.unread_since is None:
+        if asker.link.unsent_bytes() and asker.unread_since is None:
             asker.unread_since = self.now()
             if self.looking is None:
                 self.looking = self.reactor.callLater(LOOK / SECOND, self.look)
@@ -200,7 +200,7 @@
         for asker in list(self.askers.values()):
             if asker.unread_since is None:
                 continue
-            if not asker.link.waiting():
+            if not asker.link.unsent_bytes():
                 asker.unread_since = None
             elif now - asker.unread_since >= UNREAD:
                 self.count("dropped: does not read")
--- a/lichencleat/transport/errors.py
+++ b/lichencleat/transport/errors.py
@@ -11,11 +11,13 @@
     """A request to a group failed.
 
     Attributes:
-        reason: as the group or the client tells it.
-        may_take_effect: whether the request may have been carried out, or may be yet.
+        reason: Reason that the group or the client gave.
+        may_take_effect: Whether the request may have been carried out, or may still be.
     """
 
     def __init__(self, reason: str, may_take_effect: bool) -> None:
-        super().__init__(reason + ("; it may have been done" if may_take_effect else "; it was not done"))
+        super().__init__(
+            reason + ("; the request may take effect" if may_take_effect else "; the request has no effect")
+        )
         self.reason = reason
         self.may_take_effect = may_take_effect
--- a/lichencleat/transport/group_client.py
+++ b/lichencleat/transport/group_client.py
@@ -1,8 +1,8 @@
-"""The client of a group: finds the leader, retries what was not answered, and has each proposal applied once.
+"""The client of a group: finds the leader, retries unanswered requests, and has each proposal applied once.
 
-Proposals go one at a time in a session. A retry carries the same sequence number, so the answer is always
-that of the one time the proposal was applied. Where the group has evicted the session meanwhile, the caller
-is told that the outcome is unknown.
+Proposals are sent one at a time in a session. A retry has the same sequence number as the first attempt, so
+the group applies the proposal only once and always answers with the result of that time. If the group has
+evicted the session meanwhile, the request fails, and the error states that it may have taken effect.
 """
 
 from __future__ import annotations
@@ -35,32 +35,32 @@
 from lichencleat.transport.outcomes import RejectReason, SessionOutcome
 from lichencleat.transport.twisted_types import Connector, DelayedCall, TcpReactor
 
-ATTEMPT_TIMEOUT_S = 1.0  # at one member: longer than an election, shorter than a caller's timeout
-MIN_BACKOFF_S = 0.02  # before the next attempt; doubled at each, with jitter
+ATTEMPT_TIMEOUT_S = 1.0  # at one member; longer than an election, shorter than a caller's timeout
+MIN_BACKOFF_S = 0.02  # before the next attempt; doubled after each attempt, with jitter
 MAX_BACKOFF_S = 0.4
 REQUEST_TIMEOUT_S = 10.0
 MAX_PENDING_REQUESTS = 1_024
-# another attempt would be rejected as well
+# reasons for which another attempt would be rejected as well
 FINAL_REASONS = frozenset([RejectReason.INVALID_REQUEST.value, RejectReason.LAST_VOTER.value])
 
-PROPOSE = "propose"  # operations of a group, as they are sent
+PROPOSE = "propose"  # operations of a group; the values are on the wire
 READ = "read"
 OPEN_SESSION = "open"
 
 Address: TypeAlias = tuple[str, int]  # host and port
-Result: TypeAlias = Any  # decoded MessagePack; what it holds is the operation's
+Result: TypeAlias = Any  # decoded MessagePack; its type depends on the operation
 
 
 class _PendingRequest:
-    """A request of a caller, until it is answered or its time is up."""
+    """A request that is neither answered nor past its deadline."""
 
     def __init__(self, operation: str, content: Encodable, deadline: float) -> None:
         self.operation = operation
         self.content = content
         self.deadline = deadline  # s of the reactor's clock
         self.result: Deferred[Result] = Deferred()
-        self.sequence = 0  # of a proposal in its session
-        self.may_take_effect = False  # an attempt may have reached the group
+        self.sequence = 0  # sequence number of a proposal in its session; 0 before the first attempt
+        self.may_take_effect = False  # whether an attempt may have reached the group
 
 
 class _ClientConnection(FramedProtocol):
@@ -99,7 +99,7 @@
 
 
 class _ConnectionFactory(ClientFactory):
-    """One attempt at a connection; it tells the connection of now from those that were dropped before."""
+    """One attempt to connect; its identity distinguishes the current connection from dropped ones."""
 
     noisy = False
 
@@ -114,7 +114,7 @@
 
 
 class GroupClient:
-    """Owns one connection at a time and the pending requests; `close` gives both back."""
+    """Owns the pending requests and one connection at a time, until `close`."""
 
     def __init__(
         self,
@@ -124,31 +124,31 @@
         rng: random.Random,
         caller_name: str = "",
     ) -> None:
-        """Connect at the first request.
+        """Create the client; it connects at the first request.
 
         Args:
-            reactor: opens the connections and times the attempts.
-            cluster_name: of the group; a process of another one is not talked to.
-            addresses: of members; any of them may be down.
-            rng: draws members and jitter.
-            caller_name: who calls, for the members' logs.
+            reactor: Opens the connections and times the attempts.
+            cluster_name: Name of the group; members of other groups reject the greeting.
+            addresses: Addresses of members; any of them may be down.
+            rng: Chooses members and draws jitter.
+            caller_name: Name of the calling process, for the members' logs.
         """
         self.cluster_name = cluster_name
         self.caller_name = caller_name
         self._reactor = reactor
         self._rng = rng
         self._addresses = list(addresses)
-        self._address = rng.choice(self._addresses)  # of the member that is talked to
-        self._connection: _ClientConnection | None = None  # greeted
+        self._address = rng.choice(self._addresses)  # of the current member
+        self._connection: _ClientConnection | None = None  # set once the greeting is answered
         self._is_accepted = False
         self._connector: Connector | None = None
-        self._factory: _ConnectionFactory | None = None  # of the connection of now
+        self._factory: _ConnectionFactory | None = None  # of the current connection
         self._pending: deque[_PendingRequest] = deque()
-        self._session_id = 0  # 0: none is open
-        self._last_sequence = 0  # in that session
+        self._session_id = 0  # 0 while no session is open
+        self._last_sequence = 0  # last sequence number used in the session
         self._request_number = 0  # of the last request sent
         self._backoff_s = MIN_BACKOFF_S
-        self._timer: DelayedCall | None = None  # of the attempt under way, or of the backoff before the next
+        self._timer: DelayedCall | None = None  # of the current attempt, or of the backoff before the next
         self._is_closed = False
         self._last_failure = "nobody answers"
 
@@ -162,7 +162,7 @@
     def propose(
         self, state_name: str, command: Encodable, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> Deferred[Result]:
-        """Have a command applied once to that replicated state.
+        """Have a command applied once to the named replicated state.
 
         Returns:
             Fires with the result of the command. Fails with RequestFailedError, at the latest after
@@ -173,7 +173,7 @@
     def read(
         self, state_name: str, query: Encodable, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> Deferred[Result]:
-        """Query that replicated state as it is at some moment between this call and its answer.
+        """Run a linearizable read of the named replicated state.
 
         Returns:
             Fires with the answer. Fails with RequestFailedError, at the latest after `timeout_s` seconds.
@@ -183,14 +183,14 @@
     def call(
         self, operation: str, content: Encodable = None, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> Deferred[Result]:
-        """Have the leader carry out an operation; requests are sent one after the other.
+        """Have the leader carry out an operation; a request is sent once all earlier ones are finished.
 
         Returns:
             Fires with the result. Fails with RequestFailedError, at the latest after `timeout_s` seconds.
         """
         request = _PendingRequest(operation, content, self._reactor.seconds() + timeout_s)
         if self._is_closed or len(self._pending) >= MAX_PENDING_REQUESTS:
-            reason = "the client is closed or has too many calls waiting"
+            reason = "the client is closed or has too many pending requests"
             request.result.errback(RequestFailedError(reason, False))
             return request.result
         self._pending.append(request)
@@ -211,7 +211,7 @@
     # -- attempts ----------------------------------------------------------------------------------------
 
     def _attempt(self) -> None:
-        """Attempt the first pending request at the member of now."""
+        """Attempt the first pending request at the current member."""
         self._stop_timer()
         if self._is_closed or not self._pending:
             return
@@ -245,7 +245,7 @@
             if not request.sequence:
                 self._last_sequence += 1
                 request.sequence = self._last_sequence
-            request.may_take_effect = True  # whatever becomes of the connection
+            request.may_take_effect = True  # even if the connection is lost
             proposal = (self._session_id, request.sequence, request.content)
             frame = ClientRequest(number, PROPOSE, encode_raw(proposal))
         self._connection.send(frame)
@@ -256,7 +256,7 @@
         self._switch_member()
 
     def _switch_member(self, leader: Address | None = None) -> None:
-        """Go to the named leader at once, or to any other member after the backoff."""
+        """Switch to the given leader at once, or to any other member after the backoff."""
         self._drop_connection()
         others = [each for each in self._addresses if each != self._address] or self._addresses
         self._address = leader or self._rng.choice(others)
@@ -304,7 +304,7 @@
         self._stop_timer()
         request = self._pending.popleft()
         if request.sequence:
-            # it is unknown whether the number was used: the next proposal opens a session of its own
+            # the group may have used this sequence number or not, so the next proposal opens a new session
             self._session_id = 0
         self._start_next()
         request.result.errback(error)
@@ -317,20 +317,20 @@
     # -- events of the connection ------------------------------------------------------------------------
 
     def on_greeting_response(self, connection: _ClientConnection, response: GreetingResponse) -> None:
-        """Send the first request, or go elsewhere where the process is one of another group."""
+        """Send the first request, or switch to another member if the greeting was rejected."""
         if connection.factory is not self._factory:
             connection.tcp.abortConnection()
             return
         self._connection = connection
         self._is_accepted = response.result == GreetingResult.ACCEPTED
         if not self._is_accepted:
-            self._last_failure = "{}:{} is of another group".format(*self._address)
+            self._last_failure = "{}:{} belongs to another group".format(*self._address)
             self._switch_member()
         elif self._pending:
             self._send_request(self._pending[0])
 
     def on_connection_lost(self, factory: _ConnectionFactory) -> None:
-        """Go to another member, unless the connection was dropped before."""
+        """Switch to another member, unless this client had already dropped the connection."""
         if factory is not self._factory:
             return
         self._last_failure = "no connection to {}:{}".format(*self._address)
@@ -341,13 +341,13 @@
             self._switch_member()
 
     def on_response(self, connection: _ClientConnection, response: ClientResponse) -> None:
-        """Handle the response to the last request; one to an earlier request is ignored."""
+        """Handle the response to the last request; responses to earlier requests are ignored."""
         is_current = connection is self._connection and response.number == self._request_number
         if not is_current or not self._pending:
             return
         try:
             content = msgspec.msgpack.decode(response.content)
-        except UNDECODABLE:  # corrupted on its way: as if it had not come
+        except UNDECODABLE:  # corrupted; the attempt counts as unanswered
             connection.tcp.abortConnection()
             return
         if response.done:
@@ -366,7 +366,7 @@
     def _on_rejected(self, response: ClientResponse, reason: str) -> None:
         if reason in FINAL_REASONS:
             self._fail_first(RequestFailedError(reason, False))
-        elif reason in SessionOutcome.__members__:  # the group knows the session no more, or never did
+        elif reason in SessionOutcome.__members__:  # the group evicted the session or never had it
             self._session_id = 0
             explanation = f"the group has dropped the session ({reason.lower()})"
             self._fail_first(RequestFailedError(explanation, self._pending[0].may_take_effect))
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -226,7 +226,7 @@
     assert code == 2 and "With --in-batches it goes in 3, which hold each by itself" in said
     run.group.fails_at = 3
     code, said = run("publish", "FILE", large, "--in-batches")
-    assert code == 1 and "nobody answers; it may have been done" in said
+    assert code == 1 and "nobody answers; the request may take effect" in said
     assert f"--skip {2 * BATCH_MOST}" in said and run.group.source.table.records == 2 * BATCH_MOST
     code, said = run("publish", "FILE", large, "--in-batches", "--skip", 2 * BATCH_MOST, "--json")
     assert code == 0 and json.loads(said)["batches"] == 1
--- a/tests/config_distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -39,7 +39,7 @@
     def reply(self, reply):
         self.replies.append(reply)
 
-    def waiting(self):
+    def unsent_bytes(self):
         return self.kept_waiting
 
     def abortConnection(self):  # noqa: N802  (Twisted's name)
--- a/tests/consensus/test_member_process.py
+++ b/tests/consensus/test_member_process.py
@@ -58,7 +58,7 @@
     def __init__(self):
         self.replies = []
 
-    def waiting(self):
+    def unsent_bytes(self):
         return 0
 
     def reply(self, reply):
