--- a/tests/leases/group_client_stub.py
+++ b/tests/leases/group_client_stub.py
@@ -4,7 +4,7 @@
 
 
 class GroupClientStub:
-    """Records each request as (method, part, content, timeout), with the deferred that was returned."""
+    """Records each request as (method, part, content, timeout), and the deferred returned for it."""
 
     def __init__(self):
         self.requests = []
@@ -24,7 +24,7 @@
 
 
 class LogStub:
-    """Records the events."""
+    """Records the logged events."""
 
     def __init__(self):
         self.events = []
--- a/tests/leases/test_held_leases.py
+++ b/tests/leases/test_held_leases.py
@@ -1,4 +1,4 @@
-"""What a candidate may act on and until when."""
+"""Which jobs a candidate may act on and until when."""
 
 from lichencleat.leases.held_leases import HeldLeases
 from lichencleat.leases.messages import (
@@ -8,7 +8,7 @@
 )
 
 
-def test_lease_counts_from_before_its_request_less_the_drift():
+def test_lease_is_measured_from_its_request_and_shortened_by_the_drift():
     leases = HeldLeases("a", "x", 1)
     assert leases.next_renewal(100).held_tokens == {} and leases.next_renewal(101) is None
     assert leases.on_renewed(300_000, RenewalReply({"j": 5}, [])) == {"j": 5}
@@ -37,14 +37,14 @@
     assert leases.on_renewed(400_100, RenewalReply({"j": 5}, [])) == {}
     assert leases.fencing_token(400_200, "j") is None
     leases.next_renewal(800_000)
-    # a new token is a new beginning
+    # a new token means that the job was granted again
     assert leases.on_renewed(800_001, RenewalReply({"j": 9}, [])) == {"j": 9}
     leases.on_released("j")
     leases.leave()
     assert leases.fencing_token(800_002, "j") is None and leases.next_renewal(10**9) is None
 
 
-def test_failed_renewal_is_retried_soon_and_a_rejected_one_ends_all():
+def test_failed_renewal_is_retried_soon_and_a_rejected_one_drops_all_leases():
     leases = HeldLeases("a", "x", 1)
     leases.next_renewal(0)
     leases.on_renewed(1, RenewalReply({"j": 5}, []))
--- a/tests/leases/test_leader_task.py
+++ b/tests/leases/test_leader_task.py
@@ -1,4 +1,4 @@
-"""A task that runs in whichever process holds the lease of its job."""
+"""A task that runs in the process that holds the lease on the task's job."""
 
 import pytest
 from leases.group_client_stub import GroupClientStub, LogStub
@@ -7,8 +7,8 @@
 from lichencleat.leases.leader_task import REQUEST_TIMEOUT_S, LeaderTask
 
 
-class Tokens:
-    """The leases of the process."""
+class FencingTokensStub:
+    """Holds the fencing tokens that the test sets."""
 
     def __init__(self):
         self.held = {}
@@ -18,13 +18,13 @@
 
 
 class Task(LeaderTask[int]):
-    """Decides nothing: its decision object is the fencing token."""
+    """Records states and replies; its decision object is just the fencing token."""
 
     query = "query"
 
     def __init__(self, reactor):
         super().__init__(reactor, GroupClientStub(), "part", "job", LogStub())
-        self.lease_client = Tokens()
+        self.lease_client = FencingTokensStub()
         self.states = []
         self.replies = []
 
@@ -49,9 +49,9 @@
 
 @pytest.fixture
 def task(clock):
-    made = Task(clock)
-    made.lease_client.held["job"] = 7
-    return made
+    task = Task(clock)
+    task.lease_client.held["job"] = 7
+    return task
 
 
 def test_task_polls_while_its_lease_is_held(task, clock):
@@ -93,7 +93,7 @@
     assert len(task.client.requests) == 2
 
 
-def test_task_proposes_only_while_the_lease_is_certainly_held(task):
+def test_task_proposes_only_while_the_lease_is_held(task):
     task.propose("part", "command")
     assert task.client.requests == [("propose", "part", "command", REQUEST_TIMEOUT_S)]
     task.client.replies[0].callback("done")
--- a/tests/leases/test_lease_simulation.py
+++ b/tests/leases/test_lease_simulation.py
@@ -1,5 +1,7 @@
-"""Leases through random faults in simulated time, a few seeds; the full length is `python -m
-lichencleat.testkit.simulation.owners`."""
+"""Leases under random faults in simulated time, with a few seeds.
+
+The full simulation is `python -m lichencleat.testkit.simulation.owners`.
+"""
 
 import pytest
 
@@ -17,14 +19,14 @@
 }
 
 
-def test_random_runs_have_one_holder_and_recover():
+def test_random_runs_never_have_two_holders_and_recover():
     for seed in range(1, 41):
         ran = run(seed)
         assert ran.wrong is None, (seed, ran.wrong)
         assert ran.acts > 500
 
 
-def test_tokens_stay_correct_with_clocks_beyond_the_drift():
+def test_fencing_tokens_stay_correct_with_clocks_beyond_the_drift():
     assert [run(seed, wild=True).wrong for seed in range(1, 21)] == [None] * 20
 
 
@@ -38,10 +40,10 @@
 
 
 def test_watch_finds_each_violation():
-    def watched(*said):
+    def watched(*events):
         watch = OwnersWatch()
-        for name, *what in said:
-            getattr(watch, name)(*what)
+        for name, *arguments in events:
+            getattr(watch, name)(*arguments)
         return watch.wrong
 
     assert watched(("acts", "j", 5, "a", True, 1), ("acts", "j", 4, "b", False, 2)) is None
--- a/tests/leases/test_lease_state.py
+++ b/tests/leases/test_lease_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of leases, by direct calls."""
+"""The replicated state of leases, driven by direct calls."""
 
 import random
 
@@ -21,15 +21,15 @@
 
 
 class LeaseStateDriver:
-    """The replicated state, with the log index counted."""
+    """The replicated state; each command is applied as the next log entry."""
 
     def __init__(self):
         self.state = LeaseState()
         self.index = 0
 
-    def __call__(self, what):
+    def __call__(self, command):
         self.index += 1
-        return self.state.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(what)))
+        return self.state.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(command)))
 
     def renew(self, name, zone="x", incarnation=1, healthy=True, **held):
         return self(RenewLease(name, zone, incarnation, healthy, held))
@@ -40,9 +40,9 @@
 
 @pytest.fixture
 def leases():
-    made = LeaseStateDriver()
-    made(DefineJob("j"))
-    return made
+    leases = LeaseStateDriver()
+    leases(DefineJob("j"))
+    return leases
 
 
 def test_expired_candidate_loses_its_job_to_the_next_under_a_greater_token(leases):
@@ -59,7 +59,7 @@
     assert leases.renew("a").tokens == {}
 
 
-def test_candidate_of_a_taken_name_waits_until_the_first_has_left(leases):
+def test_candidate_with_a_name_in_use_is_rejected_until_the_first_has_left(leases):
     leases.renew("a")
     assert leases.renew("a", incarnation=2).rejection.startswith("another one of that name")
     assert not leases(Leave("a", 2)).accepted
@@ -67,7 +67,7 @@
     assert "j" in leases.renew("a", incarnation=2).tokens
 
 
-def test_move_happens_once_the_holder_releases_under_its_token(leases):
+def test_job_moves_once_the_holder_releases_it_under_its_token(leases):
     leases.renew("a")
     leases.renew("b")
     assert leases(MoveJob("j", "b")).accepted
@@ -78,7 +78,7 @@
     assert not leases(ReleaseJob("a", "j", 2)).accepted
 
 
-def test_job_moved_twice_and_whose_next_holder_leaves_still_moves(leases):
+def test_job_still_moves_after_a_second_move_and_the_leave_of_its_next_holder(leases):
     for name in "abc":
         leases.renew(name)
     leases(MoveJob("j", "b"))
@@ -104,7 +104,7 @@
     assert leases.holder() != ""
 
 
-def test_job_created_anew_continues_from_its_last_token(leases):
+def test_job_created_again_gets_a_greater_token_than_before(leases):
     leases.renew("a")
     token = leases.state.jobs["j"].fencing_token
     assert leases(DropJob("j")).accepted and not leases(DropJob("j")).accepted
@@ -119,12 +119,12 @@
     before = msgspec.msgpack.encode(leases.state.dump())
     assert leases.state.apply(999, msgspec.Raw(b"\x93\x01\x02\x03")) == CommandReply(False, "no command")
     assert msgspec.msgpack.encode(leases.state.dump()) == before
-    again = LeaseState()
-    again.load(msgspec.Raw(before))
-    assert msgspec.msgpack.encode(again.dump()) == before
+    loaded = LeaseState()
+    loaded.load(msgspec.Raw(before))
+    assert msgspec.msgpack.encode(loaded.dump()) == before
 
 
-def test_random_candidates_converge_and_no_job_swings():
+def test_placement_of_random_jobs_and_candidates_converges():
     rng = random.Random(4)
     for _ in range(200):
         leases = LeaseStateDriver()
@@ -133,8 +133,8 @@
         for name in "abcde"[: rng.randint(1, 5)]:
             leases.renew(name, rng.choice("xyz"), healthy=rng.random() < 0.8)
         moves = 0
-        while wanted := [(name, job) for name, job in leases.state.jobs.items() if job.next_holder]:
-            name, job = wanted[0]
+        while moving := [(name, job) for name, job in leases.state.jobs.items() if job.next_holder]:
+            name, job = moving[0]
             leases(ReleaseJob(job.holder, name, job.fencing_token))
             moves += 1
             assert moves < 20
@@ -144,7 +144,7 @@
 
 
 def test_job_is_held_only_by_candidates_that_can_run_it(leases):
-    """A candidate of an older version, or with less in its file, would own it and do nothing."""
+    """A candidate of an older version, or with fewer jobs configured, would hold a job without running it."""
     leases(RenewLease("a", "x", 1, True, {}, ["shares/"]))
     leases(DefineJob("revive"))
     leases(DefineJob("shares/p"))
--- a/tests/leases/test_periodic_proposer.py
+++ b/tests/leases/test_periodic_proposer.py
@@ -8,7 +8,7 @@
 
 
 class Proposer(PeriodicProposer):
-    """Proposes what the test puts in, and records what is called."""
+    """Proposes the command that the test sets as due, and records rounds, replies and failures."""
 
     min_round_interval_us = 1_000
 
@@ -45,7 +45,7 @@
     return Proposer(clock, GroupClientStub())
 
 
-def test_proposer_runs_its_first_round_at_start_and_proposes_what_is_due(proposer):
+def test_proposer_runs_its_first_round_at_start_and_proposes_the_due_command(proposer):
     proposer.due = Proposal("command", 0.5)
     proposer.start()
     assert proposer.rounds == [0]
@@ -69,7 +69,7 @@
     assert proposer.handled == ["done", ValueError]
 
 
-def test_proposer_has_one_timer_however_often_a_round_is_scheduled(proposer, clock):
+def test_proposer_has_one_timer_even_if_a_round_is_scheduled_twice(proposer, clock):
     proposer.due = Proposal("command", 0.5)
     proposer.start()
     clock.advance(0.04)
@@ -78,7 +78,7 @@
     assert timer.getTime() == pytest.approx(0.14)
 
 
-def test_stopped_proposer_runs_no_round_but_handles_its_last_reply(proposer, clock):
+def test_stopped_proposer_runs_no_round_but_handles_the_last_reply(proposer, clock):
     proposer.due = Proposal("command", 0.5)
     proposer.start()
     proposer.stop()
--- a/tests/leases/test_placement.py
+++ b/tests/leases/test_placement.py
@@ -31,14 +31,14 @@
     assert choose_holder("j", {"j": job}, candidates(**zones)) == chosen
 
 
-def test_find_relocation_moves_one_job_at_a_time_and_only_with_reason():
-    both = candidates(a="x", b="x")
+def test_find_relocation_moves_one_job_at_a_time_and_only_to_a_better_holder():
+    same_zone = candidates(a="x", b="x")
     jobs = {"1": Job(holder="a"), "2": Job(holder="a"), "3": Job(holder="b")}
-    assert find_relocation(jobs, both) is None
+    assert find_relocation(jobs, same_zone) is None
     jobs["3"].holder = "a"
-    assert find_relocation(jobs, both) == ("1", "b")
+    assert find_relocation(jobs, same_zone) == ("1", "b")
     jobs["1"].next_holder = "b"
-    assert find_relocation(jobs, both) is None
+    assert find_relocation(jobs, same_zone) is None
     assert find_relocation({"1": Job(holder="a")}, candidates(a="x!", b="y")) == ("1", "b")
     assert find_relocation({"1": Job(holder="a", preferred_zone="y")}, candidates(a="x", b="y")) == ("1", "b")
     crashed = Job(holder="a", preferred_zone="y", last_crashed_holder="b")
