--- a/tests/quotas/quota_state_driver.py
+++ b/tests/quotas/quota_state_driver.py
@@ -1,4 +1,4 @@
-"""The replicated state of quotas as tests drive it."""
+"""A driver of the replicated state of quotas, for tests."""
 
 import msgspec
 
@@ -16,7 +16,7 @@
 
 
 class QuotaStateDriver:
-    """The replicated state with the lease of a pool's job; each command is the next log entry."""
+    """The replicated states of leases and of the pool "p"; each command is applied as the next log entry."""
 
     def __init__(self, limit=10, floor=1, nodes=4):
         self.leases = LeaseState()
@@ -25,9 +25,9 @@
         self.change_holder("d1", 1)
         assert self(DefinePool("p", limit, floor, nodes, TERM)) == CommandReply(True)
 
-    def apply_to_leases(self, what):
+    def apply_to_leases(self, command):
         self.index += 1
-        return self.leases.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(what)))
+        return self.leases.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(command)))
 
     def change_holder(self, name, incarnation):
         for each, known in list(self.leases.candidates.items()):
@@ -43,9 +43,9 @@
     def pool(self):
         return self.state.pools["p"]
 
-    def __call__(self, what):
+    def __call__(self, command):
         self.index += 1
-        return self.state.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(what)))
+        return self.state.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(command)))
 
     def ask(self, node, request_number, in_use=1, demand=5, incarnation=1, floor=1):
         return self(QuotaRequest("p", node, incarnation, request_number, floor, TERM, in_use, demand))
--- a/tests/quotas/test_quota_grant.py
+++ b/tests/quotas/test_quota_grant.py
@@ -1,4 +1,4 @@
-"""What a node may use and until when."""
+"""How many calls a node may have in flight and until when."""
 
 from quotas.quota_state_driver import TERM
 
@@ -6,13 +6,13 @@
 from lichencleat.quotas.quota_grant import QuotaGrant
 
 
-def make_grant(**more):
-    return QuotaGrant("p", "a", 1, 2, TERM, 0, **more)
+def make_grant(**arguments):
+    return QuotaGrant("p", "a", 1, 2, TERM, 0, **arguments)
 
 
-def test_grant_counts_from_before_its_request_and_then_the_floor_holds():
+def test_grant_is_measured_from_its_request_and_the_floor_applies_after_it():
     grant = make_grant()
-    assert grant.usable_calls(0) == 0  # an earlier life's calls may be out
+    assert grant.usable_calls(0) == 0  # calls of an earlier incarnation may be in flight
     request = grant.next_request(100, 0)
     assert (request.request_number, request.in_use, grant.next_request(200, 0)) == (1, 0, None)
     grant.on_reply(500_000, QuotaReply(7, 3))
@@ -22,7 +22,7 @@
     assert grant.next_request(1_200_000, 5).in_use == 5
 
 
-def test_late_reply_grants_nothing_and_a_rejection_holds_after_the_last_grant():
+def test_late_reply_grants_nothing_and_a_rejection_applies_after_the_last_grant():
     grant = make_grant()
     grant.next_request(0, 0)
     grant.on_reply(950_000, QuotaReply(7, 3))
--- a/tests/quotas/test_quota_simulation.py
+++ b/tests/quotas/test_quota_simulation.py
@@ -1,4 +1,4 @@
-"""Quotas through random faults in simulated time, a few seeds."""
+"""Quotas under random faults in simulated time, with a few seeds."""
 
 import pytest
 
--- a/tests/quotas/test_quota_state.py
+++ b/tests/quotas/test_quota_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of quotas, by direct calls."""
+"""The replicated state of quotas, driven by direct calls."""
 
 import msgspec
 import pytest
@@ -19,7 +19,7 @@
 def test_node_gets_its_floor_then_its_target_within_the_limit(quotas):
     assert quotas.ask("a", 1) == QuotaReply(1, 0)
     assert quotas(Allocate("p", quotas.token, {"a": 9})) == CommandReply(True)
-    assert quotas.ask("a", 2).amount == 7  # three floors are set aside for the others
+    assert quotas.ask("a", 2).amount == 7  # three floors are reserved for the other nodes
     assert reserved_calls(quotas.pool) == 10
     assert quotas.ask("b", 1).amount == 1 and reserved_calls(quotas.pool) == 10
 
@@ -31,8 +31,8 @@
     quotas(Allocate("p", quotas.token, {"a": 2, "b": 6}))
     assert quotas.ask("b", 2).amount == 1
     assert quotas.ask("a", 3, in_use=7) == QuotaReply(2, quotas.token)
-    assert quotas.ask("b", 3).amount == 1  # the reply has only told it to use less
-    assert quotas.ask("a", 4, in_use=4).amount == 2  # two calls are out yet
+    assert quotas.ask("b", 3).amount == 1  # a's new limit is sent, but not reported as applied
+    assert quotas.ask("a", 4, in_use=4).amount == 2  # two calls above the target are still in flight
     assert quotas.ask("b", 4).amount == 4
     quotas.ask("a", 5, in_use=2)
     assert quotas.ask("b", 5).amount == 6
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize(
-    ("what", "why"),
+    ("command", "reason"),
     [
         (DefinePool("p", 3, 1, 4, TERM), "over the limit"),
         (DefinePool("q", 3, 1, 2, 1), "a term"),
@@ -82,10 +82,10 @@
         (ForgetNode("p", "z"), "no such node"),
     ],
 )
-def test_invalid_command_is_rejected_with_its_reason(quotas, what, why):
+def test_invalid_command_is_rejected_with_its_reason(quotas, command, reason):
     quotas.ask("a", 1)
-    reply = quotas(what)
-    assert not reply.accepted and why in reply.reason
+    reply = quotas(command)
+    assert not reply.accepted and reason in reply.reason
     assert quotas.ask("b", 1, floor=3).rejection
     assert quotas.state.apply(99, msgspec.Raw(b"\xc0")) == CommandReply(False, "no command")
 
@@ -95,6 +95,6 @@
         assert quotas.ask(name, 1).amount == 1
     assert "seats are taken" in quotas.ask("e", 1).rejection
     assert quotas(ForgetNode("p", "b")).accepted and quotas.ask("e", 2).amount == 1
-    again = QuotaState(quotas.leases)
-    again.load(msgspec.Raw(msgspec.msgpack.encode(quotas.state.dump())))
-    assert again.pools == quotas.state.pools
+    loaded = QuotaState(quotas.leases)
+    loaded.load(msgspec.Raw(msgspec.msgpack.encode(quotas.state.dump())))
+    assert loaded.pools == quotas.state.pools
