--- a/tests/membership/test_dissemination.py
+++ b/tests/membership/test_dissemination.py
@@ -1,4 +1,4 @@
-"""The dissemination queue by direct calls."""
+"""The dissemination queue, driven by direct calls."""
 
 from membership.updates import update
 
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -1,4 +1,4 @@
-"""One member by direct calls; simulated groups with faults."""
+"""One gossip member driven by direct calls, and simulated groups with faults."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 
 class SingleMember:
-    """One member, with what it does collected."""
+    """One member with a clock that the test moves, and helpers that collect its actions."""
 
     def __init__(self, *others, period=1_000_000):
         self.settings = GossipSettings(probe_interval=period)
@@ -31,10 +31,10 @@
         self.gossip.on_message(self.now, "10.0.0.2", 7000, message)
 
     def actions(self):
-        found = []
+        actions = []
         while (action := self.gossip.next_action()) is not None:
-            found.append(action)
-        return found
+            actions.append(action)
+        return actions
 
     def sent(self, kind):
         return [
@@ -43,28 +43,28 @@
             if isinstance(each, SendDatagram) and each.message.kind == kind
         ]
 
-    def until(self, kind, most=10_000_000):
-        end = self.now + most
+    def run_until_sent(self, kind, timeout_us=10_000_000):
+        end = self.now + timeout_us
         while self.now < end:
             self.now = max(self.now, self.gossip.next_deadline())
             self.gossip.on_timer(self.now)
-            if found := self.sent(kind):
-                return found[0]
+            if messages := self.sent(kind):
+                return messages[0]
         raise AssertionError(kind)
 
     def state(self, name):
         return MemberState(self.gossip.table.members[name].state)
 
 
-def test_gossip_probes_a_silent_member_indirectly_then_suspects_it_then_calls_it_dead():
+def test_gossip_probes_a_silent_member_indirectly_then_suspects_it_then_declares_it_dead():
     member = SingleMember("a", "b", "c")
-    ping = member.until(MessageKind.PING)
-    request = member.until(MessageKind.PING_REQUEST)
+    ping = member.run_until_sent(MessageKind.PING)
+    request = member.run_until_sent(MessageKind.PING_REQUEST)
     assert request.sequence == ping.sequence
     target = request.target
     for helper in {"a", "b", "c"} - {target}:
         member.receive(GossipMessage("g", MessageKind.NACK, request.sequence, helper, target))
-    member.until(MessageKind.PING)
+    member.run_until_sent(MessageKind.PING)
     assert member.state(target) == MemberState.SUSPECT
     for _ in range(200):
         member.now = member.gossip.next_deadline()
@@ -75,10 +75,10 @@
 
 def test_gossip_ends_a_probe_by_the_ack_of_any_helper():
     member = SingleMember("a", "b", "c")
-    member.until(MessageKind.PING)
-    request = member.until(MessageKind.PING_REQUEST)
+    member.run_until_sent(MessageKind.PING)
+    request = member.run_until_sent(MessageKind.PING_REQUEST)
     member.receive(GossipMessage("g", MessageKind.ACK, request.sequence, "b", request.target))
-    member.until(MessageKind.PING)
+    member.run_until_sent(MessageKind.PING)
     assert member.state(request.target) == MemberState.ALIVE and member.gossip.health.score == 0
 
 
@@ -97,7 +97,7 @@
     assert [(each.sequence, each.target) for each in member.sent(MessageKind.ACK)] == [(77, "b")]
     member.receive(GossipMessage("g", MessageKind.PING_REQUEST, 78, "a", "b"))
     member.actions()
-    assert member.until(MessageKind.NACK).sequence == 78
+    assert member.run_until_sent(MessageKind.NACK).sequence == 78
 
 
 def test_gossip_ignores_other_groups_and_bounds_its_datagrams():
@@ -126,14 +126,14 @@
 
 @pytest.fixture
 def world():
-    made = MembersWorld(
+    world = MembersWorld(
         3, 40, choice=GossipSettings(probe_interval=200_000, probe_timeout=60_000, sync_interval=1_000_000)
     )
-    for each in made.instances:
-        made.clockwork.after(made.rng.randrange(SECOND), each.start)
-    made.run(SECOND)
-    assert made.until_together(60 * SECOND) is not None
-    return made
+    for each in world.instances:
+        world.clockwork.after(world.rng.randrange(SECOND), each.start)
+    world.run(SECOND)
+    assert world.until_together(60 * SECOND) is not None
+    return world
 
 
 def test_gossip_detects_four_in_ten_members_killed_at_once(world):
@@ -144,22 +144,22 @@
 
 
 def test_gossip_merges_partitions(world):
-    here, there = range(20), range(20, 40)
-    pairs = [(a, b) for a in here for b in there] + [(b, a) for a in here for b in there]
+    left, right = range(20), range(20, 40)
+    pairs = [(a, b) for a in left for b in right] + [(b, a) for a in left for b in right]
     world.network.cut(pairs)
     world.run(60 * SECOND)
-    assert all(each.sees() == {f"n{n}" for n in here} for each in world.instances[:20])
+    assert all(each.sees() == {f"n{n}" for n in left} for each in world.instances[:20])
     world.network.heal(pairs)
     assert world.until_together(120 * SECOND) is not None
 
 
-def test_gossip_calls_nobody_dead_under_datagram_loss(world):
+def test_gossip_declares_no_member_dead_under_datagram_loss(world):
     world.network.loss = 0.05
     world.run(60 * SECOND)
     assert world.counts["called gone wrongly"] == 0
 
 
-def test_gossip_settles_on_a_flapping_member(world):
+def test_gossip_converges_after_a_member_has_flapped(world):
     flapping = world.instances[7]
     for _ in range(6):
         flapping.kill()
--- a/tests/membership/test_member_table.py
+++ b/tests/membership/test_member_table.py
@@ -1,4 +1,4 @@
-"""The member table by direct calls."""
+"""The member table, driven by direct calls."""
 
 import itertools
 
