--- a/tests/transport/test_frames.py
+++ b/tests/transport/test_frames.py
@@ -1,4 +1,4 @@
-"""The frames between processes, byte by byte: versions of the program must understand one another."""
+"""The encoding of the frames between processes, which must stay compatible between versions."""
 
 import msgspec
 import pytest
@@ -17,15 +17,15 @@
 )
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
-LIFE = Incarnation(7, 9)
+INCARNATION = Incarnation(7, 9)
 MESSAGE = Message(MessageType.APPEND, 3, 1, 2, index=5)
 FRAMES = {
     "greeting": (
-        Greeting(1, b"id", "g", 1, 2, LIFE, "v1", ("a",)),
+        Greeting(1, b"id", "g", 1, 2, INCARNATION, "v1", ("a",)),
         [1, 1, b"id", "g", 1, 2, [7, 9], "v1", ["a"]],
     ),
     "response to a greeting": (
-        GreetingResponse(GreetingResult.WRONG_MEMBER, b"id", 2, "v2", LIFE),
+        GreetingResponse(GreetingResult.WRONG_MEMBER, b"id", 2, "v2", INCARNATION),
         [2, 2, b"id", 2, "v2", [7, 9], None],
     ),
     "peer message": (
@@ -47,14 +47,14 @@
 
 
 @pytest.mark.parametrize("kind", FRAMES)
-def test_member_frame_decoder_reads_what_was_encoded(kind):
+def test_member_frame_decoder_restores_the_encoded_frame(kind):
     frame, _ = FRAMES[kind]
     assert decode_member_frame(encode(frame)) == frame
 
 
-def test_frame_decoder_of_processes_that_are_no_members_leaves_messages_undecoded():
-    read = decode_frame(encode(RaftMessageFrame(b"id", MESSAGE)))
-    assert isinstance(read, PeerMessage) and read.message[:4] == [5, 3, 1, 2]
+def test_frame_decoder_of_other_processes_leaves_messages_of_members_undecoded():
+    decoded = decode_frame(encode(RaftMessageFrame(b"id", MESSAGE)))
+    assert isinstance(decoded, PeerMessage) and decoded.message[:4] == [5, 3, 1, 2]
 
 
 def test_request_contents_are_encoded_with_their_fields_in_order():
--- a/tests/transport/test_group_client.py
+++ b/tests/transport/test_group_client.py
@@ -1,4 +1,4 @@
-"""The client of a group against members that do not answer."""
+"""The client of a group whose members do not answer."""
 
 import random
 
@@ -8,7 +8,7 @@
 from lichencleat.transport.group_client import GroupClient
 
 
-def test_group_client_ignores_the_end_of_a_connection_that_it_dropped_before():
+def test_group_client_ignores_the_end_of_a_connection_that_it_already_dropped():
     reactor = MemoryReactorClock()
     client = GroupClient(reactor, "g", [("10.0.0.1", 1), ("10.0.0.2", 2)], random.Random(1))
     client.call("status")
@@ -23,13 +23,13 @@
     assert client._factory is None
 
 
-def test_group_client_fails_an_unanswered_request_at_its_timeout_and_says_whether_it_may_take_effect():
-    reactor, told = MemoryReactorClock(), []
+def test_unanswered_request_fails_at_its_timeout_and_reports_whether_it_may_take_effect():
+    reactor, errors = MemoryReactorClock(), []
     client = GroupClient(reactor, "g", [("10.0.0.1", 1)], random.Random(1))
-    client.call("status", None, 3.0).addErrback(lambda failure: told.append(failure.value))
+    client.call("status", None, 3.0).addErrback(lambda failure: errors.append(failure.value))
     for _ in range(100):
         reactor.advance(0.1)
-    assert [type(each) for each in told] == [RequestFailedError] and not told[0].may_take_effect
+    assert [type(each) for each in errors] == [RequestFailedError] and not errors[0].may_take_effect
     client.close()
-    client.call("status").addErrback(lambda failure: told.append(failure.value))
-    assert "closed" in str(told[1])
+    client.call("status").addErrback(lambda failure: errors.append(failure.value))
+    assert "closed" in str(errors[1])
