--- a/lichencleat/leases/lease_state.py
+++ b/lichencleat/leases/lease_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of leases: who holds which job under which fencing token.
+"""The replicated state of leases: which candidate holds which job, and under which fencing token.
 
 This is a part of the consensus group's state. It uses no I/O and no clock, so it is the same on each member
 and after any restart. The commands are described in `messages`.
--- a/lichencleat/membership/gossip.py
+++ b/lichencleat/membership/gossip.py
@@ -157,7 +157,7 @@
     def _refute(self, now: int, update: MemberUpdate) -> None:
         """Override a wrong update about this member by a greater incarnation.
 
-        A suspicion also indicates that this member answers late, so its local health degrades.
+        If the update says that this member is not alive, it probably answers late, so its health score rises.
         """
         if update.state != MemberState.ALIVE:
             self.health.degrade()
