--- a/lichencleat/recovery/__init__.py
+++ b/lichencleat/recovery/__init__.py
@@ -1,13 +1,13 @@
 """Cold start of the fleet after a power loss; the concepts are described in docs/recovery.md.
 
-Guarantees: a node serves under the current epoch of the fleet only; it trusts no idempotency window while its
-clock contradicts that of the fleet; nodes are opened in batches that grow while the open ones are healthy, by
-a rollout plan that is replicated, so that another leader continues it. A node that reaches nobody does not
-wait for ever: after a delay it serves what it can verify alone.
+Guarantees: a node serves only under the current epoch of the fleet. A node trusts no idempotency window while
+its clock contradicts the clocks of the fleet. Nodes are opened in batches that grow while the open nodes are
+healthy. The rollout plan is replicated, so that another leader can continue it. A node that can't reach the
+consensus group does not wait indefinitely: after a delay it serves the requests that it can verify alone.
 
-Decisions without I/O: `boot_record` (how the previous process ended), `trust` (what is trusted from before a
-start, and by which proof), `state` (epoch and plan, a part of the replicated state), `planner` (what the
-leader proposes), `readiness_gate` (what a node may serve), `service_times` (learned speed). With I/O:
-`boot_record_store` and `service_time_store` (what is kept on the disk), `reporter` (a node's reports) and
-`planner_task` (the leader's work).
+Decisions without I/O: `boot_record` (how the previous process ended), `trust` (which knowledge from before a
+start is trusted, and by which proof), `state` (epoch and plan, a part of the replicated state), `planner`
+(the commands that the leader proposes), `readiness_gate` (which requests a node may serve) and
+`service_times` (learned service times). With I/O: `boot_record_store` and `service_time_store` (the stored
+records), `reporter` (a node's reports) and `planner_task` (the leader's periodic task).
 """
--- a/lichencleat/recovery/boot_record.py
+++ b/lichencleat/recovery/boot_record.py
@@ -1,4 +1,4 @@
-"""Boot record: how often a node was started, how its last process ended, when it was last alive; no I/O."""
+"""Boot record: how often a node was started, how and when its previous process ended; no I/O."""
 
 from __future__ import annotations
 
@@ -8,55 +8,55 @@
 
 from lichencleat.decode_errors import UNDECODABLE
 
-MAX_CLOCK_BEHIND_US = 1_000_000  # a clock may be behind the last record: twice what adjustments amount to
-MAX_CLOCK_AHEAD_US = 366 * 86_400_000_000  # down for longer than a year is a clock that is wrong
+MAX_CLOCK_BEHIND_US = 1_000_000  # behind the last record: twice the size of usual clock adjustments
+MAX_CLOCK_AHEAD_US = 366 * 86_400_000_000  # after the last record: a longer downtime is implausible
 FORMAT = 1
 
 
 class BootRecord(msgspec.Struct, frozen=True, array_like=True):
-    """As stored while the process runs, and after its end. Fields are never moved or dropped."""
+    """The stored record of one process, rewritten while it runs. Fields are never moved or dropped."""
 
     format: int
     boot_count: int
-    clean_shutdown: bool  # written at a graceful end; false while the process runs
+    clean_shutdown: bool  # set by a graceful shutdown; false while the process runs
     last_alive: int  # µs of Unix time
     group: str  # name of the fleet's consensus group, empty if there is none
-    epoch: int  # the last one that the node took part in
+    epoch: int  # last epoch in which the node took part
 
 
 class ClockCheck(Enum):
-    """What the boot record says about the machine's clock."""
+    """The machine's clock, judged by the last boot record."""
 
     PLAUSIBLE = auto()
-    BEHIND = auto()  # before the last record: an empty battery, or an operator's hand
+    BEHIND = auto()  # before the last record: an empty clock battery, or an operator set it back
     AHEAD = auto()  # implausibly long after the last record
 
 
 class InvalidBootRecordError(ValueError):
-    """The boot record can't be used; the message says what an operator can do."""
+    """The boot record can't be used; the message says what is wrong."""
 
 
 class UnreadableBootRecordError(InvalidBootRecordError):
     """The boot record can't be decoded."""
 
     def __init__(self) -> None:
-        super().__init__("its boot record can't be read; see 'lichencleat store check'")
+        super().__init__("the boot record can't be read; see 'lichencleat store check'")
 
 
 class UnknownBootRecordFormatError(InvalidBootRecordError):
-    """The boot record is of another version of the program.
+    """The boot record was written by another version of the program.
 
     Attributes:
         format: The format that the record names.
     """
 
     def __init__(self, format: int) -> None:
-        super().__init__(f"its boot record has format {format}, and this program's is {FORMAT}")
+        super().__init__(f"the boot record has format {format}, this program reads format {FORMAT}")
         self.format = format
 
 
 class ForeignBootRecordError(InvalidBootRecordError):
-    """The boot record is of a node of another fleet.
+    """The boot record belongs to a node of another fleet.
 
     Attributes:
         recorded_group: The consensus group that the record names.
@@ -64,7 +64,7 @@
     """
 
     def __init__(self, recorded_group: str, group: str) -> None:
-        super().__init__(f"it took part in the fleet {recorded_group!r}, and this is {group!r}")
+        super().__init__(f"the boot record belongs to the fleet {recorded_group!r}, this node to {group!r}")
         self.recorded_group = recorded_group
         self.group = group
 
@@ -81,7 +81,7 @@
         group: The consensus group of this node, empty if there is none.
 
     Raises:
-        InvalidBootRecordError: The record can't be decoded, is of another format or of another group.
+        InvalidBootRecordError: The record can't be decoded, or has another format or group.
     """
     if stored is None:
         return None
@@ -97,14 +97,14 @@
 
 
 def create_record(previous: BootRecord | None, unix_time: int, group: str) -> BootRecord:
-    """Return the record of the process that starts; its epoch is the previous one for now."""
+    """Return the boot record of a process that starts; it carries the epoch of the previous process."""
     boot_count = 1 if previous is None else previous.boot_count + 1
     epoch = 0 if previous is None else previous.epoch
     return BootRecord(FORMAT, boot_count, False, unix_time, group, epoch)
 
 
 def check_clock(previous: BootRecord | None, unix_time: int) -> ClockCheck:
-    """Compare the machine's clock (µs) with the last record on its own disk."""
+    """Compare the machine's clock (µs) with the time of the last boot record."""
     if previous is None:
         return ClockCheck.PLAUSIBLE
     elapsed = unix_time - previous.last_alive
--- a/lichencleat/recovery/boot_record_store.py
+++ b/lichencleat/recovery/boot_record_store.py
@@ -20,7 +20,7 @@
 
 
 class BootRecordStore:
-    """Loads the previous boot record, and writes the current one with each of the store's heartbeats.
+    """Loads the previous boot record; the current one is written with each heartbeat of the node's store.
 
     Args:
         group: The consensus group of this node.
@@ -36,7 +36,7 @@
         self.epoch = 0
 
     def on_store_opened(self, read: StoreReader) -> None:
-        """Load the previous record, and begin the current one.
+        """Load the previous record and create the current one.
 
         Raises:
             InvalidBootRecordError: The record can't be used.
@@ -47,10 +47,10 @@
         self.epoch = self.current.epoch
 
     def to_entry(self, is_last: bool) -> tuple[bytes, bytes]:
-        """Return key and value to be stored with a heartbeat.
+        """Return the key and value to store with a heartbeat.
 
         Args:
-            is_last: Whether it is the last heartbeat, of a graceful shutdown.
+            is_last: Whether this is the last heartbeat before a graceful shutdown.
         """
         assert self.current is not None
         record = msgspec.structs.replace(
--- a/lichencleat/recovery/interfaces.py
+++ b/lichencleat/recovery/interfaces.py
@@ -1,7 +1,6 @@
 """Interfaces through which a node's recovery uses its request engine and its store.
 
-The classes that implement them belong to the node: its request engine, and the store of its idempotency
-records.
+The node implements them: with its request engine, and with the store of its idempotency records.
 """
 
 from __future__ import annotations
@@ -12,24 +11,24 @@
 from lichencleat.admission.service_times import ServiceTimes
 from lichencleat.admission.types import NodeSpec, RequestClass
 
-StoreReader = Callable[[bytes], bytes | None]  # the stored value of a key, None if there is none
+StoreReader = Callable[[bytes], bytes | None]  # returns the stored value of a key, None if it is absent
 
 
 class RunStatistics(Protocol):
-    """The admission decisions, as far as they know how long runs take."""
+    """The part of the admission controller that knows how long runs take."""
 
     @property
     def service_times(self) -> ServiceTimes:
-        """The last service times, by request class."""
+        """The most recent service times, by request class."""
         ...
 
     def seed_run_time(self, now: int, request_class: RequestClass, took: int) -> None:
-        """Take a run of the previous process as a first estimate."""
+        """Use the run time (µs) learned by the previous process as a first estimate."""
         ...
 
 
 class RecoveringHost(Protocol):
-    """The request engine of a node that recovers."""
+    """The request engine of a recovering node."""
 
     @property
     def machine(self) -> NodeSpec:
@@ -38,7 +37,7 @@
 
     @property
     def node(self) -> RunStatistics | None:
-        """The admission decisions; None until the interpreter is up."""
+        """The admission controller; None until the interpreter is up."""
         ...
 
     @property
@@ -55,13 +54,13 @@
         ...
 
     def strain(self) -> float:
-        """The load: 0 idle, 0.5 at capacity, above 1 failing."""
+        """The load: 0 when idle, 0.5 at capacity, above 1 when runs fail."""
         ...
 
     def speed(self) -> float:
-        """Runs a second and core, 1 if none is known."""
+        """Runs per second and core, 1 if no service time is known."""
         ...
 
     def may_serve(self, share: float, receipted: bool) -> None:
-        """Set which fraction of its arrivals is admitted, and whether keyed requests are."""
+        """Set which fraction of arrivals is admitted, and whether keyed requests are among them."""
         ...
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -1,8 +1,8 @@
-"""Rollout planner: what the leader proposes at each poll of the fleet's state; no I/O.
+"""Rollout planner: the commands that the leader proposes at each poll of the fleet's state; no I/O.
 
-Service returns in batches. How many nodes may be open is bounded by an integral controller: the bound grows
-by a fraction of itself for each step at which the open nodes have capacity to spare, and falls when they
-don't. All that it has learned is part of the replicated plan, so that another leader continues it.
+Nodes are opened in batches. An integral controller bounds the number of open nodes: the bound grows by a
+fraction of itself at each step at which the open nodes have spare capacity, and falls when they are
+overloaded. The controller's whole state is part of the replicated plan, so that another leader can continue.
 """
 
 from __future__ import annotations
@@ -21,49 +21,49 @@
 
 PlannerCommand = NodeLost | NewEpoch | RolloutBatch | SetAllocatableShare
 
-REPORT_TIMEOUT_US = 5_000_000  # without a report, then a node is gone: an open one reports each 2 s
-# After the first start, before a power loss is told from single restarts: by then most nodes are up.
+REPORT_TIMEOUT_US = 5_000_000  # without a report, a node is marked as gone; an open node reports every 2 s
+# From the first restart until a power loss is distinguished from single restarts: most nodes report by then.
 EPOCH_DELAY_US = 2_000_000
-POWER_LOSS_FRACTION = 0.5  # of the known nodes, restarted or gone at once: then the power was lost
-MAX_SMALL_FLEET = 2  # nodes: of so few nobody can tell that
-FIRST_BATCH_FRACTION = 1 / 3  # of the known nodes: enough to see how the shared dependencies stand it
-# Fraction of the shared dependencies' capacity that is allocated at first: cold, they may fail at a third of
-# their load.
+POWER_LOSS_FRACTION = 0.5  # of the known nodes; as many restarted or gone at once indicate a power loss
+MAX_SMALL_FLEET = 2  # nodes: too few to distinguish a power loss from single restarts
+FIRST_BATCH_FRACTION = 1 / 3  # of the known nodes: enough to observe the load on shared dependencies
+# Fraction of the shared dependencies' capacity that is allocated at first: while cold, they may fail at
+# a third of their usual load.
 INITIAL_DEPENDENCY_SHARE = 0.3
-# Of the dependency share, for each step: 7 % a second at full strength, less than is noticed too late to
-# matter.
+# Relative growth of the dependency share per step: at most 7 % per second, so that an overload is noticed
+# before it does harm.
 DEPENDENCY_GAIN = 0.1
-DEPENDENCY_REFERENCE_LOAD = 0.7  # well under the load at which calls fail in numbers
-GAIN = 0.5  # of the bound on open nodes, for each step at full strength
-REFERENCE_LOAD = 1.0  # that the open nodes should have: at capacity, shedding none
-UNREADY_LOAD = 2.0  # counted for an open node whose interpreter is down
-ROLLBACK_FACTOR = 0.5  # on the bound, when the open nodes fail: the batch is shut again
-OPENING_STEP = 0.34  # of a node's arrivals, for each step since it was opened: three steps
-SETTLING_STEPS = 2  # steps that a batch must be healthy before the next one
+DEPENDENCY_REFERENCE_LOAD = 0.7  # well below the load at which many calls fail
+GAIN = 0.5  # relative change of the bound on open nodes per step, at most
+REFERENCE_LOAD = 1.0  # target load of the open nodes: at capacity without shedding
+UNREADY_LOAD = 2.0  # assumed load of an open node whose interpreter is down
+ROLLBACK_FACTOR = 0.5  # factor on the bound when the open nodes fail and the batch is shut again
+OPENING_STEP = 0.34  # of a node's arrivals per step: a node is fully open after three steps
+SETTLING_STEPS = 2  # healthy steps of a batch before the next batch
 
 
 @dataclass(frozen=True, slots=True)
 class LastReport:
-    """A node's last report, and when this leader learned of it."""
+    """A node's last report, and when this leader first saw it."""
 
     index: int  # of the log entry
     seen_at: int  # µs of the leader's monotonic clock
 
 
 def mean_load(nodes: list[NodeState]) -> float:
-    """The mean load of open nodes; those whose interpreter is down count as overloaded."""
+    """The mean load of open nodes; nodes whose interpreter is down count as overloaded."""
     if not nodes:
         return 0.0
     return sum(each.load if each.ready else UNREADY_LOAD for each in nodes) / len(nodes)
 
 
 def is_partly_open(node: NodeState) -> bool:
-    """Whether a node is open, but not to all of its arrivals."""
+    """Whether a node is open to only a fraction of its arrivals."""
     return node.status == NodeStatus.OPEN and node.share < 1.0
 
 
 def opening_order(nodes: dict[str, NodeState]) -> list[str]:
-    """Order the shut nodes that are ready: zones alternate; verified records first, fast before slow."""
+    """Order the shut nodes that are ready: zones alternate; verified records first, then fast nodes."""
     open_by_zone: dict[str, int] = {}
     for each in nodes.values():
         if each.status == NodeStatus.OPEN:
@@ -89,8 +89,8 @@
     def __init__(self, fencing_token: int) -> None:
         self.fencing_token = fencing_token
         self.last_reports: dict[str, LastReport] = {}
-        self.waiting_since: int | None = None  # µs: since when a node is shut
-        self.first_reports: dict[str, int] = {}  # node -> log index of the report that was seen first
+        self.waiting_since: int | None = None  # µs when the first of the shut nodes was seen
+        self.first_reports: dict[str, int] = {}  # by node: log index of the first report seen
         self.healthy_steps = 0  # since the last batch
 
     def plan_next_step(
@@ -102,7 +102,7 @@
             now: µs of the leader's monotonic clock.
             epoch: The current epoch.
             nodes: The nodes as read from the replicated state.
-            plan: The recovery under way, None if there is none.
+            plan: The recovery in progress, None if there is none.
         """
         commands: list[PlannerCommand] = []
         commands += self.find_lost_nodes(now, nodes)
@@ -114,7 +114,7 @@
         return commands
 
     def find_lost_nodes(self, now: int, nodes: dict[str, NodeState]) -> list[NodeLost]:
-        """Find nodes without a report for long; a new leader counts from its own first step."""
+        """Find nodes whose reports timed out; a new leader counts the time from its own first step."""
         last_reports = {}
         lost = []
         for name, each in nodes.items():
@@ -131,7 +131,7 @@
     def plan_single_restarts(
         self, now: int, epoch: int, nodes: dict[str, NodeState], shut: list[NodeState]
     ) -> list[PlannerCommand]:
-        """Open single restarted nodes by steps, at once; so many that the power was lost begin an epoch."""
+        """Open single restarted nodes at once, by steps; begin an epoch if the restarts show a power loss."""
         opening = self.next_shares(nodes)
         if not shut:
             self.waiting_since = None
@@ -148,26 +148,26 @@
         return [RolloutBatch(self.fencing_token, opening, None)] if opening else []
 
     def count_present(self, nodes: dict[str, NodeState]) -> int:
-        """Count open nodes that have reported to the group while this leader watched."""
+        """Count open nodes that have reported again since this leader first saw them."""
         return sum(
             each.status == NodeStatus.OPEN and each.last_report > self.first_reports[name]
             for name, each in nodes.items()
         )
 
     def next_shares(self, nodes: dict[str, NodeState]) -> dict[str, float]:
-        """Return the next shares of partly open nodes that are healthy, by name."""
+        """Return the next shares of healthy, partly open nodes, by name."""
         return {
             name: round(min(1.0, each.share + OPENING_STEP), 3)
             for name, each in nodes.items()
             if is_partly_open(each) and each.ready and each.load <= REFERENCE_LOAD
         }
 
-    # -- recovery under way ----------------------------------------------------------------------------
+    # -- recovery in progress --------------------------------------------------------------------------
 
     def plan_rollout(
         self, nodes: dict[str, NodeState], plan: RolloutPlan, shut: list[NodeState]
     ) -> list[PlannerCommand]:
-        """Return the next step of a recovery: its first batch, a rollback, its end, or a next batch."""
+        """Return the next step of a recovery: its first batch, a rollback, its end, or another batch."""
         open_nodes = {name: each for name, each in nodes.items() if each.status == NodeStatus.OPEN}
         if not plan.max_open:
             return self.begin_rollout(nodes, plan, len(open_nodes))
@@ -232,7 +232,7 @@
         )
 
     def next_dependency_share(self, plan: RolloutPlan, load: float, has_open_nodes: bool) -> float:
-        """Move the dependency share: up while calls succeed, down as soon as some don't."""
+        """Return the next dependency share: larger while calls succeed, smaller as soon as some fail."""
         if not has_open_nodes:
             return plan.dependency_share
         error = max(-0.5, min(1.0, DEPENDENCY_REFERENCE_LOAD - load))
@@ -240,12 +240,12 @@
         return min(1.0, max(INITIAL_DEPENDENCY_SHARE / 2, moved))
 
     def next_batch(self, nodes: dict[str, NodeState], plan: RolloutPlan, open_count: int) -> dict[str, float]:
-        """Return the first shares of as many shut nodes as the bound lets open, by name."""
+        """Return the first shares of the next nodes within the bound on open nodes, by name."""
         count = max(0, int(plan.max_open) - open_count)
         return dict.fromkeys(opening_order(nodes)[:count], OPENING_STEP)
 
     def roll_back(self, open_nodes: dict[str, NodeState], plan: RolloutPlan) -> RolloutBatch:
-        """Shut the last batch, and lower the bound: more than half of the open nodes failed."""
+        """Shut the last batch and lower the bound, because more than half of the open nodes failed."""
         self.healthy_steps = 0
         last_batch = [name for name, each in open_nodes.items() if each.batch == plan.batch]
         max_open = max(1.0, plan.max_open * ROLLBACK_FACTOR)
--- a/lichencleat/recovery/planner_task.py
+++ b/lichencleat/recovery/planner_task.py
@@ -1,4 +1,4 @@
-"""The leader task of the recovery: polls the fleet's state and proposes what the rollout planner decides."""
+"""Leader task of the recovery: polls the fleet's state and proposes the rollout planner's commands."""
 
 from __future__ import annotations
 
@@ -42,13 +42,13 @@
         self.logged_reason = ""
 
     def create_decider(self, fencing_token: int) -> RolloutPlanner:
-        """Return the planner of a lease that was just acquired."""
+        """Return the planner for a newly acquired lease."""
         return RolloutPlanner(fencing_token)
 
     def on_state(self, state: object, decider: RolloutPlanner) -> None:
         """Propose the next step of the plan, and poll again after the usual interval."""
         self.schedule_poll(decider, self.poll_interval_s)
-        if not state:  # voters of an older version know of no fleet
+        if not state:  # voters of an older version have no fleet state
             return
         view = cast(dict[str, Any], state)
         nodes = msgspec.convert(view["nodes"], dict[str, NodeState])
@@ -68,5 +68,5 @@
             self.log.info("plan", token=command.fencing_token, reason=reason)
 
     def on_proposal_failed(self, failure: Failure) -> None:
-        """Log the failure; the next poll repeats what is still needed."""
-        self.log.warning("plan not told", reason=failure.getErrorMessage())
+        """Log the failure; the next poll proposes again what is still needed."""
+        self.log.warning("rollout proposal failed", reason=failure.getErrorMessage())
--- a/lichencleat/recovery/readiness_gate.py
+++ b/lichencleat/recovery/readiness_gate.py
@@ -1,8 +1,8 @@
-"""Readiness gate: what a node may serve, by what it knows since its start; no I/O.
+"""Readiness gate: which requests a node may serve after its start; no I/O.
 
-Shut until the consensus group answers; from then on open as far as the answer says. If nobody answers for a
-while, the node opens by itself, slowly: what it can verify alone it may serve, and waiting for ever helps
-nobody.
+The gate is shut until the consensus group answers; then each reply sets the share of arrivals that the node
+may admit. If the group does not answer for some seconds, the node opens by itself, slowly: it may serve the
+requests that it can verify alone, because an indefinite wait would only extend the outage.
 """
 
 from __future__ import annotations
@@ -14,19 +14,19 @@
 from lichencleat.recovery.trust import Verified, can_serve_keyed
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-STANDALONE_DELAY_US = 4_000_000  # without an answer: a group that has power elects a leader within one
-# Fraction of its arrivals for each second alone: in 20 s it is open, as slowly as a cold engine warms up.
+STANDALONE_DELAY_US = 4_000_000  # without a reply of the group; a running group elects a leader within 1 s
+# Fraction of arrivals added per second without the group: open after 20 s, the warm-up time of a cold engine.
 STANDALONE_STEP = 0.05
-FREQUENT_REPORT_INTERVAL_US = 400_000  # while it is opened
-REPORT_INTERVAL_US = 2_000_000  # while it is open
+FREQUENT_REPORT_INTERVAL_US = 400_000  # while the node is being opened
+REPORT_INTERVAL_US = 2_000_000  # while the node is open
 
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """What a node may serve at one moment."""
+    """The requests that a node may serve at one moment."""
 
     share: float  # fraction of its arrivals
-    keyed: bool  # whether requests with an idempotency key are among them
+    keyed: bool  # whether keyed requests may be served
     reason: str
 
 
@@ -35,12 +35,12 @@
 
     Args:
         node: Name of the node.
-        zone: Its zone.
+        zone: Zone of the node.
         incarnation: Drawn at the start of the process.
         clean_shutdown: Whether the previous process ended gracefully.
         epoch: The last epoch that the node took part in.
-        clock: What its boot record says about its clock.
-        now: µs of the monotonic clock at its start.
+        clock: The node's clock, judged by its boot record.
+        now: µs of the monotonic clock at the start.
     """
 
     def __init__(
@@ -60,25 +60,25 @@
         self.epoch = epoch
         self.clock = clock
         self.group_answered = False  # since the start
-        self.alone_since: int | None = now  # nobody answers, or nobody plans
+        self.alone_since: int | None = now  # µs since when the group does not answer, or no process plans
         self.share = 0.0
         self.clock_offset = 0
-        self.reason = "it waits for the fleet's word"
+        self.reason = "waiting for the first reply of the group"
         self.report_sent_at: int | None = None
         self.next_report_at = now
         self.ready = False
         self.records_verified = False
-        self.has_records = True  # it stores idempotency records
+        self.has_records = True  # the node stores idempotency records
 
     def verified(self) -> Verified:
-        """What has been verified since the start."""
+        """Return what has been verified since the start."""
         clock = self.clock_offset == 0 and (self.clock is ClockCheck.PLAUSIBLE or self.group_answered)
         return Verified(self.records_verified or not self.has_records, self.group_answered, clock)
 
     def allowance(self, now: int) -> Allowance:
-        """What may be served at `now` (µs).
+        """Return what may be served at `now` (µs).
 
-        The share is of the current epoch; without any answer it follows from the time alone.
+        The share is that of the last reply in the current epoch; without a reply it grows with time alone.
         """
         share, reason = self.share, self.reason
         standalone_share = self.standalone_share(now)
@@ -87,11 +87,11 @@
             reason = f"{'nobody plans' if self.group_answered else 'nobody answers'}: it goes on alone"
         keyed = can_serve_keyed(self.verified())
         if not keyed and self.clock_offset:
-            reason = f"its clock is off by {self.clock_offset / MICROSECONDS_PER_SECOND:.0f} s"
+            reason = f"the node's clock is off by {self.clock_offset / MICROSECONDS_PER_SECOND:.0f} s"
         return Allowance(share, keyed, reason)
 
     def standalone_share(self, now: int) -> float:
-        """Fraction of its arrivals that the node may admit without the group at `now` (µs)."""
+        """Return the fraction of arrivals that the node may admit at `now` (µs) without the group."""
         if self.alone_since is None or now - self.alone_since < STANDALONE_DELAY_US:
             return 0.0
         seconds = (now - self.alone_since - STANDALONE_DELAY_US) // MICROSECONDS_PER_SECOND
@@ -100,7 +100,7 @@
     # -- reports ---------------------------------------------------------------------------------------
 
     def next_report(self, now: int, unix_time: int, load: float, speed: float) -> NodeReport | None:
-        """Return the report to be sent at `now` (µs); None if it is early, or one is under way."""
+        """Return the report to send at `now` (µs); None if none is due, or the last one is unanswered."""
         if self.report_sent_at is not None or now < self.next_report_at:
             return None
         self.report_sent_at = now
@@ -118,7 +118,7 @@
         )
 
     def on_reply(self, now: int, reply: ReportReply) -> bool:
-        """Handle the reply to the report; returns whether a new epoch began for this node."""
+        """Handle the reply to a report; return whether it names an epoch that is new to this node."""
         self.report_sent_at = None
         is_new_epoch = reply.epoch > self.epoch
         if reply.epoch >= self.epoch:
@@ -128,7 +128,7 @@
         return is_new_epoch
 
     def apply_reply(self, now: int, reply: ReportReply) -> None:
-        """Take over what a reply of the current epoch says."""
+        """Apply a reply of the current or a newer epoch."""
         self.group_answered = True
         self.epoch = reply.epoch
         self.share = reply.share
@@ -140,6 +140,6 @@
             self.alone_since = now
 
     def on_report_failed(self, now: int) -> None:
-        """Handle that nobody answered: the last reply stays in force."""
+        """Handle a report without a reply: the last reply stays in force."""
         self.report_sent_at = None
         self.next_report_at = now + FREQUENT_REPORT_INTERVAL_US
--- a/lichencleat/recovery/reporter.py
+++ b/lichencleat/recovery/reporter.py
@@ -1,4 +1,4 @@
-"""Recovery reporter: a node's reports to the consensus group, and what it may serve by the replies."""
+"""Recovery reporter: sends a node's reports to the consensus group and applies the replies."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 from lichencleat.recovery.service_time_store import ServiceTimeStore
 from lichencleat.transport.twisted_types import ReactorClock
 
-ROUND_INTERVAL_US = 100_000  # between checks of what may be served
+ROUND_INTERVAL_US = 100_000  # between checks of the gate
 REPORT_TIMEOUT_S = 1.0
 
 
 class RecoveryReporter(PeriodicProposer):
-    """Owns the timer of the node's reports. Tells the host how much it may serve.
+    """Sends the node's reports by timer, and sets which requests the host may serve.
 
     Args:
         reactor: Source of the monotonic clock and of the timer.
@@ -53,11 +53,11 @@
         self.are_records_verified = are_records_verified
         self.unix_time = unix_time
         self.service_times = ServiceTimeStore(host, log)
-        self.host_allowance: tuple[float, bool] | None = None  # share and keyed, as the host has them
+        self.host_allowance: tuple[float, bool] | None = None  # share and keyed, as last set on the host
         self.logged_allowance: tuple[str, bool, str] | None = None  # rounded share, keyed, reason
 
     def next_proposal(self, now: int) -> Proposal | None:
-        """Bring gate and host up to date, and return the report that is due."""
+        """Update gate and host, and return the report that is due, or None."""
         self.service_times.apply_pending()
         self.update_gate()
         self.update_host(now)
@@ -65,11 +65,11 @@
         return Proposal(report, REPORT_TIMEOUT_S) if report is not None else None
 
     def next_round_at(self, now: int) -> int:
-        """The time in µs of the next check."""
+        """Return the time of the next check, in µs."""
         return now + ROUND_INTERVAL_US
 
     def update_gate(self) -> None:
-        """Pass on what the node has verified since the last round."""
+        """Set on the gate what the node has verified by now."""
         gate = self.gate
         gate.ready = self.host.ready()
         gate.records_verified = self.are_records_verified()
@@ -80,7 +80,7 @@
             gate.clean_shutdown = previous is not None and previous.clean_shutdown
 
     def update_host(self, now: int) -> None:
-        """Tell the host what it may serve at `now` (µs) if that has changed, and log it."""
+        """Set on the host what it may serve at `now` (µs) if that has changed, and log the change."""
         allowance = self.gate.allowance(now)
         if (allowance.share, allowance.keyed) != self.host_allowance:
             self.host_allowance = (allowance.share, allowance.keyed)
@@ -88,12 +88,12 @@
         self.log_allowance(allowance)
 
     def log_allowance(self, allowance: Allowance) -> None:
-        """Log what may be served, once for each visible change."""
+        """Log what the node may serve, once per visible change."""
         visible = (f"{allowance.share:.2f}", allowance.keyed, allowance.reason)
         if visible != self.logged_allowance:
             self.logged_allowance = visible
             self.log.info(
-                "opens",
+                "allowance changed",
                 share=allowance.share,
                 receipted=allowance.keyed,
                 epoch=self.gate.epoch,
@@ -113,17 +113,17 @@
         self.update_host(self.now())
 
     def on_failure(self, failure: Failure) -> None:
-        """Let the gate try again soon."""
+        """Let the gate send another report soon."""
         self.gate.on_report_failed(self.now())
 
     def leave(self) -> None:
-        """Stop, and tell the group that the node shuts down gracefully."""
+        """Stop, and report to the group that the node shuts down gracefully."""
         self.stop()
         command = NodeLeaving(self.gate.node, self.gate.incarnation)
         self.client.propose(STATE_PART, command, REPORT_TIMEOUT_S).addErrback(lambda failure: None)
 
     def describe(self) -> str:
-        """Say in one line what the node may serve, and why."""
+        """Describe in one line what the node may serve, and why."""
         allowance = self.gate.allowance(self.now())
         reason = f", {allowance.reason}" if allowance.reason else ""
         keyed = "on" if allowance.keyed else "off"
--- a/lichencleat/recovery/service_time_store.py
+++ b/lichencleat/recovery/service_time_store.py
@@ -12,7 +12,7 @@
 
 
 class ServiceTimeStore:
-    """Hands the previous process's service times to the host, once, and stores those of this process.
+    """Passes the service times of the previous process to the host, once, and stores those of this process.
 
     Args:
         host: The request engine of the node.
@@ -22,8 +22,8 @@
     def __init__(self, host: RecoveringHost, log: EventLogger) -> None:
         self.host = host
         self.log = log
-        self.previous: dict[str, int] = {}  # µs of a usual run, by request class
-        self.is_pending = False  # the host has not got them yet
+        self.previous: dict[str, int] = {}  # usual run time in µs, by request class
+        self.is_pending = False  # not yet passed to the host
 
     def on_store_opened(self, read: StoreReader) -> None:
         """Load the service times of the previous process."""
@@ -36,15 +36,17 @@
             self.log_loaded(loaded.problem)
 
     def log_loaded(self, problem: str) -> None:
-        """Log what was loaded, or why nothing was."""
+        """Log the loaded service times, or why none were loaded."""
         run_times = ", ".join(
             f"{name} {duration / MICROSECONDS_PER_MILLISECOND:.1f} ms"
             for name, duration in self.previous.items()
         )
-        self.log.info("recalls", runs=run_times or "nothing", reason=problem or "of its life before")
+        self.log.info(
+            "service times loaded", runs=run_times or "nothing", reason=problem or "of its life before"
+        )
 
     def to_entry(self, is_last: bool) -> tuple[bytes, bytes]:
-        """Return key and value to be stored with a heartbeat."""
+        """Return the key and value to store with a heartbeat."""
         node = self.host.node
         run_times = node.service_times.samples if node is not None else {}
         current = {
@@ -55,7 +57,7 @@
         return SERVICE_TIMES_KEY, encode_merged(self.host.machine.cores, self.previous, current)
 
     def apply_pending(self) -> None:
-        """Hand the service times to the host; the store may open before or after its interpreter is up."""
+        """Pass the service times to the host once its interpreter is up, before or after the store opens."""
         node = self.host.node
         if self.is_pending and node is not None:
             self.is_pending = False
--- a/lichencleat/recovery/service_times.py
+++ b/lichencleat/recovery/service_times.py
@@ -1,7 +1,7 @@
 """Service times that a node learned, kept as a first estimate for its next start; no I/O.
 
-They come from the node's own disk, once that is verified (`trust`). A wrong estimate is outweighed by the
-first few runs; one that can't be right is dropped.
+The service times are read from the node's own disk after its verification (`trust`). The first few runs
+outweigh a wrong estimate; an implausible estimate is dropped.
 """
 
 from __future__ import annotations
@@ -14,22 +14,22 @@
 from lichencleat.decode_errors import UNDECODABLE
 
 FORMAT = 1
-MAX_CLASSES = 256  # request classes that are kept: more than any settings name, a few KB
+MAX_CLASSES = 256  # stored request classes: more than any settings define, a few KB
 
 
 class ServiceTimes(msgspec.Struct, frozen=True, array_like=True):
-    """As stored. Later formats may add fields at the end."""
+    """The stored service times. Later formats may add fields at the end."""
 
     format: int
-    cores: float  # of the machine on which they were learned
-    run_times: dict[str, int]  # µs of a usual run, by request class
+    cores: float  # of the machine on which the times were learned
+    run_times: dict[str, int]  # usual run time in µs, by request class
 
 
 class LoadedServiceTimes(NamedTuple):
-    """Usable service times, and why there are none."""
+    """Usable service times, or the reason why there are none."""
 
-    run_times: dict[str, int]  # µs of a usual run, by request class
-    problem: str  # empty if the record is usable, or there is none
+    run_times: dict[str, int]  # usual run time in µs, by request class
+    problem: str  # empty if the record is usable or absent
 
 
 decode_service_times = msgspec.msgpack.Decoder(ServiceTimes).decode
@@ -44,18 +44,18 @@
     Args:
         stored: The bytes of the record, None at a first start.
         cores: Cores of this machine; times of another machine are not used.
-        max_run_times: µs that a run of each request class may take; other classes are dropped.
+        max_run_times: Longest plausible run in µs, by request class; other classes are dropped.
     """
     if stored is None:
         return LoadedServiceTimes({}, "")
     try:
         found = decode_service_times(stored)
     except UNDECODABLE:
-        return LoadedServiceTimes({}, "they can't be read")
+        return LoadedServiceTimes({}, "the stored times can't be read")
     if found.format != FORMAT:
-        return LoadedServiceTimes({}, f"they have format {found.format}, and this program's is {FORMAT}")
+        return LoadedServiceTimes({}, f"the stored times have format {found.format}, not {FORMAT}")
     if found.cores != cores:
-        problem = f"they were learned on {found.cores:g} cores, and there are {cores:g}"
+        problem = f"the stored times were learned on {found.cores:g} cores, and there are {cores:g}"
         return LoadedServiceTimes({}, problem)
     usable = {
         name: duration
@@ -66,7 +66,7 @@
 
 
 def encode_merged(cores: float, previous: Mapping[str, int], current: Mapping[str, int]) -> bytes:
-    """Encode what this process learned, and what the previous one did about classes without runs since."""
+    """Encode the times of this process, and those of the previous one for classes without runs since."""
     merged = {**previous, **current}
     kept = dict(sorted(merged.items())[:MAX_CLASSES])
     return encode_service_times(ServiceTimes(FORMAT, cores, kept))
--- a/lichencleat/recovery/state.py
+++ b/lichencleat/recovery/state.py
@@ -30,9 +30,9 @@
 )
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
-RECENT_ENTRIES = 64  # clocks reported in the last so many log entries count as current
-MIN_CLOCKS = 3  # clocks, the node's own among them, to judge one: of two nobody knows which is wrong
-MAX_CLOCK_OFFSET_US = 5_000_000  # from the median: far over any drift of a clock or delay of a report
+RECENT_ENTRIES = 64  # clocks reported within this number of log entries count as current
+MIN_CLOCKS = 3  # including the judged one: of two clocks, either may be wrong
+MAX_CLOCK_OFFSET_US = 5_000_000  # from the median: far above clock drift and report delays
 
 
 class FleetSnapshot(msgspec.Struct, array_like=True):
@@ -55,7 +55,7 @@
 
 
 def explain_share(node: NodeState, plan: RolloutPlan | None) -> str:
-    """Say why a node is not fully open; empty if it is."""
+    """Return why a node is not fully open; empty if it is."""
     if node.share >= 1.0:
         return ""
     if node.status == NodeStatus.OPEN:
@@ -69,7 +69,7 @@
     """The part of the replicated state that `messages.STATE_PART` names.
 
     Args:
-        jobs: The part of the same state that knows the leases; a command of the leader is rejected unless it
+        jobs: The leases, another part of the same state; a command of the leader is rejected unless it
             carries the newest fencing token.
     """
 
@@ -94,7 +94,7 @@
     def apply_other_command(
         self, message: NodeLeaving | PauseRollout | SkipNode | ForgetNode
     ) -> CommandReply:
-        """Apply what a node says at its end, or an operator."""
+        """Apply a command of an operator or of a node that shuts down."""
         match message:
             case NodeLeaving():
                 return self.remove_leaving(message)
@@ -106,8 +106,8 @@
                 return CommandReply(self.nodes.pop(message.node, None) is not None, "no such node")
 
     def apply_leader_command(self, message: NodeLost | NewEpoch | RolloutBatch) -> CommandReply:
-        """Apply a command of the leader, unless its lease is over."""
-        # A leader that was suspended before a power loss would continue with an outdated plan.
+        """Apply a command of the leader, unless its lease has ended."""
+        # Else a leader that was suspended before a power loss could continue with an outdated plan.
         if not self.jobs.is_current_token(JOB, message.fencing_token):
             return CommandReply(False, "an older owner's")
         match message:
@@ -121,13 +121,13 @@
     # -- nodes -----------------------------------------------------------------------------------------
 
     def apply_report(self, index: int, report: NodeReport) -> ReportReply:
-        """Record a node's report; the reply says how far it may open."""
+        """Record a node's report; the reply holds the share of arrivals that it may admit."""
         node = self.nodes.get(report.node)
         if node is None and len(self.nodes) >= MAX_NODES:
             return ReportReply(self.epoch, 0.0, reason="too many nodes")
         if node is None or node.incarnation != report.incarnation:
             node = self.add_node(index, report)
-        elif node.status == NodeStatus.GONE:  # it was away: it is opened like one that started
+        elif node.status == NodeStatus.GONE:  # opened again like a node that restarted
             node.status = NodeStatus.SHUT
             node.share = 0.0
         node.zone = report.zone
@@ -147,7 +147,7 @@
         )
 
     def add_node(self, index: int, report: NodeReport) -> NodeState:
-        """Add a node, or replace its previous incarnation; it is shut."""
+        """Add a node, or replace its previous incarnation; the node is shut."""
         node = NodeState(
             zone=report.zone,
             incarnation=report.incarnation,
@@ -166,7 +166,7 @@
         return job is not None and bool(job.holder)
 
     def clock_offset(self, index: int, node: NodeState) -> int:
-        """µs that the node's clock is ahead of the others'; 0 if that may be chance, or too few are known."""
+        """Return the µs by which the node's clock is ahead of the median; 0 if small, or for few clocks."""
         clocks = [each.unix_time for each in self.nodes.values() if each.last_report > index - RECENT_ENTRIES]
         if len(clocks) < MIN_CLOCKS:
             return 0
@@ -174,7 +174,7 @@
         return offset if abs(offset) > MAX_CLOCK_OFFSET_US else 0
 
     def remove_leaving(self, message: NodeLeaving) -> CommandReply:
-        """Remove a node that shuts down gracefully, unless it has started again since."""
+        """Remove a node that shuts down gracefully, unless it has restarted since."""
         node = self.nodes.get(message.node)
         if node is None or node.incarnation != message.incarnation:
             return CommandReply(False, "no such node")
@@ -182,7 +182,7 @@
         return CommandReply(True)
 
     def set_share(self, name: str, share: float) -> CommandReply:
-        """Open a node to `share` of its arrivals, or shut it at 0."""
+        """Open a node to `share` of its arrivals; 0 shuts it."""
         node = self.nodes.get(name)
         if node is None or node.status == NodeStatus.GONE:
             return CommandReply(False, "nothing is heard of it")
@@ -195,7 +195,7 @@
     # -- the plan --------------------------------------------------------------------------------------
 
     def pause(self, message: PauseRollout) -> CommandReply:
-        """Pause the recovery under way, or continue it."""
+        """Pause or resume the recovery in progress."""
         if self.plan is None:
             return CommandReply(False, "no return is under way")
         self.plan.paused = message.paused
@@ -211,7 +211,7 @@
         return CommandReply(True)
 
     def begin_epoch(self, message: NewEpoch) -> CommandReply:
-        """Begin an epoch; nodes that kept their power stay open, and learn of it by their next report."""
+        """Begin an epoch; nodes that kept power stay open and learn the epoch by their next report."""
         if message.previous != self.epoch:
             return CommandReply(False, "another epoch has begun since")
         self.epoch += 1
@@ -219,9 +219,9 @@
         return CommandReply(True)
 
     def apply_batch(self, message: RolloutBatch) -> CommandReply:
-        """Take over the plan and open or shut the nodes that the batch names."""
+        """Store the plan, and open or shut the nodes that the batch names."""
         if message.plan is not None and self.plan is not None:
-            message.plan.paused = self.plan.paused  # an operator may have paused it since the leader's read
+            message.plan.paused = self.plan.paused  # an operator may have paused it since the leader read it
             if message.plan.paused:
                 return CommandReply(False, "an operator holds the plan")
         self.plan = message.plan
@@ -236,11 +236,11 @@
         return {"epoch": self.epoch, "nodes": self.nodes, "plan": self.plan}
 
     def dump(self) -> FleetSnapshot:
-        """Return the state in the form of a snapshot; it shares its parts with the live state."""
+        """Return a snapshot of the state; it shares its objects with the live state."""
         return FleetSnapshot(self.epoch, self.nodes, self.plan)
 
     def load(self, dumped: msgspec.Raw) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with a snapshot."""
         snapshot = decode_snapshot(dumped)
         self.epoch = snapshot.epoch
         self.nodes = snapshot.nodes
--- a/lichencleat/recovery/trust.py
+++ b/lichencleat/recovery/trust.py
@@ -1,6 +1,6 @@
-"""What a node trusts from before its start, item by item, and the proof that each requires; no I/O.
+"""Which knowledge from before its start a node trusts, and the proof that each item requires; no I/O.
 
-The table of docs/recovery.md as code: whatever is not in it is not trusted.
+Implements the table of docs/recovery.md: an item that is not in the table is not trusted.
 """
 
 from __future__ import annotations
@@ -10,34 +10,34 @@
 
 
 class Proof(Enum):
-    """What has to be shown before an item is trusted."""
+    """The proof that an item requires before it is trusted."""
 
-    OWN_DISK = auto()  # its own record, after verification
-    GROUP = auto()  # an answer of the consensus group since the start
+    OWN_DISK = auto()  # the node's own record, after verification
+    GROUP = auto()  # a reply of the consensus group since the start
     NEVER = auto()
 
 
 class Item(Enum):
     """Knowledge of a node that may survive a restart."""
 
-    IDENTITY = auto()  # its own name and zone
-    IDEMPOTENCY_RECORDS = auto()  # intents and results of its own
-    KEY_WINDOWS = auto()  # how much is left of the records' windows
+    IDENTITY = auto()  # the node's name and zone
+    IDEMPOTENCY_RECORDS = auto()  # the node's intents and results
+    KEY_WINDOWS = auto()  # remaining time of the records' windows
     GRANTS = auto()
     LEASES = auto()
     EPOCH = auto()
-    SERVICE_TIMES = auto()  # learned by itself
-    PEERS = auto()  # what it knew about other nodes
+    SERVICE_TIMES = auto()  # learned by the node itself
+    PEERS = auto()  # knowledge about other nodes
 
 
 REQUIRED_PROOF = {
     Item.IDENTITY: Proof.OWN_DISK,
     Item.IDEMPOTENCY_RECORDS: Proof.OWN_DISK,
-    Item.KEY_WINDOWS: Proof.OWN_DISK,  # as the time that was left at the last record: no clock is needed
+    Item.KEY_WINDOWS: Proof.OWN_DISK,  # stored as remaining time, so that no clock is needed
     Item.GRANTS: Proof.GROUP,
     Item.LEASES: Proof.GROUP,
     Item.EPOCH: Proof.GROUP,
-    Item.SERVICE_TIMES: Proof.OWN_DISK,  # as a first estimate that the first runs outweigh
+    Item.SERVICE_TIMES: Proof.OWN_DISK,  # used as a first estimate that the first runs outweigh
     Item.PEERS: Proof.NEVER,
 }
 
@@ -46,13 +46,13 @@
 class Verified:
     """What a node has verified since its start."""
 
-    disk: bool  # its own store opened, is its own, and passed its checks
+    disk: bool  # the node's store opened, belongs to the node and passed its checks
     group: bool  # the consensus group has answered
-    clock: bool  # neither its disk nor the fleet contradicts its clock
+    clock: bool  # neither the disk nor the fleet contradicts the node's clock
 
 
 def is_trusted(item: Item, verified: Verified) -> bool:
-    """Whether the proof that `item` requires is there."""
+    """Whether the proof that `item` requires has been verified."""
     proof = REQUIRED_PROOF[item]
     if proof is Proof.OWN_DISK:
         return verified.disk
@@ -60,10 +60,10 @@
 
 
 def can_serve_keyed(verified: Verified) -> bool:
-    """Whether requests with an idempotency key may be served.
+    """Whether keyed requests may be served.
 
-    By rule 2 of docs/recovery.md, each node for itself: its own records have to be verified, and
-    attempts have to be dated correctly. A key that ran on another node is not this node's concern.
+    Rule 2 of docs/recovery.md, applied by each node alone: the node's own records are verified, and its
+    clock dates attempts correctly. Keys that ran on other nodes are not considered.
     """
     return (
         is_trusted(Item.IDEMPOTENCY_RECORDS, verified)
--- a/tests/fleet/test_fleet_return.py
+++ b/tests/fleet/test_fleet_return.py
@@ -65,7 +65,7 @@
         fleet.until_open()
         took = {}
         for name, each in fleet.nodes.items():
-            (said,) = re.findall(r'event=recalls .*runs="(.*?)"', each.said())
+            (said,) = re.findall(r'event="service times loaded" .*runs="(.*?)"', each.said())
             took[name] = dict(re.findall(r"(\w+) ([\d.]+) ms", said))
         # with the call below, 30 ms of both: about 190 ms and 40; a busy machine adds some ms to both
         assert float(took["n2"]["look"]) > 2.5 * float(took["n1"]["look"]) > 75
--- a/tests/recovery/test_service_time_store.py
+++ b/tests/recovery/test_service_time_store.py
@@ -44,10 +44,12 @@
             and not host.node.service_times.samples[REQUEST_CLASSES[1]]
         )
         assert dict([life.to_entry(True)]) == store  # nothing ran: what was known is kept
-    assert log.events[-1] == ("recalls", {"runs": "look 0.2 ms", "reason": "of its life before"})
+    assert log.events[-1] == ("service times loaded", {"runs": "look 0.2 ms", "reason": "of its life before"})
 
 
 def test_service_time_store_logs_corrupt_data_once(host):
     log = RecordingLog()
     ServiceTimeStore(host, log).on_store_opened({SERVICE_TIMES_KEY: b"\xc1"}.get)
-    assert log.events == [("recalls", {"runs": "nothing", "reason": "they can't be read"})]
+    assert log.events == [
+        ("service times loaded", {"runs": "nothing", "reason": "the stored times can't be read"})
+    ]
