--- a/lichencleat/failover/__init__.py
+++ b/lichencleat/failover/__init__.py
@@ -1,12 +1,13 @@
 """Zone failover: which zones serve, and how far a router keeps traffic local; see docs/failover.md.
 
-Guarantees: every routing plan has a version and the fencing token of the one leader that published it;
-whoever knows a newer plan rejects an older one; no plan sends more to a zone than its known capacity. What a
-router decides by itself is bounded: a share that spills over, a retry budget, a maximum of ejected nodes. Not
-guaranteed: that all routers follow the newest plan at once; a router that receives none keeps the last one,
-and only gets more careful.
+Guarantees: every routing plan has a version and the fencing token of the leader that published it; routers
+reject a plan that is older than theirs; no plan sends more to a zone than its known capacity. The decisions
+that a router makes by itself are bounded: by a share of traffic that spills over, a retry budget and a
+maximum of ejected nodes. Not guaranteed: that all routers follow the newest plan at once. A router that
+receives no plan keeps the last one and sends less spillover as the plan ages.
 
 Decisions without I/O: `state` (health reports and the plan, a part of the replicated state), `controller`
-(what the leader proposes), `preview` (what an operator's override would do), `locality_routing` (what a
-router spills over), `retry_budget` (how often it retries) and `outlier_ejection` (which nodes it avoids).
+(the commands that the leader proposes), `preview` (the effect of an operator's override), `locality_routing`
+(spillover of a router), `retry_budget` (limit on a router's retries) and `outlier_ejection` (nodes that a
+router avoids).
 """
--- a/lichencleat/failover/controller.py
+++ b/lichencleat/failover/controller.py
@@ -1,9 +1,9 @@
-"""Failover controller: what the leader proposes at each poll of the health reports; no I/O.
+"""Failover controller: the commands that the leader proposes at each poll of the health reports; no I/O.
 
-A zone is judged by what routers observed of it, those of other zones as well as its own; by several polls,
-never by one. It is restored by a ramp that grows while it is healthy, after a quiet period that doubles with
-each relapse. Before any traffic is moved, the capacity of the others is taken into account; what nobody can
-serve is rejected where it arrives.
+A zone is judged by the observations of the routers of all zones, over several polls. After an outage and a
+quiet period, which doubles with each relapse, the zone is restored by a ramp that grows while the zone is
+healthy. Traffic is moved only within the capacity of the other zones; requests that no zone can serve are
+rejected in the zone where they arrive.
 """
 
 from __future__ import annotations
@@ -27,37 +27,37 @@
 
 ControllerCommand = ClearOverride | PublishPlan | UpdateCapacity
 
-POLL_INTERVAL_US = 300_000  # as often as routers report
-REPORT_TIMEOUT_US = 1_500_000  # without a report of any router of a zone: five of them
-MAX_LOST_FRACTION = 0.4  # of attempts, beyond which a zone is unhealthy
-LIMITED_FRACTION = 0.12  # of attempts rejected or lost, beyond which a zone is at its capacity
-MIN_UNHEALTHY_POLLS = 2  # in a row until a zone is taken out: one may be chance, three would be a second
-MIN_ATTEMPTS = 10  # in a poll, below which a zone is not judged
-QUIET_PERIOD_US = 3_000_000  # without an unhealthy poll until a zone is restored; doubled by each relapse
+POLL_INTERVAL_US = 300_000  # equals the report interval of the routers
+REPORT_TIMEOUT_US = 1_500_000  # without a report of any router of a zone: five report intervals
+MAX_LOST_FRACTION = 0.4  # of attempts; above it a zone is unhealthy
+LIMITED_FRACTION = 0.12  # of attempts rejected or lost; above it a zone is at its capacity
+MIN_UNHEALTHY_POLLS = 2  # in a row until a zone is taken out: one may be chance, three take almost 1 s
+MIN_ATTEMPTS = 10  # per poll; with fewer, a zone is not judged
+QUIET_PERIOD_US = 3_000_000  # without an unhealthy poll until a zone is restored; doubled per relapse
 MAX_QUIET_PERIOD_US = 120_000_000
-FORGET_RELAPSES_AFTER_US = 600_000_000  # of healthy service
-INITIAL_RAMP = 0.1  # of a zone's spare capacity, for spillover after it was restored
-RAMP_GROWTH = 1.35  # factor on the ramp, for each healthy poll
-MAX_UTILIZATION = 0.95  # of a zone's known capacity, own and spillover: the rest is for its own bursts
-CAPACITY_GAIN = 0.02  # of the difference, for each poll: the known capacity follows the observed one
-MIN_PLAN_CHANGE = 0.15  # of a zone's capacity: smaller changes are no new plan
+FORGET_RELAPSES_AFTER_US = 600_000_000  # since the zone was restored
+INITIAL_RAMP = 0.1  # of a zone's spare capacity, offered for spillover when it is restored
+RAMP_GROWTH = 1.35  # factor on the ramp per healthy poll
+MAX_UTILIZATION = 0.95  # of a zone's known capacity, own load and spillover; the rest absorbs bursts
+CAPACITY_GAIN = 0.02  # of the difference to the observed capacity, per poll
+MIN_PLAN_CHANGE = 0.15  # of a zone's capacity; smaller changes are not published
 
 
 @dataclass(slots=True)
 class ZoneHealth:
-    """One zone as this leader has observed it."""
+    """The health of one zone as observed by this leader."""
 
     unhealthy_polls: int = 0  # in a row
     is_out: bool = False  # taken out of service
     unhealthy_at: int = 0  # µs of the last unhealthy poll
     restored_at: int = 0  # µs
     relapses: int = 0
-    ramp: float = 1.0  # fraction of its spare capacity that is offered for spillover
+    ramp: float = 1.0  # fraction of the spare capacity that is offered for spillover
     reason: str = ""
 
 
 class Verdict(NamedTuple):
-    """The judgement of one zone in one poll."""
+    """The result of judging one zone in one poll."""
 
     is_healthy: bool
     reason: str
@@ -65,14 +65,14 @@
 
 @dataclass(frozen=True, slots=True)
 class LastSeen:
-    """A log entry that this leader knows, and when it learned of it."""
+    """A log entry, and when this leader first saw it."""
 
     index: int
     seen_at: int  # µs of the leader's monotonic clock
 
 
 def offered_load(zones: Mapping[str, Zone], routers: Mapping[str, RouterHealth]) -> dict[str, float]:
-    """Requests a second that arrive in each zone, by the reports of its routers."""
+    """Return the requests per second that arrive in each zone, from the reports of its routers."""
     offered = dict.fromkeys(zones, 0.0)
     for each in routers.values():
         if each.zone in offered:
@@ -81,14 +81,14 @@
 
 
 def observations_of(zone: str, routers: Mapping[str, RouterHealth]) -> list[ZoneObservation]:
-    """What routers of all zones observed of `zone`."""
+    """Return the observations of `zone` by the routers of all zones."""
     return [each.observations[zone] for each in routers.values() if zone in each.observations]
 
 
 def update_last_seen(
     last_seen: Mapping[str, LastSeen], indexes: Mapping[str, int], now: int
 ) -> dict[str, LastSeen]:
-    """Return when each log entry was seen first; one that is new, or of another index, is seen now."""
+    """Return when each log entry was first seen; an entry that is new or has a new index is seen now."""
     updated = {}
     for name, index in indexes.items():
         last = last_seen.get(name)
@@ -118,7 +118,7 @@
 
         Args:
             now: µs of the leader's monotonic clock.
-            zones: The zones, as read from the replicated state like all that follows.
+            zones: The zones; like the other arguments, read from the replicated state.
             plan: The plan in force.
             routers: The last health report of each router.
             overrides: The operator's overrides by zone.
@@ -140,7 +140,7 @@
         return commands
 
     def take_over(self, now: int, plan: RoutingPlan) -> None:
-        """Begin with the plan in force: a zone that was out stays out for a quiet period."""
+        """Continue the plan in force: a zone on standby stays out of service for a quiet period."""
         self.has_begun = True
         for name, role in plan.roles.items():
             if role == ZoneRole.STANDBY:
@@ -154,7 +154,7 @@
                 )
 
     def current_reports(self, now: int, routers: dict[str, RouterHealth]) -> dict[str, RouterHealth]:
-        """The reports that are not timed out; the time counts from when this leader saw the report."""
+        """Return the reports that have not timed out since this leader first saw them."""
         indexes = {name: each.index for name, each in routers.items()}
         self.last_reports = update_last_seen(self.last_reports, indexes, now)
         return {
@@ -164,7 +164,7 @@
         }
 
     def expired_overrides(self, now: int, overrides: dict[str, ActiveOverride]) -> list[ClearOverride]:
-        """Clear overrides whose duration is over, even if the terminal that gave them is gone."""
+        """Clear expired overrides, also when the operator's terminal that set them is gone."""
         indexes = {zone: each.index for zone, each in overrides.items()}
         self.overrides_seen = update_last_seen(self.overrides_seen, indexes, now)
         return [
@@ -176,7 +176,7 @@
     # -- one zone --------------------------------------------------------------------------------------
 
     def update_health(self, now: int, health: ZoneHealth, verdict: Verdict | None) -> None:
-        """Take a zone out, restore it, or ramp it up; without a verdict it stays as it is."""
+        """Take a zone out, restore it or ramp it up; without a verdict its health stays unchanged."""
         if verdict is None:
             return
         health.reason = verdict.reason
@@ -199,7 +199,7 @@
 
     @staticmethod
     def record_healthy_poll(now: int, health: ZoneHealth) -> None:
-        """Restore the zone after its quiet period; ramp it up from then on."""
+        """Restore the zone after its quiet period; then increase its ramp."""
         health.unhealthy_polls = 0
         if not health.is_out:
             if health.ramp < 1.0:
@@ -214,11 +214,11 @@
     def judge(
         self, zone: str, current: dict[str, RouterHealth], routers: dict[str, RouterHealth]
     ) -> Verdict | None:
-        """Judge a zone by attempts from other zones first, then by its own; None if nothing is known.
+        """Judge a zone by attempts from other zones, then by its own; None without observations.
 
         Args:
             zone: Name of the zone.
-            current: The reports that are not timed out.
+            current: The reports that have not timed out.
             routers: The last report of each router.
         """
         sent, lost = self.count_attempts(zone, current, from_other_zones=True)
@@ -236,16 +236,16 @@
     def count_attempts(
         zone: str, current: dict[str, RouterHealth], from_other_zones: bool
     ) -> tuple[int, int]:
-        """Count attempts sent to a zone and lost there, by the reports of other zones' routers or its own."""
+        """Return attempts sent to a zone and lost there, by reports of other zones' routers or its own."""
         reports = {name: each for name, each in current.items() if (each.zone != zone) == from_other_zones}
         observations = observations_of(zone, reports)
         return sum(each.sent for each in observations), sum(each.lost for each in observations)
 
     def observed_capacity(self, name: str, zone: Zone, current: dict[str, RouterHealth]) -> float | None:
-        """Return the capacity of a zone after this poll, None if it stays.
+        """Return the new capacity of a zone after this poll, None if it is unchanged.
 
-        It follows the rate that succeeded while more was rejected, so that a configured figure that is wrong
-        by now is corrected. It never rises by what was not attempted.
+        The capacity follows the rate of successful attempts while others are rejected or lost, which corrects
+        an outdated configured capacity. It rises only to a rate that was attempted and succeeded.
         """
         observations = observations_of(name, current)
         sent = sum(each.sent for each in observations)
@@ -305,7 +305,7 @@
 
     @staticmethod
     def is_significant_change(old: RoutingPlan, new: RoutingPlan, zones: dict[str, Zone]) -> bool:
-        """Whether roles changed, or a spillover or shed fraction by more than a little."""
+        """Whether roles changed, or a spillover or shed fraction changed significantly."""
         if (
             old.roles != new.roles
             or set(old.spillover) != set(new.spillover)
@@ -321,7 +321,7 @@
 
 
 def is_significant_rate(old: float, new: float, capacity: float) -> bool:
-    """Whether a zone's spillover changed by a fraction of its capacity, or grew by a step of a low ramp."""
+    """Whether a spillover changed by much of the zone's capacity, or grew by a step of a low ramp."""
     if abs(new - old) > MIN_PLAN_CHANGE * capacity * MAX_UTILIZATION:
         return True
     return new > old * RAMP_GROWTH and old < INITIAL_RAMP * capacity
--- a/lichencleat/failover/controller_task.py
+++ b/lichencleat/failover/controller_task.py
@@ -1,4 +1,4 @@
-"""The leader task of the failover: polls the health reports and proposes what the controller decides."""
+"""Leader task of the failover: polls the health reports and proposes the controller's commands."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
         self.logged_reason = ""
 
     def create_decider(self, fencing_token: int) -> FailoverController:
-        """Return the controller of a lease that was just acquired."""
+        """Return the controller for a newly acquired lease."""
         return FailoverController(fencing_token)
 
     def on_state(self, state: object, decider: FailoverController) -> None:
-        """Propose what follows from the health reports, and poll again after the usual interval."""
+        """Propose the controller's commands, and poll again after the usual interval."""
         self.schedule_poll(decider, self.poll_interval_s)
-        if not state:  # voters of an older version know no zones
+        if not state:  # voters of an older version have no zone state
             return
         view = cast(dict[str, Any], state)
         commands = decider.plan_next_step(
@@ -60,11 +60,11 @@
             self.propose(STATE_PART, command)
 
     def on_propose(self, command: object) -> None:
-        """Log each plan with a new reason."""
+        """Log each proposed plan whose reason is new."""
         if isinstance(command, PublishPlan) and command.plan.reason != self.logged_reason:
             self.logged_reason = command.plan.reason
-            self.log.info("gives an order", after=command.previous_version, reason=command.plan.reason)
+            self.log.info("routing plan proposed", after=command.previous_version, reason=command.plan.reason)
 
     def on_proposal_failed(self, failure: Failure) -> None:
-        """Log the failure; the next poll repeats what is still needed."""
-        self.log.warning("order not told", reason=failure.getErrorMessage())
+        """Log the failure; the next poll proposes again what is still needed."""
+        self.log.warning("routing plan proposal failed", reason=failure.getErrorMessage())
--- a/lichencleat/failover/locality_routing.py
+++ b/lichencleat/failover/locality_routing.py
@@ -1,8 +1,8 @@
 """Locality routing: which share of its arrivals a router sends to other zones, and to which; no I/O.
 
-Local while that is safe: the share that spills over grows only while the local zone is observed to be unable
-to serve what arrives, by bounded steps, and falls more slowly than it grew, so that a load at the limit does
-not oscillate. The price of the slow fall: for some seconds after a burst, requests go farther than necessary.
+Traffic stays local while the local zone can serve it. The share that spills over grows only while attempts in
+the local zone fail, by bounded steps. It falls more slowly than it grew, so that a load at the limit does not
+oscillate. The cost of the slow fall: for some seconds after a burst, requests travel farther than necessary.
 """
 
 from __future__ import annotations
@@ -13,22 +13,20 @@
 from lichencleat.failover.messages import RoutingPlan, Zone, ZoneRole
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-UPDATE_INTERVAL_US = 300_000  # between two updates: some tens of attempts, at most rates
-SPILL_INCREASE = 0.08  # of the arrivals, for each update
-SPILL_DECREASE = 0.02
-HIGH_FAILURE_FRACTION = 0.10  # of first attempts in the local zone: above it more spills over
-LOW_FAILURE_FRACTION = 0.03  # below it less
-LOST_FRACTION = 0.5  # of them lost: above it the local zone is left quickly
-FAST_INCREASE_FACTOR = 4  # on the increase, to leave it quickly
-MIN_ATTEMPTS = 8  # for an update: a router with fewer waits for more
-HOLD_TIME_US = 10_000_000  # from the last increase to the first decrease: a load at the limit is not followed
-RESTORE_DELAY_US = 3_000_000  # from the last increase until a zone that was left is tried with more
-PROBE_FRACTION = 0.05  # of the arrivals stay local, unless a plan forbids: else a recovery would go unnoticed
-PROBE_GROWTH = 1.25  # factor on what stays local, for each update, while most is remote and that succeeds
-MOSTLY_REMOTE = (
-    0.5  # of the arrivals: more of them remote is a loss, less is a load that is a little too high
-)
-PLAN_STALE_AFTER_US = 10_000_000  # without a plan: half as much spills over; a quarter after twice that
+UPDATE_INTERVAL_US = 300_000  # between updates: tens of attempts at usual rates
+SPILL_INCREASE = 0.08  # of the arrivals, per update
+SPILL_DECREASE = 0.02  # of the arrivals, per update
+HIGH_FAILURE_FRACTION = 0.10  # of first attempts in the local zone; above it the spill increases
+LOW_FAILURE_FRACTION = 0.03  # of first attempts in the local zone; below it the spill decreases
+LOST_FRACTION = 0.5  # of first attempts in the local zone; above it the spill increases fast
+FAST_INCREASE_FACTOR = 4  # on the increase, when attempts are lost
+MIN_ATTEMPTS = 8  # per update; with fewer, the router waits for more
+HOLD_TIME_US = 10_000_000  # from the last increase to the first decrease, against oscillation
+RESTORE_DELAY_US = 3_000_000  # from the last increase until more traffic returns to a mostly remote zone
+PROBE_FRACTION = 0.05  # of the arrivals stay local, so that a recovery is noticed; none if the plan forbids
+PROBE_GROWTH = 1.25  # factor on the local share per update, while most traffic is remote and probes succeed
+MOSTLY_REMOTE = 0.5  # of the arrivals; a larger spill means a lost zone, a smaller one a slight overload
+PLAN_STALE_AFTER_US = 10_000_000  # without a plan: spillover is halved, after twice that time quartered
 
 
 @dataclass(slots=True)
@@ -41,7 +39,7 @@
     lost: int = 0
 
     def record(self, succeeded: bool, rejected: bool) -> None:
-        """Count an attempt; one that neither succeeded nor was rejected is lost."""
+        """Count an attempt; an attempt that neither succeeded nor was rejected counts as lost."""
         self.sent += 1
         self.succeeded += succeeded
         self.rejected += rejected
@@ -49,7 +47,7 @@
 
 
 class LocalityRouter:
-    """The locality decisions of one router; its owner calls `update` once each `UPDATE_INTERVAL_US`.
+    """The locality decisions of one router; the owner calls `update` every `UPDATE_INTERVAL_US`.
 
     Args:
         zone: The router's own zone.
@@ -61,12 +59,12 @@
         self.zone = zone
         self.zones = zones
         self.rng = rng
-        self.spill = 0.0  # share of the arrivals that goes to other zones
+        self.spill = 0.0  # fraction of the arrivals that goes to other zones
         self.plan = RoutingPlan()
         self.plan_received_at = 0  # µs when the plan was last confirmed
         self.attempts: dict[str, AttemptCounts] = {}  # by zone
-        self.spillover_left: dict[str, float] = {}  # requests that may still go to each zone until the update
-        self.router_count = 1  # routers that share the spillover, as far as is known
+        self.spillover_left: dict[str, float] = {}  # by zone: requests that may go there until the update
+        self.router_count = 1  # known routers that share the spillover
         self.increased_at = 0  # µs of the last increase
 
     def apply_plan(self, now: int, plan: RoutingPlan, router_count: int = 1) -> bool:
@@ -85,14 +83,14 @@
         self.attempts.setdefault(zone, AttemptCounts()).record(succeeded, rejected)
 
     def update(self, now: int) -> None:
-        """Move the share that spills over by the attempts since the last update (`now` in µs)."""
+        """Adjust the spill by the attempts since the last update (`now` in µs)."""
         counts = self.attempts.get(self.zone, AttemptCounts())
-        # While most is remote, what stays local is all there is to judge by.
+        # While most traffic is remote, few attempts stay local, and each one counts.
         min_attempts = MIN_ATTEMPTS if self.spill <= MOSTLY_REMOTE else 1
         if self.plan.role(self.zone) in (ZoneRole.DRAINING, ZoneRole.FENCED):
             self.spill = 1.0
         else:
-            # A zone that nobody sends to would stay unused after a plan lets it serve again.
+            # Without probes, a zone would stay unused after a plan lets it serve again.
             self.spill = min(self.spill, 1 - PROBE_FRACTION)
             if counts.sent >= min_attempts:
                 self.adjust_spill(now, counts)
@@ -101,7 +99,7 @@
         self.refill_spillover(now)
 
     def adjust_spill(self, now: int, counts: AttemptCounts) -> None:
-        """Increase or decrease the share by one step, as the attempts in the local zone say."""
+        """Increase or decrease the spill by one step, by the outcomes in the local zone."""
         failure_fraction = (counts.rejected + counts.lost) / counts.sent
         if failure_fraction > HIGH_FAILURE_FRACTION:
             factor = FAST_INCREASE_FACTOR if counts.lost > LOST_FRACTION * counts.sent else 1
@@ -111,7 +109,7 @@
             self.decrease_spill(now - self.increased_at)
 
     def decrease_spill(self, elapsed: int) -> None:
-        """Decrease the share by one step, if `elapsed` µs since the last increase are enough."""
+        """Decrease the spill by one step if the last increase, `elapsed` µs ago, is old enough."""
         if self.spill > MOSTLY_REMOTE and elapsed >= RESTORE_DELAY_US:
             local = max(PROBE_FRACTION, 1 - self.spill) * PROBE_GROWTH
             self.spill = max(0.0, 1 - local)
@@ -119,11 +117,11 @@
             self.spill = max(0.0, self.spill - SPILL_DECREASE)
 
     def staleness_factor(self, now: int) -> float:
-        """The fraction of a plan's spillover that counts, by the plan's age: it may be outdated."""
+        """Return the factor on the plan's spillover, which falls with age: the plan may be outdated."""
         return 0.5 ** min(2, (now - self.plan_received_at) // PLAN_STALE_AFTER_US)
 
     def refill_spillover(self, now: int) -> None:
-        """Set what may go to each other zone until the next update: this router's share of the plan's."""
+        """Set this router's part of the plan's spillover to each other zone until the next update."""
         interval_s = UPDATE_INTERVAL_US / MICROSECONDS_PER_SECOND
         share = interval_s / self.router_count * self.staleness_factor(now)
         self.spillover_left = {
@@ -131,7 +129,7 @@
         }
 
     def choose_zone(self, now: int, time_left: int, usual_latency: int) -> str | None:
-        """Choose the zone of a first attempt; None if nobody can serve it, and it is rejected here.
+        """Choose the zone of a first attempt; None if no zone can serve it and the router must reject it.
 
         Args:
             now: µs of the router's clock.
@@ -151,7 +149,7 @@
         return self.zone if can_serve_locally else None
 
     def choose_remote_zone(self, slack: int) -> str | None:
-        """The nearest zone with spillover left whose round trip is shorter than `slack` µs."""
+        """Return the nearest zone with spillover left and a round trip shorter than `slack` µs."""
         own = self.zones.get(self.zone)
         round_trips = own.round_trips if own else {}
         candidates = [
--- a/lichencleat/failover/messages.py
+++ b/lichencleat/failover/messages.py
@@ -1,4 +1,4 @@
-"""Zones, the routing plan and health reports, and the commands and replies about them.
+"""Zones, the routing plan and health reports, with the commands and replies about them.
 
 All structs are stored or sent as arrays: fields are never moved or dropped, and tags never change.
 """
@@ -9,21 +9,21 @@
 
 import msgspec
 
-JOB = "zones"  # the job of the fleet whose lease holder publishes the routing plan
+JOB = "zones"  # the holder of this job's lease publishes the routing plan
 STATE_PART = "zones"  # the name of this part of the replicated state
 HISTORY_QUERY = "history"  # reads the plans before the current one
 MAX_ZONES = 32
-MAX_ROUTERS = 1_024  # that report
-MAX_HISTORY = 64  # plans that are kept to be shown
+MAX_ROUTERS = 1_024  # reporting routers that are stored
+MAX_HISTORY = 64  # former plans that are kept
 
 
 class ZoneRole(IntEnum):
     """What a zone does under a plan. The numbers are stored: never reassigned."""
 
     ACTIVE = 1  # it serves its own callers and spillover from other zones
-    DRAINING = 2  # its own callers are sent to other zones; it finishes what it has
-    STANDBY = 3  # no spillover is sent to it; its own routers serve what they can
-    FENCED = 4  # nothing is sent to it, by an operator's override
+    DRAINING = 2  # its callers are sent to other zones; it finishes requests in flight
+    STANDBY = 3  # it gets no spillover; its own routers serve what they can
+    FENCED = 4  # it gets no requests, by an operator's override
 
     @property
     def label(self) -> str:
@@ -43,33 +43,33 @@
     """A zone of the service."""
 
     region: str
-    capacity: float  # requests a second that it is known to serve
-    round_trips: dict[str, int] = {}  # µs to other zones and back
+    capacity: float  # requests per second that the zone is known to serve
+    round_trips: dict[str, int] = {}  # µs, by other zone
 
 
 class RoutingPlan(msgspec.Struct, frozen=True, array_like=True):
-    """Who serves what. A zone that is not named serves its own callers and gets no spillover."""
+    """Roles and limits of the zones. An unnamed zone serves its own callers and gets no spillover."""
 
     version: int = 0
     fencing_token: int = 0  # of the leader that published it
     roles: dict[str, int] = {}  # by zone, a `ZoneRole`
-    spillover: dict[str, float] = {}  # requests a second that each zone may get from all others together
-    shed: dict[str, float] = {}  # fraction of a zone's own arrivals that nobody can serve: rejected there
+    spillover: dict[str, float] = {}  # by zone: requests per second from all other zones together
+    shed: dict[str, float] = {}  # by zone: fraction of its arrivals to reject, as no zone can serve them
     reason: str = ""
 
     def role(self, zone: str) -> ZoneRole:
-        """The role of `zone`."""
+        """Return the role of `zone`."""
         return ZoneRole(self.roles.get(zone, ZoneRole.ACTIVE))
 
 
 class ZoneObservation(msgspec.Struct, frozen=True, array_like=True):
-    """What a router observed of one zone in its last interval, counting first attempts only."""
+    """A router's observation of one zone in the last interval; only first attempts count."""
 
     sent: int
     succeeded: int  # served in time
     rejected: int
-    lost: int  # late, failed, or never answered
-    latency: int  # µs, median of those that were answered
+    lost: int  # late, failed or unanswered
+    latency: int  # µs, median of the answered attempts
 
 
 class HealthReport(msgspec.Struct, frozen=True, array_like=True, tag="tell"):
@@ -77,13 +77,13 @@
 
     router: str
     zone: str
-    plan_version: int  # the newest that it knows
-    offered: float  # requests a second that arrive at it
+    plan_version: int  # newest plan that the router knows
+    offered: float  # requests per second that arrive at the router
     observations: dict[str, ZoneObservation]  # by zone
 
 
 class DefineZone(msgspec.Struct, frozen=True, array_like=True, tag="define"):
-    """From an operator: a zone exists, or its properties change."""
+    """From an operator: add a zone, or change its properties."""
 
     zone: str
     region: str
@@ -92,36 +92,36 @@
 
 
 class DropZone(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """From an operator: a zone no longer exists."""
+    """From an operator: remove a zone."""
 
     zone: str
 
 
 class OperatorOverride(msgspec.Struct, frozen=True, array_like=True, tag="wish"):
-    """From an operator: a zone has a role, for a duration or until it is cleared (0)."""
+    """From an operator: give a zone a role, for a duration or until the override is cleared."""
 
     zone: str
     role: int
-    duration: int = 0  # µs, counted by the leader: a drill ends although its terminal died
+    duration: int = 0  # µs, 0: until cleared; timed by the leader, so that a drill ends without its terminal
 
 
 class ClearOverride(msgspec.Struct, frozen=True, array_like=True, tag="unwish"):
-    """From an operator, or from the leader when the duration is over."""
+    """From an operator, or from the leader when an override has expired: clear the override."""
 
     zone: str
-    index: int = 0  # log index of the override that is meant, 0: whichever there is
+    index: int = 0  # log index of the override, 0: whichever is in force
 
 
 class PublishPlan(msgspec.Struct, frozen=True, array_like=True, tag="give"):
-    """From the leader: a plan in place of the one that it has read."""
+    """From the leader: replace the plan that the leader has read."""
 
     fencing_token: int
-    previous_version: int  # rejected if another plan was published since
+    previous_version: int  # version of that plan; rejected if another one was published since
     plan: RoutingPlan
 
 
 class UpdateCapacity(msgspec.Struct, frozen=True, array_like=True, tag="learn"):
-    """From the leader: the capacity of a zone as observed."""
+    """From the leader: the observed capacity of a zone."""
 
     fencing_token: int
     zone: str
@@ -137,7 +137,7 @@
     """An override in force."""
 
     role: int
-    duration: int  # µs, 0: until it is cleared
+    duration: int  # µs, 0: until cleared
     index: int  # of its log entry
 
 
@@ -152,7 +152,7 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
-    """Whether a command was applied, and if not, why."""
+    """Whether a command was applied, with the reason if it was rejected."""
 
     accepted: bool
     reason: str = ""
--- a/lichencleat/failover/outlier_ejection.py
+++ b/lichencleat/failover/outlier_ejection.py
@@ -1,7 +1,7 @@
-"""Outlier ejection: which nodes of a zone a router avoids for a while, by the outcome of attempts; no I/O.
+"""Outlier ejection: a router avoids nodes of a zone whose attempts fail, for a limited time; no I/O.
 
-As in Envoy, with the same risk: a node whose last attempts mostly failed is ejected, for longer each time;
-its load falls on the others, so never more than a bounded part of a zone is ejected.
+As in Envoy: a node whose last attempts mostly failed is ejected, each time for longer. Its load moves to the
+other nodes, so at most a fixed fraction of a zone's nodes is ejected at once.
 """
 
 from __future__ import annotations
@@ -9,20 +9,20 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-MAX_OUTCOMES = 10  # last attempts of a node: some hundred ms of a busy one
-MIN_OUTCOMES = 5  # attempts below which a node is not judged
-FAILURE_THRESHOLD = 0.5  # fraction of them that failed
-BASE_EJECTION_US = 1_000_000  # doubled with each ejection in a row
+MAX_OUTCOMES = 10  # last attempts of a node: some 100 ms of a busy node
+MIN_OUTCOMES = 5  # with fewer, a node is not judged
+FAILURE_THRESHOLD = 0.5  # of the last attempts of a node
+BASE_EJECTION_US = 1_000_000  # doubled with each further ejection in a row
 MAX_EJECTION_US = 60_000_000
 MAX_EJECTED_FRACTION = 1 / 3  # of a zone's nodes at once
-FORGET_AFTER_US = 30_000_000  # after an ejection: the next one is a first one again
+FORGET_AFTER_US = 30_000_000  # after the end of an ejection, the next one has the base duration
 
 
 @dataclass(slots=True)
 class NodeHealth:
-    """What a router knows of one node."""
+    """The last outcomes and ejections of one node."""
 
-    outcomes: deque[bool] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))  # succeeded
+    outcomes: deque[bool] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))  # True: success
     ejected_until: int = 0  # µs
     ejections: int = 0  # in a row
 
@@ -34,7 +34,7 @@
         self.nodes: dict[str, NodeHealth] = {}
 
     def set_nodes(self, names: list[str]) -> None:
-        """Set which nodes belong to the zone; others are forgotten."""
+        """Set the nodes of the zone; the health of other nodes is dropped."""
         self.nodes = {name: self.nodes.get(name) or NodeHealth() for name in names}
 
     def record_outcome(self, now: int, node: str, succeeded: bool) -> None:
@@ -57,7 +57,7 @@
         return ejected + 1 <= MAX_EJECTED_FRACTION * len(self.nodes)
 
     def eject(self, now: int, health: NodeHealth) -> None:
-        """Eject a node, twice as long as the time before."""
+        """Eject a node; each ejection in a row lasts twice as long as the previous one."""
         is_repeated = now - health.ejected_until < FORGET_AFTER_US
         health.ejections = health.ejections + 1 if is_repeated else 1
         duration = min(MAX_EJECTION_US, BASE_EJECTION_US * 2 ** (health.ejections - 1))
@@ -65,5 +65,5 @@
         health.outcomes.clear()
 
     def eligible(self, now: int) -> list[str]:
-        """The nodes that are not ejected at `now` (µs), in their order."""
+        """Return the nodes that are not ejected at `now` (µs), in the order in which they were set."""
         return [name for name, each in self.nodes.items() if now >= each.ejected_until]
--- a/lichencleat/failover/preview.py
+++ b/lichencleat/failover/preview.py
@@ -16,7 +16,7 @@
 ) -> RoutingPlan:
     """Return the plan that would follow if `zone` had `role` and nothing else changed.
 
-    Computed by the failover controller itself, from the replicated state that the other arguments give.
+    Computed by the failover controller from the replicated state that the other arguments hold.
     """
     controller = FailoverController(plan.fencing_token)
     for name in zones:
--- a/lichencleat/failover/state.py
+++ b/lichencleat/failover/state.py
@@ -31,7 +31,7 @@
 from lichencleat.leases.lease_state import LeaseState
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
-MAX_UTILIZATION = 1.0  # of a zone's capacity that a plan may fill with spillover: beyond it is rejected
+MAX_UTILIZATION = 1.0  # of a zone's capacity; a plan with more spillover is rejected
 
 
 class FailoverSnapshot(msgspec.Struct, array_like=True):
@@ -59,10 +59,10 @@
 class FailoverState:
     """The part of the replicated state that `messages.STATE_PART` names.
 
-    A plan comes into force in `publish_plan` only.
+    Only `publish_plan` puts a plan in force.
 
     Args:
-        jobs: The part of the same state that knows the leases; a command of the leader is rejected unless it
+        jobs: The leases, another part of the same state; a command of the leader is rejected unless it
             carries the newest fencing token.
     """
 
@@ -94,7 +94,7 @@
     def apply_to_zone(
         self, index: int, message: DropZone | OperatorOverride | ClearOverride | UpdateCapacity
     ) -> CommandReply:
-        """Apply a command about a zone that is known to exist."""
+        """Apply a command about an existing zone."""
         match message:
             case DropZone():
                 return self.drop_zone(message)
@@ -107,7 +107,7 @@
                 return self.update_capacity(message)
 
     def apply_report(self, index: int, report: HealthReport) -> RoutingPlan:
-        """Record a router's report; returns the newest plan."""
+        """Record a router's report; return the newest plan."""
         if report.router in self.routers or len(self.routers) < MAX_ROUTERS:
             self.routers[report.router] = RouterHealth(
                 zone=report.zone,
@@ -136,7 +136,7 @@
         return CommandReply(True)
 
     def clear_override(self, message: ClearOverride) -> CommandReply:
-        """Clear an override, unless another one than the one meant is in force."""
+        """Clear an override, unless the override in force is not the one that the command names."""
         override = self.overrides.get(message.zone)
         if override is None or (message.index and override.index != message.index):
             return CommandReply(False, "no such wish")
@@ -147,18 +147,18 @@
 
     def is_from_leader(self, message: PublishPlan | UpdateCapacity) -> bool:
         """Whether the command carries the newest fencing token of the job."""
-        # A leader that was suspended for longer than its lease would continue with an outdated view.
+        # Else a leader that was suspended for longer than its lease could continue with an outdated view.
         return self.jobs.is_current_token(JOB, message.fencing_token)
 
     def update_capacity(self, message: UpdateCapacity) -> CommandReply:
-        """Take over the capacity that the leader observed."""
+        """Store the capacity that the leader observed."""
         if not self.is_from_leader(message):
             return CommandReply(False, "an older owner's")
         self.zones[message.zone].capacity = message.capacity
         return CommandReply(True)
 
     def publish_plan(self, message: PublishPlan) -> CommandReply:
-        """Put a plan in force if it follows the current one, fits the capacities and keeps fences."""
+        """Put a plan in force if it follows the current plan, fits the capacities and keeps fenced zones."""
         if not self.is_from_leader(message):
             return CommandReply(False, "an older owner's")
         if message.previous_version != self.plan.version:
@@ -179,7 +179,7 @@
     # -- reads and snapshots ---------------------------------------------------------------------------
 
     def read(self, query: object) -> FailoverView | list[RoutingPlan]:
-        """Return the plans before the current one for `HISTORY_QUERY`, the rest of the state otherwise."""
+        """Return the former plans for `HISTORY_QUERY`, the rest of the state otherwise."""
         if query == HISTORY_QUERY:
             return self.history
         return {
@@ -190,11 +190,11 @@
         }
 
     def dump(self) -> FailoverSnapshot:
-        """Return the state in the form of a snapshot; it shares its parts with the live state."""
+        """Return a snapshot of the state; it shares its objects with the live state."""
         return FailoverSnapshot(self.zones, self.plan, self.routers, self.overrides, self.history)
 
     def load(self, dumped: msgspec.Raw) -> None:
-        """Replace the state by that of a snapshot."""
+        """Replace the state with a snapshot."""
         snapshot = decode_snapshot(dumped)
         self.zones = snapshot.zones
         self.plan = snapshot.plan
