--- a/benchmarks/keyed.py
+++ b/benchmarks/keyed.py
@@ -87,7 +87,7 @@
             node.start()
             wait_until(lambda: "LOADED" in node.said(), "the node", node.said)
             if on:
-                wait_until(lambda: "the book stands" in node.said(), "the book", node.said)
+                wait_until(lambda: "index loaded" in node.said(), "the index", node.said)
             load = Load(rig, node, seconds, {b"save": rate, b"look": PURE_RATE})
             time.sleep(seconds + 0.5)
             save, look = load.took[b"save"], load.took[b"look"]
--- a/lichencleat/idempotency/__init__.py
+++ b/lichencleat/idempotency/__init__.py
@@ -1,19 +1,19 @@
 """Durable idempotency records: requests with an idempotency key keep their results across restarts.
 
-Guarantees: a request with a key is handed to the interpreter only once its intent is durable, and is answered
-only once its result is. So within its window no restart makes it run a second time, and a repeat gets the
-same result or an error. Not guaranteed: that a repeat after a crash gets its result; where only the intent
-survived, the run may have happened, and nothing here proves more.
+Guarantees: a keyed request is sent to the interpreter only after its intent is durable, and is answered only
+after its result is durable. Within its window, no restart makes the request run a second time, and a repeat
+gets the same result or an error. Not guaranteed: that a repeat after a crash gets the result. If only the
+intent survived, the request may have run, and the records can't prove whether it did.
 
 `IdempotencyService` owns the store and composes:
 
-- `index`: what is known of each key, without I/O;
-- `writer`: writes, and the health of the disk;
-- `intents`: runs that wait for their intent, and their results;
+- `index`: the state of each key, without I/O;
+- `writer`: writes to the store, and the health of the disk;
+- `intents`: runs that wait for their intent, and the results of runs;
 - `lookups`: answers to repeats;
 - `earlier_runs`: runs of an earlier incarnation;
-- `node_time`: the clock that the windows are measured with.
+- `node_time`: the clock that measures the windows.
 
-`records` is the stored format, `ownership` guards against another node's directory. The design is described
+`records` defines the stored format; `ownership` rejects a directory of another node. The design is described
 in docs/idempotency.md.
 """
--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -22,20 +22,20 @@
 from lichencleat.store.store import open_store
 
 MEGABYTE = 1 << 20
-SEGMENT_BYTES = 4 << 20  # a record lives some ten seconds, so whole segments are soon free
-LIVE_SHARE = 0.5  # of the disk's bytes for live records: compaction needs the rest
-EXTRA_ENTRIES = 16  # of the store, beside those of idempotency keys
+SEGMENT_BYTES = 4 << 20  # records expire after some 10 s, so that whole segments soon become free
+LIVE_SHARE = 0.5  # of the disk's bytes for live records; compaction needs the rest
+EXTRA_ENTRIES = 16  # entries of the store besides the idempotency records
 
 
 class Interpreter(Protocol):
-    """The interpreter's connection, as far as the service has to know it."""
+    """The part of the interpreter's connection that the service uses."""
 
-    early: dict[bytes, tuple[Outcome, int, bytes]] | None  # ends of runs not known here yet, where kept
-    began: Callable[[int], None] | None  # called with the interpreter's age, µs
+    early: dict[bytes, tuple[Outcome, int, bytes]] | None  # ends of unadopted runs, if kept
+    began: Callable[[int], None] | None  # called with the interpreter's age in µs
 
 
 class NodeParts(Protocol):
-    """The parts of a node that the service works with."""
+    """The parts of a node that the service uses."""
 
     host: RequestEngine
     deadlines: Timers
@@ -46,7 +46,7 @@
 def create_service(
     node: NodeParts, name: str, config: IdempotencyConfig, clock: Callable[[], int]
 ) -> IdempotencyService:
-    """Creates the service of a node; requests with a key wait until it is started."""
+    """Creates the service of a node; keyed requests wait until the service has started."""
     index = RecordIndex(config.entries, round(config.disk_mb * MEGABYTE * LIVE_SHARE))
     service = IdempotencyService(name, node.host, node.deadlines, node.report, clock, index)
     node.interpreter.early = {}
@@ -61,7 +61,7 @@
     config: IdempotencyConfig,
     clock: Callable[[], int],
 ) -> Generator[Deferred[Any], Any, None]:
-    """Opens the store and starts the service on it. Fails with ServiceStartError."""
+    """Opens the store and starts the service; fails with ServiceStartError."""
     directory = config.directory
     bounds = StoreLimits(
         segment_bytes=SEGMENT_BYTES,
--- a/lichencleat/idempotency/earlier_runs.py
+++ b/lichencleat/idempotency/earlier_runs.py
@@ -1,4 +1,4 @@
-"""Runs of an earlier incarnation: repeats wait until the interpreter reports them, or can't any more."""
+"""Runs of an earlier incarnation: their repeats wait while the interpreter may still report the run."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from lichencleat.idempotency.node_time import NodeTime
 from lichencleat.idempotency.writer import RecordWriter
 
-# After the last heartbeat by the system's clock: an interpreter that started later knows no earlier run.
+# After the last heartbeat, by the system clock: an interpreter that started later has no earlier runs.
 HEARTBEAT_MARGIN_US = 2_000_000
 
 
 class EarlierRuns:
-    """Adopts the runs of an earlier incarnation and answers the repeats that wait for them."""
+    """Adopts the runs of an earlier incarnation, and answers repeats that wait for them."""
 
     def __init__(
         self,
@@ -44,17 +44,17 @@
         self._discard_if_interpreter_is_new()
 
     def wait_for(self, key: bytes, case: PendingRequest) -> None:
-        """Answers a repeat once the run of its key is reported."""
+        """Queues a repeat until the run of its key is reported."""
         self._waiting.setdefault(key, []).append(case)
 
     def on_interpreter_started(self, age: int) -> None:
-        """The interpreter started `age` µs ago; called on each connection, also before loading."""
+        """Handles a connected interpreter that started `age` µs ago, also before the index is loaded."""
         self._interpreter_started_at = self._timers.now() - age
         if self._index.is_loaded:
             self._discard_if_interpreter_is_new()
 
     def discard_overdue(self) -> None:
-        """Ends the wait for runs past their deadline."""
+        """Answers repeats whose run is past its deadline with an error."""
         for key in self._index.discard_overdue_runs(self._time.now()):
             self._answer_waiting(key, None)
 
@@ -76,10 +76,10 @@
             self._engine.end_share(case, result)
 
     def _discard_if_interpreter_is_new(self) -> None:
-        """Ends all waits where the interpreter started after the earlier runs.
+        """Answers all waiting repeats with an error if the interpreter started after the earlier runs.
 
-        That is: in this incarnation, or by the system's clock after the last heartbeat of the earlier one. A
-        clock that was set can at worst end a wait too early.
+        This holds if the interpreter started during this incarnation, or after the last heartbeat of the
+        earlier incarnation by the system clock. If the clock was set, a wait may end too early; no worse.
         """
         started_at = self._interpreter_started_at
         if started_at is None or not self._index.earlier_runs:
@@ -88,7 +88,7 @@
         started_here = started_at >= self._time.started_at
         if started_here or started_unix > self._time.last_heartbeat_unix + HEARTBEAT_MARGIN_US:
             count = len(self._index.earlier_runs)
-            self._report.note(f"keyed: a new interpreter: {count} intents stay without a result")
+            self._report.note(f"keyed: the interpreter is new: {count} intents stay without a result")
             self._index.discard_earlier_runs()
             for key in list(self._waiting):
                 self._answer_waiting(key, None)
--- a/lichencleat/idempotency/errors.py
+++ b/lichencleat/idempotency/errors.py
@@ -4,7 +4,7 @@
 
 
 class IdempotencyError(Exception):
-    """Base of this package's errors: one line that says what is wrong and what to do."""
+    """Base of this package's errors; the message is one line with the problem and its remedy."""
 
 
 class ForeignDirectoryError(IdempotencyError):
--- a/lichencleat/idempotency/index.py
+++ b/lichencleat/idempotency/index.py
@@ -1,4 +1,4 @@
-"""Index of the idempotency records: what is known of each key, what a repeat gets, what expires.
+"""Index of the idempotency records: state of each key, answers to repeats, expiry.
 
 No I/O; times are µs of the node's own time (see `node_time`).
 """
@@ -13,35 +13,35 @@
 
 from lichencleat.idempotency.records import IdempotencyRecord, RecordState
 
-READ_DELAY_US = 10_000_000  # a record outlives its window: requests that arrived in time may be read later
-MAX_CACHED_RESULT_BYTES = 4 << 20  # results kept in memory; the others are read back
-RECORD_OVERHEAD_BYTES = 160  # on disk beside a result: names, times, frames
-MAX_EXPIRED_PER_SWEEP = 2_000  # removed at once, each second: some ms
-COMPLETION_DELAY_US = 1_000_000  # past its due time, the interpreter has reported a run if it ever does
+READ_DELAY_US = 10_000_000  # a record outlives its window: requests that arrived in it may be read later
+MAX_CACHED_RESULT_BYTES = 4 << 20  # results kept in memory; others are read from disk
+RECORD_OVERHEAD_BYTES = 160  # on disk, besides the result: names, times, frames
+MAX_EXPIRED_PER_SWEEP = 2_000  # removed per sweep, once per second; takes some ms
+COMPLETION_DELAY_US = 1_000_000  # after a run's due time; later reports are not expected
 
 
 class LookupResult(Enum):
-    """What is known of an arriving request. The values are parts of counter names."""
+    """The state of an arriving request's key. The values are parts of counter names."""
 
-    NEW = "new"  # nothing is known of its key, or no more
-    DIFFERENT_BODY = "other"  # the key was used before with another body
-    COMPLETED = "result"  # a repeat of one that ran, and whose result is stored
-    FAILED = "failed"  # a repeat of one that ran and failed
-    AWAITED = "awaited"  # a repeat of one of an earlier incarnation that may still be running
-    UNKNOWN = "unknown"  # a repeat of one that may have run; nothing will prove it
+    NEW = "new"  # the key is unknown, or its window has ended
+    DIFFERENT_BODY = "other"  # the key was used with another body
+    COMPLETED = "result"  # a repeat of a request that completed; its result is stored
+    FAILED = "failed"  # a repeat of a request that ran and failed
+    AWAITED = "awaited"  # a repeat of an earlier incarnation's request that may still be running
+    UNKNOWN = "unknown"  # a repeat of a request that may have run; this can't be determined
 
 
 @dataclass(slots=True)
 class EarlierRun:
-    """An intent of an earlier incarnation, whose run the interpreter may still report."""
+    """An intent of an earlier incarnation whose run the interpreter may still report."""
 
     key: bytes
     record: IdempotencyRecord
-    deadline: int  # a report after this is not expected
+    deadline: int  # no report is expected afterwards
 
 
 class IndexRow(NamedTuple):
-    """What is kept in memory of a record."""
+    """The fields of a record that are kept in memory."""
 
     state: int
     expires: int
@@ -49,11 +49,11 @@
     result_size: int
 
 
-ROW_FORMAT = struct.Struct("<BQ16sI")  # of an IndexRow: as objects they would take four times the memory
+ROW_FORMAT = struct.Struct("<BQ16sI")  # of an IndexRow, packed: as objects, rows take four times the memory
 
 
 class RecordIndex:
-    """All records by key, within bounds of number and bytes; a cache of results; the earlier runs."""
+    """All records by key, bounded in number and bytes, with a result cache and the earlier runs."""
 
     def __init__(
         self, max_records: int, max_bytes: int, max_cached_bytes: int = MAX_CACHED_RESULT_BYTES
@@ -61,15 +61,15 @@
         self.max_records = max_records
         self.max_bytes = max_bytes  # on disk, estimated
         self.max_cached_bytes = max_cached_bytes
-        self.rows: dict[bytes, bytes] = {}  # packed IndexRow by record key; roughly by age
+        self.rows: dict[bytes, bytes] = {}  # packed IndexRow by record key, roughly in order of age
         self.disk_bytes = 0  # estimated
         self.result_cache: OrderedDict[bytes, bytes] = OrderedDict()
         self.cached_bytes = 0
         self.earlier_runs: dict[bytes, EarlierRun] = {}  # by run id
-        self.is_loaded = False  # everything that the disk holds was read
+        self.is_loaded = False  # all stored records have been read
 
     def look_up(self, key: bytes, body_digest: bytes, arrived: int) -> LookupResult:
-        """Returns what is known of a request with that key and body that arrived then."""
+        """Returns the state of `key` for a request with that body that arrived at `arrived`."""
         row = self._row(key)
         if row is None or arrived > row.expires:
             return LookupResult.NEW
@@ -84,18 +84,18 @@
         return LookupResult.UNKNOWN
 
     def has_capacity(self) -> bool:
-        """Whether one more record fits; a record in its window is never evicted."""
+        """Whether another record fits; records in their window are never evicted."""
         return len(self.rows) < self.max_records and self.disk_bytes + RECORD_OVERHEAD_BYTES <= self.max_bytes
 
     def put(self, key: bytes, record: IdempotencyRecord) -> None:
-        """Adds or replaces a record that is stored or being written."""
+        """Adds or replaces a record that is stored or is being written."""
         self.remove(key)
         self._add_row(key, record)
         if record.result:
             self.cache_result(key, record.result)
 
     def remove(self, key: bytes) -> None:
-        """Removes a record, if it is there."""
+        """Removes a record if it exists."""
         row = self._row(key)
         if row is None:
             return
@@ -104,7 +104,7 @@
         self.cached_bytes -= len(self.result_cache.pop(key, b""))
 
     def cache_result(self, key: bytes, result: bytes) -> None:
-        """Caches a result; not one read back twice at once, or whose record is gone meanwhile."""
+        """Caches a result, unless it is cached already or its record has been removed since."""
         if key in self.result_cache or key not in self.rows:
             return
         self.result_cache[key] = result
@@ -114,7 +114,7 @@
             self.cached_bytes -= len(evicted)
 
     def cached_result(self, key: bytes) -> bytes | None:
-        """Returns the result of a known key, or None where it has to be read; an empty one is always here."""
+        """Returns the result of a known key; None if it must be read. Empty results are always known."""
         if key in self.result_cache:
             self.result_cache.move_to_end(key)
             return self.result_cache[key]
@@ -122,7 +122,7 @@
         return b"" if row is not None and row.result_size == 0 else None
 
     def remove_expired(self, now: int) -> list[bytes]:
-        """Removes records past their window and the read delay, oldest first; returns their keys."""
+        """Removes records past window and read delay, oldest first, and returns their keys."""
         expired: list[bytes] = []
         for key, packed in self.rows.items():
             row = IndexRow(*ROW_FORMAT.unpack(packed))
@@ -134,28 +134,28 @@
         return expired
 
     def restore(self, key: bytes, record: IdempotencyRecord, now: int) -> bool:
-        """Adds a record of an earlier incarnation as it was read; returns whether it is still of use."""
+        """Adds a stored record of an earlier incarnation; returns False if it has expired."""
         if key in self.rows:
-            return True  # what this incarnation has written since is newer
+            return True  # a record of this incarnation is newer
         if record.expires + READ_DELAY_US < now:
             return False
-        self._add_row(key, record)  # the result itself is read when asked for
+        self._add_row(key, record)  # the result is read on demand
         deadline = record.due + COMPLETION_DELAY_US
         if record.state == RecordState.OPEN and deadline > now:
             self.earlier_runs[record.run_id] = EarlierRun(key, record, deadline)
         return True
 
     def discard_earlier_runs(self) -> None:
-        """Expects no report of any earlier run: the interpreter started after them."""
+        """Drops all earlier runs, because the interpreter started after them."""
         self.earlier_runs.clear()
 
     def discard_overdue_runs(self, now: int) -> list[bytes]:
-        """Expects no report of runs past their deadline; returns their keys."""
+        """Drops earlier runs past their deadline, and returns their keys."""
         overdue = [run_id for run_id, run in self.earlier_runs.items() if run.deadline <= now]
         return [self.earlier_runs.pop(run_id).key for run_id in overdue]
 
     def resolve_earlier_run(self, run_id: bytes) -> EarlierRun | None:
-        """Removes and returns the run that the interpreter has reported."""
+        """Removes and returns the earlier run that the interpreter reported, None if it is unknown."""
         return self.earlier_runs.pop(run_id, None)
 
     def _row(self, key: bytes) -> IndexRow | None:
--- a/lichencleat/idempotency/intents.py
+++ b/lichencleat/idempotency/intents.py
@@ -1,4 +1,4 @@
-"""Intents before runs, results before answers: the records of requests that this incarnation runs."""
+"""Records of this incarnation's requests: the intent before the run, the result before the answer."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 @dataclass(slots=True)
 class PendingStart:
-    """A run that waits for its intent to be durable."""
+    """A run that waits until its intent is durable."""
 
     case: PendingRequest
     since: int  # µs of the monotonic clock when the intent was written
     is_confirmed: bool = False
-    is_requested: bool = False  # the admission controller has started it
+    is_requested: bool = False  # the admission controller has started the run
 
 
 @dataclass(frozen=True, slots=True)
 class OpenRecord:
-    """The intent of a run that is not over."""
+    """The intent of a run that has not ended."""
 
     key: bytes
     record: IdempotencyRecord
 
 
 def complete_record(record: IdempotencyRecord, outcome: Outcome, result: bytes) -> IdempotencyRecord:
-    """Returns the record of an intent whose run is over, with the result if it completed."""
+    """Returns the record of an intent whose run has ended, with the result if the run completed."""
     is_completed = outcome is Outcome.COMPLETED
     return msgspec.structs.replace(
         record,
@@ -46,7 +46,7 @@
 
 
 class IntentLog:
-    """Runs from their intent to their result."""
+    """Records the intent and the result of each run, and starts the run between them."""
 
     def __init__(
         self,
@@ -66,10 +66,10 @@
         self._report = report
         self._on_capacity_changed = on_capacity_changed
         self._open_records: dict[Request, OpenRecord] = {}
-        self.pending_starts: dict[Request, PendingStart] = {}  # at most what the node lets run
+        self.pending_starts: dict[Request, PendingStart] = {}  # bounded by the node's running limit
 
     def record_intent(self, case: PendingRequest, window: int) -> None:
-        """Writes an intent; what arrives in the next `window` µs is a repeat of this request."""
+        """Writes an intent; the same key within the next `window` µs is a repeat of this request."""
         request = case.request
         key, body_digest = split_request_key(case.key)
         record = IdempotencyRecord(
@@ -94,7 +94,7 @@
     def start_run(self, case: PendingRequest) -> None:
         """Starts a run as soon as its intent is confirmed."""
         start = self.pending_starts.get(case.request)
-        if start is None:  # withdrawn in the same turn
+        if start is None:  # withdrawn in the same reactor turn
             self._timers.after(0, self._engine.not_begun, case)
             return
         start.is_requested = True
@@ -102,12 +102,12 @@
             self._begin_run(start)
 
     def delete_intent(self, request: Request) -> None:
-        """Deletes the record of a request that ended without a run: a repeat of it is new."""
+        """Deletes the record of a request that ended without a run; a repeat then counts as new."""
         self.pending_starts.pop(request, None)
         self._delete_record(request)
 
     def withdraw_late_starts(self, now: int) -> None:
-        """Gives up starts whose intent takes too long; `now` is of the monotonic clock."""
+        """Withdraws starts whose intent takes too long; `now` is µs of the monotonic clock."""
         late = [start for start in self.pending_starts.values() if now - start.since > SLOW_WRITE_US]
         for start in late:
             if not start.is_confirmed:
@@ -116,10 +116,10 @@
     def on_run_completed(
         self, case: PendingRequest, outcome: Outcome, result: bytes, on_recorded: Callable[[], None]
     ) -> None:
-        """Records a run's result; `on_recorded` is called once it is durable, or can't be.
+        """Records a run's result; `on_recorded` is called when it is durable or its write has failed.
 
-        Where the disk fails, the result is answered all the same: the run happened, and to hold the answer
-        back helps nobody. A repeat after a restart then gets an error.
+        If the disk fails, the caller gets the result all the same, because the run has happened. A repeat
+        after a restart then gets an error.
         """
         known = self._open_records.pop(case.request, None)
         if known is None:
@@ -129,28 +129,28 @@
         self._writer.write_result(known.key, completed).addBoth(lambda _: on_recorded())
 
     def on_run_lost(self, case: PendingRequest) -> None:
-        """Keeps the intent of a run whose end proves nothing."""
+        """Keeps the intent of a run whose outcome is unknown."""
         self._open_records.pop(case.request, None)
 
     def _on_intent_written(self, _: None, start: PendingStart) -> None:
         if self.pending_starts.get(start.case.request) is not start:
-            return  # it was withdrawn meanwhile, and its record is deleted
+            return  # withdrawn meanwhile, and the record is deleted
         start.is_confirmed = True
         if start.is_requested:
             self._begin_run(start)
 
     def _on_intent_failed(self, failure: Failure, start: PendingStart) -> None:
-        self._timers.after(0, self._withdraw, start)  # the engine takes inputs after the current round
+        self._timers.after(0, self._withdraw, start)  # the engine accepts inputs after its current round
 
     def _begin_run(self, start: PendingStart) -> None:
         del self.pending_starts[start.case.request]
         if start.case.open:
             self._engine.begin_run(start.case)
-        else:  # its caller has gone, or had its answer: nothing ran
+        else:  # the caller has gone or is answered; nothing ran
             self._engine.never_began(start.case)
 
     def _withdraw(self, start: PendingStart) -> None:
-        """Gives up a start whose intent is not confirmed in time: nothing ran, and the record is deleted."""
+        """Withdraws a start whose intent was not confirmed in time: nothing runs, the record is deleted."""
         case = start.case
         if self.pending_starts.get(case.request) is not start:
             return
--- a/lichencleat/idempotency/interfaces.py
+++ b/lichencleat/idempotency/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces of what the service works with: the node's request engine, timers and report."""
+"""Interfaces of the node's parts that the service uses: request engine, timers and report."""
 
 from __future__ import annotations
 
@@ -7,47 +7,47 @@
 
 from lichencleat.admission.types import Outcome, Request
 
-RunCallback = Callable[[Outcome, int, bytes], None]  # outcome, µs that the run took, result
+RunCallback = Callable[[Outcome, int, bytes], None]  # outcome, run time in µs, result
 
 
 class PendingRequest(Protocol):
-    """A request in flight, as far as this package has to know it."""
+    """The part of a request in flight that this package uses."""
 
     request: Request
-    ident: bytes  # of its run, at the interpreter
+    ident: bytes  # run id at the interpreter
     key: bytes  # the caller's key followed by the digest of request class and body
-    open: bool  # its caller still waits for the answer
+    open: bool  # the caller still waits for the answer
 
 
 class RequestEngine(Protocol):
-    """What goes on with a request once the disk has answered; `node.host.Host` implements it."""
+    """Continues a request after the disk has answered; `node.host.Host` implements it."""
 
     def takes(self, case: PendingRequest) -> None:
-        """Goes on with a request that was held until the index was loaded."""
+        """Continues a request that was held until the index was loaded."""
 
     def refuses(self, case: PendingRequest) -> None:
-        """Answers with an error."""
+        """Answers the request with an error."""
 
     def begin_run(self, case: PendingRequest) -> None:
-        """Starts the run: its intent is durable."""
+        """Starts the run of a request whose intent is durable."""
 
     def not_begun(self, case: PendingRequest) -> None:
         """Rejects a request whose intent was not confirmed in time."""
 
     def never_began(self, case: PendingRequest) -> None:
-        """Closes a request whose caller has gone before the run."""
+        """Closes a request whose caller has gone or was answered before the run."""
 
     def end_share(self, case: PendingRequest, result: bytes | None) -> None:
-        """Answers a repeat with the result, or with an error for None."""
+        """Answers a repeat with the result, or with an error if the result is None."""
 
     def may_record(self, able: bool) -> None:
-        """Admits requests with a key, or rejects them for now."""
+        """Sets whether keyed requests are admitted."""
 
     def adopts(self, ident: bytes, ended: RunCallback) -> None:
         """Subscribes to the end of a run of an earlier incarnation."""
 
     def adopts_no_more(self) -> None:
-        """Drops what the interpreter said of other earlier runs."""
+        """Drops the interpreter's reports about other earlier runs."""
 
 
 class Timers(Protocol):
@@ -57,7 +57,7 @@
         """µs of the monotonic clock."""
 
     def after(self, span: int, call: Callable[..., object], *values: object) -> object:
-        """Calls in `span` µs; with 0 after the current turn of the reactor."""
+        """Calls `call` in `span` µs; 0 means after the current reactor turn."""
 
 
 class Report(Protocol):
--- a/lichencleat/idempotency/lookups.py
+++ b/lichencleat/idempotency/lookups.py
@@ -13,7 +13,7 @@
 
 
 class RecordLookup:
-    """Tells new requests from repeats, and answers the repeats of earlier incarnations' requests."""
+    """Distinguishes new requests from repeats, and answers repeats from the stored records."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         self._report = report
 
     def admit(self, case: PendingRequest) -> bool:
-        """Marks a request as new or a repeat; returns False where it was refused: a key with another body."""
+        """Marks a request as new or a repeat; rejects a key with another body and returns False."""
         found = self._look_up(case)
         if found is LookupResult.DIFFERENT_BODY:
             self._report.count("keyed", "keys with another body")
@@ -84,5 +84,5 @@
         self._writer.store.get(key).addCallbacks(on_read, on_read_failed)
 
     def _answer_after_round(self, case: PendingRequest, result: bytes | None) -> None:
-        """Answers in the next turn: the engine takes inputs after its current round."""
+        """Answers in the next reactor turn: the engine accepts inputs after its current round."""
         self._timers.after(0, self._engine.end_share, case, result)
--- a/lichencleat/idempotency/node_time.py
+++ b/lichencleat/idempotency/node_time.py
@@ -1,7 +1,7 @@
-"""The node's own time: it continues from its last heartbeat and stands still while the node is down.
+"""The node's own time: it continues from the last heartbeat and does not advance while the node is down.
 
-Whatever the system's clock did meanwhile, no idempotency window ends too early; records stay longer by the
-time that the node was down.
+No idempotency window ends too early, even if the system clock was set meanwhile. The cost: records are kept
+longer by the node's downtime.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
     def __init__(self, timers: Timers, unix_clock: Callable[[], int]) -> None:
         self._timers = timers
         self._unix_clock = unix_clock
-        self._origin = 0  # own time at `started_at`
+        self._origin = 0  # node time at `started_at`
         self.started_at = timers.now()  # of the monotonic clock
         self.last_heartbeat_unix = 0  # of the earlier incarnation
 
@@ -31,15 +31,15 @@
         self.started_at = self._timers.now()
 
     def now(self) -> int:
-        """The node's own time."""
+        """Returns the node's own time."""
         return self._origin + self._timers.now() - self.started_at
 
     def unix_now(self) -> int:
-        """Unix time by the system's clock."""
+        """Returns Unix time by the system clock."""
         return self._unix_clock()
 
     def from_unix(self, unix_time: int) -> int:
-        """Converts a Unix time, by the system's clock as it is now."""
+        """Converts Unix time to node time, by the current system clock."""
         return self.now() - (self._unix_clock() - unix_time)
 
     def heartbeat(self) -> Heartbeat:
--- a/lichencleat/idempotency/ownership.py
+++ b/lichencleat/idempotency/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of the directory, checked before anything in it is trusted or written."""
+"""Checks the ownership of the directory before any record in it is trusted or written."""
 
 from __future__ import annotations
 
@@ -15,20 +15,20 @@
 
 
 def check_ownership(store: Store, node: str, directory_id: int) -> bytes | None:
-    """Checks that the directory is this node's and was not copied; `directory_id` is its inode.
+    """Checks that the directory belongs to this node and is no copy; `directory_id` is its inode.
 
-    A directory without the node's last window would let a request run a second time.
+    Prevents a second run of a request: another directory lacks the records of the node's last window.
 
     Returns:
-        The ownership record that is to be written, or None where it is there.
+        The ownership record to write, or None if it is stored already.
 
     Raises:
-        ForeignDirectoryError: it is another node's, a copy, or of another format.
+        ForeignDirectoryError: the directory belongs to another node, is a copy or has another format.
     """
     stored = store.engine.get(OWNERSHIP_KEY)
     if stored is None:
         if any(True for _ in store.scan(RECORD_PREFIX)):
-            problem = "it holds entries and names no node; name another directory"
+            problem = "the directory holds records but no owner; use another directory"
             raise ForeignDirectoryError(problem)
         return encode(Ownership(FORMAT_VERSION, node, directory_id))
     problem = _find_mismatch(decode_ownership(stored), node, directory_id)
@@ -38,17 +38,17 @@
 
 
 def _find_mismatch(stored: Ownership, node: str, directory_id: int) -> str:
-    """Returns what does not fit and what to do, or an empty text."""
+    """Returns the mismatch and its remedy, or an empty string."""
     if stored.format != FORMAT_VERSION:
         return (
-            f"it has format {stored.format}, and this program's is {FORMAT_VERSION}; "
-            "run the program that wrote it"
+            f"the records have format {stored.format}, this program reads format {FORMAT_VERSION}; "
+            "use the version that wrote them"
         )
     if stored.node != node:
-        return f"it belongs to the node {stored.node!r}, and this is {node!r}; name its own"
+        return f"the directory belongs to the node {stored.node!r}, not to {node!r}; use this node's own"
     if stored.directory_id != directory_id:
         return (
-            "it was copied or moved: what the last window ran may be missing; "
-            "where it is whole, 'lichencleat keyed adopt DIR' takes it on"
+            "the directory was copied or moved, and records of the last window may be missing; "
+            "if it is complete, accept it by 'lichencleat keyed adopt DIR'"
         )
     return ""
--- a/lichencleat/idempotency/service.py
+++ b/lichencleat/idempotency/service.py
@@ -1,7 +1,7 @@
-"""The idempotency service of a node: loads the records, holds arrivals meanwhile, keeps the heartbeat.
+"""The idempotency service of a node: loads the records, holds arrivals meanwhile, writes the heartbeat.
 
-Every wait for the disk ends: by the disk's answer, by the bound for a slow disk, or by the request's own
-deadline.
+Every wait for the disk ends: with the disk's answer, at the time limit for a slow disk, or at the request's
+own deadline.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
 from lichencleat.store.batch import Batch
 from lichencleat.store.store import Store
 
-HEARTBEAT_INTERVAL_US = 1_000_000  # also shows whether a disk that failed works again
-POLL_INTERVAL_US = 50_000  # between looks at what waits, while something does
-MAX_PENDING_ARRIVALS = 4_096  # requests that wait for the index, over all connections: some MB
-MAX_ARRIVAL_WAIT_US = 1_500_000  # for the index: most are loaded by then
-LOAD_CHUNK = 4_000  # records read at once at the start: the reactor is held up for some 15 ms
+HEARTBEAT_INTERVAL_US = 1_000_000  # also detects that a failed disk works again
+POLL_INTERVAL_US = 50_000  # between checks for expired waits, while requests or writes wait
+MAX_PENDING_ARRIVALS = 4_096  # requests that wait for the index, of all connections: some MB
+MAX_ARRIVAL_WAIT_US = 1_500_000  # for the index; most indexes are loaded by then
+LOAD_CHUNK = 4_000  # records read at once at the start; blocks the reactor for some 15 ms
 
 Get = Callable[[bytes], bytes | None]
 
 
 class PendingArrival(NamedTuple):
-    """A request that waits for the index to be loaded."""
+    """A request that waits until the index is loaded."""
 
     case: PendingRequest
     since: int  # µs of the monotonic clock
 
 
 class IdempotencyService:
-    """Owns the store and everything that waits for it; `close` gives all back."""
+    """Owns the store and the requests that wait for it; `close` releases the store."""
 
     def __init__(
         self,
@@ -76,10 +76,10 @@
         )
         self.index = index
         self.pending_arrivals: deque[PendingArrival] = deque()
-        # Others' records in the same store: read at the start, written with each heartbeat (True: the last).
+        # Other parts' records in the store: read at the start, written with each heartbeat (True: the last).
         self.on_opened: list[Callable[[Get], None]] = []
         self.heartbeat_records: list[Callable[[bool], tuple[bytes, bytes]]] = []
-        self._is_available: bool | None = None  # as the engine was told
+        self._is_available: bool | None = None  # as last set on the engine
         self._is_polling = False
         self._is_closed = False
         self._unwritten_ownership: bytes | None = None  # to be written with the next heartbeat
@@ -100,7 +100,7 @@
         self._on_index_loaded()
 
     def on_arrival(self, case: PendingRequest) -> bool:
-        """Returns whether the engine goes on with a request now; else it is answered or held here."""
+        """Returns whether the engine continues a request now; else the request is answered or held here."""
         if self.index.is_loaded:
             return self._lookup.admit(case)
         if len(self.pending_arrivals) >= MAX_PENDING_ARRIVALS or self._is_closed:
@@ -111,15 +111,15 @@
         return False
 
     def answer_repeat(self, case: PendingRequest) -> None:
-        """Answers a repeat whose first request is not in flight here."""
+        """Answers a repeat whose first request is not in flight on this node."""
         self._lookup.answer_repeat(case)
 
     def on_interpreter_started(self, age: int) -> None:
-        """The interpreter started `age` µs ago."""
+        """Handles a connected interpreter that started `age` µs ago."""
         self._earlier_runs.on_interpreter_started(age)
 
     def close(self) -> Deferred[None]:
-        """Closes after all answers; fires when all writes are durable and the directory is given back."""
+        """Closes the store; fires when all writes are durable and the directory is released."""
         self._is_closed = True
         store = self._writer.store
         if store is None:
@@ -129,13 +129,13 @@
         return store.close()
 
     def describe(self) -> str:
-        """Returns the state in one line, for the log."""
+        """Describes the state in one line, for the log."""
         index, writer = self.index, self._writer
         return (
-            f"{len(index.rows)} entries, {index.disk_bytes >> 10} KB, "
-            f"{len(index.earlier_runs)} open of before; "
-            f"{len(self.intents.pending_starts)} starts and {len(writer.in_flight)} writes wait, "
-            f"the last took {writer.last_write_us // 1000} ms; disk {self._describe_disk()}"
+            f"{len(index.rows)} records, {index.disk_bytes >> 10} KB, "
+            f"{len(index.earlier_runs)} earlier runs open; "
+            f"{len(self.intents.pending_starts)} starts and {len(writer.in_flight)} writes pending, "
+            f"the last write took {writer.last_write_us // 1000} ms; disk {self._describe_disk()}"
         )
 
     def _describe_disk(self) -> str:
@@ -159,7 +159,7 @@
         store.release(snapshot)
 
     def _restore(self, key: bytes, value: bytes, now: int) -> bool:
-        """Adds a stored record to the index; returns False where it is of no use."""
+        """Adds a stored record to the index; returns False if it has expired or can't be decoded."""
         try:
             return self.index.restore(key, decode_record(value), now)
         except UNDECODABLE:
@@ -172,7 +172,7 @@
         without_result = len(self.index.earlier_runs)
         self._earlier_runs.adopt_all()
         self._report.note(
-            f"keyed: the book stands with {records} entries, {without_result} of them without a result"
+            f"keyed: index loaded: {records} records, {without_result} of them without a result"
         )
         self._send_heartbeat()
         self._update_availability()
@@ -183,7 +183,7 @@
                 self._engine.takes(case)
 
     def _update_availability(self) -> None:
-        """Tells the engine, on a change, whether requests with a key can be admitted."""
+        """Sets on the engine, on a change, whether keyed requests can be admitted."""
         writer = self._writer
         is_ready = self.index.is_loaded and not writer.failure
         is_available = is_ready and not writer.is_slow and self.index.has_capacity()
@@ -191,8 +191,8 @@
             return
         self._is_available = is_available
         if is_ready and not is_available:
-            reason = "the disk is slow" if writer.is_slow else "there is no room"
-            self._report.note(f"keyed: {reason}; receipted requests are deferred")
+            reason = "the disk is slow" if writer.is_slow else "no room for more records"
+            self._report.note(f"keyed: {reason}; keyed requests are rejected")
         self._engine.may_record(is_available)
 
     def _schedule_poll(self) -> None:
@@ -215,7 +215,7 @@
         """Writes the heartbeat, and deletes what has expired."""
         if self._is_closed:
             return
-        if not self._writer.in_flight:  # behind others it would only wait
+        if not self._writer.in_flight:  # behind other writes, the heartbeat would only wait
             self._write_heartbeat()
         self._earlier_runs.discard_overdue()
         self._update_availability()
--- a/lichencleat/idempotency/writer.py
+++ b/lichencleat/idempotency/writer.py
@@ -1,4 +1,4 @@
-"""Writes to the store, with the health of the disk: failing, slow or well."""
+"""Writes to the store, and the health of the disk: failing, slow or healthy."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 from lichencleat.store.errors import StoreError
 from lichencleat.store.store import Store
 
-SLOW_WRITE_US = 250_000  # after this no new run waits for the disk; one flushes in a few ms
-MAX_UNWRITTEN_RESULTS = 1_024  # kept for a retry; repeats of others get an error after a restart
+SLOW_WRITE_US = 250_000  # from then on no new run waits for the disk; a healthy disk flushes in a few ms
+MAX_UNWRITTEN_RESULTS = 1_024  # kept for a retry; repeats of further ones get an error after a restart
 
 
 class RecordWriter:
-    """Counts writes in flight and retries results that the disk did not take."""
+    """Tracks writes in flight, and retries results that the disk failed to write."""
 
     def __init__(
         self,
@@ -36,8 +36,8 @@
         self._on_write_finished = on_write_finished
         self._last_number = 0
         self._unwritten: dict[bytes, IdempotencyRecord] = {}
-        self.in_flight: dict[int, int] = {}  # number of a write -> since when; at most the store's queue
-        self.failure = ""  # the disk's last error, empty since it works
+        self.in_flight: dict[int, int] = {}  # start (µs) by write number; bounded by the store's queue
+        self.failure = ""  # the disk's last error, empty while it works
         self.last_write_us = 0
         self.store: Store | None = None
 
@@ -48,7 +48,7 @@
         return oldest is not None and self._timers.now() - oldest > SLOW_WRITE_US
 
     def write(self, batch: Batch) -> Deferred[None]:
-        """Commits a batch; fires once it is durable, or fails as the store does."""
+        """Commits a batch; fires when it is durable, or fails with the store's error."""
         assert self.store is not None
         self._last_number += 1
         number = self._last_number
@@ -62,18 +62,18 @@
         return committed
 
     def write_and_forget(self, batch: Batch) -> None:
-        """Commits a batch whose loss does no harm."""
+        """Commits a batch whose loss is harmless."""
         self.write(batch).addErrback(lambda failure: None)
 
     def delete(self, keys: list[bytes]) -> None:
-        """Deletes records; where that fails, they are found expired again later."""
+        """Deletes records; if the write fails, they expire again later."""
         batch = Batch()
         for key in keys:
             batch.delete(key)
         self.write_and_forget(batch)
 
     def write_result(self, key: bytes, record: IdempotencyRecord) -> Deferred[None]:
-        """Records a result; fires also where the disk fails, and then retries once it works."""
+        """Records a result; fires also if the disk fails, and then retries when the disk works again."""
         self._index.put(key, record)
 
         def keep_for_retry(failure: Failure) -> None:
@@ -83,14 +83,14 @@
         return self.write(Batch().put(key, encode(record))).addErrback(keep_for_retry)
 
     def on_disk_failure(self, failure: Failure) -> None:
-        """Counts a failure, and logs it when it differs from the last one."""
+        """Counts a failure, and logs it if it differs from the previous one."""
         self._report.count("keyed", "disk failures")
         message = failure.getErrorMessage()
         if not isinstance(failure.value, StoreError):
             message = f"{type(failure.value).__name__}: {message}"
         if message != self.failure:
             self.failure = message
-            self._report.note(f"keyed: {message}; receipted requests are deferred until it works again")
+            self._report.note(f"keyed: {message}; keyed requests are rejected until the disk works again")
 
     def _on_written(self, _: None, number: int, started: int) -> None:
         del self.in_flight[number]
@@ -108,7 +108,7 @@
         return failure
 
     def _retry_unwritten(self) -> None:
-        """Writes results again, where nothing newer is known of their keys."""
+        """Writes results again, unless their keys have a newer state."""
         unwritten = self._unwritten
         self._unwritten = {}
         for key, record in unwritten.items():
--- a/tests/idempotency/test_kills.py
+++ b/tests/idempotency/test_kills.py
@@ -27,7 +27,7 @@
         for name in ("n1", "n2"):
             nodes.append(RigNode(rig, name, chosen, None, settings()))
         nodes[0].start()
-        rig.until(lambda: "the book stands" in nodes[0].said(), "the book")
+        rig.until(lambda: "index loaded" in nodes[0].said(), "the index")
         nodes[1].start()
         assert nodes[1].ended() == 2 and "can't start: keyed.directory" in nodes[1].said()
         nodes[0].signal(15)
