--- a/lichencleat/idempotency/records.py
+++ b/lichencleat/idempotency/records.py
@@ -12,7 +12,7 @@
 
 FORMAT_VERSION = 1  # a directory of another format is rejected
 
-# Keys in the store; the prefix is followed by a digest.
+# First byte of a key in the store; the ownership and heartbeat keys have no further bytes.
 RECORD_PREFIX = b"e"
 OWNERSHIP_KEY = b"w"
 HEARTBEAT_KEY = b"s"
