--- a/lichencleat/idempotency/earlier_runs.py
+++ b/lichencleat/idempotency/earlier_runs.py
@@ -39,8 +39,8 @@
     def adopt_all(self) -> None:
         """Subscribes to the reports of all earlier runs, once the index is loaded."""
         for run_id in list(self._index.earlier_runs):
-            self._engine.adopts(run_id, partial(self._on_run_ended, run_id))
-        self._engine.adopts_no_more()
+            self._engine.adopt_run(run_id, partial(self._on_run_ended, run_id))
+        self._engine.end_adoption()
         self._discard_if_interpreter_is_new()
 
     def wait_for(self, key: bytes, case: PendingRequest) -> None:
@@ -73,7 +73,7 @@
 
     def _answer_waiting(self, key: bytes, result: bytes | None) -> None:
         for case in self._waiting.pop(key, ()):
-            self._engine.end_share(case, result)
+            self._engine.complete_repeat(case, result)
 
     def _discard_if_interpreter_is_new(self) -> None:
         """Answers all waiting repeats with an error if the interpreter started after the earlier runs.
--- a/lichencleat/idempotency/intents.py
+++ b/lichencleat/idempotency/intents.py
@@ -95,7 +95,7 @@
         """Starts a run as soon as its intent is confirmed."""
         start = self.pending_starts.get(case.request)
         if start is None:  # withdrawn in the same reactor turn
-            self._timers.after(0, self._engine.not_begun, case)
+            self._timers.after(0, self._engine.on_start_withdrawn, case)
             return
         start.is_requested = True
         if start.is_confirmed:
@@ -147,7 +147,7 @@
         if start.case.open:
             self._engine.begin_run(start.case)
         else:  # the caller has gone or is answered; nothing ran
-            self._engine.never_began(start.case)
+            self._engine.on_run_abandoned(start.case)
 
     def _withdraw(self, start: PendingStart) -> None:
         """Withdraws a start whose intent was not confirmed in time: nothing runs, the record is deleted."""
@@ -158,9 +158,9 @@
         self._report.count("keyed", "intents withdrawn")
         self._delete_record(case.request)
         if case.open:
-            self._engine.not_begun(case)
+            self._engine.on_start_withdrawn(case)
         elif start.is_requested:
-            self._engine.never_began(case)
+            self._engine.on_run_abandoned(case)
 
     def _delete_record(self, request: Request) -> None:
         known = self._open_records.pop(request, None)
--- a/lichencleat/idempotency/interfaces.py
+++ b/lichencleat/idempotency/interfaces.py
@@ -22,31 +22,31 @@
 class RequestEngine(Protocol):
     """Continues a request after the disk has answered; `node.host.Host` implements it."""
 
-    def takes(self, case: PendingRequest) -> None:
+    def submit_request(self, case: PendingRequest) -> None:
         """Continues a request that was held until the index was loaded."""
 
-    def refuses(self, case: PendingRequest) -> None:
+    def fail_request(self, case: PendingRequest) -> None:
         """Answers the request with an error."""
 
     def begin_run(self, case: PendingRequest) -> None:
         """Starts the run of a request whose intent is durable."""
 
-    def not_begun(self, case: PendingRequest) -> None:
+    def on_start_withdrawn(self, case: PendingRequest) -> None:
         """Rejects a request whose intent was not confirmed in time."""
 
-    def never_began(self, case: PendingRequest) -> None:
+    def on_run_abandoned(self, case: PendingRequest) -> None:
         """Closes a request whose caller has gone or was answered before the run."""
 
-    def end_share(self, case: PendingRequest, result: bytes | None) -> None:
+    def complete_repeat(self, case: PendingRequest, result: bytes | None) -> None:
         """Answers a repeat with the result, or with an error if the result is None."""
 
-    def may_record(self, able: bool) -> None:
+    def set_recording_available(self, able: bool) -> None:
         """Sets whether keyed requests are admitted."""
 
-    def adopts(self, ident: bytes, ended: RunCallback) -> None:
+    def adopt_run(self, ident: bytes, ended: RunCallback) -> None:
         """Subscribes to the end of a run of an earlier incarnation."""
 
-    def adopts_no_more(self) -> None:
+    def end_adoption(self) -> None:
         """Drops the interpreter's reports about other earlier runs."""
 
 
--- a/lichencleat/idempotency/lookups.py
+++ b/lichencleat/idempotency/lookups.py
@@ -38,7 +38,7 @@
         found = self._look_up(case)
         if found is LookupResult.DIFFERENT_BODY:
             self._report.count("keyed", "keys with another body")
-            self._engine.refuses(case)
+            self._engine.fail_request(case)
             return False
         case.request.original_unknown = found is not LookupResult.NEW
         return True
@@ -72,10 +72,10 @@
         def on_read(value: bytes | None) -> None:
             record = decode_record(value) if value is not None else None
             if record is None or record.state != RecordState.DONE:
-                self._engine.end_share(case, None)
+                self._engine.complete_repeat(case, None)
                 return
             self._index.cache_result(key, record.result)
-            self._engine.end_share(case, record.result)
+            self._engine.complete_repeat(case, record.result)
 
         def on_read_failed(failure: Failure) -> None:
             self._writer.on_disk_failure(failure)
@@ -85,4 +85,4 @@
 
     def _answer_after_round(self, case: PendingRequest, result: bytes | None) -> None:
         """Answers in the next reactor turn: the engine accepts inputs after its current round."""
-        self._timers.after(0, self._engine.end_share, case, result)
+        self._timers.after(0, self._engine.complete_repeat, case, result)
--- a/lichencleat/idempotency/service.py
+++ b/lichencleat/idempotency/service.py
@@ -104,7 +104,7 @@
         if self.index.is_loaded:
             return self._lookup.admit(case)
         if len(self.pending_arrivals) >= MAX_PENDING_ARRIVALS or self._is_closed:
-            self._engine.refuses(case)
+            self._engine.fail_request(case)
         else:
             self.pending_arrivals.append(PendingArrival(case, self._timers.now()))
             self._schedule_poll()
@@ -180,7 +180,7 @@
         self.pending_arrivals = deque()
         for case, _ in arrivals:
             if case.open and self._lookup.admit(case):
-                self._engine.takes(case)
+                self._engine.submit_request(case)
 
     def _update_availability(self) -> None:
         """Sets on the engine, on a change, whether keyed requests can be admitted."""
@@ -193,7 +193,7 @@
         if is_ready and not is_available:
             reason = "the disk is slow" if writer.is_slow else "no room for more records"
             self._report.note(f"keyed: {reason}; keyed requests are rejected")
-        self._engine.may_record(is_available)
+        self._engine.set_recording_available(is_available)
 
     def _schedule_poll(self) -> None:
         if not self._is_polling and not self._is_closed:
@@ -207,7 +207,7 @@
         self._update_availability()
         self.intents.withdraw_late_starts(now)
         while self.pending_arrivals and now - self.pending_arrivals[0].since > MAX_ARRIVAL_WAIT_US:
-            self._engine.refuses(self.pending_arrivals.popleft().case)
+            self._engine.fail_request(self.pending_arrivals.popleft().case)
         if self._writer.in_flight or self.pending_arrivals:
             self._schedule_poll()
 
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -87,7 +87,7 @@
         life = self.rng.getrandbits(48)
         gate = ReadinessGate(self.name, self.chosen.zone, life, False, 0, ClockCheck.PLAUSIBLE, self.now())
         gate.has_records = keyed is not None
-        host.may_serve(0.0, False)  # until there is a word, or a reason to go on without
+        host.set_allowance(0.0, False)  # until there is a word, or a reason to go on without
         proof = (lambda: keyed.index.is_loaded) if keyed is not None else (lambda: False)
         back = RecoveryReporter(self.reactor, self.client(), host, gate, boot_records, proof, unix, self.log)
         if keyed is not None:
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -152,9 +152,9 @@
         case.request.number = self.cases.take(case)
         self.idents.add(case.ident)
         if self.keyed is None or not case.key or self.keyed.on_arrival(case):
-            self.takes(case)
+            self.submit_request(case)
 
-    def takes(self, case: Case) -> None:
+    def submit_request(self, case: Case) -> None:
         """What is known of its key was looked up: now it is for the decisions."""
         request = case.request
         if case.key and (tries := self.receipts.tries(case.key, request)):
@@ -165,7 +165,7 @@
         self.node.on_request(self.clock(), request)
         self.stir()
 
-    def refuses(self, case: Case) -> None:
+    def fail_request(self, case: Case) -> None:
         """It is given up before the decisions hear of it."""
         self.answer(case, Answer.GIVEN_UP)
         self.release(case)
@@ -222,7 +222,7 @@
         if request.state is RequestState.ENDED:
             self.answer(case, Answer.GIVEN_UP)
             for sharer in self.receipts.ended(request, result if well else None):
-                self.end_share(sharer, result if well else None)
+                self.complete_repeat(sharer, result if well else None)
             self.release(case)
         self.stir()
 
@@ -311,7 +311,7 @@
         shares, self.shares = self.shares, []
         for case in shares:
             receipt = self.receipts.by_request.get(case.request.original)
-            self.end_share(case, receipt.result if receipt else None)
+            self.complete_repeat(case, receipt.result if receipt else None)
 
     def carry_out(self, decision: Decision) -> None:
         """Guards the node against an error with one request: that one is given up, the others go on."""
@@ -329,23 +329,23 @@
                 self.answer(case, Answer.GIVEN_UP)
                 self.deadlines.after(0, self.fail, case)
 
-    def may_record(self, able: bool) -> None:
+    def set_recording_available(self, able: bool) -> None:
         self.able = able
         if self.node is not None:
             self.node.set_recording_available(self.clock(), self.able and self.trusted)
             self.stir()
 
-    def may_serve(self, share: float, receipted: bool) -> None:
+    def set_allowance(self, share: float, receipted: bool) -> None:
         """As the fleet says, or this node by itself: so much of what comes, and whether what is receipted."""
         self.open_share, self.trusted = share, receipted
         if self.node is not None:
             self.node.set_admitted_share(self.clock(), share)
-            self.may_record(self.able)
+            self.set_recording_available(self.able)
 
     def ready(self) -> bool:
         return self.node is not None and self.interpreter.link is not None
 
-    def strain(self) -> float:
+    def load(self) -> float:
         """0: idle; 0.5: all it can do; above 1: it fails at it. Each of the last calls that failed adds."""
         node = self.node
         if node is None or not node.is_healthy:
@@ -362,7 +362,7 @@
         usual = self.node.service_times.usual() if self.node is not None else 0.0
         return 1_000_000 / usual if usual else 1.0
 
-    def not_begun(self, case: Case) -> None:
+    def on_start_withdrawn(self, case: Case) -> None:
         """Its entry could not be made: nothing was begun, and the decisions are asked again."""
         case.unsettled = False
         if case.request.state is not RequestState.ENDED:
@@ -371,15 +371,15 @@
         self.release(case)
         self.stir()
 
-    def never_began(self, case: Case) -> None:
+    def on_run_abandoned(self, case: Case) -> None:
         """Nobody waits for it any more, and it was not begun yet: that it never ran is proved."""
         case.unsettled = False
         self.run_ended(case, Outcome.UNREACHABLE, 0, b"")
 
-    def adopts(self, ident: bytes, ended: Callable[[Outcome, int, bytes], None]) -> None:
+    def adopt_run(self, ident: bytes, ended: Callable[[Outcome, int, bytes], None]) -> None:
         self.interpreter.adopt(ident, ended)
 
-    def adopts_no_more(self) -> None:
+    def end_adoption(self) -> None:
         self.interpreter.early = None
 
     def start_run(self, decision: Decision, case: Case) -> None:
@@ -409,7 +409,7 @@
         self.drop_call(case)
         self.answer(case, Answer.DEFERRED, span=decision.duration_us, last=decision.is_last)
         for sharer in self.receipts.ended(case.request, None) if self.keyed is not None else ():
-            self.end_share(sharer, None)  # they waited for a run that was not begun after all
+            self.complete_repeat(sharer, None)  # they waited for a run that was not begun after all
         self.release(case)
 
     def give_up(self, decision: Decision, case: Case) -> None:
@@ -451,7 +451,7 @@
         if first is None or first.state is RequestState.ENDED:
             self.shares.append(case)
 
-    def end_share(self, case: Case, result: bytes | None) -> None:
+    def complete_repeat(self, case: Case, result: bytes | None) -> None:
         outcome = Outcome.FAILED if result is None else Outcome.COMPLETED
         self.node.on_run_completed(self.clock(), case.request, outcome, 0)
         self.answer(case, Answer.GIVEN_UP if result is None else Answer.HONOURED, result or b"")
--- a/lichencleat/recovery/interfaces.py
+++ b/lichencleat/recovery/interfaces.py
@@ -53,7 +53,7 @@
         """Whether the interpreter is up."""
         ...
 
-    def strain(self) -> float:
+    def load(self) -> float:
         """The load: 0 when idle, 0.5 at capacity, above 1 when runs fail."""
         ...
 
@@ -61,6 +61,6 @@
         """Runs per second and core, 1 if no service time is known."""
         ...
 
-    def may_serve(self, share: float, receipted: bool) -> None:
+    def set_allowance(self, share: float, receipted: bool) -> None:
         """Set which fraction of arrivals is admitted, and whether keyed requests are among them."""
         ...
--- a/lichencleat/recovery/reporter.py
+++ b/lichencleat/recovery/reporter.py
@@ -61,7 +61,7 @@
         self.service_times.apply_pending()
         self.update_gate()
         self.update_host(now)
-        report = self.gate.next_report(now, self.unix_time(), self.host.strain(), self.host.speed())
+        report = self.gate.next_report(now, self.unix_time(), self.host.load(), self.host.speed())
         return Proposal(report, REPORT_TIMEOUT_S) if report is not None else None
 
     def next_round_at(self, now: int) -> int:
@@ -84,7 +84,7 @@
         allowance = self.gate.allowance(now)
         if (allowance.share, allowance.keyed) != self.host_allowance:
             self.host_allowance = (allowance.share, allowance.keyed)
-            self.host.may_serve(allowance.share, allowance.keyed)
+            self.host.set_allowance(allowance.share, allowance.keyed)
         self.log_allowance(allowance)
 
     def log_allowance(self, allowance: Allowance) -> None:
--- a/tests/failover/failover_group.py
+++ b/tests/failover/failover_group.py
@@ -19,8 +19,8 @@
         self.jobs, self.index = LeaseState(), 0
         self.state = FailoverState(self.jobs)
         self.change_leader("o1", 1)
-        for name, far in (("x", {"y": 30_000}), ("y", {"x": 30_000})):
-            assert self(DefineZone(name, "r", 100.0, far)) == CommandReply(True)
+        for name, round_trips in (("x", {"y": 30_000}), ("y", {"x": 30_000})):
+            assert self(DefineZone(name, "r", 100.0, round_trips)) == CommandReply(True)
 
     def apply(self, part, command):
         self.index += 1
@@ -30,8 +30,8 @@
         return self.apply(self.state, command)
 
     def change_leader(self, name, incarnation):
-        for each, known in list(self.jobs.candidates.items()):
-            self.apply(self.jobs, CandidateExpired(each, known.renewal_index))
+        for each, candidate in list(self.jobs.candidates.items()):
+            self.apply(self.jobs, CandidateExpired(each, candidate.renewal_index))
         self.apply(self.jobs, RenewLease(name, "", incarnation, True, {}))
         self.apply(self.jobs, DefineJob(JOB))
 
@@ -39,9 +39,9 @@
     def token(self):
         return self.jobs.jobs[JOB].fencing_token
 
-    def report(self, router, zone, offered=40.0, **seen):
-        known = {name: ZoneObservation(*counts, 300_000) for name, counts in seen.items()}
-        return self(HealthReport(router, zone, self.state.plan.version, offered, known))
+    def report(self, router, zone, offered=40.0, **counts_by_zone):
+        reported = {name: ZoneObservation(*counts, 300_000) for name, counts in counts_by_zone.items()}
+        return self(HealthReport(router, zone, self.state.plan.version, offered, reported))
 
     def run_step(self, controller, now):
         state = self.state
--- a/tests/failover/test_failover_controller.py
+++ b/tests/failover/test_failover_controller.py
@@ -1,4 +1,4 @@
-"""Failover controller: zones out and back, capacity, overrides."""
+"""Failover controller: taking zones out, restoring them, capacity, overrides."""
 
 import pytest
 from failover_observations import LOST, REJECTED, SUCCEEDED
@@ -18,7 +18,7 @@
 
 
 def poll(group, controller, at, x=SUCCEEDED, y=SUCCEEDED, **more):
-    """One poll, with reports of the routers of both zones."""
+    """Report from the routers of both zones, then run one poll."""
     group.report("x.0", "x", x=x, **more)
     group.report("y.0", "y", y=y, x=x)
     return group.run_step(controller, at * POLL_INTERVAL_US)
@@ -71,7 +71,7 @@
     group.change_leader("o2", 2)
     group.report("y.0", "y", y=SUCCEEDED)
     group.run_step(FailoverController(group.token), 0)
-    assert group.state.plan.role("x") is ZoneRole.STANDBY  # the order that holds is where it begins
+    assert group.state.plan.role("x") is ZoneRole.STANDBY  # the next leader continues the plan in force
 
 
 def test_controller_plans_within_capacity_and_sheds_the_rest(group):
--- a/tests/failover/test_failover_state.py
+++ b/tests/failover/test_failover_state.py
@@ -18,22 +18,22 @@
 
 def test_state_versions_a_plan_and_returns_it_to_reporting_routers(group):
     assert group.report("x.0", "x").version == 0
-    given = RoutingPlan(0, 0, {"x": ZoneRole.STANDBY}, {"y": 50.0})
-    assert group(PublishPlan(group.token, 0, given)) == CommandReply(True)
+    new_plan = RoutingPlan(0, 0, {"x": ZoneRole.STANDBY}, {"y": 50.0})
+    assert group(PublishPlan(group.token, 0, new_plan)) == CommandReply(True)
     reply = group.report("x.0", "x")
     assert (reply.version, reply.fencing_token, reply.role("x"), reply.role("y")) == (1, group.token, 3, 1)
-    assert not group(PublishPlan(group.token, 0, given)).accepted  # another was given since
+    assert not group(PublishPlan(group.token, 0, new_plan)).accepted  # another plan was published since
     assert group.state.read("history") == [RoutingPlan()]
-    again = FailoverState(group.jobs)
-    again.load(msgspec.Raw(msgspec.msgpack.encode(group.state.dump())))
-    assert again.plan == group.state.plan and again.routers == group.state.routers
+    restored = FailoverState(group.jobs)
+    restored.load(msgspec.Raw(msgspec.msgpack.encode(group.state.dump())))
+    assert restored.plan == group.state.plan and restored.routers == group.state.routers
 
 
 def test_state_rejects_old_fencing_tokens_and_plans_over_capacity(group):
     old = group.token
     group.change_leader("o2", 2)
-    for what in (PublishPlan(old, 0, RoutingPlan()), UpdateCapacity(old, "x", 5.0)):
-        assert group(what) == CommandReply(False, "an older owner's")
+    for command in (PublishPlan(old, 0, RoutingPlan()), UpdateCapacity(old, "x", 5.0)):
+        assert group(command) == CommandReply(False, "an older owner's")
     assert (
         "not known to carry" in group(PublishPlan(group.token, 0, RoutingPlan(spillover={"y": 101.0}))).reason
     )
--- a/tests/failover/test_locality_routing.py
+++ b/tests/failover/test_locality_routing.py
@@ -1,4 +1,4 @@
-"""Locality routing: what spills over, and where to."""
+"""Locality routing: share and target zones of the spillover."""
 
 import random
 
@@ -80,7 +80,7 @@
     sent = [router.choose_zone(0, SECOND, 300_000) for _ in range(30)]
     assert sent[:6] == ["y"] * 6 and sent[6:18] == ["z"] * 12 and set(sent[18:]) == {"x"}
     router.update(POLL_INTERVAL_US)
-    assert router.choose_zone(POLL_INTERVAL_US, 310_000, 300_000) == "x"  # no time for the way
+    assert router.choose_zone(POLL_INTERVAL_US, 310_000, 300_000) == "x"  # no time for the round trip
 
 
 def test_router_rejects_an_older_plan_and_sends_less_by_a_stale_one(router):
--- a/tests/failover/test_outlier_ejection.py
+++ b/tests/failover/test_outlier_ejection.py
@@ -9,7 +9,7 @@
     for name in ("n0", "n1", "n2"):
         for _ in range(5):
             ejector.record_outcome(0, name, False)
-    assert ejector.eligible(0) == ["n2", "n3", "n4", "n5"]  # a third of six
+    assert ejector.eligible(0) == ["n2", "n3", "n4", "n5"]  # at most a third of six nodes is ejected
     assert "n0" in ejector.eligible(BASE_EJECTION_US)
     for _ in range(5):
         ejector.record_outcome(BASE_EJECTION_US, "n0", False)
--- a/tests/recovery/recovering_host.py
+++ b/tests/recovery/recovering_host.py
@@ -1,4 +1,4 @@
-"""A stand-in for the request engine, and a log that records."""
+"""A fake request engine, and a log that keeps its events."""
 
 from types import SimpleNamespace
 
@@ -17,15 +17,15 @@
 
 
 def make_host():
-    """A host whose interpreter is not up yet."""
+    """Return a host whose interpreter is not up yet."""
     machine = NodeSpec(cores=2, request_classes=REQUEST_CLASSES)
-    made = SimpleNamespace(
+    host = SimpleNamespace(
         machine=machine, node=None, request_classes={t.name.encode(): t for t in REQUEST_CLASSES}
     )
-    made.clock = lambda: 0
-    made.told = []
-    made.may_serve = lambda *what: made.told.append(what)
-    made.ready = lambda: made.node is not None
-    made.strain = lambda: 0.0
-    made.speed = lambda: Host.speed(made)
-    return made
+    host.clock = lambda: 0
+    host.allowances = []
+    host.set_allowance = lambda *allowance: host.allowances.append(allowance)
+    host.ready = lambda: host.node is not None
+    host.load = lambda: 0.0
+    host.speed = lambda: Host.speed(host)
+    return host
--- a/tests/recovery/replicated_group.py
+++ b/tests/recovery/replicated_group.py
@@ -14,7 +14,7 @@
 
 
 class ReplicatedGroup:
-    """The replicated state of a group with a leader of the recovery; each command is the next log entry."""
+    """The replicated state of a group with a recovery leader; each command is the next log entry."""
 
     def __init__(self):
         self.jobs, self.index = LeaseState(), 0
--- a/tests/recovery/service_time_cases.py
+++ b/tests/recovery/service_time_cases.py
@@ -1,11 +1,12 @@
-"""Request classes and runs that tests of learned service times share."""
+"""Request classes and runs for the tests of learned service times."""
 
 from lichencleat.admission.types import Outcome, Request, RequestClass, RequestState
 
 SECOND = 1_000_000
-LONGEST = {"look": 5 * SECOND, "save": 9 * SECOND}
+MAX_RUN_TIMES = {"look": 5 * SECOND, "save": 9 * SECOND}  # µs, by request class
 REQUEST_CLASSES = [
-    RequestClass(name, latency_objective=SECOND, deadline=longest) for name, longest in LONGEST.items()
+    RequestClass(name, latency_objective=SECOND, deadline=max_run_time)
+    for name, max_run_time in MAX_RUN_TIMES.items()
 ]
 
 
--- a/tests/recovery/test_recovery_models.py
+++ b/tests/recovery/test_recovery_models.py
@@ -1,4 +1,4 @@
-"""Recovery in simulated time, and model-checked."""
+"""Recovery in simulated time and under model checking."""
 
 from lichencleat.testkit.explore_revive import MISTAKES, GrantsOfOne, play
 from lichencleat.testkit.explore_revive import World as Explored
--- a/tests/recovery/test_recovery_reporter.py
+++ b/tests/recovery/test_recovery_reporter.py
@@ -1,4 +1,4 @@
-"""Recovery reporter: what a node reports while it recovers."""
+"""Recovery reporter: reports of a recovering node."""
 
 import random
 
@@ -18,12 +18,12 @@
 
 
 def test_reporter_reports_the_learned_speed_before_the_first_run():
-    """The plan opens fast nodes first; without stored times all would report 1 until something ran."""
+    """The plan opens fast nodes first; without stored times, each node would report 1 until its first run."""
     host, reports = make_host(), []
 
     class Client:
-        def propose(self, part, what, patience):
-            reports.append(what)
+        def propose(self, part, command, patience):
+            reports.append(command)
             return Deferred()
 
     reactor = Clock()
@@ -35,5 +35,5 @@
     reporter.service_times.on_store_opened({SERVICE_TIMES_KEY: encode_merged(2, {}, {"look": 20_000})}.get)
     host.node = AdmissionController(host.machine, random.Random(1))
     reporter.start()
-    assert [each.speed for each in reports] == [50.0] and host.told[0][0] == 0.0
+    assert [each.speed for each in reports] == [50.0] and host.allowances[0][0] == 0.0
     reporter.stop()
--- a/tests/recovery/test_recovery_state.py
+++ b/tests/recovery/test_recovery_state.py
@@ -32,26 +32,26 @@
     group.report("a")
     old = group.token
     group.change_leader("o2", 2)
-    refused = (False, "an older owner's")
-    beat = group.fleet.nodes["a"].last_report
-    for what in (
+    rejection = (False, "an older owner's")
+    last_report_before = group.fleet.nodes["a"].last_report
+    for command in (
         RolloutBatch(old, {"a": 1.0}, None),
         NewEpoch(old, 1),
-        NodeLost(old, "a", beat),
+        NodeLost(old, "a", last_report_before),
         SetAllocatableShare(old, 0.5),
     ):
-        told = group(what)
-        assert astuple(told) == refused
+        reply = group(command)
+        assert astuple(reply) == rejection
     assert group(NewEpoch(group.token, 1)).accepted and group.fleet.epoch == 2
-    assert not group(NewEpoch(group.token, 1)).accepted  # it has begun already
+    assert not group(NewEpoch(group.token, 1)).accepted  # the epoch has begun already
 
 
 def test_state_marks_a_node_gone_only_by_its_last_report(group):
     group.report("a")
-    beat = group.fleet.nodes["a"].last_report
+    last_report_before = group.fleet.nodes["a"].last_report
     group(RolloutBatch(group.token, {"a": 1.0}, None))
     group.report("a")
-    assert not group(NodeLost(group.token, "a", beat)).accepted
+    assert not group(NodeLost(group.token, "a", last_report_before)).accepted
     assert group(NodeLost(group.token, "a", group.fleet.nodes["a"].last_report)).accepted
     assert group.fleet.nodes["a"].status == NodeStatus.GONE and group.report("a").share == 0.0
     assert group(NodeLeaving("a", 1)).accepted and "a" not in group.fleet.nodes
@@ -77,6 +77,6 @@
         and group(RolloutBatch(group.token, {"b": 0.5}, RolloutPlan(2.0))).accepted
     )
     assert group(ForgetNode("b")).accepted and not group(SkipNode("b")).accepted
-    again = FleetState(group.jobs)
-    again.load(msgspec.Raw(msgspec.msgpack.encode(group.fleet.dump())))
-    assert again.nodes == group.fleet.nodes and again.plan == group.fleet.plan
+    restored = FleetState(group.jobs)
+    restored.load(msgspec.Raw(msgspec.msgpack.encode(group.fleet.dump())))
+    assert restored.nodes == group.fleet.nodes and restored.plan == group.fleet.plan
--- a/tests/recovery/test_rollout_planner.py
+++ b/tests/recovery/test_rollout_planner.py
@@ -68,7 +68,7 @@
     assert commands[0] == SetAllocatableShare(group.token, INITIAL_DEPENDENCY_SHARE)
     assert (
         len(commands[1].shares) == 0 and commands[1].plan.max_open == 8 * FIRST_BATCH_FRACTION
-    )  # the four that stayed open are enough
+    )  # the four open nodes already exceed the bound of the first batch
 
 
 def test_planner_grows_batches_until_all_nodes_are_open():
@@ -86,19 +86,19 @@
     run_steps(group, names, planner, 4, load=1.4)
     assert group.fleet.plan.dependency_share < INITIAL_DEPENDENCY_SHARE
     assert sum(each.status == NodeStatus.OPEN for each in group.fleet.nodes.values()) == 4
-    part = group.fleet.plan.dependency_share
+    share_before = group.fleet.plan.dependency_share
     run_steps(group, names, planner, 4, 4, load=0.3)
-    assert group.fleet.plan.dependency_share > part
+    assert group.fleet.plan.dependency_share > share_before
 
 
 def test_planner_rolls_back_a_failed_batch_and_retries():
     group, names, planner = recovering_group()
     group.run_step(planner, 0)
-    cap = group.fleet.plan.max_open
+    max_open_before = group.fleet.plan.max_open
     for name in names:
         group.report(name, incarnation=2, ready=False)
     group.run_step(planner, 300_000)
-    assert group.fleet.plan.rollbacks == 1 and group.fleet.plan.max_open < cap
+    assert group.fleet.plan.rollbacks == 1 and group.fleet.plan.max_open < max_open_before
     assert all(each.status == NodeStatus.SHUT for each in group.fleet.nodes.values())
     run_steps(group, names, planner, 60, 2, load=0.2)
     assert group.fleet.plan is None
@@ -107,11 +107,11 @@
 def test_planner_of_the_next_leader_continues_the_plan():
     group, names, planner = recovering_group()
     run_steps(group, names, planner, 3, load=0.2)
-    cap, epoch = group.fleet.plan.max_open, group.fleet.epoch
+    max_open_before, epoch = group.fleet.plan.max_open, group.fleet.epoch
     group.change_leader("o2", 2)
     assert not any(astuple(result)[0] for result in group.run_step(planner, 4 * 300_000)[1])
     run_steps(group, names, RolloutPlanner(group.token), 2, 5, load=0.2)
-    assert group.fleet.plan.max_open > cap and group.fleet.epoch == epoch
+    assert group.fleet.plan.max_open > max_open_before and group.fleet.epoch == epoch
 
 
 def test_planner_reports_a_silent_node_as_lost(group):
--- a/tests/recovery/test_service_time_store.py
+++ b/tests/recovery/test_service_time_store.py
@@ -1,4 +1,4 @@
-"""Learned service times from one process to the next."""
+"""Learned service times stored by one process and loaded by the next."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class StoredEntries(dict):
-    """In place of the store."""
+    """Stands in for the node's store."""
 
 
 @pytest.fixture
@@ -21,29 +21,29 @@
 
 def test_service_time_store_hands_over_whether_store_or_interpreter_is_first(host):
     log, store = RecordingLog(), StoredEntries()
-    life = ServiceTimeStore(host, log)
-    life.on_store_opened(store.get)
-    assert not log.events  # a first start has nothing to tell
+    service_times = ServiceTimeStore(host, log)
+    service_times.on_store_opened(store.get)
+    assert not log.events  # a first start finds no stored times
     host.node = AdmissionController(host.machine, random.Random(1))
     for took in (100, 200, 200, 900):
         complete_run(host.node, REQUEST_CLASSES[0], took)
-    complete_run(host.node, REQUEST_CLASSES[1], 50)  # one run tells nothing
-    store.update([life.to_entry(False)])
+    complete_run(host.node, REQUEST_CLASSES[1], 50)  # one run is too few for an estimate
+    store.update([service_times.to_entry(False)])
     for node_first in (True, False):
         host.node = AdmissionController(host.machine, random.Random(1)) if node_first else None
-        life = ServiceTimeStore(host, log)
+        service_times = ServiceTimeStore(host, log)
         if node_first:
-            life.apply_pending()
-        life.on_store_opened(store.get)
-        life.apply_pending()
+            service_times.apply_pending()
+        service_times.on_store_opened(store.get)
+        service_times.apply_pending()
         host.node = host.node or AdmissionController(host.machine, random.Random(1))
-        life.apply_pending()
-        life.apply_pending()
+        service_times.apply_pending()
+        service_times.apply_pending()
         assert (
             list(host.node.service_times.samples[REQUEST_CLASSES[0]]) == [200]
             and not host.node.service_times.samples[REQUEST_CLASSES[1]]
         )
-        assert dict([life.to_entry(True)]) == store  # nothing ran: what was known is kept
+        assert dict([service_times.to_entry(True)]) == store  # without runs, the previous times are kept
     assert log.events[-1] == ("service times loaded", {"runs": "look 0.2 ms", "reason": "of its life before"})
 
 
--- a/tests/recovery/test_service_times.py
+++ b/tests/recovery/test_service_times.py
@@ -4,7 +4,7 @@
 
 import msgspec
 import pytest
-from service_time_cases import LONGEST, REQUEST_CLASSES, SECOND, complete_run
+from service_time_cases import MAX_RUN_TIMES, REQUEST_CLASSES, SECOND, complete_run
 
 from lichencleat.admission.controller import AdmissionController
 from lichencleat.admission.service_times import RUNS_FEW
@@ -21,14 +21,14 @@
 
 
 def test_service_times_of_this_process_outweigh_the_previous_ones():
-    kept = encode_merged(2, {"look": 7, "save": 9}, {"look": 8})
-    assert load_service_times(kept, 2, LONGEST) == ({"look": 8, "save": 9}, "")
-    assert load_service_times(None, 2, LONGEST) == ({}, "")
+    merged = encode_merged(2, {"look": 7, "save": 9}, {"look": 8})
+    assert load_service_times(merged, 2, MAX_RUN_TIMES) == ({"look": 8, "save": 9}, "")
+    assert load_service_times(None, 2, MAX_RUN_TIMES) == ({}, "")
     assert REQUIRED_PROOF[Item.SERVICE_TIMES] is Proof.OWN_DISK
 
 
 @pytest.mark.parametrize(
-    ("stored", "why"),
+    ("stored", "problem"),
     [
         (b"", "can't be read"),
         (b"\xc1", "can't be read"),
@@ -39,19 +39,19 @@
         (encode_service_times(ServiceTimes(FORMAT, 4, {"look": 7})), "learned on 4 cores, and there are 2"),
     ],
 )
-def test_load_service_times_drops_unusable_records_with_a_reason(stored, why):
-    runs, reason = load_service_times(stored, 2, LONGEST)
-    assert runs == {} and why in reason
+def test_load_service_times_drops_unusable_records_with_a_reason(stored, problem):
+    runs, reason = load_service_times(stored, 2, MAX_RUN_TIMES)
+    assert runs == {} and problem in reason
 
 
 @pytest.mark.parametrize("took", [0, -1, 5 * SECOND + 1, 2**62])
 def test_load_service_times_drops_implausible_times_and_unknown_classes(took):
     stored = encode_service_times(ServiceTimes(FORMAT, 2, {"look": took, "save": 3, "gone": 4}))
-    assert load_service_times(stored, 2, LONGEST) == ({"save": 3}, "")
+    assert load_service_times(stored, 2, MAX_RUN_TIMES) == ({"save": 3}, "")
 
 
 def test_load_service_times_reads_later_fields_and_the_record_is_bounded():
-    assert load_service_times(msgspec.msgpack.encode([1, 2, {"look": 7}, "more"]), 2, LONGEST)[0] == {
+    assert load_service_times(msgspec.msgpack.encode([1, 2, {"look": 7}, "more"]), 2, MAX_RUN_TIMES)[0] == {
         "look": 7
     }
     many = {f"t{number:04}": 1 for number in range(MAX_CLASSES + 9)}
