--- a/tests/idempotency/kills.py
+++ b/tests/idempotency/kills.py
@@ -1,8 +1,8 @@
-"""The real node killed at drawn moments under repeated keys: `python -m tests.idempotency.kills --kills 500`.
+"""The real node killed at random times under repeated keys: `python -m tests.idempotency.kills --kills 500`.
 
-Its engine outlives it and counts runs; its disk holds back what was not flushed, so that each kill is a cut
-of power. Callers ask for the same keys again and again, across the restarts. Judged: no key runs twice in its
-window, whatever was honoured was made by a run, and all that was honoured for one key is the same.
+The node's engine survives the kills and counts runs. The disk drops unflushed writes at a kill, so that each
+kill acts as a power loss. Callers repeat the same keys across the restarts. Checks: no key runs twice in its
+window, each result comes from a run, and all results of one key are the same.
 """
 
 from __future__ import annotations
@@ -20,41 +20,47 @@
 from lichencleat.testkit.cluster.nodes import HARD_LIMIT, RigNode, settings
 from lichencleat.testkit.cluster.rig import Rig, wait_until
 
-WINDOW_S = 30.0  # s: longer than a round, so that no key may run twice in it
-KEY_COUNT = 40  # of a round
-MAX_OPEN_REQUESTS = 12  # tries at once
+WINDOW_S = 30.0  # longer than a round, so that no key may run twice in a round
+KEY_COUNT = 40  # per round
+MAX_OPEN_REQUESTS = 12  # attempts at once
 
 
 @dataclass
 class RoundResult:
     seed: int
     kills: int = 0
-    tries: int = 0
+    attempts: int = 0
     answers: Counter = field(default_factory=Counter)
     runs: int = 0
-    wrong: str | None = None
+    fault: str | None = None
 
 
 class KillRound:
-    """One node through some kills, with keys of its own."""
+    """One node that is killed several times, with its own directory and keys."""
 
     def __init__(self, rig: Rig, seed: int, kills: int, forgets: bool) -> None:
         self.rng = random.Random(f"kills {seed}")
         self.rig, self.kills = rig, kills
-        chosen = {"keyed": {"directory": str(rig.path / "keyed"), "disk": "held back"}}
-        told = settings(window=WINDOW_S)
+        operator_file = {"keyed": {"directory": str(rig.path / "keyed"), "disk": "held back"}}
+        node_settings = settings(window=WINDOW_S)
         self.node = RigNode(
-            rig, "n1", chosen, None, told, work=self.rng.choice([0.002, 0.05, 0.3]), forgets=forgets
+            rig,
+            "n1",
+            operator_file,
+            None,
+            node_settings,
+            work=self.rng.choice([0.002, 0.05, 0.3]),
+            forgets=forgets,
         )
         self.keys = [b"%032x" % self.rng.getrandbits(128) for _ in range(KEY_COUNT)]
         self.caller = None
         self.result = RoundResult(seed)
-        self.on = True
+        self.is_sending = True
         self.life = 0
 
     def send_requests(self) -> None:
-        """Keeps tries open: mostly of keys that came before."""
-        if not self.on:
+        """Keeps requests open, most of them with keys that were used before."""
+        if not self.is_sending:
             return
         caller = self.caller
         if caller is not None:
@@ -81,24 +87,24 @@
         return self.judge()
 
     def request_all_keys(self) -> None:
-        """Every key is asked for once more, and answered."""
-        asked = []
+        """Sends one more request for each key, and waits for all answers."""
+        requests = []
 
         def ask_all() -> bool:
             caller = self.caller
-            for key in self.keys[len(asked) :]:
+            for key in self.keys[len(requests) :]:
                 one = caller.ask(b"save", b"body " + key, HARD_LIMIT, self.rng, key)
                 if one is None:
                     return False
-                asked.append(one)
+                requests.append(one)
             return True
 
-        self.on = False
+        self.is_sending = False
         wait_until(lambda: self.rig.relays.call(ask_all), "room on the connection", self.node.said)
         wait_until(
-            lambda: all(each.answers or each.lost for each in asked), "the last answers", self.node.said
+            lambda: all(each.answers or each.lost for each in requests), "the last answers", self.node.said
         )
-        self.result.wrong = "a request was lost" if any(each.lost for each in asked) else None
+        self.result.fault = "a request was lost" if any(each.lost for each in requests) else None
 
     def count_answers(self) -> Counter:
         found: Counter = Counter()
@@ -109,47 +115,47 @@
         return found
 
     def judge(self) -> RoundResult:
-        """Counts what happened, and notes the first thing that must not."""
+        """Counts answers and runs, and keeps the first violation of a check."""
         result, engine = self.result, self.node.engine
-        said = [each for caller in self.node.callers for each in caller.said]
+        sent_requests = [each for caller in self.node.callers for each in caller.said]
         result.answers = self.count_answers()
         result.runs = sum(engine.begun.values())
-        result.tries = len(said)
+        result.attempts = len(sent_requests)
         for (_, body), count in engine.begun.items():
             if count > 1:
                 self.note_fault(f"{body!r} ran {count} times")
         results_by_body: dict[bytes, set[bytes]] = {}
-        for each in said:
+        for each in sent_requests:
             if len(each.answers) > 1:
                 self.note_fault(f"{each.ident!r} was answered {len(each.answers)} times")
-            for word, _, made, _ in each.answers:
-                if word == b"200":
-                    results_by_body.setdefault(each.body, set()).add(made)
-                    if made not in engine.made.get((b"save", each.body), []):
-                        self.note_fault(f"{each.body!r} was honoured with what no run made: {made!r}")
+            for status, _, result_bytes, _ in each.answers:
+                if status == b"200":
+                    results_by_body.setdefault(each.body, set()).add(result_bytes)
+                    if result_bytes not in engine.made.get((b"save", each.body), []):
+                        self.note_fault(f"{each.body!r} was served a result of no run: {result_bytes!r}")
         for body, results in results_by_body.items():
             if len(results) > 1:
-                self.note_fault(f"{body!r} was honoured with {results}")
+                self.note_fault(f"{body!r} was served different results: {results}")
         return result
 
     def note_fault(self, fault: str) -> None:
-        """Keeps the first one."""
-        self.result.wrong = self.result.wrong or fault
+        """Keeps the first fault of the round."""
+        self.result.fault = self.result.fault or fault
 
 
 def run(seed: int, kills: int = 10, forgets: bool | None = None) -> RoundResult:
     with tempfile.TemporaryDirectory() as folder:
         rig = Rig(Path(folder), voters=0)
-        made = None
+        kill_round = None
         try:
-            made = KillRound(rig, seed, kills, seed % 2 == 0 if forgets is None else forgets)
-            return made.run()
-        except AssertionError as wrong:
-            return RoundResult(seed, wrong=str(wrong))
+            kill_round = KillRound(rig, seed, kills, seed % 2 == 0 if forgets is None else forgets)
+            return kill_round.run()
+        except AssertionError as error:
+            return RoundResult(seed, fault=str(error))
         finally:
-            if made is not None:
-                made.on = False
-                made.node.close()
+            if kill_round is not None:
+                kill_round.is_sending = False
+                kill_round.node.close()
             rig.close()
 
 
@@ -161,26 +167,26 @@
 )
 @click.option("--side-by-side", default=4, show_default=True)
 def main(kills: int, first: int, each: int, side_by_side: int) -> None:
-    """Plays rounds of kills, and tells what broke."""
-    total, wrong = RoundResult(0), []
+    """Runs rounds of kills, and prints each round's first fault."""
+    total, failed_rounds = RoundResult(0), []
     with ProcessPoolExecutor(side_by_side) as pool:
         for result in pool.map(run, range(first, first + -(-kills // each)), [each] * -(-kills // each)):
-            total.kills, total.tries, total.runs = (
+            total.kills, total.attempts, total.runs = (
                 total.kills + result.kills,
-                total.tries + result.tries,
+                total.attempts + result.attempts,
                 total.runs + result.runs,
             )
             total.answers += result.answers
-            if result.wrong is not None:
-                wrong.append(result)
-                click.echo(f"seed {result.seed}: {result.wrong}")
-    honoured, deferred = total.answers[b"200"], total.answers[b"503"]
-    others = sum(total.answers.values()) - honoured - deferred
+            if result.fault is not None:
+                failed_rounds.append(result)
+                click.echo(f"seed {result.seed}: {result.fault}")
+    served, rejected = total.answers[b"200"], total.answers[b"503"]
+    failed = sum(total.answers.values()) - served - rejected
     click.echo(
-        f"{total.kills} kills, {total.tries} tries, {total.runs} runs, {honoured} honoured, "
-        f"{deferred} deferred, {others} given up, {len(wrong)} rounds wrong"
+        f"{total.kills} kills, {total.attempts} attempts, {total.runs} runs, {served} served, "
+        f"{rejected} rejected, {failed} failed, {len(failed_rounds)} rounds with a fault"
     )
-    raise SystemExit(1 if wrong else 0)
+    raise SystemExit(1 if failed_rounds else 0)
 
 
 if __name__ == "__main__":
--- a/tests/idempotency/node_lifecycle.py
+++ b/tests/idempotency/node_lifecycle.py
@@ -1,4 +1,4 @@
-"""Incarnations of a node over one faulty disk and one interpreter, without sockets; the service is real."""
+"""Incarnations of a node with one faulty disk and one interpreter, without sockets; the service is real."""
 
 import random
 
@@ -24,28 +24,28 @@
 
 
 class Environment:
-    """What outlives the node's process: disk, interpreter, time."""
+    """The parts that outlive the node's process: disk, interpreter, clock."""
 
     def __init__(self, interpreter_forgets=False):
         self.disk, self.interpreter_forgets = FaultyDisk(), interpreter_forgets
-        self.clock_off = 0  # s
+        self.clock_offset_s = 0  # by which the system clock is wrong
         self.reactor = Clock()
         self.reactor.advance(1_000)
-        self.runs, self.made = [], []  # what was begun: ident, request_class, body; results
-        self.running = {}  # ident -> body
+        self.runs, self.made = [], []  # started runs (ident, request class, body); results
+        self.running = {}  # body by ident
 
     def runs_of(self, body):
         return [each for each in self.runs if each[2].startswith(body)]
 
 
 class FakeInterpreter:
-    def __init__(self, world):
-        self.world, self.runs, self.early = world, {}, {}
+    def __init__(self, environment):
+        self.environment, self.runs, self.early = environment, {}, {}
 
     def apply(self, run, request_class, body, pure):
         self.runs[run.ident] = run
-        self.world.runs.append((run.ident, request_class, body))
-        self.world.running[run.ident] = body
+        self.environment.runs.append((run.ident, request_class, body))
+        self.environment.running[run.ident] = body
 
     def adopt(self, ident, ended):
         if ident in (self.early or {}):
@@ -61,7 +61,7 @@
 
 
 class ManualThreads:
-    """The store's threads: each call waits until the test lets the disk work."""
+    """The store's threads; each call waits until the test runs it."""
 
     def __init__(self):
         self.calls, self.cut = [], False
@@ -86,21 +86,21 @@
 
 
 class NodeIncarnation:
-    def __init__(self, world, name="n1", place=7, entries=1_000):
-        self.world, self.name, self.place, self.entries = world, name, place, entries
+    def __init__(self, environment, name="n1", inode=7, entries=1_000):
+        self.environment, self.name, self.inode, self.entries = environment, name, inode, entries
         self.answers, self.cases, self.start_error = {}, {}, ""
-        self.reactor = world.reactor
+        self.reactor = environment.reactor
 
     def clock(self):
-        """Unix time, as this machine has it."""
-        return int((self.reactor.seconds() + self.world.clock_off) * SECOND)
+        """Return µs of Unix time by the machine's clock, which may be off."""
+        return int((self.reactor.seconds() + self.environment.clock_offset_s) * SECOND)
 
     def start(self, load=True, interpreter_age=500 * SECOND):
-        reactor, world = self.reactor, self.world
+        reactor, environment = self.reactor, self.environment
         self.report = Report(self.name, self.clock)
         self.report.write = lambda line: None
         self.deadlines = Deadlines(reactor, self.report.trouble)
-        self.interpreter = FakeInterpreter(world)
+        self.interpreter = FakeInterpreter(environment)
         machine = NodeSpec(
             cores=2,
             max_concurrency_per_core=8.0,
@@ -118,13 +118,13 @@
         self.threads = ManualThreads()
         try:
             engine = Engine.open(
-                world.disk, self.clock, random.Random(1), StoreLimits(64 << 10, 8 << 20), True
+                environment.disk, self.clock, random.Random(1), StoreLimits(64 << 10, 8 << 20), True
             )
         except (StoreError, PowerCutError, OSError):
             self.start_error = "no store"
             return
         self.store = Store(reactor, engine, self.threads, self.threads, maintenance=False)
-        self.started = self.service.start(self.store, self.place)
+        self.started = self.service.start(self.store, self.inode)
         self.started.addErrback(self.on_start_failed)
         self.interpreter_age = interpreter_age
         if load:
@@ -149,28 +149,28 @@
             self.reactor.advance(0.05)
 
     def run_disk_calls(self, max_calls=100):
-        """So many calls of the disk are done; true if there was one."""
-        did = False
+        """Run up to `max_calls` pending disk calls; return whether there was one."""
+        has_run = False
         while self.threads.calls and max_calls > 0 and not self.threads.cut:
             max_calls -= 1
-            did = True
+            has_run = True
             self.threads.run_next()
             self.run_turn()
-        return did
+        return has_run
 
     def send_request(self, number, body=b"x", key=b"key", pure=False):
         from hashlib import blake2b
 
         request_class, now = (LOOK if pure else SAVE), self.clock()
         request = Request(request_class, now, now + request_class.deadline, size_kb=1.0)
-        whole = b"" if pure else key + blake2b(b"save " + body, digest_size=16).digest()
+        request_key = b"" if pure else key + blake2b(b"save " + body, digest_size=16).digest()
         ident = b"%s-%d" % (b"%d" % id(self), number)
 
         def reply(answer, result, span, last):
             assert number not in self.answers, "answered twice"
             self.answers[number] = (answer.value, result)
 
-        self.cases[number] = case = Case(request, ident, key + body, whole, reply)
+        self.cases[number] = case = Case(request, ident, key + body, request_key, reply)
         self.host.arrives(case)
         self.run_turn()
 
@@ -179,19 +179,19 @@
         self.run_turn()
 
     def complete_runs(self, number=1):
-        """So many runs at the interpreter come to their end, oldest first."""
-        world = self.world
-        for ident in list(world.running)[:number]:
-            del world.running[ident]
-            result = b"result %d" % (len(world.made) + 1)
-            world.made.append(result)
+        """Complete `number` runs at the interpreter, oldest first."""
+        environment = self.environment
+        for ident in list(environment.running)[:number]:
+            del environment.running[ident]
+            result = b"result %d" % (len(environment.made) + 1)
+            environment.made.append(result)
             run = self.interpreter.runs.pop(ident, None)
             if run is not None:
                 run.ended(Outcome.COMPLETED, 1_000, result)
         self.run_turn()
 
     def run_script(self, first=0):
-        """Asked, run, asked again: as far as the disk goes."""
+        """Send a request, run it and send a repeat, as far as the disk works."""
         for number in (first + 1, first + 2):
             if self.start_error:
                 return
@@ -202,10 +202,10 @@
             self.advance(0.1)
 
     def crash(self, rng=None):
-        """The power goes; the next life finds what had reached the disk."""
+        """Cut the power; the next incarnation finds the data that had reached the disk."""
         for each in self.reactor.getDelayedCalls():
             each.cancel()
-        self.world.disk = self.world.disk.after_cut(by_chance(rng or random.Random(1)))
-        if self.world.interpreter_forgets:
-            self.world.running.clear()
-        return NodeIncarnation(self.world, self.name, self.place)
+        self.environment.disk = self.environment.disk.after_cut(by_chance(rng or random.Random(1)))
+        if self.environment.interpreter_forgets:
+            self.environment.running.clear()
+        return NodeIncarnation(self.environment, self.name, self.inode)
--- a/tests/idempotency/test_kills.py
+++ b/tests/idempotency/test_kills.py
@@ -1,4 +1,4 @@
-"""A few kills of the real node; the full length is `python -m tests.idempotency.kills`."""
+"""A few kills of the real node; the full test is `python -m tests.idempotency.kills`."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
 @pytest.mark.parametrize("forgets", [False, True])
 def test_node_killed_under_repeated_keys_runs_none_twice(forgets):
     result = run(2 if forgets else 1, kills=4, forgets=forgets)
-    assert result.wrong is None and result.kills == 4
+    assert result.fault is None and result.kills == 4
     assert sum(result.answers.values()) >= 40 and 0 < result.runs <= 40
 
 
@@ -23,9 +23,9 @@
     nodes = []
     try:
         directory = str(tmp_path / "keyed")
-        chosen = {"keyed": {"directory": directory}}
+        operator_file = {"keyed": {"directory": directory}}
         for name in ("n1", "n2"):
-            nodes.append(RigNode(rig, name, chosen, None, settings()))
+            nodes.append(RigNode(rig, name, operator_file, None, settings()))
         nodes[0].start()
         rig.until(lambda: "index loaded" in nodes[0].said(), "the index")
         nodes[1].start()
@@ -36,14 +36,14 @@
         assert nodes[1].ended() == 2 and "belongs to the node 'n1'" in nodes[1].said()
 
         def command(*words):
-            made = subprocess.run(
+            completed = subprocess.run(
                 [sys.executable, "-m", "lichencleat", "keyed", *words],
                 cwd=Path(__file__).resolve().parents[2],
                 capture_output=True,
                 text=True,
                 timeout=20,
             )
-            return made.returncode, made.stdout + made.stderr
+            return completed.returncode, completed.stdout + completed.stderr
 
         assert command("check", directory)[0] == 0
         code, said = command("show", directory, "--json")
--- a/tests/idempotency/test_record_index.py
+++ b/tests/idempotency/test_record_index.py
@@ -1,4 +1,4 @@
-"""The record index by direct calls."""
+"""Record index: direct calls."""
 
 import pytest
 
@@ -48,7 +48,7 @@
     index.put(b"4" * 16, record(RecordState.DONE))
     assert index.cached_result(b"4" * 16) == b""
     cached_bytes = index.cached_bytes
-    index.cache_result(b"3" * 16, b"five!")  # read back twice
+    index.cache_result(b"3" * 16, b"five!")  # cached already
     index.cache_result(b"1" * 16, b"five!")  # too late: the record has expired
     assert index.cached_bytes == cached_bytes
 
