--- a/lichencleat/consensus/configuration.py
+++ b/lichencleat/consensus/configuration.py
@@ -1,4 +1,4 @@
-"""Quorums, and which change of the cluster configuration may be made (Ongaro's thesis, chapter 4). No I/O."""
+"""Quorums and the rules for changes of the cluster configuration (Ongaro's thesis, chapter 4). No I/O."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from lichencleat.consensus.messages import Configuration, Member
 from lichencleat.transport.outcomes import RejectReason
 
-MAX_VOTERS = 7  # every commit waits for a majority of them; five tolerate the loss of two
-MAX_MEMBERS = 512  # learners included: the leader replicates to each one
+MAX_VOTERS = 7  # each commit waits for a majority of the voters; five tolerate the loss of two
+MAX_MEMBERS = 512  # including learners, as the leader replicates to each member
 
 
 def has_majority(voters: frozenset[int], members: Iterable[int]) -> bool:
-    """Return whether `members` hold a majority of `voters`."""
+    """Return whether `members` contains a majority of `voters`."""
     return 2 * len(voters.intersection(members)) > len(voters)
 
 
 def quorum_value(voters: frozenset[int], value_of: Callable[[int], int]) -> int:
-    """Return the highest value that a majority of the voters has reached; 0 without voters."""
+    """Return the highest value that a majority of the voters has reached, or 0 if there are no voters."""
     if not voters:
         return 0
     values = sorted((value_of(each) for each in voters), reverse=True)
@@ -25,7 +25,7 @@
 
 
 def with_member(configuration: Configuration, member: Member) -> Configuration:
-    """Return the configuration with that member added, or with its new vote or address."""
+    """Return the configuration with `member` added, or with its voting right or address updated."""
     others = (each for each in configuration.members if each.member_id != member.member_id)
     return Configuration((*others, member))
 
@@ -36,10 +36,10 @@
 
 
 def change_rejection(old: Configuration, new: Configuration) -> RejectReason | None:
-    """Return why the step from `old` to `new` is not allowed, or None where it is.
+    """Return why the change from `old` to `new` is not allowed, or None if it is allowed.
 
-    Majorities of two configurations that differ by one vote have a voter in common; those of a larger step
-    may not.
+    If two configurations differ by one voter, any majority of one shares a voter with any majority of the
+    other. With a larger difference this may not hold.
     """
     if not _is_well_formed(new):
         return RejectReason.INVALID_REQUEST
@@ -54,7 +54,7 @@
 
 
 def _is_well_formed(configuration: Configuration) -> bool:
-    """Return whether ids and names are unique and no id is 0."""
+    """Return whether all ids and names are unique and no id is 0."""
     ids = [each.member_id for each in configuration.members]
     names = [each.name for each in configuration.members]
     return len(set(ids)) == len(ids) and len(set(names)) == len(names) and all(ids)
--- a/lichencleat/consensus/messages.py
+++ b/lichencleat/consensus/messages.py
@@ -1,7 +1,7 @@
 """Types of the consensus core: messages between members, log entries, durable writes and actions.
 
-Structs that are sent or stored are MessagePack arrays: their fields are never moved or dropped, and the
-numbers of the enumerations are never given anew. No I/O.
+Structs that are sent or stored are MessagePack arrays: their fields are never reordered or removed, and the
+numbers of the enumerations are never reused. No I/O.
 """
 
 from __future__ import annotations
@@ -15,48 +15,48 @@
 from lichencleat.transport.outcomes import RejectReason
 
 NO_MEMBER = 0  # no member has this id
-ENTRY_OVERHEAD_BYTES = 32  # the encoded numbers around an entry's data
+ENTRY_OVERHEAD_BYTES = 32  # approximate size of the encoded fields other than `data`
 
-# What the caller gave with a proposal or a read. Opaque here: it is handed back with the outcome.
+# A value that the caller passes with a proposal or read and gets back with the outcome. Opaque to the core.
 RequestContext: TypeAlias = Any
 
 
 class MessageType(IntEnum):
-    """The kind of a message between two members. The numbers are those on the wire."""
+    """The type of a message between two members. The numbers are sent on the wire."""
 
     PRE_VOTE = 1
     PRE_VOTE_RESPONSE = 2
     VOTE = 3
     VOTE_RESPONSE = 4
-    APPEND = 5  # without entries: a heartbeat
+    APPEND = 5  # a heartbeat if it has no entries
     APPEND_RESPONSE = 6
-    SNAPSHOT = 7  # one chunk
+    SNAPSHOT = 7  # one chunk of a snapshot
     SNAPSHOT_RESPONSE = 8
-    TIMEOUT_NOW = 9  # start an election at once: leadership is transferred
+    TIMEOUT_NOW = 9  # leadership transfer: the recipient starts an election at once
 
 
 class EntryType(IntEnum):
-    """The kind of a log entry. The numbers are those stored."""
+    """The type of a log entry. The numbers are stored."""
 
-    NO_OP = 0  # a leader's first entry: it commits the entries of earlier terms
+    NO_OP = 0  # a leader's first entry; committing it commits the entries of earlier terms
     COMMAND = 1
     CONFIGURATION = 2
     SESSION = 3  # opens a client session, whose id is the entry's index
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One member of the cluster, with the address at which others reach it."""
+    """One member of the cluster, with the address at which the others reach it."""
 
-    member_id: int  # drawn when its directory was made: a voter that lost its disk is another member
+    member_id: int  # drawn when the directory is created; a voter that lost its disk gets a new id
     name: str
     host: str
     port: int
-    is_voter: bool = True  # else a learner
+    is_voter: bool = True  # False: a learner
     zone: str = ""
 
 
 class Configuration(msgspec.Struct, frozen=True, array_like=True):
-    """The members of the cluster. It is in force from the moment its entry is in the log."""
+    """The members of the cluster. Each member uses it once its entry is in the log, committed or not."""
 
     members: tuple[Member, ...]
 
@@ -75,16 +75,16 @@
     term: int
     entry_type: int
     data: bytes = b""
-    session_id: int = 0  # 0: none
-    sequence: int = 0  # of the proposal in its session, from 1 on
+    session_id: int = 0  # 0: no session
+    sequence: int = 0  # number of the proposal in its session, from 1
 
     def size_bytes(self) -> int:
-        """Return about how many bytes the entry takes in a message."""
+        """Return the approximate size of the entry in a message."""
         return len(self.data) + ENTRY_OVERHEAD_BYTES
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state after the entry `index`; it replaces all entries up to that one."""
+    """The state after the entry at `index`; it replaces all log entries up to that index."""
 
     index: int
     term: int
@@ -93,55 +93,56 @@
 
 
 class Message(msgspec.Struct, frozen=True, array_like=True):
-    """A message from one member to another; which fields count depends on its type."""
+    """A message from one member to another; its type determines which fields are used."""
 
     message_type: int
     term: int
     sender: int
     recipient: int
-    # APPEND: entry before the first; VOTE: the sender's last one; APPEND_RESPONSE: up to where the logs match
+    # APPEND: index of the entry before the first one sent; VOTE: index of the sender's last entry;
+    # APPEND_RESPONSE: index up to which the logs match
     index: int = 0
-    log_term: int = 0  # term of that entry
-    commit: int = 0
-    read_round: int = 0  # the leader's check that it still leads; the response repeats it
+    log_term: int = 0  # term of the entry at `index`
+    commit: int = 0  # the leader's commit index
+    read_round: int = 0  # number of the leader's latest read round; the response repeats it
     granted: bool = False
-    is_transfer: bool = False  # the leader itself asked for this election
+    is_transfer: bool = False  # VOTE: the election is part of a leadership transfer
     entries: tuple[Entry, ...] = ()
-    offset: int = 0  # SNAPSHOT: of the chunk in bytes; rejected APPEND: the index that did not match
+    offset: int = 0  # SNAPSHOT: the chunk's offset in bytes; rejected APPEND: the index that did not match
     snapshot_size: int = 0  # bytes of the complete snapshot
     data: bytes = b""
-    configuration: Configuration | None = None  # with a snapshot's first chunk
+    configuration: Configuration | None = None  # only in a snapshot's first chunk
 
 
 class ActionType(Enum):
-    """What the host is to do."""
+    """The type of an action for the host."""
 
-    WRITE = auto()  # write and flush, then call `on_write_durable` with the write's number
+    WRITE = auto()  # write and flush the state, then call `on_write_durable` with the write's number
     SEND = auto()
-    APPLY = auto()  # a committed entry, in the order of the log
-    RESTORE_SNAPSHOT = auto()  # replace the state by the snapshot's
-    SERVE_READ = auto()  # answer the read once the entry `index` is applied
-    REJECT = auto()  # of a proposal or read; `reason` says whether it may take effect yet
-    HALT = auto()  # send nothing more and end the process, with `reason`
+    APPLY = auto()  # apply a committed entry; entries come in log order
+    RESTORE_SNAPSHOT = auto()  # replace the replicated state by the snapshot
+    SERVE_READ = auto()  # answer the read once the entry at `index` is applied
+    REJECT = auto()  # reject a proposal or read; `reason` says whether it may still take effect
+    HALT = auto()  # stop sending and end the process; `reason` says why
 
 
 @dataclass(slots=True)
 class DurableWrite:
-    """A change of the durable state. It is written as a unit or not at all, and in order."""
+    """A change of the durable state. Each write is atomic, and writes are carried out in order."""
 
     number: int
     term: int
     vote: int
-    first_index: int  # of the first entry in `entries`; older entries from there on are void
+    first_index: int  # of the first entry in `entries`; earlier writes' entries from this index on are void
     entries: tuple[Entry, ...]
-    last_index: int  # of the last entry that is valid from now on
+    last_index: int  # of the last valid entry once this write is durable
     snapshot_index: int  # entries up to this one are replaced by the snapshot
-    snapshot: Snapshot | None = None  # a new one; None: the previous one stays
+    snapshot: Snapshot | None = None  # a new snapshot; None: the previous one stays
 
 
 @dataclass(slots=True)
 class Action:
-    """One step for the host; which fields are set depends on its type."""
+    """One action for the host; its type determines which fields are set."""
 
     action_type: ActionType
     message: Message | None = None
@@ -150,27 +151,27 @@
     entry: Entry | None = None
     snapshot: Snapshot | None = None
     context: RequestContext = None
-    reason: RejectReason | str | None = None  # a text with HALT
+    reason: RejectReason | str | None = None  # a string for HALT
 
 
 @dataclass(slots=True)
 class DurableState:
-    """What a member finds on its disk when it starts."""
+    """The state that a member reads from its disk when it starts."""
 
     term: int = 0
     vote: int = NO_MEMBER
     snapshot: Snapshot | None = None
-    entries: list[Entry] = field(default_factory=list)  # from the snapshot's index + 1 on
+    entries: list[Entry] = field(default_factory=list)  # the first one has the snapshot's index + 1
 
 
 @dataclass(frozen=True, slots=True)
 class Timeouts:
     """Timeouts in µs of the member's own monotonic clock.
 
-    The election timeout must exceed the heartbeat interval and the time of a flush by far.
+    The election timeout must be much longer than the heartbeat interval and the duration of a flush.
     """
 
     heartbeat_interval_us: int = 60_000
-    election_timeout_us: int = 400_000  # without contact to a leader before an election
-    election_jitter_us: int = 400_000  # bound of the random part on top, against split votes
-    transfer_timeout_us: int = 800_000  # after which a leadership transfer is abandoned
+    election_timeout_us: int = 400_000  # time without contact to a leader before an election
+    election_jitter_us: int = 400_000  # limit of the random addition, which avoids split votes
+    transfer_timeout_us: int = 800_000  # time after which a leadership transfer is abandoned
--- a/lichencleat/consensus/node_state.py
+++ b/lichencleat/consensus/node_state.py
@@ -1,4 +1,4 @@
-"""What every member has, leader or not: term and vote, log, outgoing messages, pending actions. No I/O."""
+"""State that a member has in every role: term, vote, log, outgoing messages, pending actions. No I/O."""
 
 from __future__ import annotations
 
@@ -25,37 +25,38 @@
 from lichencleat.consensus.snapshot_receiver import SnapshotReceiver
 from lichencleat.transport.outcomes import RejectReason
 
-DISTANT_PAST_US = -(1 << 62)  # before any clock
-# The random part of the election timeout doubles with each failed election, up to so often: where a flush
-# takes as long as the usual jitter, two candidates would split the votes again and again.
+DISTANT_PAST_US = -(1 << 62)  # earlier than any reading of the clock
+# The random part of the election timeout doubles with each failed election, at most this many times. Without
+# that, two candidates whose flushes take as long as the initial jitter would split the votes repeatedly.
 MAX_JITTER_DOUBLINGS = 3
-EMPTY_SNAPSHOT = Snapshot(0, 0, Configuration(()), b"")  # of a member that knows no cluster yet
+EMPTY_SNAPSHOT = Snapshot(0, 0, Configuration(()), b"")  # of a member that has not joined a cluster
 
 
 class OutgoingMessage(NamedTuple):
-    """A message, and the number of the write that must be durable before it is sent."""
+    """A message and the number of the write that must be durable before the message is sent."""
 
     required_write: int
     message: Message
 
 
 class NodeState:
-    """The state of a member and its transitions that all roles share.
+    """The state of a member and the transitions that all roles share.
 
-    `RaftNode` is built from it by `Follower`, `Replicator` and `Elector`, one for each part of the protocol.
+    `Follower`, `Replicator` and `Elector` each add a part of the protocol; `RaftNode` is the complete node.
     """
 
     def __init__(
         self, member_id: int, durable: DurableState, timeouts: Timeouts, rng: random.Random, now: int
     ) -> None:
-        """`durable`: what the disk holds, all of it flushed; `now`: µs of the member's monotonic clock."""
+        """`durable`: the state on the disk, all flushed; `now`: µs of the member's monotonic clock."""
         self.member_id = member_id
         self.timeouts = timeouts
         self.rng = rng
         self._restore(durable)
         self._reset_role()
         self.snapshot_receiver = SnapshotReceiver()
-        self.committed_contexts: dict[int, RequestContext] = {}  # by index, from a leadership that is over
+        # By index; of proposals from this member's former leadership.
+        self.committed_contexts: dict[int, RequestContext] = {}
         self.outbox: deque[OutgoingMessage] = deque()
         self.pending_actions: deque[Action] = deque()
         if self.log.snapshot_index:
@@ -69,24 +70,24 @@
         self.writes = PendingWrites(self.log)
         self.voters = self.log.configuration.voter_ids()
         self.commit_index = self.log.snapshot_index
-        self.delivered_index = self.log.snapshot_index  # entries up to here were given out to be applied
+        self.delivered_index = self.log.snapshot_index  # entries up to here were handed out to be applied
 
     def _reset_role(self) -> None:
         self.role = Role.FOLLOWER
         self.leader_id = NO_MEMBER
         self.leader_state: LeaderState | None = None
         self.votes_received: frozenset[int] = frozenset()
-        self.last_leader_contact_at = DISTANT_PAST_US  # µs: the leader's last message
+        self.last_leader_contact_at = DISTANT_PAST_US  # µs; when the leader's last message arrived
         self.election_due_at = 0  # µs
-        self.failed_campaigns = 0  # since a leader was heard
+        self.failed_campaigns = 0  # since the last contact with a leader
         self.heartbeat_due_at = 0  # µs
         self.heartbeat_count = 0
-        self.matched_index = 0  # up to here the log is known to match this leader's
+        self.matched_index = 0  # the log is known to match the leader's up to this index
 
     # -- roles ---------------------------------------------------------------------------------------
 
     def has_live_leader(self, now: int) -> bool:
-        """Return whether a leader was heard within the election timeout."""
+        """Return whether this member leads or was in contact with a leader within the election timeout."""
         if self.role is Role.LEADER:
             return True
         return (
@@ -95,12 +96,12 @@
         )
 
     def reset_election_timer(self, now: int) -> None:
-        """Start the election timeout anew, with a random part so that two members seldom campaign at once."""
+        """Restart the election timeout, randomized so that two members seldom campaign at once."""
         jitter_us = self.timeouts.election_jitter_us << min(self.failed_campaigns, MAX_JITTER_DOUBLINGS)
         self.election_due_at = now + self.timeouts.election_timeout_us + self.rng.randrange(jitter_us)
 
     def become_follower(self, now: int, term: int, leader_id: int = NO_MEMBER) -> None:
-        """Follow `leader_id` in `term`; a leadership of this member ends."""
+        """Follow `leader_id` in `term`; if this member leads, it steps down."""
         if term > self.term:
             self.term = term
             self.vote = NO_MEMBER
@@ -114,7 +115,7 @@
         self.reset_election_timer(now)
 
     def abandon_leadership(self) -> None:
-        """Drop the leader's state; its open requests are rejected or wait for their entry."""
+        """Drop the leader's state; reject its pending requests, except those whose entry is committed."""
         leader_state = self.leader_state
         self.leader_state = None
         if leader_state is None:
@@ -128,13 +129,13 @@
             self.reject(read.context, RejectReason.NOT_LEADER)
 
     def apply_configuration(self, now: int) -> None:
-        """Put the last configuration in the log into force, committed or not."""
+        """Use the latest configuration in the log, committed or not."""
         self.voters = self.log.configuration.voter_ids()
         if self.leader_state is not None:
             self.leader_state.update_members(self.log.configuration.member_ids(), self.log.last_index, now)
 
     def halt(self, reason: str) -> None:
-        """Take part no longer: send and write nothing more, and ask the host to end the process."""
+        """Stop participating: send and write nothing more, and have the host end the process."""
         if self.role is Role.HALTED:
             return
         self.abandon_leadership()
@@ -144,19 +145,19 @@
         self.pending_actions.append(Action(ActionType.HALT, reason=reason))
 
     def on_disk_failed(self, reason: str) -> None:
-        """Halt, as what this member has reported as durable may not be."""
+        """Halt, because state that this member reported as durable may be lost."""
         self.halt(f"the disk failed: {reason}")
 
     # -- output --------------------------------------------------------------------------------------
 
     def reject(self, context: RequestContext, reason: RejectReason) -> None:
-        """Answer a proposal or read with a rejection."""
+        """Reject a proposal or read."""
         self.pending_actions.append(Action(ActionType.REJECT, context=context, reason=reason))
 
     def make_message(self, message_type: MessageType, recipient: int) -> Message:
-        """Return a message of this term; fields of its type are set by the caller."""
+        """Return a message of this term; the caller sets the fields that its type needs."""
         return Message(message_type, self.term, self.member_id, recipient)
 
     def enqueue_message(self, message: Message) -> None:
-        """Send the message once the term and the vote that it rests on are durable."""
+        """Queue the message; it is sent once the current term and vote are durable."""
         self.outbox.append(OutgoingMessage(self.writes.required_for_term(), message))
--- a/lichencleat/consensus/progress.py
+++ b/lichencleat/consensus/progress.py
@@ -1,7 +1,7 @@
-"""A leader's view of one follower, and the next message for it. No I/O.
+"""A leader's view of one follower and the choice of the next message for it. No I/O.
 
-The message is entries, a chunk of a snapshot, or a heartbeat. As in etcd's raft, a follower is probed with
-one message at a time until it is known where the logs match; from then on messages are pipelined.
+A message carries entries or a chunk of a snapshot, or is a heartbeat. As in etcd's raft, a follower is probed
+with one message at a time until the index where the logs match is known; from then on messages are pipelined.
 """
 
 from __future__ import annotations
@@ -11,13 +11,13 @@
 from lichencleat.consensus.messages import Message, MessageType
 from lichencleat.consensus.raft_log import RaftLog
 
-MAX_MESSAGE_BYTES = 256 << 10  # of entries in one message: some ms of a slow link
-MAX_INFLIGHT_MESSAGES = 16  # messages with entries not answered yet: what the link must hold
+MAX_MESSAGE_BYTES = 256 << 10  # of entries in one message; takes a slow link some ms
+MAX_INFLIGHT_MESSAGES = 16  # messages with entries and without a response; the link must buffer them
 SNAPSHOT_CHUNK_BYTES = 256 << 10  # of a snapshot in one message
 
 
 class Progress:
-    """What the responses of one follower tell about its log."""
+    """The state of one follower's log as its responses report it."""
 
     __slots__ = (
         "match_index",
@@ -34,37 +34,37 @@
 
     def __init__(self, next_index: int, now: int) -> None:
         """`next_index`: the first entry to send; `now`: µs."""
-        self.match_index = 0  # up to here its log matches the leader's, on its disk
+        self.match_index = 0  # the follower's durable log matches up to this index
         self.next_index = next_index
         self.is_probing = True
-        self.inflight: tuple[int, ...] = ()  # last indices of messages with entries not answered yet
-        self.snapshot_offset = 0  # bytes of the snapshot that it has
-        self.snapshot_index = 0  # of the snapshot being sent; 0: none
+        self.inflight: tuple[int, ...] = ()  # last index of each message with entries that has no response
+        self.snapshot_offset = 0  # bytes of the snapshot that the follower has received
+        self.snapshot_index = 0  # index of the snapshot being sent; 0: none
         self.last_response_at = now  # µs
-        self.read_round = 0  # the last one that it answered
-        self.awaiting_response = False  # no second message is sent before the answer to the first
+        self.read_round = 0  # the latest read round that the follower answered
+        self.awaiting_response = False  # the next message is sent only after a response to the last one
         self.match_at_heartbeat = 0  # `match_index` at the last heartbeat
 
     def become_probe(self, next_index: int) -> None:
-        """Send one message at a time from `next_index` on, until one matches."""
+        """Send one message at a time, from `next_index` on, until the follower accepts one."""
         self.is_probing = True
         self.awaiting_response = False
         self.inflight = ()
         self.next_index = next_index
 
     def on_rejected(self, previous_index: int, hint: int) -> None:
-        """Handle that the log does not match at `previous_index`; it may match at `hint`."""
+        """Handle the response that the log does not match at `previous_index` but may match at `hint`."""
         is_stale = self.is_probing and previous_index != self.next_index - 1
         if previous_index <= self.match_index or is_stale:
             return
         self.become_probe(max(self.match_index + 1, min(self.next_index - 1, hint + 1)))
 
     def on_accepted(self, match_index: int) -> bool:
-        """Handle that the log matches up to `match_index`; return whether that is an advance."""
+        """Handle the response that the log matches up to `match_index`; return whether that is an advance."""
         is_advance = match_index > self.match_index
         self.match_index = max(self.match_index, match_index)
-        # While a snapshot is being sent, only an advance asks for more: else a follower with a slow disk,
-        # which answers at once that it has no more yet, would be sent the same chunk again and again.
+        # While a snapshot is being sent, only an advance triggers the next message. Otherwise a follower with
+        # a slow disk, which responds at once with an unchanged index, would get the same chunk repeatedly.
         if is_advance or (match_index >= self.next_index - 1 and not self.snapshot_index):
             self.is_probing = False
             self.awaiting_response = False
@@ -73,14 +73,14 @@
         return is_advance
 
     def on_heartbeat(self) -> None:
-        """Arrange to send again what was not answered since the last heartbeat: it may be lost."""
+        """Resend messages that had no response since the last heartbeat, because they may be lost."""
         self.awaiting_response = False
         if self.inflight and self.match_index == self.match_at_heartbeat:
             self.become_probe(self.match_index + 1)
         self.match_at_heartbeat = self.match_index
 
     def next_message(self, log: RaftLog, template: Message) -> Message | None:
-        """Return entries or a chunk that the follower lacks and has capacity for, or None.
+        """Return entries or a snapshot chunk that the follower lacks, or None if none may be sent now.
 
         `template`: an APPEND to the follower without index and entries.
         """
@@ -104,17 +104,17 @@
         return self.is_probing or self.next_index <= log.last_index
 
     def make_heartbeat(self, log: RaftLog, template: Message) -> Message:
-        """Return a heartbeat, at an index that the follower is known to have.
+        """Return a heartbeat at an index up to which the follower's log is known to match.
 
-        It carries the leader's commit index, which may be further on. The follower takes it over only as far
-        as its log is known to match, and so learns that it lacks entries.
+        It carries the leader's commit index, which may be higher. The follower advances its own commit index
+        only as far as its log is known to match, and learns from the difference that it lacks entries.
         """
         previous_index = max(self.match_index, log.snapshot_index)
         previous_term = log.term_at(previous_index) or 0
         return replace(template, index=previous_index, log_term=previous_term)
 
     def next_snapshot_chunk(self, log: RaftLog, template: Message) -> Message | None:
-        """Return the next chunk of the snapshot, or None while one is not answered yet."""
+        """Return the next chunk of the snapshot, or None while there is no response to the last one."""
         snapshot = log.snapshot
         if self.snapshot_index != snapshot.index:
             self.snapshot_index = snapshot.index
@@ -136,7 +136,7 @@
         )
 
     def on_snapshot_chunk_received(self, index: int, offset: int) -> None:
-        """Handle that the follower has `offset` bytes of the snapshot at `index`."""
+        """Handle the response that the follower has `offset` bytes of the snapshot at `index`."""
         if index == self.snapshot_index:
             self.snapshot_offset = offset
             self.awaiting_response = False
--- a/lichencleat/consensus/raft_log.py
+++ b/lichencleat/consensus/raft_log.py
@@ -1,4 +1,4 @@
-"""A member's log in memory: the entries after its snapshot, and the configurations among them. No I/O."""
+"""A member's log in memory: its snapshot, the entries after it and their configurations. No I/O."""
 
 from __future__ import annotations
 
@@ -15,29 +15,29 @@
 
 @dataclass(frozen=True, slots=True)
 class IndexedConfiguration:
-    """A configuration and the index of the entry that brought it."""
+    """A configuration and the index of the log entry that contains it."""
 
     index: int
     configuration: Configuration
 
 
 class RaftLog:
-    """The snapshot and the entries after it. Indices begin at 1."""
+    """The snapshot and the log entries after it. Indices begin at 1."""
 
     def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
         """Start with a snapshot and the entries that follow it."""
         self.snapshot = snapshot
         self.entries: list[Entry] = []
-        # The last one is in force, committed or not.
+        # The last one is in use, whether it is committed or not.
         self.configurations = [IndexedConfiguration(snapshot.index, snapshot.configuration)]
         self.append(entries)
 
     def copy(self) -> RaftLog:
         """Return a log that shares no mutable state with this one."""
-        twin = RaftLog(self.snapshot)
-        twin.entries = list(self.entries)
-        twin.configurations = list(self.configurations)
-        return twin
+        duplicate = RaftLog(self.snapshot)
+        duplicate.entries = list(self.entries)
+        duplicate.configurations = list(self.configurations)
+        return duplicate
 
     @property
     def snapshot_index(self) -> int:
@@ -56,15 +56,15 @@
 
     @property
     def configuration(self) -> Configuration:
-        """The configuration in force."""
+        """The latest configuration in the log, which is the one in use."""
         return self.configurations[-1].configuration
 
     def entry_at(self, index: int) -> Entry:
-        """Return the entry, which must be in the log."""
+        """Return the entry at `index`, which must be in the log."""
         return self.entries[index - self.snapshot_index - 1]
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of the entry, or None where it is inside the snapshot or beyond the end."""
+        """Return the term of the entry at `index`, or None if it is inside the snapshot or past the end."""
         if index == self.snapshot_index:
             return self.snapshot.term
         if self.snapshot_index < index <= self.last_index:
@@ -80,13 +80,13 @@
                 self.configurations.append(IndexedConfiguration(self.last_index, configuration))
 
     def truncate_from(self, index: int) -> None:
-        """Remove that entry and all after it: another leader has others in their place."""
+        """Remove the entry at `index` and all after it, which conflict with the leader's log."""
         del self.entries[index - self.snapshot_index - 1 :]
         while self.configurations[-1].index >= index:
             self.configurations.pop()
 
     def entries_from(self, index: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Return entries from that index on, at least one where there is one, up to `max_bytes`."""
+        """Return entries from `index` on, up to `max_bytes` in total, but at least one if there is any."""
         chosen: list[Entry] = []
         for entry in self.entries[index - self.snapshot_index - 1 :]:
             max_bytes -= entry.size_bytes()
@@ -103,12 +103,12 @@
         return index
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Replace all entries up to the snapshot's index, which must be in the log and committed."""
+        """Replace all entries up to the snapshot's index, which must be in the log and committed, by it."""
         self.entries = self.entries[snapshot.index - self.snapshot_index :]
         later = [each for each in self.configurations if each.index > snapshot.index]
         self.configurations = [IndexedConfiguration(snapshot.index, snapshot.configuration), *later]
         self.snapshot = snapshot
 
     def configuration_at(self, index: int) -> Configuration:
-        """Return the configuration in force at that entry."""
+        """Return the configuration in use at the entry `index`."""
         return next(each.configuration for each in reversed(self.configurations) if each.index <= index)
--- a/lichencleat/consensus/role.py
+++ b/lichencleat/consensus/role.py
@@ -6,10 +6,10 @@
 
 
 class Role(Enum):
-    """What a member does in its term. The values are those that the status request reports."""
+    """The role of a member. Status responses report the values."""
 
     FOLLOWER = "follower"
-    PRE_CANDIDATE = "asking"  # asks in a pre-vote whether it would be elected
+    PRE_CANDIDATE = "asking"  # has sent pre-vote requests
     CANDIDATE = "standing"
     LEADER = "leader"
-    HALTED = "out"  # takes part no longer: it sends and applies nothing more
+    HALTED = "out"  # no longer participates: sends and applies nothing
