--- a/lichencleat/consensus/elector.py
+++ b/lichencleat/consensus/elector.py
@@ -1,4 +1,4 @@
-"""Elections: pre-vote, votes and the start of a leadership (Raft 5.2, 5.4.1; thesis 3.10, 4.2.2, 9.6).
+"""Elections: pre-votes, votes and the start of leadership (Raft 5.2, 5.4.1; thesis 3.10, 4.2.2, 9.6).
 
 No I/O.
 """
@@ -15,13 +15,14 @@
 
 
 class Elector(Replicator):
-    """Campaigns, and votes on other members' campaigns."""
+    """Campaigns for leadership and votes for other candidates."""
 
     def can_campaign(self) -> bool:
-        """Return whether this member may become a leader.
+        """Return whether this member may become leader.
 
-        One whose removal is in its log and not known to be committed may be needed to commit it: whoever
-        lacks that entry is not elected by those who have it (thesis 4.2.2). It does not count its own vote.
+        A member whose removal is in its log and not known to be committed may still campaign, because only it
+        may be able to commit the removal: members that have that entry do not elect a candidate without it
+        (thesis 4.2.2). Such a member does not count its own vote.
         """
         if self.member_id in self.voters:
             return True
@@ -33,7 +34,7 @@
     # -- candidate -----------------------------------------------------------------------------------
 
     def start_pre_vote(self, now: int) -> None:
-        """Ask whether this member would be elected, without a new term (thesis 9.6)."""
+        """Ask the other voters whether they would elect this member, without a new term (thesis 9.6)."""
         self.failed_campaigns += 1
         self.reset_election_timer(now)
         if not self.can_campaign() or self.role is Role.HALTED:
@@ -49,14 +50,14 @@
             self.enqueue_message(replace(request, term=self.term + 1))
 
     def on_pre_vote_response(self, now: int, message: Message) -> None:
-        """Count a pre-vote; start the election with a majority of them."""
+        """Count a pre-vote; start the election once a majority is reached."""
         if self.role is Role.PRE_CANDIDATE and message.granted and message.term == self.term + 1:
             self.votes_received |= {message.sender}
             if has_majority(self.voters, self.votes_received):
                 self.start_election(now, False)
 
     def start_election(self, now: int, is_transfer: bool) -> None:
-        """Campaign in a new term; `is_transfer`: because the leader asked for it."""
+        """Campaign in a new term; `is_transfer`: the leader transfers its leadership to this member."""
         self.role = Role.CANDIDATE
         self.leader_id = NO_MEMBER
         self.term += 1
@@ -72,20 +73,20 @@
             self.enqueue_message(replace(request, is_transfer=is_transfer))
 
     def on_vote_response(self, now: int, message: Message) -> None:
-        """Count a vote; lead with a majority of them."""
+        """Count a vote; become leader once a majority is reached."""
         if self.role is Role.CANDIDATE and message.granted:
             self.votes_received |= {message.sender}
             if has_majority(self.voters, self.votes_received):
                 self.become_leader(now)
 
     def on_timeout_now(self, now: int, message: Message) -> None:
-        """Start an election, as the leader transfers its leadership to this member."""
+        """Start an election, because the leader transfers its leadership to this member."""
         is_from_leader = self.role is Role.FOLLOWER and message.sender == self.leader_id
         if is_from_leader and self.member_id in self.voters:
             self.start_election(now, True)
 
     def become_leader(self, now: int) -> None:
-        """Lead the term: replicate a first entry, which commits those of earlier terms."""
+        """Become leader and replicate the term's first entry, which commits the entries of earlier terms."""
         self.role = Role.LEADER
         self.leader_id = self.member_id
         self.failed_campaigns = 0
@@ -105,11 +106,11 @@
     # -- voter ---------------------------------------------------------------------------------------
 
     def is_log_up_to_date(self, message: Message) -> bool:
-        """Return whether the candidate's log has all that may be committed (Raft 5.4.1)."""
+        """Return whether the candidate's log contains all entries that may be committed (Raft 5.4.1)."""
         return (message.log_term, message.index) >= (self.log.last_term, self.log.last_index)
 
     def on_pre_vote(self, now: int, message: Message) -> None:
-        """Answer whether this member would vote for the sender; not while it hears a leader."""
+        """Answer whether this member would vote for the sender; do not answer while a leader is alive."""
         if self.has_live_leader(now):
             return
         granted = message.term > self.term and self.is_log_up_to_date(message)
@@ -118,7 +119,7 @@
         self.enqueue_message(replace(response, term=term, granted=granted))
 
     def on_vote(self, now: int, message: Message) -> None:
-        """Vote for the sender, where no other has the vote of this term and its log is up to date."""
+        """Vote for the sender if no other member has the vote of this term and its log is up to date."""
         can_vote = self.vote in (NO_MEMBER, message.sender) and self.role in (
             Role.FOLLOWER,
             Role.PRE_CANDIDATE,
--- a/lichencleat/consensus/follower.py
+++ b/lichencleat/consensus/follower.py
@@ -1,4 +1,4 @@
-"""The follower's side of replication: entries and snapshots from the leader. No I/O."""
+"""The follower's side of replication: receives entries and snapshots from the leader. No I/O."""
 
 from __future__ import annotations
 
@@ -23,18 +23,18 @@
         self.reset_election_timer(now)
 
     def send_append_response(self, leader_id: int, read_round: int) -> None:
-        """Report up to where the durable log matches the leader's."""
+        """Report the index up to which the durable log matches the leader's."""
         response = self.make_message(MessageType.APPEND_RESPONSE, leader_id)
         match_index = min(self.matched_index, self.writes.durable_index)
         self.enqueue_message(replace(response, index=match_index, read_round=read_round, granted=True))
 
     def on_append(self, now: int, message: Message) -> None:
-        """Append the leader's entries where the logs match before them; else say where they may match."""
+        """Append the leader's entries if the logs match before them; otherwise reply where they may match."""
         self.on_leader_contact(now, message.sender)
         previous_index = message.index
         previous_term = message.log_term
         entries = message.entries
-        if previous_index < self.log.snapshot_index:  # what the snapshot replaces is committed: it matches
+        if previous_index < self.log.snapshot_index:  # committed, so the logs match
             entries = entries[self.log.snapshot_index - previous_index :]
             previous_index = self.log.snapshot_index
             previous_term = self.log.snapshot.term
@@ -49,7 +49,7 @@
         self.send_append_response(message.sender, message.read_round)
 
     def _reject_append(self, message: Message, previous_index: int) -> None:
-        """Respond with an index from which the leader may try next, skipping a term at a time."""
+        """Respond with the index that the leader should try next, which skips a term at a time."""
         if previous_index > self.log.last_index:
             hint = self.log.last_index
         else:
@@ -65,9 +65,10 @@
         )
 
     def _append_new_entries(self, now: int, previous_index: int, entries: tuple[Entry, ...]) -> bool:
-        """Append the entries that are not in the log; return False where this member had to halt.
+        """Append the entries that are not in the log; return False if this member had to halt.
 
-        Entries that are there already are skipped: a delayed message must not remove what came after it.
+        Entries that are in the log already are skipped, so that a delayed message does not remove entries
+        that were appended after it was sent.
         """
         for position, entry in enumerate(entries):
             index = previous_index + 1 + position
@@ -83,10 +84,10 @@
         return True
 
     def truncate_log(self, index: int) -> bool:
-        """Remove the entry at `index` and all after it; halt and return False where it is committed."""
+        """Remove the entry at `index` and all after it; if it is committed, halt and return False."""
         if index <= self.commit_index:
             self.halt(
-                f"entry {index} is committed here and another is sent for it: a disk has lost what it held"
+                f"entry {index} is committed here but the leader sent a different one: a disk has lost data"
             )
             return False
         self.log.truncate_from(index)
@@ -94,7 +95,7 @@
         return True
 
     def on_snapshot_chunk(self, now: int, message: Message) -> None:
-        """Collect the chunk; install the snapshot once it is complete."""
+        """Store the chunk; install the snapshot once it is complete."""
         self.on_leader_contact(now, message.sender)
         if message.index > self.commit_index:
             received = self.snapshot_receiver.add_chunk(message)
@@ -107,11 +108,11 @@
         self.send_append_response(message.sender, message.read_round)
 
     def install_snapshot(self, now: int, snapshot: Snapshot) -> None:
-        """Replace the state, and the log up to the snapshot or, where that does not match, all of it."""
+        """Replace state and log by the snapshot; if the log matches at its index, keep the later entries."""
         if self.log.term_at(snapshot.index) == snapshot.term:
             self.log.compact(snapshot)
             self.writes.mark_compacted(snapshot.index)
-        else:  # what is behind it here was never committed
+        else:  # this log's later entries were never committed
             self.log = RaftLog(snapshot)
             self.writes.mark_replaced(snapshot.index)
         for context in self.committed_contexts.values():
--- a/lichencleat/consensus/leader.py
+++ b/lichencleat/consensus/leader.py
@@ -1,7 +1,7 @@
-"""State that only a leader has: its followers' progress, proposals and reads that wait, a transfer. No I/O.
+"""The state of a leader: progress of followers, pending proposals and reads, leadership transfer. No I/O.
 
-It is created at each election won and dropped with the leadership, so that nothing of an earlier term is
-left in it.
+It is created when an election is won and dropped when leadership ends, so that it never holds state of an
+earlier term.
 """
 
 from __future__ import annotations
@@ -14,44 +14,44 @@
 from lichencleat.consensus.progress import Progress
 from lichencleat.transport.outcomes import RejectReason
 
-MAX_PENDING_PROPOSALS = 4_096  # not committed yet: some MB, and at most a second of a slow cluster
-MAX_PENDING_READS = 4_096  # that wait for a round
+MAX_PENDING_PROPOSALS = 4_096  # uncommitted; some MB, and at most a second's work of a slow cluster
+MAX_PENDING_READS = 4_096  # waiting for a read round
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that waits for proof that this leader was still the leader after it came in."""
+    """A read that waits for proof that this member was still the leader after the read arrived."""
 
     context: RequestContext
-    index: int  # the commit index when it came in
-    read_round: int  # the round that proves it
+    index: int  # the read index: the commit index when the read arrived
+    read_round: int  # the round that gives the proof
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipTransfer:
-    """A transfer of leadership that is under way."""
+    """A leadership transfer in progress."""
 
     target: int  # member id
-    deadline: int  # µs: when it is abandoned
+    deadline: int  # µs; when the transfer is abandoned
 
 
 class LeaderState:
-    """Owned by the node while it leads."""
+    """The state that a node holds while it is the leader."""
 
     def __init__(self, member_id: int, first_index: int) -> None:
-        """`first_index`: of the term's first entry; before it is committed, no commit index is certain."""
+        """`first_index`: of the term's first entry; the commit index may be too low until it is committed."""
         self.member_id = member_id
         self.first_index = first_index
         self.progress: dict[int, Progress] = {}
-        self.pending_sends: dict[int, None] = {}  # followers that may be sent something, in order
+        self.pending_sends: dict[int, None] = {}  # member ids of followers that may need a message, in order
         self.pending_proposals: dict[int, RequestContext] = {}  # by index
         self.pending_reads: list[PendingRead] = []
-        self.read_round = 0  # the last one begun
-        self.confirmed_round = 0  # the last one that a majority answered
+        self.read_round = 0  # the last round begun; heartbeats carry it
+        self.confirmed_round = 0  # the last round that a majority answered
         self.transfer: LeadershipTransfer | None = None
 
     def update_members(self, member_ids: Iterable[int], next_index: int, now: int) -> None:
-        """Replicate to these members and no others; new ones from `next_index` on."""
+        """Replicate to exactly these members; new members are probed from `next_index` on."""
         followers = set(member_ids) - {self.member_id}
         for removed in set(self.progress) - followers:
             del self.progress[removed]
@@ -61,66 +61,66 @@
             self.pending_sends[added] = None
 
     def schedule_all(self) -> None:
-        """Note that there may be something to send to each follower."""
+        """Record that each follower may need a message."""
         self.pending_sends = dict.fromkeys(self.progress)
 
     def quorum_match_index(self, voters: frozenset[int], own_durable_index: int) -> int:
-        """Return the highest index that a majority has on its disks."""
+        """Return the highest index up to which a majority of the voters has durable entries."""
         return quorum_value(
             voters, lambda each: own_durable_index if each == self.member_id else self.match_index(each)
         )
 
     def match_index(self, member_id: int) -> int:
-        """Return up to where that follower's durable log is known to match; 0 where nothing is known."""
+        """Return the index up to which that follower's durable log is known to match; 0 if none is known."""
         progress = self.progress.get(member_id)
         return progress.match_index if progress else 0
 
     def responsive_members(self, since: int) -> set[int]:
-        """Return the members that responded after that moment (µs), this leader included."""
+        """Return the members that responded after the time `since` (µs), including this leader."""
         followers = (member_id for member_id, each in self.progress.items() if each.last_response_at > since)
         return {self.member_id, *followers}
 
     def has_quorum_contact(self, voters: frozenset[int], since: int) -> bool:
-        """Return whether a majority responded after that moment (µs)."""
+        """Return whether a majority of the voters responded after the time `since` (µs)."""
         return has_majority(voters, self.responsive_members(since))
 
-    # -- reads: a leader that was replaced must not answer from what it knows (thesis 6.4) -------------
+    # -- reads: a leader that was replaced must not answer from its stale state (thesis 6.4) -----------
 
     def add_read(self, context: RequestContext, index: int) -> RejectReason | None:
-        """Add a read that holds at `index` once a round that begins after it is answered."""
+        """Add a read at the read index `index`; a round that begins later must confirm it."""
         if len(self.pending_reads) >= MAX_PENDING_READS:
             return RejectReason.TOO_MANY_PROPOSALS
         self.pending_reads.append(PendingRead(context, index, self.read_round + 1))
         return None
 
     def begin_read_round(self) -> bool:
-        """Begin a round where one is due; its number is sent with the next heartbeats."""
+        """Begin a read round if one is due, and return whether it has begun."""
         if self.pending_reads and self.confirmed_round == self.read_round:
             self.read_round += 1
             return True
         return False
 
     def update_confirmed_round(self, voters: frozenset[int]) -> None:
-        """Take over which rounds a majority has answered."""
+        """Update the last read round that a majority of the voters has answered."""
         confirmed = quorum_value(
             voters, lambda each: self.read_round if each == self.member_id else self.read_round_of(each)
         )
         self.confirmed_round = max(self.confirmed_round, confirmed)
 
     def read_round_of(self, member_id: int) -> int:
-        """Return the last round that the follower answered."""
+        """Return the last read round that the follower answered."""
         progress = self.progress.get(member_id)
         return progress.read_round if progress else 0
 
     def take_confirmed_reads(self) -> Iterator[PendingRead]:
-        """Remove and return the reads whose round is confirmed."""
+        """Remove and yield the reads whose round is confirmed."""
         while self.pending_reads and self.pending_reads[0].read_round <= self.confirmed_round:
             yield self.pending_reads.pop(0)
 
     # -- leadership transfer -------------------------------------------------------------------------
 
     def ready_transfer_target(self, last_index: int) -> int:
-        """Return the transfer's target once it has all entries, else NO_MEMBER."""
+        """Return the target of the leadership transfer if it has all entries, else NO_MEMBER."""
         if self.transfer and self.match_index(self.transfer.target) >= last_index:
             return self.transfer.target
         return NO_MEMBER
--- a/lichencleat/consensus/raft_node.py
+++ b/lichencleat/consensus/raft_node.py
@@ -1,10 +1,10 @@
 """One member of the cluster as a state machine without I/O, in the manner of etcd's raft.
 
-Inputs only update what is known: `receive`, `on_timer`, `on_write_durable`, `propose`, `read`,
-`change_configuration`, `transfer_leadership`, `compact`. After some of them the host pulls actions with
-`next_action` until there is none, and carries them out in that order. What a message rests on is durable
-before it is handed out: a message of a term is sent once term and vote are written, and what a member reports
-of its log is what is written of it.
+The inputs only update the node's state: `receive`, `on_timer`, `on_write_durable`, `propose`, `read`,
+`change_configuration`, `transfer_leadership`, `compact`. After one or more inputs the host calls
+`next_action` until it returns None, and carries out the actions in that order. A message is handed out only
+once the state that it reports is durable: a message of a term after the term and the vote are written, and a
+log index after the entries up to it are written.
 """
 
 from __future__ import annotations
@@ -28,7 +28,7 @@
 from lichencleat.consensus.role import Role
 from lichencleat.transport.outcomes import RejectReason
 
-# Entries that a learner may lack and still be made a voter: some 100 ms of a busy cluster.
+# In entries: a learner that lags by more is not promoted to a voter. Some 100 ms of a busy cluster.
 MAX_PROMOTION_LAG = 256
 
 ELECTION_MESSAGES = frozenset(
@@ -43,7 +43,7 @@
 
 
 class RaftNode(Elector):
-    """The interface to the host. Times are µs of the member's own monotonic clock."""
+    """A complete Raft node: the interface to the host. Times are µs of the member's own monotonic clock."""
 
     # -- messages, time and the disk -----------------------------------------------------------------
 
@@ -79,7 +79,7 @@
                 self.on_timeout_now(now, message)
 
     def _handle_replication_message(self, now: int, message: Message) -> None:
-        """Handle the message; a type that this version does not know is ignored."""
+        """Handle the message; a message type that this version does not know is ignored."""
         match message.message_type:
             case MessageType.APPEND:
                 self.on_append(now, message)
@@ -91,9 +91,10 @@
                 self.on_snapshot_response(now, message)
 
     def adopt_newer_term(self, now: int, message: Message) -> bool:
-        """Take over the newer term of a message; return False for one that does not carry a new term.
+        """Adopt the newer term of a message; return False for a message whose term must not be adopted.
 
-        These are pre-votes, and the vote request of a candidate that disturbs a cluster with a leader.
+        These are pre-vote requests, granted pre-votes, and the vote request of a candidate while this member
+        has a live leader.
         """
         if message.message_type == MessageType.PRE_VOTE:
             return False
@@ -106,7 +107,7 @@
         return True
 
     def reply_with_current_term(self, message: Message) -> None:
-        """Tell the sender of an older term about the newer one, so that it stops leading or campaigning."""
+        """Tell a sender with an older term the newer one, so that it stops leading or campaigning."""
         match message.message_type:
             case MessageType.APPEND | MessageType.SNAPSHOT:
                 response_type = MessageType.APPEND_RESPONSE
@@ -119,13 +120,13 @@
         self.enqueue_message(self.make_message(response_type, message.sender))
 
     def on_timer(self, now: int) -> None:
-        """Handle the passing of time; to be called at `deadline`, and may be called at any time."""
+        """Handle due timeouts; must be called at `deadline` and may be called at any time."""
         if self.leader_state is None:
             if now >= self.election_due_at:
                 self.start_pre_vote(now)
             return
         if not self.leader_state.has_quorum_contact(self.voters, now - self.timeouts.election_timeout_us):
-            self.become_follower(now, self.term)  # it may be cut off: its clients should look for another
+            self.become_follower(now, self.term)  # may be partitioned: clients should find another leader
             return
         if self.leader_state.transfer and now >= self.leader_state.transfer.deadline:
             self.leader_state.transfer = None
@@ -133,11 +134,11 @@
             self.broadcast_heartbeats(now)
 
     def deadline(self) -> int:
-        """Return when `on_timer` is to be called at the latest."""
+        """Return the latest time at which `on_timer` must be called."""
         return self.heartbeat_due_at if self.role is Role.LEADER else self.election_due_at
 
     def on_write_durable(self, now: int, number: int) -> None:
-        """Handle that all writes up to `number` are on the disk."""
+        """Handle that all writes up to `number` are durable."""
         if self.role is Role.HALTED:
             return
         has_more_entries = self.writes.on_write_durable(number)
@@ -147,7 +148,7 @@
             self.send_append_response(self.leader_id, 0)
 
     def on_link_lost(self, member_id: int) -> None:
-        """Handle that messages on their way to that member may be lost."""
+        """Handle a lost connection: messages in flight to that member may be lost."""
         progress = self._progress_of(member_id)
         if progress is not None:
             progress.become_probe(progress.match_index + 1)
@@ -157,17 +158,17 @@
     def propose(
         self, now: int, context: RequestContext, data: bytes, session_id: int = 0, sequence: int = 0
     ) -> None:
-        """Propose a command; the context comes back with the entry's APPLY, or with a REJECT."""
+        """Propose a command; the context is returned with the entry's APPLY action or a REJECT action."""
         entry = Entry(self.term, EntryType.COMMAND, data, session_id, sequence)
         self._propose_entry(now, context, entry, self.proposal_rejection())
 
     def propose_session(self, now: int, context: RequestContext) -> None:
-        """Open a client session, whose id is the index of the entry."""
+        """Propose to open a client session; its id is the index of the entry."""
         entry = Entry(self.term, EntryType.SESSION)
         self._propose_entry(now, context, entry, self.proposal_rejection())
 
     def change_configuration(self, now: int, context: RequestContext, configuration: Configuration) -> None:
-        """Propose a configuration with one member added, removed, or with its vote given or taken."""
+        """Propose a configuration that adds, removes, promotes or demotes one member."""
         rejection = self.proposal_rejection() or self.change_rejection(configuration)
         entry = Entry(self.term, EntryType.CONFIGURATION, encode_configuration(configuration))
         self._propose_entry(now, context, entry, rejection)
@@ -181,7 +182,7 @@
             self.reject(context, rejection)
 
     def proposal_rejection(self) -> RejectReason | None:
-        """Return why no proposal is accepted now, or None."""
+        """Return why no proposal is accepted now, or None if proposals are accepted."""
         if self.leader_state is None:
             return RejectReason.NOT_LEADER
         if self.leader_state.transfer:
@@ -191,8 +192,9 @@
         return None
 
     def change_rejection(self, configuration: Configuration) -> RejectReason | None:
-        """Return why this leader can't change to that configuration now, or None."""
-        # A change of an earlier term may still be undone: two configurations could then decide apart.
+        """Return why this leader can't change to `configuration` now, or None if it can."""
+        # An uncommitted change of an earlier term may still be truncated. Together with a second change, two
+        # configurations without a common voter in their majorities could then commit different entries.
         if self.commit_index < self.leading.first_index:
             return RejectReason.LEADER_NOT_READY
         if self.log.configurations[-1].index > self.commit_index:
@@ -205,7 +207,7 @@
         return configurations.change_rejection(self.log.configuration, configuration)
 
     def read(self, now: int, context: RequestContext) -> None:
-        """Ask for a linearizable read; SERVE_READ comes with the index to apply before it is answered."""
+        """Request a linearizable read; a SERVE_READ action gives the index to apply before the answer."""
         rejection = self._add_read(context)
         if rejection is not None:
             self.reject(context, rejection)
@@ -220,7 +222,7 @@
         return self.leader_state.add_read(context, self.commit_index)
 
     def transfer_leadership(self, now: int, member_id: int) -> bool:
-        """Transfer leadership to that voter once it has all entries; return whether that is under way."""
+        """Start to transfer leadership to that voter; return whether the transfer was started."""
         if self.leader_state is None or self.leader_state.transfer:
             return False
         if member_id == self.member_id or member_id not in self.voters:
@@ -231,7 +233,7 @@
         return True
 
     def compact(self, index: int, data: bytes) -> None:
-        """Replace all entries up to `index`, which was applied, by the host's state after it."""
+        """Replace all entries up to `index`, which must be applied, by a snapshot with `data`."""
         if self.role is Role.HALTED or not self.log.snapshot_index < index <= self.delivered_index:
             return
         term = self.log.term_at(index)
@@ -242,7 +244,7 @@
     # -- actions -------------------------------------------------------------------------------------
 
     def next_action(self) -> Action | None:
-        """Return the next action for the host, or None where there is nothing to do for now."""
+        """Return the next action for the host, or None if there is none for now."""
         if self.writes.is_dirty:
             write = self.writes.make_write(self.term, self.vote, self.log)
             return Action(ActionType.WRITE, write=write)
@@ -257,7 +259,7 @@
         return self.next_replication_message()
 
     def next_committed_entry(self) -> Action:
-        """Return the next committed entry to apply, with the context of its proposal."""
+        """Return the action that applies the next committed entry, with the context of its proposal."""
         self.delivered_index += 1
         context = self.committed_contexts.pop(self.delivered_index, None)
         if context is None and self.leader_state is not None:
--- a/lichencleat/consensus/replicator.py
+++ b/lichencleat/consensus/replicator.py
@@ -16,21 +16,21 @@
 )
 from lichencleat.consensus.progress import Progress
 
-# Heartbeats to voters for one to a learner: a learner never campaigns, and there may be hundreds.
+# In heartbeats to voters. Learners get fewer: they never campaign, and there may be hundreds of them.
 LEARNER_HEARTBEAT_INTERVAL = 8
 
 
 class Replicator(Follower):
-    """Does what a leader does; most methods require that this member leads."""
+    """Replicates this member's log while it leads; most methods may be called on a leader only."""
 
     @property
     def leading(self) -> LeaderState:
-        """The leader's state, where this member is known to lead."""
+        """The leader's state; this member must be the leader."""
         assert self.leader_state is not None
         return self.leader_state
 
     def append_entry(self, now: int, entry: Entry, context: RequestContext) -> None:
-        """Append an entry to the log; the context is handed back when it is applied or given up."""
+        """Append an entry to the log; the context is returned when the entry is applied or rejected."""
         self.log.append([entry])
         self.writes.mark_appended()
         if context is not None:
@@ -42,7 +42,7 @@
     # -- heartbeats and entries ----------------------------------------------------------------------
 
     def make_append(self, member_id: int) -> Message:
-        """Return an APPEND to that follower without index and entries."""
+        """Return an APPEND message to that follower, without index and entries."""
         return Message(
             message_type=MessageType.APPEND,
             term=self.term,
@@ -58,7 +58,7 @@
         self.enqueue_message(progress.make_heartbeat(self.log, self.make_append(member_id)))
 
     def broadcast_heartbeats(self, now: int) -> None:
-        """Send a heartbeat to every voter, and now and then to every learner."""
+        """Send a heartbeat to every voter and, at a longer interval, to every learner."""
         self.heartbeat_due_at = now + self.timeouts.heartbeat_interval_us
         self.heartbeat_count += 1
         includes_learners = self.heartbeat_count % LEARNER_HEARTBEAT_INTERVAL == 0
@@ -69,9 +69,9 @@
                 self.leading.pending_sends[member_id] = None
 
     def next_replication_message(self) -> Action | None:
-        """Return entries or a snapshot chunk for a follower.
+        """Return the action that sends entries or a snapshot chunk to a follower, or None.
 
-        They are chosen only when the host asks, so that all that came in meanwhile goes in one message.
+        The message is built only when the host asks for it, so that it contains all entries proposed so far.
         """
         leader_state = self.leader_state
         if leader_state is None or self.writes.last_term_write > self.writes.durable_number:
@@ -118,7 +118,7 @@
         return self.leader_state.progress.get(member_id) if self.leader_state is not None else None
 
     def advance_commit_index(self, now: int) -> None:
-        """Commit what a majority has on its disks, by an entry of this term only (Raft 5.4.2)."""
+        """Commit up to the index that a majority has durable, if its entry is of this term (Raft 5.4.2)."""
         quorum_index = self.leading.quorum_match_index(self.voters, self.writes.durable_index)
         if quorum_index <= self.commit_index or self.log.term_at(quorum_index) != self.term:
             return
@@ -129,13 +129,13 @@
 
     def _step_down_after_removal(self, now: int) -> None:
         for member_id in self.leading.progress:
-            self.send_heartbeat(member_id)  # the last message: it tells that the removal is committed
+            self.send_heartbeat(member_id)  # the last message; its commit index covers the removal
         self.become_follower(now, self.term)
 
     # -- reads ---------------------------------------------------------------------------------------
 
     def start_read_round(self) -> None:
-        """Ask the voters whether this member still leads, where reads wait and no round is under way."""
+        """Confirm with the voters that this member still leads, if reads wait and no round is in progress."""
         leader_state = self.leading
         while leader_state.begin_read_round():
             leader_state.update_confirmed_round(self.voters)
@@ -152,7 +152,7 @@
     # -- leadership transfer -------------------------------------------------------------------------
 
     def continue_transfer(self) -> None:
-        """Tell the target of the transfer to start an election, once it has all entries."""
+        """Send the transfer target a TIMEOUT_NOW message if it has all entries."""
         target = self.leading.ready_transfer_target(self.log.last_index)
         if target != NO_MEMBER:
             self.enqueue_message(self.make_message(MessageType.TIMEOUT_NOW, target))
--- a/lichencleat/consensus/sessions.py
+++ b/lichencleat/consensus/sessions.py
@@ -1,6 +1,6 @@
-"""Client sessions: each proposal is applied once, however often it is in the log (thesis 6.3). No I/O.
+"""Client sessions: a proposal is applied once, even if the log contains it repeatedly (thesis 6.3). No I/O.
 
-A client opens a session by a log entry of its own and numbers its proposals in it, one at a time.
+A client opens a session with a log entry. It numbers its proposals in the session and sends one at a time.
 """
 
 from __future__ import annotations
@@ -12,26 +12,26 @@
 
 from lichencleat.transport.outcomes import SessionOutcome
 
-MAX_SESSIONS = 8_192  # some MB with their last results; the least recently used one makes room
+MAX_SESSIONS = 8_192  # some MB with their last results
 
 
 class ApplyResult(NamedTuple):
-    """The outcome of an entry, and the encoded result where it was applied."""
+    """The outcome of an entry, and the encoded result if it was applied."""
 
     outcome: SessionOutcome
     result: bytes
 
 
 class SessionRecord(msgspec.Struct, array_like=True):
-    """What is stored of a session."""
+    """The stored state of a session."""
 
     sequence: int  # of the last proposal applied
     last_used_index: int  # of the entry that used the session last
-    result: bytes  # of that proposal
+    result: bytes  # of the last proposal applied
 
 
 class SessionTable:
-    """All sessions, the least recently used one first. The same at each member, as only the log counts."""
+    """All sessions, least recently used first. Only the log changes them, so all members have the same."""
 
     def __init__(self, max_sessions: int = MAX_SESSIONS) -> None:
         """Start without sessions."""
@@ -39,7 +39,7 @@
         self.records: dict[int, SessionRecord] = {}  # by session id
 
     def open(self, index: int) -> None:
-        """Open the session whose id is `index`; the least recently used one is evicted where it is full."""
+        """Open the session with the id `index`; a full table evicts the least recently used session."""
         if len(self.records) >= self.max_sessions:
             del self.records[next(iter(self.records))]
         self.records[index] = SessionRecord(0, index, b"")
@@ -56,10 +56,10 @@
         if sequence > record.sequence + 1:
             return ApplyResult(SessionOutcome.GAP, b"")
         if sequence == record.sequence + 1:
-            record.result = apply()  # first: where it raises, nothing has changed
+            record.result = apply()  # before any change, so that the record is unchanged if it raises
             record.sequence = sequence
         record.last_used_index = index
-        self.records[session_id] = self.records.pop(session_id)  # now the most recently used one
+        self.records[session_id] = self.records.pop(session_id)  # moves it to the end: most recently used
         return ApplyResult(SessionOutcome.DONE, record.result)
 
     def dump(self) -> list[tuple[int, SessionRecord]]:
--- a/lichencleat/consensus/snapshot_receiver.py
+++ b/lichencleat/consensus/snapshot_receiver.py
@@ -4,8 +4,8 @@
 
 from lichencleat.consensus.messages import Message, Snapshot
 
-# Bytes of one snapshot, which is assembled in memory: pages of configuration that do not compress
-# (config_distribution has 128 MiB of them), its window of 16 MiB, and the sessions.
+# Limit of one snapshot, which is assembled in memory. The largest one holds incompressible pages of
+# configuration (128 MiB in config_distribution), its window of recent batches (16 MiB) and the sessions.
 MAX_SNAPSHOT_BYTES = 160 << 20
 
 
@@ -15,15 +15,15 @@
     def __init__(self) -> None:
         """Start without a snapshot."""
         self.first_chunk: Message | None = None
-        self.data = bytearray()  # grows in place: bytes would be copied with each chunk
+        self.data = bytearray()  # a bytes object would be copied at each chunk
 
     def clear(self) -> None:
-        """Drop what has arrived."""
+        """Discard the partial snapshot."""
         self.first_chunk = None
         self.data = bytearray()
 
     def add_chunk(self, chunk: Message) -> Snapshot | int:
-        """Add a chunk; return the complete snapshot, or the offset in bytes of the chunk wanted next."""
+        """Add a chunk; return the complete snapshot, or the byte offset of the next missing chunk."""
         if self._is_first_chunk(chunk):
             self.first_chunk = chunk
             self.data = bytearray()
