--- a/lichencleat/consensus/extension.py
+++ b/lichencleat/consensus/extension.py
@@ -1,6 +1,7 @@
-"""The seam for requests that a member answers itself, leader or not, outside the consensus protocol.
+"""Interface of extensions, which answer requests outside the consensus protocol on any member.
 
-Configuration distribution uses it: subscribers are served by every voter from what that voter has applied.
+Configuration distribution is such an extension: every voter serves subscribers from the entries that it has
+applied.
 """
 
 from __future__ import annotations
@@ -16,73 +17,73 @@
 
 
 class MemberView(Protocol):
-    """What an extension may ask of its member."""
+    """The part of a member process that an extension may use."""
 
     @property
     def zone(self) -> str:
-        """The zone that the member is in."""
+        """The zone of the member."""
 
     def now(self) -> int:
         """Return µs of the member's monotonic clock."""
 
     def confirm_leadership(self, on_result: Callable[[bool], None]) -> None:
-        """Check that this member leads.
+        """Check that this member is the leader.
 
-        `on_result` gets True once a majority has followed this leader at some moment after this call and all
-        that was committed before is applied; False where it does not lead.
+        `on_result` is called with True once a majority has confirmed this leader after this call and all
+        entries committed before it are applied; it is called with False if this member does not lead.
         """
 
 
 class MemberExtension(Protocol):
-    """Answers requests from what the member has applied."""
+    """Answers requests from the state that the member has applied."""
 
     def start(self, member: MemberView) -> None:
-        """Start; the member does not participate yet."""
+        """Start; the member does not participate in the cluster yet."""
 
     def handles(self, operation: str) -> bool:
-        """Return whether requests for that operation are the extension's."""
+        """Return whether the extension handles requests for that operation."""
 
     def on_request(self, connection: InboundConnection, request: ClientRequest) -> None:
         """Handle a request; the response may be sent later."""
 
     def on_disconnected(self, connection: InboundConnection) -> None:
-        """Forget a connection."""
+        """Discard the state of a closed connection."""
 
     def on_applied(self, state_machine: StateMachine) -> None:
-        """Note that entries may have been applied, or a snapshot restored."""
+        """Handle that entries may have been applied or a snapshot restored."""
 
     def on_leader_commit(self, commit_index: int) -> None:
-        """Note the leader's commit index; the entries up to there may not have arrived yet."""
+        """Handle the leader's commit index; the entries up to it may not have arrived yet."""
 
     def close(self) -> None:
-        """Answer nothing more and give everything back."""
+        """Stop answering and release all resources."""
 
 
 class GuardedExtension:
-    """Runs an extension so that its errors stop the extension and never the member."""
+    """Isolates the member from its extension: an error closes the extension and never ends the member."""
 
     def __init__(self, extension: MemberExtension | None, log: EventLogger) -> None:
-        """`extension` None: the member has none."""
+        """`extension` is None if the member has none."""
         self.extension = extension
         self.log = log
 
     def handles(self, operation: str) -> bool:
-        """Return whether requests for that operation are the extension's."""
+        """Return whether the extension handles requests for that operation."""
         return self.extension is not None and self.extension.handles(operation)
 
     def notify(self, call: Callable[[MemberExtension], None]) -> None:
-        """Make a call to the extension; where it raises, the extension is closed."""
+        """Make a call to the extension; if it raises, close the extension."""
         if self.extension is None:
             return
         try:
             call(self.extension)
-        except Exception:  # noqa: BLE001  # the guard of the member against the extension
+        except Exception:  # noqa: BLE001  # an error of the extension must not end the member
             trace = traceback.format_exc(limit=-3).replace("\n", " | ")
-            self.log.warning("error", trace=trace, then="this member serves no more")
+            self.log.warning("extension failed", trace=trace, then="the extension is closed")
             self.close()
 
     def close(self) -> None:
-        """Close the extension for good."""
+        """Close the extension permanently."""
         extension = self.extension
         self.extension = None
         if extension is not None:
--- a/lichencleat/consensus/key_value.py
+++ b/lichencleat/consensus/key_value.py
@@ -6,33 +6,33 @@
 
 from lichencleat.decode_errors import UNDECODABLE
 
-STATE_PART = "facts"  # the name of this part of the replicated state
+STATE_PART = "facts"  # name of this part of the replicated state; stored and sent
 MAX_KEYS = 65_536
-MAX_VALUE_BYTES = 65_536  # of one value: a snapshot holds them all
-NO_REVISION = 0  # of a key that does not exist
+MAX_VALUE_BYTES = 65_536  # of one value; snapshots contain all values
+NO_REVISION = 0  # revision of a key that does not exist
 
 
 class SetCommand(msgspec.Struct, frozen=True, array_like=True, tag_field="do", tag="set"):
     """Sets or deletes the value of a key."""
 
     key: str
-    value: bytes | None  # None: delete
-    expected_revision: int | None = None  # None: any; 0: the key must not exist
+    value: bytes | None  # None: delete the key
+    expected_revision: int | None = None  # None: any revision; 0: the key must not exist
 
 
 class KeyValueEntry(msgspec.Struct, frozen=True, array_like=True):
-    """The value of a key."""
+    """The value of a key, with its revision."""
 
     value: bytes
     revision: int  # index of the log entry that set it
 
 
 class SetResult(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a command: whether it was applied, and the key's revision now, or 0."""
+    """The result of a command: whether it was applied, and the key's revision, or 0 if it does not exist."""
 
     is_applied: bool
     revision: int
-    reason: str = ""  # where it was not applied; sent to clients
+    reason: str = ""  # why the command was not applied; sent to clients
 
 
 decode_set_command = msgspec.msgpack.Decoder(SetCommand).decode
@@ -40,14 +40,14 @@
 
 
 class KeyValueState:
-    """The replicated state of this module, as `state_machine.ReplicatedState` describes it."""
+    """The key-value pairs as a `state_machine.ReplicatedState`."""
 
     def __init__(self) -> None:
         """Start without keys."""
         self.entries: dict[str, KeyValueEntry] = {}
 
     def apply(self, index: int, command: msgspec.Raw) -> SetResult:
-        """Apply an encoded `SetCommand`; one that is rejected changes nothing."""
+        """Apply an encoded `SetCommand`; a rejected command changes nothing."""
         try:
             wanted = decode_set_command(command)
         except UNDECODABLE:
@@ -65,7 +65,7 @@
         return SetResult(True, index)
 
     def read(self, query: str) -> KeyValueEntry | None:
-        """Return the value of that key, or None."""
+        """Return the entry of the key `query`, or None if it does not exist."""
         return self.entries.get(query)
 
     def dump(self) -> dict[str, KeyValueEntry]:
--- a/lichencleat/consensus/leader_proposals.py
+++ b/lichencleat/consensus/leader_proposals.py
@@ -1,4 +1,4 @@
-"""What a leader proposes itself: activations of states, and commands that are due from time to time."""
+"""Proposals that originate at the leader: activations of states, and commands that are due periodically."""
 
 from __future__ import annotations
 
@@ -18,18 +18,18 @@
 
 
 class LeaderProposal(NamedTuple):
-    """A command that the leader proposes itself."""
+    """A command that the leader proposes on its own behalf."""
 
     state_name: str
     command: Encodable
 
 
-# Called on the leader with its state and µs of its clock; with None once the member leads no more.
+# Called on the leader with its state machine and µs of its clock; called with None when it stops leading.
 DueProposals = Callable[[StateMachine | None, int], list[LeaderProposal]]
 
 
 def no_proposals(state_machine: StateMachine | None, now: int) -> list[LeaderProposal]:
-    """Propose nothing: the states need no commands of the leader's own."""
+    """Propose nothing, for states that need no commands from the leader."""
     return []
 
 
@@ -37,13 +37,13 @@
     """Admits commands for a state once all members support it, and activates the state in the log."""
 
     def __init__(self, node: RaftNode, applier: StateApplier, supported_states: SupportedStates) -> None:
-        """Share them with the member."""
+        """The arguments are shared with the member process."""
         self._node = node
         self._applier = applier
         self._supported_states = supported_states
 
     def admit(self, state_name: str, now: int) -> str | None:
-        """Return why no command for that state can be proposed now, or None after having it activated."""
+        """Return why commands for that state are rejected, or None; propose its activation if necessary."""
         state_machine = self._applier.state_machine
         if state_name in state_machine.active_states or self._node.leader_state is None:
             return None
@@ -57,7 +57,7 @@
 
 
 class LeaderProposer:
-    """Proposes the commands that are due, some times a second while this member leads."""
+    """Proposes the commands that are due, several times a second while this member leads."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         due_proposals: DueProposals,
         on_proposed: Callable[[], None],
     ) -> None:
-        """`on_proposed` is called after each proposal, which the node has not handled yet."""
+        """`on_proposed` is called after each proposal, before the node's actions for it are executed."""
         self.role = Role.FOLLOWER
         self._reactor = reactor
         self._node = node
@@ -79,15 +79,16 @@
         self._timer: DelayedCall | None = None
 
     def on_role_changed(self, role: Role) -> None:
-        """Start when this member begins to lead; tell the states once it leads no more."""
+        """Propose while this member leads; call `due_proposals` with None when it stops leading."""
         self.role = role
         if self._timer is None:
             self.propose_due()
 
     def propose_due(self) -> None:
-        """Propose what is due, also while entries wait to be applied.
+        """Propose the commands that are due, also while entries wait to be applied.
 
-        Otherwise, under load, the states would be told again and again that this member leads no more.
+        A leader that is behind in applying entries still leads. Without this rule, `due_proposals` would be
+        called with None repeatedly under load, as if leadership had ended.
         """
         self._timer = None
         is_leader = self.role is Role.LEADER
@@ -100,7 +101,7 @@
             self._timer = self._reactor.callLater(PROPOSAL_INTERVAL_S, self.propose_due)
 
     def stop(self) -> None:
-        """Propose nothing more."""
+        """Stop proposing."""
         if self._timer is not None and self._timer.active():
             self._timer.cancel()
 
--- a/lichencleat/consensus/requests.py
+++ b/lichencleat/consensus/requests.py
@@ -1,4 +1,4 @@
-"""The contents of requests and the frames that a member of a cluster decodes."""
+"""The contents of client requests, and the frames that a member decodes."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class AddMemberRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Add a member, or give it its vote."""
+    """Adds a member, or promotes a learner to a voter."""
 
     member_id: int
     name: str
@@ -35,7 +35,7 @@
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
-    """Append a command to the log; `session_id` 0: without a session."""
+    """Proposes a command; `session_id` is 0 if it belongs to no session."""
 
     session_id: int
     sequence: int
--- a/lichencleat/consensus/state_applier.py
+++ b/lichencleat/consensus/state_applier.py
@@ -1,4 +1,4 @@
-"""Applies committed entries, takes snapshots and answers reads once their entries are applied."""
+"""Applies committed entries, takes snapshots and answers reads once their read index is applied."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from lichencleat.transport.frames import encode_raw
 
 ENTRIES_PER_SNAPSHOT = 2_000  # some MB of log
-MAX_BYTES_PER_SNAPSHOT = 32 << 20  # of entries' data; two lots of them are in memory
+MAX_BYTES_PER_SNAPSHOT = 32 << 20  # of entries' data; up to two times this is in memory
 
 StateFactory = Callable[[], dict[str, ReplicatedState]]
 
 
 @dataclass(frozen=True, slots=True)
 class StateDump:
-    """The encoded state after the entry `index`."""
+    """The encoded state after the entry at `index`."""
 
     index: int
     data: bytes
@@ -26,17 +26,17 @@
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that may be answered once the entry `index` is applied."""
+    """A read that may be answered once the entry at `index` is applied."""
 
     index: int
     context: ReadContext
 
 
 class StateApplier:
-    """Owns the state machine and the reads that wait for it."""
+    """Owns the state machine and the reads that wait for entries to be applied."""
 
     def __init__(self, make_states: StateFactory, compact: Callable[[int, bytes], None]) -> None:
-        """`make_states` gives empty states; `compact` replaces the log up to an index by a dump."""
+        """`make_states` returns empty states; `compact` replaces the log up to an index by a state dump."""
         self.state_machine = StateMachine(make_states())
         self.make_states = make_states
         self._compact = compact
@@ -45,10 +45,10 @@
         self._bytes_since_dump = 0
 
     def apply(self, action: Action) -> None:
-        """Apply a committed entry and report its outcome to whoever proposed it here.
+        """Apply a committed entry and report its outcome to its proposer, if it was proposed here.
 
         Raises:
-            UnknownStateError: the cluster uses a state that this program does not know.
+            UnknownStateError: the cluster has activated a state that this program does not support.
         """
         assert action.entry is not None
         result = self.state_machine.apply(action.index, action.entry)
@@ -61,7 +61,7 @@
             self._take_snapshot(action.index)
 
     def _take_snapshot(self, index: int) -> None:
-        """Dump the state; the log is compacted to the previous dump, so that slow followers find entries."""
+        """Dump the state and compact the log up to the previous dump, so that slow followers find entries."""
         if self._last_dump is not None:
             self._compact(self._last_dump.index, self._last_dump.data)
         self._last_dump = StateDump(index, self.state_machine.dump())
@@ -71,8 +71,8 @@
         """Replace the state by a snapshot.
 
         Raises:
-            msgspec.MsgspecError: the snapshot's data is not that of a state machine.
-            UnknownStateError: the cluster uses a state that this program does not know.
+            msgspec.MsgspecError: the snapshot's data is not an encoded state machine.
+            UnknownStateError: the cluster has activated a state that this program does not support.
         """
         assert action.snapshot is not None
         self.state_machine = StateMachine(self.make_states())
@@ -81,11 +81,11 @@
         self._bytes_since_dump = 0
 
     def add_read(self, index: int, context: ReadContext) -> None:
-        """Keep a read until the entry `index` is applied."""
+        """Keep a read until the entry at `index` is applied."""
         self._pending_reads.append(PendingRead(index, context))
 
     def answer_reads(self) -> None:
-        """Answer all reads whose entries are applied."""
+        """Answer all reads whose read index is applied."""
         applied = self.state_machine.applied
         ready = [read for read in self._pending_reads if read.index <= applied]
         if not ready:
--- a/lichencleat/consensus/state_machine.py
+++ b/lichencleat/consensus/state_machine.py
@@ -1,7 +1,7 @@
-"""The replicated state machine: named states that each apply their own commands, behind client sessions.
+"""The replicated state machine: named states that apply their own commands, and the client sessions.
 
-Every member that has applied the same entries holds the same state to the byte. A state therefore depends on
-its commands alone: on no clock, no random number and no order of a set. No I/O.
+Members that have applied the same entries hold byte-identical states. A state must therefore depend on its
+commands alone, and not on a clock, a random number or the iteration order of a set. No I/O.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.transport.outcomes import SessionOutcome
 
-Encodable: TypeAlias = Any  # whatever MessagePack can encode
-Query: TypeAlias = Any  # decoded from a client's request; each state checks its own
+Encodable: TypeAlias = Any  # any value that MessagePack can encode
+Query: TypeAlias = Any  # decoded from a client's request; the state that answers it validates it
 
-EncodedCommand = tuple[str, msgspec.Raw]  # the state's name, and the command that it decodes itself
+EncodedCommand = tuple[str, msgspec.Raw]  # the state's name, and the command that this state decodes
 
 encode = msgspec.msgpack.encode
 decode_command = msgspec.msgpack.Decoder(EncodedCommand).decode
@@ -28,22 +28,22 @@
 
 
 class ReplicatedState(Protocol):
-    """One subject that the cluster decides on, such as leases or configuration."""
+    """One part of the replicated state, such as leases or configuration."""
 
     def apply(self, index: int, command: msgspec.Raw) -> Encodable:
-        """Apply the command of the entry `index` and return its result.
+        """Apply the command of the entry at `index` and return its result.
 
-        Never raises: an invalid command is answered as one.
+        Never raises: the result of an invalid command says that it is invalid.
         """
 
     def read(self, query: Query) -> Encodable:
-        """Answer a query from the state as it is."""
+        """Answer a query from the current state."""
 
     def dump(self) -> Encodable:
         """Return the complete state, for a snapshot."""
 
     def load(self, dumped: msgspec.Raw) -> None:
-        """Replace the state by a dumped one."""
+        """Replace the state by a dump."""
 
 
 class StateMachineDump(msgspec.Struct, array_like=True):
@@ -58,7 +58,7 @@
 
 
 def bootstrap_snapshot(configuration: Configuration) -> Snapshot:
-    """Return the snapshot that a new cluster starts with: its configuration and no state."""
+    """Return the initial snapshot of a new cluster: its configuration, and no state."""
     return Snapshot(0, 0, configuration, b"")
 
 
@@ -66,17 +66,17 @@
     """Applies committed entries in order and answers reads. Owns the states and the sessions."""
 
     def __init__(self, states: dict[str, ReplicatedState]) -> None:
-        """`states`: as they begin, by name."""
+        """`states`: the initial states by name."""
         self.states = states
         self.sessions = SessionTable()
-        self.applied = 0  # index of the last entry
-        self.active_states: set[str] = set()  # those that the log says are in use
+        self.applied = 0  # index of the last entry applied
+        self.active_states: set[str] = set()  # names of the states that the log has activated
 
     def apply(self, index: int, entry: Entry) -> ApplyResult:
-        """Apply the entry, which must follow the last one.
+        """Apply the entry at `index`, which must follow the last one applied.
 
         Raises:
-            UnknownStateError: the cluster uses a state that this program does not know.
+            UnknownStateError: the cluster has activated a state that this program does not support.
         """
         assert index == self.applied + 1, f"entry {index} after {self.applied}"
         self.applied = index
@@ -96,8 +96,9 @@
     def apply_command(self, index: int, data: bytes, is_leader_proposal: bool = False) -> bytes:
         """Apply an encoded command and return its encoded result.
 
-        One that no state knows changes nothing: it remains in the log, so an error would recur at each
-        start. Only a leader's own proposal may activate a state.
+        A command that can't be decoded or is for an unknown state changes nothing. It must not raise: it
+        stays in the log, so the error would recur at each start. Only a leader's own proposal may activate a
+        state.
         """
         try:
             name, command = decode_command(data)
@@ -110,36 +111,36 @@
         return encode(state.apply(index, command) if state is not None else None)
 
     def activate(self, names: list[str]) -> None:
-        """Note that these states are in use. Raises UnknownStateError."""
+        """Activate these states. Raises UnknownStateError."""
         unknown = set(names) - self.states.keys()
         if unknown:
             raise UnknownStateError(unknown)
         self.active_states.update(names)
 
     def has_data(self, name: str, initial_states: Mapping[str, ReplicatedState]) -> bool:
-        """Return whether that state differs from how it begins.
+        """Return whether that state differs from its initial state.
 
-        It may without being active: its commands are older than the activation entry.
+        This can be so without an activation: states may have data from before activation entries existed.
         """
         if name not in self.states:
             return False
         return bool(encode(self.states[name].dump()) != encode(initial_states[name].dump()))
 
     def read(self, name: str, query: Query) -> Encodable:
-        """Answer a query to that state; None where there is no such state."""
+        """Answer a query to that state; return None if there is no such state."""
         return self.states[name].read(query) if name in self.states else None
 
     def dump(self) -> bytes:
-        """Return the data of a snapshot."""
+        """Return the encoded state for a snapshot."""
         states = {name: msgspec.Raw(encode(each.dump())) for name, each in self.states.items()}
         return encode(StateMachineDump(self.sessions.dump(), states, sorted(self.active_states)))
 
     def restore(self, snapshot: Snapshot) -> None:
-        """Replace everything by a snapshot.
+        """Replace states and sessions by those of a snapshot.
 
         Raises:
-            msgspec.MsgspecError: the data is not that of a state machine.
-            UnknownStateError: the cluster uses a state that this program does not know.
+            msgspec.MsgspecError: the data is not an encoded state machine.
+            UnknownStateError: the cluster has activated a state that this program does not support.
         """
         self.applied = snapshot.index
         if not snapshot.data:
--- a/lichencleat/consensus/supported_states.py
+++ b/lichencleat/consensus/supported_states.py
@@ -1,9 +1,10 @@
-"""Which replicated states each member's program supports, and when one may be used first. No I/O.
+"""Tracks which replicated states each member supports, and when a state may be activated. No I/O.
 
-A member that does not know a state skips its commands, and its snapshots lack them: restarted as a version
-that knows the state, it would differ from the others and not notice. The leader therefore admits the first
-command for a state only once every member has reported that it supports it. It then writes into the log that
-the state is active, which stops a member that is downgraded to a version without it.
+A member that does not support a state skips its commands, and its snapshots lack their effect. After an
+upgrade to a version that supports the state, this member would differ from the others without detection. The
+leader therefore admits the first command for a state only once every member has reported that it supports the
+state. The leader then appends an activation entry to the log, which stops a member that is downgraded to a
+version without the state.
 """
 
 from __future__ import annotations
@@ -12,15 +13,15 @@
 
 from lichencleat.consensus.messages import Configuration
 
-ACTIVATION_COMMAND = "parts"  # name under which a leader writes which state is active from then on
-# What a version supports that does not report it yet. The names are stored.
+ACTIVATION_COMMAND = "parts"  # name of the command with which a leader activates states
+# The states that a version supports if it is too old to report them. The names are stored.
 LEGACY_STATES = frozenset(["facts", "owners", "shares", "revive", "zones", "distribution"])
-MAX_TRACKED_MEMBERS = 2_048  # twice the connections that a leader accepts
-MAX_NAMED_MEMBERS = 3  # in a rejection, which is one line for an operator
+MAX_TRACKED_MEMBERS = 2_048  # twice the number of connections that a leader accepts
+MAX_NAMED_MEMBERS = 3  # in a rejection, which should fit on one line for an operator
 
 
 class UnknownStateError(Exception):
-    """The cluster uses states that this program does not know.
+    """The cluster has activated states that this program does not support.
 
     Attributes:
         names: the states' names.
@@ -29,27 +30,29 @@
     def __init__(self, names: Iterable[str]) -> None:
         self.names = sorted(names)
         which = ", ".join(self.names)
-        super().__init__(f"the group decides on {which}, which this version does not know: start a newer one")
+        super().__init__(
+            f"the group uses {which}, which this version does not support: start a newer version"
+        )
 
 
 class SupportedStates:
-    """What each member has reported since this process started; the latest report counts."""
+    """The states that each member has reported since this process started; the latest report counts."""
 
     def __init__(self, own: Iterable[str]) -> None:
         """`own`: the states that this program supports."""
         self.own = frozenset(own)
-        self.advertised = tuple(sorted(self.own))  # as sent in greetings
+        self.advertised = tuple(sorted(self.own))  # sent in greetings
         self.by_member: dict[int, frozenset[str]] = {}
 
     def record(self, member_id: int, states: Iterable[str] | None) -> None:
-        """Record a member's report; None from a version that does not report."""
+        """Record a member's report; `states` is None from a version that does not report them."""
         self.by_member.pop(member_id, None)
         self.by_member[member_id] = LEGACY_STATES if states is None else frozenset(states)
         if len(self.by_member) > MAX_TRACKED_MEMBERS:
             del self.by_member[next(iter(self.by_member))]
 
     def rejection(self, state: str, configuration: Configuration, leader_id: int) -> str | None:
-        """Return why commands for the state can't be admitted, or None where they can."""
+        """Return why commands for the state can't be admitted, or None if they can."""
         if state not in self.own:
             return f"the leader does not know {state!r}: it is another group's, or of a later version"
         lacking = [
--- a/tests/consensus/test_supported_states.py
+++ b/tests/consensus/test_supported_states.py
@@ -80,7 +80,7 @@
     state = older_version()
     state.apply(1, entry(ACTIVATION_COMMAND, ["owners"]))
     assert state.active_states == {"owners"}
-    with pytest.raises(UnknownStateError, match="decides on revive, which this version does not know"):
+    with pytest.raises(UnknownStateError, match="uses revive, which this version does not support"):
         state.apply(2, entry(ACTIVATION_COMMAND, ["revive"]))
     assert state.active_states == {"owners"}
 
--- a/tests/fleet/test_older_voters.py
+++ b/tests/fleet/test_older_voters.py
@@ -78,7 +78,7 @@
     v3.lacks = LACKS
     v3.start()
     assert v3.ended() == 3
-    assert "decides on revive, which this version does not know: start a newer one" in v3.log.read_text()
+    assert "uses revive, which this version does not support: start a newer version" in v3.log.read_text()
     assert decided(rig, client, 2) == ""
     v3.lacks = ()
     v3.start()
