--- a/lichencleat/consensus/client_requests.py
+++ b/lichencleat/consensus/client_requests.py
@@ -1,4 +1,4 @@
-"""The requests of clients: sessions, proposals, reads, changes of members, and the status."""
+"""Client requests: sessions, proposals, reads, membership changes, leadership transfer and status."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 
 
 class RequestHost(Protocol):
-    """What requests need to know of their member."""
+    """The part of a member process that client requests use."""
 
     @property
     def is_participating(self) -> bool:
-        """Whether the member takes part in the cluster yet."""
+        """Whether the member participates in the cluster yet."""
 
     def now(self) -> int:
         """Return µs of the member's monotonic clock."""
@@ -38,14 +38,14 @@
         """Return the member's status."""
 
     def count(self, event: str) -> None:
-        """Count an event that is no normal one."""
+        """Count an abnormal event."""
 
 
 class ClientRequests:
-    """Decodes requests and hands them to the Raft node; each one gets one response."""
+    """Decodes requests and passes them to the Raft node; each request gets exactly one response."""
 
     def __init__(self, host: RequestHost, node: RaftNode, activation: StateActivation) -> None:
-        """Share the node and the activation of states with the member."""
+        """`node` and `activation` are shared with the member process."""
         self._host = host
         self._node = node
         self._activation = activation
@@ -59,7 +59,7 @@
         }
 
     def on_request(self, connection: InboundConnection, request: ClientRequest) -> None:
-        """Handle a request; the response is sent now or once its outcome is known."""
+        """Handle a request; the response is sent at once or when the outcome is known."""
         responder = Responder(connection, request.number, self._find_leader)
         try:
             self._dispatch(request, responder)
--- a/lichencleat/consensus/durable_writer.py
+++ b/lichencleat/consensus/durable_writer.py
@@ -1,8 +1,9 @@
-"""Brings durable writes to the store, in order; before one with a large snapshot its chunks, one by one.
+"""Passes durable writes to the store in order; the chunks of a large snapshot are written before its write.
 
-So the store's queue holds one chunk at a time, and no chunk can be missing under a write that was confirmed.
-Later writes wait meanwhile, some 100 ms for a snapshot of 20 MB: proposals are confirmed later, and no leader
-is lost by it, as its heartbeats rest on the write of its term alone.
+Each chunk is committed before the next one is passed on, so that the store's queue holds one chunk at a time
+and a confirmed write never lacks a chunk. Later writes wait meanwhile, some 100 ms for a snapshot of 20 MB.
+This delays the confirmation of proposals but does not depose the leader, as heartbeats depend on the write of
+its term only.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class QueuedWrite(NamedTuple):
-    """A write with the batches that are to be confirmed before it."""
+    """A write, and the batches that must be confirmed before it."""
 
     write: DurableWrite
     chunk_batches: Iterator[Batch]
@@ -29,8 +30,8 @@
 class DurableWriter:
     """Owns the queue of writes.
 
-    The queue is bounded by what a leader accepts (`leader.MAX_PENDING_PROPOSALS`) or sends ahead
-    (`progress.MAX_INFLIGHT_MESSAGES`).
+    The queue is bounded by the number of proposals that a leader accepts (`leader.MAX_PENDING_PROPOSALS`) or
+    of messages that it sends without a response (`progress.MAX_INFLIGHT_MESSAGES`).
     """
 
     def __init__(
@@ -40,7 +41,7 @@
         on_durable: Callable[[int], None],
         on_failed: Callable[[Failure], None],
     ) -> None:
-        """`on_durable` gets the number of each write, in order; after `on_failed` nothing is written."""
+        """`on_durable` is called with the number of each write, in order; `on_failed` ends all writing."""
         self.store = store
         self.storage = storage
         self.on_durable = on_durable
@@ -49,13 +50,13 @@
         self.has_failed = False
 
     def write(self, write: DurableWrite) -> None:
-        """Write it after all that were given before."""
+        """Queue a write after all earlier ones."""
         self.queue.append(QueuedWrite(write, self.storage.chunk_batches(write)))
         if len(self.queue) == 1:
             self.write_next()
 
     def write_next(self) -> None:
-        """Give the store all writes up to the next chunk, whose confirmation comes back here."""
+        """Pass writes to the store up to the next chunk; the chunk's confirmation calls this method again."""
         while self.queue and not self.has_failed:
             write, chunk_batches = self.queue[0]
             chunk = next(chunk_batches, None)
--- a/lichencleat/consensus/log_storage.py
+++ b/lichencleat/consensus/log_storage.py
@@ -1,12 +1,12 @@
-"""The layout of a member's log in its store: batches that carry out writes, and reading back at a start.
+"""The layout of a member's log in its store: makes the batches of writes and loads the log at start.
 
-Keys: `t` the term, the vote, the snapshot's index and the last index; `s` the snapshot; `e` and eight bytes
-an entry. A write is one batch, so a power cut leaves all of it or nothing.
+Keys: `t` holds the term, the vote, the snapshot's index and the last index; `s` the snapshot; `e` followed by
+eight bytes of the index holds an entry. A write is one batch and therefore atomic at a power cut.
 
-A snapshot too large for one value is stored in chunks: `p`, eight bytes of its index, four of the chunk's
-number. They are written first, each in a batch of its own; `s` then only counts them, so that a cut between
-them leaves the previous snapshot intact. `w` names the chunks being written, so that those left by a cut are
-found and deleted. No I/O of its own.
+A snapshot too large for one value is stored in chunks under `p`, eight bytes of its index and four bytes of
+the chunk's number. The chunks are written first, each in a batch of its own; `s` then stores only their count,
+so that a power cut before it leaves the previous snapshot intact. `w` names the chunks being written, so that
+chunks left behind by a power cut are found and deleted. This module does no I/O itself.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 ENTRY_KEY_PREFIX = b"e"
 CHUNK_KEY_PREFIX = b"p"
 PENDING_CHUNKS_KEY = b"w"
-MAX_CHUNK_BYTES = 4 << 20  # what the store's writer holds at once, far under a value's 16 MiB
+MAX_CHUNK_BYTES = 4 << 20  # held by the store's writer at once; well below a value's limit of 16 MiB
 
 
 class HardState(NamedTuple):
-    """What must survive a restart besides the entries."""
+    """The state that must survive a restart, besides the entries and the snapshot."""
 
     term: int
     vote: int
@@ -49,10 +49,10 @@
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True, array_like=True):
-    """What is stored under `s`: a complete snapshot, or one in chunks.
+    """The value of the key `s`: a complete snapshot, or the description of one in chunks.
 
-    The first four fields are a `Snapshot`'s, so that a store from before chunks is read. A program from
-    before chunks finds no data and does not start.
+    The first four fields are those of a `Snapshot`, so that stores written by versions without chunks can be
+    read. Such a version finds `data` empty in a store with chunks and does not start.
     """
 
     index: int
@@ -81,28 +81,28 @@
 
 
 def chunk_keys(chunks: ChunkRange) -> Iterable[bytes]:
-    """Return the keys of these chunks, in order."""
+    """Return the keys of these chunks in order."""
     return (chunk_key(chunks.snapshot_index, number) for number in range(chunks.chunk_count))
 
 
 class LogStorage:
-    """Knows which entries and chunks the store holds; void ones are deleted with the next write."""
+    """Tracks the entries and chunks in the store; the next write deletes void ones."""
 
     def __init__(self, max_chunk_bytes: int = MAX_CHUNK_BYTES) -> None:
-        """Start for an empty store; `load` reads one that may not be."""
+        """Start with an empty store; `load` must be called if the store may have data."""
         self.max_chunk_bytes = max_chunk_bytes
-        self.snapshot_index = 0  # entries stored: from snapshot_index + 1 to last_index
+        self.snapshot_index = 0  # the store holds the entries snapshot_index + 1 to last_index
         self.last_index = 0
-        self.active_chunks = NO_CHUNKS  # of the snapshot in force
-        self.pending_chunks = NO_CHUNKS  # written, or in part, and not in force yet
+        self.active_chunks = NO_CHUNKS  # of the current snapshot
+        self.pending_chunks = NO_CHUNKS  # completely or partly written, and not yet the current snapshot's
 
     # -- reading -------------------------------------------------------------------------------------
 
     def load(self, get: Callable[[bytes], bytes | None]) -> DurableState:
-        """Read the state back at a start.
+        """Load the state at start.
 
         Raises:
-            CorruptDataError: something that was confirmed is missing.
+            CorruptDataError: confirmed data is missing.
         """
         pending = get(PENDING_CHUNKS_KEY)
         if pending is not None:
@@ -126,7 +126,7 @@
         return entries
 
     def load_snapshot(self, get: Callable[[bytes], bytes | None]) -> Snapshot | None:
-        """Read the snapshot, where there is one. Raises CorruptDataError."""
+        """Load the snapshot, or return None if there is none. Raises CorruptDataError."""
         encoded = get(SNAPSHOT_KEY)
         if encoded is None:
             return None
@@ -137,15 +137,17 @@
         chunks = [get(key) for key in chunk_keys(self.active_chunks)]
         data = b"".join(each for each in chunks if each is not None)
         if None in chunks or len(data) != header.total_bytes:
-            raise CorruptDataError([Finding("the snapshot", header.index, "a confirmed piece is missing")])
+            raise CorruptDataError(
+                [Finding("the snapshot", header.index, "a confirmed chunk is missing or has the wrong size")]
+            )
         return Snapshot(header.index, header.term, header.configuration, data)
 
     # -- writing -------------------------------------------------------------------------------------
 
     def chunk_batches(self, write: DurableWrite) -> Iterator[Batch]:
-        """Return the batches with the chunks of a large snapshot; nothing for others.
+        """Yield the batches with the chunks of the write's snapshot, if it is large enough to need chunks.
 
-        They are to be confirmed one after the other before `make_batch` is called for the write.
+        Each batch must be confirmed before the next one is written, and all before `make_batch` is called.
         """
         snapshot = write.snapshot
         if snapshot is None or not self._is_chunked(snapshot):
@@ -161,7 +163,7 @@
             yield Batch().put(key, snapshot.data[offset : offset + self.max_chunk_bytes])
 
     def make_batch(self, write: DurableWrite) -> Batch:
-        """Return the batch that carries out the write."""
+        """Return the batch for the write itself."""
         batch = Batch()
         self._finish_snapshot(batch, write.snapshot)
         self._delete_void_entries(batch, write)
@@ -174,13 +176,13 @@
         return batch
 
     def bootstrap_batch(self, snapshot: Snapshot) -> Batch:
-        """Return the batch for the first member of a new cluster: its log starts with the configuration."""
+        """Return the batch that initializes the store of a new cluster's first member with `snapshot`."""
         batch = Batch().put(SNAPSHOT_KEY, encode(snapshot))
         return batch.put(HARD_STATE_KEY, encode(HardState(0, 0, snapshot.index, snapshot.index)))
 
     @staticmethod
     def delete_chunks(batch: Batch, chunks: ChunkRange) -> None:
-        """Add the deletion of these chunks to the batch."""
+        """Add deletions of these chunks to the batch."""
         for key in chunk_keys(chunks):
             batch.delete(key)
 
@@ -188,7 +190,7 @@
         return len(snapshot.data) > self.max_chunk_bytes
 
     def _delete_void_entries(self, batch: Batch, write: DurableWrite) -> None:
-        """Delete what the snapshot replaces, and what another leader's shorter log has dropped."""
+        """Delete entries that the snapshot replaces, and truncated entries that no new entry overwrites."""
         for index in range(self.snapshot_index + 1, min(self.last_index, write.snapshot_index) + 1):
             batch.delete(entry_key(index))
         overwritten_until = write.first_index + len(write.entries)
@@ -198,7 +200,7 @@
                 batch.delete(entry_key(index))
 
     def _finish_snapshot(self, batch: Batch, snapshot: Snapshot | None) -> None:
-        """Put the pending chunks into force where they are this snapshot's; else delete them."""
+        """Make the pending chunks the current ones if they belong to `snapshot`; otherwise delete them."""
         pending = self.pending_chunks
         self.pending_chunks = NO_CHUNKS
         if pending != NO_CHUNKS:
@@ -214,7 +216,7 @@
             self._activate_chunks(batch, snapshot, pending)
 
     def _activate_chunks(self, batch: Batch, snapshot: Snapshot, chunks: ChunkRange) -> None:
-        assert chunks.snapshot_index == snapshot.index, "its chunks are to be written before"
+        assert chunks.snapshot_index == snapshot.index, "the snapshot's chunks must be written first"
         if self.active_chunks != chunks:
             self.delete_chunks(batch, self.active_chunks)
         self.active_chunks = chunks
--- a/lichencleat/consensus/pending_writes.py
+++ b/lichencleat/consensus/pending_writes.py
@@ -1,6 +1,6 @@
-"""Tracks what a member has to write, what is being written, and what may be sent before it is durable.
+"""Tracks changes that a member must write, writes in flight, and which write a message must wait for.
 
-No I/O: the host carries the writes out and reports each one as durable.
+No I/O: the host carries out the writes and reports when each one is durable.
 """
 
 from __future__ import annotations
@@ -15,44 +15,44 @@
 
 
 class InFlightWrite(NamedTuple):
-    """A write that was handed out and is not durable yet."""
+    """A write that was handed out to the host and is not durable yet."""
 
     number: int
-    last_index: int  # of the log once the write is durable
+    last_index: int  # last index of the durable log once this write is durable
 
 
 class PendingWrites:
-    """Collects changes into numbered writes, which become durable in order."""
+    """Collects changes into numbered writes, which become durable in order of their numbers."""
 
     def __init__(self, log: RaftLog) -> None:
-        """Start from a log that is durable."""
+        """Start from a log that is completely durable."""
         self.is_dirty = False
         self.is_term_dirty = False  # the term or the vote changed
         self.is_snapshot_dirty = False
-        self.first_unwritten = log.last_index + 1  # first entry that no write holds
-        self.last_number = 0  # of the last write handed out
-        self.last_term_write = 0  # number of the last one with a new term or vote
+        self.first_unwritten = log.last_index + 1  # index of the first entry that is in no write
+        self.last_number = 0  # number of the last write handed out
+        self.last_term_write = 0  # number of the last write with a new term or vote
         self.durable_number = 0
-        self.durable_index = log.last_index  # entries up to here are on the disk
+        self.durable_index = log.last_index  # entries up to this index are durable
         self.in_flight: deque[InFlightWrite] = deque()
 
     def mark_appended(self) -> None:
-        """Note that entries were added to the log."""
+        """Record that entries were appended to the log."""
         self.is_dirty = True
 
     def mark_term_changed(self) -> None:
-        """Note that the term or the vote changed."""
+        """Record that the term or the vote changed."""
         self.is_dirty = True
         self.is_term_dirty = True
 
     def mark_compacted(self, index: int) -> None:
-        """Note that a snapshot replaces the entries up to `index`."""
+        """Record that a snapshot replaces the entries up to `index`."""
         self.is_dirty = True
         self.is_snapshot_dirty = True
         self.first_unwritten = max(self.first_unwritten, index + 1)
 
     def mark_truncated(self, index: int) -> None:
-        """Note that the entry at `index` and all after it are void, in writes in flight too."""
+        """Record that the entry at `index` and all after it are void, including those in writes in flight."""
         self.is_dirty = True
         self.first_unwritten = min(self.first_unwritten, index)
         self.durable_index = min(self.durable_index, index - 1)
@@ -61,7 +61,7 @@
         )
 
     def mark_replaced(self, index: int) -> None:
-        """Note that a snapshot up to `index` replaces the log, once it is durable."""
+        """Record that a snapshot up to `index` replaces the whole log once the snapshot is durable."""
         self.mark_truncated(1)
         self.first_unwritten = index + 1
         self.is_snapshot_dirty = True
@@ -71,7 +71,7 @@
         return self.last_number + 1 if self.is_term_dirty else self.last_term_write
 
     def make_write(self, term: int, vote: int, log: RaftLog) -> DurableWrite:
-        """Return the next write, with all that changed since the last one."""
+        """Return the next write, with all changes since the last one."""
         self.last_number += 1
         if self.is_term_dirty:
             self.last_term_write = self.last_number
@@ -92,7 +92,7 @@
         return write
 
     def on_write_durable(self, number: int) -> bool:
-        """Note that all writes up to `number` are durable; return whether more of the log is."""
+        """Record that all writes up to `number` are durable; return whether the durable index advanced."""
         self.durable_number = max(self.durable_number, number)
         previous_index = self.durable_index
         while self.in_flight and self.in_flight[0].number <= number:
--- a/lichencleat/consensus/request_contexts.py
+++ b/lichencleat/consensus/request_contexts.py
@@ -1,4 +1,4 @@
-"""What waits for the outcome of a proposal or read: the contexts that the Raft node hands back."""
+"""Contexts that the Raft node returns with the outcome of a proposal or read, and that handle it."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 from lichencleat.transport.inbound import InboundConnection
 from lichencleat.transport.outcomes import RejectReason, SessionOutcome
 
-Rejection = RejectReason | str | None  # a reason of the consensus core, or an explanation for operators
+Rejection = RejectReason | str | None  # a reason from the consensus core, or an explanation for operators
 
 
 class ProposalContext(Protocol):
-    """Waits for a proposal."""
+    """Handles the outcome of a proposal."""
 
     def on_applied(self, result: ApplyResult) -> None:
-        """Handle the outcome of the entry, which is committed and applied."""
+        """Handle the result of the entry, which is committed and applied."""
 
     def on_rejected(self, reason: Rejection) -> None:
-        """Handle that the proposal was not accepted, or may be lost."""
+        """Handle that the proposal was not accepted, or that it may be lost."""
 
 
 class ReadContext(Protocol):
-    """Waits for a read."""
+    """Handles the outcome of a read."""
 
     @property
     def state_name(self) -> str:
-        """The replicated state to be read."""
+        """The name of the replicated state to read."""
 
     @property
     def query(self) -> Query:
-        """The query to it."""
+        """The query to that state."""
 
     def on_answer(self, answer: msgspec.Raw) -> None:
         """Handle the encoded answer."""
 
     def on_rejected(self, reason: Rejection) -> None:
-        """Handle that this member does not lead, or no more."""
+        """Handle that this member is not the leader or has stopped leading."""
 
 
 class Responder:
-    """Sends the response to one request of a client; the context of its proposal, if it is one."""
+    """Sends the response to one client request; serves as the context of its proposal, if it makes one."""
 
     def __init__(
         self, connection: InboundConnection, number: int, find_leader: Callable[[], Member | None]
     ) -> None:
-        """`number` of the request; `find_leader` is asked when the response is sent."""
+        """`number`: of the request; `find_leader` is called when the response is sent."""
         self._connection = connection
         self._number = number
         self._find_leader = find_leader
@@ -62,7 +62,7 @@
         self._send(True, content)
 
     def on_applied(self, result: ApplyResult) -> None:
-        """Respond with the result of the entry, or with why its session did not have it applied."""
+        """Respond with the result of the entry, or with the session outcome if it has no result."""
         content = msgspec.Raw(result.result) if result.result else encode_raw(result.outcome.name)
         is_done = result.outcome is SessionOutcome.DONE
         self._send(is_done, content, result.outcome is SessionOutcome.UNKNOWN_SESSION)
@@ -89,7 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRead:
-    """A client's read."""
+    """The context of a client's read."""
 
     state_name: str
     query: Query
@@ -100,22 +100,22 @@
         self.responder.succeed(answer)
 
     def on_rejected(self, reason: Rejection) -> None:
-        """Respond that this member can't answer."""
+        """Respond that this member can't serve the read."""
         self.responder.on_rejected(reason)
 
 
 @dataclass(frozen=True, slots=True)
 class LeadershipCheck:
-    """A read of nothing, whose round of messages confirms that this member leads."""
+    """A read without a query: its read round confirms that this member leads."""
 
     on_result: Callable[[bool], None]
     state_name: str = ""
     query: Query = None
 
     def on_answer(self, answer: msgspec.Raw) -> None:
-        """Report that it led at some moment since the check began."""
+        """Report that this member led at some time after the check began."""
         self.on_result(True)
 
     def on_rejected(self, reason: Rejection) -> None:
-        """Report that it does not lead."""
+        """Report that this member does not lead."""
         self.on_result(False)
--- a/tests/consensus/test_log_storage.py
+++ b/tests/consensus/test_log_storage.py
@@ -133,7 +133,7 @@
     carry_out(engine, storage, write)
     assert LogStorage(CHUNK_BYTES).load(engine.get).snapshot == write.snapshot
     corrupt(engine)
-    with pytest.raises(CorruptDataError, match="piece"):
+    with pytest.raises(CorruptDataError, match="a confirmed chunk is missing"):
         LogStorage(CHUNK_BYTES).load(engine.get)
 
 
