--- a/lichencleat/consensus/log_storage.py
+++ b/lichencleat/consensus/log_storage.py
@@ -4,9 +4,9 @@
 eight bytes of the index holds an entry. A write is one batch and therefore atomic at a power cut.
 
 A snapshot too large for one value is stored in chunks under `p`, eight bytes of its index and four bytes of
-the chunk's number. The chunks are written first, each in a batch of its own; `s` then stores only their count,
-so that a power cut before it leaves the previous snapshot intact. `w` names the chunks being written, so that
-chunks left behind by a power cut are found and deleted. This module does no I/O itself.
+the chunk's number. The chunks are written first, each in a batch of its own; `s` then stores only their
+count, so that a power cut before it leaves the previous snapshot intact. `w` names the chunks being written,
+so that chunks left behind by a power cut are found and deleted. This module does no I/O itself.
 """
 
 from __future__ import annotations
