--- a/lichencleat/consensus/greetings.py
+++ b/lichencleat/consensus/greetings.py
@@ -1,4 +1,4 @@
-"""Greetings between members: who calls, whether it is accepted, and what is stored before the answer."""
+"""Greetings between members: makes and answers them, and stores incarnations before answering."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 from lichencleat.transport.identity import CLIENT_ID, GreetingResult, Incarnation
 from lichencleat.transport.inbound import InboundConnection
 
-INCARNATION_KEY_PREFIX = b"l"  # of the store; the member id follows
+INCARNATION_KEY_PREFIX = b"l"  # of keys in the store; followed by the member id
 MEMBER_ID_BYTES = 8
 
 decode_incarnation = msgspec.msgpack.Decoder(Incarnation).decode
@@ -28,7 +28,7 @@
 
 
 def load_incarnations(store: Store) -> dict[int, Incarnation]:
-    """Return the latest known incarnation of each other member."""
+    """Load the latest known incarnation of each other member, by member id."""
     prefix_length = len(INCARNATION_KEY_PREFIX)
     return {
         int.from_bytes(key[prefix_length:], "big"): decode_incarnation(data)
@@ -37,16 +37,16 @@
 
 
 class GreetingHost(Protocol):
-    """What greetings lead to."""
+    """The part of a member process that greetings use."""
 
     def halt(self, reason: str) -> None:
-        """Stop the member: another incarnation of it exists."""
+        """Halt the member, because another incarnation of it exists."""
 
     def on_disk_failed(self, failure: Failure) -> None:
-        """Stop the member: what it learned can't be stored."""
+        """Halt the member, because an incarnation can't be stored."""
 
     def on_member_connected(self, connection: InboundConnection, member_id: int) -> None:
-        """Note an accepted connection of another member."""
+        """Record an accepted connection from another member."""
 
 
 class Greetings:
@@ -61,7 +61,7 @@
         supported_states: SupportedStates,
         log: EventLogger,
     ) -> None:
-        """Share identity, incarnations and supported states with the member; they change here."""
+        """`identity`, `incarnations` and `supported_states` are shared with the member and updated here."""
         self._host = host
         self._store = store
         self._identity = identity
@@ -70,7 +70,7 @@
         self._log = log
 
     def make_greeting(self, recipient: int) -> Greeting:
-        """Return this member's greeting for that one."""
+        """Return this member's greeting for the member `recipient`."""
         return Greeting(
             FORMAT_VERSION,
             self._incarnations.cluster_id,
@@ -83,13 +83,13 @@
         )
 
     def on_response(self, member_id: int, response: GreetingResponse) -> bool:
-        """Handle the response of the member that was called; return whether messages may go there."""
+        """Handle the response to this member's greeting; return whether messages may be sent to the peer."""
         result = GreetingResult(response.result)
         halt_reason = self._incarnations.on_greeting_reply(member_id, result)
         if halt_reason is not None:
             self._host.halt(halt_reason)
         if result is not GreetingResult.ACCEPTED:
-            self._log.warning("turned away", by=response.member_name, reason=result.log_reason)
+            self._log.warning("peer rejected greeting", by=response.member_name, reason=result.log_reason)
             return False
         self._supported_states.record(response.member_id, response.supported_states)
         return response.member_id == member_id
@@ -111,7 +111,7 @@
         )
         if decision.result is not GreetingResult.ACCEPTED:
             reason = decision.result.log_reason
-            self._log.warning("turns away", name=greeting.caller_name, reason=reason)
+            self._log.warning("rejected greeting from peer", name=greeting.caller_name, reason=reason)
             self._respond(connection, decision.result)
             return
         self._supported_states.record(greeting.member_id, greeting.supported_states)
@@ -129,11 +129,11 @@
             self._respond(connection, GreetingResult.ACCEPTED)
 
     def _join_cluster(self, greeting: Greeting, batch: Batch) -> None:
-        """Learn the cluster's id from the first member that calls."""
+        """Take the cluster's id from the greeting of the first member that connects."""
         self._incarnations.cluster_id = greeting.cluster_id
         self._identity.cluster_id = greeting.cluster_id
         batch.put(IDENTITY_KEY, msgspec.msgpack.encode(self._identity))
-        self._log.info("joins", mark=greeting.cluster_id.hex(), by=greeting.caller_name)
+        self._log.info("joined cluster", mark=greeting.cluster_id.hex(), by=greeting.caller_name)
 
     def _respond(self, connection: InboundConnection, result: GreetingResult) -> None:
         connection.is_accepted = result is GreetingResult.ACCEPTED
--- a/lichencleat/consensus/identity.py
+++ b/lichencleat/consensus/identity.py
@@ -1,11 +1,12 @@
-"""Identity of a member and of its restarts: detects a restored copy of a directory. No I/O.
-
-A member's votes rest on what its disk holds. A disk restored from an older copy, or two processes on copies
-of one directory, could vote twice in a term. Each start therefore counts itself on the disk and draws a
-nonce; both are sent in the greeting. Every member stores the latest incarnation of each other member before
-it accepts its messages. An older incarnation, or another one with the same count, is turned away and told
-so, and then halts. A copy that is restored while everyone who knows the later incarnation is unreachable
-can't be detected this way, so a start waits a while for the others' confirmation before it takes part.
+"""Identity of a member and of its starts; detects restored copies of a directory. No I/O.
+
+A member that starts from an older copy of its disk, or two processes on copies of one directory, could vote
+twice in a term. Each start therefore increments a start count on the disk and draws a nonce. The two form the
+member's incarnation, which is sent in the greeting. Every member stores the latest incarnation of each other
+member before it accepts that member's messages. It rejects the greeting of an older incarnation, or of a
+different one with the same start count; the rejected process halts. A restored copy is not detected while all
+members that know the later incarnation are unreachable, so each start waits for the other members'
+confirmation, up to a limit, before it participates.
 """
 
 from __future__ import annotations
@@ -18,35 +19,35 @@
 
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
-IDENTITY_KEY = b"i"  # in the store
-CONFIRMATION_WAIT_US = 3_000_000  # after which a start takes part without the others' confirmation
+IDENTITY_KEY = b"i"  # key in the store; never changes
+CONFIRMATION_WAIT_US = 3_000_000  # then a member participates without the others' confirmation
 MEMBER_ID_BITS = 63
 
 
 class GreetingDecision(NamedTuple):
-    """How to answer a greeting."""
+    """The answer to a greeting, and whether to store the incarnation in it."""
 
     result: GreetingResult
-    is_new_incarnation: bool  # to be stored before the answer is sent
+    is_new_incarnation: bool  # must be stored before the answer is sent
 
 
 class PeerIncarnations:
-    """Knows the latest incarnation of each other member, and who has confirmed this one."""
+    """Tracks the latest incarnation of each other member, and the members that confirmed this one."""
 
     def __init__(
         self, cluster_id: bytes, member_id: int, incarnation: Incarnation, known: dict[int, Incarnation]
     ) -> None:
-        """`cluster_id` is empty before it is known; `known`: incarnations as stored, by member id."""
+        """`cluster_id` is empty while unknown; `known`: the stored incarnations by member id."""
         self.cluster_id = cluster_id
         self.member_id = member_id
         self.incarnation = incarnation
         self.known = dict(known)
-        self.confirmed_by: set[int] = set()  # members that know this incarnation and no later one
+        self.confirmed_by: set[int] = set()  # ids of members that know no later incarnation of this member
 
     def on_greeting(
         self, cluster_id: bytes, member_id: int, recipient: int, incarnation: Incarnation
     ) -> GreetingDecision:
-        """Decide on the greeting of another member; `recipient` 0: it does not know whom it called."""
+        """Decide on another member's greeting; `recipient` is 0 if the caller does not know the recipient."""
         if self.cluster_id and cluster_id != self.cluster_id:
             return GreetingDecision(GreetingResult.WRONG_CLUSTER, False)
         if recipient not in (0, self.member_id):
@@ -60,21 +61,21 @@
         return GreetingDecision(GreetingResult.ACCEPTED, True)
 
     def on_greeting_reply(self, member_id: int, result: GreetingResult) -> str | None:
-        """Note another member's answer; return why this member must halt, or None."""
+        """Handle another member's answer; return why this member must halt, or None."""
         if result is GreetingResult.ACCEPTED:
             self.confirmed_by.add(member_id)
             return None
         if result is GreetingResult.STALE_INCARNATION:
             return (
-                "another member knows a later life of this seat than start "
+                "another member knows a later start of this member than start "
                 f"{self.incarnation.start_count}: the directory "
-                "was put back from a copy, or two processes use copies of it; remove this member and add it "
+                "was restored from a copy, or two processes use copies of it; remove this member and add it "
                 "with an empty directory"
             )
         return None
 
     def can_participate(self, others: frozenset[int], waited_us: int) -> bool:
-        """Return whether all others have confirmed this incarnation, or had long enough to."""
+        """Return whether all others have confirmed this incarnation or the wait for them has timed out."""
         return others <= self.confirmed_by or waited_us >= CONFIRMATION_WAIT_US
 
 
@@ -85,14 +86,14 @@
 
 
 class Identity(msgspec.Struct, array_like=True):
-    """What a member's directory stores about it."""
+    """The identity of a member as its directory stores it."""
 
-    cluster_id: bytes  # empty before the member knows it
+    cluster_id: bytes  # empty until the member has joined a cluster
     cluster_name: str
     member_name: str
     member_id: int
     start_count: int
-    distribution: bool = False  # of a cluster for configuration: its state is of no use in another
+    distribution: bool = False  # the cluster replicates configuration; the member can't serve in another kind
 
 
 decode_identity = msgspec.msgpack.Decoder(Identity).decode
@@ -105,14 +106,14 @@
     member_name: str,
     distribution: bool = False,
 ) -> Identity:
-    """Return the identity that the store holds, with this start counted.
+    """Return the identity in the store, with its start count incremented for this start.
 
     Args:
-        get: reads a key of the store; an empty store gets a new identity.
+        get: reads a key of the store; for an empty store a new identity is made.
         rng: draws the id of a new member.
-        cluster_name: of a new member.
-        member_name: of a new member.
-        distribution: whether the new member's cluster is for configuration.
+        cluster_name: cluster name of a new member.
+        member_name: name of a new member.
+        distribution: whether the new member's cluster replicates configuration.
     """
     data = get(IDENTITY_KEY)
     if data is not None:
--- a/lichencleat/consensus/member_status.py
+++ b/lichencleat/consensus/member_status.py
@@ -1,4 +1,4 @@
-"""What a member tells operators about itself and its cluster. The keys are read by programs: they stay."""
+"""The status of a member and its cluster for operators. Programs read the keys, so they never change."""
 
 from __future__ import annotations
 
--- a/lichencleat/consensus/peer_connections.py
+++ b/lichencleat/consensus/peer_connections.py
@@ -1,4 +1,4 @@
-"""The connections of a member to the others of its cluster, and which one a message takes."""
+"""The connections of a member to the other members, and the choice of a connection for a message."""
 
 from __future__ import annotations
 
@@ -12,24 +12,25 @@
 
 
 class PeerConnections:
-    """Owns one connector for each other member of the configuration; `close` gives them back."""
+    """Owns one connector for each other member of the configuration; `close` closes them."""
 
     def __init__(
         self, reactor: TcpReactor, owner: ConnectorOwner, member_id: int, rng: random.Random
     ) -> None:
-        """`member_id` is this member's own; `rng` draws the jitter of connectors."""
+        """`member_id` is this member's own id; `rng` draws the reconnection jitter of connectors."""
         self._reactor = reactor
         self._owner = owner
         self._member_id = member_id
         self._rng = rng
         self._connectors: dict[int, PeerConnector] = {}  # by member id
-        # the last connection of each member that called: the only way to one that was just added
+        # By member id: the last connection that each other member has opened. It is the only connection to a
+        # member that is not in this member's configuration yet.
         self._inbound: dict[int, InboundConnection] = {}
-        self._configuration: Configuration | None = None  # that the connectors are for
+        self._configuration: Configuration | None = None  # the configuration that the connectors match
 
     def update(self, configuration: Configuration) -> None:
-        """Connect to every other member of the configuration, and to no one else."""
-        if configuration is self._configuration:  # as nearly always
+        """Connect to exactly the other members of the configuration."""
+        if configuration is self._configuration:  # the common case
             return
         self._configuration = configuration
         wanted = {
@@ -54,17 +55,17 @@
             self._connectors.pop(member_id).close()
 
     def send(self, cluster_id: bytes, message: Message) -> None:
-        """Send a message to its recipient; it is lost where there is no connection."""
+        """Send a message to its recipient; without a connection the message is lost."""
         connection = self._connectors.get(message.recipient) or self._inbound.get(message.recipient)
         if connection is not None:
             connection.send(RaftMessageFrame(cluster_id, message))
 
     def on_member_connected(self, connection: InboundConnection, member_id: int) -> None:
-        """Note the connection of a member that called and was accepted."""
+        """Record the accepted connection that another member opened."""
         self._inbound[member_id] = connection
 
     def on_disconnected(self, connection: InboundConnection, member_id: int) -> None:
-        """Forget the connection of a member that had called."""
+        """Remove a closed connection that another member had opened."""
         if self._inbound.get(member_id) is connection:
             del self._inbound[member_id]
 
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -1,7 +1,7 @@
-"""One member of a cluster as a process: its life, and the loop that carries out what the Raft node decides.
+"""One member of a cluster as a process: its lifecycle, and the loop that executes the Raft node's actions.
 
-All that the reactor read in one turn is handled in one run of the loop. What can't be written ends the
-process: it must not confirm what its disk does not hold.
+One run of the loop handles all input that the reactor read in one iteration. A failed write ends the process,
+because a member must not confirm data that is not on its disk.
 """
 
 from __future__ import annotations
@@ -47,26 +47,26 @@
 from lichencleat.transport.twisted_types import DelayedCall, TcpReactor
 from lichencleat.units import MICROSECONDS_PER_MILLISECOND, MICROSECONDS_PER_SECOND
 
-PARTICIPATION_POLL_S = 0.02  # between checks whether a start has been confirmed by the others
+PARTICIPATION_POLL_S = 0.02  # between checks whether the others have confirmed this start
 NONCE_BITS = 48
 EXIT_STOPPED = 0
-EXIT_HALTED = 3  # going on was not safe
+EXIT_HALTED = 3  # it was not safe to continue
 
 
 def make_key_value_states() -> dict[str, ReplicatedState]:
-    """Return the states of a group that replicates keys and values only."""
+    """Return the empty states of a group that replicates key-value pairs only."""
     return {KEY_VALUES: KeyValueState()}
 
 
 @dataclass(frozen=True, slots=True)
 class MemberOptions:
-    """What a group replicates, and how a member takes part in it.
+    """The states that a group replicates, and a member's options.
 
     Attributes:
-        make_states: gives the empty replicated states, the same at each member.
-        due_proposals: what a leader proposes of its own.
-        timeouts: of the group, the same at each member.
-        zone: the zone that the member is in.
+        make_states: returns the empty replicated states; must be the same at each member.
+        due_proposals: returns the commands that a leader proposes on its own behalf.
+        timeouts: of the group; must be the same at each member.
+        zone: the zone of the member.
         extension: answers requests outside the consensus protocol.
     """
 
@@ -78,7 +78,7 @@
 
 
 class MemberProcess:
-    """Owns the store, the connections and the timers; `end` alone gives them back."""
+    """Owns the store, the connections and the timers; only `end` releases them."""
 
     def __init__(
         self,
@@ -90,10 +90,10 @@
         rng: random.Random,
         options: MemberOptions | None = None,
     ) -> None:
-        """Load the durable state and begin to listen; `identity` is durable already.
+        """Load the durable state and start to listen; `identity` must be durable already.
 
         Raises:
-            CannotListenError: the address can't be listened at.
+            CannotListenError: the process can't listen on the address.
             CorruptDataError: the store is damaged.
         """
         options = options or MemberOptions()
@@ -104,12 +104,12 @@
         self.ended: Deferred[int] = Deferred()  # fires with the exit code
         self.is_participating = False
         self.is_ending = False
-        self.is_leaving = False  # it stops once leadership is transferred
+        self.is_leaving = False  # stops once its leadership is transferred
         self.role = Role.FOLLOWER
         self.counts: dict[str, int] = {}
         self._store = store
         self._run_is_scheduled = False
-        self._timer: DelayedCall | None = None  # for the deadline of the Raft node
+        self._timer: DelayedCall | None = None  # for the Raft node's deadline
         self._participation_timer: DelayedCall | None = None
         self._make_state(store, identity, rng, options)
         self._make_peers(store, identity, rng)
@@ -128,7 +128,7 @@
     def _make_state(
         self, store: Store, identity: Identity, rng: random.Random, options: MemberOptions
     ) -> None:
-        """Make the Raft node from what the store holds, and what applies its entries."""
+        """Make the Raft node from the stored state, and the writer and applier that execute its actions."""
         storage = LogStorage()
         durable = storage.load(store.engine.get)
         self._writer = DurableWriter(store, storage, self._on_write_durable, self.on_disk_failed)
@@ -137,7 +137,7 @@
         self._supported_states = SupportedStates(self.applier.state_machine.states)
 
     def _make_peers(self, store: Store, identity: Identity, rng: random.Random) -> None:
-        """Make what knows the other members and connects to them."""
+        """Make the objects that track the other members and connect to them."""
         known = load_incarnations(store)
         incarnation = Incarnation(identity.start_count, rng.getrandbits(NONCE_BITS))
         self._incarnations = PeerIncarnations(identity.cluster_id, identity.member_id, incarnation, known)
@@ -151,11 +151,11 @@
         return int(self.reactor.seconds() * MICROSECONDS_PER_SECOND)
 
     def count(self, event: str) -> None:
-        """Count an event that is no normal one, for the status."""
+        """Count an abnormal event for the status."""
         self.counts[event] = self.counts.get(event, 0) + 1
 
     def make_status(self) -> Status:
-        """Return what operators are told of this member."""
+        """Return the status of this member for operators."""
         return make_status(
             self.identity,
             self.zone,
@@ -167,7 +167,7 @@
         )
 
     def _try_to_participate(self) -> None:
-        """After a start, take part once the others have confirmed this incarnation."""
+        """Participate once the others have confirmed this start, or the wait for them has timed out."""
         self._participation_timer = None
         others = self.node.voters - {self.node.member_id}
         waited_us = self.now() - self._started_at
@@ -176,7 +176,7 @@
             return
         self.is_participating = True
         self.log.info(
-            "takes part",
+            "started participating",
             waited_ms=waited_us // MICROSECONDS_PER_MILLISECOND,
             vouched=len(self._incarnations.confirmed_by),
         )
@@ -194,15 +194,15 @@
         return self._greetings.on_response(member_id, response)
 
     def on_greeting(self, connection: InboundConnection, greeting: Greeting) -> None:
-        """Answer whoever called."""
+        """Answer the greeting of a member or client."""
         self._greetings.on_greeting(connection, greeting)
 
     def on_member_connected(self, connection: InboundConnection, member_id: int) -> None:
-        """Note an accepted connection of another member."""
+        """Record an accepted connection from another member."""
         self._connections.on_member_connected(connection, member_id)
 
     def on_peer_message(self, message: Message) -> None:
-        """Give a message to the Raft node; before it participates, messages are dropped."""
+        """Pass a message to the Raft node; drop it if this member does not participate yet."""
         if not self.is_participating:
             return
         self.node.receive(self.now(), message)
@@ -211,7 +211,7 @@
         self._schedule_run()
 
     def on_request(self, connection: InboundConnection, request: ClientRequest) -> None:
-        """Give a request to the extension, where it is one for it, or else carry it out."""
+        """Pass a request to the extension if the extension handles it; otherwise handle it here."""
         if self.extension.handles(request.operation):
             self.extension.notify(lambda extension: extension.on_request(connection, request))
             return
@@ -219,12 +219,12 @@
         self._schedule_run()
 
     def on_link_lost(self, member_id: int) -> None:
-        """Have the Raft node probe that member again."""
+        """Let the Raft node probe that member again."""
         self.node.on_link_lost(member_id)
         self._schedule_run()
 
     def on_disconnected(self, connection: InboundConnection, member_id: int) -> None:
-        """Forget a connection that had greeted."""
+        """Discard the state of a closed connection whose peer had sent a greeting."""
         self.extension.notify(lambda extension: extension.on_disconnected(connection))
         self._connections.on_disconnected(connection, member_id)
 
@@ -240,7 +240,7 @@
         self._schedule_run()
 
     def on_disk_failed(self, failure: Failure) -> None:
-        """Answer nothing more, and halt in the next run of the loop."""
+        """Stop answering, and halt in the next run of the loop."""
         if self.is_ending:
             return
         self.extension.close()
@@ -265,7 +265,7 @@
             self.reactor.callLater(0, self._run)
 
     def _run(self) -> None:
-        """Carry out all actions of the Raft node, then answer what they made ready."""
+        """Execute all actions of the Raft node, then answer the reads that became ready."""
         self._run_is_scheduled = False
         if self.is_ending or not self.is_participating:
             return
@@ -283,10 +283,10 @@
             while not self.is_ending and (action := self.node.next_action()) is not None:
                 self._execute(action)
         except UnknownStateError as error:
-            self.log.warning("leaves", reason=str(error))
+            self.log.warning("halted", reason=str(error))
             self.end(EXIT_HALTED)
-        except Exception:  # noqa: BLE001  # a half applied state must not be shown: a start reads it anew
-            self.log.warning("error", trace=traceback.format_exc(limit=-3).replace("\n", " | "))
+        except Exception:  # noqa: BLE001  # a partly applied state must not be read; a restart rebuilds it
+            self.log.warning("action failed", trace=traceback.format_exc(limit=-3).replace("\n", " | "))
             self.end(EXIT_HALTED)
 
     def _execute(self, action: Action) -> None:
@@ -304,19 +304,19 @@
             case ActionType.SERVE_READ:
                 self.applier.add_read(action.index, action.context)
             case ActionType.REJECT:
-                if action.context is not None:  # None: the leader's own proposal, which nobody waits for
+                if action.context is not None:  # None: a leader's own proposal, without a waiting caller
                     action.context.on_rejected(action.reason)
             case ActionType.HALT:
-                self.log.warning("leaves", reason=action.reason)
+                self.log.warning("halted", reason=action.reason)
                 self.end(EXIT_HALTED)
 
     def _on_role_checked(self) -> None:
-        """Act on a change of this member's role."""
+        """React to a change of this member's role, if there was one."""
         role = self.node.role
         if role is self.role:
             return
         if Role.LEADER in (self.role, role):
-            self.log.info("leads" if role is Role.LEADER else "leads no more", term=self.node.term)
+            self.log.info("became leader" if role is Role.LEADER else "lost leadership", term=self.node.term)
         self.role = role
         if self.is_leaving:  # leadership is transferred
             self.end(EXIT_STOPPED)
@@ -332,7 +332,7 @@
     # -- the end -----------------------------------------------------------------------------------------
 
     def leave(self) -> None:
-        """Stop gracefully: a leader transfers its leadership first, within the transfer timeout."""
+        """Stop gracefully: a leader first transfers its leadership, within the transfer timeout."""
         leader_state = self.node.leader_state
         candidates = sorted(self.node.voters - {self.node.member_id})
         if leader_state is None or not candidates or leader_state.transfer:
@@ -346,7 +346,7 @@
         self.reactor.callLater(timeout_s, self.end, EXIT_STOPPED)
 
     def end(self, exit_code: int) -> None:
-        """Give everything back; `ended` fires once the store is closed. Only the first call counts."""
+        """Release all resources; `ended` fires once the store is closed. Later calls have no effect."""
         if self.is_ending:
             return
         self.is_ending = True
--- a/lichencleat/coordinator/__init__.py
+++ b/lichencleat/coordinator/__init__.py
@@ -1,5 +1,5 @@
-"""The control-plane daemon: a consensus member together with the state that the fleet replicates through it.
+"""The coordinator daemon: a consensus member with the states that the fleet replicates through it.
 
-It composes `consensus` with leases, quotas, recovery, failover and configuration; `consensus` itself knows
-none of them. Guarantees are those of `consensus` and of each replicated state.
+It combines `consensus` with leases, quotas, recovery, failover and configuration distribution; `consensus`
+itself depends on none of them. Its guarantees are those of `consensus` and of each replicated state.
 """
--- a/lichencleat/coordinator/candidate_expiry.py
+++ b/lichencleat/coordinator/candidate_expiry.py
@@ -1,4 +1,4 @@
-"""The proposals by which a leader expires lease candidates that renew no more."""
+"""Proposals with which the leader expires lease candidates that have stopped renewing."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 class CandidateExpiryProposer:
-    """Watches the candidates while this member leads; owns their expiry times."""
+    """Tracks the expiry times of lease candidates while this member leads."""
 
     def __init__(self) -> None:
         self._expiry = CandidateExpiry()
 
     def propose_expired(self, state: StateMachine | None, now: int) -> list[LeaderProposal]:
-        """Return the commands that are due.
+        """Return the commands that expire candidates now.
 
         Args:
-            state: of the group; None once this member leads no more.
+            state: the group's state machine; None when this member has stopped leading.
             now: in µs of the member's monotonic clock.
         """
         if state is None:
--- a/lichencleat/coordinator/daemon.py
+++ b/lichencleat/coordinator/daemon.py
@@ -1,4 +1,4 @@
-"""The coordinator daemon: one member of a group, from its settings to its exit code."""
+"""The coordinator daemon: runs one member of a group."""
 
 from __future__ import annotations
 
@@ -26,18 +26,20 @@
 
 
 class _WrongKindOfGroupError(Exception):
-    """The directory was made for a group that replicates something else."""
+    """The directory was created for a group that replicates another kind of state."""
 
     def __init__(self, directory: str | None, was_distribution: bool) -> None:
-        kind = "configuration" if was_distribution else "other things than configuration"
-        super().__init__(f"{directory}: of a group for {kind}; set quorum.distribution as it was")
+        kind = "configuration" if was_distribution else "control-plane state"
+        super().__init__(
+            f"{directory}: belongs to a group that replicates {kind}; set quorum.distribution as it was"
+        )
 
 
 class CoordinatorDaemon:
-    """Brings a member up on the reactor, and down at a signal."""
+    """Starts a member on the reactor and stops it on request."""
 
     def __init__(self, reactor: Reactor, settings: QuorumSettings) -> None:
-        """`settings` are those of a member, not of a client."""
+        """`settings` must be those of a member, not of a client."""
         self.exit_code = EXIT_STOPPED
         self.log = create_logger(
             unix_time,
@@ -55,7 +57,7 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
-        """Open the store and start the member; stops the reactor where that fails."""
+        """Open the store and start the member; stop the reactor if that fails."""
         try:
             store = yield self._open_store()
         except StoreError as error:
@@ -77,7 +79,7 @@
             process.leave()
 
     def request_stop(self) -> None:
-        """Leave the group's work to the other members, then stop."""
+        """Stop the member gracefully; if it leads, it first transfers its leadership."""
         self._stop_requested = True
         if self._process is not None:
             self._process.leave()
@@ -96,7 +98,7 @@
 
     @inlineCallbacks
     def _start_life(self, store: Store) -> Generator[Any, Any, Identity]:
-        """Count this start in the store; fires with the member's identity."""
+        """Store the incremented start count; fires with the member's identity."""
         settings = self._settings
         assert settings.name is not None
         get = store.engine.get
@@ -127,7 +129,7 @@
             return MemberOptions(
                 states.make_control_plane_states, due_proposals, timeouts, zone=settings.zone
             )
-        from lichencleat.config_distribution.voting import Voting  # other groups don't load it
+        from lichencleat.config_distribution.voting import Voting  # only groups for configuration load it
 
         return MemberOptions(
             states.make_config_distribution_states,
@@ -149,7 +151,7 @@
     """Run one member until it stops.
 
     Returns:
-        The exit code: 0 told to stop, 2 could not start, 3 left by itself because going on was not safe.
+        The exit code: 0 stopped on request, 2 could not start, 3 halted because it was not safe to continue.
     """
     reactor = make_reactor()
     return run_daemon(reactor, CoordinatorDaemon(reactor, settings))
--- a/lichencleat/coordinator/settings.py
+++ b/lichencleat/coordinator/settings.py
@@ -1,4 +1,4 @@
-"""The settings of a member or client of the group, read from the operator's YAML file and validated."""
+"""The settings of a member or client of a group, read from the operator's YAML file and validated."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 __all__ = ["ElectionTimings", "QuorumSettings", "QuorumSettingsFile", "read_quorum_settings"]
 
-MIN_HEARTBEATS_PER_ELECTION = 3  # else one late message would end a leadership
+MIN_HEARTBEATS_PER_ELECTION = 3  # with fewer, one late message would end a leadership
 KEYS_OF_A_MEMBER = ("name", "listen", "directory")
 
 Milliseconds = Annotated[int, Meta(ge=1, le=600_000)]
@@ -25,9 +25,9 @@
     """A value of the section `quorum` is missing or wrong.
 
     Attributes:
-        path: of the file.
-        line: at which the mistake is, as far as that is known.
-        key: whose value it is, from the top of the file.
+        path: path of the file.
+        line: line of the mistake, or None if unknown.
+        key: full path of the key in the file.
     """
 
     def __init__(self, path: str, line: int | None, key: str, explanation: str) -> None:
@@ -38,7 +38,7 @@
 
 
 class ElectionTimings(Struct, forbid_unknown_fields=True, frozen=True):
-    """The timings of the group in ms; they must be the same at each member."""
+    """The timeouts of the group in ms; they must be the same at each member."""
 
     beat_ms: Milliseconds = 60
     election_ms: Milliseconds = 400
@@ -46,7 +46,7 @@
     transfer_ms: Milliseconds = 800
 
     def to_timeouts(self) -> Timeouts:
-        """Return the timings in µs, as the consensus core takes them."""
+        """Return the timeouts in µs for the consensus core."""
         return Timeouts(
             self.beat_ms * MICROSECONDS_PER_MILLISECOND,
             self.election_ms * MICROSECONDS_PER_MILLISECOND,
@@ -56,33 +56,33 @@
 
 
 class QuorumSettings(Struct, forbid_unknown_fields=True, frozen=True):
-    """The section `quorum` of the file; a client needs the group and its members only."""
+    """The section `quorum` of the file; a client needs only `group` and `members`."""
 
     group: Name  # the same at each member and client
-    members: Annotated[list[Address], Meta(min_length=1, max_length=64)]  # where clients look for the group
-    name: Name | None = None  # of this member
+    members: Annotated[list[Address], Meta(min_length=1, max_length=64)]  # where clients find the group
+    name: Name | None = None  # name of this member
     listen: Address | None = None
-    address: Address | None = None  # where others reach it, if that is not where it listens
-    directory: str | None = None  # a store of its own
+    address: Address | None = None  # address at which others reach this member, if not `listen`
+    directory: str | None = None  # holds the member's store, which no other process may use
     zone: str = ""
     times: ElectionTimings = ElectionTimings()
     log: LogConfig = LogConfig()
-    distribution: bool = False  # the group replicates configuration, and nothing else but facts
-    disk: Literal["real", "held back"] = "real"  # held back: for tests, a kill loses what was not flushed
+    distribution: bool = False  # the group replicates configuration and key-value pairs only
+    disk: Literal["real", "held back"] = "real"  # held back: for tests; a kill loses unflushed writes
 
 
 class QuorumSettingsFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole file."""
+    """The complete settings file."""
 
     quorum: QuorumSettings
 
 
 def read_quorum_settings(path: str, member: bool = False) -> QuorumSettings:
-    """Read and check the file.
+    """Read and validate the settings file.
 
     Args:
-        path: of the YAML file.
-        member: whether the settings are for a member, which needs more than a client.
+        path: path of the YAML file.
+        member: whether the settings are for a member, which needs more keys than a client.
 
     Raises:
         InvalidConfigError: the file can't be read, or a value in it is missing or wrong.
@@ -100,8 +100,8 @@
         return
     line = document.line_of("$.quorum.times.election_ms") or document.line_of("$.quorum.times.beat_ms")
     explanation = (
-        f"{timings.election_ms} is under three beats ({timings.beat_ms} each); "
-        "one late message would end a leadership, so make it larger"
+        f"{timings.election_ms} is less than three heartbeat intervals (beat_ms: {timings.beat_ms}); "
+        "one late message would end a leadership, so increase it"
     )
     raise InvalidQuorumSettingsError(path, line, "quorum.times.election_ms", explanation)
 
--- a/lichencleat/coordinator/states.py
+++ b/lichencleat/coordinator/states.py
@@ -1,6 +1,6 @@
-"""What a group replicates: each part of the state by the name under which it is stored and sent.
+"""The replicated states of each kind of group, by the names under which they are stored and sent.
 
-All members of a group must be given the same parts. The names are on disk and on the wire: they never change.
+All members of a group must have the same states. The names are on disk and on the wire, so they never change.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def make_control_plane_states() -> dict[str, ReplicatedState]:
-    """Return the empty state of a group that coordinates a fleet."""
+    """Return the empty states of a group that coordinates a fleet."""
     leases = LeaseState()
     return {
         KEY_VALUES: KeyValueState(),
@@ -33,10 +33,10 @@
 
 
 def make_config_distribution_states() -> dict[str, ReplicatedState]:
-    """Return the empty state of a group that replicates configuration.
+    """Return the empty states of a group that replicates configuration.
 
-    Such a group is a separate one, so that snapshots of large configurations never delay renewals of leases.
+    It is a separate group so that snapshots of large configurations never delay lease renewals.
     """
-    from lichencleat.config_distribution.source import Source  # other groups don't load it
+    from lichencleat.config_distribution.source import Source  # only groups for configuration load it
 
     return {KEY_VALUES: KeyValueState(), CONFIG_DISTRIBUTION: Source()}
--- a/lichencleat/coordinator/storage.py
+++ b/lichencleat/coordinator/storage.py
@@ -1,4 +1,4 @@
-"""The directory of a member: its bounds, its kind of disk, and how a new group is bootstrapped in it."""
+"""The directory of a member: its store limits, its kind of disk, and bootstrapping a new group in it."""
 
 from __future__ import annotations
 
@@ -19,30 +19,30 @@
 from lichencleat.store.engine import Engine
 
 GROUP_ID_BYTES = 8
-# the log is truncated at snapshots
+# The log is compacted at snapshots, which keeps the store small.
 CONTROL_PLANE_BOUNDS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20, max_entries=200_000)
-# two snapshots of up to 160 MiB (the one in force and the one being written), two logs of 32 MiB each, and as
-# much again that compaction has not freed yet
+# Two snapshots of up to 160 MiB (the current one and the one being written), two logs of 32 MiB each, and the
+# same amount again for space that compaction has not freed yet.
 CONFIG_DISTRIBUTION_BOUNDS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=1 << 30, max_entries=200_000)
 
 
 class BootstrapError(Exception):
-    """The directory belongs to a member already.
+    """The directory already belongs to a member.
 
     Attributes:
-        directory: as it stands in the settings.
+        directory: the path as given in the settings.
     """
 
     def __init__(self, directory: str) -> None:
         super().__init__(
-            f"{directory}: belongs to a member already; name an empty one, or add a voter with "
+            f"{directory}: already belongs to a member; use an empty directory, or add a voter with "
             "'lichencleat quorum add'"
         )
         self.directory = directory
 
 
 def bounds_of(settings: QuorumSettings) -> StoreLimits:
-    """Return the bounds of the store of a member of that group."""
+    """Return the limits of a member's store, which depend on the kind of group."""
     return CONFIG_DISTRIBUTION_BOUNDS if settings.distribution else CONTROL_PLANE_BOUNDS
 
 
@@ -50,17 +50,17 @@
     """Open the directory of a member.
 
     Raises:
-        StoreError: it can't be opened, or that kind of disk is not available.
+        StoreError: the directory can't be opened, or that kind of disk is not available.
     """
     assert settings.directory is not None
     return open_disk(settings.disk, settings.directory)
 
 
 def bootstrap_group(settings: QuorumSettings, rng: random.Random) -> Identity:
-    """Make a new group with this member as its only voter, and return the member's identity.
+    """Create a new group with this member as its only voter, and return the member's identity.
 
     Raises:
-        BootstrapError: the directory belongs to a member already.
+        BootstrapError: the directory already belongs to a member.
         StoreError: the directory can't be opened or written.
     """
     assert settings.directory is not None
--- a/tests/consensus/test_identity.py
+++ b/tests/consensus/test_identity.py
@@ -31,5 +31,5 @@
     assert incarnations.on_greeting_reply(
         3, GreetingResult.ACCEPTED
     ) is None and incarnations.can_participate(others, 0)
-    assert "put back from a copy" in incarnations.on_greeting_reply(3, GreetingResult.STALE_INCARNATION)
+    assert "restored from a copy" in incarnations.on_greeting_reply(3, GreetingResult.STALE_INCARNATION)
     assert incarnations.on_greeting_reply(3, GreetingResult.WRONG_CLUSTER) is None
--- a/tests/consensus/test_member_process.py
+++ b/tests/consensus/test_member_process.py
@@ -119,7 +119,7 @@
     follow(process, link, 1)
     assert not link.replies[0].done and decode(link.replies[0].content) == "nothing here"
     run_on(reactor)
-    assert "leads" in said
+    assert "became leader" in said
     publish(process, reactor, client, "a", 1)
     assert client.replies[-1].done
     follow(process, link, 2, digest=Source().table.digest)
--- a/tests/fleet/test_quorum.py
+++ b/tests/fleet/test_quorum.py
@@ -91,7 +91,7 @@
     shutil.copytree(tmp_path / "copy", voter.directory)
     voter.start()
     assert voter.ended() == 3
-    assert "put back from a copy" in voter.log.read_text()
+    assert "restored from a copy" in voter.log.read_text()
 
 
 def test_an_empty_directory_is_another_member_until_it_is_added(rig):
@@ -135,7 +135,10 @@
         ("quorum: {group: g, members: ['1.2.3.4:5'], listn: x}", "unknown key 'listn'"),
         ("quorum: {group: g, members: []}", "members"),
         ("quorum: {group: g, members: ['1.2.3.4:5']}", "quorum.name: is missing"),
-        ("quorum:\n  group: g\n  members: ['1.2.3.4:5']\n  times: {beat_ms: 200}", "three beats"),
+        (
+            "quorum:\n  group: g\n  members: ['1.2.3.4:5']\n  times: {beat_ms: 200}",
+            "three heartbeat intervals",
+        ),
     ],
 )
 def test_a_wrong_file_is_one_line_and_exit_code_2(tmp_path, text, said):
