--- a/lichencleat/consensus/key_value.py
+++ b/lichencleat/consensus/key_value.py
@@ -49,19 +49,19 @@
     def apply(self, index: int, command: msgspec.Raw) -> SetResult:
         """Apply an encoded `SetCommand`; a rejected command changes nothing."""
         try:
-            wanted = decode_set_command(command)
+            set_command = decode_set_command(command)
         except UNDECODABLE:
             return SetResult(False, NO_REVISION, "no command")
-        current = self.entries.get(wanted.key)
+        current = self.entries.get(set_command.key)
         revision = current.revision if current else NO_REVISION
-        if wanted.expected_revision is not None and wanted.expected_revision != revision:
+        if set_command.expected_revision is not None and set_command.expected_revision != revision:
             return SetResult(False, revision, "another revision")
-        if wanted.value is None:
-            self.entries.pop(wanted.key, None)
+        if set_command.value is None:
+            self.entries.pop(set_command.key, None)
             return SetResult(True, NO_REVISION)
-        if len(wanted.value) > MAX_VALUE_BYTES or (current is None and len(self.entries) >= MAX_KEYS):
+        if len(set_command.value) > MAX_VALUE_BYTES or (current is None and len(self.entries) >= MAX_KEYS):
             return SetResult(False, revision, "over the bound")
-        self.entries[wanted.key] = KeyValueEntry(wanted.value, index)
+        self.entries[set_command.key] = KeyValueEntry(set_command.value, index)
         return SetResult(True, index)
 
     def read(self, query: str) -> KeyValueEntry | None:
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -104,7 +104,7 @@
         self.ended: Deferred[int] = Deferred()  # fires with the exit code
         self.is_participating = False
         self.is_ending = False
-        self.is_leaving = False  # stops once its leadership is transferred
+        self.is_stopping_gracefully = False  # stops once its leadership is transferred
         self.role = Role.FOLLOWER
         self.counts: dict[str, int] = {}
         self._store = store
@@ -275,7 +275,7 @@
         self.extension.notify(lambda extension: extension.on_applied(self.applier.state_machine))
         self.applier.answer_reads()
         self._connections.update(self.node.log.configuration)
-        self._on_role_checked()
+        self._update_role()
         self._arm_timer()
 
     def _execute_actions(self) -> None:
@@ -310,7 +310,7 @@
                 self.log.warning("halted", reason=action.reason)
                 self.end(EXIT_HALTED)
 
-    def _on_role_checked(self) -> None:
+    def _update_role(self) -> None:
         """React to a change of this member's role, if there was one."""
         role = self.node.role
         if role is self.role:
@@ -318,7 +318,7 @@
         if Role.LEADER in (self.role, role):
             self.log.info("became leader" if role is Role.LEADER else "lost leadership", term=self.node.term)
         self.role = role
-        if self.is_leaving:  # leadership is transferred
+        if self.is_stopping_gracefully:  # leadership is transferred
             self.end(EXIT_STOPPED)
             return
         self._proposer.on_role_changed(role)
@@ -331,15 +331,15 @@
 
     # -- the end -----------------------------------------------------------------------------------------
 
-    def leave(self) -> None:
+    def stop_gracefully(self) -> None:
         """Stop gracefully: a leader first transfers its leadership, within the transfer timeout."""
         leader_state = self.node.leader_state
-        candidates = sorted(self.node.voters - {self.node.member_id})
-        if leader_state is None or not candidates or leader_state.transfer:
+        targets = sorted(self.node.voters - {self.node.member_id})
+        if leader_state is None or not targets or leader_state.transfer:
             self.end(EXIT_STOPPED)
             return
-        target = max(candidates, key=leader_state.match_index)
-        self.is_leaving = True
+        target = max(targets, key=leader_state.match_index)
+        self.is_stopping_gracefully = True
         self.node.transfer_leadership(self.now(), target)
         self._schedule_run()
         timeout_s = self.node.timeouts.transfer_timeout_us / MICROSECONDS_PER_SECOND
--- a/lichencleat/consensus/raft_node.py
+++ b/lichencleat/consensus/raft_node.py
@@ -195,14 +195,14 @@
         """Return why this leader can't change to `configuration` now, or None if it can."""
         # An uncommitted change of an earlier term may still be truncated. Together with a second change, two
         # configurations without a common voter in their majorities could then commit different entries.
-        if self.commit_index < self.leading.first_index:
+        if self.commit_index < self.required_leader_state.first_index:
             return RejectReason.LEADER_NOT_READY
         if self.log.configurations[-1].index > self.commit_index:
             return RejectReason.CHANGE_IN_PROGRESS
         learners = self.log.configuration.member_ids() - self.voters
         required_index = max(1, self.commit_index - MAX_PROMOTION_LAG)
         for member_id in configuration.voter_ids() & learners:
-            if self.leading.match_index(member_id) < required_index:
+            if self.required_leader_state.match_index(member_id) < required_index:
                 return RejectReason.LEARNER_BEHIND
         return configurations.change_rejection(self.log.configuration, configuration)
 
--- a/lichencleat/consensus/replicator.py
+++ b/lichencleat/consensus/replicator.py
@@ -24,7 +24,7 @@
     """Replicates this member's log while it leads; most methods may be called on a leader only."""
 
     @property
-    def leading(self) -> LeaderState:
+    def required_leader_state(self) -> LeaderState:
         """The leader's state; this member must be the leader."""
         assert self.leader_state is not None
         return self.leader_state
@@ -34,10 +34,10 @@
         self.log.append([entry])
         self.writes.mark_appended()
         if context is not None:
-            self.leading.pending_proposals[self.log.last_index] = context
+            self.required_leader_state.pending_proposals[self.log.last_index] = context
         if entry.entry_type == EntryType.CONFIGURATION:
             self.apply_configuration(now)
-        self.leading.schedule_all()
+        self.required_leader_state.schedule_all()
 
     # -- heartbeats and entries ----------------------------------------------------------------------
 
@@ -49,12 +49,12 @@
             sender=self.member_id,
             recipient=member_id,
             commit=self.commit_index,
-            read_round=self.leading.read_round,
+            read_round=self.required_leader_state.read_round,
         )
 
     def send_heartbeat(self, member_id: int) -> None:
         """Send a heartbeat to that follower."""
-        progress = self.leading.progress[member_id]
+        progress = self.required_leader_state.progress[member_id]
         self.enqueue_message(progress.make_heartbeat(self.log, self.make_append(member_id)))
 
     def broadcast_heartbeats(self, now: int) -> None:
@@ -62,11 +62,11 @@
         self.heartbeat_due_at = now + self.timeouts.heartbeat_interval_us
         self.heartbeat_count += 1
         includes_learners = self.heartbeat_count % LEARNER_HEARTBEAT_INTERVAL == 0
-        for member_id, progress in self.leading.progress.items():
+        for member_id, progress in self.required_leader_state.progress.items():
             if member_id in self.voters or includes_learners:
                 progress.on_heartbeat()
                 self.send_heartbeat(member_id)
-                self.leading.pending_sends[member_id] = None
+                self.required_leader_state.pending_sends[member_id] = None
 
     def next_replication_message(self) -> Action | None:
         """Return the action that sends entries or a snapshot chunk to a follower, or None.
@@ -95,10 +95,10 @@
         progress.last_response_at = now
         if message.read_round > progress.read_round:
             progress.read_round = message.read_round
-            self.leading.update_confirmed_round(self.voters)
+            self.required_leader_state.update_confirmed_round(self.voters)
             self._serve_confirmed_reads()
             self.start_read_round()
-        self.leading.pending_sends[message.sender] = None
+        self.required_leader_state.pending_sends[message.sender] = None
         if not message.granted:
             progress.on_rejected(message.offset, message.index)
         elif progress.on_accepted(message.index):
@@ -112,14 +112,14 @@
         if progress is not None:
             progress.last_response_at = now
             progress.on_snapshot_chunk_received(message.index, message.offset)
-            self.leading.pending_sends[message.sender] = None
+            self.required_leader_state.pending_sends[message.sender] = None
 
     def _progress_of(self, member_id: int) -> Progress | None:
         return self.leader_state.progress.get(member_id) if self.leader_state is not None else None
 
     def advance_commit_index(self, now: int) -> None:
         """Commit up to the index that a majority has durable, if its entry is of this term (Raft 5.4.2)."""
-        quorum_index = self.leading.quorum_match_index(self.voters, self.writes.durable_index)
+        quorum_index = self.required_leader_state.quorum_match_index(self.voters, self.writes.durable_index)
         if quorum_index <= self.commit_index or self.log.term_at(quorum_index) != self.term:
             return
         self.commit_index = quorum_index
@@ -128,7 +128,7 @@
             self._step_down_after_removal(now)
 
     def _step_down_after_removal(self, now: int) -> None:
-        for member_id in self.leading.progress:
+        for member_id in self.required_leader_state.progress:
             self.send_heartbeat(member_id)  # the last message; its commit index covers the removal
         self.become_follower(now, self.term)
 
@@ -136,7 +136,7 @@
 
     def start_read_round(self) -> None:
         """Confirm with the voters that this member still leads, if reads wait and no round is in progress."""
-        leader_state = self.leading
+        leader_state = self.required_leader_state
         while leader_state.begin_read_round():
             leader_state.update_confirmed_round(self.voters)
             if leader_state.confirmed_round < leader_state.read_round:  # else the leader alone is a majority
@@ -145,7 +145,7 @@
             self._serve_confirmed_reads()
 
     def _serve_confirmed_reads(self) -> None:
-        for read in self.leading.take_confirmed_reads():
+        for read in self.required_leader_state.take_confirmed_reads():
             action = Action(ActionType.SERVE_READ, context=read.context, index=read.index)
             self.pending_actions.append(action)
 
@@ -153,6 +153,6 @@
 
     def continue_transfer(self) -> None:
         """Send the transfer target a TIMEOUT_NOW message if it has all entries."""
-        target = self.leading.ready_transfer_target(self.log.last_index)
+        target = self.required_leader_state.ready_transfer_target(self.log.last_index)
         if target != NO_MEMBER:
             self.enqueue_message(self.make_message(MessageType.TIMEOUT_NOW, target))
--- a/lichencleat/coordinator/daemon.py
+++ b/lichencleat/coordinator/daemon.py
@@ -17,7 +17,7 @@
 from lichencleat.coordinator import states
 from lichencleat.coordinator.candidate_expiry import CandidateExpiryProposer
 from lichencleat.coordinator.settings import QuorumSettings
-from lichencleat.coordinator.storage import bounds_of, open_member_disk
+from lichencleat.coordinator.storage import open_member_disk, store_limits
 from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
 from lichencleat.log.structured import create_logger
 from lichencleat.reactor import Reactor, make_reactor, unix_time
@@ -64,7 +64,7 @@
             self._stop(EXIT_CANNOT_START, str(error))
             return
         try:
-            identity = yield self._start_life(store)
+            identity = yield self._record_start(store)
             process = self._make_process(store, identity)
         except (StoreError, CannotListenError, _WrongKindOfGroupError) as error:
             yield store.close()
@@ -76,13 +76,13 @@
         )
         process.ended.addCallback(self._stop)
         if self._stop_requested:
-            process.leave()
+            process.stop_gracefully()
 
     def request_stop(self) -> None:
         """Stop the member gracefully; if it leads, it first transfers its leadership."""
         self._stop_requested = True
         if self._process is not None:
-            self._process.leave()
+            self._process.stop_gracefully()
 
     def _open_store(self) -> Deferred[Store]:
         settings = self._settings
@@ -92,12 +92,12 @@
             settings.directory,
             unix_time,
             self._rng,
-            bounds_of(settings),
+            store_limits(settings),
             disk=open_member_disk(settings),
         )
 
     @inlineCallbacks
-    def _start_life(self, store: Store) -> Generator[Any, Any, Identity]:
+    def _record_start(self, store: Store) -> Generator[Any, Any, Identity]:
         """Store the incremented start count; fires with the member's identity."""
         settings = self._settings
         assert settings.name is not None
--- a/lichencleat/coordinator/settings.py
+++ b/lichencleat/coordinator/settings.py
@@ -16,7 +16,7 @@
 __all__ = ["ElectionTimings", "QuorumSettings", "QuorumSettingsFile", "read_quorum_settings"]
 
 MIN_HEARTBEATS_PER_ELECTION = 3  # with fewer, one late message would end a leadership
-KEYS_OF_A_MEMBER = ("name", "listen", "directory")
+REQUIRED_MEMBER_KEYS = ("name", "listen", "directory")
 
 Milliseconds = Annotated[int, Meta(ge=1, le=600_000)]
 
@@ -107,7 +107,7 @@
 
 
 def _check_member_keys(path: str, document: YamlDocument, settings: QuorumSettings) -> None:
-    for key in KEYS_OF_A_MEMBER:
+    for key in REQUIRED_MEMBER_KEYS:
         if getattr(settings, key) is None:
             line = document.line_of("$.quorum")
             raise InvalidQuorumSettingsError(path, line, f"quorum.{key}", "is missing; a member needs it")
--- a/lichencleat/coordinator/storage.py
+++ b/lichencleat/coordinator/storage.py
@@ -20,10 +20,12 @@
 
 GROUP_ID_BYTES = 8
 # The log is compacted at snapshots, which keeps the store small.
-CONTROL_PLANE_BOUNDS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20, max_entries=200_000)
+CONTROL_PLANE_STORE_LIMITS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20, max_entries=200_000)
 # Two snapshots of up to 160 MiB (the current one and the one being written), two logs of 32 MiB each, and the
 # same amount again for space that compaction has not freed yet.
-CONFIG_DISTRIBUTION_BOUNDS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=1 << 30, max_entries=200_000)
+CONFIG_DISTRIBUTION_STORE_LIMITS = StoreLimits(
+    segment_bytes=8 << 20, max_disk_bytes=1 << 30, max_entries=200_000
+)
 
 
 class BootstrapError(Exception):
@@ -41,9 +43,9 @@
         self.directory = directory
 
 
-def bounds_of(settings: QuorumSettings) -> StoreLimits:
+def store_limits(settings: QuorumSettings) -> StoreLimits:
     """Return the limits of a member's store, which depend on the kind of group."""
-    return CONFIG_DISTRIBUTION_BOUNDS if settings.distribution else CONTROL_PLANE_BOUNDS
+    return CONFIG_DISTRIBUTION_STORE_LIMITS if settings.distribution else CONTROL_PLANE_STORE_LIMITS
 
 
 def open_member_disk(settings: QuorumSettings) -> Disk:
@@ -64,7 +66,7 @@
         StoreError: the directory can't be opened or written.
     """
     assert settings.directory is not None
-    engine = Engine.open(open_member_disk(settings), unix_time, rng, bounds_of(settings), create=True)
+    engine = Engine.open(open_member_disk(settings), unix_time, rng, store_limits(settings), create=True)
     try:
         if engine.get(IDENTITY_KEY) is not None or engine.get(HARD_STATE_KEY) is not None:
             raise BootstrapError(settings.directory)
