--- a/tests/consensus/test_checkers.py
+++ b/tests/consensus/test_checkers.py
@@ -1,4 +1,4 @@
-"""The checkers of the simulation: injected violations are found, and correct histories pass."""
+"""The checkers of the simulation: they find injected violations and accept correct histories."""
 
 import random
 
@@ -10,9 +10,9 @@
     return Call(client, what, begin, told, end)
 
 
-def drawn(rng, clients=4, calls=12):
-    """A history that is right: each call happens at one drawn moment between its call and its answer."""
-    made, state, at = [], {}, 0
+def random_history(rng, clients=4, calls=12):
+    """Return a correct history: each call takes effect at a random time between its begin and its end."""
+    history, state, at = [], {}, 0
     free = dict.fromkeys(range(clients), 0)
     for number in range(calls * clients):
         at += rng.randrange(1, 40)
@@ -32,35 +32,35 @@
             if told:
                 state[name] = value
         end = free[client] = at + rng.randrange(60)
-        made.append(call(f"c{client}", what, begin, end, told))
-    return made
+        history.append(call(f"c{client}", what, begin, end, told))
+    return history
 
 
 def test_correct_histories_pass_the_checker():
     rng = random.Random(5)
     for _ in range(1_000):
-        assert judge_facts(drawn(rng)) is None
+        assert judge_facts(random_history(rng)) is None
 
 
 def test_read_of_a_value_never_written_is_found():
-    rng, found, planted = random.Random(6), 0, 0
-    while planted < 200:
-        history = drawn(rng)
+    rng, found, injected = random.Random(6), 0, 0
+    while injected < 200:
+        history = random_history(rng)
         reads = [each for each in history if each.what[0] == "get" and each.told is not None]
         if not reads:
             continue
-        planted += 1
+        injected += 1
         wrong = rng.choice(reads)
         wrong.told = b"never written"
         found += judge_facts(history) is not None
-    assert found == planted
+    assert found == injected
 
 
 def test_stale_read_lost_write_and_duplicate_write_are_found():
     base = [call("a", ("put", "f", b"1"), 0, 10, True), call("a", ("put", "f", b"2"), 20, 30, True)]
     assert judge_facts([*base, call("b", ("get", "f"), 40, 50, b"2")]) is None
     assert judge_facts([*base, call("b", ("get", "f"), 40, 50, b"1")]).startswith("fact f is no single thing")
-    assert judge_facts([*base, call("b", ("get", "f"), 25, 50, b"1")]) is None  # it overlaps the second
+    assert judge_facts([*base, call("b", ("get", "f"), 25, 50, b"1")]) is None  # overlaps the second write
     again = [*base, call("b", ("get", "f"), 40, 50, b"2"), call("b", ("get", "f"), 60, 70, b"1")]
     assert judge_facts(again) is not None
     both = [*base, call("b", ("cas", "f", b"3", b"1"), 40, 50, True)]
@@ -82,9 +82,9 @@
 
 
 def test_group_watch_finds_each_injected_violation():
-    def watched(*said):
+    def watched(*events):
         watch = GroupWatch()
-        for name, *what in said:
+        for name, *what in events:
             getattr(watch, name)(*what)
         return watch.wrong
 
--- a/tests/consensus/test_configuration.py
+++ b/tests/consensus/test_configuration.py
@@ -1,4 +1,4 @@
-"""Quorums and the changes of configuration that are allowed."""
+"""Quorums, and which configuration changes are allowed."""
 
 import pytest
 
--- a/tests/consensus/test_durable_writer.py
+++ b/tests/consensus/test_durable_writer.py
@@ -1,4 +1,4 @@
-"""The order in which writes and chunks reach the store."""
+"""The order in which the durable writer passes writes and snapshot chunks to the store."""
 
 from support.log_storage import CHUNK_BYTES, WRITES, expected_states, open_engine, reload
 from twisted.internet.defer import Deferred, fail, succeed
@@ -14,7 +14,7 @@
 
 
 class ManualStore:
-    """In place of the store: batches as they come, confirmed by hand."""
+    """A stand-in for the store: keeps batches in order; the test confirms each one explicitly."""
 
     def __init__(self):
         self.batches = []
@@ -34,12 +34,12 @@
     writer.write(WRITES[0])
     writer.write(WRITES[1])
     writer.write(WRITES[2])
-    assert len(store.batches) == 2  # the first save, and word of the pieces
+    assert len(store.batches) == 2  # the first write, and the batch that names the chunks
     store.confirm()
     for _ in range(5):
         assert len(store.batches) == 1 and done == [1]
         store.confirm()
-    assert len(store.batches) == 2  # the snapshot's own save, and the one behind it at once
+    assert len(store.batches) == 2  # the write with the snapshot and, at once, the one after it
     store.confirm()
     store.confirm()
     assert done == [1, 2, 3] and not failed and not store.batches
@@ -71,7 +71,7 @@
     writer = DurableWriter(store, LogStorage(CHUNK_BYTES), done.append, failed.append)
     for write in WRITES[:3]:
         writer.write(write)
-    disk.room = disk.used() + 2_500  # two pieces of five
+    disk.room = disk.used() + 2_500  # two of five chunks
     writer.write(WRITES[3])
     writer.write(WRITES[4])
     assert done == [1, 2, 3] and len(failed) == 1
--- a/tests/consensus/test_identity.py
+++ b/tests/consensus/test_identity.py
@@ -1,4 +1,4 @@
-"""Identities of members and of their restarts."""
+"""Identities of members and of their starts."""
 
 import pytest
 
@@ -10,8 +10,8 @@
     [
         (b"g", 1, Incarnation(7, 70), GreetingResult.ACCEPTED, False),
         (b"g", 0, Incarnation(8, 1), GreetingResult.ACCEPTED, True),
-        (b"g", 1, Incarnation(6, 70), GreetingResult.STALE_INCARNATION, False),  # a directory of yesterday
-        (b"g", 1, Incarnation(7, 71), GreetingResult.STALE_INCARNATION, False),  # a copy that runs beside it
+        (b"g", 1, Incarnation(6, 70), GreetingResult.STALE_INCARNATION, False),  # restored from an older copy
+        (b"g", 1, Incarnation(7, 71), GreetingResult.STALE_INCARNATION, False),  # a copy runs simultaneously
         (b"other", 1, Incarnation(9, 1), GreetingResult.WRONG_CLUSTER, False),
         (b"g", 5, Incarnation(9, 1), GreetingResult.WRONG_MEMBER, False),
     ],
@@ -21,7 +21,7 @@
     assert incarnations.on_greeting(cluster_id, 2, recipient, incarnation) == (result, is_new)
 
 
-def test_start_waits_for_all_confirmations_or_long_enough():
+def test_start_waits_for_all_confirmations_or_until_the_timeout():
     incarnations = PeerIncarnations(b"g", 1, Incarnation(4, 1), {})
     others = frozenset([2, 3])
     assert incarnations.on_greeting_reply(
--- a/tests/consensus/test_log_storage.py
+++ b/tests/consensus/test_log_storage.py
@@ -1,4 +1,4 @@
-"""The log on the store: writes, large snapshots in chunks, and power cuts at each call."""
+"""The log in the store: writes, large snapshots in chunks, and a power cut at each disk call."""
 
 import random
 
@@ -8,7 +8,7 @@
     CHUNK_BYTES,
     CONFIGURATION,
     WRITES,
-    carry_out,
+    execute_write,
     expected_states,
     make_snapshot,
     open_engine,
@@ -44,7 +44,7 @@
 def test_each_write_is_read_back_and_void_chunks_are_deleted():
     engine, storage = open_engine(FaultyDisk()), LogStorage(CHUNK_BYTES)
     for write, expected in zip(WRITES, expected_states()[1:], strict=True):
-        carry_out(engine, storage, write)
+        execute_write(engine, storage, write)
         assert reload(engine)[1] == expected
         count = 0 if len(expected[2] or b"") <= CHUNK_BYTES else -(-len(expected[2]) // CHUNK_BYTES)
         assert stored_chunk_keys(engine) == [chunk_key(expected[0], number) for number in range(count)]
@@ -56,7 +56,7 @@
     engine, storage = open_engine(disk), LogStorage(CHUNK_BYTES)
     begin = len(disk.calls)
     for write in WRITES:
-        carry_out(engine, storage, write)
+        execute_write(engine, storage, write)
     return begin, len(disk.calls)
 
 
@@ -72,7 +72,7 @@
             done = 0
             try:
                 for write in WRITES:
-                    carry_out(engine, storage, write)
+                    execute_write(engine, storage, write)
                     done += 1
             except PowerCutError:
                 pass
@@ -80,17 +80,18 @@
             storage, found = reload(engine)
             assert found in expected[done : done + 2], (call, seed)
             base, last, _ = found
-            elsewhere = make_snapshot(last + 9, 1_500)
+            other_snapshot = make_snapshot(last + 9, 1_500)
             following = [
-                WRITES[expected.index(found) :],  # as if nothing had been
-                [DurableWrite(9, 1, 1, last + 1, (), last, base)],  # as another leader has it
-                [
-                    DurableWrite(9, 1, 1, last + 10, (), last + 9, last + 9, elsewhere)
-                ],  # a snapshot of another's
+                # the remaining writes, as if there had been no power cut
+                WRITES[expected.index(found) :],
+                # a write without a snapshot, from another leader
+                [DurableWrite(9, 1, 1, last + 1, (), last, base)],
+                # a snapshot from another leader
+                [DurableWrite(9, 1, 1, last + 10, (), last + 9, last + 9, other_snapshot)],
             ][seed % 3]
             left_over += stored_chunk_keys(engine) != active_chunk_keys(storage)
             for write in following:
-                carry_out(engine, storage, write)
+                execute_write(engine, storage, write)
                 assert stored_chunk_keys(engine) == active_chunk_keys(storage), (call, seed)
                 reload(engine)
     assert left_over > 10
@@ -111,11 +112,11 @@
         ]
     )
     assert LogStorage(CHUNK_BYTES).load(engine.get).snapshot == old
-    carry_out(engine, storage, WRITES[3])
+    execute_write(engine, storage, WRITES[3])
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(engine.get(SNAPSHOT_KEY), type=Snapshot)
     small = LogStorage(CHUNK_BYTES)
-    carry_out(engine, small, DurableWrite(9, 1, 1, 21, (), 20, 20, make_snapshot(20, CHUNK_BYTES)))
+    execute_write(engine, small, DurableWrite(9, 1, 1, 21, (), 20, 20, make_snapshot(20, CHUNK_BYTES)))
     assert msgspec.msgpack.decode(engine.get(SNAPSHOT_KEY), type=Snapshot) == make_snapshot(20, CHUNK_BYTES)
 
 
@@ -130,7 +131,7 @@
 def test_missing_or_resized_chunk_is_damage(corrupt):
     engine, storage = open_engine(FaultyDisk()), LogStorage(CHUNK_BYTES)
     write = DurableWrite(1, 1, 1, 9, (), 8, 8, make_snapshot(8, 5_000))
-    carry_out(engine, storage, write)
+    execute_write(engine, storage, write)
     assert LogStorage(CHUNK_BYTES).load(engine.get).snapshot == write.snapshot
     corrupt(engine)
     with pytest.raises(CorruptDataError, match="a confirmed chunk is missing"):
@@ -138,12 +139,12 @@
 
 
 def test_snapshot_larger_than_a_batch_is_stored_and_read():
-    most = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20)
-    engine = Engine.open(FaultyDisk(), lambda: 1, random.Random(1), most, create=True)
+    limits = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20)
+    engine = Engine.open(FaultyDisk(), lambda: 1, random.Random(1), limits, create=True)
     large = Snapshot(
         3, 1, CONFIGURATION, random.Random(1).randbytes(1 << 20) * 33
-    )  # 33 MiB; a batch has 32 at most
-    carry_out(engine, LogStorage(), DurableWrite(1, 1, 1, 4, (), 3, 3, large))
+    )  # 33 MiB; the limit of a batch is 32 MiB
+    execute_write(engine, LogStorage(), DurableWrite(1, 1, 1, 4, (), 3, 3, large))
     assert LogStorage().load(engine.get).snapshot == large
     assert len(large.data) > 32 << 20 and MAX_CHUNK_BYTES < 16 << 20
 
@@ -158,19 +159,19 @@
         DurableWrite(2, 4, 0, 6, (Entry(9, EntryType.NO_OP),), 6, 0),
         DurableWrite(3, 4, 0, 7, (), 6, 3, snapshot),
     ):
-        carry_out(engine, storage, write)
+        execute_write(engine, storage, write)
     found = LogStorage().load(engine.get)
     assert (found.term, found.vote, found.snapshot) == (4, 0, snapshot)
     assert found.entries == [*entries[3:5], Entry(9, EntryType.NO_OP)]
     assert [key for key, _ in engine.scan(b"e")] == [entry_key(n) for n in (4, 5, 6)]
     replaced = Snapshot(20, 9, CONFIGURATION, b"later")
-    carry_out(engine, storage, DurableWrite(4, 9, 2, 21, (), 20, 20, replaced))
+    execute_write(engine, storage, DurableWrite(4, 9, 2, 21, (), 20, 20, replaced))
     assert LogStorage().load(engine.get).entries == [] and list(engine.scan(b"e")) == []
 
 
 def test_missing_entry_is_damage():
     engine, storage = open_engine(FaultyDisk()), LogStorage()
-    carry_out(engine, storage, DurableWrite(1, 1, 0, 1, (Entry(1, 0), Entry(1, 0)), 2, 0))
+    execute_write(engine, storage, DurableWrite(1, 1, 0, 1, (Entry(1, 0), Entry(1, 0)), 2, 0))
     assert len(LogStorage().load(engine.get).entries) == 2
     engine.commit([Batch().delete(entry_key(1))])
     with pytest.raises(CorruptDataError, match="an entry that was confirmed is missing"):
--- a/tests/consensus/test_member_process.py
+++ b/tests/consensus/test_member_process.py
@@ -1,4 +1,4 @@
-"""A member process, complete but for its sockets."""
+"""A complete member process without sockets."""
 
 import random
 from types import SimpleNamespace
@@ -31,27 +31,29 @@
 
 
 def test_leader_proposer_asks_the_states_also_while_entries_wait_to_be_applied():
-    reactor, seen = MemoryReactorClock(), []
+    reactor, passed_states = MemoryReactorClock(), []
     state, node = SimpleNamespace(applied=1), SimpleNamespace(commit_index=2)
     applier = SimpleNamespace(state_machine=state)
-    proposer = LeaderProposer(reactor, node, applier, None, lambda state, now: seen.append(state) or [], None)
+    proposer = LeaderProposer(
+        reactor, node, applier, None, lambda state, now: passed_states.append(state) or [], None
+    )
     proposer.on_role_changed(Role.LEADER)
     reactor.advance(1)
-    assert seen[:2] == [state, state]
+    assert passed_states[:2] == [state, state]
     proposer.role = Role.FOLLOWER
     proposer.propose_due()
-    assert seen[-1] is None and proposer._timer is None
+    assert passed_states[-1] is None and proposer._timer is None
 
 
-def test_member_process_reports_the_rejection_of_a_leaders_own_proposal_to_nobody():
+def test_member_process_ignores_the_rejection_of_a_leaders_own_proposal():
     assert (
         MemberProcess._execute(None, Action(ActionType.REJECT, context=None, reason=RejectReason.NOT_LEADER))
         is None
     )
 
 
-class Link:
-    """In place of a connection that a subscriber opened."""
+class FakeConnection:
+    """A stand-in for a connection that a subscriber or client opened."""
 
     transport = None
 
@@ -65,24 +67,24 @@
         self.replies.append(reply)
 
 
-def alone(reactor, disk):
-    """A group of one for configuration, with its store on that disk."""
+def make_single_member(reactor, disk):
+    """Make the only member of a group for configuration, with its store on that disk."""
 
-    def at_once(call, *args):
+    def run_at_once(call, *args):
         try:
             return succeed(call(*args))
-        except StoreError as wrong:
-            return fail(wrong)
+        except StoreError as error:
+            return fail(error)
 
     engine = Engine.open(disk, lambda: 1, random.Random(1), create=True)
-    me = Member(5, "v1", "10.0.0.1", 1, True, "z1")
+    member = Member(5, "v1", "10.0.0.1", 1, True, "z1")
     if engine.get(b"t") is None:
-        assert engine.commit([LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((me,))))]) == [
-            None
-        ]
-    store, said = Store(reactor, engine, at_once, at_once, maintenance=False), []
+        assert engine.commit(
+            [LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((member,))))]
+        ) == [None]
+    store, events = Store(reactor, engine, run_at_once, run_at_once, maintenance=False), []
     log = SimpleNamespace(
-        info=lambda event, **more: said.append(event), warning=lambda event, **more: said.append(event)
+        info=lambda event, **more: events.append(event), warning=lambda event, **more: events.append(event)
     )
     voting = Voting(reactor, "v1", "z1", log)
     identity = Identity(b"mark", "g", "v1", 5, 1)
@@ -95,10 +97,10 @@
         random.Random(1),
         MemberOptions(make_config_distribution_states, zone="z1", extension=voting),
     )
-    return process, said
+    return process, events
 
 
-def run_on(reactor, seconds=1.0):
+def advance(reactor, seconds=1.0):
     for _ in range(int(seconds / 0.02)):
         reactor.advance(0.02)
 
@@ -106,7 +108,7 @@
 def publish(process, reactor, link, name, number):
     what = encode_command("distribution", Publish((Change("tenant", name, b"1"),)))
     process.on_request(link, ClientRequest(number, "propose", encode_raw((0, 0, what))))
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
 
 
 def follow(process, link, number, version=0, digest=b"", hold=0):
@@ -114,28 +116,28 @@
 
 
 def test_member_process_serves_subscribers_what_it_has_applied_with_its_age():
-    reactor, link, client = MemoryReactorClock(), Link(), Link()
-    process, said = alone(reactor, FaultyDisk())
+    reactor, link, client = MemoryReactorClock(), FakeConnection(), FakeConnection()
+    process, events = make_single_member(reactor, FaultyDisk())
     follow(process, link, 1)
     assert not link.replies[0].done and decode(link.replies[0].content) == "nothing here"
-    run_on(reactor)
-    assert "became leader" in said
+    advance(reactor)
+    assert "became leader" in events
     publish(process, reactor, client, "a", 1)
     assert client.replies[-1].done
     follow(process, link, 2, digest=Source().table.digest)
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     first = decode_fed(link.replies[1].content)
     assert first.say == Say.NEWS and [each.changes[0].name for each in first.batches] == ["a"]
     assert 0 <= first.age < 300_000
     follow(process, link, 3, first.version, first.digest, 1_000_000)
-    run_on(reactor, 0.3)
-    assert len(link.replies) == 2  # it waits for news
+    advance(reactor, 0.3)
+    assert len(link.replies) == 2  # the request waits for a new version
     publish(process, reactor, client, "b", 2)
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     news = decode_fed(link.replies[2].content)
     assert news.batches[0].past == first.version and news.batches[0].changes[0].name == "b"
     process.on_request(link, ClientRequest(4, "in force"))
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     assert decode(link.replies[3].content)["version"] == news.version
     process.on_disconnected(link, 0)
     assert process.extension.extension.feeder.in_force(process.now())["subscribers"] == 0
@@ -143,54 +145,54 @@
 
 
 def test_member_process_answers_nothing_after_its_disk_failed():
-    reactor, link, client, disk = MemoryReactorClock(), Link(), Link(), FaultyDisk()
-    process, _ = alone(reactor, disk)
-    run_on(reactor)
+    reactor, link, client, disk = MemoryReactorClock(), FakeConnection(), FakeConnection(), FaultyDisk()
+    process, _ = make_single_member(reactor, disk)
+    advance(reactor)
     publish(process, reactor, client, "a", 1)
     follow(process, link, 1, digest=Source().table.digest)
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     assert len(link.replies) == 1 and process.extension.handles("follow")
     process.on_disk_failed(Failure(FullError("bytes on disk")))
-    assert not process.is_ending  # it leaves in the next turn; in this one nothing is answered any more
+    assert not process.is_ending  # it halts in the next iteration; until then it answers nothing
     follow(process, link, 2)
     assert [decode(each.content) for each in link.replies[1:]] == [RejectReason.INVALID_REQUEST.value]
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     assert process.is_ending and len(link.replies) == 2
 
 
 def test_member_process_ends_on_a_full_disk_before_serving_what_it_could_not_write():
-    reactor, link, client, disk = MemoryReactorClock(), Link(), Link(), FaultyDisk()
-    process, _ = alone(reactor, disk)
-    run_on(reactor)
+    reactor, link, client, disk = MemoryReactorClock(), FakeConnection(), FakeConnection(), FaultyDisk()
+    process, _ = make_single_member(reactor, disk)
+    advance(reactor)
     publish(process, reactor, client, "a", 1)
     version = process.applier.state_machine.states["distribution"].table.version
     digest = process.applier.state_machine.states["distribution"].table.digest
     follow(process, link, 1, version, digest, 1_000_000)
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     disk.room = disk.used()
     publish(process, reactor, client, "b", 2)
-    run_on(reactor, 2)
+    advance(reactor, 2)
     assert process.is_ending and not link.replies and not client.replies[-1].done
     assert process.applier.state_machine.states["distribution"].table.version == version
 
 
 def test_member_process_serves_the_batches_of_its_snapshot_after_a_restart():
-    reactor, disk, client, link = MemoryReactorClock(), FaultyDisk(), Link(), Link()
-    process, _ = alone(reactor, disk)
-    run_on(reactor)
+    reactor, disk, client, link = MemoryReactorClock(), FaultyDisk(), FakeConnection(), FakeConnection()
+    process, _ = make_single_member(reactor, disk)
+    advance(reactor)
     for number in range(1, 6):
         publish(process, reactor, client, f"t{number}", number)
     version, data = process.applier.state_machine.applied, process.applier.state_machine.dump()
     process.node.compact(version, data)
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     process.end(0)
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     disk.locked = False
-    again, _ = alone(reactor, disk)
+    again, _ = make_single_member(reactor, disk)
     assert again.node.log.snapshot_index == version
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     follow(again, link, 1, digest=Source().table.digest)
-    run_on(reactor, 0.1)
+    advance(reactor, 0.1)
     fed = decode_fed(link.replies[0].content)
     assert fed.say == Say.NEWS and [each.changes[0].name for each in fed.batches] == [
         f"t{number}" for number in range(1, 6)
@@ -200,9 +202,9 @@
 
 def test_state_applier_takes_a_snapshot_after_many_entries_or_many_bytes(monkeypatch):
     monkeypatch.setattr("lichencleat.consensus.state_applier.MAX_BYTES_PER_SNAPSHOT", 300)
-    reactor, client = MemoryReactorClock(), Link()
-    process, _ = alone(reactor, FaultyDisk())
-    run_on(reactor)
+    reactor, client = MemoryReactorClock(), FakeConnection()
+    process, _ = make_single_member(reactor, FaultyDisk())
+    advance(reactor)
     for number in range(1, 30):
         publish(process, reactor, client, f"t{number}", number)
     assert process.node.log.snapshot_index > 3 and process.applier.state_machine.applied < 40
@@ -211,21 +213,21 @@
 
 
 def test_member_process_notifies_its_extension_of_appends_of_the_current_term_only():
-    process, told = MemberProcess.__new__(MemberProcess), []
+    process, commit_indices = MemberProcess.__new__(MemberProcess), []
     process.reactor, process.is_ending = MemoryReactorClock(), False
     process._run_is_scheduled = process.is_participating = True
     process.node = SimpleNamespace(receive=lambda now, message: None, term=3)
-    process.extension = GuardedExtension(SimpleNamespace(on_leader_commit=told.append), None)
+    process.extension = GuardedExtension(SimpleNamespace(on_leader_commit=commit_indices.append), None)
     for kind, term, commit in (
         (MessageType.APPEND, 3, 7),
         (MessageType.APPEND, 2, 9),
         (MessageType.VOTE, 3, 11),
     ):
         process.on_peer_message(Message(kind, term, 2, 1, commit=commit))
-    assert told == [7]
+    assert commit_indices == [7]
 
 
-def test_identity_keeps_what_its_group_replicates_and_older_ones_replicate_other_things():
+def test_identity_keeps_the_kind_of_its_group_and_older_identities_are_control_plane():
     for distribution in (False, True):
         made = load_identity(lambda key: None, random.Random(1), "g", "v1", distribution)
         again = load_identity(
--- a/tests/consensus/test_model_checking.py
+++ b/tests/consensus/test_model_checking.py
@@ -1,4 +1,4 @@
-"""Model checking: the node violates nothing in any order of small scenes, and each injected bug is found."""
+"""Model checking: small scenes have no violation in any order of events; each injected bug is found."""
 
 import pytest
 
@@ -23,13 +23,13 @@
     assert found.violation is not None
     world = scene.make(VARIANTS[scene.mistake])
     if scene.bytes_most == SCENES["two lead"].bytes_most:
-        for action in found.history:  # the history that it tells leads there
+        for action in found.history:  # the reported history reproduces the violation
             world = world.after(action)
         assert world.violation() == found.violation
 
 
 class Counter:
-    """Two numbers that are counted up; 3 and 2 is wrong."""
+    """A world of two counters that can be incremented; the state (3, 2) is a violation."""
 
     def __init__(self, a=0, b=0):
         self.a, self.b = a, b
--- a/tests/consensus/test_progress.py
+++ b/tests/consensus/test_progress.py
@@ -1,4 +1,4 @@
-"""The messages that a leader chooses for a follower."""
+"""The messages that a leader sends to a follower."""
 
 import random
 
@@ -32,10 +32,10 @@
     progress.on_rejected(40, 3)
     assert progress.next_message(entries, heartbeat).index == 3
     progress.on_accepted(4)
-    ahead = []
+    sent_indices = []
     while (message := progress.next_message(entries, heartbeat)) is not None:
-        ahead.append(message.index)
-    assert ahead == list(range(4, 4 + MAX_INFLIGHT_MESSAGES))
+        sent_indices.append(message.index)
+    assert sent_indices == list(range(4, 4 + MAX_INFLIGHT_MESSAGES))
     progress.on_heartbeat()
     progress.on_heartbeat()
     assert progress.is_probing and progress.next_index == 5
@@ -46,7 +46,7 @@
     progress, heartbeat = Progress(71, 0), Message(MessageType.APPEND, 1, 1, 2)
     progress.match_index = 70
     assert progress.next_message(entries, heartbeat).message_type == MessageType.SNAPSHOT
-    progress.on_accepted(70)  # it has committed more, and flushed no more
+    progress.on_accepted(70)  # the commit index has advanced, but no more entries are durable
     assert progress.next_message(entries, heartbeat) is None
     progress.on_heartbeat()
     assert progress.next_message(entries, heartbeat).message_type == MessageType.SNAPSHOT
--- a/tests/consensus/test_raft_node.py
+++ b/tests/consensus/test_raft_node.py
@@ -1,4 +1,4 @@
-"""The Raft node, driven by hand: what it writes, sends and rejects."""
+"""The actions of the Raft node: what it writes, sends, applies and rejects."""
 
 import random
 
@@ -42,7 +42,7 @@
 
 
 def take_actions(node, action_types=None):
-    """All decisions; what is to be saved is confirmed at once."""
+    """Return all actions, or those of the given types; each write becomes durable at once."""
     found = []
     while (action := node.next_action()) is not None:
         found.append(action)
@@ -120,8 +120,8 @@
 def test_pre_vote_precedes_a_new_term():
     node = make_node()
     node.on_timer(node.deadline())
-    asked = sent_messages(node)
-    assert {each.message_type for each in asked} == {MessageType.PRE_VOTE} and node.term == 0
+    requests = sent_messages(node)
+    assert {each.message_type for each in requests} == {MessageType.PRE_VOTE} and node.term == 0
     node.receive(0, Message(MessageType.PRE_VOTE_RESPONSE, 1, 2, 1, granted=True))
     assert node.term == 1 and {each.message_type for each in sent_messages(node)} == {MessageType.VOTE}
 
@@ -131,8 +131,8 @@
     node.propose(0, "ticket", b"x")
     node.on_timer(TIMEOUTS.election_timeout_us + 1)
     assert node.role is Role.FOLLOWER
-    refused = take_actions(node, [ActionType.REJECT])
-    assert [(each.context, each.reason) for each in refused] == [("ticket", RejectReason.LEADERSHIP_LOST)]
+    rejected = take_actions(node, [ActionType.REJECT])
+    assert [(each.context, each.reason) for each in rejected] == [("ticket", RejectReason.LEADERSHIP_LOST)]
 
 
 def test_entry_is_committed_by_a_majority_of_disks_and_applied_with_its_context():
@@ -271,7 +271,7 @@
     node.change_configuration(0, "gone", without_member(CONFIGURATION, 1))
     take_actions(node)
     acknowledge(node, 2, 2)
-    assert node.role is Role.LEADER  # of 2 and 3 only one has it
+    assert node.role is Role.LEADER  # only one of the remaining voters 2 and 3 has the entry
     acknowledge(node, 3, 2)
     assert node.role is Role.FOLLOWER
     assert [each.context for each in take_actions(node, [ActionType.APPLY])] == ["gone"]
@@ -297,9 +297,8 @@
     take_actions(node)
     acknowledge(node, 2, 1)
     take_actions(node)
-    node.change_configuration(
-        0, "gone", without_member(pair, 1)
-    )  # 2 goes down before it has this, and comes back asking for votes
+    # Member 2 crashes before it receives this entry, and requests votes after its restart.
+    node.change_configuration(0, "gone", without_member(pair, 1))
     take_actions(node)
     node.on_timer(TIMEOUTS.election_timeout_us + 1)
     node.receive(
@@ -307,8 +306,8 @@
     )
     assert not any(each.granted for each in sent_messages(node))
     node.on_timer(TIMEOUTS.election_timeout_us * 9)
-    asked = sent_messages(node)
-    assert [(each.message_type, each.recipient) for each in asked] == [(MessageType.PRE_VOTE, 2)]
+    requests = sent_messages(node)
+    assert [(each.message_type, each.recipient) for each in requests] == [(MessageType.PRE_VOTE, 2)]
     node.receive(
         TIMEOUTS.election_timeout_us * 9, Message(MessageType.PRE_VOTE_RESPONSE, 2, 2, 1, granted=True)
     )
@@ -340,7 +339,7 @@
 
 def test_snapshot_chunks_may_be_duplicated_and_out_of_order():
     node = make_node(2, Configuration(()))
-    pieces = [
+    chunks = [
         Message(
             MessageType.SNAPSHOT,
             3,
@@ -355,11 +354,11 @@
         )
         for at, data in ((0, b"abc"), (3, b"def"))
     ]
-    for each in (pieces[1], pieces[0], pieces[0], pieces[1]):
+    for each in (chunks[1], chunks[0], chunks[0], chunks[1]):
         node.receive(0, each)
-    decisions = take_actions(node)
-    taken = [each.message for each in decisions if each.action_type is ActionType.SEND]
-    assert [each.offset for each in taken if each.message_type == MessageType.SNAPSHOT_RESPONSE] == [0, 3, 3]
-    restored = [each.snapshot for each in decisions if each.action_type is ActionType.RESTORE_SNAPSHOT]
+    actions = take_actions(node)
+    sent = [each.message for each in actions if each.action_type is ActionType.SEND]
+    assert [each.offset for each in sent if each.message_type == MessageType.SNAPSHOT_RESPONSE] == [0, 3, 3]
+    restored = [each.snapshot for each in actions if each.action_type is ActionType.RESTORE_SNAPSHOT]
     assert [each.data for each in restored] == [b"abcdef"]
     assert node.commit_index == 10 and node.voters == {1, 2, 3}
--- a/tests/consensus/test_simulation.py
+++ b/tests/consensus/test_simulation.py
@@ -15,11 +15,11 @@
     for seed in range(first, first + 20):
         ran = run(seed)
         assert ran.wrong is None, (seed, ran.wrong, list(map(str, ran.faults)))
-        assert ran.calls > 200 and ran.calls - ran.answered <= 3  # one a client may be under way
+        assert ran.calls > 200 and ran.calls - ran.answered <= 3  # each client may have a call in progress
 
 
 def test_slow_disk_with_snapshots_does_not_flood_the_network():
-    assert run(1025).wrong is None  # it sent the same piece again without end
+    assert run(1025).wrong is None  # with this seed, the same chunk was once resent endlessly
 
 
 def test_run_is_reproducible_by_its_seed():
@@ -33,17 +33,17 @@
 
 def test_failing_schedule_is_shrunk():
     faults = [Fault(at, 1, "kill", (1,)) for at in range(20)]
-    fewer = shrink(faults, lambda some: {3, 11} <= {each.at for each in some})
-    assert [each.at for each in fewer] == [3, 11]
+    shrunk = shrink(faults, lambda some: {3, 11} <= {each.at for each in some})
+    assert [each.at for each in shrunk] == [3, 11]
 
 
-def test_drifting_clock_reaches_its_times_as_predicted():
+def test_drifting_clock_reaches_a_time_when_predicted():
     clockwork = Clockwork()
     clock = DriftingClock(clockwork, start=1_000, rate=1.05)
-    shown = []
-    clockwork.after(clock.until(50_000), lambda: shown.append(clock()))
+    readings = []
+    clockwork.after(clock.until(50_000), lambda: readings.append(clock()))
     clockwork.run(100_000)
-    assert 50_000 <= shown[0] <= 50_003
+    assert 50_000 <= readings[0] <= 50_003
     clock.runs(0.5)
     before = clock()
     clockwork.run(102_000)
--- a/tests/consensus/test_snapshot_receiver.py
+++ b/tests/consensus/test_snapshot_receiver.py
@@ -1,4 +1,4 @@
-"""Snapshots that arrive in chunks."""
+"""Assembling snapshots that arrive in chunks."""
 
 import random
 
@@ -61,7 +61,7 @@
         assert received == one and receiver.first_chunk is None and not receiver.data
 
 
-def test_receiver_starts_anew_with_another_first_chunk_and_refuses_one_over_the_limit():
+def test_receiver_restarts_at_another_first_chunk_and_rejects_a_snapshot_over_the_limit():
     receiver = SnapshotReceiver()
     first, second = make_chunks(make_snapshot(9, 2_000), 700), make_chunks(make_snapshot(10, 900), 700)
     assert [receiver.add_chunk(first[0]), receiver.add_chunk(first[1])] == [700, 1_400]
--- a/tests/consensus/test_state_machine.py
+++ b/tests/consensus/test_state_machine.py
@@ -1,4 +1,4 @@
-"""The replicated state machine."""
+"""The replicated state machine: replaying entries and restoring a dump give the same state."""
 
 import random
 
--- a/tests/consensus/test_supported_states.py
+++ b/tests/consensus/test_supported_states.py
@@ -1,4 +1,4 @@
-"""Members of several versions: a state is used once all support it, and by nobody who does not."""
+"""Members of different versions: a state is activated once all support it; others stop."""
 
 import random
 
@@ -48,7 +48,7 @@
     assert (
         rejection == "not all members have said that they know 'new': v4, v5, v6" and MAX_NAMED_MEMBERS == 3
     )
-    supported.record(4, None)  # of a version that does not say: it knows what there was
+    supported.record(4, None)  # a version that does not report its states: it supports LEGACY_STATES
     supported.record(5, ["facts"])
     supported.record(6, ["facts", "new"])
     assert supported.rejection("new", CONFIGURATION, 1).endswith(": v4, v5")
@@ -56,11 +56,11 @@
     for member_id in (4, 5):
         supported.record(member_id, ["facts", "new"])
     assert supported.rejection("new", CONFIGURATION, 1) is None
-    supported.record(5, ["facts"])  # put back to an older one: the last word counts
+    supported.record(5, ["facts"])  # downgraded: the latest report counts
     assert supported.rejection("new", CONFIGURATION, 1).endswith(": v5")
 
 
-def test_legacy_states_are_those_of_today():
+def test_legacy_states_are_the_current_states():
     assert {*make_control_plane_states(), *make_config_distribution_states()} == LEGACY_STATES
 
 
@@ -85,12 +85,12 @@
     assert state.active_states == {"owners"}
 
 
-def test_snapshot_with_an_unknown_active_state_is_refused():
+def test_snapshot_with_an_unknown_active_state_is_rejected():
     newer = StateMachine(make_control_plane_states())
     newer.apply(1, entry("revive", REPORT))
     older_version().restore(
         Snapshot(1, 1, CONFIGURATION, newer.dump())
-    )  # as landed versions wrote it: nothing says so
+    )  # without an activation entry, as earlier releases wrote it
     newer.apply(2, entry(ACTIVATION_COMMAND, ["revive"]))
     state = older_version()
     with pytest.raises(UnknownStateError):
@@ -125,14 +125,16 @@
     before = state.active_states.copy()
     state.apply(2, entry(ACTIVATION_COMMAND, command, session=1))
     assert state.active_states == before
-    if command != ["nothing known"]:  # nor does an entry that can't be read stop anyone
+    if command != ["nothing known"]:  # an undecodable entry does not stop a member either
         state.apply(3, entry(ACTIVATION_COMMAND, command))
         assert state.active_states == before
 
 
 def dumps_after_upgrade(seed, gate=True):
-    """Dumps of three members of a version without `revive`, put up one by one from their own dumps, while a
-    leader lets in what the rules allow; without the `gate`, whatever it knows itself.
+    """Return the dumps of three members after their upgrade from a version without `revive`.
+
+    They are upgraded one by one, each from its own dump, while a leader admits the commands that the rules
+    allow. Without `gate`, the leader admits commands for every state that it supports itself.
     """
     rng = random.Random(f"upgrade {seed}")
     configuration = Configuration(CONFIGURATION.members[:3])
@@ -160,7 +162,7 @@
             entries.append(entry(name, command))
         if rng.random() < 0.5:
             apply_entries(member_id)
-        if rng.random() < 0.1:  # put up, from its own dump
+        if rng.random() < 0.1:  # upgrade, from its own dump
             restarted = StateMachine(make_control_plane_states())
             restarted.restore(Snapshot(states[member_id].applied, 1, configuration, states[member_id].dump()))
             states[member_id] = restarted
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -1,4 +1,4 @@
-"""Text that is no UTF-8, wherever bytes of others are decoded: it ends there, and nothing else does."""
+"""Received text that is not UTF-8 is rejected where it is decoded and has no other effect."""
 
 import msgspec
 import pytest
@@ -31,12 +31,12 @@
 
 
 def corrupted(data):
-    """Each byte in turn as one that stands in no UTF-8."""
+    """Return copies of the data, each with one byte replaced by a byte that is invalid in UTF-8."""
     return [data[:at] + b"\xff" + data[at + 1 :] for at in range(len(data))]
 
 
-def no_text(data, decode):
-    """Those of them that fail as text: what is asked of this file."""
+def undecodable_copies(data, decode):
+    """Return the corrupted copies whose decoding fails because of invalid text."""
     found = []
     for each in corrupted(data):
         try:
@@ -51,11 +51,13 @@
 
 @pytest.mark.parametrize("name", COMMANDS)
 def test_undecodable_command_changes_nothing(name):
-    """Each member applies it at each start: one that raised would take the whole group along, for good."""
+    """It must not raise: each member applies it at each start, so the whole group would stop for good."""
     state = StateMachine({**make_control_plane_states(), "distribution": Source()})
     assert set(state.states) == set(COMMANDS) and isinstance(state.states["owners"], LeaseState)
     before = state.dump()
-    for index, data in enumerate(no_text(encode_command(name, COMMANDS[name]), msgspec.msgpack.decode), 1):
+    for index, data in enumerate(
+        undecodable_copies(encode_command(name, COMMANDS[name]), msgspec.msgpack.decode), 1
+    ):
         state.apply(index, Entry(1, EntryType.COMMAND, data))
     assert state.dump() == before
     index = state.applied + 1
@@ -72,7 +74,7 @@
     ],
 )
 def test_frame_with_invalid_text_ends_its_connection(frame):
-    for data in no_text(frames.encode(frame), frames.decode_frame):
+    for data in undecodable_copies(frames.encode(frame), frames.decode_frame):
         framed = FramedProtocol()
         framed.makeConnection(StringTransport())
         assert framed.read(data) is None and framed.transport.disconnected
--- a/tests/support/log_storage.py
+++ b/tests/support/log_storage.py
@@ -1,4 +1,4 @@
-"""A member's log in a store, with writes whose snapshots are stored in chunks."""
+"""A member's log in a store, and writes whose snapshots are stored in chunks."""
 
 import random
 
@@ -19,14 +19,14 @@
 CONFIGURATION = Configuration((Member(1, "v1", "h", 1),))
 
 
-CHUNK_BYTES = 1_000  # bytes of a piece in these tests
+CHUNK_BYTES = 1_000  # size of a snapshot chunk in these tests
 
 
-BOUNDS = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=4 << 20)
+STORE_LIMITS = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=4 << 20)
 
 
 def open_engine(disk):
-    return Engine.open(disk, lambda: 1, random.Random(1), BOUNDS, create=True)
+    return Engine.open(disk, lambda: 1, random.Random(1), STORE_LIMITS, create=True)
 
 
 def make_snapshot(index, size):
@@ -37,7 +37,8 @@
     return tuple(Entry(1, EntryType.COMMAND, b"%d" % index) for index in range(begin, end + 1))
 
 
-# what a member writes: a log, a large snapshot of its first entries, more, another, one that is small again
+# The writes of a member: entries, a large snapshot of the first ones, more entries, another large snapshot, a
+# small snapshot with entries, and a large snapshot again.
 WRITES = [
     DurableWrite(1, 1, 1, 1, make_entries(1, 6), 6, 0),
     DurableWrite(2, 1, 1, 7, (), 6, 3, make_snapshot(3, 3_500)),
@@ -49,7 +50,7 @@
 
 
 def expected_states():
-    """What may be found after each of these saves: base, last, the snapshot's data."""
+    """Return the state before and after each write: snapshot index, last index, the snapshot's data."""
     found, data = [(0, 0, None)], None
     for write in WRITES:
         data = write.snapshot.data if write.snapshot else data
@@ -57,7 +58,7 @@
     return found
 
 
-def carry_out(engine, storage, write):
+def execute_write(engine, storage, write):
     for chunk in storage.chunk_batches(write):
         assert engine.commit([chunk]) == [None]
     assert engine.commit([storage.make_batch(write)]) == [None]
