--- a/lichencleat/consensus/identity.py
+++ b/lichencleat/consensus/identity.py
@@ -42,7 +42,7 @@
         self.member_id = member_id
         self.incarnation = incarnation
         self.known = dict(known)
-        self.confirmed_by: set[int] = set()  # ids of members that know no later incarnation of this member
+        self.confirmed_by: set[int] = set()  # ids of members that know this incarnation and no later one
 
     def on_greeting(
         self, cluster_id: bytes, member_id: int, recipient: int, incarnation: Incarnation
