--- a/lichencleat/consensus/raft_node.py
+++ b/lichencleat/consensus/raft_node.py
@@ -193,8 +193,8 @@
 
     def change_rejection(self, configuration: Configuration) -> RejectReason | None:
         """Return why this leader can't change to `configuration` now, or None if it can."""
-        # An uncommitted change of an earlier term may still be truncated. After a second change, majorities of
-        # the two configurations might have no common voter and could commit different entries.
+        # An uncommitted change of an earlier term may still be truncated. After a second change, majorities
+        # of the two configurations might have no common voter and could commit different entries.
         if self.commit_index < self.required_leader_state.first_index:
             return RejectReason.LEADER_NOT_READY
         if self.log.configurations[-1].index > self.commit_index:
