--- a/lichencleat/store/batch.py
+++ b/lichencleat/store/batch.py
@@ -1,4 +1,4 @@
-"""Batches: the changes of one commit, checked and made into records. No I/O."""
+"""Batches: checks the changes of one commit and encodes them as log records. No I/O."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from lichencleat.store.errors import BatchSizeError, InvalidExpiryError, KeySizeError, ValueSizeError
 from lichencleat.store.segments import Record
 
-MAX_BATCH_BYTES = 32 << 20  # of one batch's frames: it is written, and unconfirmed, as a whole
+MAX_BATCH_BYTES = 32 << 20  # size of a batch's frames; a batch is written and confirmed as a whole
 MAX_EXPIRY_US = (1 << 63) - 1
 
 Change = tuple[bytes, bytes | None, int]
@@ -14,12 +14,12 @@
 
 
 class Batch:
-    """Changes that are confirmed together or not at all; the last change of a key wins.
+    """An atomic set of changes; the last change of a key wins.
 
     Attributes:
-        changes: In the order of the calls.
-        bytes: Upper limit on the size of its frames.
-        has_puts: Whether it adds values; one that only deletes may use more of a full store's space.
+        changes: The changes in the order of the calls.
+        bytes: Upper limit on the size of the batch's frames.
+        has_puts: Whether the batch sets values; one that only deletes may use more of a full store's space.
     """
 
     __slots__ = ("changes", "bytes", "has_puts")
@@ -35,10 +35,10 @@
         Args:
             key: 1 to 65,536 bytes.
             value: Up to 16 MiB.
-            expiry: µs of Unix time from which the entry is gone; 0 for none.
+            expiry: µs of Unix time at which the entry expires; 0 for never.
 
         Raises:
-            BadRecordError: If one of them, or the batch, is outside its limits.
+            BadRecordError: If the key, the value, the expiry or the batch is outside its limits.
         """
         if len(value) > framing.MAX_VALUE_BYTES:
             raise ValueSizeError(len(value), framing.MAX_VALUE_BYTES)
@@ -52,7 +52,7 @@
         return self._append(key, None, 0)
 
     def to_records(self) -> list[Record]:
-        """The log records of all changes; several are followed by a commit record."""
+        """The log records of all changes; a commit record follows unless there is exactly one change."""
         if len(self.changes) == 1:
             ((key, value, expiry),) = self.changes
             if value is None:
--- a/lichencleat/store/capacity.py
+++ b/lichencleat/store/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: the store's limits, and which batches of a commit still fit them. No I/O."""
+"""Capacity: the store's limits, and the check of a commit's batches against them. No I/O."""
 
 from __future__ import annotations
 
@@ -10,41 +10,44 @@
 from lichencleat.store.index import ENTRY_BYTES, Index
 
 MIB = 1 << 20
-SPARE_SEGMENTS = 2  # of the limit on segments, left to compaction
+SPARE_SEGMENTS = 2  # of `max_segments`, reserved for compaction
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """How large a store may grow. The defaults suit a node with some hundred MB and 1,024 descriptors."""
+    """Limits on a store's size.
 
-    segment_bytes: int = 16 * MIB  # a segment is sealed once it is this large; each holds a descriptor
-    max_disk_bytes: int = 1024 * MIB  # of all segments, the space kept back for compaction included
+    The defaults suit a node with a few hundred MB of memory and 1,024 file descriptors.
+    """
+
+    segment_bytes: int = 16 * MIB  # a segment is sealed at this size; each uses a file descriptor
+    max_disk_bytes: int = 1024 * MIB  # of all segments, including the space reserved for compaction
     max_entries: int = 2_000_000
-    max_memory_bytes: int = 512 * MIB  # of index entries, estimated
-    max_segments: int = 512  # files open at once
-    keep_reserve: bool = True  # keep a file of one segment's size, for compaction when the disk is full
-    max_undo_entries: int = 1_000_000  # changes that a snapshot outlives
+    max_memory_bytes: int = 512 * MIB  # estimated, of the index
+    max_segments: int = 512  # open files
+    keep_reserve: bool = True  # hold a reserve file of `reserve_bytes`, for compaction when the disk is full
+    max_undo_entries: int = 1_000_000  # keys changed during a snapshot; the snapshot ends above it
 
     @property
     def reserve_bytes(self) -> int:
-        """What compacting one segment may need: its size and some overhead."""
+        """Bytes that compacting one segment may need: its size and some overhead."""
         return self.segment_bytes + self.segment_bytes // 16
 
 
 class CapacityCheck:
-    """What is left for the batches of one commit; each batch that is admitted reduces it."""
+    """The space left for the batches of one commit; each admitted batch reduces it."""
 
     def __init__(
         self, limits: StoreLimits, index: Index, disk_bytes: int, needs_segment: bool, segment_count: int
     ) -> None:
-        """Starts from the store's state before the commit.
+        """Begins with the store's state before the commit.
 
         Args:
             limits: The store's limits.
-            index: Its entries.
-            disk_bytes: Size of all segments.
-            needs_segment: Whether the commit has to begin a new one.
-            segment_count: How many there are.
+            index: The store's entries.
+            disk_bytes: Bytes of all segments.
+            needs_segment: Whether the commit begins a new segment.
+            segment_count: Number of segments.
         """
         self.limits = limits
         self.index = index
@@ -55,21 +58,21 @@
         self.near_index_limit = False
 
     def expect(self, changes: int, size: int) -> None:
-        """Announce the total of all batches to come, in changes and bytes.
+        """Set the total changes and bytes of all batches that follow.
 
-        Where the index has space for all of them, `admit` need not count the new keys of each.
+        If the index has space for all of them, `admit` does not count each batch's new keys.
         """
         memory = self.index.memory + ENTRY_BYTES * changes + size
         too_many = len(self.index) + changes > self.limits.max_entries
         self.near_index_limit = too_many or memory > self.limits.max_memory_bytes
 
     def admit(self, batch: Batch) -> StoreError | None:
-        """Count the batch in and return None, or return an error that names the limit it would exceed.
+        """Admit the batch and return None, or return an error that names the limit it would exceed.
 
-        Batches that only delete may use half of the space kept back for compaction.
+        Batches that only delete may use half of the space reserved for compaction.
         """
         limits = self.limits
-        size = self.disk_bytes + batch.bytes + framing.MAX_FRAME_OVERHEAD_BYTES  # with its commit record
+        size = self.disk_bytes + batch.bytes + framing.MAX_FRAME_OVERHEAD_BYTES  # including its commit record
         kept_back = limits.reserve_bytes if batch.has_puts else limits.reserve_bytes // 2
         if size > limits.max_disk_bytes - kept_back:
             detail = f"({limits.max_disk_bytes}, {kept_back} of them kept for cleaning)"
--- a/lichencleat/store/checkpoint.py
+++ b/lichencleat/store/checkpoint.py
@@ -1,9 +1,10 @@
-"""Checkpoints: the index as of one sequence, encoded and decoded. No I/O.
+"""Checkpoints: encodes and decodes the index as of one sequence. No I/O.
 
-With a checkpoint, opening reads keys and locations and no value. One that is missing, old or torn costs time
-only. It is written in steps from a snapshot, under another name until it is flushed.
+With a checkpoint, opening a store reads keys and locations but no values. If the checkpoint is missing, old
+or torn, opening only takes longer. It is written in steps from a snapshot, under a temporary name until it is
+flushed.
 
-The first frame is a `CheckpointHeader`. Then come frames of `Rows`, and at last the number of entries.
+The first frame is a `CheckpointHeader`, frames of `Rows` follow, and the last frame is the number of entries.
 """
 
 from __future__ import annotations
@@ -20,23 +21,23 @@
 from lichencleat.store.index import FIELD_BITS, expiry_of, length_of, offset_of, segment_of
 
 ROWS_PER_FRAME = 4_096  # entries: some 150 KB
-UINT32 = "I"  # type codes of `array`
+UINT32 = "I"  # type codes of `array.array`
 UINT64 = "Q"
-ROWS_FIRST_BYTE = 0x95  # msgpack's array of five, with which the body of a frame of rows begins
+ROWS_FIRST_BYTE = 0x95  # msgpack array of five: the first byte of a frame of rows
 
 Rows = tuple[list[bytes], bytes, bytes, bytes, bytes]
-"""Keys, and four columns, little-endian: segment, offset, length (4 bytes each), expiry (8)."""
+"""Keys and four little-endian columns: segment, offset, length (4 bytes each) and expiry (8 bytes)."""
 
 
 class CheckpointHeader(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What a checkpoint covers."""
+    """The part of the log that a checkpoint covers."""
 
     store: bytes
-    sequence: int  # the last one covered
+    sequence: int  # the last sequence covered
     time: int  # µs
     newest: int  # number of the newest segment
-    offset: int  # up to which the newest segment's frames are covered
-    tombstone_bytes: list[tuple[int, int]]  # segment, bytes of tombstones in it
+    offset: int  # end of the covered frames in the newest segment
+    tombstone_bytes: list[tuple[int, int]]  # segment number, bytes of its tombstones
 
 
 _decode_header = msgspec.msgpack.Decoder(CheckpointHeader).decode
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class Checkpoint:
-    """A checkpoint as read: what it covers, and the location of each key."""
+    """A decoded checkpoint: the part of the log that it covers, and the location of each key."""
 
     sequence: int
     time: int
@@ -57,7 +58,7 @@
 
 
 class CheckpointEncoder:
-    """Makes the file's bytes piece by piece; each is appended where the last one ended."""
+    """Encodes the file in pieces, which the caller appends in order."""
 
     def __init__(self, salt: bytes) -> None:
         self.salt = salt
@@ -66,13 +67,13 @@
         self.count = 0
 
     def encode_header(self, header: CheckpointHeader) -> bytes:
-        """The first piece."""
+        """The first piece: the file header and the checkpoint's header."""
         head = framing.encode_file_header(framing.CHECKPOINT_MAGIC, self.salt)
         self.size = len(head)
         return head + self._encode_frame(header)
 
     def encode_rows(self, entries: Sequence[tuple[bytes, int]]) -> bytes:
-        """The next piece: keys and their packed locations, in order of keys."""
+        """The next piece: keys and packed locations, in order of keys."""
         self.count += len(entries)
         locations = [location for _, location in entries]
         columns = [
@@ -84,7 +85,7 @@
         return self._encode_frame(([key for key, _ in entries], *map(_encode_column, columns)))
 
     def encode_count(self) -> bytes:
-        """The last piece: without it a checkpoint is torn."""
+        """The last piece: the number of entries. A checkpoint without it is torn."""
         return self._encode_frame(self.count)
 
     def _encode_frame(self, content: object) -> bytes:
@@ -108,7 +109,7 @@
 
 
 def decode_checkpoint(read: framing.Read, size: int, store: bytes) -> Checkpoint | None:
-    """The checkpoint in the file, or None where it is not complete or not this store's.
+    """The checkpoint in the file, or None if it is incomplete or belongs to another store.
 
     Raises NewerFormatError.
     """
@@ -123,13 +124,13 @@
         if header.store != store:
             return None
         for _, _, body in frames:
-            if body[0] != ROWS_FIRST_BYTE:  # the count, which ends it
+            if body[0] != ROWS_FIRST_BYTE:  # the number of entries, which is the last frame
                 complete = _decode_count(body) == len(locations)
                 return _make_checkpoint(header, locations) if complete else None
             locations.update(_unpack_rows(_decode_rows(body)))
     except (StopIteration, msgspec.MsgspecError, ValueError):
-        return None  # ValueError: a column's bytes are no whole numbers
-    return None  # no count: it is torn
+        return None  # ValueError: a column's size is not a multiple of its item size
+    return None  # torn: the number of entries is missing
 
 
 def _make_checkpoint(header: CheckpointHeader, locations: dict[bytes, int]) -> Checkpoint:
@@ -148,7 +149,7 @@
     segments, offsets, lengths = (_decode_column(UINT32, each) for each in columns[:3])
     expiries = _decode_column(UINT64, columns[3])
     bits = FIELD_BITS
-    if not any(expiries):  # the usual case, and a third faster
+    if not any(expiries):  # a third faster in the usual case without expiries
         locations = [(s << bits | o) << bits | n for s, o, n in zip(segments, offsets, lengths, strict=True)]
     else:
         locations = [
--- a/lichencleat/store/file_names.py
+++ b/lichencleat/store/file_names.py
@@ -1,22 +1,22 @@
-"""The names of the files in a store's directory. They are part of the format and never change."""
+"""The names of the files in a store's directory. They are part of the file format and never change."""
 
 from __future__ import annotations
 
-STORE_MARKER = "STORE"  # marks a directory as a store; written last when one is made
+STORE_MARKER = "STORE"  # marks a directory as a store; the last file that the creation of a store writes
 NEW_STORE_MARKER = "STORE.new"
 CHECKPOINT = "checkpoint"
 NEW_CHECKPOINT = "checkpoint.new"
-RESERVE = "reserve"  # zeros whose space compaction uses when the disk is full
-SEGMENT = "{:012d}.log"  # by the segment's number
-NEW_SEGMENT = "segment.new"  # a segment before it has its name; worthless after a power cut
+RESERVE = "reserve"  # a file of zeros; removed to make space for compaction when the disk is full
+SEGMENT = "{:012d}.log"  # formatted with the segment's number
+NEW_SEGMENT = "segment.new"  # a segment before it is renamed to its number; not used after a power cut
 
 TEMPORARY = (NEW_SEGMENT, NEW_STORE_MARKER, NEW_CHECKPOINT)
 OWN = frozenset([STORE_MARKER, RESERVE, CHECKPOINT, *TEMPORARY])
-"""All names but those of segments."""
+"""All file names of a store except those of segments."""
 
 
 def is_segment(name: str) -> bool:
-    """Whether a file of that name is a segment."""
+    """Whether the name is that of a segment's file."""
     digits = name.removesuffix(".log")
     return digits != name and digits.isdecimal() and SEGMENT.format(int(digits)) == name
 
--- a/lichencleat/store/framing.py
+++ b/lichencleat/store/framing.py
@@ -1,8 +1,8 @@
-"""Framing: the bytes of the store's files, encoded and decoded. No I/O. The format is in docs/store.md.
+"""Framing: encodes and decodes the store's files. No I/O. docs/store.md describes the format.
 
-A file is a header and then frames. A frame's checksum covers its file's salt, its offset, its length and its
-body. So a copy of a frame at any other place (in a value, or in a disk block that the file system reused) is
-not taken for a frame.
+A file consists of a header and frames. A frame's checksum covers its file's salt, its offset, its length and
+its body, so that a copy of a frame at another place (in a value, or in a disk block that the file system
+reused) is not read as a frame.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 from lichencleat.store.errors import NewerFormatError
 
-FORMAT = 1  # version of all files
+FORMAT = 1  # version of the format of all files
 LOG_MAGIC = b"lcstlog"
 CHECKPOINT_MAGIC = b"lcstpnt"
 STORE_MAGIC = b"lcststo"
@@ -25,12 +25,12 @@
 FRAME_HEADER = struct.Struct("<2sII")  # marker, length of the body, checksum
 LENGTH_MULTIPLIER = 2_654_435_769  # 2^32 over the golden ratio: spreads lengths over the checksum's 32 bits
 CHECKSUM_MASK = 0xFFFFFFFF
-MAX_KEY_BYTES = 65_536  # a key is kept in memory
+MAX_KEY_BYTES = 65_536  # the index holds every key in memory
 MAX_VALUE_BYTES = 16 << 20
-MAX_BODY_BYTES = MAX_VALUE_BYTES + MAX_KEY_BYTES + 64  # both and the numbers about them
-MAX_FRAME_OVERHEAD_BYTES = FRAME_HEADER.size + 48  # the most that a frame is larger than its key and value
-READ_WINDOW_BYTES = 1 << 20  # read at once when a file is read from end to end
-BODY_FIRST_BYTE = 0x96  # msgpack's array of six, with which the body of every log frame begins
+MAX_BODY_BYTES = MAX_VALUE_BYTES + MAX_KEY_BYTES + 64  # a value, a key and the numbers of a `Body`
+MAX_FRAME_OVERHEAD_BYTES = FRAME_HEADER.size + 48  # upper limit on a frame's size without key and value
+READ_WINDOW_BYTES = 1 << 20  # size of one read when a file is read sequentially
+BODY_FIRST_BYTE = 0x96  # msgpack array of six: the first byte of every log frame's body
 
 # Kinds of log records. They are stored and never change.
 PUT = 1
@@ -46,26 +46,27 @@
 SINGLE = (PUT, DELETE)
 
 Body = tuple[int, int, int, int, bytes, memoryview]
-"""Sequence, kind, how far back the last flushed sequence was when it was written, number, key, value.
+"""Sequence, kind, flush distance, number, key, value.
 
-The number is a put's expiry (0: none), the sequence that a tombstone stands for (0: its own), a commit's
-count of records, a time mark's time, or the number of a removed segment. It is a plain tuple because
-decoding one is the inner loop of a start.
+The flush distance is the frame's sequence minus the last sequence that was flushed when the frame was
+written. The number is a put's expiry (0: none), the sequence of the deletion that a copied tombstone stands
+for (0: its own sequence), a commit's count of records, a time mark's time, or the number of a removed
+segment. A plain tuple, because decoding it is the inner loop of opening a store.
 """
 decode_body = msgspec.msgpack.Decoder(Body).decode
 encode_body = msgspec.msgpack.encode
 
 Read = Callable[[int, int], bytes]
-"""Reads a file: offset and length to bytes, fewer at the file's end."""
+"""Reads bytes of a file by offset and length; returns fewer bytes only at the file's end."""
 
 
 def encode_file_header(magic: bytes, salt: bytes) -> bytes:
-    """The first bytes of a file."""
+    """The header of a file."""
     return magic + bytes([FORMAT]) + salt
 
 
 def decode_file_header(data: bytes, magic: bytes, name: str) -> bytes | None:
-    """The file's salt, or None where this is no complete header. Raises NewerFormatError."""
+    """The file's salt, or None if the data is not a complete header. Raises NewerFormatError."""
     if len(data) < FILE_HEADER_BYTES or not data.startswith(magic):
         return None
     version = data[len(magic)]
@@ -75,17 +76,17 @@
 
 
 def checksum(salt: int, offset: int, body: bytes | memoryview) -> int:
-    """A frame's checksum. `salt` is the checksum of the file's salt, computed once a file."""
+    """A frame's checksum. `salt` is the checksum of the file's salt, computed once per file."""
     return crc32c(body, (salt + offset + len(body) * LENGTH_MULTIPLIER) & CHECKSUM_MASK)
 
 
 def encode_frame(salt: int, offset: int, body: bytes) -> bytes:
-    """The frame that holds this body at that offset of the file."""
+    """The frame with this body, for this offset of the file."""
     return FRAME_HEADER.pack(MARKER, len(body), checksum(salt, offset, body)) + body
 
 
 def decode_frame(data: bytes, salt: int, offset: int) -> memoryview | None:
-    """The body, if these bytes from that offset are exactly one frame; else None."""
+    """The body, if the data, read at `offset`, is exactly one intact frame; otherwise None."""
     if len(data) < FRAME_HEADER.size:
         return None
     marker, length, check = FRAME_HEADER.unpack_from(data)
@@ -95,9 +96,9 @@
 
 
 def iter_frames(read: Read, start: int, size: int, salt: int) -> Iterator[tuple[int, int, memoryview]]:
-    """Yield offset, length and body of each frame from `start` on, up to the first that is not intact.
+    """Yield offset, length and body of each frame from `start` on, up to the first one that is not intact.
 
-    A body is a view into a window of the file and may be kept; the window's memory is freed with the last
+    A body is a view of a read window. The caller may keep it; the window's memory is freed with its last
     view.
     """
     base, data = start, b""
@@ -129,9 +130,9 @@
 
 
 def find_frame(read: Read, start: int, size: int, salt: int) -> int | None:
-    """The offset of the first intact log frame at or after `start`, whatever lies before it, or None.
+    """The offset of the first intact log frame at or after `start`, or None; skips all other bytes.
 
-    Tries every place at which a frame could begin; a place that is no frame costs at most a checksum.
+    Checks every offset with a frame marker; an offset without a frame costs at most one checksum.
     """
     at = start
     while at + FRAME_HEADER.size < size:
@@ -143,14 +144,13 @@
             here = data.find(MARKER, here + 1)
         if len(data) <= FRAME_HEADER.size:
             return None
-        at += (
-            len(data) - FRAME_HEADER.size
-        )  # a marker in the last bytes is tried again, with its whole header
+        # a marker in the last bytes is found again by the next read, with its complete header
+        at += len(data) - FRAME_HEADER.size
     return None
 
 
 def _is_frame_at(read: Read, data: bytes, here: int, offset: int, size: int, salt: int) -> bool:
-    """Whether a log frame begins at `here` in the window `data`, which is at `offset` in the file."""
+    """Whether a log frame begins at `here` in the window `data`; `offset` is the same place in the file."""
     _, length, _ = FRAME_HEADER.unpack_from(data, here)
     body_at = here + FRAME_HEADER.size
     end = body_at + length
@@ -164,10 +164,10 @@
 def iter_frames_past_gaps(
     read: Read, start: int, size: int, salt: int
 ) -> Iterator[tuple[int, int, memoryview]]:
-    """Yield offset, length and body of every intact frame at or after `start`, whatever lies between them."""
+    """Yield offset, length and body of every intact frame at or after `start`; skips bytes between frames."""
     at = find_frame(read, start, size, salt)
     while at is not None:
-        end = at + 1  # a read that gives other bytes the second time may not stop the search
+        end = at + 1  # moves on even if the second read returns other bytes than the first
         for offset, length, body in iter_frames(read, at, size, salt):
             yield offset, length, body
             end = offset + length
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -1,8 +1,7 @@
-"""The index: where each key's value is, now and in snapshots, in order of keys. No I/O, no lock of its own.
+"""The index: the location of each key's value, now and in snapshots, ordered by key. No I/O and no locking.
 
-A location is one integer into which expiry, segment, offset and length are packed, as objects of their own
-would cost some 200 bytes a key. Limits on entries and memory are for the caller to check; undo lists are
-limited here.
+A location is one integer that packs expiry, segment, offset and length, because separate objects would cost
+some 200 bytes per key. The caller checks the limits on entries and memory; the index limits undo lists.
 """
 
 from __future__ import annotations
@@ -13,10 +12,10 @@
 
 from sortedcontainers import SortedDict, SortedList
 
-ENTRY_BYTES = 150  # of memory that an entry costs besides its key: dict, order, location, object headers
-FIELD_BITS = 32  # of an offset, a length, a segment's number
+ENTRY_BYTES = 150  # memory of an entry besides its key: dict slot, sorted list, location, object headers
+FIELD_BITS = 32  # of an offset, a length and a segment's number each
 FIELD_MASK = (1 << FIELD_BITS) - 1
-MAX_UNDO_ENTRIES = 1_000_000  # changes that a snapshot outlives: some 150 MB
+MAX_UNDO_ENTRIES = 1_000_000  # keys changed since a snapshot was taken: some 150 MB
 
 
 def pack_location(segment: int, offset: int, length: int, expiry: int) -> int:
@@ -25,7 +24,7 @@
 
 
 def segment_of(location: int) -> int:
-    """The segment's number."""
+    """The number of the segment."""
     return location >> 2 * FIELD_BITS & FIELD_MASK
 
 
@@ -51,15 +50,15 @@
 
 @dataclass(slots=True)
 class LocationTotals:
-    """What a start has to know of all entries, from one pass over them."""
+    """Totals over all entries, computed in one pass when the store opens."""
 
     live_bytes: dict[int, int]  # by segment number: bytes of the frames that entries point at
-    ends: dict[int, int]  # by segment number: offset at which the last of these ends
-    earliest_expiry: int  # µs: the earliest expiry, 0 where none
+    ends: dict[int, int]  # by segment number: offset at which the last of these frames ends
+    earliest_expiry: int  # µs: 0 if no entry expires
 
 
 def total_locations(locations: dict[bytes, int]) -> LocationTotals:
-    """Sum up all locations of a new index."""
+    """Compute the totals of all locations."""
     live_bytes: dict[int, int] = {}
     ends: dict[int, int] = {}
     earliest_expiry = 0
@@ -79,16 +78,16 @@
 
 
 class Index:
-    """The entries, and the snapshots that are open on them.
+    """The entries and the open snapshots of them.
 
     Attributes:
-        locations: By key, packed.
+        locations: Packed location of each key.
         order: The keys, sorted.
-        memory: Estimated bytes of memory.
-        live_bytes: By segment number, the bytes of the frames that entries point at.
-        earliest_expiry: No entry expires before this time (µs); 0 where none expires.
-        max_undo_entries: Changes that a snapshot outlives.
-        snapshots: Those that are open, oldest first.
+        memory: Estimated memory in bytes.
+        live_bytes: Bytes of the frames that entries point at, by segment number.
+        earliest_expiry: No entry expires before this time (µs); 0 if none expires.
+        max_undo_entries: Limit on the undo list of a snapshot; the snapshot ends when it is reached.
+        snapshots: Open snapshots, oldest first.
     """
 
     def __init__(self, max_undo_entries: int = MAX_UNDO_ENTRIES) -> None:
@@ -104,19 +103,19 @@
         return len(self.locations)
 
     def load(self, locations: dict[bytes, int], sums: LocationTotals) -> None:
-        """Take over all entries at once, as a start finds them, with their `total_locations`."""
+        """Load all entries at once when the store opens, with the totals from `total_locations`."""
         self.locations = locations
         self.order = SortedList(locations)
         self.memory = sum(map(len, locations)) + ENTRY_BYTES * len(locations)
         self.live_bytes, self.earliest_expiry = sums.live_bytes, sums.earliest_expiry
 
     def get(self, key: bytes, now: int) -> int | None:
-        """The key's location, or None where there is no entry or it has expired."""
+        """The key's location, or None if the entry does not exist or has expired."""
         location = self.locations.get(key)
         return None if location is None or is_expired(location, now) else location
 
     def put(self, key: bytes, location: int) -> None:
-        """Set a key's location to that of a new value."""
+        """Set the location of a key's new value."""
         old = self.locations.get(key)
         if old is None:
             self.order.add(key)
@@ -128,9 +127,9 @@
         self._enter(key, location)
 
     def move(self, key: bytes, old: int, location: int) -> bool:
-        """Note that a value was copied to another location; no snapshot changes.
+        """Record that compaction copied a value to another location; snapshots do not change.
 
-        Returns whether `old` was still its location; if not, nothing is done.
+        Returns whether `old` was still the key's location; otherwise nothing changes.
         """
         if self.locations.get(key) != old:
             return False
@@ -146,7 +145,7 @@
             self.earliest_expiry = expiry
 
     def delete(self, key: bytes) -> None:
-        """Remove a key, if it is there."""
+        """Remove a key if it exists."""
         old = self.locations.pop(key, None)
         if old is None:
             return
@@ -160,9 +159,10 @@
             snapshot.record_previous(key, old)
 
     def drop_expired(self, cursor: bytes, limit: int, now: int) -> tuple[bytes | None, int]:
-        """Drop what has expired among the next `limit` keys from the cursor on.
+        """Remove the expired entries among the next `limit` keys from the cursor on.
 
-        Returns the next cursor (None at the end) and the earliest expiry left among these keys (0: none).
+        Returns the next cursor (None at the end) and the earliest expiry among the remaining ones of these
+        keys (0: none).
         """
         keys = list(islice(self.order.irange(cursor), limit + 1))
         earliest_expiry = 0
@@ -182,36 +182,39 @@
 
 
 class Snapshot:
-    """The entries as of when it was taken: each later change adds what it replaced to the undo list."""
+    """The entries at the time the snapshot was taken.
+
+    Each later change of a key first records the previous location in the undo list.
+    """
 
     def __init__(self, index: Index, sequence: int) -> None:
         self.index = index
-        self.sequence = sequence  # of the last change that it includes
-        self.undo: SortedDict = SortedDict()  # key -> location then, None where there was none
+        self.sequence = sequence  # of the last change in the snapshot
+        self.undo: SortedDict = SortedDict()  # key -> location in the snapshot, None: no entry
         self.is_open = True
 
     def record_previous(self, key: bytes, old: int | None) -> None:
-        """Note what a change is about to replace; at the limit of the undo list the snapshot ends."""
+        """Record the location that a change replaces; ends the snapshot at the limit of its undo list."""
         if key not in self.undo:
             if len(self.undo) >= self.index.max_undo_entries:
-                self.close()  # its readers get an error, the writer goes on
+                self.close()  # readers of the snapshot get an error, the write succeeds
                 return
             self.undo[key] = old
 
     def close(self) -> None:
-        """End the snapshot and free its undo list; may be called again."""
+        """End the snapshot and free its undo list; idempotent."""
         self.is_open = False
         self.undo.clear()
         self.index.snapshots.pop(self, None)
 
     def get(self, key: bytes) -> int | None:
-        """The key's location when the snapshot was taken, or None; expiry is not looked at."""
+        """The key's location in the snapshot, or None; ignores expiry."""
         return self.undo[key] if key in self.undo else self.index.locations.get(key)
 
     def chunk(self, cursor: bytes, prefix: bytes, limit: int) -> list[tuple[bytes, int]]:
-        """Return up to `limit` entries from `cursor` on, in order, while keys begin with `prefix`.
+        """Return up to `limit` entries from `cursor` on, in order of keys, whose keys begin with `prefix`.
 
-        The next chunk begins behind the last key: at that key and a zero byte. The last chunk is empty.
+        The next chunk's cursor is the last key followed by a zero byte. The last chunk is empty.
         """
 
         def keys_of(among: SortedList | SortedDict) -> Iterator[bytes]:
@@ -227,5 +230,5 @@
             if not merged:
                 break
             found = [(key, location) for key in merged if (location := self.get(key)) is not None]
-            cursor = merged[-1] + b"\0"  # all of these were made since: go on with the next ones
+            cursor = merged[-1] + b"\0"  # continues if none of these keys was in the snapshot
         return found
--- a/lichencleat/store/log_tail.py
+++ b/lichencleat/store/log_tail.py
@@ -1,9 +1,10 @@
-"""Log tail recovery: which frames of the newest segment were flushed, and which are unproved. No I/O.
+"""Log tail recovery: finds which frames of the newest segment are proved to be flushed. No I/O.
 
-Every frame says how far back the last flushed frame was when it was written. A group of frames is written
-only after the flush of the group before it, so a frame that says `back` proves all up to its sequence less
-`back`. Bytes that are no frame are what a power cut left, as long as nothing behind them proves that what
-stood there was flushed; otherwise they are corruption.
+Every frame stores the distance from its own sequence to the last sequence that was flushed when the frame
+was written. A group of frames is written only after the flush of the previous group, so an intact frame
+proves that all frames up to its sequence minus that distance were flushed. Frames after those are unproved:
+they are intact, but a power cut may still remove them. Bytes that are not a frame are a torn write, unless a
+later frame proves that flushed frames were there; then they are corruption.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 @dataclass(slots=True)
 class TailFrame:
-    """A frame that was read and that nothing proves to be flushed yet."""
+    """An intact frame that is not yet proved to be flushed."""
 
     sequence: int
     kind: int
@@ -25,23 +26,24 @@
 
 
 class LogTail:
-    """Takes in the newest segment's frames in order and tells what they prove.
+    """Reads the newest segment's frames in order and determines which of them were flushed.
 
     Attributes:
-        sequence: Of the last frame taken in.
+        sequence: Sequence of the last frame accepted.
         proved: The last sequence that is proved to be flushed.
-        proved_end: Offset in bytes at which the proved frames end.
-        removed_segments: Sequence of the record and number of each segment that it says is removed.
-        time: The latest time that a time mark tells, in µs.
+        proved_end: End of the proved frames, as an offset in bytes.
+        unproved: Frames after these, oldest first.
+        removed_segments: For each segment-removed record, its sequence and the number of the segment.
+        time: The latest time in a time mark, in µs.
     """
 
     def __init__(self, first: int, through: int, offset: int) -> None:
-        """Starts before the segment's first frame.
+        """Begins before the segment's first frame.
 
         Args:
-            first: That frame's sequence.
-            through: All up to this sequence was flushed before the segment got its name.
-            offset: Where its frames begin.
+            first: Sequence of that frame.
+            through: Frames up to this sequence were flushed before the segment was renamed to its number.
+            offset: Offset of that frame, in bytes.
         """
         self.sequence = first - 1
         self.proved = max(through, first - 1)
@@ -51,7 +53,10 @@
         self.time = 0
 
     def accept(self, offset: int, length: int, sequence: int, kind: int, back: int, number: int) -> bool:
-        """Take the frame in if it is the one that has to come next; returns whether it is."""
+        """Accept the frame if it is the next one in sequence; returns whether it was accepted.
+
+        `number` is the record's number, see `framing.Body`.
+        """
         if sequence != self.sequence + 1 or not 0 < back <= sequence:
             return False
         self.sequence = sequence
@@ -64,18 +69,18 @@
         return True
 
     def mark_proved(self, sequence: int) -> None:
-        """All frames up to that sequence are known to be flushed."""
+        """Record that all frames up to that sequence were flushed."""
         self.proved = max(self.proved, sequence)
         while self.unproved and self.unproved[0].sequence <= self.proved:
             frame = self.unproved.popleft()
             self.proved_end = frame.offset + frame.length
 
     def is_loss_proved_by(self, sequence: int, back: int) -> bool:
-        """Whether a frame behind bytes that are none proves that something flushed stood there."""
+        """Whether a frame found after a gap proves that flushed frames are missing in the gap."""
         return sequence - back > self.sequence
 
     def unproved_records(self) -> list[tuple[int, int]]:
-        """Offset and length of the unproved frames worth keeping: no marks, no batch without its commit."""
+        """Offset and length of the unproved frames to keep: single records and complete batches."""
         kept: list[tuple[int, int]] = []
         batch: list[tuple[int, int]] = []
         for frame in self.unproved:
--- a/lichencleat/store/maintenance.py
+++ b/lichencleat/store/maintenance.py
@@ -1,9 +1,10 @@
-"""Maintenance policy: which job keeps the store small and quick to open next. No I/O.
+"""Maintenance policy: decides which background job the store runs next. No I/O.
 
-The jobs are compaction of a segment, a checkpoint, an expiry sweep and renewing the reserve. Compaction
-copies what a segment still holds to the log's end and removes its file. The segment is chosen by the
-benefit over the cost of Rosenblum and Ousterhout's log-structured file system (1992): space won times age,
-over what is read and written.
+The jobs are compaction of a segment, a checkpoint, an expiry sweep and renewal of the reserve. They limit
+the store's size on disk and the time that opening it takes. Compaction copies a segment's live records and
+needed tombstones to the end of the log and removes the segment's file. The compaction victim is selected by
+the cost-benefit score of Rosenblum and Ousterhout's log-structured file system (1992): reclaimed space times
+age, divided by the bytes read and written.
 """
 
 from __future__ import annotations
@@ -14,28 +15,29 @@
 
 from lichencleat.store.segments import Segment
 
-# Compaction waits while garbage is less than this share of all bytes; at 0.5 a byte kept costs one copy.
+# Share of all bytes: no compaction for garbage below it. At 0.5, each byte kept costs one copy.
 MAX_GARBAGE_SHARE = 0.4
-# Garbage's share of a segment below which copying the rest wins too little.
+# Share of a segment: with less garbage, compaction reclaims too little for the bytes that it copies.
 MIN_GARBAGE_SHARE = 0.25
-# The same when space is short: well over what noting that a segment is removed takes.
+# Share of a segment, when disk space is short: well above the size of the segment-removed record.
 MIN_GARBAGE_SHARE_UNDER_PRESSURE = 0.1
-# Of the bytes allowed: above it every segment with some garbage is worth compacting.
+# Share of the bytes allowed: above it, the garbage limits for disk pressure apply.
 DISK_PRESSURE_SHARE = 0.8
-# Of all bytes: tombstones only go once all that is older than them went.
+# Share of all bytes: above it, the oldest segment is compacted, because a tombstone can be dropped only
+# when no older segment remains.
 MAX_TOMBSTONE_SHARE = 0.1
-# Bytes of log that a start may have to read again: a third of a second.
+# Log to replay when the store opens, which takes a third of a second.
 CHECKPOINT_INTERVAL_BYTES = 32 << 20
-# Of all bytes: a checkpoint costs as much as its keys, so a large store writes fewer.
+# Share of all bytes: a checkpoint costs as much as its keys, so a large store writes fewer.
 CHECKPOINT_INTERVAL_SHARE = 0.5
-# Segments over twice what the bytes need: every opening and every failed write begins a new one.
+# Segments above twice the number that their bytes need; every opening and failed write begins a segment.
 MAX_EXTRA_SEGMENTS = 8
-# µs for each entry between two sweeps: a sweep takes at most a tenth of that.
+# Pause between two sweeps, for each entry: a sweep takes at most a tenth of it.
 SWEEP_PAUSE_PER_ENTRY_US = 200
 
 
 class MaintenanceJob(Enum):
-    """What the store can do next."""
+    """A background job of the store."""
 
     COMPACT = auto()
     CHECKPOINT = auto()
@@ -45,21 +47,21 @@
 
 @dataclass(slots=True)
 class MaintenanceState:
-    """What the choice is made from. Bytes are those on disk that count."""
+    """Input of the policy. Sizes count a segment's valid bytes, not what follows its last valid frame."""
 
-    segments: Sequence[Segment]  # sealed ones, oldest first; the one written to is not among them
-    live_bytes: dict[int, int]  # by segment number: bytes that entries point at
+    segments: Sequence[Segment]  # sealed segments, oldest first, without the active one
+    live_bytes: dict[int, int]  # by segment number: bytes of the frames that entries point at
     total: int  # bytes of all segments
     max_bytes: int  # bytes allowed, reserve included
-    reserve: int  # bytes of the reserve: what a copy may need
+    reserve: int  # bytes that the copies of one compaction may need
     segment_bytes: int
     bytes_since_checkpoint: int
     entries: int
     earliest_expiry: int  # µs, 0 where no entry expires
-    last_sweep_at: int  # µs: when the last sweep ended
+    last_sweep_at: int  # µs: end of the last sweep
     reserve_missing: bool
-    disk_full: bool  # the last write found no space
-    compact_all: bool  # any garbage is worth compacting
+    disk_full: bool  # the last write failed because the disk was full
+    compact_all: bool  # applies the garbage limits for disk pressure
 
     def kept_bytes(self, segment: Segment) -> int:
         """Bytes that compacting the segment may have to copy."""
@@ -67,13 +69,13 @@
 
 
 def garbage_bytes(segment: Segment, live_bytes: dict[int, int]) -> int:
-    """Bytes that compacting the segment gives back; tombstones count as kept."""
+    """Bytes that compacting the segment reclaims; tombstones count as kept."""
     live = live_bytes.get(segment.number, 0)
     return segment.size + segment.void_bytes - live - segment.tombstone_bytes
 
 
 def pick_segment(state: MaintenanceState) -> Segment | None:
-    """The segment to compact next, or None where none is worth it."""
+    """The segment to compact next, or None if no compaction is worth its cost."""
     segments = state.segments
     if not segments:
         return None
@@ -81,11 +83,11 @@
     fit = [each for each in segments if not each.is_damaged and state.kept_bytes(each) <= space]
     empty = _first_empty(state, fit)
     if empty is not None:
-        return empty  # costs nothing but its tombstones' copies, and none where nothing is older
+        return empty  # no record has to be copied
     tombstone_bytes = sum(each.tombstone_bytes for each in segments)
     many_tombstones = tombstone_bytes > MAX_TOMBSTONE_SHARE * state.total
     if many_tombstones and segments[0] in fit and len(segments) > 1:
-        return segments[0]  # each tombstone younger than it outlives it: only its removal frees them
+        return segments[0]  # newer tombstones are needed until this segment is removed
     best = _best_of_garbage(state, fit)
     if best is not None:
         return best
@@ -96,18 +98,18 @@
 
 
 def _first_empty(state: MaintenanceState, fit: Sequence[Segment]) -> Segment | None:
-    """The oldest segment whose removal needs next to no copy."""
+    """The oldest segment that has no live entry and whose tombstones need no copy."""
     for each in fit:
         if state.live_bytes.get(each.number, 0):
             continue
-        has_data = each.size + each.void_bytes > each.data_start  # else it costs only its header
+        has_data = each.size + each.void_bytes > each.data_start  # otherwise only a header
         if has_data and (not each.tombstone_bytes or each is state.segments[0]):
             return each
     return None
 
 
 def _best_of_garbage(state: MaintenanceState, fit: Sequence[Segment]) -> Segment | None:
-    """The segment with the best score, where there is enough garbage or too little space."""
+    """The segment with the best score, if the store has enough garbage or too little space."""
     live_bytes = state.live_bytes
     full = state.total > DISK_PRESSURE_SHARE * state.max_bytes
     pressed = full or state.disk_full or state.compact_all
@@ -121,14 +123,17 @@
 
 
 def compaction_score(segment: Segment, live_bytes: dict[int, int], newest: int) -> float:
-    """Space won times age, over what is read and written. `newest` is the newest segment's last sequence."""
+    """Reclaimed space times age, divided by the bytes read and written.
+
+    `newest` is the newest segment's last sequence.
+    """
     kept = 1 - garbage_bytes(segment, live_bytes) / (segment.size + segment.void_bytes)
     return (1 - kept) * (newest - segment.last_sequence + 1) / (1 + kept)
 
 
 def next_job(state: MaintenanceState, now: int) -> MaintenanceJob | None:
-    """The job to begin at that time (µs), or None where nothing is left to do."""
-    if state.disk_full:  # space first: nothing else that writes can be done
+    """The job to begin at the time `now` (µs), or None if no job is due."""
+    if state.disk_full:  # every other job needs disk space
         return MaintenanceJob.COMPACT if pick_segment(state) is not None else None
     sweep_due = now >= state.last_sweep_at + SWEEP_PAUSE_PER_ENTRY_US * state.entries
     if state.earliest_expiry and now >= state.earliest_expiry and sweep_due:
@@ -142,5 +147,5 @@
 
 
 def is_tombstone_needed(born: int, others: Sequence[Segment]) -> bool:
-    """Whether a segment that stays may hold an older value of a key whose tombstone has that sequence."""
+    """Whether a remaining segment may hold a value that a tombstone of this sequence deletes."""
     return any(each.first_sequence <= born for each in others)
--- a/lichencleat/store/segments.py
+++ b/lichencleat/store/segments.py
@@ -1,4 +1,4 @@
-"""Segments of the log: what is known of each, their headers, and records encoded as frames. No I/O."""
+"""Segments of the log: their state in memory, their headers, and the encoding of records. No I/O."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 
 
 class OlderSegment(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
-    """What a segment's header tells of an older segment that is part of the store."""
+    """An older segment of the store, as listed in a segment's header."""
 
     number: int
     last_sequence: int
-    size: int  # bytes that count
+    size: int  # valid bytes; later bytes are ignored
     tombstone_bytes: int
 
 
@@ -27,7 +27,7 @@
     store: bytes
     number: int
     first_sequence: int
-    flushed_through: int  # frames up to this sequence were flushed before the segment got its name
+    flushed_through: int  # frames up to this sequence were flushed before the file was renamed
     time: int  # µs
     older: list[OlderSegment]
 
@@ -36,7 +36,7 @@
 
 
 class Record:
-    """A change on its way to the log. The meaning of `number` depends on the kind, see `framing.Body`."""
+    """A log record to be written. The meaning of `number` depends on the kind, see `framing.Body`."""
 
     __slots__ = ("kind", "number", "key", "value")
 
@@ -48,7 +48,7 @@
 
 
 class Segment:
-    """One file of the log. Only the newest is appended to, and only by the process that made it."""
+    """One file of the log. Only the newest is appended to, and only by the process that created it."""
 
     __slots__ = (
         "number",
@@ -72,24 +72,24 @@
         self.number = number
         self.file = file
         self.salt = salt  # checksum of the file's salt
-        self.data_start = data_start  # bytes: where the frames after the header begin
+        self.data_start = data_start  # bytes: offset of the first frame after the header
         self.first_sequence = first_sequence
-        self.size = data_start  # bytes that count; what stands behind them is void
-        self.last_sequence = first_sequence - 1  # of the last frame that counts
+        self.size = data_start  # valid bytes; later bytes are ignored
+        self.last_sequence = first_sequence - 1  # of the last valid frame
         self.flushed_through = first_sequence - 1  # see SegmentHeader
         self.tombstone_bytes = 0
-        self.reference_count = 0  # readers and snapshots that need the file
+        self.reference_count = 0  # readers and snapshots that use the file
         self.is_removed = False
-        self.is_damaged = False  # compaction met bytes that are no frame: it stays as it is
-        self.void_bytes = 0  # behind those that count
+        self.is_damaged = False  # compaction found bytes that are not a frame, and skips the segment
+        self.void_bytes = 0  # bytes in the file after the valid ones
 
     @property
     def name(self) -> str:
-        """The name of its file."""
+        """The name of the segment's file."""
         return file_names.SEGMENT.format(self.number)
 
     def summary(self) -> OlderSegment:
-        """What a newer segment's header tells of this one."""
+        """This segment, as listed in a newer segment's header."""
         return OlderSegment(self.number, self.last_sequence, self.size, self.tombstone_bytes)
 
 
@@ -108,7 +108,7 @@
 
 
 def read_header(read: framing.Read, file: FileHandle, name: str) -> tuple[Segment, SegmentHeader] | None:
-    """A segment as its own header tells, or None where that is not intact. Raises NewerFormatError."""
+    """A segment as described by its own header, or None if that is not intact. Raises NewerFormatError."""
     salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.LOG_MAGIC, name)
     if salt is None:
         return None
@@ -128,12 +128,12 @@
 def encode_records(
     records: Sequence[Record], segment: Segment, sequence: int, flushed: int
 ) -> tuple[bytes, list[tuple[int, int]]]:
-    """The frames of these records at the segment's end, and the offset and length of each.
+    """Encode records as frames for the segment's end; returns the bytes, and offset and length of each frame.
 
     Args:
-        records: What to encode.
-        segment: Where they are to be appended.
-        sequence: Of the first record.
+        records: The records to encode.
+        segment: The segment to which the frames are appended.
+        sequence: Sequence of the first record.
         flushed: The last sequence that was flushed.
     """
     at, salt = segment.size, segment.salt
