--- a/lichencleat/store/checkpoint_writer.py
+++ b/lichencleat/store/checkpoint_writer.py
@@ -1,4 +1,4 @@
-"""Checkpoint writer: writes a checkpoint of a snapshot step by step and names it once it is flushed."""
+"""Checkpoint writer: writes a checkpoint of a snapshot in steps and renames the file once it is flushed."""
 
 from __future__ import annotations
 
@@ -13,30 +13,30 @@
 
 @dataclass(slots=True)
 class CheckpointInProgress:
-    """A checkpoint on its way to the disk."""
+    """A checkpoint that is being written."""
 
     snapshot: Snapshot
     encoder: checkpoint.CheckpointEncoder
     file: FileHandle
     cursor: bytes  # the key at which the next rows begin
-    log_position: int  # bytes of log that had been written when it began
+    log_position: int  # bytes of log written before the checkpoint began
 
 
 class CheckpointWriter:
-    """Owns the checkpoint under way; its file and snapshot are given back in `abort` alone."""
+    """Writes one checkpoint at a time; only `abort` closes its file and snapshot."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
         self.in_progress: CheckpointInProgress | None = None
-        self.log_position = 0  # of the bytes of log written, those before the last checkpoint
-        self.last_sequence = 0  # that the last checkpoint covers
+        self.log_position = 0  # bytes of log written before the last checkpoint
+        self.last_sequence = 0  # the last sequence that the last checkpoint covers
 
     def bytes_since_last(self) -> int:
-        """Bytes of log since the last checkpoint: what a start would have to read again."""
+        """Bytes of log since the last checkpoint, which would be replayed when the store opens."""
         return self.log.bytes_written - self.log_position
 
     def begin(self) -> None:
-        """Begin a checkpoint, unless one is under way; the next steps write it. Raises OSError."""
+        """Begin a checkpoint unless one is in progress; the next calls of `step` write it. Raises OSError."""
         if self.in_progress is not None:
             return
         log = self.log
@@ -55,7 +55,7 @@
         log.disk.append(file, encoder.encode_header(header))
 
     def step(self, budget: int) -> None:
-        """Write the next rows, some `budget` bytes; at the end finish the checkpoint. Raises OSError."""
+        """Write about `budget` bytes of rows; complete the checkpoint after the last row. Raises OSError."""
         current = self.in_progress
         assert current is not None
         spent = 0
@@ -63,7 +63,7 @@
             with self.log.lock:
                 rows = current.snapshot.chunk(current.cursor, b"", checkpoint.ROWS_PER_FRAME)
             if not current.snapshot.is_open:
-                self.abort()  # more was changed meanwhile than the undo list may hold
+                self.abort()  # more keys changed meanwhile than the undo list holds
                 return
             if not rows:
                 self._finish(current)
@@ -86,13 +86,13 @@
         self.abort()
 
     def on_disk_failed(self) -> None:
-        """Give up after an error of the disk; the next attempt comes after as much log, not at once."""
+        """Abort after an error of the disk; the next attempt waits for another checkpoint interval of log."""
         if self.in_progress is not None:
             self.log_position = self.log.bytes_written
             self.abort()
 
     def abort(self) -> None:
-        """End the checkpoint under way, if there is one: close its snapshot and file, remove the new name."""
+        """End the checkpoint in progress, if any: close its snapshot and file, remove the temporary file."""
         current, self.in_progress = self.in_progress, None
         if current is not None:
             with self.log.lock:
--- a/lichencleat/store/compactor.py
+++ b/lichencleat/store/compactor.py
@@ -1,4 +1,4 @@
-"""Compactor: copies what a segment still holds to the log's end, then removes its file."""
+"""Compactor: copies a segment's live records and needed tombstones to the log's end and removes its file."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 @dataclass(slots=True)
 class Compaction:
-    """A segment that is being compacted, and how far: the rest is read from `offset` on."""
+    """A compaction in progress: its victim, and the place from which the rest is read."""
 
     segment: Segment
     offset: int  # bytes
-    sequence: int  # of the frame there
+    sequence: int  # of the frame at `offset`
 
     @property
     def remaining_bytes(self) -> int:
-        """Bytes of the segment still to be read."""
+        """Bytes of the segment that are not read yet."""
         return self.segment.size - self.offset
 
 
 @dataclass(slots=True, frozen=True)
 class EntryMove:
-    """An entry that is copied, and its location before."""
+    """An entry whose record is copied, with its location before the copy."""
 
     key: bytes
     old_location: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class CopyBatch:
-    """Records to be copied by one step, each with the entry that it moves, if any."""
+    """Records that one step writes, each with the entry that it moves, if any."""
 
     records: list[Record] = field(default_factory=list)
     moves: list[EntryMove | None] = field(default_factory=list)
@@ -49,7 +49,7 @@
 
 
 class Compactor:
-    """Owns the compaction under way: one at a time, begun anew from its start after an error."""
+    """Runs one compaction at a time; after an error, a new compaction starts at the segment's beginning."""
 
     def __init__(self, log: Log, reserve: Reserve) -> None:
         self.log = log
@@ -57,16 +57,16 @@
         self.in_progress: Compaction | None = None
 
     def begin(self, segment: Segment | None) -> None:
-        """Begin with that segment, if there is one; the next steps compact it."""
+        """Begin to compact the segment, unless it is None; the next calls of `step` do the work."""
         if segment is not None:
             self.in_progress = Compaction(segment, segment.data_start, segment.first_sequence)
 
     def step(self, compaction: Compaction, budget: int) -> None:
-        """Read and copy some `budget` bytes; at its end the segment is removed.
+        """Read and copy about `budget` bytes; remove the segment once all of it is copied.
 
         Raises:
-            CorruptDataError: If the segment has bytes that are no record; it is then left as it is.
-            OSError: If writing failed; nothing was removed.
+            CorruptDataError: If the segment has bytes that are not a record; the segment is kept.
+            OSError: If writing failed; the segment is kept.
         """
         log, segment = self.log, compaction.segment
         others = [each for each in log.segments.values() if each is not segment]
@@ -76,7 +76,7 @@
         if not is_oldest or log.index.live_bytes.get(segment.number, 0):
             self._gather(compaction, budget, others, copies)
             done = compaction.offset >= segment.size
-        # else nothing of it is needed, tombstones included
+        # else nothing is copied: the oldest segment's tombstones are not needed
         if done:
             copies.add(Record(framing.SEGMENT_REMOVED, segment.number, b""))
         if copies.records:
@@ -84,13 +84,13 @@
         if done:
             self.in_progress = None
             log.remove_segment(segment)
-            log.disk_full = False  # some space was given back; the next write tells
+            log.disk_full = False  # space was freed; the next write shows whether it is enough
             log.counts["segments cleaned"] += 1
 
     def _gather(
         self, compaction: Compaction, budget: int, others: Sequence[Segment], copies: CopyBatch
     ) -> None:
-        """Read on through the segment, some `budget` bytes, and add what has to be kept of it."""
+        """Read about `budget` bytes of the segment and add the records that have to be kept."""
         segment = compaction.segment
         spent = 0
         frames = framing.iter_frames(self._reader(segment), compaction.offset, segment.size, segment.salt)
@@ -124,7 +124,7 @@
         return read
 
     def _mark_damaged(self, segment: Segment, offset: int, problem: str) -> CorruptDataError:
-        """Leave the segment as it is, for `check` and `salvage`; compaction goes on with others."""
+        """Exclude the segment from compaction and keep it for `check` and `salvage`."""
         self.in_progress = None
         segment.is_damaged = True
         return CorruptDataError([Finding(segment.name, offset, problem)])
@@ -139,7 +139,7 @@
         location: int,
         others: Sequence[Segment],
     ) -> Record | None:
-        """The record that has to stand for this one once its segment is removed, or None."""
+        """The record that replaces this one when its segment is removed, or None if none is needed."""
         index = self.log.index
         if kind in framing.PUTS:
             if index.locations.get(key) == location:
@@ -148,8 +148,8 @@
                 with self.log.lock:
                     index.delete(key)
             elif not number or key in index.locations:
-                return None  # a newer value or tombstone stands for it
-            born = sequence  # it has expired; what it replaced in an older segment must not come back
+                return None  # a newer value or tombstone replaces it
+            born = sequence  # expired: a tombstone hides the key's older value in an older segment
         elif kind in framing.DELETES:
             born = number or sequence
         else:
@@ -159,13 +159,13 @@
         return Record(framing.DELETE, born, key) if maintenance.is_tombstone_needed(born, others) else None
 
     def _copy(self, copies: CopyBatch) -> None:
-        """Write and flush the copies at once, with the reserve's space where the disk is full."""
+        """Write and flush the copies together, with the reserve's space if the disk is full."""
         log = self.log
         written = log.counts["bytes written"]
         try:
             segment, spans = self.reserve.run_with_reserve(log.append, copies.records)
         except OSError:
-            self.in_progress = None  # begun anew another time: nothing was removed
+            self.in_progress = None  # the segment is kept and compacted again later
             raise
         log.counts["bytes copied"] += log.counts["bytes written"] - written
         with log.lock:
--- a/lichencleat/store/creation.py
+++ b/lichencleat/store/creation.py
@@ -10,11 +10,11 @@
 
 
 def check_empty(names: Sequence[str], directory: str) -> None:
-    """Make sure that no file but those of a creation that was cut short would be removed.
+    """Check that the directory holds only files of an interrupted creation, which may be removed.
 
     Raises:
         DirectoryNotEmptyError: If there are files of another program.
-        MissingMarkerError: If there are segments of a store that lost its marker.
+        MissingMarkerError: If there are segments of a store whose marker file is missing.
     """
     others = [each for each in names if each not in file_names.OWN and not file_names.is_segment(each)]
     if others:
@@ -25,9 +25,9 @@
 
 
 def create_store(log: Log, names: Sequence[str]) -> None:
-    """Make a new store of an empty log; the files of that name are removed first. Raises OSError.
+    """Create a new store with an empty log, after removing the files in `names`. Raises OSError.
 
-    The marker is written last: a power cut before it leaves a directory that is made anew.
+    The marker is written last: after a power cut before that, the store is created again.
     """
     disk = log.disk
     for name in names:
--- a/lichencleat/store/expiry.py
+++ b/lichencleat/store/expiry.py
@@ -1,29 +1,29 @@
-"""Expiry sweep: entries that have expired are dropped from the index, some hundred in a step."""
+"""Expiry sweep: removes expired entries from the index, a few hundred per step."""
 
 from __future__ import annotations
 
 from lichencleat.store.log import Log
 
-ENTRIES_PER_STEP = 512  # some 10 ms under the lock where all of them have expired
+ENTRIES_PER_STEP = 512  # holds the lock for some 10 ms if all of them have expired
 
 
 class ExpirySweeper:
-    """Owns the sweep under way."""
+    """Runs one sweep at a time."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
-        self.cursor: bytes | None = None  # the key at which the sweep goes on; None: there is none
-        self.earliest_expiry = 0  # µs: the earliest that the sweep has left in place, 0 where none
-        self.ended_at = 0  # µs: when the last sweep ended
+        self.cursor: bytes | None = None  # the key at which the sweep continues; None: no sweep runs
+        self.earliest_expiry = 0  # µs: the earliest expiry that the sweep has passed; 0: none
+        self.ended_at = 0  # µs: end of the last sweep
 
     def begin(self) -> None:
-        """Begin a sweep; the next steps run it."""
+        """Begin a sweep; the next calls of `step` run it."""
         self.cursor = b""
         self.earliest_expiry = 0
-        self.log.index.earliest_expiry = 0  # entries made from now on set it anew
+        self.log.index.earliest_expiry = 0  # set again by entries that are written from now on
 
     def step(self, cursor: bytes) -> None:
-        """Sweep the next entries from the cursor on. At the end of a sweep a time mark is written."""
+        """Sweep the next entries from the cursor on. The end of a sweep writes a time mark."""
         log = self.log
         with log.lock:
             before = len(log.index)
@@ -37,4 +37,4 @@
                 log.index.earliest_expiry = min(known, default=0)
                 self.ended_at = log.time
         if following is None and log.time > log.last_time_mark:
-            log.write([])  # what was dropped stays so, whatever the clock says after a power cut
+            log.write([])  # keeps the entries expired if the clock steps back after a power cut
--- a/lichencleat/store/log.py
+++ b/lichencleat/store/log.py
@@ -1,7 +1,7 @@
-"""The log: the segments and their files, what is appended to the newest, and which files are still needed.
+"""The log: owns the segments and their files, appends to the newest, and tracks which files are still needed.
 
-One thread writes; any may read meanwhile. The index and the lists of segments are protected by the lock
-`lock`, which is held for a chunk's or a commit's entries, never while the disk is used.
+One thread writes; any thread may read at the same time. `Log.lock` protects the index and the collections of
+segments. It is held while the entries of one chunk or commit are processed, never during disk I/O.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 from lichencleat.store.index import Index, Snapshot, pack_location
 from lichencleat.store.segments import Record, Segment
 
-# Between time marks in the log: a clock that goes back is believed by at most so much.
+# Between time marks in the log: bounds how far time can step back after a power cut.
 TIME_MARK_INTERVAL_US = 1_000_000
 DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
 COUNTS = (
@@ -43,14 +43,14 @@
 
 
 def to_store_error(error: OSError) -> StoreError:
-    """The error that a caller gets for an error of the disk."""
+    """The store error that callers get for an error of the disk."""
     if error.errno in DISK_FULL:
         return FullError(Limit.DISK_SPACE, f"({error.strerror}); nothing is confirmed of what was asked for")
     return NotConfirmedError(f"the disk failed: {error.strerror or error}")
 
 
 class Log:
-    """Owns the files of the segments: `release_resources`, `remove_segment` and `release` close them."""
+    """The segments and the index. `release_resources`, `remove_segment` and `release` close the files."""
 
     def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, limits: StoreLimits) -> None:
         self.disk = disk
@@ -61,45 +61,45 @@
         self.index = Index(limits.max_undo_entries)
         self.store = b""
         self.segments: dict[int, Segment] = {}  # by number, oldest first
-        self.active: Segment | None = None  # the one written to; None: the next write begins one
+        self.active: Segment | None = None  # the segment appended to; None: the next write begins a new one
         self.sequence = 0  # of the last frame that was flushed
-        self.time = 0  # µs: the latest time seen, so that a clock that goes back brings nothing back
-        self.last_time_mark = 0  # µs: the latest time that stands in the log
-        self.bytes_written = 0  # bytes of log since the start, and those before it that no checkpoint covers
-        self.disk_full = False  # the last write found no space
-        self.pins: dict[Snapshot, dict[int, Segment]] = {}  # files removed from the log since, by number
+        self.time = 0  # µs: the latest time seen; expired entries stay so if the clock steps back
+        self.last_time_mark = 0  # µs: the latest time recorded in the log
+        self.bytes_written = 0  # log written since opening, and before it but not covered by a checkpoint
+        self.disk_full = False  # the last write failed because the disk was full
+        self.pins: dict[Snapshot, dict[int, Segment]] = {}  # removed segments that a snapshot still needs
         self.counts = dict.fromkeys(COUNTS, 0)
 
     def tick(self) -> int:
-        """Read the clock; returns the latest time seen, in µs."""
+        """Read the clock and return the latest time seen, in µs."""
         self.time = max(self.time, self.clock())
         return self.time
 
     # -- segments ----------------------------------------------------------------------------------
 
     def load(self, found: Iterable[Segment]) -> None:
-        """Take over the segments that a start has found, oldest first."""
+        """Load the segments that recovery found, oldest first."""
         self.segments = {each.number: each for each in found}
         self.sequence = self.newest().last_sequence
 
     def newest(self) -> Segment:
-        """The segment that was begun last."""
+        """The segment with the highest number."""
         return self.active or next(reversed(self.segments.values()))
 
     def sealed(self) -> list[Segment]:
-        """All but the one that is written to, oldest first."""
+        """All segments except the active one, oldest first."""
         return [each for each in self.segments.values() if each is not self.active]
 
     def begin(self, carried: Sequence[Record] = ()) -> Segment:
-        """Begin a new segment to write to. Raises OSError.
+        """Begin a new active segment. Raises OSError.
 
-        From then on, whatever stands in older ones behind what is confirmed is void.
+        Its header records the valid size of each older segment; bytes after that are ignored from then on.
 
         Args:
-            carried: Records that the new segment holds from the start, flushed before it gets its name.
+            carried: Records written to the new segment and flushed before it is renamed to its number.
         """
         with contextlib.suppress(FileNotFoundError):
-            self.disk.remove(file_names.NEW_SEGMENT)  # what an earlier attempt left
+            self.disk.remove(file_names.NEW_SEGMENT)  # left by an attempt that failed
         number = max(self.segments, default=0) + 1
         salt = self.rng.randbytes(framing.SALT_BYTES)
         file = self.disk.open(file_names.NEW_SEGMENT, create=True)
@@ -115,7 +115,7 @@
             self.disk.flush_directory()
         except BaseException:
             self.disk.close(file)
-            with contextlib.suppress(OSError):  # it holds space that a full disk may need
+            with contextlib.suppress(OSError):  # frees its space, which a full disk may need
                 self.disk.remove(file_names.NEW_SEGMENT)
             raise
         segment.size += len(data)
@@ -132,40 +132,40 @@
         return self.active is None or self.active.size >= self.limits.segment_bytes
 
     def remove_segment(self, segment: Segment) -> None:
-        """Remove a segment's file; a reader or snapshot that needs it keeps it open until it is done."""
+        """Remove a segment's file; it stays open while a reader or snapshot needs it."""
         with self.lock:
             segment.is_removed = True
             del self.segments[segment.number]
             self.index.live_bytes.pop(segment.number, None)
-            for pinned in self.pins.values():  # what a snapshot still points at may be in it
+            for pinned in self.pins.values():  # any snapshot may still point at its records
                 pinned[segment.number] = segment
                 segment.reference_count += 1
             free = segment.reference_count == 0
-        with contextlib.suppress(OSError):  # the log says that it is removed: a start cleans up
+        with contextlib.suppress(OSError):  # the log records the removal: the next start removes the file
             self.disk.remove(segment.name)
             self.disk.flush_directory()
         if free:
             self.disk.close(segment.file)
 
     def release(self, segment: Segment) -> None:
-        """Drop one reference of a reader or snapshot; the caller holds the lock."""
+        """Drop one reference of a reader or snapshot, and close an unused removed file. Requires the lock."""
         segment.reference_count -= 1
         if segment.is_removed and segment.reference_count == 0:
             self.disk.close(segment.file)
 
     def unpin(self, snapshot: Snapshot) -> None:
-        """Close a snapshot and release the files kept for it; the caller holds the lock."""
+        """Close a snapshot and release the files kept for it. Requires the lock."""
         snapshot.close()
         for segment in self.pins.pop(snapshot, {}).values():
             self.release(segment)
 
     def total(self) -> int:
-        """Bytes of all segments; those that are removed and still read count too."""
+        """Bytes of all segments, including removed ones that a snapshot keeps open."""
         held = {each for pinned in list(self.pins.values()) for each in list(pinned.values())}
         return sum(each.size + each.void_bytes for each in (*self.segments.values(), *held))
 
     def end_snapshots_for(self, needed: int) -> None:
-        """End the oldest snapshots while the files that they hold leave less than `needed` bytes."""
+        """End snapshots, oldest first, until the files that they keep open leave `needed` bytes free."""
         while self.total() + needed > self.limits.max_disk_bytes - self.limits.reserve_bytes and any(
             self.pins.values()
         ):
@@ -174,18 +174,18 @@
             self.counts["snapshots ended"] += 1
 
     def release_resources(self) -> None:
-        """Close all files. The caller holds the lock: a reader finds all of it or nothing."""
+        """Close all files. Requires the lock, so that a reader finds either all segments or none."""
         for snapshot in list(self.pins):
             self.unpin(snapshot)
         for segment in self.segments.values():
-            segment.is_removed = True  # a reader that is using it closes it
+            segment.is_removed = True  # a reader that uses it closes the file
             if not segment.reference_count:
                 self.disk.close(segment.file)
         self.segments = {}
         self.active = None
 
     def close_segments(self) -> None:
-        """Close the files of a store that was just created; a start opens them again."""
+        """Close the files of a store that was just created; recovery opens them again."""
         for segment in self.segments.values():
             self.disk.close(segment.file)
         self.segments = {}
@@ -194,10 +194,10 @@
     # -- writing -----------------------------------------------------------------------------------
 
     def write(self, records: list[Record]) -> StoreError | None:
-        """Append and flush the records, then enter them into the index; all of them or none.
+        """Append and flush the records, then apply them to the index; all of them or none.
 
-        Without records a time mark is written, which proves all before it. Returns None or the error; after
-        an error the segment is not written to again.
+        Without records, writes a time mark, which proves that all earlier records were flushed. Returns None
+        or the error; after an error the segment is sealed.
         """
         if self.time - self.last_time_mark >= TIME_MARK_INTERVAL_US or not records:
             records = [Record(framing.TIME_MARK, self.time, b""), *records]
@@ -213,9 +213,9 @@
         return None
 
     def append(self, records: Sequence[Record]) -> tuple[Segment, list[tuple[int, int]]]:
-        """Write and flush the records; returns the segment, and offset and length of each.
+        """Write and flush the records; returns the segment, and offset and length of each record.
 
-        Raises OSError, and then does not use the segment any more.
+        Raises OSError; the segment is then sealed.
         """
         try:
             if self.needs_segment():
@@ -236,7 +236,7 @@
         return segment, spans
 
     def _abandon_active_segment(self, error: OSError) -> None:
-        """Never write to the segment again: what was being written may be there in part."""
+        """Seal the segment after a failed write, which may have left a part of its records on disk."""
         if self.active is not None:
             with contextlib.suppress(OSError):
                 self.active.void_bytes = max(0, self.disk.size(self.active.file) - self.active.size)
--- a/lichencleat/store/recovery.py
+++ b/lichencleat/store/recovery.py
@@ -1,7 +1,7 @@
-"""Recovery scan: what a directory holds, found by reading only.
+"""Recovery scan: finds a store's segments and checkpoint in its directory. Writes nothing.
 
-The ordinary start, `store check` and `store salvage` all begin here. The newest segment's header is the
-root: it names every older segment that is part of the store and how far each counts.
+Opening a store, `store check` and `store salvage` all begin with this scan. The newest segment's header is
+the root: it lists every older segment of the store with its valid size.
 """
 
 from __future__ import annotations
@@ -18,17 +18,17 @@
 
 
 class RecoveryScan:
-    """Opens the segments' files; they are handed to the engine, or closed by `close`.
+    """Opens the segments' files, which are then handed to the engine or closed by `close`.
 
     Attributes:
         store: The store's identity, from its marker file or its newest segment.
-        segments: Those that count, oldest first.
-        findings: All that is not as it was confirmed.
-        leftovers: Names of files that do not count any more.
-        torn_bytes: Behind the newest segment's last intact frame: what a power cut left.
-        time: No earlier than any time at which this store was written to (µs).
-        tail: What the newest segment's frames prove; None before `read`.
-        checkpoint: The one that was read, if any.
+        segments: The store's segments, oldest first.
+        findings: Every place where the files differ from what was confirmed.
+        leftovers: Names of files that are not part of the store any more.
+        torn_bytes: Bytes after the newest segment's last intact frame, left by a power cut.
+        time: The latest time recorded in the store (µs).
+        tail: The newest segment's frames; None before `read`.
+        checkpoint: The checkpoint, if a valid one was read.
     """
 
     def __init__(self, disk: Disk, directory: str = "the directory") -> None:
@@ -44,9 +44,9 @@
         self.checkpoint: checkpoint.Checkpoint | None = None
 
     def read(self, use_checkpoint: bool = True) -> None:
-        """Read the directory; corruption is in `findings` afterwards.
+        """Read the directory; reports corruption in `findings`.
 
-        Raises CannotOpenError where this is no store, or one of a newer format.
+        Raises CannotOpenError if the directory is not a store, or its format is newer.
         """
         names = self.disk.names()
         logs = [each for each in names if file_names.is_segment(each)]
@@ -72,17 +72,17 @@
         self.leftovers += [each for each in file_names.TEMPORARY if each in names]
 
     def reader(self, file: FileHandle) -> framing.Read:
-        """A function that reads that file."""
+        """A function that reads the file."""
         return lambda offset, length: self.disk.read(file, offset, length)
 
     def removed_segments(self) -> set[int]:
-        """Numbers of the segments that the newest one says are removed."""
+        """Numbers of the segments that were removed according to records in the newest one."""
         return {number for _, number in self.tail.removed_segments} if self.tail else set()
 
     def must_rewrite_tail(self) -> bool:
-        """Whether unproved records, or a segment's removal, have to be written anew first.
+        """Whether unproved records or segment removals have to be written again, in a new segment.
 
-        Nothing else may rest on them before.
+        Until then a power cut may still remove them, so nothing else may depend on them.
         """
         tail = self.tail
         if tail is None:
@@ -91,7 +91,7 @@
         return bool(tail.unproved_records()) or removal_unproved
 
     def unproved_records(self) -> list[Record]:
-        """The records that are intact, but that nothing proves to be flushed. Raises CorruptDataError."""
+        """The records that are intact but not proved to be flushed. Raises CorruptDataError."""
         newest = self.segments[-1]
         records = []
         for offset, length in self.tail.unproved_records() if self.tail else []:
@@ -105,7 +105,7 @@
         return records
 
     def close(self) -> None:
-        """Close the segments' files, for a caller that does not hand them on."""
+        """Close the segments' files, if they were not handed to the engine."""
         for segment in self.segments:
             self.disk.close(segment.file)
         self.segments = []
@@ -129,7 +129,7 @@
             raise NotAStoreError(self.directory, f"(its file {marker} reads otherwise)")
 
     def _read_file_header(self, name: str) -> bytes:
-        """The file's header, and one byte more if there is one."""
+        """The file's header, and one more byte to detect a file that is too long."""
         file = self.disk.open(name)
         try:
             return self.disk.read(file, 0, framing.FILE_HEADER_BYTES + 1)
@@ -147,7 +147,7 @@
         return found
 
     def _read_checkpoint(self) -> None:
-        # one that can't be read, or is missing, costs time only
+        # without a checkpoint the whole log is replayed, which only takes longer
         with contextlib.suppress(OSError, CannotOpenError):
             file = self.disk.open(file_names.CHECKPOINT)
             try:
@@ -157,9 +157,10 @@
                 self.disk.close(file)
 
     def _read_newest(self, segment: Segment) -> None:
-        """Find how far the newest segment counts.
+        """Determine the valid size of the newest segment.
 
-        Bytes that are no frame are what a power cut left, unless something proves that they were flushed.
+        Bytes that are not a frame are a torn write, unless a later frame or the checkpoint proves that
+        flushed frames were there.
         """
         size = self.disk.size(segment.file)
         tail = self.tail = LogTail(segment.first_sequence, segment.flushed_through, segment.data_start)
@@ -179,7 +180,7 @@
         self.segments = [segment]
 
     def _read_tail(self, segment: Segment, size: int, tail: LogTail) -> int:
-        """Pass the segment's frames to the tail; the offset at which they end."""
+        """Pass the segment's frames to the tail; returns the offset at which they end."""
         end = segment.data_start
         frames = framing.iter_frames(self.reader(segment.file), end, size, segment.salt)
         for offset, length, body in frames:
@@ -193,7 +194,7 @@
         return end
 
     def _find_loss_behind(self, segment: Segment, end: int, size: int, tail: LogTail) -> None:
-        """Search behind the last frame for one that proves that a confirmed record is missing."""
+        """Search the bytes after `end` for a frame that proves that a confirmed record is missing."""
         read = self.reader(segment.file)
         for at, _, body in framing.iter_frames_past_gaps(read, end, size, segment.salt):
             with contextlib.suppress(*UNDECODABLE):
--- a/lichencleat/store/replay.py
+++ b/lichencleat/store/replay.py
@@ -1,4 +1,4 @@
-"""Replay: the index as a start builds it, from a checkpoint and the log's records behind it."""
+"""Replay: builds the index when a store opens, from a checkpoint and the log records after it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class ReplayedRecord(NamedTuple):
-    """A record that counts, without its value. A NamedTuple, as a start makes one for each record."""
+    """A valid record without its value. A NamedTuple, because opening a store makes one per record."""
 
     offset: int
     length: int
@@ -28,8 +28,8 @@
     """Builds the index of a store's segments.
 
     Attributes:
-        checkpoint: Where to begin; set to None if it turns out not to fit the log.
-        findings: Bytes that are no frame among the records are added to this list.
+        checkpoint: The checkpoint to begin with; set to None if it does not match the log.
+        findings: Receives a finding for bytes among the records that are not a frame.
     """
 
     def __init__(
@@ -45,9 +45,10 @@
         self.findings = findings
 
     def build_index(self, now: int) -> tuple[dict[bytes, int], LocationTotals]:
-        """The location of each key, and their totals. A checkpoint that does not fit the log is left alone.
+        """Build the location of each key, and the totals of all locations.
 
-        Sets the segments' `tombstone_bytes`. The checkpoint's locations are used up. `now` is in µs.
+        Ignores a checkpoint that does not match the log; otherwise reuses and changes its `locations`. Sets
+        the segments' `tombstone_bytes`. `now` is in µs.
         """
         locations = self.checkpoint.locations if self.checkpoint is not None else {}
         newest = self.segments[-1]
@@ -59,7 +60,7 @@
                 ) << FIELD_BITS | record.length
             else:
                 locations.pop(record.key, None)
-                if segment is newest:  # of sealed ones, a newer header or the checkpoint tells
+                if segment is newest:  # known from a newer header or the checkpoint for sealed segments
                     segment.tombstone_bytes += record.length
         totals = total_locations(locations)
         if self.checkpoint is None:
@@ -75,14 +76,14 @@
 
     @staticmethod
     def _drop_expired_strays(locations: dict[bytes, int], sizes: dict[int, int], now: int) -> None:
-        """Drop entries whose segment was removed since: a value that had expired is dropped with it."""
+        """Drop expired entries of the checkpoint whose segment was removed after the checkpoint."""
         strays = [key for key, location in locations.items() if segment_of(location) not in sizes]
         for key in strays:
             if is_expired(locations[key], now):
                 del locations[key]
 
     def _records(self) -> Iterator[tuple[Segment, ReplayedRecord]]:
-        """Every record that counts and that the checkpoint does not cover, in order, with its segment."""
+        """Yield every valid record that the checkpoint does not cover, in order, with its segment."""
         checkpoint = self.checkpoint
         for segment in self.segments:
             offset, sequence = segment.data_start, segment.first_sequence
@@ -98,9 +99,9 @@
                 yield segment, record
 
     def _segment_records(self, segment: Segment, offset: int, sequence: int) -> Iterator[ReplayedRecord]:
-        """The segment's records that count from that frame on, whole batches only.
+        """Yield the segment's valid records from a frame on, without incomplete batches.
 
-        Bytes that are no frame are a finding, and the end.
+        Bytes that are not a frame are reported as a finding and end the iteration.
         """
         batch: list[ReplayedRecord] = []
         end = offset
--- a/lichencleat/store/reserve.py
+++ b/lichencleat/store/reserve.py
@@ -1,4 +1,4 @@
-"""The reserve: a file of zeros whose space compaction uses when the disk itself is full."""
+"""The reserve: a file of zeros that is removed to make space for compaction when the disk is full."""
 
 from __future__ import annotations
 
@@ -10,24 +10,24 @@
 from lichencleat.store.disk import FileHandle
 from lichencleat.store.log import DISK_FULL, Log
 
-RETRY_INTERVAL_US = 30_000_000  # between attempts to take the space again
-ZEROS = bytes(1 << 20)  # written piece by piece
+RETRY_INTERVAL_US = 30_000_000  # between attempts to write the reserve again
+ZEROS = bytes(1 << 20)  # one write
 
 P = ParamSpec("P")
 R = TypeVar("R")
 
 
 class Reserve:
-    """Owns the reserve's file while that is written; closed at the end of `step` or in `abort`."""
+    """Writes and releases the reserve; its open file is closed by the last `step` or by `abort`."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
-        self.file: FileHandle | None = None  # while it is being written
-        self.last_attempt = -RETRY_INTERVAL_US  # µs: when writing began last
-        self.held_bytes = 0  # of the file that gives its space when the disk is full
+        self.file: FileHandle | None = None  # open while the reserve is written
+        self.last_attempt = -RETRY_INTERVAL_US  # µs: start of the last attempt to write it
+        self.held_bytes = 0  # size of the complete reserve, 0 if there is none
 
     def load(self, names: Sequence[str]) -> None:
-        """At a start: find what an earlier process has left of it among the directory's files."""
+        """Read the size of an existing reserve when the store opens; `names` are the directory's files."""
         if file_names.RESERVE in names:
             disk = self.log.disk
             file = disk.open(file_names.RESERVE)
@@ -37,7 +37,7 @@
                 disk.close(file)
 
     def run_with_reserve(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> R:
-        """Make the call; where it finds the disk full, once more with the reserve's space. Raises OSError."""
+        """Make the call; if the disk is full, release the reserve and call once more. Raises OSError."""
         try:
             return call(*args, **kwargs)
         except OSError as error:
@@ -46,7 +46,7 @@
             return call(*args, **kwargs)
 
     def release(self) -> bool:
-        """Give the space back to the disk; returns whether there was any."""
+        """Remove the reserve to free its space; returns whether there was a reserve."""
         if not self.held_bytes:
             return False
         self.held_bytes = 0
@@ -56,13 +56,13 @@
         return True
 
     def is_missing(self) -> bool:
-        """Whether it is time to take the space again."""
+        """Whether the reserve is too small and an attempt to write it is due."""
         limits = self.log.limits
         too_small = limits.keep_reserve and self.held_bytes < limits.reserve_bytes
         return too_small and self.log.time - self.last_attempt >= RETRY_INTERVAL_US
 
     def begin(self) -> None:
-        """Begin to write the file; the next steps go on. Raises OSError."""
+        """Create the file; the next calls of `step` write it. Raises OSError."""
         with contextlib.suppress(FileNotFoundError):
             self.log.disk.remove(file_names.RESERVE)
         self.last_attempt = self.log.time
@@ -73,7 +73,7 @@
         return self.log.limits.reserve_bytes - self.log.disk.size(self.file)
 
     def step(self, budget: int) -> None:
-        """Write up to `budget` bytes of zeros; without space the reserve stays missing for a while."""
+        """Write up to `budget` bytes of zeros; on a full disk, give up until the next attempt is due."""
         disk = self.log.disk
         try:
             remaining = self.remaining_bytes()
@@ -92,7 +92,7 @@
             disk.close(file)
 
     def abort(self) -> None:
-        """Close and remove a file that is not complete."""
+        """Close and remove an incomplete file, if there is one."""
         file, self.file = self.file, None
         if file is not None:
             self.log.disk.close(file)
