--- a/lichencleat/store/bench.py
+++ b/lichencleat/store/bench.py
@@ -1,4 +1,4 @@
-"""Benchmark: measures a store on the machine's own disk, for `store bench` and benchmarks/store.py."""
+"""Benchmark: measures a store on a local disk, for `store bench` and benchmarks/store.py."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
 
-# Latencies are recorded from 1 µs to a minute, to three digits.
+# Latencies are recorded from 1 µs to one minute, with three significant digits.
 MIN_LATENCY_US = 1
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
@@ -23,16 +23,16 @@
 
 
 Row = list[str | int | float]
-"""One line of the table, as PUT_HEAD says."""
+"""One line of the table, with the columns PUT_HEAD."""
 
 
 def now() -> int:
-    """µs of Unix time."""
+    """The current time in µs of Unix time."""
     return time.time_ns() // 1000
 
 
 def histogram() -> HdrHistogram:
-    """An empty histogram of latencies in µs."""
+    """Create an empty histogram of latencies in µs."""
     return HdrHistogram(MIN_LATENCY_US, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
@@ -42,14 +42,14 @@
 
 
 def open_engine(path: str, limits: StoreLimits | None = None) -> Engine:
-    """A new or existing store in that directory."""
+    """Open or create the store in a directory."""
     return Engine.open(
         RealDisk(path, create=True), now, random.Random(1), limits or StoreLimits(), create=True
     )
 
 
 def measure_flushed_each(path: str, seconds: float, value: bytes) -> Row:
-    """Measure the baseline: an append and a flush for each put, whoever else waits."""
+    """Measure the baseline without group commit: one append and one flush per put."""
     disk = RealDisk(path, create=True)
     file = disk.open("baseline", create=True)
     latencies = histogram()
@@ -69,9 +69,9 @@
 
 
 def measure_grouped(path: str, callers: int, seconds: float, value: bytes) -> Row:
-    """Measure group commit with so many callers, each with one put under way.
+    """Measure group commit with `callers` concurrent callers, each with one put outstanding.
 
-    What waits while a flush is under way goes with the next one.
+    Each group has one put of every caller.
     """
     engine = open_engine(path)
     latencies = histogram()
@@ -92,9 +92,9 @@
 
 
 def measure_puts(path: str, callers: list[int], seconds: float, value_bytes: int) -> list[Row]:
-    """Measure the baseline, and group commit with each number of callers; the directory is left empty."""
+    """Measure the baseline, and group commit with each number of callers; leaves the directory empty."""
     value = random.Random(1).randbytes(value_bytes)
-    RealDisk(path, create=True).unlock()  # makes the directory
+    RealDisk(path, create=True).unlock()  # creates the directory
     rows: list[Row] = []
 
     inner = os.path.join(path, "bench")
--- a/lichencleat/store/check.py
+++ b/lichencleat/store/check.py
@@ -1,4 +1,4 @@
-"""Check: reads every byte of a store's files that counts and tells what is lost. Writes nothing."""
+"""Check: reads a store's files in full and reports lost or corrupt records. Writes nothing."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from lichencleat.store.segments import Segment
 
 Progress = Callable[[str, int, int], None]
-"""Called now and then with the file at hand, bytes done, bytes in all."""
+"""Called at intervals with the current file, the bytes done, and the total bytes."""
 
 
 def ignore_progress(file: str, done: int, total: int) -> None:
@@ -24,21 +24,21 @@
 
 @dataclass(slots=True)
 class CheckReport:
-    """What `check` found. `findings` is empty where every confirmed record is there and intact."""
+    """Result of `check`. `findings` is empty if every confirmed record is present and intact."""
 
     findings: list[Finding]
     entries: int = 0
     segments: int = 0
     bytes_read: int = 0
-    torn_bytes: int = 0  # left by a power cut at the log's end: no finding
-    unproved_records: int = 0  # at the log's end: the next start writes them anew
+    torn_bytes: int = 0  # left by a power cut at the log's end; not a finding
+    unproved_records: int = 0  # at the log's end; written again when the store opens
     checkpoint: str = "none"
 
 
 def check(disk: Disk, directory: str, now: int, progress: Progress = ignore_progress) -> CheckReport:
     """Check the store in a directory, under its lock. `now` is in µs of Unix time.
 
-    Raises CannotOpenError where it is no store, UnreadableDirectoryError where reading fails.
+    Raises CannotOpenError if it is not a store, UnreadableDirectoryError if reading fails.
     """
     disk.lock()
     scan = RecoveryScan(disk, directory)
@@ -67,7 +67,7 @@
 
 
 def _damaged_spans(scan: RecoveryScan, segment: Segment) -> list[Finding]:
-    """Every span of a segment's bytes that count which is no intact frame."""
+    """Every span of a segment's valid size that is not an intact frame."""
     found: list[Finding] = []
     read = scan.reader(segment.file)
     end = segment.data_start
@@ -81,7 +81,7 @@
 
 
 def _check_entries(scan: RecoveryScan, report: CheckReport, now: int) -> None:
-    """Build the index from the whole log, whatever the checkpoint covers, and compare the checkpoint."""
+    """Build the index from the whole log without the checkpoint, and compare it with the checkpoint."""
     report.unproved_records = len(scan.unproved_records())
     locations, _ = Replay(scan.disk, scan.segments, None, scan.findings).build_index(now)
     valid = sum(not is_expired(each, now) for each in locations.values())
@@ -94,13 +94,13 @@
 def _check_checkpoint(
     scan: RecoveryScan, checkpoint: Checkpoint, locations: dict[bytes, int], now: int
 ) -> None:
-    """The entries by way of the checkpoint have to be those of the whole log."""
+    """Compare the entries built from the checkpoint with those built from the whole log."""
     for each in scan.segments:
         each.tombstone_bytes = 0
     replay = Replay(scan.disk, scan.segments, checkpoint, scan.findings)
     by_checkpoint, _ = replay.build_index(now)
     if replay.checkpoint is None:
-        return  # it does not fit this log: old, which costs time only
+        return  # an old checkpoint that does not match the log is harmless
     for key in sorted({*locations, *by_checkpoint}):
         ours, its = locations.get(key), by_checkpoint.get(key)
         if ours != its and not all(each is None or is_expired(each, now) for each in (ours, its)):
--- a/lichencleat/store/disk.py
+++ b/lichencleat/store/disk.py
@@ -1,4 +1,4 @@
-"""Disk: the store's whole interface to the file system, so that a test can inject a fault at each call."""
+"""Disk: the store's only interface to the file system, so that tests can inject faults at each call."""
 
 from __future__ import annotations
 
@@ -8,50 +8,50 @@
 
 from lichencleat.store.errors import DirectoryLockError, UnusableDirectoryError
 
-FILE_MODE = 0o600  # what is stored is for its owner alone
+FILE_MODE = 0o600  # readable by the owner only
 DIRECTORY_MODE = 0o700
 
 FileHandle: TypeAlias = Any
-"""Whatever a disk's `open` returns; opaque to the store."""
+"""Returned by a disk's `open`; opaque to the store."""
 
 
 class Disk(Protocol):
-    """One flat directory. A file handle is whatever `open` returns; the store never looks inside it.
+    """A flat directory.
 
-    Every method but `names`, `lock` and `unlock` may raise OSError; then the call may have been done in part.
-    What was appended survives a cut once `flush` of its file came back without an error; a file's name, a
-    rename and a removal once `flush_directory` did.
+    Every method except `names`, `lock` and `unlock` may raise OSError; the call may then be done in part.
+    Appended data survives a power cut once `flush` of its file has returned without an error; a new name, a
+    rename and a removal survive it once `flush_directory` has.
     """
 
     def names(self) -> list[str]:
-        """The names of all files, sorted."""
+        """Return the names of all files, sorted."""
 
     def open(self, name: str, create: bool = False) -> FileHandle:
-        """Open an existing file for reading, or make a new empty one to append to.
+        """Open an existing file for reading, or create an empty file to append to.
 
         With `create`, an existing file of that name is an error.
         """
 
     def append(self, file: FileHandle, data: bytes) -> None:
-        """Write at the file's end."""
+        """Append data at the file's end."""
 
     def read(self, file: FileHandle, offset: int, length: int) -> bytes:
-        """Return up to `length` bytes; fewer only at the file's end."""
+        """Return up to `length` bytes from `offset` on; fewer only at the file's end."""
 
     def flush(self, file: FileHandle) -> None:
-        """Make what was appended survive a power cut."""
+        """Make appended data survive a power cut."""
 
     def flush_directory(self) -> None:
         """Make new names, renames and removals survive a power cut."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; one that has the new name is replaced."""
+        """Rename a file; replaces a file that has the new name."""
 
     def remove(self, name: str) -> None:
-        """Remove a name; handles that are open stay usable."""
+        """Remove a file; open handles of it stay usable."""
 
     def size(self, file: FileHandle) -> int:
-        """The file's size in bytes."""
+        """Return the file's size in bytes."""
 
     def close(self, file: FileHandle) -> None:
         """Close the file handle."""
@@ -60,13 +60,13 @@
         """Lock the directory. Raises DirectoryLockError where another process holds the lock."""
 
     def unlock(self) -> None:
-        """Release the lock; the disk is of no further use."""
+        """Release the lock; the disk can't be used afterwards."""
 
 
 class RealDisk:
-    """A directory of the file system, made where it is missing and `create` is set.
+    """A directory of the file system, created if it is missing and `create` is set.
 
-    Raises UnusableDirectoryError where it can't be opened.
+    Raises UnusableDirectoryError if it can't be opened or created.
     """
 
     def __init__(self, path: str, create: bool = False) -> None:
@@ -99,7 +99,7 @@
     def append(self, file: int, data: bytes) -> None:
         """See `Disk`."""
         rest = memoryview(data)
-        while rest:  # a short write is no error of its own: the next one tells why
+        while rest:  # after a short write, the next write raises the error, if any
             rest = rest[os.write(file, rest) :]
 
     def read(self, file: int, offset: int, length: int) -> bytes:
@@ -108,7 +108,7 @@
         if len(data) in (0, length):
             return data
         parts = [data]
-        while data and (length := length - len(data)) > 0:  # a read may stop early, at a signal or a page
+        while data and (length := length - len(data)) > 0:  # a read may be short, for example after a signal
             offset += len(data)
             parts.append(data := os.pread(file, length, offset))
         return b"".join(parts)
@@ -140,7 +140,9 @@
     def lock(self) -> None:
         """See `Disk`."""
         try:
-            fcntl.flock(self.directory, fcntl.LOCK_EX | fcntl.LOCK_NB)  # of the directory: no file of its own
+            fcntl.flock(
+                self.directory, fcntl.LOCK_EX | fcntl.LOCK_NB
+            )  # locks the directory itself, without a lock file
         except OSError as error:
             raise DirectoryLockError(self.path, error) from error
 
@@ -148,4 +150,4 @@
         """See `Disk`. Closes the directory as well."""
         directory, self.directory = self.directory, -1
         if directory >= 0:
-            os.close(directory)  # the lock goes with it
+            os.close(directory)  # also releases the lock
--- a/lichencleat/store/disk_kinds.py
+++ b/lichencleat/store/disk_kinds.py
@@ -1,7 +1,7 @@
 """The kinds of disk that a settings file can name, and how each is opened.
 
-The program knows the real one. The test kit registers others, such as a volatile write cache, in the
-processes that it starts.
+The program itself has the kind `real` only. The test kit registers other kinds, such as a disk with a
+volatile write cache, in the processes that it starts.
 """
 
 from __future__ import annotations
@@ -11,14 +11,14 @@
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.errors import StoreError
 
-DiskFactory = Callable[[str], Disk]  # from the path of a directory, which is made where it is missing
+DiskFactory = Callable[[str], Disk]  # from a directory's path; creates the directory if it is missing
 
 
 class UnknownDiskKindError(StoreError):
     """The named kind of disk is not available in this process.
 
     Attributes:
-        kind: the name as it stands in the settings.
+        kind: The name given in the settings.
     """
 
     def __init__(self, kind: str) -> None:
@@ -34,7 +34,7 @@
 
 
 def register_disk_kind(kind: str, factory: DiskFactory) -> None:
-    """Make a kind of disk available in this process; an earlier one of that name is replaced."""
+    """Make a kind of disk available in this process; replaces an earlier kind of that name."""
     _factories[kind] = factory
 
 
@@ -42,8 +42,8 @@
     """Open a directory as the named kind of disk.
 
     Raises:
-        UnknownDiskKindError: nobody registered that kind.
-        OSError: the directory can't be opened or made.
+        UnknownDiskKindError: If the kind is not registered.
+        OSError: If the directory can't be opened or created.
     """
     factory = _factories.get(kind)
     if factory is None:
--- a/lichencleat/store/engine.py
+++ b/lichencleat/store/engine.py
@@ -1,9 +1,9 @@
-"""Engine: the store itself, one call at a time. It knows no reactor and starts no thread.
+"""Engine: the store with blocking calls, independent of a reactor. It starts no threads.
 
-One thread writes (`commit`, `step`, `close`); any other may read meanwhile (`get`, `scan`, `snapshot`). The
-engine composes owners of one job each: `log.py` the segments, `reader.py` reading, `capacity.py` the
-limits, and for maintenance `compactor.py`, `expiry.py`, `checkpoint_writer.py` and `reserve.py`, among
-which `maintenance.py` chooses.
+One thread writes (`commit`, `step`, `close`); other threads may read at the same time (`get`, `scan`,
+`snapshot`). The engine combines modules of one task each: `log.py` for the segments, `reader.py` for reads,
+`capacity.py` for the limits, and for maintenance `compactor.py`, `expiry.py`, `checkpoint_writer.py` and
+`reserve.py`, whose jobs `maintenance.py` selects.
 """
 
 from __future__ import annotations
@@ -29,12 +29,12 @@
 from lichencleat.store.reserve import Reserve
 from lichencleat.store.segments import Record
 
-STEP_BYTES = 256 << 10  # that one step of maintenance reads or writes
-CHECKPOINT_AT_CLOSE_BYTES = 1 << 20  # bytes of log since the last checkpoint that make closing write one
+STEP_BYTES = 256 << 10  # read or written by one step of maintenance
+CHECKPOINT_AT_CLOSE_BYTES = 1 << 20  # log since the last checkpoint, above which `close` writes one
 
 
 class Engine:
-    """A store that is open. Made by `open`, given back by `close`."""
+    """An open store, from `open` until `close`."""
 
     def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, limits: StoreLimits) -> None:
         self.disk = disk
@@ -45,7 +45,7 @@
         self.compactor = Compactor(self.log, self.reserve)
         self.checkpoint_writer = CheckpointWriter(self.log)
         self.expiry_sweeper = ExpirySweeper(self.log)
-        self.compact_all = False  # compaction goes on while there is any garbage
+        self.compact_all = False  # compaction applies the garbage limits for disk pressure
         self.closed = False
         self.get = self.reader.get
         self.scan = self.reader.scan
@@ -65,20 +65,20 @@
         create: bool = False,
         directory: str = "the directory",
     ) -> Engine:
-        """Take the lock, find what is confirmed and make sure that it stays so.
+        """Lock the directory, recover the confirmed records and write unproved ones again.
 
         Args:
             disk: The directory.
-            clock: Gives µs of Unix time; it may go back.
-            rng: Gives the salts of new files.
-            limits: How large the store may grow.
-            create: Whether to make a store where the directory is empty.
-            directory: Its name in errors.
+            clock: Returns µs of Unix time; it may step back.
+            rng: Source of the salts of new files.
+            limits: Limits on the store's size.
+            create: Whether to create a store if the directory is empty.
+            directory: The directory's name in errors.
 
         Raises:
-            CannotOpenError: If it is no store, has a newer format, or is in use.
+            CannotOpenError: If the directory is not a store, has a newer format, or is in use.
             CorruptDataError: If confirmed records can't be read.
-            FullError: If the disk has no space for what a start has to write.
+            FullError: If the disk has no space for the records that recovery has to write.
             NotConfirmedError: If the disk failed.
         """
         engine = cls(disk, clock, rng, limits or StoreLimits())
@@ -108,14 +108,14 @@
         self._take_over(scan, carried)
         self.reserve.load(names)
         if scan.must_rewrite_tail():
-            # what is unproved is written anew, in a segment that is named once all of it is flushed
+            # unproved records go to a new segment, which is renamed once all of them are flushed
             self.reserve.run_with_reserve(self.log.begin, carried)
-        for name in scan.leftovers:  # only now: the segment that says they are removed is on the disk
+        for name in scan.leftovers:  # last: the records of their removal have to be on disk first
             with contextlib.suppress(OSError):
                 self.disk.remove(name)
 
     def _recover(self, scan: RecoveryScan) -> list[Record]:
-        """Read all that is confirmed into the index; the records that are to be written anew."""
+        """Load the confirmed records into the index; returns the unproved records, to be written again."""
         log = self.log
         scan.read()
         if scan.findings:
@@ -143,7 +143,7 @@
     # -- writing -----------------------------------------------------------------------------------
 
     def commit(self, batches: Sequence[Batch]) -> list[StoreError | None]:
-        """Write and flush all batches that fit the limits; for each None (it is confirmed) or the error."""
+        """Write and flush all batches that fit the limits; returns None (confirmed) or an error for each."""
         if self.closed:
             return [ClosedError()] * len(batches)
         log = self.log
@@ -173,10 +173,10 @@
     # -- maintenance -------------------------------------------------------------------------------
 
     def step(self, budget: int = STEP_BYTES) -> int:
-        """Do one bounded piece of maintenance, some `budget` bytes read and written.
+        """Do one bounded step of maintenance, which reads and writes about `budget` bytes.
 
-        Returns the bytes left of the job at hand; 0 once nothing is left to do. Raises StoreError where the
-        disk fails; what was confirmed stays so, and a later step may go on.
+        Returns the bytes left of the current job, or 0 if no job is due. Raises StoreError if the disk fails;
+        confirmed records stay confirmed, and a later step may succeed.
         """
         if self.closed:
             return 0
@@ -194,7 +194,7 @@
             raise to_store_error(error) from error
 
     def _step_job_at_hand(self, budget: int) -> bool:
-        """Go on with the job at hand; whether there was one."""
+        """Continue the current job; returns whether there was one."""
         if self.compactor.in_progress is not None:
             self.compactor.step(self.compactor.in_progress, budget)
         elif self.expiry_sweeper.cursor is not None:
@@ -219,7 +219,7 @@
                 self.reserve.begin()
 
     def _remaining_bytes(self) -> int:
-        """Bytes to read or write until the job at hand is done; 1 where there is one of another kind."""
+        """Bytes left of the current job; without one, 1 if another job is due, otherwise 0."""
         if self.compactor.in_progress is not None:
             return max(1, self.compactor.in_progress.remaining_bytes)
         if self.reserve.file is not None:
@@ -248,20 +248,25 @@
         )
 
     def compact_everything(self) -> None:
-        """Make every sealed segment with garbage worth compacting: for `store compact --all`."""
+        """Apply the garbage limits for disk pressure to every sealed segment, for `store compact --all`."""
         self.compact_all = True
 
     # -- ending ------------------------------------------------------------------------------------
 
     def close(self) -> None:
-        """Prove the tail by a last mark, write a checkpoint where one saves time, give everything back."""
+        """Write a last time mark and, after enough log, a checkpoint; then close all files and unlock.
+
+        The time mark proves that all records before it were flushed.
+        """
         if self.closed:
             return
         try:
             with contextlib.suppress(StoreError):
                 self._save_time_at_next_start()
         except OSError:
-            self.log.counts["writes failed"] += 1  # both only save time at the next start
+            self.log.counts["writes failed"] += (
+                1  # the time mark and the checkpoint only make the next opening faster
+            )
         finally:
             self.release_resources()
 
@@ -277,7 +282,7 @@
                 writer.step(STEP_BYTES)
 
     def release_resources(self) -> None:
-        """Close all files and unlock the directory, without writing anything."""
+        """Close all files and unlock the directory without writing."""
         with self.log.lock:
             self.closed = True
             self.reader.closed = True
@@ -287,7 +292,7 @@
         self.disk.unlock()
 
     def stat(self) -> dict[str, int]:
-        """Sizes now and counts since the start, from any thread; docs/operate-store.md explains each."""
+        """Current sizes, and counts since opening, from any thread; docs/operate-store.md explains each."""
         log = self.log
         with log.lock:
             segments, live_bytes = list(log.segments.values()), dict(log.index.live_bytes)
--- a/lichencleat/store/errors.py
+++ b/lichencleat/store/errors.py
@@ -1,6 +1,6 @@
-"""The store's errors. Each says what went wrong and where, and keeps the facts as attributes.
+"""The store's errors. Each message says what failed and where; attributes hold the values.
 
-`StoreError` is the base of all. Errors that report a refusal (`BadRecordError`, `FullError`,
+`StoreError` is the base class. Errors that report a rejected call (`BadRecordError`, `FullError`,
 `CannotOpenError`) guarantee that nothing was written.
 """
 
@@ -12,7 +12,7 @@
 
 
 class Limit(StrEnum):
-    """The limits that `FullError.limit` can name; the values appear in messages and logs."""
+    """The limits in `FullError.limit`; the values appear in messages and logs."""
 
     ENTRIES = "entries"
     MEMORY = "bytes in memory"
@@ -26,7 +26,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Finding:
-    """One place where the store's files differ from what was confirmed."""
+    """A place where the store's files differ from the confirmed records."""
 
     file: str
     offset: int  # bytes from the file's start
@@ -37,7 +37,7 @@
 
 
 class StoreError(Exception):
-    """Any refusal or failure of the store."""
+    """Any rejected or failed call of the store."""
 
 
 class ClosedError(StoreError):
@@ -48,7 +48,7 @@
 
 
 class SnapshotEndedError(StoreError):
-    """The snapshot was closed, or ended because the changes since would not fit its limit."""
+    """The snapshot was closed, or ended because its undo list or its files reached a limit."""
 
     def __init__(self) -> None:
         super().__init__("the snapshot is over: closed, or too much was changed since it was taken")
@@ -58,7 +58,7 @@
     """A limit was reached; nothing was written.
 
     Attributes:
-        limit: Which one, as a `Limit`.
+        limit: The limit, a value of `Limit`.
     """
 
     def __init__(self, limit: str, detail: str = "") -> None:
@@ -69,16 +69,16 @@
 class NotConfirmedError(StoreError):
     """Writing or flushing failed.
 
-    The records are not visible. A power cut before the next confirmed write may bring them back, whole
-    batches only.
+    The records are not visible. After a power cut before the next confirmed write, they may be visible, in
+    complete batches only.
     """
 
 
 class CorruptDataError(StoreError):
-    """Confirmed records can't be read: the bytes on disk are not those that were flushed.
+    """Confirmed records can't be read because the bytes on disk differ from those that were flushed.
 
     Attributes:
-        findings: Every place known to be wrong; at least one.
+        findings: All places known to be damaged; at least one.
     """
 
     def __init__(self, findings: Sequence[Finding]) -> None:
@@ -91,7 +91,7 @@
     """Reading the store's directory failed.
 
     Attributes:
-        directory: Its path.
+        directory: Path of the directory.
     """
 
     def __init__(self, directory: str, cause: OSError) -> None:
@@ -133,7 +133,7 @@
 
 
 class InvalidExpiryError(BadRecordError):
-    """An expiry is no time in µs of Unix time."""
+    """An expiry is not a valid time in µs of Unix time."""
 
     def __init__(self, expiry: int) -> None:
         super().__init__(f"an expiry is µs of Unix time, not {expiry}")
@@ -144,11 +144,11 @@
 
 
 class CannotOpenError(StoreError):
-    """The directory can't be opened as it is: no store, a newer format, or in use by another process."""
+    """The directory can't be opened: it is not a store, has a newer format, or is in use."""
 
 
 class NotAStoreError(CannotOpenError):
-    """The directory holds no store."""
+    """The directory is not a store."""
 
     def __init__(self, directory: str, reason: str) -> None:
         super().__init__(f"{directory}: no store {reason}")
@@ -156,7 +156,7 @@
 
 
 class DirectoryNotEmptyError(CannotOpenError):
-    """A new store was to be made in a directory that holds something else."""
+    """A new store can't be created because the directory has other files."""
 
     def __init__(self, directory: str, file: str | None = None) -> None:
         if file is None:
@@ -168,7 +168,7 @@
 
 
 class MissingMarkerError(CannotOpenError):
-    """The directory holds segments, but not the marker file that says that it is a store."""
+    """The directory has segments but no marker file."""
 
     def __init__(self, directory: str, marker: str) -> None:
         super().__init__(f"{directory}: segments without their file {marker}; try 'store salvage'")
@@ -179,9 +179,9 @@
     """A file was written by a newer version of this program.
 
     Attributes:
-        file: Its name.
-        version: The version of its format.
-        supported: The newest version that this program reads.
+        file: Name of the file.
+        version: Version of the file's format.
+        supported: The newest version that this program can read.
     """
 
     def __init__(self, file: str, version: int, supported: int) -> None:
@@ -194,7 +194,7 @@
 
 
 class UnusableDirectoryError(CannotOpenError):
-    """The directory can't be made or opened."""
+    """The directory can't be created or opened."""
 
     def __init__(self, directory: str, cause: OSError) -> None:
         super().__init__(f"{directory}: {cause.strerror}; name a directory that is a store")
@@ -202,7 +202,7 @@
 
 
 class DirectoryLockError(CannotOpenError):
-    """The directory's lock can't be taken; mostly another process holds it."""
+    """The directory can't be locked, usually because another process holds the lock."""
 
     def __init__(self, directory: str, cause: OSError) -> None:
         if isinstance(cause, BlockingIOError):
--- a/lichencleat/store/reader.py
+++ b/lichencleat/store/reader.py
@@ -1,4 +1,4 @@
-"""Reader: single values, snapshots, chunks and scans, from any thread, while one other writes."""
+"""Reader: reads values, snapshots, chunks and scans from any thread, concurrently with the writer."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 from lichencleat.store.log import Log
 from lichencleat.store.segments import Segment
 
-CHUNK_ENTRIES = 256  # looked up at once by a scan: the lock is held for some 0.1 ms
-MAX_SNAPSHOTS = 64  # each may hold files that compaction would remove, and an undo list
+CHUNK_ENTRIES = 256  # per lookup of a scan: holds the lock for some 0.1 ms
+MAX_SNAPSHOTS = 64  # each keeps removed files open and has an undo list
 
 
 @dataclass(slots=True)
 class _PinnedEntry:
-    """An entry to be read, and its segment, which is kept open meanwhile."""
+    """An entry to be read, and its segment, which stays open until the entry is read."""
 
     key: bytes
     location: int
@@ -32,14 +32,14 @@
 
 
 class Reader:
-    """Reads values; holds the log's lock only to look locations up, never while the disk is used."""
+    """Reads values; holds the log's lock for lookups of locations, never during disk I/O."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
         self.closed = False
 
     def get(self, key: bytes) -> bytes | None:
-        """The value, or None. Raises CorruptDataError where its bytes are not those that were confirmed."""
+        """Read the value of a key, or None. Raises CorruptDataError if the confirmed bytes can't be read."""
         log = self.log
         with log.lock:
             self._check_open()
@@ -72,7 +72,7 @@
         raise CorruptDataError([Finding(segment.name, offset, "a confirmed record is not whole")])
 
     def snapshot(self) -> Snapshot:
-        """Take a snapshot of the entries; `release` gives it back. Raises FullError, ClosedError."""
+        """Take a snapshot of the entries, to be released by `release`. Raises FullError, ClosedError."""
         log = self.log
         with log.lock:
             self._check_open()
@@ -83,7 +83,7 @@
             return snapshot
 
     def release(self, snapshot: Snapshot) -> None:
-        """Close a snapshot and the files that were kept for it."""
+        """Close a snapshot and release the files that were kept open for it."""
         with self.log.lock:
             self.log.unpin(snapshot)
 
@@ -92,7 +92,7 @@
     ) -> list[tuple[bytes, bytes]]:
         """Return up to `limit` keys and values of the snapshot from `cursor` on, in order.
 
-        The next chunk begins at the last key and a zero byte. The last chunk is empty.
+        The next chunk's cursor is the last key followed by a zero byte. The last chunk is empty.
 
         Raises:
             SnapshotEndedError: If the snapshot was closed or has ended.
@@ -110,10 +110,10 @@
                         self.log.release(each.segment)
             if found or following is None:
                 return found
-            cursor = following  # all of these have expired
+            cursor = following  # continues if all of these entries have expired
 
     def scan(self, prefix: bytes = b"", snapshot: Snapshot | None = None) -> Iterator[tuple[bytes, bytes]]:
-        """Yield keys and values in order of keys, as of when the scan began or the snapshot was taken."""
+        """Yield keys and values in order of keys, as of the snapshot or of the scan's beginning."""
         taken = snapshot if snapshot is not None else self.snapshot()
         cursor = prefix
         try:
@@ -131,7 +131,7 @@
     def _pin_entries(
         self, snapshot: Snapshot, cursor: bytes, prefix: bytes, limit: int
     ) -> tuple[bytes | None, list[_PinnedEntry]]:
-        """The cursor behind the next rows (None: there are none) and those of them that have not expired."""
+        """Pin the unexpired entries of the next chunk; returns the next cursor (None: the end) and them."""
         log = self.log
         with log.lock:
             if not snapshot.is_open:
--- a/lichencleat/store/salvage.py
+++ b/lichencleat/store/salvage.py
@@ -1,4 +1,4 @@
-"""Salvage: writes what is intact of a damaged store to a new one. The damaged store is not changed."""
+"""Salvage: copies the intact records of a damaged store to a new one; does not change the damaged store."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
 from lichencleat.store.recovery import RecoveryScan
 from lichencleat.store.segments import Record, read_header
 
-GROUP_BATCHES = 256  # that a salvage confirms at once
+GROUP_BATCHES = 256  # committed together
 
 
 @dataclass(slots=True)
 class SalvageReport:
-    """What `salvage` saved and what it met."""
+    """Result of `salvage`."""
 
-    records: int = 0
-    lost: int = 0  # frames that the sequence numbers say were there
-    batches_lost: int = 0  # batches with a frame missing: left out whole
+    records: int = 0  # copied to the new store
+    lost: int = 0  # frames missing according to the sequence numbers
+    batches_lost: int = 0  # incomplete batches, which are not copied
     entries: int = 0
     findings: list[Finding] = field(default_factory=list)
 
@@ -64,12 +64,13 @@
     limits: StoreLimits,
     progress: Progress = ignore_progress,
 ) -> SalvageReport:
-    """Write every intact record to a new store, in order, batches only whole.
+    """Write every intact record to a new store, in order, without incomplete batches.
 
-    Where records are lost, keys that they changed show what was written before, or are missing.
+    A key whose last records are lost has an older value in the new store, or is missing.
 
     Raises:
-        CannotOpenError: If there is nothing of a store, or the new directory is not empty.
+        CannotOpenError: If the directory has no file of a store.
+        DirectoryNotEmptyError: If the new directory is not empty.
         UnreadableDirectoryError: If reading fails.
         StoreError: If writing fails.
     """
@@ -127,7 +128,7 @@
 def _salvageable_batches(
     disk: Disk, scan: RecoveryScan, report: SalvageReport, progress: Progress
 ) -> Iterator[Batch]:
-    """The batches of all intact frames that count, as far as what is left of the store tells which do."""
+    """Yield the batches of all intact frames, except those that the remaining headers show as obsolete."""
     files = [
         SegmentFile(name, file, disk.size(file))
         for name in disk.names()
@@ -141,7 +142,7 @@
         for each in files:
             progress(each.name, done, total)
             done += each.size
-            if not _is_removed(scan, each):  # else what it held is in a newer one
+            if not _is_removed(scan, each):  # the records of a removed segment were copied to a newer one
                 yield from _intact_batches(scan.reader(each.file), each, ends.get(each.number), report)
     finally:
         for each in files:
@@ -149,7 +150,7 @@
 
 
 def _is_removed(scan: RecoveryScan, segment: SegmentFile) -> bool:
-    """Whether the newest segment tells that this one does not count any more."""
+    """Whether the newest segment shows that this one was removed from the store."""
     if segment.number in scan.removed_segments():
         return True
     is_rooted = bool(scan.segments) and not any(each.file == segment.name for each in scan.findings)
@@ -157,9 +158,9 @@
 
 
 def _last_sequences(scan: RecoveryScan, files: Sequence[SegmentFile]) -> dict[int, int]:
-    """The last sequence that counts in each segment, from every intact header of newer ones."""
+    """The last valid sequence of each segment, by number, from the intact headers of newer segments."""
     ends: dict[int, int] = {}
-    for each in files:  # in order, so that the newest header wins
+    for each in files:  # in order of numbers, so that the newest header wins
         found = read_header(scan.reader(each.file), each.file, each.name)
         if found is not None:
             for older in found[1].older:
@@ -170,7 +171,7 @@
 def _intact_batches(
     read: framing.Read, segment: SegmentFile, end: int | None, report: SalvageReport
 ) -> Iterator[Batch]:
-    """The segment's complete batches, up to the sequence `end` if it is known."""
+    """Yield the segment's complete batches, up to the sequence `end` if it is known."""
     salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.LOG_MAGIC, segment.name)
     if salt is None:
         problem = "its salt is lost: nothing in it can be told from chance"
@@ -180,7 +181,7 @@
     batch: list[Record] = []
     frames = framing.iter_frames_past_gaps(read, framing.FILE_HEADER_BYTES, segment.size, crc32c(salt))
     for _, _, body in frames:
-        with contextlib.suppress(*UNDECODABLE, BadRecordError):  # a header's body is no record's
+        with contextlib.suppress(*UNDECODABLE, BadRecordError):  # a segment header is not a record
             sequence, kind, _, number, key, value = framing.decode_body(body)
             if end is not None and sequence > end:
                 return
--- a/lichencleat/store/store.py
+++ b/lichencleat/store/store.py
@@ -1,8 +1,8 @@
 """Store: the engine for a program on a reactor, with Deferreds, group commit and maintenance between writes.
 
-In the reactor's thread the store only queues calls and hands results over. The disk is used in other
-threads, one of which writes. A write waits at most for the group under way; what does not fit the queue is
-refused at once.
+In the reactor's thread the store only queues calls and delivers results. Other threads do the disk I/O; one
+of them writes. Batches that arrive while a group is written form the next group. A batch that does not fit
+the queue is rejected immediately.
 """
 
 from __future__ import annotations
@@ -24,21 +24,21 @@
 from lichencleat.store.reader import CHUNK_ENTRIES
 from lichencleat.store.threads import Executor, StoreThreads, ThreadedReactor, Timer
 
-MAX_QUEUED_BATCHES = 4_096  # that wait for the writer: some 20 groups on a disk that flushes in 1 ms
-MAX_QUEUED_BYTES = 64 << 20  # of these batches
-MAX_GROUP_BATCHES = 512  # that one flush confirms: it keeps the next group waiting for some ms
-MAX_GROUP_BYTES = 4 << 20  # of these, unless one batch alone has more
-MAX_READS = 1_024  # under way or waiting for a thread
-READER_THREADS = 2  # more would only wait for the interpreter's lock
-MAINTENANCE_INTERVAL_S = 1.0  # until maintenance is tried again when there was none, or when it failed
-MAX_GROUPS_BETWEEN_STEPS = 16  # groups written, at the most, before a step of maintenance has its turn
+MAX_QUEUED_BATCHES = 4_096  # waiting for the writer: some 20 groups on a disk that flushes in 1 ms
+MAX_QUEUED_BYTES = 64 << 20  # of the waiting batches
+MAX_GROUP_BATCHES = 512  # confirmed by one flush; the next group waits a few ms for it
+MAX_GROUP_BYTES = 4 << 20  # of one group, unless a single batch is larger
+MAX_READS = 1_024  # running or waiting for a thread
+READER_THREADS = 2  # more threads would wait for the interpreter lock
+MAINTENANCE_INTERVAL_S = 1.0  # pause after a step that had nothing to do or failed
+MAX_GROUPS_BETWEEN_STEPS = 16  # group commits before a step of maintenance runs first
 
 P = ParamSpec("P")
 R = TypeVar("R")
 
 
 class QueuedBatch:
-    """A batch in the queue. `done` fires once: with None when it is confirmed, else with a StoreError."""
+    """A batch in the queue. `done` fires with None when the batch is confirmed, or with a StoreError."""
 
     __slots__ = ("batch", "done")
 
@@ -48,7 +48,7 @@
 
 
 class Store:
-    """Owns the engine; `close` gives everything back. All methods are called in the reactor's thread."""
+    """Owns the engine until `close`. All methods are called in the reactor's thread."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         run_in_reader: Executor,
         maintenance: bool = True,
     ) -> None:
-        """Begins with maintenance, if that is not left to the owner.
+        """Begins with a step of maintenance, unless the owner runs maintenance.
 
         Args:
-            reactor: For the timer of maintenance.
-            engine: Is open already.
-            run_in_writer: Runs one call after another.
-            run_in_reader: May run several at once.
-            maintenance: Whether the store runs it by itself; otherwise the owner calls `step`.
+            reactor: Runs the timer of maintenance.
+            engine: An open engine.
+            run_in_writer: Runs calls one after another.
+            run_in_reader: May run several calls concurrently.
+            maintenance: Whether the store runs maintenance; otherwise the owner calls `step`.
         """
         self.reactor = reactor
         self.engine = engine
@@ -75,13 +75,13 @@
         self.queue: deque[QueuedBatch] = deque()
         self.queued_bytes = 0
         self.reads = 0
-        self.writing = False  # a group or a step is under way
-        self.groups_since = 0  # groups since the last step
-        self.idle = False  # the last step found nothing to do
+        self.writing = False  # the writer thread runs a group, a step or the closing
+        self.groups_since = 0  # groups written since the last step of maintenance
+        self.idle = False  # the last step had nothing to do or failed
         self.maintenance_timer: Timer | None = None
         self.closing: Deferred[None] | None = None
-        self.on_closed: Callable[[], None] = lambda: None  # gives the threads back
-        self.last_error = ""  # what maintenance failed with last
+        self.on_closed: Callable[[], None] = lambda: None  # stops the threads
+        self.last_error = ""  # message of the last failed step of maintenance
         self._start_next_write()
 
     # -- writing -----------------------------------------------------------------------------------
@@ -100,7 +100,7 @@
     def commit(self, batch: Batch) -> Deferred[None]:
         """Write all changes or none; fires once they survive a power cut.
 
-        Fails with FullError, at once if it is the queue's limit, with NotConfirmedError or with ClosedError.
+        Fails with FullError (immediately if the queue is full), NotConfirmedError or ClosedError.
         """
         if self.closing is not None:
             return fail(ClosedError())
@@ -114,7 +114,7 @@
         return queued.done
 
     def _start_next_write(self) -> None:
-        """Give the writer its next call, if it has none: a group, a step of maintenance, or the closing."""
+        """Start the writer's next call unless one runs: a group, a step of maintenance, or the closing."""
         if self.writing:
             return
         step_due = self.maintenance and self.groups_since >= MAX_GROUPS_BETWEEN_STEPS and self.closing is None
@@ -147,7 +147,7 @@
         self, verdicts: Sequence[StoreError | None] | Failure, group: list[QueuedBatch]
     ) -> None:
         self.writing = False
-        self._start_next_write()  # the disk first: who is notified now writes again in the next group
+        self._start_next_write()  # before the callbacks: the disk works while they run
         for at, each in enumerate(group):
             verdict = verdicts if isinstance(verdicts, Failure) else verdicts[at]
             if verdict is None:
@@ -158,7 +158,7 @@
     # -- maintenance -------------------------------------------------------------------------------
 
     def step(self, budget: int = STEP_BYTES) -> Deferred[int]:
-        """Do one piece of maintenance, for an owner that runs it; fires with bytes left, 0 if none."""
+        """Do one step of maintenance, for an owner that runs it; fires with the bytes left, 0 if none."""
         if self.closing is not None:
             return succeed(0)
         return self.run_in_writer(self.engine.step, budget)
@@ -182,29 +182,29 @@
     # -- reading -----------------------------------------------------------------------------------
 
     def get(self, key: bytes) -> Deferred[bytes | None]:
-        """Read the value, or None. Fails with CorruptDataError, or FullError where too many reads wait."""
+        """Read the value, or None. Fails with CorruptDataError, or with FullError at the limit on reads."""
         return self.submit_read(self.engine.get, key)
 
     def snapshot(self) -> Snapshot:
-        """Take a snapshot of what is confirmed; `release` gives it back. Raises FullError, ClosedError."""
+        """Take a snapshot of the confirmed entries, to be released. Raises FullError, ClosedError."""
         return self.engine.snapshot()
 
     def release(self, snapshot: Snapshot) -> None:
-        """Give a snapshot back."""
+        """Release a snapshot."""
         self.engine.release(snapshot)
 
     def chunk(
         self, snapshot: Snapshot, cursor: bytes = b"", prefix: bytes = b"", limit: int = CHUNK_ENTRIES
     ) -> Deferred[list[tuple[bytes, bytes]]]:
-        """Read up to `limit` keys and values in order from `cursor` on; the last chunk is empty."""
+        """Read up to `limit` keys and values in order of keys from `cursor` on; the last chunk is empty."""
         return self.submit_read(self.engine.chunk, snapshot, cursor, prefix, limit)
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
-        """Yield all at once, waiting for the disk: for programs without a reactor to keep free."""
+        """Yield all entries; blocks on the disk, so not for a reactor's thread that has other work."""
         return self.engine.scan(prefix)
 
     def submit_read(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
-        """Run a call that reads in a reader's thread. Fails with FullError at the limit on reads."""
+        """Run a reading call in a reader thread. Fails with FullError at the limit on reads."""
         if self.closing is not None:
             return fail(ClosedError())
         if self.reads >= MAX_READS:
@@ -225,7 +225,7 @@
     # -- ending ------------------------------------------------------------------------------------
 
     def close(self) -> Deferred[None]:
-        """Write and confirm what is queued, then close; fires once the directory is given back."""
+        """Write and confirm the queued batches, then close; fires once the directory is unlocked."""
         if self.closing is None:
             self.closing = Deferred()
             if self.maintenance_timer is not None:
@@ -246,7 +246,7 @@
         self.closing.callback(None)
 
     def stat(self) -> dict[str, int]:
-        """The engine's sizes and counts, and what waits here."""
+        """The engine's sizes and counts, and the sizes of the queues."""
         return {
             **self.engine.stat(),
             "waiting writes": len(self.queue),
@@ -265,19 +265,19 @@
     maintenance: bool = True,
     disk: Disk | None = None,
 ) -> Deferred[Store]:
-    """Open the store in that directory, off the reactor's thread.
+    """Open the store in a directory without blocking the reactor's thread.
 
-    Two threads read and one writes until `close`.
+    Two reader threads and one writer thread run until `close`.
 
     Args:
-        reactor: Twisted's.
-        path: The directory.
-        clock: Gives µs of Unix time.
-        rng: Gives the salts of new files.
-        limits: How large the store may grow.
-        create: Whether to make the directory and a store where there is none.
-        maintenance: Whether the store runs it by itself.
-        disk: What to use in place of the directory.
+        reactor: Twisted's reactor.
+        path: Path of the directory.
+        clock: Returns µs of Unix time.
+        rng: Source of the salts of new files.
+        limits: Limits on the store's size.
+        create: Whether to create the directory and the store if they are missing.
+        maintenance: Whether the store runs maintenance; otherwise the owner calls `Store.step`.
+        disk: Used in place of the directory at `path`.
 
     Returns:
         Fires with the store; fails with CannotOpenError, CorruptDataError, FullError or NotConfirmedError.
--- a/lichencleat/store/threads.py
+++ b/lichencleat/store/threads.py
@@ -1,4 +1,4 @@
-"""Threads of a store: one that writes and some that read, behind the `Executor` that the store calls."""
+"""Threads of a store: one writer and several readers, which the store uses through `Executor`."""
 
 from __future__ import annotations
 
@@ -15,34 +15,34 @@
 
 
 class Executor(Protocol):
-    """Runs a function where it may wait for the disk; the Deferred fires with its result or error."""
+    """Runs a function in a thread that may block; the Deferred fires with its result or error."""
 
     def __call__(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
         """Run the call."""
 
 
 class Timer(Protocol):
-    """What the store needs of Twisted's `IDelayedCall`."""
+    """The part of Twisted's `IDelayedCall` that the store uses."""
 
     def cancel(self) -> None:
-        """Stop the timer."""
+        """Cancel the timer."""
 
 
 class ThreadedReactor(Protocol):
-    """What the store needs of Twisted's reactor: timers and threads."""
+    """The part of Twisted's reactor that the store uses: timers and threads."""
 
     def callLater(self, delay: float, call: Callable[..., object], /, *args: object) -> Timer:  # noqa: N802
-        """As `IReactorTime`."""
+        """See `IReactorTime`."""
 
     def callFromThread(self, call: Callable[..., object], /, *args: object) -> None:  # noqa: N802
-        """As `IReactorFromThreads`."""
+        """See `IReactorFromThreads`."""
 
     def callInThread(self, call: Callable[..., object], /, *args: object) -> None:  # noqa: N802
-        """As `IReactorInThreads`."""
+        """See `IReactorInThreads`."""
 
 
 def pool_executor(reactor: ThreadedReactor, pool: ThreadPool) -> Executor:
-    """An executor that runs its calls in that pool."""
+    """Create an executor that runs its calls in a thread pool."""
     threads = cast(IReactorFromThreads, reactor)
 
     def run(call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
@@ -52,7 +52,7 @@
 
 
 class StoreThreads:
-    """The threads of one store; they run until `stop`."""
+    """The threads of one store, which run until `stop`."""
 
     def __init__(self, reactor: ThreadedReactor, reader_threads: int) -> None:
         self.reactor = reactor
@@ -64,7 +64,7 @@
         self.run_in_reader = pool_executor(reactor, self.readers)
 
     def stop(self) -> None:
-        """End the threads once they are idle."""
-        # not in the thread that ends: a pool waits for its own threads
+        """Stop the threads once they are idle."""
+        # in another thread, because stopping a pool joins the pool's threads
         self.reactor.callInThread(self.readers.stop)
         self.reactor.callInThread(self.writers.stop)
