--- a/tests/store/every_byte.py
+++ b/tests/store/every_byte.py
@@ -1,12 +1,14 @@
-"""The store's files cut off at every byte, each file alone and the last two segments at every pair of
-offsets.
+"""Opens the store with its files truncated at every byte.
 
-    python -m tests.store.every_byte            all of it, in minutes; one table
+Truncates each file alone, and the last two segments at every pair of offsets.
+
+    python -m tests.store.every_byte             all offsets, in minutes; prints one table
     python -m tests.store.every_byte --share 50  every fiftieth offset, as the tests do
 
-A file cut off behind what was flushed is what a cut of power leaves; the store opens, and holds a whole
-number of the batches, all those that were confirmed before the offset among them. One cut off before that is
-corruption: it is reported, and a salvage gives nothing but what was confirmed, and all of it that was intact.
+A power cut can leave a file that is truncated after its flushed bytes. The store then has to open with
+complete batches only, among them all that were confirmed before the offset. A file truncated within its
+flushed bytes is corruption: the store has to report it, and a salvage has to return every intact confirmed
+record and no record that was never written.
 """
 
 import itertools
@@ -31,7 +33,7 @@
 
 
 class Cutter:
-    """The workload's files, and what is true of them at each length."""
+    """Truncates the workload's files and checks the store that opens on them."""
 
     def __init__(self, point, close):
         disk = FaultyDisk()
@@ -51,7 +53,7 @@
         self.outcomes = Counter()
 
     def confirmed_at(self, lengths):
-        """How many batches had been confirmed when the files were no longer than that."""
+        """Number of batches confirmed while the files were no longer than `lengths`."""
         return max(
             (
                 count
@@ -62,7 +64,7 @@
         )
 
     def cut(self, lengths):
-        """None if all is as it has to be, else what is not."""
+        """Open the store with files truncated to `lengths`; returns None or the violation."""
         files = dict(self.image)
         for name, length in lengths.items():
             files[name] = files[name][:length]
@@ -73,7 +75,7 @@
             engine = self.workload.open(FaultyDisk(files), create=False)
         except (CorruptDataError, CannotOpenError) as reported:
             self.outcomes["reported as corrupt"] += 1
-            # a segment's going is noted in the newest one: with that cut off, the one that went is missing
+            # the newest segment records removals: truncated, it makes a removed segment look lost
             went = "is part of the store" in str(reported) and self.logs[-1] in lengths
             if (
                 not any(name in str(reported) for name in lengths)
@@ -101,7 +103,7 @@
             name, end = SEGMENT.format(segment_of(location)), offset_of(location) + length_of(location)
             expiry = location >> 96
             if key in self.in_batches:
-                # the batch's last frame stands further on: without it none of it counts
+                # the batch's commit record comes later; without it the batch is incomplete
                 end = len(self.image[name])
             if lengths.get(name, end) >= end and not 0 < expiry <= now and found.get(key) != self.whole[key]:
                 return f"{lengths}: {key!r} stands whole, and salvage has {found.get(key)!r}"
@@ -128,7 +130,7 @@
 
 
 def run(point, close, what, share, part=0, parts=1):
-    """Every `parts`th of the cuts: offsets tried, opened, corruption reported, and all that was wrong."""
+    """Check every `parts`th truncation; returns the counts (tried, opened, reported) and the violations."""
     cutter = Cutter(point, close)
     cuts = cutter.single(max(1, share // 10)) if what == "one file" else cutter.pairs(share)
     verdicts = [cutter.cut(lengths) for lengths in itertools.islice(cuts, part, None, parts)]
--- a/tests/store/kill.py
+++ b/tests/store/kill.py
@@ -1,4 +1,4 @@
-"""kill -9 of `lichencleat store put` under load, many times over on one store: whatever was printed is there.
+"""Kills `lichencleat store put` under load, again and again on one store; each printed key has to be stored.
 
 python -m tests.store.kill --times 100
 """
@@ -14,11 +14,11 @@
 import click
 
 COMMAND = [sys.executable, "-m", "lichencleat", "store"]
-KEYS = 400  # rewritten again and again, so that segments are cleaned meanwhile
+KEYS = 400  # rewritten repeatedly, so that segments are compacted meanwhile
 
 
 def feed(pipe, turn, rng):
-    """Lines without end; who reads them is killed."""
+    """Write lines until the reading process is killed."""
     try:
         for n in range(1_000_000):
             key = f"k{rng.randrange(KEYS)}"
@@ -33,8 +33,9 @@
 
 
 def killed_put(directory, turn, lines, rng):
-    """The keys that were printed before the kill, which comes after so many of them, and the values fed, in
-    order.
+    """Run `put` and kill it after it has printed `lines` keys.
+
+    Returns the printed keys, and the keys and values written to it, as many and in order.
     """
     seed = rng.random()
     put = subprocess.Popen([*COMMAND, "put", directory], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
@@ -42,7 +43,7 @@
     feeder.start()
     printed = [put.stdout.readline().decode().strip() for _ in range(lines)]
     put.kill()
-    printed += put.stdout.read().decode().split("\n")[:-1]  # a line without its end was not printed whole
+    printed += put.stdout.read().decode().split("\n")[:-1]  # without an incomplete last line
     put.wait()
     feeder.join()
     put.stdout.close()
@@ -54,7 +55,7 @@
 
 
 def run(times, seed, on_turn=lambda turn, printed: None):
-    """What was printed and is not there, over so many kills."""
+    """Kill `times` times; returns the violations: keys that were printed but are not stored."""
     rng = random.Random(seed)
     wrong, confirmed = [], {}
     with tempfile.TemporaryDirectory() as top:
@@ -69,7 +70,7 @@
             for key, value in confirmed.items():
                 there = found.get(key, "")
                 later = there.startswith(f"{turn}.") and int(there.split(".")[1]) >= len(printed)
-                if there != value and not later:  # one behind the last printed may be there, confirmed or not
+                if there != value and not later:  # a later write than the last printed may be stored
                     wrong.append(f"turn {turn}: {key} reads {there:.30}, confirmed {value:.30}")
             confirmed = found
             on_turn(turn, len(printed))
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -1,4 +1,4 @@
-"""Cuts of power, full disks and failing flushes at every call that the store makes of its disk."""
+"""Power cuts, full disks and failing flushes at every disk call of the store."""
 
 import contextlib
 import errno
@@ -18,7 +18,7 @@
 
 
 def find_violations(disks, workload):
-    """What the store on each of these disks breaks of the rule; opening must go through."""
+    """Violations by the stores on these disks; a store that fails to open is a violation."""
     found = []
     for disk in disks:
         try:
@@ -75,7 +75,7 @@
 
 @pytest.mark.parametrize("calls", range(1, 10))
 def test_power_cut_with_every_fate_of_unflushed_writes(calls):
-    """Through an append, its flush, and a rotation's create, append, flush, rename and directory flush."""
+    """Covers an append and its flush, and a rotation's create, append, flush, rename and directory flush."""
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
@@ -100,7 +100,7 @@
         except StoreError:
             disk.faults = {}
             workload.open(disk)
-        with contextlib.suppress(StoreError):  # of a step of maintenance: a later one may go on
+        with contextlib.suppress(StoreError):  # from a step of maintenance; a later step may succeed
             workload.run(close=False)
         disk.faults = {}
         assert workload.check(workload.engine) is None, disk.calls[call]
@@ -123,7 +123,7 @@
 
 
 def test_failed_flush_is_never_relied_on():
-    """The next flush of the same file would succeed, and prove nothing of what the failed one covered."""
+    """After a failed flush, the next flush of the file can succeed although the earlier data is lost."""
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
@@ -147,11 +147,11 @@
     workload.run_maintenance()
     assert workload.engine.reserve.held_bytes
     for n in range(12):
-        workload.commit((b"k%d" % n, b"last" * 5, 0))  # garbage, not yet cleaned
+        workload.commit((b"k%d" % n, b"last" * 5, 0))  # makes garbage that is not compacted yet
     disk.room = disk.used() + 5
     verdict = workload.commit((b"one more", b"x" * 100, 0))
     assert isinstance(verdict, FullError) and "room on the disk itself" in str(verdict)
-    assert workload.check(workload.engine) is None  # reads go on
+    assert workload.check(workload.engine) is None  # reads still succeed
     workload.run_maintenance()
     assert workload.engine.log.counts["segments cleaned"] > 0
     assert workload.commit((b"one more", b"x" * 100, 0)) is None
@@ -185,7 +185,7 @@
                 if isinstance(wrong, CorruptDataError):
                     assert wrong.findings[0].file in (name, "STORE")
                 continue
-            # the last flush alone can't be told from one that never ended
+            # only the last group looks the same as a torn write
             assert name == newest and at >= last, (name, at, dict(engine.scan()))
             silent += 1
     assert reported > 300 and silent <= confirmed.size - last
@@ -245,13 +245,16 @@
     mark = Record(framing.TIME_MARK, workload.now, b"")
     segment.size += len(data)
     last = segment.first_sequence + len(bodies)
-    disk.append(segment.file, encode_records([mark], segment, last, last - 1)[0])  # proves all before it
+    disk.append(
+        segment.file, encode_records([mark], segment, last, last - 1)[0]
+    )  # proves the records before it
     assert [key for key, _ in workload.open(FaultyDisk(disk.image())).scan()] == [b"whole"]
 
 
 def test_kill_followed_by_a_power_cut_loses_nothing_confirmed():
-    """After a kill, what was not flushed is still read from the page cache; what rests on it must be made
-    sure of first.
+    """After a kill, unflushed data is still read from the page cache, and a later power cut removes it.
+
+    Recovery has to write it again before anything depends on it.
     """
     rng = random.Random(9)
     for call in range(CALLS):
@@ -265,29 +268,29 @@
             try:
                 seen = dict(workload.open(disk).scan())
             except CannotOpenError:
-                continue  # killed while the store was being made
+                continue  # killed during the creation of the store
             if call % 2:
                 workload.history.batches = workload.history.batches[: workload.history.confirmed]
                 workload.history.record_request(
                     [(key, seen.get(key), 0) for key in {*seen, *workload.history.state_after(1_000)}]
                 )
-                workload.history.record_confirmation()  # what was read once is there for good
+                workload.history.record_confirmation()  # an entry that was read has to survive
                 workload.history.record_request([])
             for _ in range(3):
                 assert find_violations([disk.after_cut(by_chance(rng))], workload) == [], (call, kind)
 
 
 def test_records_covered_by_a_checkpoint_are_proved():
-    """Else it would get new sequences, and the checkpoint would hide what came under the old ones."""
+    """If a covered record was rewritten with a new sequence, the checkpoint would hide later records."""
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
     workload.commit((b"a", b"1", 0))
-    workload.now += 2 * SECOND  # so that a mark comes first, which is not written anew
+    workload.now += 2 * SECOND  # a time mark comes first, which is not written again
     workload.commit((b"a", None, 0))
     workload.engine.checkpoint_writer.begin()
     workload.run_maintenance()
     workload.open(FaultyDisk(disk.image()))
     workload.commit((b"b", b"2", 0))
-    workload.commit((b"c", b"3", 0))  # proves the one before it
+    workload.commit((b"c", b"3", 0))  # proves the previous record
     assert find_violations([FaultyDisk(workload.engine.disk.image())], workload) == []
--- a/tests/store/test_engine.py
+++ b/tests/store/test_engine.py
@@ -1,4 +1,4 @@
-"""Engine: limits, space given back, snapshots, opening."""
+"""Engine: limits, reclaimed space, snapshots and opening."""
 
 import random
 
@@ -121,9 +121,8 @@
             held.pop(key, None)
             assert bound(engine, Batch().delete(key)) is None
         sealed = [each for each in engine.log.segments.values() if each is not engine.log.active]
-        if (
-            engine.compactor.in_progress is None and sealed and turn % 7 == 0
-        ):  # any segment, not the one that pays best
+        # a random victim, not the one with the best score
+        if engine.compactor.in_progress is None and sealed and turn % 7 == 0:
             each = rng.choice(sealed)
             engine.compactor.in_progress = Compaction(each, each.data_start, each.first_sequence)
         engine.step(100)
--- a/tests/store/test_framing.py
+++ b/tests/store/test_framing.py
@@ -1,4 +1,4 @@
-"""Framing: frames read back, and nothing else taken for one."""
+"""Framing: reads back every frame, and reads no other bytes as a frame."""
 
 import random
 
@@ -53,7 +53,7 @@
 def test_iter_frames_past_gaps_finds_frames_behind_other_bytes(window, monkeypatch):
     monkeypatch.setattr(framing, "READ_WINDOW_BYTES", window)
     first, noise = log(BODIES[0]), b"\xa7\xc5" * 50 + random.Random(1).randbytes(300) + b"\xa7"
-    inner = log(BODIES[1])  # a copy within a value: no frame there
+    inner = log(BODIES[1])  # a frame copied into a value is not a frame at that offset
     start = len(first) + len(noise) + len(inner)
     data = first + noise + inner + log(*BODIES[2:5], start=start)
     found = [offset for offset, _, _ in framing.iter_frames_past_gaps(reader(data), 1, len(data), SALT)]
--- a/tests/store/test_log_tail.py
+++ b/tests/store/test_log_tail.py
@@ -1,4 +1,4 @@
-"""Log tail: what the frames at the end of the log prove."""
+"""Log tail: which frames at the end of the log are proved to be flushed."""
 
 from lichencleat.store import framing
 from lichencleat.store.log_tail import LogTail
@@ -11,8 +11,8 @@
     assert (tail.proved, tail.proved_end, len(tail.unproved)) == (9, 100, 2)
     assert tail.accept(120, 10, 12, framing.BATCH_PUT, 1, 0)
     assert (tail.proved, tail.proved_end) == (11, 120)
-    assert tail.unproved_records() == []  # a batch without its commit
+    assert tail.unproved_records() == []  # the batch has no commit record yet
     assert tail.accept(130, 10, 13, framing.COMMIT, 2, 1)
     assert tail.unproved_records() == [(120, 10), (130, 10)]
-    assert not tail.accept(140, 10, 15, framing.PUT, 1, 0)  # a sequence is missing
+    assert not tail.accept(140, 10, 15, framing.PUT, 1, 0)  # sequence 14 is missing
     assert tail.is_loss_proved_by(20, 6) and not tail.is_loss_proved_by(20, 7)
--- a/tests/store/test_maintenance.py
+++ b/tests/store/test_maintenance.py
@@ -1,4 +1,4 @@
-"""Maintenance: which segment is compacted and which job is next."""
+"""Maintenance: selection of the compaction victim and of the next job."""
 
 from crc32c import crc32c
 
@@ -72,10 +72,11 @@
 def test_next_job_order():
     full = [make_segment(1, 1_000)]
     assert next_job(make_state(full, {}, earliest_expiry=5, entries=0), 5) is MaintenanceJob.SWEEP_EXPIRED
+    # the last sweep was too recent
     assert (
         next_job(make_state(full, {}, earliest_expiry=5, entries=10, last_sweep_at=1), 50)
         is MaintenanceJob.COMPACT
-    )  # swept just now
+    )
     assert (
         next_job(
             make_state(full, {1: 990}, bytes_since_checkpoint=maintenance.CHECKPOINT_INTERVAL_BYTES + 1), 0
--- a/tests/store/test_model.py
+++ b/tests/store/test_model.py
@@ -1,6 +1,4 @@
-"""The store against a plain dict, in any order of calls that hypothesis thinks of, with cuts and reopenings
-between.
-"""
+"""Compares the store with a dict over sequences of calls from hypothesis, with power cuts and reopenings."""
 
 import random
 
@@ -33,10 +31,10 @@
         self.disk = FaultyDisk()
         self.workload = StoreWorkload(bounds=SMALL)
         self.workload.open(self.disk)
-        self.snapshots = []  # with what each has to show
+        self.snapshots = []  # each with its expected entries
 
     def state(self):
-        """What has to be there; the time that counts is the latest that the store has seen."""
+        """The expected entries at the latest time that the store has seen."""
         history = self.workload.history
         return visible_entries(history.state_after(len(history.batches)), self.workload.engine.log.time)
 
@@ -105,9 +103,8 @@
     def cut(self, seed):
         self.snapshots = []
         self.disk = self.disk.after_cut(by_chance(random.Random(seed)))
-        self.workload.now = max(
-            self.workload.now, self.workload.engine.log.time
-        )  # a cut may forget the last second of marks
+        # a power cut may lose the time marks of the last second
+        self.workload.now = max(self.workload.now, self.workload.engine.log.time)
         self.workload.open(self.disk)
 
     @rule(calls=st.integers(0, 12), seed=st.integers(0, 1 << 16), key=keys, value=values)
@@ -127,9 +124,9 @@
         found = dict(engine.scan())
         history = self.workload.history
         assert history.check(found, engine.log.time) is None
-        if found != self.state():  # the one under way is not there: asked for no more
+        if found != self.state():  # the unconfirmed batch was lost
             history.batches = history.batches[: history.confirmed]
-        history.record_confirmation()  # what recovery gave back stays
+        history.record_confirmation()  # recovered entries have to survive
 
     @invariant()
     def entries_match_the_model(self):
@@ -149,7 +146,7 @@
 TestModel.settings = settings(
     max_examples=60,
     stateful_step_count=40,
-    derandomize=True,  # the verdict does not vary
+    derandomize=True,  # the same examples in every run
     deadline=None,
     database=None,
     suppress_health_check=list(HealthCheck),
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -1,4 +1,4 @@
-"""The store on a reactor: group commit, the queue's bounds, maintenance between writes, closing."""
+"""The store on a reactor: group commit, limits of the queue, maintenance between writes, closing."""
 
 import queue
 import random
@@ -34,7 +34,7 @@
 
 
 class ManualExecutor:
-    """A thread's stand-in: does its calls one by one, when the test says so."""
+    """Replaces a thread: runs its calls one by one, when the test calls `work`."""
 
     def __init__(self):
         self.calls = []
@@ -57,7 +57,7 @@
 
 
 class Reactor(Clock):
-    """Runs in the test's thread what other threads hand over."""
+    """Runs calls from other threads in the test's thread."""
 
     def __init__(self):
         super().__init__()
@@ -72,7 +72,7 @@
         self.callFromThread(thread.join)
 
     def until(self, done):
-        """The Deferred's result; other threads have 20 s for it."""
+        """Wait up to 20 s for the Deferred's result."""
         results = []
         done.addBoth(results.append)
         while not results:
@@ -110,7 +110,7 @@
 @pytest.fixture
 def store(reactor, engine, writer, reader):
     made = Store(reactor, engine, writer, reader)
-    writer.work()  # the first attempt at maintenance finds nothing
+    writer.work()  # the first step of maintenance has nothing to do
     return made
 
 
@@ -222,7 +222,7 @@
     writer.work()
     where = engine.log.index.locations[b"k"]
     segment = engine.log.segments[where >> 64 & 0xFFFFFFFF]
-    segment.reference_count += 1  # as a reader that is at it
+    segment.reference_count += 1  # as a concurrent reader does
     store.close()
     writer.work(5)
     assert engine.reader.read_value(segment, b"k", where) == b"v"
--- a/tests/store/test_store_commands.py
+++ b/tests/store/test_store_commands.py
@@ -1,4 +1,4 @@
-"""`lichencleat store` as its users call it: what it prints, its exit codes, kills, damage."""
+"""`lichencleat store` as a command: output, exit codes, kills and damaged stores."""
 
 import json
 import os
@@ -157,7 +157,7 @@
 
 
 def test_kills_lose_nothing_that_was_printed():
-    """Some; a hundred are `python -m tests.store.kill`."""
+    """Five kills; `python -m tests.store.kill` makes a hundred."""
     assert run(times=5, seed=3) == []
 
 
--- a/tests/store/test_test_kit.py
+++ b/tests/store/test_test_kit.py
@@ -1,4 +1,4 @@
-"""The store's test kit: the history checker and the choices of the faulty disk."""
+"""The store's test kit: the history checker, and the faulty disk's choices after a power cut."""
 
 from lichencleat.testkit.checkers.store_history import History
 from lichencleat.testkit.faulty_disk import every_choice
--- a/tests/store/workload.py
+++ b/tests/store/workload.py
@@ -1,4 +1,4 @@
-"""A scripted workload for the store, with every kind of write that it makes, judged after any fault."""
+"""A scripted workload with every kind of write of the store, checked against its history after a fault."""
 
 import contextlib
 import random
@@ -17,7 +17,7 @@
 
 
 class StoreWorkload:
-    """A clock that the test moves, one disk after another, and what was asked of the stores on them."""
+    """Runs the workload on one disk after another, with a manual clock, and records its history."""
 
     def __init__(self, seed=1, bounds=SMALL):
         self.now = 1_000 * SECOND
@@ -25,14 +25,14 @@
         self.history = History()
         self.bounds = bounds
         self.engine = None
-        self.confirmations = []  # how many were confirmed, and each segment's size then
+        self.confirmations = []  # number of confirmed batches, with each segment's size then
 
     def open(self, disk, create=True):
         self.engine = Engine.open(disk, lambda: self.now, self.rng, self.bounds, create=create)
         return self.engine
 
     def commit(self, *changes):
-        """One batch: (key, value or None, expiry)."""
+        """Commit one batch of changes: (key, value or None to delete, expiry)."""
         batch = Batch()
         for key, value, expiry in changes:
             if value is None:
@@ -58,7 +58,7 @@
         raise AssertionError("maintenance has no end")
 
     def run(self, rounds=3, point=True, close=True):
-        """Puts, rewrites, batches, deletes, expiry, rotation, cleaning; a checkpoint, a clean close."""
+        """Puts, rewrites, batches, deletes, expiry, rotation, compaction, a checkpoint and a clean close."""
         for turn in range(rounds):
             for n in range(4):
                 self.commit((b"k%d" % n, b"v%d.%d" % (turn, n) * 6, 0))
@@ -67,7 +67,7 @@
             self.commit((b"k%d" % turn, None, 0))
             self.now += SECOND // 2
             self.run_maintenance()
-        for n in range(4):  # whole segments without anything that lives: they go without a copy
+        for n in range(4):  # segments without live entries, which are removed without a copy
             self.commit((b"again", b"%d" % n * 350, 0))
             self.run_maintenance()
         if point:
@@ -88,7 +88,7 @@
 
 
 def run_until_power_cut(workload, disk):
-    """The workload up to a cut that the disk's faults make; True where it was cut."""
+    """Run the workload until a power cut from the disk's faults; returns whether there was one."""
     try:
         workload.open(disk)
         workload.run()
@@ -100,7 +100,7 @@
 
 
 def count_calls():
-    """How many calls of the disk the workload makes: each is a place to cut at."""
+    """Number of disk calls of the workload: the places for a fault."""
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
