--- a/tests/store/every_byte.py
+++ b/tests/store/every_byte.py
@@ -29,27 +29,31 @@
 from lichencleat.testkit.faulty_disk import FaultyDisk
 from tests.store.workload import StoreWorkload
 
-LARGE = StoreLimits(segment_bytes=1 << 20, max_disk_bytes=1 << 30)
+LARGE_LIMITS = StoreLimits(segment_bytes=1 << 20, max_disk_bytes=1 << 30)
 
 
-class Cutter:
+class TruncationCheck:
     """Truncates the workload's files and checks the store that opens on them."""
 
-    def __init__(self, point, close):
+    def __init__(self, with_checkpoint, close):
         disk = FaultyDisk()
         self.workload = StoreWorkload()
         self.workload.open(disk)
-        self.workload.run(point=point, close=False)
+        self.workload.run(with_checkpoint=with_checkpoint, close=False)
         self.locations = dict(self.workload.engine.log.index.locations)
         if close:
             self.workload.engine.close()
         self.image = disk.image()
-        self.whole = {key: value for key, (value, _) in self.workload.history.state_after(10_000).items()}
-        self.ever = {(key, value) for batch in self.workload.history.batches for key, value, _ in batch}
-        self.in_batches = {
+        self.final_values = {
+            key: value for key, (value, _) in self.workload.history.state_after(10_000).items()
+        }
+        self.written_entries = {
+            (key, value) for batch in self.workload.history.batches for key, value, _ in batch
+        }
+        self.batch_keys = {
             key for batch in self.workload.history.batches if len(batch) > 1 for key, _, _ in batch
         }
-        self.logs = sorted(each for each in self.image if each.endswith(".log"))
+        self.segment_names = sorted(each for each in self.image if each.endswith(".log"))
         self.outcomes = Counter()
 
     def confirmed_at(self, lengths):
@@ -63,7 +67,7 @@
             default=0,
         )
 
-    def cut(self, lengths):
+    def check_truncated(self, lengths):
         """Open the store with files truncated to `lengths`; returns None or the violation."""
         files = dict(self.image)
         for name, length in lengths.items():
@@ -73,91 +77,120 @@
         history.confirmed = self.confirmed_at(lengths)
         try:
             engine = self.workload.open(FaultyDisk(files), create=False)
-        except (CorruptDataError, CannotOpenError) as reported:
+        except (CorruptDataError, CannotOpenError) as rejection:
             self.outcomes["reported as corrupt"] += 1
             # the newest segment records removals: truncated, it makes a removed segment look lost
-            went = "is part of the store" in str(reported) and self.logs[-1] in lengths
+            is_removed_segment = (
+                "is part of the store" in str(rejection) and self.segment_names[-1] in lengths
+            )
             if (
-                not any(name in str(reported) for name in lengths)
-                and "no segment" not in str(reported)
-                and not went
+                not any(name in str(rejection) for name in lengths)
+                and "no segment" not in str(rejection)
+                and not is_removed_segment
             ):
-                return f"{lengths}: the finding names another file: {reported}"
+                return f"{lengths}: the finding names another file: {rejection}"
             return self.check_salvage(files, lengths)
-        except StoreError as wrong:
-            return f"{lengths}: {wrong!r}"
+        except StoreError as error:
+            return f"{lengths}: {error!r}"
         self.outcomes["opened"] += 1
         return history.check(dict(engine.scan()), self.workload.now)
 
     def check_salvage(self, files, lengths):
-        into = FaultyDisk()
+        new_disk = FaultyDisk()
         try:
-            salvage(FaultyDisk(files), into, lambda: self.workload.now, random.Random(1), "old", "new", LARGE)
+            salvage(
+                FaultyDisk(files),
+                new_disk,
+                lambda: self.workload.now,
+                random.Random(1),
+                "old",
+                "new",
+                LARGE_LIMITS,
+            )
         except CannotOpenError:
-            return None if not any(length for length in lengths.values()) else f"{lengths}: not check_salvage"
-        found = dict(self.workload.open(into).scan())
-        if strangers := set(found.items()) - self.ever:
-            return f"{lengths}: salvage made up {strangers}"
+            return (
+                None if not any(length for length in lengths.values()) else f"{lengths}: salvage was rejected"
+            )
+        found = dict(self.workload.open(new_disk).scan())
+        if unknown_entries := set(found.items()) - self.written_entries:
+            return f"{lengths}: salvage returned entries that were never written: {unknown_entries}"
         now = self.workload.now
         for key, location in self.locations.items():
             name, end = SEGMENT.format(segment_of(location)), offset_of(location) + length_of(location)
             expiry = location >> 96
-            if key in self.in_batches:
+            if key in self.batch_keys:
                 # the batch's commit record comes later; without it the batch is incomplete
                 end = len(self.image[name])
-            if lengths.get(name, end) >= end and not 0 < expiry <= now and found.get(key) != self.whole[key]:
-                return f"{lengths}: {key!r} stands whole, and salvage has {found.get(key)!r}"
+            if (
+                lengths.get(name, end) >= end
+                and not 0 < expiry <= now
+                and found.get(key) != self.final_values[key]
+            ):
+                return f"{lengths}: {key!r} is intact, but salvage returned {found.get(key)!r}"
         return None
 
-    def single(self, share):
+    def single_file_lengths(self, share):
         for name in sorted(self.image):
             if name != "reserve":
                 for length in range(0, len(self.image[name]), share):
                     yield {name: length}
 
-    def pairs(self, share):
-        first, second = self.logs[-2:]
-        every = itertools.product(range(len(self.image[first])), range(len(self.image[second])))
-        for one, two in itertools.islice(every, 0, None, share):
-            yield {first: one, second: two}
+    def last_two_segment_lengths(self, share):
+        first, second = self.segment_names[-2:]
+        all_pairs = itertools.product(range(len(self.image[first])), range(len(self.image[second])))
+        for first_length, second_length in itertools.islice(all_pairs, 0, None, share):
+            yield {first: first_length, second: second_length}
 
 
-WAYS = [
-    (point, close, what)
-    for point, close in ((False, False), (True, False), (True, True))
-    for what in ("one file", "last two segments")
+CASES = [
+    (with_checkpoint, close, target)
+    for with_checkpoint, close in ((False, False), (True, False), (True, True))
+    for target in ("one file", "last two segments")
 ]
 
 
-def run(point, close, what, share, part=0, parts=1):
+def run(with_checkpoint, close, target, share, part=0, parts=1):
     """Check every `parts`th truncation; returns the counts (tried, opened, reported) and the violations."""
-    cutter = Cutter(point, close)
-    cuts = cutter.single(max(1, share // 10)) if what == "one file" else cutter.pairs(share)
-    verdicts = [cutter.cut(lengths) for lengths in itertools.islice(cuts, part, None, parts)]
-    counts = [len(verdicts), cutter.outcomes["opened"], cutter.outcomes["reported as corrupt"]]
-    return counts, [each for each in verdicts if each]
+    check = TruncationCheck(with_checkpoint, close)
+    truncations = (
+        check.single_file_lengths(max(1, share // 10))
+        if target == "one file"
+        else check.last_two_segment_lengths(share)
+    )
+    results = [check.check_truncated(lengths) for lengths in itertools.islice(truncations, part, None, parts)]
+    counts = [len(results), check.outcomes["opened"], check.outcomes["reported as corrupt"]]
+    return counts, [each for each in results if each]
 
 
 @click.command()
-@click.option("--share", type=click.IntRange(min=1), default=1, help="One pair of offsets in so many.")
-@click.option("--processes", type=click.IntRange(min=1), default=os.cpu_count(), help="How many at once.")
+@click.option(
+    "--share", type=click.IntRange(min=1), default=1, help="Check one in this many pairs of offsets."
+)
+@click.option(
+    "--processes", type=click.IntRange(min=1), default=os.cpu_count(), help="Number of parallel processes."
+)
 def main(share, processes):
-    begun = time.monotonic()
-    wrong = []
-    click.echo("checkpoint  closed  what was cut off     offsets  opened  reported as corrupt")
+    started_at = time.monotonic()
+    violations = []
+    click.echo("checkpoint  closed  truncated files      offsets  opened  reported as corrupt")
     with ProcessPoolExecutor(processes) as pool:
-        for point, close, what in WAYS:
-            jobs = [pool.submit(run, point, close, what, share, at, processes) for at in range(processes)]
-            done = [each.result() for each in jobs]
+        for with_checkpoint, close, target in CASES:
+            jobs = [
+                pool.submit(run, with_checkpoint, close, target, share, part, processes)
+                for part in range(processes)
+            ]
+            results = [each.result() for each in jobs]
             tried, opened, reported = (
-                sum(column) for column in zip(*(counts for counts, _ in done), strict=True)
+                sum(column) for column in zip(*(counts for counts, _ in results), strict=True)
+            )
+            violations += [each for _, found in results for each in found]
+            click.echo(
+                f"{with_checkpoint!s:10}  {close!s:6}  {target:18}  {tried:8}  {opened:6}  {reported:15}"
             )
-            wrong += [each for _, found in done for each in found]
-            click.echo(f"{point!s:10}  {close!s:6}  {what:18}  {tried:8}  {opened:6}  {reported:15}")
-    for each in wrong[:10]:
-        click.echo(f"WRONG {each}")
-    click.echo(f"{len(wrong)} wrong, {time.monotonic() - begun:.0f} s, {processes} processes")
-    raise SystemExit(1 if wrong else 0)
+    for each in violations[:10]:
+        click.echo(f"VIOLATION {each}")
+    click.echo(f"{len(violations)} violations, {time.monotonic() - started_at:.0f} s, {processes} processes")
+    raise SystemExit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/tests/store/kill.py
+++ b/tests/store/kill.py
@@ -17,7 +17,7 @@
 KEYS = 400  # rewritten repeatedly, so that segments are compacted meanwhile
 
 
-def feed(pipe, turn, rng):
+def write_lines(pipe, turn, rng):
     """Write lines until the reading process is killed."""
     try:
         for n in range(1_000_000):
@@ -32,52 +32,55 @@
         pass
 
 
-def killed_put(directory, turn, lines, rng):
+def put_until_killed(directory, turn, lines, rng):
     """Run `put` and kill it after it has printed `lines` keys.
 
     Returns the printed keys, and the keys and values written to it, as many and in order.
     """
     seed = rng.random()
     put = subprocess.Popen([*COMMAND, "put", directory], stdin=subprocess.PIPE, stdout=subprocess.PIPE)
-    feeder = threading.Thread(target=feed, args=(put.stdin, turn, random.Random(seed)))
-    feeder.start()
+    writer = threading.Thread(target=write_lines, args=(put.stdin, turn, random.Random(seed)))
+    writer.start()
     printed = [put.stdout.readline().decode().strip() for _ in range(lines)]
     put.kill()
     printed += put.stdout.read().decode().split("\n")[:-1]  # without an incomplete last line
     put.wait()
-    feeder.join()
+    writer.join()
     put.stdout.close()
-    again, fed = random.Random(seed), []
+    replayed_rng, written = random.Random(seed), []
     for n in range(len(printed)):
-        key = f"k{again.randrange(KEYS)}"
-        fed.append((key, f"{turn}.{n}.{key}" + "x" * again.randrange(900)))
-    return printed, fed
+        key = f"k{replayed_rng.randrange(KEYS)}"
+        written.append((key, f"{turn}.{n}.{key}" + "x" * replayed_rng.randrange(900)))
+    return printed, written
 
 
 def run(times, seed, on_turn=lambda turn, printed: None):
     """Kill `times` times; returns the violations: keys that were printed but are not stored."""
     rng = random.Random(seed)
-    wrong, confirmed = [], {}
-    with tempfile.TemporaryDirectory() as top:
-        directory = os.path.join(top, "store")
+    violations, confirmed = [], {}
+    with tempfile.TemporaryDirectory() as temporary_directory:
+        directory = os.path.join(temporary_directory, "store")
         for turn in range(times):
-            printed, fed = killed_put(directory, turn, rng.randrange(1, 3_000), rng)
-            if printed != [key for key, _ in fed]:
-                wrong.append(f"turn {turn}: printed other keys than were fed")
-            confirmed.update(fed)
+            printed, written = put_until_killed(directory, turn, rng.randrange(1, 3_000), rng)
+            if printed != [key for key, _ in written]:
+                violations.append(f"turn {turn}: printed other keys than were written")
+            confirmed.update(written)
             dump = subprocess.run([*COMMAND, "dump", directory], capture_output=True, text=True, check=True)
             found = {row["key"]: row["value"] for row in map(json.loads, dump.stdout.splitlines())}
             for key, value in confirmed.items():
-                there = found.get(key, "")
-                later = there.startswith(f"{turn}.") and int(there.split(".")[1]) >= len(printed)
-                if there != value and not later:  # a later write than the last printed may be stored
-                    wrong.append(f"turn {turn}: {key} reads {there:.30}, confirmed {value:.30}")
+                found_value = found.get(key, "")
+                # a later write than the last printed may be stored
+                is_later = found_value.startswith(f"{turn}.") and int(found_value.split(".")[1]) >= len(
+                    printed
+                )
+                if found_value != value and not is_later:
+                    violations.append(f"turn {turn}: {key} reads {found_value:.30}, confirmed {value:.30}")
             confirmed = found
             on_turn(turn, len(printed))
         check = subprocess.run([*COMMAND, "check", directory], capture_output=True, text=True)
         if check.returncode:
-            wrong.append(check.stdout)
-    return wrong
+            violations.append(check.stdout)
+    return violations
 
 
 @click.command()
@@ -91,11 +94,11 @@
         total += printed
         click.echo(f"\r{turn + 1} kills, {total} keys printed", nl=False, err=True)
 
-    wrong = run(times, seed, on_turn)
-    for each in wrong[:10]:
-        click.echo(f"WRONG {each}")
-    click.echo(f"{times} kills, {total} keys printed as confirmed, {len(wrong)} wrong")
-    raise SystemExit(1 if wrong else 0)
+    violations = run(times, seed, on_turn)
+    for each in violations[:10]:
+        click.echo(f"VIOLATION {each}")
+    click.echo(f"{times} kills, {total} keys printed as confirmed, {len(violations)} violations")
+    raise SystemExit(1 if violations else 0)
 
 
 if __name__ == "__main__":
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -19,18 +19,18 @@
 
 def find_violations(disks, workload):
     """Violations by the stores on these disks; a store that fails to open is a violation."""
-    found = []
+    violations = []
     for disk in disks:
         try:
             verdict = workload.check(workload.open(disk))
-        except StoreError as wrong:
-            verdict = repr(wrong)
+        except StoreError as error:
+            verdict = repr(error)
         if verdict:
-            found.append(verdict)
-    return found
+            violations.append(verdict)
+    return violations
 
 
-def after_cuts(disk, seeds):
+def disks_after_cuts(disk, seeds):
     return [disk.after_cut(by_chance(random.Random(seed))) for seed in range(seeds)]
 
 
@@ -43,7 +43,7 @@
         workload = StoreWorkload()
         if run_until_power_cut(workload, disk):
             cuts += 1
-            assert find_violations(after_cuts(disk, 4), workload) == [], disk.calls[-3:]
+            assert find_violations(disks_after_cuts(disk, 4), workload) == [], disk.calls[-3:]
     assert cuts > 0.8 * CALLS
 
 
@@ -55,26 +55,26 @@
         workload = StoreWorkload()
         run_until_power_cut(workload, disk)
         image = disk.after_cut(by_chance(rng)).image()
-        whole = FaultyDisk(image)
-        workload.open(whole)
-        for first in range(len(whole.calls)):
-            again = FaultyDisk(image)
-            again.faults = {first: FaultyDisk.CUT}
+        uninterrupted = FaultyDisk(image)
+        workload.open(uninterrupted)
+        for cut_call in range(len(uninterrupted.calls)):
+            interrupted = FaultyDisk(image)
+            interrupted.faults = {cut_call: FaultyDisk.CUT}
             with pytest.raises(PowerCutError):
-                workload.open(again)
-            third = again.after_cut(by_chance(rng))
-            third.faults = {rng.randrange(len(whole.calls)): FaultyDisk.CUT_AFTER}
+                workload.open(interrupted)
+            restarted = interrupted.after_cut(by_chance(rng))
+            restarted.faults = {rng.randrange(len(uninterrupted.calls)): FaultyDisk.CUT_AFTER}
             try:
-                workload.open(third)
+                workload.open(restarted)
             except PowerCutError:
-                third = third.after_cut(by_chance(rng))
+                restarted = restarted.after_cut(by_chance(rng))
             else:
-                third = third.after_cut(by_chance(rng))
-            assert find_violations([third], workload) == []
+                restarted = restarted.after_cut(by_chance(rng))
+            assert find_violations([restarted], workload) == []
 
 
 @pytest.mark.parametrize("calls", range(1, 10))
-def test_power_cut_with_every_fate_of_unflushed_writes(calls):
+def test_power_cut_with_every_outcome_for_unflushed_writes(calls):
     """Covers an append and its flush, and a rotation's create, append, flush, rename and directory flush."""
     disk = FaultyDisk()
     workload = StoreWorkload()
@@ -84,8 +84,8 @@
     with pytest.raises(PowerCutError):
         workload.commit((b"a", b"2", 0), (b"b", b"2", 0))
         workload.commit((b"a", b"3", 0), (b"b", b"3", 0))
-    ways = [disk.after_cut(choose) for choose in every_choice(2_000)]
-    assert ways and find_violations(ways, workload) == []
+    disks = [disk.after_cut(choose) for choose in every_choice(2_000)]
+    assert disks and find_violations(disks, workload) == []
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO, FaultyDisk.SHORT])
@@ -106,20 +106,20 @@
         assert workload.check(workload.engine) is None, disk.calls[call]
         assert workload.commit((b"again", b"room", 0)) is None
         assert workload.check(workload.engine) is None
-        assert find_violations(after_cuts(disk, 2), workload) == [], disk.calls[call]
+        assert find_violations(disks_after_cuts(disk, 2), workload) == [], disk.calls[call]
 
 
 @pytest.mark.parametrize("skipped_calls", ["flush", "flush_directory"])
 def test_faulty_disk_detects_a_store_that_skips_a_flush(skipped_calls):
-    broken = 0
+    violation_count = 0
     for call in range(0, CALLS, 5):
         disk = FaultyDisk()
         disk.skipped_calls = {skipped_calls}
         disk.faults = {call: FaultyDisk.CUT}
         workload = StoreWorkload()
         run_until_power_cut(workload, disk)
-        broken += len(find_violations(after_cuts(disk, 2), workload))
-    assert broken
+        violation_count += len(find_violations(disks_after_cuts(disk, 2), workload))
+    assert violation_count
 
 
 def test_failed_flush_is_never_relied_on():
@@ -132,7 +132,7 @@
     assert workload.commit((b"a", b"2", 0)) is not None
     assert workload.engine.get(b"a") == b"1"
     assert workload.commit((b"b", b"3", 0)) is None
-    for after in after_cuts(disk, 20):
+    for after in disks_after_cuts(disk, 20):
         engine = workload.open(after)
         assert (engine.get(b"a"), engine.get(b"b")) == (b"1", b"3")
 
@@ -155,53 +155,53 @@
     workload.run_maintenance()
     assert workload.engine.log.counts["segments cleaned"] > 0
     assert workload.commit((b"one more", b"x" * 100, 0)) is None
-    assert find_violations(after_cuts(disk, 5), workload) == []
+    assert find_violations(disks_after_cuts(disk, 5), workload) == []
     disk.room = None
     workload.now += 60 * SECOND
     workload.run_maintenance()
-    assert workload.engine.reserve.held_bytes == workload.bounds.reserve_bytes
+    assert workload.engine.reserve.held_bytes == workload.limits.reserve_bytes
 
 
 def test_flipped_bit_in_confirmed_records_is_reported():
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
-    workload.run(point=False, close=False)
+    workload.run(with_checkpoint=False, close=False)
     image = disk.image()
     newest = max(each for each in image if each.endswith(".log"))
-    confirmed = workload.engine.log.segments[int(newest[:-4])]
-    last = workload.confirmations[-2][1].get(newest, 0)
-    reported = silent = 0
+    newest_segment = workload.engine.log.segments[int(newest[:-4])]
+    last_group_start = workload.confirmations[-2][1].get(newest, 0)
+    reported = undetected = 0
     for name in [each for each in image if each.endswith(".log")]:
-        known = workload.engine.log.segments.get(int(name[:-4]))
-        for at in range(known.size if known else 0):
+        segment = workload.engine.log.segments.get(int(name[:-4]))
+        for position in range(segment.size if segment else 0):
             data = bytearray(image[name])
-            data[at] ^= 1 << at % 8
+            data[position] ^= 1 << position % 8
             flipped = FaultyDisk({**image, name: bytes(data)})
             try:
                 engine = workload.open(flipped, create=False)
-            except StoreError as wrong:
+            except StoreError as error:
                 reported += 1
-                if isinstance(wrong, CorruptDataError):
-                    assert wrong.findings[0].file in (name, "STORE")
+                if isinstance(error, CorruptDataError):
+                    assert error.findings[0].file in (name, "STORE")
                 continue
             # only the last group looks the same as a torn write
-            assert name == newest and at >= last, (name, at, dict(engine.scan()))
-            silent += 1
-    assert reported > 300 and silent <= confirmed.size - last
+            assert name == newest and position >= last_group_start, (name, position, dict(engine.scan()))
+            undetected += 1
+    assert reported > 300 and undetected <= newest_segment.size - last_group_start
 
 
-def test_corruption_behind_a_checkpoint_is_reported_by_the_read():
+def test_corruption_covered_by_a_checkpoint_is_reported_by_the_read():
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
     workload.run(close=False)
-    where = workload.engine.log.index.locations[b"k3"]
-    name = SEGMENT.format(segment_of(where))
+    location = workload.engine.log.index.locations[b"k3"]
+    name = SEGMENT.format(segment_of(location))
     workload.engine.close()
     image = disk.image()
     data = bytearray(image[name])
-    data[offset_of(where) + length_of(where) - 1] ^= 4
+    data[offset_of(location) + length_of(location) - 1] ^= 4
     engine = workload.open(FaultyDisk({**image, name: bytes(data)}))
     with pytest.raises(CorruptDataError, match=name):
         list(engine.scan())
@@ -210,18 +210,22 @@
     assert engine.get(b"after") == b"the checkpoint"
 
 
-def test_old_torn_and_missing_checkpoints_cost_time_only():
+def test_old_torn_and_missing_checkpoints_lose_nothing_confirmed():
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
-    workload.run(point=True, close=False)
-    old = disk.image()["checkpoint"]
+    workload.run(with_checkpoint=True, close=False)
+    old_checkpoint = disk.image()["checkpoint"]
     for n in range(30):
         workload.commit((b"k%d" % (n % 5), b"%d" % n * 9, 0))
         workload.run_maintenance()
     image = disk.image()
-    for point in [old, b"", *(old[:at] for at in range(len(old)))]:
-        assert find_violations([FaultyDisk({**image, "checkpoint": point})], workload) == []
+    for checkpoint_data in [
+        old_checkpoint,
+        b"",
+        *(old_checkpoint[:length] for length in range(len(old_checkpoint))),
+    ]:
+        assert find_violations([FaultyDisk({**image, "checkpoint": checkpoint_data})], workload) == []
     del image["checkpoint"]
     assert find_violations([FaultyDisk(image)], workload) == []
 
@@ -266,13 +270,13 @@
                 continue
             disk.off, disk.faults = False, {}
             try:
-                seen = dict(workload.open(disk).scan())
+                entries = dict(workload.open(disk).scan())
             except CannotOpenError:
                 continue  # killed during the creation of the store
             if call % 2:
                 workload.history.batches = workload.history.batches[: workload.history.confirmed]
                 workload.history.record_request(
-                    [(key, seen.get(key), 0) for key in {*seen, *workload.history.state_after(1_000)}]
+                    [(key, entries.get(key), 0) for key in {*entries, *workload.history.state_after(1_000)}]
                 )
                 workload.history.record_confirmation()  # an entry that was read has to survive
                 workload.history.record_request([])
--- a/tests/store/test_model.py
+++ b/tests/store/test_model.py
@@ -29,11 +29,11 @@
     def __init__(self):
         super().__init__()
         self.disk = FaultyDisk()
-        self.workload = StoreWorkload(bounds=SMALL)
+        self.workload = StoreWorkload(limits=SMALL)
         self.workload.open(self.disk)
         self.snapshots = []  # each with its expected entries
 
-    def state(self):
+    def expected_entries(self):
         """The expected entries at the latest time that the store has seen."""
         history = self.workload.history
         return visible_entries(history.state_after(len(history.batches)), self.workload.engine.log.time)
@@ -67,32 +67,32 @@
     @precondition(lambda self: len(self.snapshots) < 3)
     @rule()
     def snapshot(self):
-        taken = self.workload.engine.snapshot()
+        snapshot = self.workload.engine.snapshot()
         history = self.workload.history
-        self.snapshots.append((taken, history.state_after(len(history.batches))))
+        self.snapshots.append((snapshot, history.state_after(len(history.batches))))
 
     @precondition(lambda self: self.snapshots)
-    @rule(prefix=st.sampled_from([b"", b"a", b"\xff"]), most=st.integers(1, 4))
-    def read_snapshot(self, prefix, most):
-        taken, then = self.snapshots.pop(0)
+    @rule(prefix=st.sampled_from([b"", b"a", b"\xff"]), limit=st.integers(1, 4))
+    def read_snapshot(self, prefix, limit):
+        snapshot, entries = self.snapshots.pop(0)
         found, cursor = [], b""
         try:
-            while rows := self.workload.engine.chunk(taken, cursor, prefix, most):
+            while rows := self.workload.engine.chunk(snapshot, cursor, prefix, limit):
                 found += rows
                 cursor = rows[-1][0] + b"\0"
         except SnapshotEndedError:
-            assert not taken.is_open
+            assert not snapshot.is_open
         else:
-            shown = visible_entries(then, self.workload.engine.log.time)
-            assert found == sorted((key, value) for key, value in shown.items() if key.startswith(prefix))
-        self.workload.engine.release(taken)
-
-    @rule(point=st.booleans())
-    def close_and_open(self, point):
-        for taken, _ in self.snapshots:
-            self.workload.engine.release(taken)
+            expected = visible_entries(entries, self.workload.engine.log.time)
+            assert found == sorted((key, value) for key, value in expected.items() if key.startswith(prefix))
+        self.workload.engine.release(snapshot)
+
+    @rule(with_checkpoint=st.booleans())
+    def close_and_open(self, with_checkpoint):
+        for snapshot, _ in self.snapshots:
+            self.workload.engine.release(snapshot)
         self.snapshots = []
-        if point:
+        if with_checkpoint:
             self.workload.engine.checkpoint_writer.begin()
             self.workload.run_maintenance()
         self.workload.engine.close()
@@ -124,7 +124,7 @@
         found = dict(engine.scan())
         history = self.workload.history
         assert history.check(found, engine.log.time) is None
-        if found != self.state():  # the unconfirmed batch was lost
+        if found != self.expected_entries():  # the unconfirmed batch was lost
             history.batches = history.batches[: history.confirmed]
         history.record_confirmation()  # recovered entries have to survive
 
@@ -132,7 +132,7 @@
     def entries_match_the_model(self):
         engine = self.workload.engine
         engine.log.tick()
-        assert dict(engine.scan()) == self.state()
+        assert dict(engine.scan()) == self.expected_entries()
         assert sum(engine.log.index.live_bytes.values()) == sum(
             each & 0xFFFFFFFF for each in engine.log.index.locations.values()
         )
--- a/tests/store/test_store.py
+++ b/tests/store/test_store.py
@@ -8,7 +8,7 @@
 from twisted.internet.defer import Deferred, gatherResults
 from twisted.internet.task import Clock
 
-from lichencleat.store import store as module
+from lichencleat.store import store as store_module
 from lichencleat.store.batch import Batch
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
@@ -34,7 +34,7 @@
 
 
 class ManualExecutor:
-    """Replaces a thread: runs its calls one by one, when the test calls `work`."""
+    """Replaces a thread: runs its calls one by one, when the test calls `run_next`."""
 
     def __init__(self):
         self.calls = []
@@ -44,7 +44,7 @@
         self.calls.append((done, call, args))
         return done
 
-    def work(self, limit=1):
+    def run_next(self, limit=1):
         while self.calls and limit > 0:
             limit -= 1
             done, call, args = self.calls.pop(0)
@@ -61,22 +61,22 @@
 
     def __init__(self):
         super().__init__()
-        self.handed = queue.Queue()
+        self.calls_from_threads = queue.Queue()
 
     def callFromThread(self, call, *args):
-        self.handed.put((call, args))
+        self.calls_from_threads.put((call, args))
 
     def callInThread(self, call, *args):
         thread = threading.Thread(target=call, args=args)
         thread.start()
         self.callFromThread(thread.join)
 
-    def until(self, done):
+    def wait_for(self, done):
         """Wait up to 20 s for the Deferred's result."""
         results = []
         done.addBoth(results.append)
         while not results:
-            call, args = self.handed.get(timeout=20)
+            call, args = self.calls_from_threads.get(timeout=20)
             call(*args)
         return results[0]
 
@@ -88,8 +88,8 @@
 
 @pytest.fixture
 def engine(disk):
-    bounds = StoreLimits(segment_bytes=4_000, max_disk_bytes=1 << 20, keep_reserve=False)
-    return Engine.open(disk, lambda: 5 * SECOND, random.Random(1), bounds, create=True)
+    limits = StoreLimits(segment_bytes=4_000, max_disk_bytes=1 << 20, keep_reserve=False)
+    return Engine.open(disk, lambda: 5 * SECOND, random.Random(1), limits, create=True)
 
 
 @pytest.fixture
@@ -109,34 +109,34 @@
 
 @pytest.fixture
 def store(reactor, engine, writer, reader):
-    made = Store(reactor, engine, writer, reader)
-    writer.work()  # the first step of maintenance has nothing to do
-    return made
+    store = Store(reactor, engine, writer, reader)
+    writer.run_next()  # the first step of maintenance has nothing to do
+    return store
 
 
 def results(*deferreds):
-    seen = []
+    outcomes = []
     for each in deferreds:
-        each.addBoth(seen.append)
-    return seen
+        each.addBoth(outcomes.append)
+    return outcomes
 
 
 def test_put_is_confirmed_by_the_flush_and_not_before(store, writer, reader, engine):
     outcomes = results(store.put(b"k", b"v"))
     assert outcomes == [] and engine.get(b"k") is None
-    writer.work()
+    writer.run_next()
     assert outcomes == [None]
     read = results(store.get(b"k"))
-    reader.work()
+    reader.run_next()
     assert read == [b"v"]
 
 
 def test_one_flush_confirms_all_queued_writes(store, writer, engine):
     outcomes = results(*(store.put(b"%d" % n, b"v") for n in range(100)))
-    writer.work()
+    writer.run_next()
     assert len(outcomes) == 1
     flushes = engine.log.counts["flushes"]
-    writer.work()
+    writer.run_next()
     assert len(outcomes) == 100 and engine.log.counts["flushes"] == flushes + 1
 
 
@@ -144,19 +144,19 @@
     store.put(b"first", b"")
     good, bad = results(store.put(b"good", b"")), []
     store.put(b"bad", b"x" * (1 << 20)).addErrback(lambda failure: bad.append(failure.value.limit))
-    writer.work(2)
+    writer.run_next(2)
     assert good == [None] and bad == ["bytes on disk"] and engine.get(b"bad") is None
 
 
 def test_write_over_the_queue_limit_fails_at_once(store, writer):
-    waiting = results(*(store.put(b"k", b"") for _ in range(MAX_QUEUED_BATCHES + 1)))
-    assert waiting == []
+    queued = results(*(store.put(b"k", b"") for _ in range(MAX_QUEUED_BATCHES + 1)))
+    assert queued == []
     (failure,) = results(store.put(b"k", b""))
     assert failure.check(FullError) and failure.value.limit == "waiting writes"
-    writer.work(1_000)
-    assert waiting == [None] * (MAX_QUEUED_BATCHES + 1)
+    writer.run_next(1_000)
+    assert queued == [None] * (MAX_QUEUED_BATCHES + 1)
     outcomes = results(store.put(b"k", b""))
-    writer.work()
+    writer.run_next()
     assert outcomes == [None]
 
 
@@ -164,47 +164,47 @@
     reads = results(*(store.get(b"k") for _ in range(MAX_READS)))
     (failure,) = results(store.get(b"k"))
     assert failure.check(FullError) and failure.value.limit == "waiting reads"
-    reader.work(MAX_READS)
+    reader.run_next(MAX_READS)
     assert reads == [None] * MAX_READS
     outcomes = results(store.get(b"k"))
-    reader.work()
+    reader.run_next()
     assert outcomes == [None]
 
 
 def test_failed_flush_fails_all_writes_of_the_group(store, writer, disk):
     store.put(b"a", b"1")
-    writer.work()
+    writer.run_next()
     disk.faults = {len(disk.calls) + 1: 5}
     outcomes = results(store.put(b"a", b"2"))
-    writer.work()
+    writer.run_next()
     assert outcomes[0].check(NotConfirmedError)
     outcomes = results(store.put(b"a", b"3"))
-    writer.work()
+    writer.run_next()
     assert outcomes == [None]
 
 
 def test_maintenance_runs_under_constant_writes(store, writer, engine):
     for n in range(40 * MAX_GROUPS_BETWEEN_STEPS):
         store.put(b"k", b"%d" % n * 20)
-        writer.work()
+        writer.run_next()
     assert engine.log.counts["segments cleaned"] > 0
     assert engine.stat()["bytes on disk"] < 200_000
 
 
 def test_failed_maintenance_is_retried_later_not_at_once(store, writer, engine, reactor):
-    failing = []
+    attempts = []
 
     def step(budget):
-        failing.append(budget)
+        attempts.append(budget)
         raise NotConfirmedError("the disk failed")
 
     engine.step = step
     reactor.advance(MAINTENANCE_INTERVAL_S)
-    writer.work(50)
-    assert len(failing) == 1 and "failed" in store.last_error
+    writer.run_next(50)
+    assert len(attempts) == 1 and "failed" in store.last_error
     reactor.advance(MAINTENANCE_INTERVAL_S)
-    writer.work(50)
-    assert len(failing) == 2
+    writer.run_next(50)
+    assert len(attempts) == 2
 
 
 def test_close_writes_queued_batches_and_refuses_new_ones(store, writer, reader, disk, reactor):
@@ -212,20 +212,20 @@
     closed = results(store.close(), store.close())
     assert results(store.put(b"k", b""))[0].check(ClosedError)
     assert results(store.get(b"k"))[0].check(ClosedError)
-    writer.work(50)
+    writer.run_next(50)
     assert outcomes == [None] * 3 and closed == [None, None]
     assert disk.open_files == 0 and not disk.locked and not reactor.getDelayedCalls()
 
 
 def test_read_under_way_during_close_completes(store, writer, reader, engine, disk):
     store.put(b"k", b"v")
-    writer.work()
-    where = engine.log.index.locations[b"k"]
-    segment = engine.log.segments[where >> 64 & 0xFFFFFFFF]
+    writer.run_next()
+    location = engine.log.index.locations[b"k"]
+    segment = engine.log.segments[location >> 64 & 0xFFFFFFFF]
     segment.reference_count += 1  # as a concurrent reader does
     store.close()
-    writer.work(5)
-    assert engine.reader.read_value(segment, b"k", where) == b"v"
+    writer.run_next(5)
+    assert engine.reader.read_value(segment, b"k", location) == b"v"
     engine.log.release(segment)
     assert disk.open_files == 0
 
@@ -233,47 +233,47 @@
 def test_snapshot_chunks_are_unchanged_by_later_writes(store, writer, reader):
     for n in range(5):
         store.put(b"k%d" % n, b"old")
-    writer.work(3)
-    taken = store.snapshot()
+    writer.run_next(3)
+    snapshot = store.snapshot()
     store.commit(Batch().put(b"k1", b"new").delete(b"k2").put(b"k9", b"new"))
-    writer.work()
-    rows = results(store.chunk(taken, b"", b"k", 2), store.chunk(taken, b"k1\0", b"k"))
-    reader.work(2)
+    writer.run_next()
+    rows = results(store.chunk(snapshot, b"", b"k", 2), store.chunk(snapshot, b"k1\0", b"k"))
+    reader.run_next(2)
     assert rows[0] + rows[1] == [(b"k%d" % n, b"old") for n in range(5)]
-    store.release(taken)
-    outcomes = results(store.chunk(taken))
-    reader.work()
+    store.release(snapshot)
+    outcomes = results(store.chunk(snapshot))
+    reader.run_next()
     assert outcomes[0].check(SnapshotEndedError)
 
 
 def test_store_with_threads_on_a_real_disk(reactor, tmp_path):
     clock = lambda: 5 * SECOND  # noqa: E731
-    opened = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(1)))
-    puts = gatherResults([opened.put(b"%03d" % n, b"v" * n) for n in range(300)])
-    assert reactor.until(puts) == [None] * 300
-    assert opened.engine.log.counts["flushes"] < 100
-    assert reactor.until(opened.get(b"299")) == b"v" * 299
-    second = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(2)))
+    store = reactor.wait_for(open_store(reactor, str(tmp_path / "s"), clock, random.Random(1)))
+    puts = gatherResults([store.put(b"%03d" % n, b"v" * n) for n in range(300)])
+    assert reactor.wait_for(puts) == [None] * 300
+    assert store.engine.log.counts["flushes"] < 100
+    assert reactor.wait_for(store.get(b"299")) == b"v" * 299
+    second = reactor.wait_for(open_store(reactor, str(tmp_path / "s"), clock, random.Random(2)))
     assert second.check(CannotOpenError) and "in use by another process" in second.getErrorMessage()
-    assert reactor.until(opened.close()) is None
-    again = reactor.until(open_store(reactor, str(tmp_path / "s"), clock, random.Random(3)))
-    assert len(list(again.scan())) == 300
-    assert reactor.until(again.close()) is None
+    assert reactor.wait_for(store.close()) is None
+    reopened = reactor.wait_for(open_store(reactor, str(tmp_path / "s"), clock, random.Random(3)))
+    assert len(list(reopened.scan())) == 300
+    assert reactor.wait_for(reopened.close()) is None
 
 
 def test_corrupt_value_fails_the_read(store, writer, reader, engine, disk):
     store.put(b"k", b"value")
-    writer.work()
+    writer.run_next()
     content = disk.live_names[engine.log.active.name]
     content.now[-2] ^= 1
     outcomes = results(store.get(b"k"))
-    reader.work()
+    reader.run_next()
     assert outcomes[0].check(CorruptDataError)
 
 
 def test_group_size_is_limited(store, writer, engine, monkeypatch):
-    monkeypatch.setattr(module, "MAX_GROUP_BYTES", 500)
+    monkeypatch.setattr(store_module, "MAX_GROUP_BYTES", 500)
     store.put(b"first", b"")
     outcomes = results(*(store.put(b"%d" % n, b"x" * 100) for n in range(10)))
-    writer.work(2)
+    writer.run_next(2)
     assert 0 < len(outcomes) < 5
--- a/tests/store/test_store_commands.py
+++ b/tests/store/test_store_commands.py
@@ -12,8 +12,8 @@
 from tests.store.kill import COMMAND, run
 
 
-def call(*arguments, stdin=b"", **more):
-    return subprocess.run([*COMMAND, *arguments], input=stdin, capture_output=True, timeout=60, **more)
+def call(*arguments, stdin=b"", **options):
+    return subprocess.run([*COMMAND, *arguments], input=stdin, capture_output=True, timeout=60, **options)
 
 
 def lines(*rows):
@@ -50,8 +50,8 @@
     assert call("get", filled, "k1").stdout == b"v1"
     assert call("delete", filled, "k1").returncode == 0
     for verb in ("get", "delete"):
-        gone = call(verb, filled, "k1")
-        assert (gone.returncode, gone.stdout) == (1, b"") and b"no entry of key k1" in gone.stderr
+        missing = call(verb, filled, "k1")
+        assert (missing.returncode, missing.stdout) == (1, b"") and b"no entry of key k1" in missing.stderr
 
 
 @pytest.mark.parametrize(
@@ -75,13 +75,13 @@
 @pytest.mark.parametrize("verb", ["get", "dump", "check", "stat", "compact", "delete"])
 def test_commands_refuse_other_directories_unchanged(tmp_path, verb):
     (tmp_path / "notes").write_text("hello")
-    more = ["key"] if verb in ("get", "delete") else []
-    for place in (str(tmp_path), str(tmp_path / "missing")):
-        refused = call(verb, place, *more)
+    arguments = ["key"] if verb in ("get", "delete") else []
+    for path in (str(tmp_path), str(tmp_path / "missing")):
+        refused = call(verb, path, *arguments)
         assert (refused.returncode, refused.stderr.count(b"\n")) == (
             2,
             1,
-        ) and place.encode() in refused.stderr
+        ) and path.encode() in refused.stderr
     assert os.listdir(tmp_path) == ["notes"]
 
 
@@ -167,10 +167,21 @@
         capture_output=True,
         text=True,
     )
-    heavy = {"click", "msgspec", "crc32c", "sortedcontainers", "lichencleat.store", "lichencleat.cli"}
-    assert "lichencleat.node.program" in listed.stdout.split() and not heavy & set(listed.stdout.split())
-    bare = {key: value for key, value in os.environ.items() if key != "BALANCER_CONFIG"}
-    node = subprocess.run([sys.executable, "-m", "lichencleat"], capture_output=True, text=True, env=bare)
+    command_libraries = {
+        "click",
+        "msgspec",
+        "crc32c",
+        "sortedcontainers",
+        "lichencleat.store",
+        "lichencleat.cli",
+    }
+    assert "lichencleat.node.program" in listed.stdout.split() and not command_libraries & set(
+        listed.stdout.split()
+    )
+    environment = {key: value for key, value in os.environ.items() if key != "BALANCER_CONFIG"}
+    node = subprocess.run(
+        [sys.executable, "-m", "lichencleat"], capture_output=True, text=True, env=environment
+    )
     assert (node.returncode, node.stderr) == (2, "lichencleat: BALANCER_CONFIG is not set\n")
 
 
--- a/tests/store/test_test_kit.py
+++ b/tests/store/test_test_kit.py
@@ -22,8 +22,8 @@
 
 
 def test_every_choice_yields_each_path_once():
-    ways = []
+    paths = []
     for choose in every_choice(100):
         first = choose(2)
-        ways.append((first, choose(3) if first else None))
-    assert ways == [(0, None), (1, 0), (1, 1), (1, 2)]
+        paths.append((first, choose(3) if first else None))
+    assert paths == [(0, None), (1, 0), (1, 1), (1, 2)]
--- a/tests/store/workload.py
+++ b/tests/store/workload.py
@@ -19,16 +19,16 @@
 class StoreWorkload:
     """Runs the workload on one disk after another, with a manual clock, and records its history."""
 
-    def __init__(self, seed=1, bounds=SMALL):
+    def __init__(self, seed=1, limits=SMALL):
         self.now = 1_000 * SECOND
         self.rng = random.Random(seed)
         self.history = History()
-        self.bounds = bounds
+        self.limits = limits
         self.engine = None
         self.confirmations = []  # number of confirmed batches, with each segment's size then
 
     def open(self, disk, create=True):
-        self.engine = Engine.open(disk, lambda: self.now, self.rng, self.bounds, create=create)
+        self.engine = Engine.open(disk, lambda: self.now, self.rng, self.limits, create=create)
         return self.engine
 
     def commit(self, *changes):
@@ -40,24 +40,24 @@
             else:
                 batch.put(key, value, expiry)
         self.history.record_request(changes)
-        (verdict,) = self.engine.commit([batch])
-        if verdict is None:
+        (error,) = self.engine.commit([batch])
+        if error is None:
             self.history.record_confirmation()
             sizes = {each.name: each.size for each in self.engine.log.segments.values()}
             self.confirmations.append((self.history.confirmed, sizes))
-        elif isinstance(verdict, FullError) and verdict.limit != "room on the disk itself":
+        elif isinstance(error, FullError) and error.limit != "room on the disk itself":
             self.history.record_refusal()
-        elif isinstance(verdict, FullError | NotConfirmedError):
+        elif isinstance(error, FullError | NotConfirmedError):
             self.history.record_failure()
-        return verdict
+        return error
 
     def run_maintenance(self, limit=400, budget=200):
         for _ in range(limit):
             if not self.engine.step(budget):
                 return
-        raise AssertionError("maintenance has no end")
+        raise AssertionError("maintenance did not finish")
 
-    def run(self, rounds=3, point=True, close=True):
+    def run(self, rounds=3, with_checkpoint=True, close=True):
         """Puts, rewrites, batches, deletes, expiry, rotation, compaction, a checkpoint and a clean close."""
         for turn in range(rounds):
             for n in range(4):
@@ -70,7 +70,7 @@
         for n in range(4):  # segments without live entries, which are removed without a copy
             self.commit((b"again", b"%d" % n * 350, 0))
             self.run_maintenance()
-        if point:
+        if with_checkpoint:
             with contextlib.suppress(OSError):
                 self.engine.checkpoint_writer.begin()
             self.run_maintenance()
