--- a/lichencleat/store/errors.py
+++ b/lichencleat/store/errors.py
@@ -51,7 +51,7 @@
     """The snapshot was closed, or ended because its undo list or its files reached a limit."""
 
     def __init__(self) -> None:
-        super().__init__("the snapshot is over: closed, or too much was changed since it was taken")
+        super().__init__("the snapshot has ended: it was closed, or its changes or files reached a limit")
 
 
 class FullError(StoreError):
@@ -62,7 +62,7 @@
     """
 
     def __init__(self, limit: str, detail: str = "") -> None:
-        super().__init__(f"the store is at its bound on {limit}{detail and ' '}{detail}")
+        super().__init__(f"the store has reached its limit on {limit}{detail and ' '}{detail}")
         self.limit = limit
 
 
@@ -136,7 +136,7 @@
     """An expiry is not a valid time in µs of Unix time."""
 
     def __init__(self, expiry: int) -> None:
-        super().__init__(f"an expiry is µs of Unix time, not {expiry}")
+        super().__init__(f"an expiry is a time in µs of Unix time, not {expiry}")
         self.expiry = expiry
 
 
@@ -151,7 +151,7 @@
     """The directory is not a store."""
 
     def __init__(self, directory: str, reason: str) -> None:
-        super().__init__(f"{directory}: no store {reason}")
+        super().__init__(f"{directory}: not a store {reason}")
         self.directory = directory
 
 
@@ -162,7 +162,7 @@
         if file is None:
             super().__init__(f"{directory}: not empty; name a directory that is new")
         else:
-            super().__init__(f"{directory}: no store, and not empty ({file}); name an empty directory")
+            super().__init__(f"{directory}: not a store, and not empty ({file}); name an empty directory")
         self.directory = directory
         self.file = file
 
@@ -171,7 +171,7 @@
     """The directory has segments but no marker file."""
 
     def __init__(self, directory: str, marker: str) -> None:
-        super().__init__(f"{directory}: segments without their file {marker}; try 'store salvage'")
+        super().__init__(f"{directory}: has segments but no file {marker}; try 'store salvage'")
         self.directory = directory
 
 
@@ -197,7 +197,7 @@
     """The directory can't be created or opened."""
 
     def __init__(self, directory: str, cause: OSError) -> None:
-        super().__init__(f"{directory}: {cause.strerror}; name a directory that is a store")
+        super().__init__(f"{directory}: {cause.strerror}; name the directory of a store")
         self.directory = directory
 
 
@@ -206,7 +206,7 @@
 
     def __init__(self, directory: str, cause: OSError) -> None:
         if isinstance(cause, BlockingIOError):
-            super().__init__(f"{directory}: in use by another process; end that one first")
+            super().__init__(f"{directory}: in use by another process; stop that process first")
         else:
             super().__init__(f"{directory}: can't be locked: {cause.strerror}")
         self.directory = directory
