--- a/benchmarks/store.py
+++ b/benchmarks/store.py
@@ -251,7 +251,7 @@
     engine = bench.open_engine(path, LARGE)
     gc.collect()
     count = len(engine.log.index)
-    return count, (resident() - before) / count, engine.log.index.memory / count
+    return count, (resident() - before) / count, engine.log.index.memory_bytes / count
 
 
 def memory(pairs):
@@ -301,10 +301,10 @@
             if verdict is not None:
                 raise verdict
         engine.step()
-        most = max(most, engine.log.total())
+        most = max(most, engine.log.total_bytes())
     while engine.step():
         pass
-    return engine.log.total(), most, time.monotonic() - begun
+    return engine.log.total_bytes(), most, time.monotonic() - begun
 
 
 def expired(path):
@@ -316,7 +316,7 @@
     for at in range(0, 10_000_000, 1000):
         engine.commit([Batch().put(b"%016d" % n, b"", at_end[0] + 1) for n in range(at, at + 1000)])
         engine.step()
-    before, begun, longest = engine.log.total(), time.monotonic(), 0.0
+    before, begun, longest = engine.log.total_bytes(), time.monotonic(), 0.0
     at_end[0] += 2 + 10_000_000 * 10  # past the expiry, and past the rest between two sweeps
     while True:
         one = time.monotonic()
@@ -324,7 +324,7 @@
         longest = max(longest, time.monotonic() - one)
         if not left:
             break
-    return before, engine.log.total(), time.monotonic() - begun, longest * 1000
+    return before, engine.log.total_bytes(), time.monotonic() - begun, longest * 1000
 
 
 def extremes(pairs):
--- a/lichencleat/cli/store.py
+++ b/lichencleat/cli/store.py
@@ -323,4 +323,4 @@
         if os.path.isdir(directory) and os.listdir(directory):
             raise CannotOpenError(f"{directory}: not empty; name a directory that is new")
         rows = measure.measure_puts(directory, [1, 16, 256], seconds, value_bytes)
-    output.table(measure.PUT_HEAD, rows, as_json)
+    output.table(measure.PUT_COLUMNS, rows, as_json)
--- a/lichencleat/store/bench.py
+++ b/lichencleat/store/bench.py
@@ -19,11 +19,11 @@
 MAX_LATENCY_US = 60_000_000
 SIGNIFICANT_DIGITS = 3
 PERCENTILES = (50, 99, 99.9)
-PUT_HEAD = ["way", "callers", "puts_per_s", "p50_us", "p99_us", "p999_us"]
+PUT_COLUMNS = ["way", "callers", "puts_per_s", "p50_us", "p99_us", "p999_us"]
 
 
 Row = list[str | int | float]
-"""One line of the table, with the columns PUT_HEAD."""
+"""One line of the table, with the columns PUT_COLUMNS."""
 
 
 def now() -> int:
@@ -54,18 +54,18 @@
     file = disk.open("baseline", create=True)
     latencies = histogram()
     count = 0
-    end = time.monotonic() + seconds
-    begun = time.monotonic()
-    while time.monotonic() < end:
-        at = time.perf_counter_ns()
+    deadline = time.monotonic() + seconds
+    started_at = time.monotonic()
+    while time.monotonic() < deadline:
+        put_started_ns = time.perf_counter_ns()
         disk.append(file, b"%016d" % count + value)
         disk.flush(file)
-        latencies.record_value((time.perf_counter_ns() - at) // 1000)
+        latencies.record_value((time.perf_counter_ns() - put_started_ns) // 1000)
         count += 1
-    spent = time.monotonic() - begun
+    elapsed = time.monotonic() - started_at
     disk.close(file)
     disk.unlock()
-    return ["flush each put", 1, count / spent, *quantiles(latencies)]
+    return ["flush each put", 1, count / elapsed, *quantiles(latencies)]
 
 
 def measure_grouped(path: str, callers: int, seconds: float, value: bytes) -> Row:
@@ -76,19 +76,19 @@
     engine = open_engine(path)
     latencies = histogram()
     count = 0
-    end = time.monotonic() + seconds
-    begun = time.monotonic()
-    while time.monotonic() < end:
-        at = time.perf_counter_ns()
+    deadline = time.monotonic() + seconds
+    started_at = time.monotonic()
+    while time.monotonic() < deadline:
+        group_started_ns = time.perf_counter_ns()
         group = [Batch().put(b"%016d" % (count + each), value) for each in range(callers)]
-        for verdict in engine.commit(group):
-            if verdict is not None:
-                raise verdict
-        latencies.record_value((time.perf_counter_ns() - at) // 1000, callers)
+        for error in engine.commit(group):
+            if error is not None:
+                raise error
+        latencies.record_value((time.perf_counter_ns() - group_started_ns) // 1000, callers)
         count += callers
-    spent = time.monotonic() - begun
+    elapsed = time.monotonic() - started_at
     engine.close()
-    return ["group commit", callers, count / spent, *quantiles(latencies)]
+    return ["group commit", callers, count / elapsed, *quantiles(latencies)]
 
 
 def measure_puts(path: str, callers: list[int], seconds: float, value_bytes: int) -> list[Row]:
@@ -97,13 +97,13 @@
     RealDisk(path, create=True).unlock()  # creates the directory
     rows: list[Row] = []
 
-    inner = os.path.join(path, "bench")
+    directory = os.path.join(path, "bench")
     try:
-        rows.append(measure_flushed_each(inner, seconds, value))
-        shutil.rmtree(inner)
-        for each in callers:
-            rows.append(measure_grouped(inner, each, seconds, value))
-            shutil.rmtree(inner)
+        rows.append(measure_flushed_each(directory, seconds, value))
+        shutil.rmtree(directory)
+        for caller_count in callers:
+            rows.append(measure_grouped(directory, caller_count, seconds, value))
+            shutil.rmtree(directory)
     finally:
-        shutil.rmtree(inner, ignore_errors=True)
+        shutil.rmtree(directory, ignore_errors=True)
     return rows
--- a/lichencleat/store/capacity.py
+++ b/lichencleat/store/capacity.py
@@ -10,7 +10,7 @@
 from lichencleat.store.index import ENTRY_BYTES, Index
 
 MIB = 1 << 20
-SPARE_SEGMENTS = 2  # of `max_segments`, reserved for compaction
+RESERVED_SEGMENTS = 2  # of `max_segments`, reserved for compaction
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,19 +52,19 @@
         self.limits = limits
         self.index = index
         self.disk_bytes = disk_bytes
-        self.out_of_segments = needs_segment and segment_count >= limits.max_segments - SPARE_SEGMENTS
+        self.out_of_segments = needs_segment and segment_count >= limits.max_segments - RESERVED_SEGMENTS
         self.added_entries = 0
         self.added_memory = 0
         self.near_index_limit = False
 
-    def expect(self, changes: int, size: int) -> None:
+    def expect(self, total_changes: int, total_bytes: int) -> None:
         """Set the total changes and bytes of all batches that follow.
 
         If the index has space for all of them, `admit` does not count each batch's new keys.
         """
-        memory = self.index.memory + ENTRY_BYTES * changes + size
-        too_many = len(self.index) + changes > self.limits.max_entries
-        self.near_index_limit = too_many or memory > self.limits.max_memory_bytes
+        memory_bytes = self.index.memory_bytes + ENTRY_BYTES * total_changes + total_bytes
+        too_many_entries = len(self.index) + total_changes > self.limits.max_entries
+        self.near_index_limit = too_many_entries or memory_bytes > self.limits.max_memory_bytes
 
     def admit(self, batch: Batch) -> StoreError | None:
         """Admit the batch and return None, or return an error that names the limit it would exceed.
@@ -72,10 +72,11 @@
         Batches that only delete may use half of the space reserved for compaction.
         """
         limits = self.limits
-        size = self.disk_bytes + batch.bytes + framing.MAX_FRAME_OVERHEAD_BYTES  # including its commit record
-        kept_back = limits.reserve_bytes if batch.has_puts else limits.reserve_bytes // 2
-        if size > limits.max_disk_bytes - kept_back:
-            detail = f"({limits.max_disk_bytes}, {kept_back} of them kept for cleaning)"
+        # the batch with its commit record
+        disk_bytes = self.disk_bytes + batch.bytes + framing.MAX_FRAME_OVERHEAD_BYTES
+        reserved_bytes = limits.reserve_bytes if batch.has_puts else limits.reserve_bytes // 2
+        if disk_bytes > limits.max_disk_bytes - reserved_bytes:
+            detail = f"({limits.max_disk_bytes}, {reserved_bytes} of them reserved for compaction)"
             return FullError(Limit.DISK_BYTES, detail)
         if self.out_of_segments:
             return FullError(Limit.SEGMENTS, f"({limits.max_segments})")
@@ -83,19 +84,19 @@
             error = self._admit_to_index(batch)
             if error is not None:
                 return error
-        self.disk_bytes = size
+        self.disk_bytes = disk_bytes
         return None
 
     def _admit_to_index(self, batch: Batch) -> StoreError | None:
         limits = self.limits
         locations = self.index.locations
-        new = {key for key, value, _ in batch.changes if value is not None and key not in locations}
-        entries = self.added_entries + len(new)
-        memory = self.added_memory + sum(map(len, new)) + ENTRY_BYTES * len(new)
-        if new and len(locations) + entries > limits.max_entries:
+        new_keys = {key for key, value, _ in batch.changes if value is not None and key not in locations}
+        added_entries = self.added_entries + len(new_keys)
+        added_memory = self.added_memory + sum(map(len, new_keys)) + ENTRY_BYTES * len(new_keys)
+        if new_keys and len(locations) + added_entries > limits.max_entries:
             return FullError(Limit.ENTRIES, f"({limits.max_entries})")
-        if new and self.index.memory + memory > limits.max_memory_bytes:
+        if new_keys and self.index.memory_bytes + added_memory > limits.max_memory_bytes:
             return FullError(Limit.MEMORY, f"({limits.max_memory_bytes})")
-        self.added_entries = entries
-        self.added_memory = memory
+        self.added_entries = added_entries
+        self.added_memory = added_memory
         return None
--- a/lichencleat/store/check.py
+++ b/lichencleat/store/check.py
@@ -58,9 +58,9 @@
 
 
 def _check_segments(scan: RecoveryScan, report: CheckReport, progress: Progress) -> None:
-    total = sum(each.size for each in scan.segments)
+    total_bytes = sum(each.size for each in scan.segments)
     for segment in scan.segments:
-        progress(segment.name, report.bytes_read, total)
+        progress(segment.name, report.bytes_read, total_bytes)
         scan.findings += _damaged_spans(scan, segment)
         report.bytes_read += segment.size
     report.segments = len(scan.segments)
@@ -71,7 +71,7 @@
     found: list[Finding] = []
     read = scan.reader(segment.file)
     end = segment.data_start
-    for offset, length, _ in framing.iter_frames_past_gaps(read, end, segment.size, segment.salt):
+    for offset, length, _ in framing.iter_frames_past_gaps(read, end, segment.size, segment.salt_checksum):
         if offset > end:
             found.append(Finding(segment.name, end, f"{offset - end} bytes are no record"))
         end = offset + length
@@ -84,8 +84,8 @@
     """Build the index from the whole log without the checkpoint, and compare it with the checkpoint."""
     report.unproved_records = len(scan.unproved_records())
     locations, _ = Replay(scan.disk, scan.segments, None, scan.findings).build_index(now)
-    valid = sum(not is_expired(each, now) for each in locations.values())
-    report.entries = valid + report.unproved_records
+    entry_count = sum(not is_expired(each, now) for each in locations.values())
+    report.entries = entry_count + report.unproved_records
     if scan.checkpoint is not None:
         report.checkpoint = f"covers {scan.checkpoint.sequence}"
         _check_checkpoint(scan, scan.checkpoint, locations, now)
@@ -98,12 +98,14 @@
     for each in scan.segments:
         each.tombstone_bytes = 0
     replay = Replay(scan.disk, scan.segments, checkpoint, scan.findings)
-    by_checkpoint, _ = replay.build_index(now)
+    checkpoint_locations, _ = replay.build_index(now)
     if replay.checkpoint is None:
         return  # an old checkpoint that does not match the log is harmless
-    for key in sorted({*locations, *by_checkpoint}):
-        ours, its = locations.get(key), by_checkpoint.get(key)
-        if ours != its and not all(each is None or is_expired(each, now) for each in (ours, its)):
+    for key in sorted({*locations, *checkpoint_locations}):
+        from_log, from_checkpoint = locations.get(key), checkpoint_locations.get(key)
+        if from_log != from_checkpoint and not all(
+            each is None or is_expired(each, now) for each in (from_log, from_checkpoint)
+        ):
             problem = f"places key {key!r:.60} otherwise than the log does"
             scan.findings.append(Finding(file_names.CHECKPOINT, 0, problem))
             return
--- a/lichencleat/store/checkpoint_writer.py
+++ b/lichencleat/store/checkpoint_writer.py
@@ -58,8 +58,8 @@
         """Write about `budget` bytes of rows; complete the checkpoint after the last row. Raises OSError."""
         current = self.in_progress
         assert current is not None
-        spent = 0
-        while spent < budget:
+        written = 0
+        while written < budget:
             with self.log.lock:
                 rows = current.snapshot.chunk(current.cursor, b"", checkpoint.ROWS_PER_FRAME)
             if not current.snapshot.is_open:
@@ -70,7 +70,7 @@
                 return
             data = current.encoder.encode_rows(rows)
             self.log.disk.append(current.file, data)
-            spent += len(data)
+            written += len(data)
             current.cursor = rows[-1][0] + b"\0"
 
     def _finish(self, current: CheckpointInProgress) -> None:
--- a/lichencleat/store/compactor.py
+++ b/lichencleat/store/compactor.py
@@ -69,46 +69,48 @@
             OSError: If writing failed; the segment is kept.
         """
         log, segment = self.log, compaction.segment
-        others = [each for each in log.segments.values() if each is not segment]
-        is_oldest = all(each.number > segment.number for each in others)
+        remaining = [each for each in log.segments.values() if each is not segment]
+        is_oldest = all(each.number > segment.number for each in remaining)
         copies = CopyBatch()
-        done = True
+        is_complete = True
         if not is_oldest or log.index.live_bytes.get(segment.number, 0):
-            self._gather(compaction, budget, others, copies)
-            done = compaction.offset >= segment.size
+            self._collect_copies(compaction, budget, remaining, copies)
+            is_complete = compaction.offset >= segment.size
         # else nothing is copied: the oldest segment's tombstones are not needed
-        if done:
+        if is_complete:
             copies.add(Record(framing.SEGMENT_REMOVED, segment.number, b""))
         if copies.records:
             self._copy(copies)
-        if done:
+        if is_complete:
             self.in_progress = None
             log.remove_segment(segment)
             log.disk_full = False  # space was freed; the next write shows whether it is enough
             log.counts["segments cleaned"] += 1
 
-    def _gather(
-        self, compaction: Compaction, budget: int, others: Sequence[Segment], copies: CopyBatch
+    def _collect_copies(
+        self, compaction: Compaction, budget: int, remaining: Sequence[Segment], copies: CopyBatch
     ) -> None:
         """Read about `budget` bytes of the segment and add the records that have to be kept."""
         segment = compaction.segment
-        spent = 0
-        frames = framing.iter_frames(self._reader(segment), compaction.offset, segment.size, segment.salt)
+        processed_bytes = 0
+        frames = framing.iter_frames(
+            self._reader(segment), compaction.offset, segment.size, segment.salt_checksum
+        )
         for offset, length, body in frames:
             sequence, kind, _, number, key, value = framing.decode_body(body)
             if sequence != compaction.sequence:
-                problem = f"record {sequence} stands where {compaction.sequence} belongs"
+                problem = f"found record {sequence} in place of record {compaction.sequence}"
                 raise self._mark_damaged(segment, offset, problem)
             location = pack_location(segment.number, offset, length, number)
-            record = self._replacement(kind, sequence, number, key, value, location, others)
+            record = self._replacement(kind, sequence, number, key, value, location, remaining)
             if record is not None:
                 move = EntryMove(key, location) if record.kind == framing.PUT else None
                 copies.add(record, move)
-                spent += length
-            spent += length
+                processed_bytes += length
+            processed_bytes += length
             compaction.offset = offset + length
             compaction.sequence = sequence + 1
-            if spent >= budget:
+            if processed_bytes >= budget:
                 return
         if compaction.offset < segment.size:
             raise self._mark_damaged(segment, compaction.offset, "a confirmed record is not whole")
@@ -137,7 +139,7 @@
         key: bytes,
         value: memoryview,
         location: int,
-        others: Sequence[Segment],
+        remaining: Sequence[Segment],
     ) -> Record | None:
         """The record that replaces this one when its segment is removed, or None if none is needed."""
         index = self.log.index
@@ -149,25 +151,30 @@
                     index.delete(key)
             elif not number or key in index.locations:
                 return None  # a newer value or tombstone replaces it
-            born = sequence  # expired: a tombstone hides the key's older value in an older segment
+            # expired: a tombstone has to hide an older value of the key in an older segment
+            tombstone_sequence = sequence
         elif kind in framing.DELETES:
-            born = number or sequence
+            tombstone_sequence = number or sequence
         else:
             return None
         if key in index.locations:
             return None
-        return Record(framing.DELETE, born, key) if maintenance.is_tombstone_needed(born, others) else None
+        return (
+            Record(framing.DELETE, tombstone_sequence, key)
+            if maintenance.is_tombstone_needed(tombstone_sequence, remaining)
+            else None
+        )
 
     def _copy(self, copies: CopyBatch) -> None:
         """Write and flush the copies together, with the reserve's space if the disk is full."""
         log = self.log
-        written = log.counts["bytes written"]
+        written_before = log.counts["bytes written"]
         try:
             segment, spans = self.reserve.run_with_reserve(log.append, copies.records)
         except OSError:
             self.in_progress = None  # the segment is kept and compacted again later
             raise
-        log.counts["bytes copied"] += log.counts["bytes written"] - written
+        log.counts["bytes copied"] += log.counts["bytes written"] - written_before
         with log.lock:
             for record, move, (offset, length) in zip(copies.records, copies.moves, spans, strict=True):
                 if move is not None:
--- a/lichencleat/store/creation.py
+++ b/lichencleat/store/creation.py
@@ -16,7 +16,9 @@
         DirectoryNotEmptyError: If there are files of another program.
         MissingMarkerError: If there are segments of a store whose marker file is missing.
     """
-    others = [each for each in names if each not in file_names.OWN and not file_names.is_segment(each)]
+    others = [
+        each for each in names if each not in file_names.NON_SEGMENT_FILES and not file_names.is_segment(each)
+    ]
     if others:
         raise DirectoryNotEmptyError(directory, others[0])
     first = file_names.SEGMENT.format(1)
--- a/lichencleat/store/disk.py
+++ b/lichencleat/store/disk.py
@@ -57,7 +57,7 @@
         """Close the file handle."""
 
     def lock(self) -> None:
-        """Lock the directory. Raises DirectoryLockError where another process holds the lock."""
+        """Lock the directory. Raises DirectoryLockError if another process holds the lock."""
 
     def unlock(self) -> None:
         """Release the lock; the disk can't be used afterwards."""
--- a/lichencleat/store/engine.py
+++ b/lichencleat/store/engine.py
@@ -101,16 +101,16 @@
             names = self.disk.names()
         scan = RecoveryScan(self.disk, directory)
         try:
-            carried = self._recover(scan)
+            unproved_records = self._recover(scan)
         except BaseException:
             scan.close()
             raise
-        self._take_over(scan, carried)
+        self._load_log(scan, unproved_records)
         self.reserve.load(names)
         if scan.must_rewrite_tail():
             # unproved records go to a new segment, which is renamed once all of them are flushed
-            self.reserve.run_with_reserve(self.log.begin, carried)
-        for name in scan.leftovers:  # last: the records of their removal have to be on disk first
+            self.reserve.run_with_reserve(self.log.begin, unproved_records)
+        for name in scan.obsolete_files:  # last: the records of their removal have to be on disk first
             with contextlib.suppress(OSError):
                 self.disk.remove(name)
 
@@ -128,15 +128,15 @@
             raise CorruptDataError(scan.findings)
         if replay.checkpoint is not None:
             self.checkpoint_writer.last_sequence = replay.checkpoint.sequence
-        carried = scan.unproved_records()
+        unproved_records = scan.unproved_records()
         log.index.load(locations, totals)
-        return carried
+        return unproved_records
 
-    def _take_over(self, scan: RecoveryScan, carried: Sequence[Record]) -> None:
+    def _load_log(self, scan: RecoveryScan, unproved_records: Sequence[Record]) -> None:
         log = self.log
         log.load(scan.segments)
         log.counts["torn bytes"] = scan.torn_bytes
-        log.counts["records carried"] = len(carried)
+        log.counts["records carried"] = len(unproved_records)
         covered = self.checkpoint_writer.last_sequence
         log.bytes_written = sum(each.size for each in scan.segments if each.last_sequence > covered)
 
@@ -148,25 +148,27 @@
             return [ClosedError()] * len(batches)
         log = self.log
         log.tick()
-        verdicts = self._check_capacity(batches)
+        errors = self._check_capacity(batches)
         records: list[Record] = []
-        for batch, refused in zip(batches, verdicts, strict=True):
-            if refused is None and batch.changes:
+        for batch, rejection in zip(batches, errors, strict=True):
+            if rejection is None and batch.changes:
                 records += batch.to_records()
         if records:
-            failed = log.write(records)
-            if failed is not None:
-                return [verdict or failed for verdict in verdicts]
+            write_error = log.write(records)
+            if write_error is not None:
+                return [error or write_error for error in errors]
             log.counts["commits"] += 1
             log.counts["bytes asked for"] += sum(
                 len(each.key) + len(each.value) for each in records if each.kind != framing.COMMIT
             )
-        return verdicts
+        return errors
 
     def _check_capacity(self, batches: Sequence[Batch]) -> list[StoreError | None]:
         log = self.log
         log.end_snapshots_for(sum(each.bytes + framing.MAX_FRAME_OVERHEAD_BYTES for each in batches))
-        check = CapacityCheck(self.limits, log.index, log.total(), log.needs_segment(), len(log.segments))
+        check = CapacityCheck(
+            self.limits, log.index, log.total_bytes(), log.needs_segment(), len(log.segments)
+        )
         check.expect(sum(len(each.changes) for each in batches), sum(each.bytes for each in batches))
         return [check.admit(each) for each in batches]
 
@@ -182,7 +184,7 @@
             return 0
         self.log.tick()
         try:
-            if not self._step_job_at_hand(budget):
+            if not self._step_current_job(budget):
                 job = maintenance.next_job(self._maintenance_state(), self.log.time)
                 if job is None:
                     return 0
@@ -193,7 +195,7 @@
             self.reserve.abort()
             raise to_store_error(error) from error
 
-    def _step_job_at_hand(self, budget: int) -> bool:
+    def _step_current_job(self, budget: int) -> bool:
         """Continue the current job; returns whether there was one."""
         if self.compactor.in_progress is not None:
             self.compactor.step(self.compactor.in_progress, budget)
@@ -210,7 +212,7 @@
     def _begin_job(self, job: MaintenanceJob) -> None:
         match job:
             case MaintenanceJob.COMPACT:
-                self.compactor.begin(maintenance.pick_segment(self._maintenance_state()))
+                self.compactor.begin(maintenance.pick_compaction_victim(self._maintenance_state()))
             case MaintenanceJob.SWEEP_EXPIRED:
                 self.expiry_sweeper.begin()
             case MaintenanceJob.CHECKPOINT:
@@ -226,7 +228,7 @@
             return max(1, self.reserve.remaining_bytes())
         writes_checkpoint = self.checkpoint_writer.in_progress is not None and not self.log.disk_full
         if self.expiry_sweeper.cursor is not None or writes_checkpoint:
-            return max(1, self.log.index.memory)
+            return max(1, self.log.index.memory_bytes)
         return int(maintenance.next_job(self._maintenance_state(), self.log.time) is not None)
 
     def _maintenance_state(self) -> MaintenanceState:
@@ -234,12 +236,12 @@
         return MaintenanceState(
             segments=log.sealed(),
             live_bytes=log.index.live_bytes,
-            total=sum(each.size for each in log.segments.values()),
+            total_bytes=sum(each.size for each in log.segments.values()),
             max_bytes=self.limits.max_disk_bytes,
-            reserve=self.reserve.held_bytes if log.disk_full else self.limits.reserve_bytes,
+            reserve_bytes=self.reserve.held_bytes if log.disk_full else self.limits.reserve_bytes,
             segment_bytes=self.limits.segment_bytes,
             bytes_since_checkpoint=self.checkpoint_writer.bytes_since_last(),
-            entries=len(log.index),
+            entry_count=len(log.index),
             earliest_expiry=log.index.earliest_expiry,
             last_sweep_at=self.expiry_sweeper.ended_at,
             reserve_missing=self.reserve.is_missing(),
@@ -264,9 +266,8 @@
             with contextlib.suppress(StoreError):
                 self._save_time_at_next_start()
         except OSError:
-            self.log.counts["writes failed"] += (
-                1  # the time mark and the checkpoint only make the next opening faster
-            )
+            # not an error: the time mark and the checkpoint only make the next opening faster
+            self.log.counts["writes failed"] += 1
         finally:
             self.release_resources()
 
@@ -298,7 +299,7 @@
             segments, live_bytes = list(log.segments.values()), dict(log.index.live_bytes)
             return {
                 "entries": len(log.index),
-                "bytes in memory": log.index.memory,
+                "bytes in memory": log.index.memory_bytes,
                 "segments": len(segments),
                 "bytes on disk": sum(each.size + each.void_bytes for each in segments),
                 "bytes live": sum(live_bytes.values()),
--- a/lichencleat/store/expiry.py
+++ b/lichencleat/store/expiry.py
@@ -26,15 +26,15 @@
         """Sweep the next entries from the cursor on. The end of a sweep writes a time mark."""
         log = self.log
         with log.lock:
-            before = len(log.index)
-            following, earliest = log.index.drop_expired(cursor, ENTRIES_PER_STEP, log.time)
-            log.counts["entries expired"] += before - len(log.index)
-            self.cursor = following
+            count_before = len(log.index)
+            next_cursor, earliest = log.index.drop_expired(cursor, ENTRIES_PER_STEP, log.time)
+            log.counts["entries expired"] += count_before - len(log.index)
+            self.cursor = next_cursor
             if earliest and (earliest < self.earliest_expiry or not self.earliest_expiry):
                 self.earliest_expiry = earliest
-            if following is None:
-                known = [each for each in (self.earliest_expiry, log.index.earliest_expiry) if each]
-                log.index.earliest_expiry = min(known, default=0)
+            if next_cursor is None:
+                expiries = [each for each in (self.earliest_expiry, log.index.earliest_expiry) if each]
+                log.index.earliest_expiry = min(expiries, default=0)
                 self.ended_at = log.time
-        if following is None and log.time > log.last_time_mark:
+        if next_cursor is None and log.time > log.last_time_mark:
             log.write([])  # keeps the entries expired if the clock steps back after a power cut
--- a/lichencleat/store/file_names.py
+++ b/lichencleat/store/file_names.py
@@ -10,8 +10,8 @@
 SEGMENT = "{:012d}.log"  # formatted with the segment's number
 NEW_SEGMENT = "segment.new"  # a segment before it is renamed to its number; not used after a power cut
 
-TEMPORARY = (NEW_SEGMENT, NEW_STORE_MARKER, NEW_CHECKPOINT)
-OWN = frozenset([STORE_MARKER, RESERVE, CHECKPOINT, *TEMPORARY])
+TEMPORARY_FILES = (NEW_SEGMENT, NEW_STORE_MARKER, NEW_CHECKPOINT)
+NON_SEGMENT_FILES = frozenset([STORE_MARKER, RESERVE, CHECKPOINT, *TEMPORARY_FILES])
 """All file names of a store except those of segments."""
 
 
--- a/lichencleat/store/framing.py
+++ b/lichencleat/store/framing.py
@@ -75,100 +75,105 @@
     return data[len(magic) + 1 : FILE_HEADER_BYTES] if version == FORMAT else None
 
 
-def checksum(salt: int, offset: int, body: bytes | memoryview) -> int:
-    """A frame's checksum. `salt` is the checksum of the file's salt, computed once per file."""
-    return crc32c(body, (salt + offset + len(body) * LENGTH_MULTIPLIER) & CHECKSUM_MASK)
+def checksum(salt_checksum: int, offset: int, body: bytes | memoryview) -> int:
+    """A frame's checksum. `salt_checksum` is the checksum of the file's salt, computed once per file."""
+    return crc32c(body, (salt_checksum + offset + len(body) * LENGTH_MULTIPLIER) & CHECKSUM_MASK)
 
 
-def encode_frame(salt: int, offset: int, body: bytes) -> bytes:
+def encode_frame(salt_checksum: int, offset: int, body: bytes) -> bytes:
     """The frame with this body, for this offset of the file."""
-    return FRAME_HEADER.pack(MARKER, len(body), checksum(salt, offset, body)) + body
+    return FRAME_HEADER.pack(MARKER, len(body), checksum(salt_checksum, offset, body)) + body
 
 
-def decode_frame(data: bytes, salt: int, offset: int) -> memoryview | None:
+def decode_frame(data: bytes, salt_checksum: int, offset: int) -> memoryview | None:
     """The body, if the data, read at `offset`, is exactly one intact frame; otherwise None."""
     if len(data) < FRAME_HEADER.size:
         return None
-    marker, length, check = FRAME_HEADER.unpack_from(data)
+    marker, length, expected = FRAME_HEADER.unpack_from(data)
     body = memoryview(data)[FRAME_HEADER.size :]
-    good = marker == MARKER and length == len(body) and checksum(salt, offset, body) == check
-    return body if good else None
+    is_intact = marker == MARKER and length == len(body) and checksum(salt_checksum, offset, body) == expected
+    return body if is_intact else None
 
 
-def iter_frames(read: Read, start: int, size: int, salt: int) -> Iterator[tuple[int, int, memoryview]]:
+def iter_frames(
+    read: Read, start: int, size: int, salt_checksum: int
+) -> Iterator[tuple[int, int, memoryview]]:
     """Yield offset, length and body of each frame from `start` on, up to the first one that is not intact.
 
     A body is a view of a read window. The caller may keep it; the window's memory is freed with its last
     view.
     """
     base, data = start, b""
-    at = start
-    head, max_length = FRAME_HEADER.size, MAX_BODY_BYTES
+    offset = start
+    header_bytes, max_length = FRAME_HEADER.size, MAX_BODY_BYTES
     unpack = FRAME_HEADER.unpack_from
     view = memoryview(data)
-    while at + head <= size:
-        here = at - base
-        if here + head > len(data):
-            base, data = at, read(at, min(READ_WINDOW_BYTES, size - at))
-            here, view = 0, memoryview(data)
-            if len(data) < head:
+    while offset + header_bytes <= size:
+        position = offset - base
+        if position + header_bytes > len(data):
+            base, data = offset, read(offset, min(READ_WINDOW_BYTES, size - offset))
+            position, view = 0, memoryview(data)
+            if len(data) < header_bytes:
                 return
-        marker, length, check = unpack(data, here)
-        if marker != MARKER or length > max_length or at + head + length > size:
+        marker, length, expected = unpack(data, position)
+        if marker != MARKER or length > max_length or offset + header_bytes + length > size:
             return
-        end = here + head + length
+        end = position + header_bytes + length
         if end > len(data):
-            base, data = at, read(at, max(min(READ_WINDOW_BYTES, size - at), head + length))
-            here, end, view = 0, head + length, memoryview(data)
+            base, data = (
+                offset,
+                read(offset, max(min(READ_WINDOW_BYTES, size - offset), header_bytes + length)),
+            )
+            position, end, view = 0, header_bytes + length, memoryview(data)
             if len(data) < end:
                 return
-        body = view[here + head : end]
-        if crc32c(body, (salt + at + length * LENGTH_MULTIPLIER) & CHECKSUM_MASK) != check:
+        body = view[position + header_bytes : end]
+        if crc32c(body, (salt_checksum + offset + length * LENGTH_MULTIPLIER) & CHECKSUM_MASK) != expected:
             return
-        yield at, head + length, body
-        at += head + length
+        yield offset, header_bytes + length, body
+        offset += header_bytes + length
 
 
-def find_frame(read: Read, start: int, size: int, salt: int) -> int | None:
+def find_frame(read: Read, start: int, size: int, salt_checksum: int) -> int | None:
     """The offset of the first intact log frame at or after `start`, or None; skips all other bytes.
 
     Checks every offset with a frame marker; an offset without a frame costs at most one checksum.
     """
-    at = start
-    while at + FRAME_HEADER.size < size:
-        data = read(at, min(READ_WINDOW_BYTES, size - at))
-        here = data.find(MARKER)
-        while here >= 0 and here + FRAME_HEADER.size < len(data):
-            if _is_frame_at(read, data, here, at + here, size, salt):
-                return at + here
-            here = data.find(MARKER, here + 1)
+    base = start
+    while base + FRAME_HEADER.size < size:
+        data = read(base, min(READ_WINDOW_BYTES, size - base))
+        position = data.find(MARKER)
+        while position >= 0 and position + FRAME_HEADER.size < len(data):
+            if _is_frame_at(read, data, position, base + position, size, salt_checksum):
+                return base + position
+            position = data.find(MARKER, position + 1)
         if len(data) <= FRAME_HEADER.size:
             return None
         # a marker in the last bytes is found again by the next read, with its complete header
-        at += len(data) - FRAME_HEADER.size
+        base += len(data) - FRAME_HEADER.size
     return None
 
 
-def _is_frame_at(read: Read, data: bytes, here: int, offset: int, size: int, salt: int) -> bool:
-    """Whether a log frame begins at `here` in the window `data`; `offset` is the same place in the file."""
-    _, length, _ = FRAME_HEADER.unpack_from(data, here)
-    body_at = here + FRAME_HEADER.size
-    end = body_at + length
+def _is_frame_at(read: Read, data: bytes, position: int, offset: int, size: int, salt_checksum: int) -> bool:
+    """Whether a log frame begins at `position` in the window `data`, at `offset` in the file."""
+    _, length, _ = FRAME_HEADER.unpack_from(data, position)
+    body_start = position + FRAME_HEADER.size
+    end = body_start + length
     fits = length <= MAX_BODY_BYTES and offset + FRAME_HEADER.size + length <= size
-    if data[body_at] != BODY_FIRST_BYTE or not fits:
+    if data[body_start] != BODY_FIRST_BYTE or not fits:
         return False
-    whole = data[here:end] if end <= len(data) else read(offset, FRAME_HEADER.size + length)
-    return decode_frame(whole, salt, offset) is not None
+    frame = data[position:end] if end <= len(data) else read(offset, FRAME_HEADER.size + length)
+    return decode_frame(frame, salt_checksum, offset) is not None
 
 
 def iter_frames_past_gaps(
-    read: Read, start: int, size: int, salt: int
+    read: Read, start: int, size: int, salt_checksum: int
 ) -> Iterator[tuple[int, int, memoryview]]:
     """Yield offset, length and body of every intact frame at or after `start`; skips bytes between frames."""
-    at = find_frame(read, start, size, salt)
-    while at is not None:
-        end = at + 1  # moves on even if the second read returns other bytes than the first
-        for offset, length, body in iter_frames(read, at, size, salt):
+    frame_start = find_frame(read, start, size, salt_checksum)
+    while frame_start is not None:
+        end = frame_start + 1  # moves on even if the second read returns other bytes than the first
+        for offset, length, body in iter_frames(read, frame_start, size, salt_checksum):
             yield offset, length, body
             end = offset + length
-        at = find_frame(read, end, size, salt)
+        frame_start = find_frame(read, end, size, salt_checksum)
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -82,8 +82,8 @@
 
     Attributes:
         locations: Packed location of each key.
-        order: The keys, sorted.
-        memory: Estimated memory in bytes.
+        sorted_keys: The keys, sorted.
+        memory_bytes: Estimated memory.
         live_bytes: Bytes of the frames that entries point at, by segment number.
         earliest_expiry: No entry expires before this time (µs); 0 if none expires.
         max_undo_entries: Limit on the undo list of a snapshot; the snapshot ends when it is reached.
@@ -92,8 +92,8 @@
 
     def __init__(self, max_undo_entries: int = MAX_UNDO_ENTRIES) -> None:
         self.locations: dict[bytes, int] = {}
-        self.order: SortedList = SortedList()
-        self.memory = 0
+        self.sorted_keys: SortedList = SortedList()
+        self.memory_bytes = 0
         self.live_bytes: dict[int, int] = {}
         self.earliest_expiry = 0
         self.max_undo_entries = max_undo_entries
@@ -102,12 +102,12 @@
     def __len__(self) -> int:
         return len(self.locations)
 
-    def load(self, locations: dict[bytes, int], sums: LocationTotals) -> None:
+    def load(self, locations: dict[bytes, int], totals: LocationTotals) -> None:
         """Load all entries at once when the store opens, with the totals from `total_locations`."""
         self.locations = locations
-        self.order = SortedList(locations)
-        self.memory = sum(map(len, locations)) + ENTRY_BYTES * len(locations)
-        self.live_bytes, self.earliest_expiry = sums.live_bytes, sums.earliest_expiry
+        self.sorted_keys = SortedList(locations)
+        self.memory_bytes = sum(map(len, locations)) + ENTRY_BYTES * len(locations)
+        self.live_bytes, self.earliest_expiry = totals.live_bytes, totals.earliest_expiry
 
     def get(self, key: bytes, now: int) -> int | None:
         """The key's location, or None if the entry does not exist or has expired."""
@@ -116,28 +116,28 @@
 
     def put(self, key: bytes, location: int) -> None:
         """Set the location of a key's new value."""
-        old = self.locations.get(key)
-        if old is None:
-            self.order.add(key)
-            self.memory += len(key) + ENTRY_BYTES
+        old_location = self.locations.get(key)
+        if old_location is None:
+            self.sorted_keys.add(key)
+            self.memory_bytes += len(key) + ENTRY_BYTES
         else:
-            self.live_bytes[segment_of(old)] -= length_of(old)
+            self.live_bytes[segment_of(old_location)] -= length_of(old_location)
         if self.snapshots:
-            self._record_undo(key, old)
-        self._enter(key, location)
+            self._record_undo(key, old_location)
+        self._set_location(key, location)
 
-    def move(self, key: bytes, old: int, location: int) -> bool:
+    def move(self, key: bytes, old_location: int, new_location: int) -> bool:
         """Record that compaction copied a value to another location; snapshots do not change.
 
-        Returns whether `old` was still the key's location; otherwise nothing changes.
+        Returns whether `old_location` was still the key's location; otherwise nothing changes.
         """
-        if self.locations.get(key) != old:
+        if self.locations.get(key) != old_location:
             return False
-        self.live_bytes[segment_of(old)] -= length_of(old)
-        self._enter(key, location)
+        self.live_bytes[segment_of(old_location)] -= length_of(old_location)
+        self._set_location(key, new_location)
         return True
 
-    def _enter(self, key: bytes, location: int) -> None:
+    def _set_location(self, key: bytes, location: int) -> None:
         self.locations[key] = location
         segment, expiry = location >> 2 * FIELD_BITS & FIELD_MASK, location >> 3 * FIELD_BITS
         self.live_bytes[segment] = self.live_bytes.get(segment, 0) + (location & FIELD_MASK)
@@ -146,17 +146,17 @@
 
     def delete(self, key: bytes) -> None:
         """Remove a key if it exists."""
-        old = self.locations.pop(key, None)
-        if old is None:
+        old_location = self.locations.pop(key, None)
+        if old_location is None:
             return
-        self.order.remove(key)
-        self.memory -= len(key) + ENTRY_BYTES
-        self.live_bytes[segment_of(old)] -= length_of(old)
-        self._record_undo(key, old)
+        self.sorted_keys.remove(key)
+        self.memory_bytes -= len(key) + ENTRY_BYTES
+        self.live_bytes[segment_of(old_location)] -= length_of(old_location)
+        self._record_undo(key, old_location)
 
-    def _record_undo(self, key: bytes, old: int | None) -> None:
+    def _record_undo(self, key: bytes, old_location: int | None) -> None:
         for snapshot in list(self.snapshots):
-            snapshot.record_previous(key, old)
+            snapshot.record_previous(key, old_location)
 
     def drop_expired(self, cursor: bytes, limit: int, now: int) -> tuple[bytes | None, int]:
         """Remove the expired entries among the next `limit` keys from the cursor on.
@@ -164,7 +164,7 @@
         Returns the next cursor (None at the end) and the earliest expiry among the remaining ones of these
         keys (0: none).
         """
-        keys = list(islice(self.order.irange(cursor), limit + 1))
+        keys = list(islice(self.sorted_keys.irange(cursor), limit + 1))
         earliest_expiry = 0
         for key in keys[:limit]:
             location = self.locations[key]
@@ -193,13 +193,13 @@
         self.undo: SortedDict = SortedDict()  # key -> location in the snapshot, None: no entry
         self.is_open = True
 
-    def record_previous(self, key: bytes, old: int | None) -> None:
+    def record_previous(self, key: bytes, old_location: int | None) -> None:
         """Record the location that a change replaces; ends the snapshot at the limit of its undo list."""
         if key not in self.undo:
             if len(self.undo) >= self.index.max_undo_entries:
                 self.close()  # readers of the snapshot get an error, the write succeeds
                 return
-            self.undo[key] = old
+            self.undo[key] = old_location
 
     def close(self) -> None:
         """End the snapshot and free its undo list; idempotent."""
@@ -217,16 +217,16 @@
         The next chunk's cursor is the last key followed by a zero byte. The last chunk is empty.
         """
 
-        def keys_of(among: SortedList | SortedDict) -> Iterator[bytes]:
+        def keys_with_prefix(source: SortedList | SortedDict) -> Iterator[bytes]:
             return islice(
-                takewhile(lambda key: key.startswith(prefix), among.irange(max(cursor, prefix))), limit
+                takewhile(lambda key: key.startswith(prefix), source.irange(max(cursor, prefix))), limit
             )
 
         found: list[tuple[bytes, int]] = []
         while self.is_open and not found:
-            now = list(keys_of(self.index.order))
-            then = list(keys_of(self.undo))
-            merged = sorted({*now, *then})[:limit]
+            current_keys = list(keys_with_prefix(self.index.sorted_keys))
+            undo_keys = list(keys_with_prefix(self.undo))
+            merged = sorted({*current_keys, *undo_keys})[:limit]
             if not merged:
                 break
             found = [(key, location) for key in merged if (location := self.get(key)) is not None]
--- a/lichencleat/store/log.py
+++ b/lichencleat/store/log.py
@@ -23,8 +23,8 @@
 
 # Between time marks in the log: bounds how far time can step back after a power cut.
 TIME_MARK_INTERVAL_US = 1_000_000
-DISK_FULL = (errno.ENOSPC, errno.EDQUOT)
-COUNTS = (
+DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
+COUNTER_NAMES = (
     "commits",
     "flushes",
     "records",
@@ -44,8 +44,8 @@
 
 def to_store_error(error: OSError) -> StoreError:
     """The store error that callers get for an error of the disk."""
-    if error.errno in DISK_FULL:
-        return FullError(Limit.DISK_SPACE, f"({error.strerror}); nothing is confirmed of what was asked for")
+    if error.errno in DISK_FULL_ERRNOS:
+        return FullError(Limit.DISK_SPACE, f"({error.strerror}); no change of this write is confirmed")
     return NotConfirmedError(f"the disk failed: {error.strerror or error}")
 
 
@@ -68,7 +68,7 @@
         self.bytes_written = 0  # log written since opening, and before it but not covered by a checkpoint
         self.disk_full = False  # the last write failed because the disk was full
         self.pins: dict[Snapshot, dict[int, Segment]] = {}  # removed segments that a snapshot still needs
-        self.counts = dict.fromkeys(COUNTS, 0)
+        self.counts = dict.fromkeys(COUNTER_NAMES, 0)
 
     def tick(self) -> int:
         """Read the clock and return the latest time seen, in µs."""
@@ -90,13 +90,13 @@
         """All segments except the active one, oldest first."""
         return [each for each in self.segments.values() if each is not self.active]
 
-    def begin(self, carried: Sequence[Record] = ()) -> Segment:
+    def begin(self, initial_records: Sequence[Record] = ()) -> Segment:
         """Begin a new active segment. Raises OSError.
 
         Its header records the valid size of each older segment; bytes after that are ignored from then on.
 
         Args:
-            carried: Records written to the new segment and flushed before it is renamed to its number.
+            initial_records: Written to the new segment and flushed before it is renamed to its number.
         """
         with contextlib.suppress(FileNotFoundError):
             self.disk.remove(file_names.NEW_SEGMENT)  # left by an attempt that failed
@@ -105,11 +105,13 @@
         file = self.disk.open(file_names.NEW_SEGMENT, create=True)
         try:
             segment = Segment(number, file, crc32c(salt), 0, self.sequence + 1)
-            segment.flushed_through = self.sequence + len(carried)
-            head = segments.encode_header(self.store, segment, salt, self.time, list(self.segments.values()))
-            segment.data_start = segment.size = len(head)
-            data, spans = segments.encode_records(carried, segment, self.sequence + 1, self.sequence)
-            self.disk.append(file, head + data)
+            segment.flushed_through = self.sequence + len(initial_records)
+            header = segments.encode_header(
+                self.store, segment, salt, self.time, list(self.segments.values())
+            )
+            segment.data_start = segment.size = len(header)
+            data, spans = segments.encode_records(initial_records, segment, self.sequence + 1, self.sequence)
+            self.disk.append(file, header + data)
             self.disk.flush(file)
             self.disk.rename(file_names.NEW_SEGMENT, segment.name)
             self.disk.flush_directory()
@@ -119,12 +121,12 @@
                 self.disk.remove(file_names.NEW_SEGMENT)
             raise
         segment.size += len(data)
-        self._count_written(len(head) + len(data))
+        self._count_written(len(header) + len(data))
         with self.lock:
             self.active = self.segments[number] = segment
         self.last_time_mark = self.time
         self.sequence = segment.last_sequence = segment.flushed_through
-        self._enter(carried, spans, segment)
+        self._apply_to_index(initial_records, spans, segment)
         return segment
 
     def needs_segment(self) -> bool:
@@ -140,11 +142,11 @@
             for pinned in self.pins.values():  # any snapshot may still point at its records
                 pinned[segment.number] = segment
                 segment.reference_count += 1
-            free = segment.reference_count == 0
+            is_unused = segment.reference_count == 0
         with contextlib.suppress(OSError):  # the log records the removal: the next start removes the file
             self.disk.remove(segment.name)
             self.disk.flush_directory()
-        if free:
+        if is_unused:
             self.disk.close(segment.file)
 
     def release(self, segment: Segment) -> None:
@@ -159,14 +161,14 @@
         for segment in self.pins.pop(snapshot, {}).values():
             self.release(segment)
 
-    def total(self) -> int:
+    def total_bytes(self) -> int:
         """Bytes of all segments, including removed ones that a snapshot keeps open."""
-        held = {each for pinned in list(self.pins.values()) for each in list(pinned.values())}
-        return sum(each.size + each.void_bytes for each in (*self.segments.values(), *held))
+        removed = {each for pinned in list(self.pins.values()) for each in list(pinned.values())}
+        return sum(each.size + each.void_bytes for each in (*self.segments.values(), *removed))
 
     def end_snapshots_for(self, needed: int) -> None:
         """End snapshots, oldest first, until the files that they keep open leave `needed` bytes free."""
-        while self.total() + needed > self.limits.max_disk_bytes - self.limits.reserve_bytes and any(
+        while self.total_bytes() + needed > self.limits.max_disk_bytes - self.limits.reserve_bytes and any(
             self.pins.values()
         ):
             with self.lock:
@@ -209,7 +211,7 @@
         if records[0].kind == framing.TIME_MARK:
             self.last_time_mark = self.time
         self.counts["records"] += len(records)
-        self._enter(records, spans, segment)
+        self._apply_to_index(records, spans, segment)
         return None
 
     def append(self, records: Sequence[Record]) -> tuple[Segment, list[tuple[int, int]]]:
@@ -242,9 +244,11 @@
                 self.active.void_bytes = max(0, self.disk.size(self.active.file) - self.active.size)
             self.active = None
         self.counts["writes failed"] += 1
-        self.disk_full = self.disk_full or error.errno in DISK_FULL
+        self.disk_full = self.disk_full or error.errno in DISK_FULL_ERRNOS
 
-    def _enter(self, records: Sequence[Record], spans: Sequence[tuple[int, int]], segment: Segment) -> None:
+    def _apply_to_index(
+        self, records: Sequence[Record], spans: Sequence[tuple[int, int]], segment: Segment
+    ) -> None:
         with self.lock:
             index, number = self.index, segment.number
             for record, (offset, length) in zip(records, spans, strict=True):
--- a/lichencleat/store/log_tail.py
+++ b/lichencleat/store/log_tail.py
@@ -29,39 +29,41 @@
     """Reads the newest segment's frames in order and determines which of them were flushed.
 
     Attributes:
-        sequence: Sequence of the last frame accepted.
-        proved: The last sequence that is proved to be flushed.
+        last_sequence: Sequence of the last frame accepted.
+        proved_sequence: The last sequence that is proved to be flushed.
         proved_end: End of the proved frames, as an offset in bytes.
-        unproved: Frames after these, oldest first.
+        unproved_frames: Frames after these, oldest first.
         removed_segments: For each segment-removed record, its sequence and the number of the segment.
         time: The latest time in a time mark, in µs.
     """
 
-    def __init__(self, first: int, through: int, offset: int) -> None:
+    def __init__(self, first_sequence: int, flushed_through: int, data_start: int) -> None:
         """Begins before the segment's first frame.
 
         Args:
-            first: Sequence of that frame.
-            through: Frames up to this sequence were flushed before the segment was renamed to its number.
-            offset: Offset of that frame, in bytes.
+            first_sequence: Sequence of that frame.
+            flushed_through: Frames up to this sequence were flushed before the segment was renamed.
+            data_start: Offset of that frame, in bytes.
         """
-        self.sequence = first - 1
-        self.proved = max(through, first - 1)
-        self.proved_end = offset
-        self.unproved: deque[TailFrame] = deque()
+        self.last_sequence = first_sequence - 1
+        self.proved_sequence = max(flushed_through, first_sequence - 1)
+        self.proved_end = data_start
+        self.unproved_frames: deque[TailFrame] = deque()
         self.removed_segments: list[tuple[int, int]] = []
         self.time = 0
 
-    def accept(self, offset: int, length: int, sequence: int, kind: int, back: int, number: int) -> bool:
+    def accept(
+        self, offset: int, length: int, sequence: int, kind: int, flush_distance: int, number: int
+    ) -> bool:
         """Accept the frame if it is the next one in sequence; returns whether it was accepted.
 
         `number` is the record's number, see `framing.Body`.
         """
-        if sequence != self.sequence + 1 or not 0 < back <= sequence:
+        if sequence != self.last_sequence + 1 or not 0 < flush_distance <= sequence:
             return False
-        self.sequence = sequence
-        self.unproved.append(TailFrame(sequence, kind, offset, length))
-        self.mark_proved(sequence - back)
+        self.last_sequence = sequence
+        self.unproved_frames.append(TailFrame(sequence, kind, offset, length))
+        self.mark_proved(sequence - flush_distance)
         if kind == framing.SEGMENT_REMOVED:
             self.removed_segments.append((sequence, number))
         elif kind == framing.TIME_MARK:
@@ -70,26 +72,26 @@
 
     def mark_proved(self, sequence: int) -> None:
         """Record that all frames up to that sequence were flushed."""
-        self.proved = max(self.proved, sequence)
-        while self.unproved and self.unproved[0].sequence <= self.proved:
-            frame = self.unproved.popleft()
+        self.proved_sequence = max(self.proved_sequence, sequence)
+        while self.unproved_frames and self.unproved_frames[0].sequence <= self.proved_sequence:
+            frame = self.unproved_frames.popleft()
             self.proved_end = frame.offset + frame.length
 
-    def is_loss_proved_by(self, sequence: int, back: int) -> bool:
+    def is_loss_proved_by(self, sequence: int, flush_distance: int) -> bool:
         """Whether a frame found after a gap proves that flushed frames are missing in the gap."""
-        return sequence - back > self.sequence
+        return sequence - flush_distance > self.last_sequence
 
     def unproved_records(self) -> list[tuple[int, int]]:
         """Offset and length of the unproved frames to keep: single records and complete batches."""
-        kept: list[tuple[int, int]] = []
+        spans: list[tuple[int, int]] = []
         batch: list[tuple[int, int]] = []
-        for frame in self.unproved:
+        for frame in self.unproved_frames:
             span = (frame.offset, frame.length)
             if frame.kind in framing.IN_BATCH:
                 batch.append(span)
             elif frame.kind == framing.COMMIT:
-                kept += [*batch, span]
+                spans += [*batch, span]
                 batch = []
             elif frame.kind in framing.SINGLE:
-                kept.append(span)
-        return kept
+                spans.append(span)
+        return spans
--- a/lichencleat/store/maintenance.py
+++ b/lichencleat/store/maintenance.py
@@ -51,13 +51,13 @@
 
     segments: Sequence[Segment]  # sealed segments, oldest first, without the active one
     live_bytes: dict[int, int]  # by segment number: bytes of the frames that entries point at
-    total: int  # bytes of all segments
+    total_bytes: int  # bytes of all segments
     max_bytes: int  # bytes allowed, reserve included
-    reserve: int  # bytes that the copies of one compaction may need
+    reserve_bytes: int  # space for the copies of one compaction when the disk is full
     segment_bytes: int
     bytes_since_checkpoint: int
-    entries: int
-    earliest_expiry: int  # µs, 0 where no entry expires
+    entry_count: int
+    earliest_expiry: int  # µs, 0 if no entry expires
     last_sweep_at: int  # µs: end of the last sweep
     reserve_missing: bool
     disk_full: bool  # the last write failed because the disk was full
@@ -74,32 +74,32 @@
     return segment.size + segment.void_bytes - live - segment.tombstone_bytes
 
 
-def pick_segment(state: MaintenanceState) -> Segment | None:
+def pick_compaction_victim(state: MaintenanceState) -> Segment | None:
     """The segment to compact next, or None if no compaction is worth its cost."""
     segments = state.segments
     if not segments:
         return None
-    space = state.reserve if state.disk_full else state.max_bytes
-    fit = [each for each in segments if not each.is_damaged and state.kept_bytes(each) <= space]
-    empty = _first_empty(state, fit)
+    copy_limit = state.reserve_bytes if state.disk_full else state.max_bytes
+    eligible = [each for each in segments if not each.is_damaged and state.kept_bytes(each) <= copy_limit]
+    empty = _oldest_without_live_entries(state, eligible)
     if empty is not None:
         return empty  # no record has to be copied
     tombstone_bytes = sum(each.tombstone_bytes for each in segments)
-    many_tombstones = tombstone_bytes > MAX_TOMBSTONE_SHARE * state.total
-    if many_tombstones and segments[0] in fit and len(segments) > 1:
+    many_tombstones = tombstone_bytes > MAX_TOMBSTONE_SHARE * state.total_bytes
+    if many_tombstones and segments[0] in eligible and len(segments) > 1:
         return segments[0]  # newer tombstones are needed until this segment is removed
-    best = _best_of_garbage(state, fit)
+    best = _best_scored_victim(state, eligible)
     if best is not None:
         return best
-    needed = 2 * (state.total // state.segment_bytes) + MAX_EXTRA_SEGMENTS
-    if len(segments) > needed and fit:
-        return min(fit, key=lambda each: (state.kept_bytes(each), each.number))
+    expected_segments = 2 * (state.total_bytes // state.segment_bytes) + MAX_EXTRA_SEGMENTS
+    if len(segments) > expected_segments and eligible:
+        return min(eligible, key=lambda each: (state.kept_bytes(each), each.number))
     return None
 
 
-def _first_empty(state: MaintenanceState, fit: Sequence[Segment]) -> Segment | None:
+def _oldest_without_live_entries(state: MaintenanceState, eligible: Sequence[Segment]) -> Segment | None:
     """The oldest segment that has no live entry and whose tombstones need no copy."""
-    for each in fit:
+    for each in eligible:
         if state.live_bytes.get(each.number, 0):
             continue
         has_data = each.size + each.void_bytes > each.data_start  # otherwise only a header
@@ -108,44 +108,48 @@
     return None
 
 
-def _best_of_garbage(state: MaintenanceState, fit: Sequence[Segment]) -> Segment | None:
+def _best_scored_victim(state: MaintenanceState, eligible: Sequence[Segment]) -> Segment | None:
     """The segment with the best score, if the store has enough garbage or too little space."""
     live_bytes = state.live_bytes
-    full = state.total > DISK_PRESSURE_SHARE * state.max_bytes
-    pressed = full or state.disk_full or state.compact_all
-    wasted = sum(garbage_bytes(each, live_bytes) for each in state.segments)
-    if not pressed and wasted <= MAX_GARBAGE_SHARE * state.total:
+    nearly_full = state.total_bytes > DISK_PRESSURE_SHARE * state.max_bytes
+    under_pressure = nearly_full or state.disk_full or state.compact_all
+    total_garbage = sum(garbage_bytes(each, live_bytes) for each in state.segments)
+    if not under_pressure and total_garbage <= MAX_GARBAGE_SHARE * state.total_bytes:
         return None
-    least = MIN_GARBAGE_SHARE_UNDER_PRESSURE if pressed else MIN_GARBAGE_SHARE
-    worth = [each for each in fit if garbage_bytes(each, live_bytes) - each.data_start > least * each.size]
-    newest = state.segments[-1].last_sequence
-    return max(worth, key=lambda each: compaction_score(each, live_bytes, newest), default=None)
+    min_garbage_share = MIN_GARBAGE_SHARE_UNDER_PRESSURE if under_pressure else MIN_GARBAGE_SHARE
+    candidates = [
+        each
+        for each in eligible
+        if garbage_bytes(each, live_bytes) - each.data_start > min_garbage_share * each.size
+    ]
+    newest_sequence = state.segments[-1].last_sequence
+    return max(candidates, key=lambda each: compaction_score(each, live_bytes, newest_sequence), default=None)
 
 
-def compaction_score(segment: Segment, live_bytes: dict[int, int], newest: int) -> float:
+def compaction_score(segment: Segment, live_bytes: dict[int, int], newest_sequence: int) -> float:
     """Reclaimed space times age, divided by the bytes read and written.
 
-    `newest` is the newest segment's last sequence.
+    `newest_sequence` is the newest segment's last sequence.
     """
-    kept = 1 - garbage_bytes(segment, live_bytes) / (segment.size + segment.void_bytes)
-    return (1 - kept) * (newest - segment.last_sequence + 1) / (1 + kept)
+    kept_share = 1 - garbage_bytes(segment, live_bytes) / (segment.size + segment.void_bytes)
+    return (1 - kept_share) * (newest_sequence - segment.last_sequence + 1) / (1 + kept_share)
 
 
 def next_job(state: MaintenanceState, now: int) -> MaintenanceJob | None:
     """The job to begin at the time `now` (µs), or None if no job is due."""
     if state.disk_full:  # every other job needs disk space
-        return MaintenanceJob.COMPACT if pick_segment(state) is not None else None
-    sweep_due = now >= state.last_sweep_at + SWEEP_PAUSE_PER_ENTRY_US * state.entries
+        return MaintenanceJob.COMPACT if pick_compaction_victim(state) is not None else None
+    sweep_due = now >= state.last_sweep_at + SWEEP_PAUSE_PER_ENTRY_US * state.entry_count
     if state.earliest_expiry and now >= state.earliest_expiry and sweep_due:
         return MaintenanceJob.SWEEP_EXPIRED
-    interval = max(CHECKPOINT_INTERVAL_BYTES, CHECKPOINT_INTERVAL_SHARE * state.total)
+    interval = max(CHECKPOINT_INTERVAL_BYTES, CHECKPOINT_INTERVAL_SHARE * state.total_bytes)
     if state.bytes_since_checkpoint > interval:
         return MaintenanceJob.CHECKPOINT
-    if pick_segment(state) is not None:
+    if pick_compaction_victim(state) is not None:
         return MaintenanceJob.COMPACT
     return MaintenanceJob.RENEW_RESERVE if state.reserve_missing else None
 
 
-def is_tombstone_needed(born: int, others: Sequence[Segment]) -> bool:
-    """Whether a remaining segment may hold a value that a tombstone of this sequence deletes."""
-    return any(each.first_sequence <= born for each in others)
+def is_tombstone_needed(tombstone_sequence: int, remaining: Sequence[Segment]) -> bool:
+    """Whether one of the remaining segments may hold a value that the tombstone deletes."""
+    return any(each.first_sequence <= tombstone_sequence for each in remaining)
--- a/lichencleat/store/reader.py
+++ b/lichencleat/store/reader.py
@@ -63,7 +63,7 @@
             self.log.counts["damaged reads"] += 1
             finding = Finding(segment.name, offset, f"can't be read: {error.strerror}")
             raise CorruptDataError([finding]) from error
-        body = framing.decode_frame(data, segment.salt, offset)
+        body = framing.decode_frame(data, segment.salt_checksum, offset)
         if body is not None:
             _, _, _, _, found_key, value = framing.decode_body(body)
             if found_key == key:
@@ -99,7 +99,7 @@
             CorruptDataError: If a value can't be read.
         """
         while True:
-            following, pinned = self._pin_entries(snapshot, cursor, prefix, limit)
+            next_cursor, pinned = self._pin_entries(snapshot, cursor, prefix, limit)
             try:
                 found = [
                     (each.key, self.read_value(each.segment, each.key, each.location)) for each in pinned
@@ -108,21 +108,21 @@
                 with self.log.lock:
                     for each in pinned:
                         self.log.release(each.segment)
-            if found or following is None:
+            if found or next_cursor is None:
                 return found
-            cursor = following  # continues if all of these entries have expired
+            cursor = next_cursor  # continues if all of these entries have expired
 
     def scan(self, prefix: bytes = b"", snapshot: Snapshot | None = None) -> Iterator[tuple[bytes, bytes]]:
         """Yield keys and values in order of keys, as of the snapshot or of the scan's beginning."""
-        taken = snapshot if snapshot is not None else self.snapshot()
+        view = snapshot if snapshot is not None else self.snapshot()
         cursor = prefix
         try:
-            while found := self.chunk(taken, cursor, prefix):
+            while found := self.chunk(view, cursor, prefix):
                 yield from found
                 cursor = found[-1][0] + b"\0"
         finally:
             if snapshot is None:
-                self.release(taken)
+                self.release(view)
 
     def _check_open(self) -> None:
         if self.closed:
@@ -140,12 +140,12 @@
             if not rows:
                 return None, []
             now = log.tick()
-            removed = log.pins[snapshot]
+            removed_segments = log.pins[snapshot]
             pinned = []
             for key, location in rows:
                 if not is_expired(location, now):
                     number = segment_of(location)
-                    segment = log.segments.get(number) or removed[number]
+                    segment = log.segments.get(number) or removed_segments[number]
                     segment.reference_count += 1
                     pinned.append(_PinnedEntry(key, location, segment))
         return rows[-1][0] + b"\0", pinned
--- a/lichencleat/store/recovery.py
+++ b/lichencleat/store/recovery.py
@@ -24,7 +24,7 @@
         store: The store's identity, from its marker file or its newest segment.
         segments: The store's segments, oldest first.
         findings: Every place where the files differ from what was confirmed.
-        leftovers: Names of files that are not part of the store any more.
+        obsolete_files: Names of files that are not part of the store any more.
         torn_bytes: Bytes after the newest segment's last intact frame, left by a power cut.
         time: The latest time recorded in the store (µs).
         tail: The newest segment's frames; None before `read`.
@@ -37,7 +37,7 @@
         self.store = b""
         self.segments: list[Segment] = []
         self.findings: list[Finding] = []
-        self.leftovers: list[str] = []
+        self.obsolete_files: list[str] = []
         self.torn_bytes = 0
         self.time = 0
         self.tail: LogTail | None = None
@@ -68,8 +68,8 @@
         self._read_newest(segment)
         self._read_older(header.older, segment)
         kept = {each.name for each in self.segments}
-        self.leftovers = [each for each in logs if each not in kept]
-        self.leftovers += [each for each in file_names.TEMPORARY if each in names]
+        self.obsolete_files = [each for each in logs if each not in kept]
+        self.obsolete_files += [each for each in file_names.TEMPORARY_FILES if each in names]
 
     def reader(self, file: FileHandle) -> framing.Read:
         """A function that reads the file."""
@@ -87,7 +87,7 @@
         tail = self.tail
         if tail is None:
             return False
-        removal_unproved = any(sequence > tail.proved for sequence, _ in tail.removed_segments)
+        removal_unproved = any(sequence > tail.proved_sequence for sequence, _ in tail.removed_segments)
         return bool(tail.unproved_records()) or removal_unproved
 
     def unproved_records(self) -> list[Record]:
@@ -96,7 +96,7 @@
         records = []
         for offset, length in self.tail.unproved_records() if self.tail else []:
             data = self.disk.read(newest.file, offset, length)
-            body = framing.decode_frame(data, newest.salt, offset)
+            body = framing.decode_frame(data, newest.salt_checksum, offset)
             if body is None:
                 finding = Finding(newest.name, offset, "reads otherwise than a moment ago")
                 raise CorruptDataError([finding])
@@ -116,7 +116,7 @@
     def _read_marker(self, names: Sequence[str], logs: Sequence[str]) -> None:
         marker = file_names.STORE_MARKER
         if marker not in names:
-            reason = f"(it has no file {marker}); name a directory that is one"
+            reason = f"(it has no file {marker}); name the directory of a store"
             raise NotAStoreError(self.directory, reason)
         data = self._read_file_header(marker)
         name = f"{self.directory}: {marker}"
@@ -126,7 +126,7 @@
         elif logs:
             self._add_finding(marker, 0, "is not whole")
         else:
-            raise NotAStoreError(self.directory, f"(its file {marker} reads otherwise)")
+            raise NotAStoreError(self.directory, f"(its file {marker} is not a valid marker)")
 
     def _read_file_header(self, name: str) -> bytes:
         """The file's header, and one more byte to detect a file that is too long."""
@@ -167,40 +167,40 @@
         end = self._read_tail(segment, size, tail)
         if self.checkpoint is not None and self.checkpoint.newest == segment.number:
             tail.mark_proved(self.checkpoint.sequence)
-        if tail.proved > tail.sequence:
-            lost = tail.proved - tail.sequence
+        if tail.proved_sequence > tail.last_sequence:
+            lost = tail.proved_sequence - tail.last_sequence
             self._add_finding(segment.name, end, f"{lost} confirmed records are not whole")
         elif end < size:
             self.torn_bytes = size - end
-            self._find_loss_behind(segment, end, size, tail)
+            self._find_lost_records(segment, end, size, tail)
         self.time = max(self.time, tail.time)
         segment.size = tail.proved_end
-        segment.last_sequence = min(tail.proved, tail.sequence)
+        segment.last_sequence = min(tail.proved_sequence, tail.last_sequence)
         segment.void_bytes = size - segment.size
         self.segments = [segment]
 
     def _read_tail(self, segment: Segment, size: int, tail: LogTail) -> int:
         """Pass the segment's frames to the tail; returns the offset at which they end."""
         end = segment.data_start
-        frames = framing.iter_frames(self.reader(segment.file), end, size, segment.salt)
+        frames = framing.iter_frames(self.reader(segment.file), end, size, segment.salt_checksum)
         for offset, length, body in frames:
             try:
-                sequence, kind, back, number, _, _ = framing.decode_body(body)
+                sequence, kind, flush_distance, number, _, _ = framing.decode_body(body)
             except UNDECODABLE:
                 break
-            if not tail.accept(offset, length, sequence, kind, back, number):
+            if not tail.accept(offset, length, sequence, kind, flush_distance, number):
                 break
             end = offset + length
         return end
 
-    def _find_loss_behind(self, segment: Segment, end: int, size: int, tail: LogTail) -> None:
+    def _find_lost_records(self, segment: Segment, end: int, size: int, tail: LogTail) -> None:
         """Search the bytes after `end` for a frame that proves that a confirmed record is missing."""
         read = self.reader(segment.file)
-        for at, _, body in framing.iter_frames_past_gaps(read, end, size, segment.salt):
+        for frame_offset, _, body in framing.iter_frames_past_gaps(read, end, size, segment.salt_checksum):
             with contextlib.suppress(*UNDECODABLE):
-                sequence, _, back, _, _, _ = framing.decode_body(body)
-                if tail.is_loss_proved_by(sequence, back):
-                    problem = f"a confirmed record is not whole; whole ones follow at {at}"
+                sequence, _, flush_distance, _, _, _ = framing.decode_body(body)
+                if tail.is_loss_proved_by(sequence, flush_distance):
+                    problem = f"a confirmed record is not whole; whole ones follow at {frame_offset}"
                     self._add_finding(segment.name, end, problem)
                     break
 
@@ -223,8 +223,8 @@
         segment.last_sequence = summary.last_sequence
         segment.size = summary.size
         segment.tombstone_bytes = summary.tombstone_bytes
-        present = self.disk.size(segment.file)
-        if present < summary.size:
-            self._add_finding(name, present, f"ends {summary.size - present} bytes early")
-        segment.void_bytes = max(0, present - summary.size)
+        actual_size = self.disk.size(segment.file)
+        if actual_size < summary.size:
+            self._add_finding(name, actual_size, f"ends {summary.size - actual_size} bytes early")
+        segment.void_bytes = max(0, actual_size - summary.size)
         return segment
--- a/lichencleat/store/replay.py
+++ b/lichencleat/store/replay.py
@@ -67,7 +67,7 @@
             return locations, totals
         sizes = {each.number: each.size for each in self.segments}
         if not totals.live_bytes.keys() <= sizes.keys():
-            self._drop_expired_strays(locations, sizes, now)
+            self._drop_expired_dangling_entries(locations, sizes, now)
             totals = total_locations(locations)
         if any(end > sizes.get(number, -1) for number, end in totals.ends.items()):
             self.checkpoint = None
@@ -75,10 +75,10 @@
         return locations, totals
 
     @staticmethod
-    def _drop_expired_strays(locations: dict[bytes, int], sizes: dict[int, int], now: int) -> None:
+    def _drop_expired_dangling_entries(locations: dict[bytes, int], sizes: dict[int, int], now: int) -> None:
         """Drop expired entries of the checkpoint whose segment was removed after the checkpoint."""
-        strays = [key for key, location in locations.items() if segment_of(location) not in sizes]
-        for key in strays:
+        dangling_keys = [key for key, location in locations.items() if segment_of(location) not in sizes]
+        for key in dangling_keys:
             if is_expired(locations[key], now):
                 del locations[key]
 
@@ -105,25 +105,25 @@
         """
         batch: list[ReplayedRecord] = []
         end = offset
-        for at, length, body in framing.iter_frames(
-            self._reader(segment), offset, segment.size, segment.salt
+        for frame_offset, length, body in framing.iter_frames(
+            self._reader(segment), offset, segment.size, segment.salt_checksum
         ):
             try:
-                found, kind, _, number, key, _ = framing.decode_body(body)
+                frame_sequence, kind, _, number, key, _ = framing.decode_body(body)
             except UNDECODABLE:
                 break
-            if found != sequence:
+            if frame_sequence != sequence:
                 break
             if kind in framing.SINGLE:
-                yield ReplayedRecord(at, length, kind, number, key)
+                yield ReplayedRecord(frame_offset, length, kind, number, key)
             elif kind in framing.IN_BATCH:
-                batch.append(ReplayedRecord(at, length, kind, number, key))
+                batch.append(ReplayedRecord(frame_offset, length, kind, number, key))
             elif kind == framing.COMMIT:
                 if number == len(batch):
                     yield from batch
                 batch = []
             sequence += 1
-            end = at + length
+            end = frame_offset + length
         if end < segment.size:
             problem = "bytes that are no frame where confirmed records stood"
             self.findings.append(Finding(segment.name, end, problem))
--- a/lichencleat/store/reserve.py
+++ b/lichencleat/store/reserve.py
@@ -8,7 +8,7 @@
 
 from lichencleat.store import file_names
 from lichencleat.store.disk import FileHandle
-from lichencleat.store.log import DISK_FULL, Log
+from lichencleat.store.log import DISK_FULL_ERRNOS, Log
 
 RETRY_INTERVAL_US = 30_000_000  # between attempts to write the reserve again
 ZEROS = bytes(1 << 20)  # one write
@@ -41,7 +41,7 @@
         try:
             return call(*args, **kwargs)
         except OSError as error:
-            if error.errno not in DISK_FULL or not self.release():
+            if error.errno not in DISK_FULL_ERRNOS or not self.release():
                 raise
             return call(*args, **kwargs)
 
@@ -83,7 +83,7 @@
             disk.flush(self.file)
             disk.flush_directory()
         except OSError as error:
-            if error.errno not in DISK_FULL:
+            if error.errno not in DISK_FULL_ERRNOS:
                 raise
             self.abort()
         else:
--- a/lichencleat/store/salvage.py
+++ b/lichencleat/store/salvage.py
@@ -56,7 +56,7 @@
 
 def salvage(
     disk: Disk,
-    into: Disk,
+    new_disk: Disk,
     clock: Callable[[], int],
     rng: random.Random,
     directory: str,
@@ -74,14 +74,14 @@
         UnreadableDirectoryError: If reading fails.
         StoreError: If writing fails.
     """
-    if into.names():
+    if new_disk.names():
         raise DirectoryNotEmptyError(new_directory)
     report = SalvageReport()
     disk.lock()
     scan = RecoveryScan(disk, directory)
     try:
-        _read_what_is_left(scan, report)
-        engine = Engine.open(into, clock, rng, limits, create=True, directory=new_directory)
+        _scan_damaged_store(scan, report)
+        engine = Engine.open(new_disk, clock, rng, limits, create=True, directory=new_directory)
         try:
             _write_all(_salvageable_batches(disk, scan, report, progress), engine, report)
             report.entries = len(engine.log.index)
@@ -95,7 +95,7 @@
     return report
 
 
-def _read_what_is_left(scan: RecoveryScan, report: SalvageReport) -> None:
+def _scan_damaged_store(scan: RecoveryScan, report: SalvageReport) -> None:
     try:
         scan.read(use_checkpoint=False)
     except CannotOpenError:
@@ -117,9 +117,9 @@
 
 
 def _commit(group: Sequence[Batch], engine: Engine, report: SalvageReport) -> None:
-    for verdict in engine.commit(group):
-        if verdict is not None:
-            raise verdict
+    for error in engine.commit(group):
+        if error is not None:
+            raise error
     report.records += sum(len(each.changes) for each in group)
     while engine.step():
         pass
@@ -135,15 +135,17 @@
         if file_names.is_segment(name)
         for file in [disk.open(name)]
     ]
-    total = sum(each.size for each in files)
-    done = 0
+    total_bytes = sum(each.size for each in files)
+    done_bytes = 0
     try:
-        ends = _last_sequences(scan, files)
+        last_sequences = _last_sequences(scan, files)
         for each in files:
-            progress(each.name, done, total)
-            done += each.size
+            progress(each.name, done_bytes, total_bytes)
+            done_bytes += each.size
             if not _is_removed(scan, each):  # the records of a removed segment were copied to a newer one
-                yield from _intact_batches(scan.reader(each.file), each, ends.get(each.number), report)
+                yield from _intact_batches(
+                    scan.reader(each.file), each, last_sequences.get(each.number), report
+                )
     finally:
         for each in files:
             disk.close(each.file)
@@ -153,25 +155,25 @@
     """Whether the newest segment shows that this one was removed from the store."""
     if segment.number in scan.removed_segments():
         return True
-    is_rooted = bool(scan.segments) and not any(each.file == segment.name for each in scan.findings)
-    return is_rooted and all(each.number != segment.number for each in scan.segments)
+    is_newest_intact = bool(scan.segments) and not any(each.file == segment.name for each in scan.findings)
+    return is_newest_intact and all(each.number != segment.number for each in scan.segments)
 
 
 def _last_sequences(scan: RecoveryScan, files: Sequence[SegmentFile]) -> dict[int, int]:
     """The last valid sequence of each segment, by number, from the intact headers of newer segments."""
-    ends: dict[int, int] = {}
+    last_sequences: dict[int, int] = {}
     for each in files:  # in order of numbers, so that the newest header wins
         found = read_header(scan.reader(each.file), each.file, each.name)
         if found is not None:
             for older in found[1].older:
-                ends[older.number] = older.last_sequence
-    return ends
+                last_sequences[older.number] = older.last_sequence
+    return last_sequences
 
 
 def _intact_batches(
-    read: framing.Read, segment: SegmentFile, end: int | None, report: SalvageReport
+    read: framing.Read, segment: SegmentFile, last_sequence: int | None, report: SalvageReport
 ) -> Iterator[Batch]:
-    """Yield the segment's complete batches, up to the sequence `end` if it is known."""
+    """Yield the segment's complete batches, up to the sequence `last_sequence` if it is known."""
     salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.LOG_MAGIC, segment.name)
     if salt is None:
         problem = "its salt is lost: nothing in it can be told from chance"
@@ -183,7 +185,7 @@
     for _, _, body in frames:
         with contextlib.suppress(*UNDECODABLE, BadRecordError):  # a segment header is not a record
             sequence, kind, _, number, key, value = framing.decode_body(body)
-            if end is not None and sequence > end:
+            if last_sequence is not None and sequence > last_sequence:
                 return
             if expected is not None and sequence != expected:
                 report.lost += max(0, sequence - expected)
--- a/lichencleat/store/segments.py
+++ b/lichencleat/store/segments.py
@@ -56,7 +56,7 @@
         "size",
         "first_sequence",
         "last_sequence",
-        "salt",
+        "salt_checksum",
         "data_start",
         "flushed_through",
         "tombstone_bytes",
@@ -67,11 +67,11 @@
     )
 
     def __init__(
-        self, number: int, file: FileHandle, salt: int, data_start: int, first_sequence: int
+        self, number: int, file: FileHandle, salt_checksum: int, data_start: int, first_sequence: int
     ) -> None:
         self.number = number
         self.file = file
-        self.salt = salt  # checksum of the file's salt
+        self.salt_checksum = salt_checksum
         self.data_start = data_start  # bytes: offset of the first frame after the header
         self.first_sequence = first_sequence
         self.size = data_start  # valid bytes; later bytes are ignored
@@ -103,7 +103,9 @@
         time,
         [each.summary() for each in older],
     )
-    frame = framing.encode_frame(segment.salt, framing.FILE_HEADER_BYTES, framing.encode_body(header))
+    frame = framing.encode_frame(
+        segment.salt_checksum, framing.FILE_HEADER_BYTES, framing.encode_body(header)
+    )
     return framing.encode_file_header(framing.LOG_MAGIC, salt) + frame
 
 
@@ -136,16 +138,16 @@
         sequence: Sequence of the first record.
         flushed: The last sequence that was flushed.
     """
-    at, salt = segment.size, segment.salt
-    parts: list[bytes] = []
+    offset, salt_checksum = segment.size, segment.salt_checksum
+    frames: list[bytes] = []
     spans: list[tuple[int, int]] = []
     for record in records:
         body = framing.encode_body(
             (sequence, record.kind, sequence - flushed, record.number, record.key, record.value)
         )
-        data = framing.encode_frame(salt, at, body)
-        parts.append(data)
-        spans.append((at, len(data)))
-        at += len(data)
+        frame = framing.encode_frame(salt_checksum, offset, body)
+        frames.append(frame)
+        spans.append((offset, len(frame)))
+        offset += len(frame)
         sequence += 1
-    return b"".join(parts), spans
+    return b"".join(frames), spans
--- a/lichencleat/store/store.py
+++ b/lichencleat/store/store.py
@@ -74,9 +74,9 @@
         self.maintenance = maintenance
         self.queue: deque[QueuedBatch] = deque()
         self.queued_bytes = 0
-        self.reads = 0
+        self.pending_reads = 0
         self.writing = False  # the writer thread runs a group, a step or the closing
-        self.groups_since = 0  # groups written since the last step of maintenance
+        self.groups_since_step = 0  # groups written since the last step of maintenance
         self.idle = False  # the last step had nothing to do or failed
         self.maintenance_timer: Timer | None = None
         self.closing: Deferred[None] | None = None
@@ -117,9 +117,11 @@
         """Start the writer's next call unless one runs: a group, a step of maintenance, or the closing."""
         if self.writing:
             return
-        step_due = self.maintenance and self.groups_since >= MAX_GROUPS_BETWEEN_STEPS and self.closing is None
+        step_due = (
+            self.maintenance and self.groups_since_step >= MAX_GROUPS_BETWEEN_STEPS and self.closing is None
+        )
         if self.queue and not step_due:
-            self.groups_since += 1
+            self.groups_since_step += 1
             group = self._take_group()
             self.writing = True
             batches = [each.batch for each in group]
@@ -128,7 +130,7 @@
             self.writing = True
             self.run_in_writer(self.engine.close).addBoth(self._on_engine_closed)
         elif self.maintenance and (step_due or not self.idle):
-            self.groups_since = 0
+            self.groups_since_step = 0
             self.writing = True
             self.run_in_writer(self.engine.step, STEP_BYTES).addBoth(self._on_step_done)
 
@@ -144,16 +146,16 @@
         return group
 
     def _on_group_committed(
-        self, verdicts: Sequence[StoreError | None] | Failure, group: list[QueuedBatch]
+        self, errors: Sequence[StoreError | None] | Failure, group: list[QueuedBatch]
     ) -> None:
         self.writing = False
         self._start_next_write()  # before the callbacks: the disk works while they run
-        for at, each in enumerate(group):
-            verdict = verdicts if isinstance(verdicts, Failure) else verdicts[at]
-            if verdict is None:
+        for position, each in enumerate(group):
+            error = errors if isinstance(errors, Failure) else errors[position]
+            if error is None:
                 each.done.callback(None)
             else:
-                each.done.errback(verdict)
+                each.done.errback(error)
 
     # -- maintenance -------------------------------------------------------------------------------
 
@@ -163,11 +165,11 @@
             return succeed(0)
         return self.run_in_writer(self.engine.step, budget)
 
-    def _on_step_done(self, left: int | Failure) -> None:
+    def _on_step_done(self, result: int | Failure) -> None:
         self.writing = False
-        self.idle = isinstance(left, Failure) or left == 0
-        if isinstance(left, Failure):
-            self.last_error = left.getErrorMessage()
+        self.idle = isinstance(result, Failure) or result == 0
+        if isinstance(result, Failure):
+            self.last_error = result.getErrorMessage()
         if self.idle and self.maintenance_timer is None and self.closing is None:
             self.maintenance_timer = self.reactor.callLater(
                 MAINTENANCE_INTERVAL_S, self._on_maintenance_timer
@@ -207,19 +209,19 @@
         """Run a reading call in a reader thread. Fails with FullError at the limit on reads."""
         if self.closing is not None:
             return fail(ClosedError())
-        if self.reads >= MAX_READS:
+        if self.pending_reads >= MAX_READS:
             return fail(FullError(Limit.QUEUED_READS, f"({MAX_READS})"))
-        self.reads += 1
+        self.pending_reads += 1
         return self.run_in_reader(call, *args, **kwargs).addCallbacks(
             self._on_read_done, self._on_read_failed
         )
 
     def _on_read_done(self, result: R) -> R:
-        self.reads -= 1
+        self.pending_reads -= 1
         return result
 
     def _on_read_failed(self, failure: Failure) -> Failure:
-        self.reads -= 1
+        self.pending_reads -= 1
         return failure
 
     # -- ending ------------------------------------------------------------------------------------
@@ -251,7 +253,7 @@
             **self.engine.stat(),
             "waiting writes": len(self.queue),
             "waiting bytes": self.queued_bytes,
-            "waiting reads": self.reads,
+            "waiting reads": self.pending_reads,
         }
 
 
