--- a/lichencleat/store/capacity.py
+++ b/lichencleat/store/capacity.py
@@ -1,4 +1,4 @@
-"""Capacity: the store's limits, and which batches of a commit still fit them. No I/O."""
+"""Capacity: the store's limits, and the check of a commit's batches against them. No I/O."""
 
 from __future__ import annotations
 
@@ -10,69 +10,73 @@
 from lichencleat.store.index import ENTRY_BYTES, Index
 
 MIB = 1 << 20
-SPARE_SEGMENTS = 2  # of the limit on segments, left to compaction
+RESERVED_SEGMENTS = 2  # of `max_segments`, reserved for compaction
 
 
 @dataclass(frozen=True, slots=True)
 class StoreLimits:
-    """How large a store may grow. The defaults suit a node with some hundred MB and 1,024 descriptors."""
+    """Limits on a store's size.
 
-    segment_bytes: int = 16 * MIB  # a segment is sealed once it is this large; each holds a descriptor
-    max_disk_bytes: int = 1024 * MIB  # of all segments, the space kept back for compaction included
+    The defaults suit a node with a few hundred MB of memory and 1,024 file descriptors.
+    """
+
+    segment_bytes: int = 16 * MIB  # a segment is sealed at this size; each uses a file descriptor
+    max_disk_bytes: int = 1024 * MIB  # of all segments, including the space reserved for compaction
     max_entries: int = 2_000_000
-    max_memory_bytes: int = 512 * MIB  # of index entries, estimated
-    max_segments: int = 512  # files open at once
-    keep_reserve: bool = True  # keep a file of one segment's size, for compaction when the disk is full
-    max_undo_entries: int = 1_000_000  # changes that a snapshot outlives
+    max_memory_bytes: int = 512 * MIB  # estimated, of the index
+    max_segments: int = 512  # open files
+    keep_reserve: bool = True  # hold a reserve file of `reserve_bytes`, for compaction when the disk is full
+    max_undo_entries: int = 1_000_000  # keys changed during a snapshot; the snapshot ends above it
 
     @property
     def reserve_bytes(self) -> int:
-        """What compacting one segment may need: its size and some overhead."""
+        """Bytes that compacting one segment may need: its size and some overhead."""
         return self.segment_bytes + self.segment_bytes // 16
 
 
 class CapacityCheck:
-    """What is left for the batches of one commit; each batch that is admitted reduces it."""
+    """The space left for the batches of one commit; each admitted batch reduces it."""
 
     def __init__(
         self, limits: StoreLimits, index: Index, disk_bytes: int, needs_segment: bool, segment_count: int
     ) -> None:
-        """Starts from the store's state before the commit.
+        """Begins with the store's state before the commit.
 
         Args:
             limits: The store's limits.
-            index: Its entries.
-            disk_bytes: Size of all segments.
-            needs_segment: Whether the commit has to begin a new one.
-            segment_count: How many there are.
+            index: The store's entries.
+            disk_bytes: Bytes of all segments.
+            needs_segment: Whether the commit begins a new segment.
+            segment_count: Number of segments.
         """
         self.limits = limits
         self.index = index
         self.disk_bytes = disk_bytes
-        self.out_of_segments = needs_segment and segment_count >= limits.max_segments - SPARE_SEGMENTS
+        self.out_of_segments = needs_segment and segment_count >= limits.max_segments - RESERVED_SEGMENTS
         self.added_entries = 0
         self.added_memory = 0
         self.near_index_limit = False
 
-    def expect(self, changes: int, size: int) -> None:
-        """Announce the total of all batches to come, in changes and bytes.
+    def expect(self, total_changes: int, total_bytes: int) -> None:
+        """Set the total changes and bytes of all batches that follow.
 
-        Where the index has space for all of them, `admit` need not count the new keys of each.
+        If the index has space for all of them, `admit` does not count each batch's new keys.
         """
-        memory = self.index.memory + ENTRY_BYTES * changes + size
-        too_many = len(self.index) + changes > self.limits.max_entries
-        self.near_index_limit = too_many or memory > self.limits.max_memory_bytes
+        memory_bytes = self.index.memory_bytes + ENTRY_BYTES * total_changes + total_bytes
+        too_many_entries = len(self.index) + total_changes > self.limits.max_entries
+        self.near_index_limit = too_many_entries or memory_bytes > self.limits.max_memory_bytes
 
     def admit(self, batch: Batch) -> StoreError | None:
-        """Count the batch in and return None, or return an error that names the limit it would exceed.
+        """Admit the batch and return None, or return an error that names the limit it would exceed.
 
-        Batches that only delete may use half of the space kept back for compaction.
+        Batches that only delete may use half of the space reserved for compaction.
         """
         limits = self.limits
-        size = self.disk_bytes + batch.bytes + framing.MAX_FRAME_OVERHEAD_BYTES  # with its commit record
-        kept_back = limits.reserve_bytes if batch.has_puts else limits.reserve_bytes // 2
-        if size > limits.max_disk_bytes - kept_back:
-            detail = f"({limits.max_disk_bytes}, {kept_back} of them kept for cleaning)"
+        # the batch with its commit record
+        disk_bytes = self.disk_bytes + batch.bytes + framing.MAX_FRAME_OVERHEAD_BYTES
+        reserved_bytes = limits.reserve_bytes if batch.has_puts else limits.reserve_bytes // 2
+        if disk_bytes > limits.max_disk_bytes - reserved_bytes:
+            detail = f"({limits.max_disk_bytes}, {reserved_bytes} of them reserved for compaction)"
             return FullError(Limit.DISK_BYTES, detail)
         if self.out_of_segments:
             return FullError(Limit.SEGMENTS, f"({limits.max_segments})")
@@ -80,19 +84,19 @@
             error = self._admit_to_index(batch)
             if error is not None:
                 return error
-        self.disk_bytes = size
+        self.disk_bytes = disk_bytes
         return None
 
     def _admit_to_index(self, batch: Batch) -> StoreError | None:
         limits = self.limits
         locations = self.index.locations
-        new = {key for key, value, _ in batch.changes if value is not None and key not in locations}
-        entries = self.added_entries + len(new)
-        memory = self.added_memory + sum(map(len, new)) + ENTRY_BYTES * len(new)
-        if new and len(locations) + entries > limits.max_entries:
+        new_keys = {key for key, value, _ in batch.changes if value is not None and key not in locations}
+        added_entries = self.added_entries + len(new_keys)
+        added_memory = self.added_memory + sum(map(len, new_keys)) + ENTRY_BYTES * len(new_keys)
+        if new_keys and len(locations) + added_entries > limits.max_entries:
             return FullError(Limit.ENTRIES, f"({limits.max_entries})")
-        if new and self.index.memory + memory > limits.max_memory_bytes:
+        if new_keys and self.index.memory_bytes + added_memory > limits.max_memory_bytes:
             return FullError(Limit.MEMORY, f"({limits.max_memory_bytes})")
-        self.added_entries = entries
-        self.added_memory = memory
+        self.added_entries = added_entries
+        self.added_memory = added_memory
         return None
