--- a/lichencleat/store/log_tail.py
+++ b/lichencleat/store/log_tail.py
@@ -1,9 +1,10 @@
-"""Log tail recovery: which frames of the newest segment were flushed, and which are unproved. No I/O.
+"""Log tail recovery: finds which frames of the newest segment are proved to be flushed. No I/O.
 
-Every frame says how far back the last flushed frame was when it was written. A group of frames is written
-only after the flush of the group before it, so a frame that says `back` proves all up to its sequence less
-`back`. Bytes that are no frame are what a power cut left, as long as nothing behind them proves that what
-stood there was flushed; otherwise they are corruption.
+Every frame stores the distance from its own sequence to the last sequence that was flushed when the frame
+was written. A group of frames is written only after the flush of the previous group, so an intact frame
+proves that all frames up to its sequence minus that distance were flushed. Frames after those are unproved:
+they are intact, but a power cut may still remove them. Bytes that are not a frame are a torn write, unless a
+later frame proves that flushed frames were there; then they are corruption.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 @dataclass(slots=True)
 class TailFrame:
-    """A frame that was read and that nothing proves to be flushed yet."""
+    """An intact frame that is not yet proved to be flushed."""
 
     sequence: int
     kind: int
@@ -25,38 +26,44 @@
 
 
 class LogTail:
-    """Takes in the newest segment's frames in order and tells what they prove.
+    """Reads the newest segment's frames in order and determines which of them were flushed.
 
     Attributes:
-        sequence: Of the last frame taken in.
-        proved: The last sequence that is proved to be flushed.
-        proved_end: Offset in bytes at which the proved frames end.
-        removed_segments: Sequence of the record and number of each segment that it says is removed.
-        time: The latest time that a time mark tells, in µs.
+        last_sequence: Sequence of the last frame accepted.
+        proved_sequence: The last sequence that is proved to be flushed.
+        proved_end: End of the proved frames, as an offset in bytes.
+        unproved_frames: Frames after these, oldest first.
+        removed_segments: For each segment-removed record, its sequence and the number of the segment.
+        time: The latest time in a time mark, in µs.
     """
 
-    def __init__(self, first: int, through: int, offset: int) -> None:
-        """Starts before the segment's first frame.
+    def __init__(self, first_sequence: int, flushed_through: int, data_start: int) -> None:
+        """Begins before the segment's first frame.
 
         Args:
-            first: That frame's sequence.
-            through: All up to this sequence was flushed before the segment got its name.
-            offset: Where its frames begin.
+            first_sequence: Sequence of that frame.
+            flushed_through: Frames up to this sequence were flushed before the segment was renamed.
+            data_start: Offset of that frame, in bytes.
         """
-        self.sequence = first - 1
-        self.proved = max(through, first - 1)
-        self.proved_end = offset
-        self.unproved: deque[TailFrame] = deque()
+        self.last_sequence = first_sequence - 1
+        self.proved_sequence = max(flushed_through, first_sequence - 1)
+        self.proved_end = data_start
+        self.unproved_frames: deque[TailFrame] = deque()
         self.removed_segments: list[tuple[int, int]] = []
         self.time = 0
 
-    def accept(self, offset: int, length: int, sequence: int, kind: int, back: int, number: int) -> bool:
-        """Take the frame in if it is the one that has to come next; returns whether it is."""
-        if sequence != self.sequence + 1 or not 0 < back <= sequence:
+    def accept(
+        self, offset: int, length: int, sequence: int, kind: int, flush_distance: int, number: int
+    ) -> bool:
+        """Accept the frame if it is the next one in sequence; returns whether it was accepted.
+
+        `number` is the record's number, see `framing.Body`.
+        """
+        if sequence != self.last_sequence + 1 or not 0 < flush_distance <= sequence:
             return False
-        self.sequence = sequence
-        self.unproved.append(TailFrame(sequence, kind, offset, length))
-        self.mark_proved(sequence - back)
+        self.last_sequence = sequence
+        self.unproved_frames.append(TailFrame(sequence, kind, offset, length))
+        self.mark_proved(sequence - flush_distance)
         if kind == framing.SEGMENT_REMOVED:
             self.removed_segments.append((sequence, number))
         elif kind == framing.TIME_MARK:
@@ -64,27 +71,27 @@
         return True
 
     def mark_proved(self, sequence: int) -> None:
-        """All frames up to that sequence are known to be flushed."""
-        self.proved = max(self.proved, sequence)
-        while self.unproved and self.unproved[0].sequence <= self.proved:
-            frame = self.unproved.popleft()
+        """Record that all frames up to that sequence were flushed."""
+        self.proved_sequence = max(self.proved_sequence, sequence)
+        while self.unproved_frames and self.unproved_frames[0].sequence <= self.proved_sequence:
+            frame = self.unproved_frames.popleft()
             self.proved_end = frame.offset + frame.length
 
-    def is_loss_proved_by(self, sequence: int, back: int) -> bool:
-        """Whether a frame behind bytes that are none proves that something flushed stood there."""
-        return sequence - back > self.sequence
+    def is_loss_proved_by(self, sequence: int, flush_distance: int) -> bool:
+        """Whether a frame found after a gap proves that flushed frames are missing in the gap."""
+        return sequence - flush_distance > self.last_sequence
 
     def unproved_records(self) -> list[tuple[int, int]]:
-        """Offset and length of the unproved frames worth keeping: no marks, no batch without its commit."""
-        kept: list[tuple[int, int]] = []
+        """Offset and length of the unproved frames to keep: single records and complete batches."""
+        spans: list[tuple[int, int]] = []
         batch: list[tuple[int, int]] = []
-        for frame in self.unproved:
+        for frame in self.unproved_frames:
             span = (frame.offset, frame.length)
             if frame.kind in framing.IN_BATCH:
                 batch.append(span)
             elif frame.kind == framing.COMMIT:
-                kept += [*batch, span]
+                spans += [*batch, span]
                 batch = []
             elif frame.kind in framing.SINGLE:
-                kept.append(span)
-        return kept
+                spans.append(span)
+        return spans
--- a/tests/fleet/test_fleet_return.py
+++ b/tests/fleet/test_fleet_return.py
@@ -82,7 +82,7 @@
         fleet.until_open()
         took = {}
         for name, each in fleet.nodes.items():
-            (said,) = re.findall(r'event=recalls .*runs="(.*?)"', each.said())
+            (said,) = re.findall(r'event="service times loaded" .*runs="(.*?)"', each.said())
             took[name] = dict(re.findall(r"(\w+) ([\d.]+) ms", said))
         # No run is shorter than its work and its call; a busy machine adds some ms to both nodes.
         for name, work_ms in WORK_MS.items():
--- a/tests/store/test_cuts.py
+++ b/tests/store/test_cuts.py
@@ -1,4 +1,4 @@
-"""Cuts of power, full disks and failing flushes at every call that the store makes of its disk."""
+"""Power cuts, full disks and failing flushes at every disk call of the store."""
 
 import contextlib
 import errno
@@ -18,19 +18,19 @@
 
 
 def find_violations(disks, workload):
-    """What the store on each of these disks breaks of the rule; opening must go through."""
-    found = []
+    """Violations by the stores on these disks; a store that fails to open is a violation."""
+    violations = []
     for disk in disks:
         try:
             verdict = workload.check(workload.open(disk))
-        except StoreError as wrong:
-            verdict = repr(wrong)
+        except StoreError as error:
+            verdict = repr(error)
         if verdict:
-            found.append(verdict)
-    return found
+            violations.append(verdict)
+    return violations
 
 
-def after_cuts(disk, seeds):
+def disks_after_cuts(disk, seeds):
     return [disk.after_cut(by_chance(random.Random(seed))) for seed in range(seeds)]
 
 
@@ -43,7 +43,7 @@
         workload = StoreWorkload()
         if run_until_power_cut(workload, disk):
             cuts += 1
-            assert find_violations(after_cuts(disk, 4), workload) == [], disk.calls[-3:]
+            assert find_violations(disks_after_cuts(disk, 4), workload) == [], disk.calls[-3:]
     assert cuts > 0.8 * CALLS
 
 
@@ -55,27 +55,27 @@
         workload = StoreWorkload()
         run_until_power_cut(workload, disk)
         image = disk.after_cut(by_chance(rng)).image()
-        whole = FaultyDisk(image)
-        workload.open(whole)
-        for first in range(len(whole.calls)):
-            again = FaultyDisk(image)
-            again.faults = {first: FaultyDisk.CUT}
+        uninterrupted = FaultyDisk(image)
+        workload.open(uninterrupted)
+        for cut_call in range(len(uninterrupted.calls)):
+            interrupted = FaultyDisk(image)
+            interrupted.faults = {cut_call: FaultyDisk.CUT}
             with pytest.raises(PowerCutError):
-                workload.open(again)
-            third = again.after_cut(by_chance(rng))
-            third.faults = {rng.randrange(len(whole.calls)): FaultyDisk.CUT_AFTER}
+                workload.open(interrupted)
+            restarted = interrupted.after_cut(by_chance(rng))
+            restarted.faults = {rng.randrange(len(uninterrupted.calls)): FaultyDisk.CUT_AFTER}
             try:
-                workload.open(third)
+                workload.open(restarted)
             except PowerCutError:
-                third = third.after_cut(by_chance(rng))
+                restarted = restarted.after_cut(by_chance(rng))
             else:
-                third = third.after_cut(by_chance(rng))
-            assert find_violations([third], workload) == []
+                restarted = restarted.after_cut(by_chance(rng))
+            assert find_violations([restarted], workload) == []
 
 
 @pytest.mark.parametrize("calls", range(1, 10))
-def test_power_cut_with_every_fate_of_unflushed_writes(calls):
-    """Through an append, its flush, and a rotation's create, append, flush, rename and directory flush."""
+def test_power_cut_with_every_outcome_for_unflushed_writes(calls):
+    """Covers an append and its flush, and a rotation's create, append, flush, rename and directory flush."""
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
@@ -84,8 +84,8 @@
     with pytest.raises(PowerCutError):
         workload.commit((b"a", b"2", 0), (b"b", b"2", 0))
         workload.commit((b"a", b"3", 0), (b"b", b"3", 0))
-    ways = [disk.after_cut(choose) for choose in every_choice(2_000)]
-    assert ways and find_violations(ways, workload) == []
+    disks = [disk.after_cut(choose) for choose in every_choice(2_000)]
+    assert disks and find_violations(disks, workload) == []
 
 
 @pytest.mark.parametrize("code", [errno.ENOSPC, errno.EIO, FaultyDisk.SHORT])
@@ -100,30 +100,30 @@
         except StoreError:
             disk.faults = {}
             workload.open(disk)
-        with contextlib.suppress(StoreError):  # of a step of maintenance: a later one may go on
+        with contextlib.suppress(StoreError):  # from a step of maintenance; a later step may succeed
             workload.run(close=False)
         disk.faults = {}
         assert workload.check(workload.engine) is None, disk.calls[call]
         assert workload.commit((b"again", b"room", 0)) is None
         assert workload.check(workload.engine) is None
-        assert find_violations(after_cuts(disk, 2), workload) == [], disk.calls[call]
+        assert find_violations(disks_after_cuts(disk, 2), workload) == [], disk.calls[call]
 
 
 @pytest.mark.parametrize("skipped_calls", ["flush", "flush_directory"])
 def test_faulty_disk_detects_a_store_that_skips_a_flush(skipped_calls):
-    broken = 0
+    violation_count = 0
     for call in range(0, CALLS, 5):
         disk = FaultyDisk()
         disk.skipped_calls = {skipped_calls}
         disk.faults = {call: FaultyDisk.CUT}
         workload = StoreWorkload()
         run_until_power_cut(workload, disk)
-        broken += len(find_violations(after_cuts(disk, 2), workload))
-    assert broken
+        violation_count += len(find_violations(disks_after_cuts(disk, 2), workload))
+    assert violation_count
 
 
 def test_failed_flush_is_never_relied_on():
-    """The next flush of the same file would succeed, and prove nothing of what the failed one covered."""
+    """After a failed flush, the next flush of the file can succeed although the earlier data is lost."""
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
@@ -132,7 +132,7 @@
     assert workload.commit((b"a", b"2", 0)) is not None
     assert workload.engine.get(b"a") == b"1"
     assert workload.commit((b"b", b"3", 0)) is None
-    for after in after_cuts(disk, 20):
+    for after in disks_after_cuts(disk, 20):
         engine = workload.open(after)
         assert (engine.get(b"a"), engine.get(b"b")) == (b"1", b"3")
 
@@ -147,61 +147,61 @@
     workload.run_maintenance()
     assert workload.engine.reserve.held_bytes
     for n in range(12):
-        workload.commit((b"k%d" % n, b"last" * 5, 0))  # garbage, not yet cleaned
+        workload.commit((b"k%d" % n, b"last" * 5, 0))  # makes garbage that is not compacted yet
     disk.room = disk.used() + 5
     verdict = workload.commit((b"one more", b"x" * 100, 0))
     assert isinstance(verdict, FullError) and "room on the disk itself" in str(verdict)
-    assert workload.check(workload.engine) is None  # reads go on
+    assert workload.check(workload.engine) is None  # reads still succeed
     workload.run_maintenance()
     assert workload.engine.log.counts["segments cleaned"] > 0
     assert workload.commit((b"one more", b"x" * 100, 0)) is None
-    assert find_violations(after_cuts(disk, 5), workload) == []
+    assert find_violations(disks_after_cuts(disk, 5), workload) == []
     disk.room = None
     workload.now += 60 * SECOND
     workload.run_maintenance()
-    assert workload.engine.reserve.held_bytes == workload.bounds.reserve_bytes
+    assert workload.engine.reserve.held_bytes == workload.limits.reserve_bytes
 
 
 def test_flipped_bit_in_confirmed_records_is_reported():
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
-    workload.run(point=False, close=False)
+    workload.run(with_checkpoint=False, close=False)
     image = disk.image()
     newest = max(each for each in image if each.endswith(".log"))
-    confirmed = workload.engine.log.segments[int(newest[:-4])]
-    last = workload.confirmations[-2][1].get(newest, 0)
-    reported = silent = 0
+    newest_segment = workload.engine.log.segments[int(newest[:-4])]
+    last_group_start = workload.confirmations[-2][1].get(newest, 0)
+    reported = undetected = 0
     for name in [each for each in image if each.endswith(".log")]:
-        known = workload.engine.log.segments.get(int(name[:-4]))
-        for at in range(known.size if known else 0):
+        segment = workload.engine.log.segments.get(int(name[:-4]))
+        for position in range(segment.size if segment else 0):
             data = bytearray(image[name])
-            data[at] ^= 1 << at % 8
+            data[position] ^= 1 << position % 8
             flipped = FaultyDisk({**image, name: bytes(data)})
             try:
                 engine = workload.open(flipped, create=False)
-            except StoreError as wrong:
+            except StoreError as error:
                 reported += 1
-                if isinstance(wrong, CorruptDataError):
-                    assert wrong.findings[0].file in (name, "STORE")
+                if isinstance(error, CorruptDataError):
+                    assert error.findings[0].file in (name, "STORE")
                 continue
-            # the last flush alone can't be told from one that never ended
-            assert name == newest and at >= last, (name, at, dict(engine.scan()))
-            silent += 1
-    assert reported > 300 and silent <= confirmed.size - last
+            # only the last group looks the same as a torn write
+            assert name == newest and position >= last_group_start, (name, position, dict(engine.scan()))
+            undetected += 1
+    assert reported > 300 and undetected <= newest_segment.size - last_group_start
 
 
-def test_corruption_behind_a_checkpoint_is_reported_by_the_read():
+def test_corruption_covered_by_a_checkpoint_is_reported_by_the_read():
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
     workload.run(close=False)
-    where = workload.engine.log.index.locations[b"k3"]
-    name = SEGMENT.format(segment_of(where))
+    location = workload.engine.log.index.locations[b"k3"]
+    name = SEGMENT.format(segment_of(location))
     workload.engine.close()
     image = disk.image()
     data = bytearray(image[name])
-    data[offset_of(where) + length_of(where) - 1] ^= 4
+    data[offset_of(location) + length_of(location) - 1] ^= 4
     engine = workload.open(FaultyDisk({**image, name: bytes(data)}))
     with pytest.raises(CorruptDataError, match=name):
         list(engine.scan())
@@ -210,18 +210,22 @@
     assert engine.get(b"after") == b"the checkpoint"
 
 
-def test_old_torn_and_missing_checkpoints_cost_time_only():
+def test_old_torn_and_missing_checkpoints_lose_nothing_confirmed():
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
-    workload.run(point=True, close=False)
-    old = disk.image()["checkpoint"]
+    workload.run(with_checkpoint=True, close=False)
+    old_checkpoint = disk.image()["checkpoint"]
     for n in range(30):
         workload.commit((b"k%d" % (n % 5), b"%d" % n * 9, 0))
         workload.run_maintenance()
     image = disk.image()
-    for point in [old, b"", *(old[:at] for at in range(len(old)))]:
-        assert find_violations([FaultyDisk({**image, "checkpoint": point})], workload) == []
+    for checkpoint_data in [
+        old_checkpoint,
+        b"",
+        *(old_checkpoint[:length] for length in range(len(old_checkpoint))),
+    ]:
+        assert find_violations([FaultyDisk({**image, "checkpoint": checkpoint_data})], workload) == []
     del image["checkpoint"]
     assert find_violations([FaultyDisk(image)], workload) == []
 
@@ -245,13 +249,16 @@
     mark = Record(framing.TIME_MARK, workload.now, b"")
     segment.size += len(data)
     last = segment.first_sequence + len(bodies)
-    disk.append(segment.file, encode_records([mark], segment, last, last - 1)[0])  # proves all before it
+    disk.append(
+        segment.file, encode_records([mark], segment, last, last - 1)[0]
+    )  # proves the records before it
     assert [key for key, _ in workload.open(FaultyDisk(disk.image())).scan()] == [b"whole"]
 
 
 def test_kill_followed_by_a_power_cut_loses_nothing_confirmed():
-    """After a kill, what was not flushed is still read from the page cache; what rests on it must be made
-    sure of first.
+    """After a kill, unflushed data is still read from the page cache, and a later power cut removes it.
+
+    Recovery has to write it again before anything depends on it.
     """
     rng = random.Random(9)
     for call in range(CALLS):
@@ -263,31 +270,31 @@
                 continue
             disk.off, disk.faults = False, {}
             try:
-                seen = dict(workload.open(disk).scan())
+                entries = dict(workload.open(disk).scan())
             except CannotOpenError:
-                continue  # killed while the store was being made
+                continue  # killed during the creation of the store
             if call % 2:
                 workload.history.batches = workload.history.batches[: workload.history.confirmed]
                 workload.history.record_request(
-                    [(key, seen.get(key), 0) for key in {*seen, *workload.history.state_after(1_000)}]
+                    [(key, entries.get(key), 0) for key in {*entries, *workload.history.state_after(1_000)}]
                 )
-                workload.history.record_confirmation()  # what was read once is there for good
+                workload.history.record_confirmation()  # an entry that was read has to survive
                 workload.history.record_request([])
             for _ in range(3):
                 assert find_violations([disk.after_cut(by_chance(rng))], workload) == [], (call, kind)
 
 
 def test_records_covered_by_a_checkpoint_are_proved():
-    """Else it would get new sequences, and the checkpoint would hide what came under the old ones."""
+    """If a covered record was rewritten with a new sequence, the checkpoint would hide later records."""
     disk = FaultyDisk()
     workload = StoreWorkload()
     workload.open(disk)
     workload.commit((b"a", b"1", 0))
-    workload.now += 2 * SECOND  # so that a mark comes first, which is not written anew
+    workload.now += 2 * SECOND  # a time mark comes first, which is not written again
     workload.commit((b"a", None, 0))
     workload.engine.checkpoint_writer.begin()
     workload.run_maintenance()
     workload.open(FaultyDisk(disk.image()))
     workload.commit((b"b", b"2", 0))
-    workload.commit((b"c", b"3", 0))  # proves the one before it
+    workload.commit((b"c", b"3", 0))  # proves the previous record
     assert find_violations([FaultyDisk(workload.engine.disk.image())], workload) == []
