--- a/lichencleat/router/core.py
+++ b/lichencleat/router/core.py
@@ -294,7 +294,10 @@
     def reject(
         self, request: RoutedRequest, reason: str, retry_after_us: int = DEFAULT_RETRY_AFTER_US
     ) -> Decision:
-        """Answer a request that is not sent: as rejected, or as failed where an attempt may have run."""
+        """Answer a request that is not sent: as rejected, or as failed where an attempt may have run.
+
+        The reason is part of the name of a counter.
+        """
         self.counts[f"deferred: {reason}"] += 1
         request.is_finished = True
         self.in_flight.pop(request, None)
--- a/lichencleat/router/health_reporter.py
+++ b/lichencleat/router/health_reporter.py
@@ -20,7 +20,7 @@
 
 
 class HealthReporter:
-    """Owns the timer of the reports.
+    """Sends health reports at an interval and applies the plans in the replies.
 
     Args:
         reactor: Source of the timer.
@@ -55,7 +55,7 @@
         self.send_report()
 
     def send_report(self) -> None:
-        """Send a report; the next one follows some time after its reply or failure."""
+        """Send a report; the next one follows `REPORT_INTERVAL_S` after its reply or failure."""
         if self.is_stopped:
             return
         offered, observations = self.core.take_observations(self.clock())
--- a/lichencleat/router/keys.py
+++ b/lichencleat/router/keys.py
@@ -12,7 +12,7 @@
 
 MAX_KEYS = 100_000  # keys within their windows, some 40 MB; beyond it keyed requests are rejected
 WINDOW_SLACK_US = 10_000_000  # added to a window, because other machines' clocks set the arrival times
-ENTRIES_PER_SWEEP = 64  # two entries per new key would suffice to keep up
+ENTRIES_PER_SWEEP = 64  # checked per new key; two would suffice to keep up
 
 
 @dataclass(slots=True)
--- a/lichencleat/router/terms.py
+++ b/lichencleat/router/terms.py
@@ -55,9 +55,9 @@
     SEND = auto()
     CANCEL = auto()  # the attempt in flight
     SERVE = auto()  # with the result that the node sent
-    REJECT = auto()
-    FAIL = auto()
-    WAKE = auto()
+    REJECT = auto()  # the request did not run
+    FAIL = auto()  # the request may have run
+    WAKE = auto()  # pull decisions again after the delay
 
 
 @dataclass(slots=True)
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -7,8 +7,7 @@
 import pytest
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 
-from lichencleat.admission.types import CapacitySignal as Value
-from lichencleat.admission.types import Effect, NodeSpec, RequestClass
+from lichencleat.admission.types import CapacitySignal, Effect, NodeSpec, RequestClass
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.failover.messages import Zone
 from lichencleat.node.deadlines import Deadlines
@@ -212,9 +211,13 @@
 
     rng = random.Random(1)
     node_spec = NodeSpec(
-        request_classes=[LOOK, SAVE], capacity_signal=Value.PRIORITY_THRESHOLD, max_retry_after_us=500_000
+        request_classes=[LOOK, SAVE],
+        capacity_signal=CapacitySignal.PRIORITY_THRESHOLD,
+        max_retry_after_us=500_000,
+    )
+    core = Router(
+        "a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, CapacitySignal.PRIORITY_THRESHOLD, rng, clock()
     )
-    core = Router("a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, Value.PRIORITY_THRESHOLD, rng, clock())
     addresses = {"n1": ("10.0.0.1", 1), "n2": ("10.0.0.2", 2)}
     return RouterHost(reactor, core, node_spec, addresses, clock, deadlines, report, rng)
 
@@ -226,7 +229,7 @@
     return connection
 
 
-def req(reactor, tag, request_class=b"look", ident=b"00000000000000a1", **more):
+def encode_request(reactor, tag, request_class=b"look", ident=b"00000000000000a1", **more):
     fields = {
         "i": ident.decode(),
         "s": int(reactor.seconds() * 1000),
@@ -239,20 +242,20 @@
     return b"".join(array(b"REQ", b"%d" % tag, request_class, text, b"body")), text
 
 
-def turn(reactor):
+def run_pending_calls(reactor):
     for _ in range(3):
         reactor.advance(0)
 
 
 def test_request_and_answer_pass_through_unchanged(reactor, host, caller):
-    data, text = req(reactor, 7, t="acme", h="12.50")
+    data, text = encode_request(reactor, 7, t="acme", h="12.50")
     caller.dataReceived(data)
-    turn(reactor)
+    run_pending_calls(reactor)
     connection = connect(reactor)
     (words,) = arrays(connection.transport.value())
     assert words == [b"REQ", b"1", b"look", text, b"body"]
     connection.dataReceived(b"".join(array(b"1", b"200", b"v=0.25", b"\x00made\r\n")))
-    turn(reactor)
+    run_pending_calls(reactor)
     assert arrays(caller.transport.value()) == [[b"7", b"200", b"", b"\x00made\r\n"]]
     assert not host.idents and not len(host.hands) and not host.core.in_flight
     reactor.advance(0.2)
@@ -262,12 +265,12 @@
 
 
 def test_retry_goes_to_another_node_with_the_same_fields_except_for_the_request_id(reactor, host, caller):
-    data, text = req(reactor, 7, k=KEY.decode(), request_class=b"save")
+    data, text = encode_request(reactor, 7, k=KEY.decode(), request_class=b"save")
     caller.dataReceived(data)
-    turn(reactor)
+    run_pending_calls(reactor)
     first = connect(reactor)
     first.dataReceived(b"".join(array(b"1", b"503", b"w=80", b"")))
-    turn(reactor)
+    run_pending_calls(reactor)
     assert len(reactor.tcpClients) == 2 and reactor.tcpClients[0][:2] != reactor.tcpClients[1][:2]
     (words,) = arrays(connect(reactor).transport.value())
     after, before = (dict(each.split(b"=") for each in t.split(b",")) for t in (words[3], text))
@@ -282,31 +285,31 @@
 
 def test_attempts_are_aborted_and_state_freed_when_a_caller_leaves_or_aborts(reactor, host, caller):
     for tag, ident in ((1, b"00000000000000a1"), (2, b"00000000000000a2")):
-        caller.dataReceived(req(reactor, tag, ident=ident)[0])
-    turn(reactor)
+        caller.dataReceived(encode_request(reactor, tag, ident=ident)[0])
+    run_pending_calls(reactor)
     connections = [connect(reactor, index) for index in range(len(reactor.tcpClients))]
     caller.dataReceived(b"".join(array(b"ABORT", b"1")))
-    turn(reactor)
+    run_pending_calls(reactor)
     caller.connectionLost()
-    turn(reactor)
+    run_pending_calls(reactor)
     sent = [words for connection in connections for words in arrays(connection.transport.value())]
     assert sum(words[0] == b"ABORT" for words in sent) == 2 and not caller.transport.value()
     assert not host.idents and not len(host.hands) and not host.core.in_flight
 
 
 def test_request_aborted_before_it_is_routed_is_not_sent(reactor, host, caller):
-    caller.dataReceived(req(reactor, 1)[0] + b"".join(array(b"ABORT", b"1")))
-    turn(reactor)
+    caller.dataReceived(encode_request(reactor, 1)[0] + b"".join(array(b"ABORT", b"1")))
+    run_pending_calls(reactor)
     assert not reactor.tcpClients and not len(host.hands) and not host.idents
 
 
 def test_caller_of_a_silent_node_is_answered_in_time_and_the_connection_is_retired(reactor, host, caller):
-    caller.dataReceived(req(reactor, 1, request_class=b"save", k=KEY.decode())[0])
-    turn(reactor)
+    caller.dataReceived(encode_request(reactor, 1, request_class=b"save", k=KEY.decode())[0])
+    run_pending_calls(reactor)
     connection = connect(reactor)
     for _ in range(400):
         reactor.advance(0.01)
-    turn(reactor)
+    run_pending_calls(reactor)
     assert arrays(caller.transport.value()) == [[b"1", b"500", b"", b""]]
     assert arrays(connection.transport.value())[-1] == [b"ABORT", b"1"] and connection.is_retired
     assert not len(host.hands)
@@ -315,22 +318,22 @@
 def test_new_requests_go_to_the_new_address_of_a_node_and_old_ones_finish_at_the_old_address(
     reactor, host, caller
 ):
-    caller.dataReceived(req(reactor, 1)[0])
-    turn(reactor)
+    caller.dataReceived(encode_request(reactor, 1)[0])
+    run_pending_calls(reactor)
     connection = connect(reactor)
     name = connection.node.name
     host.members({"n1": ("10.0.0.8", 1), "n2": ("10.0.0.9", 2)})
     assert connection.is_retired and not connection.transport.disconnecting
     connection.dataReceived(b"".join(array(b"1", b"200", b"", b"x")))
-    turn(reactor)
+    run_pending_calls(reactor)
     assert arrays(caller.transport.value())[0][1] == b"200" and connection.transport.disconnecting
     assert host.nodes[name].address[0] != "10.0.0.1"
 
 
 def test_an_error_fails_only_its_own_request(reactor, host, caller, report, monkeypatch):
     monkeypatch.setattr(host, "send", lambda hand, decision: 1 / 0)
-    caller.dataReceived(req(reactor, 1)[0])
-    turn(reactor)
+    caller.dataReceived(encode_request(reactor, 1)[0])
+    run_pending_calls(reactor)
     assert arrays(caller.transport.value())[0][:2] == [b"1", b"500"] and report.counts["node errors"] == 1
     assert not len(host.hands) and not host.core.in_flight
 
@@ -351,7 +354,7 @@
 
 
 @pytest.fixture
-def written(tmp_path):
+def write_config(tmp_path):
     def write(change=lambda text: text, settings=None):
         (tmp_path / "settings.json").write_text(json.dumps(SETTINGS if settings is None else settings))
         path = tmp_path / "router.yaml"
@@ -361,9 +364,9 @@
     return write
 
 
-def test_file_is_read_with_the_settings_that_it_names(written):
+def test_file_is_read_with_the_settings_that_it_names(write_config):
     for settings in (SETTINGS, {"settings": SETTINGS, "name": "n1"}):
-        file, node_spec, tenants = read_router(written(settings=settings))
+        file, node_spec, tenants = read_router(write_config(settings=settings))
         assert file.router.zones["b"].far_ms == 20 and [each.name for each in node_spec.request_classes] == [
             "look"
         ]
@@ -389,15 +392,15 @@
         (lambda text: "", "router"),
     ],
 )
-def test_error_in_the_file_is_reported_in_one_line_with_its_position(written, change, message):
+def test_error_in_the_file_is_reported_in_one_line_with_its_position(write_config, change, message):
     with pytest.raises(InvalidConfigError) as error:
-        read_router(written(change))
+        read_router(write_config(change))
     assert message in str(error.value) and "\n" not in str(error.value)
 
 
 @pytest.mark.parametrize(
     "settings", [[], {}, {"classes": []}, {"classes": [{"name": "x"}]}, "x", {"settings": 1}]
 )
-def test_invalid_settings_are_reported_with_the_line_that_names_them(written, settings):
+def test_invalid_settings_are_reported_with_the_line_that_names_them(write_config, settings):
     with pytest.raises(InvalidConfigError, match="line 5: router.settings"):
-        read_router(written(settings=settings))
+        read_router(write_config(settings=settings))
