--- a/lichencleat/__main__.py
+++ b/lichencleat/__main__.py
@@ -1,4 +1,4 @@
-"""The program ``python -m lichencleat``: runs a command if one is given, otherwise the node.
+"""The program ``python -m lichencleat``: runs the command in its arguments, or the node without arguments.
 
 The node is configured by the platform's environment.
 """
@@ -22,7 +22,7 @@
             print(f"lichencleat: needs {missing.name}: pip install 'lichencleat[commands]'", file=sys.stderr)
             return 2
         return run(sys.argv[1:])
-    # The imports take a while. The configuration is read and requests are accepted only after them.
+    # Importing the node takes a while. Only then does the node read its configuration and accept requests.
     ignore_early_signals()
     from lichencleat.node.program import main as node
 
--- a/lichencleat/admission/backpressure.py
+++ b/lichencleat/admission/backpressure.py
@@ -11,22 +11,34 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import CapacitySignal, NodeSpec
 
-SHED_INCREASE = 0.08  # of the shed fraction per period with rejections; callers see it about once a second
-SHED_DECREASE = 0.02  # per period without rejections; slower, so that load does not return in one wave
-MAX_SHED_FRACTION = 0.85  # below 1, so that requests of the highest value are still sent
-MAX_IDLE_UTILIZATION = 0.75  # busy share of the cores; below it callers hold back load that could be served
-MIN_ADVERTISED_CHANGE = 0.02  # smaller changes are not advertised; relative for capacities above 1
-# Sum of all callers' windows, in requests that the node can have in flight; callers' rates differ widely.
+# Added to the shed fraction in each period with rejections or late reading, subtracted in each period in
+# which the node is idle. Callers see the result about once a second.
+SHED_INCREASE = 0.08
+# Subtracted from the shed fraction in each other period; slower, so that load does not return in one wave.
+SHED_DECREASE = 0.02
+MAX_SHED_FRACTION = 0.85  # below 1, so that callers still send requests of the highest value
+# Fraction of the cores in use. A node below it whose queue is empty counts as idle: callers hold back load
+# that it could serve, so the shed fraction falls fast.
+MAX_IDLE_UTILIZATION = 0.75
+# A capacity is advertised again only after a larger change: absolute up to a capacity of 1, relative above.
+MIN_ADVERTISED_CHANGE = 0.02
+# Sum of the windows of all callers, as a multiple of the requests that the node can have in flight. It is
+# above 1, as the callers' request rates differ widely.
 CALLER_WINDOW_FACTOR = 3
 MIN_CALLER_WINDOW = 0.2  # outstanding requests per caller; with less, the node might get no requests
-DEFAULT_RETRY_AFTER_US = 300_000  # of a full node: a few service times, by then the queue has turned over
-# Of the last arrivals. With fewer rejected, other nodes may have capacity, so callers may try them.
+# Retry-after time of a rejection by a full node: a few service times, in which the queue turns over.
+DEFAULT_RETRY_AFTER_US = 300_000
+# Fraction of the recent arrivals that were rejected. Below it, other nodes may have capacity, so some
+# rejected callers may retry there.
 MAX_REJECTED_SHARE = 0.5
-ARRIVAL_SAMPLES = 16  # last arrivals, from which the rejected share is computed
+ARRIVAL_SAMPLES = 16  # number of recent arrivals from which the rejected fraction is computed
 
 
 class Backpressure:
-    """Computes how much load callers should hold back, and when rejected callers may retry."""
+    """Computes how much load callers should hold back, and when rejected callers may retry.
+
+    The shed fraction is the part of their load that callers should hold back, from 0 to `MAX_SHED_FRACTION`.
+    """
 
     def __init__(
         self,
@@ -46,11 +58,11 @@
         self.slow_start = slow_start
         self.pools = pools
         self.concurrency = concurrency
-        # Prevents overload of a cold node: each caller holds back the share of its load that the node can't
-        # serve yet, regardless of the number of callers. Cost: for its first second an idle node advertises
+        # Prevents overload of a cold node: each caller holds back the part of its load that the node can't
+        # serve yet, regardless of the number of callers. Cost: in its first second an idle node advertises
         # less capacity than it has.
         self.shed_fraction = min(MAX_SHED_FRACTION, 1 - slow_start.cold_speed_share)
-        self.admitted_share = 1.0  # of the arrivals; below 1 while the fleet recovers
+        self.admitted_share = 1.0  # fraction of the arrivals to admit; below 1 while the fleet recovers
         self.recent_rejections: deque[bool] = deque([False] * ARRIVAL_SAMPLES, ARRIVAL_SAMPLES)
         self._rejected_in_period = 0
         self._advertised = -1.0
@@ -73,7 +85,7 @@
         self._rejected_in_period = 0
 
     def draw_recovery_rejection(self) -> bool:
-        """Return whether to reject an arrival because the fleet recovers; a random draw."""
+        """Decide by a random draw whether to reject an arrival because the fleet recovers."""
         return self.admitted_share < 1 and self.rng.random() >= self.admitted_share
 
     def take_changed_capacity(self, now: int) -> float | None:
@@ -87,7 +99,7 @@
         return capacity
 
     def capacity(self, now: int) -> float | None:
-        """Return the capacity as the node's capacity signal defines it; None if it has no signal."""
+        """Return the capacity in the terms of the node's `CapacitySignal`, None if the node has no signal."""
         match self.signal:
             case CapacitySignal.PRIORITY_THRESHOLD:
                 return round(self.shed_fraction, 2)
@@ -106,30 +118,33 @@
         )
         if self.slow_start.speed(now) == 1:
             return window
-        # While the node is cold, the windows add up to at most the concurrency that it survives, as callers
-        # may use all of them at once.
+        # All callers may use their whole windows at once. While the node is cold, the windows therefore add
+        # up to at most the concurrency that the node survives.
         return min(window, self.slow_start.survivable_concurrency(now) / self.callers)
 
     def retry_after(self, now: int, is_local_problem: bool) -> tuple[int, bool]:
         """Return the retry-after time (µs) of a rejection, and whether the caller must not retry elsewhere.
 
-        `is_local_problem` means that other nodes may be able to serve the request.
+        `is_local_problem` means that only this node is affected, so other nodes may serve the request. While
+        the fleet recovers or this node is cold, the time is drawn at random, so that rejected callers do not
+        return all at once.
         """
         delay = (
             self.max_retry_after if is_local_problem else min(DEFAULT_RETRY_AFTER_US, self.max_retry_after)
         )
-        if self.admitted_share < 1:  # randomized, so that rejected callers do not return all at once
+        if self.admitted_share < 1:  # random, from a quarter of the maximum delay to the maximum
             delay = int(self.max_retry_after * (1 + 3 * self.rng.random()) / 4)
             is_local_problem = True
-        elif self.slow_start.speed(now) < 1:  # randomized too, from half to three times the usual delay
+        elif self.slow_start.speed(now) < 1:  # random, from half to three times the usual delay
             delay = min(self.max_retry_after, int(delay * (1 + 5 * self.rng.random()) / 2))
         return delay, not (is_local_problem or self.may_retry_elsewhere())
 
     def may_retry_elsewhere(self) -> bool:
-        """Return whether a caller that sends its deadline may retry elsewhere; a random draw.
+        """Decide by a random draw whether a caller that sends its deadline may retry at another node.
 
-        The probability falls as the share of rejected arrivals rises. Prevents requests from failing by
-        chance while other nodes are idle. Cost: a node reads each further attempt.
+        The probability falls as the rejected fraction of recent arrivals rises. Prevents the failure of
+        requests that reached a full node by chance while other nodes are idle. Cost: another node reads each
+        retry.
         """
         if not self.callers_send_deadline:
             return False
--- a/lichencleat/admission/concurrency.py
+++ b/lichencleat/admission/concurrency.py
@@ -12,18 +12,28 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec
 
-# Change of the limit per period and queued request off the reference. Low, as the paper prefers: the limit
-# crosses its range in about 1 s.
+# Change of the concurrency limit per period, for each request by which the queue's length differs from the
+# reference length. Low, as the paper behind the design prefers: the limit crosses its range in about 1 s.
 GAIN = 0.2
-QUEUEING_TIME_SHARE = 0.2  # of the shortest objective; the run and its calls need the rest
-RUNNING_LIMIT_INCREASE = 1 / 3  # per core and period; doubles the initial limit in a third of a second
-RUNNING_LIMIT_DECREASE = 1 / 6  # per core and period; slower than the increase, as overload comes and goes
-MAX_RUNNABLE_PER_CORE = 1.34  # with over a third more tasks than cores, runs only slow each other
-MIN_RUNNING_LIMIT_PER_CORE = 1 / 3  # reading and connections may need the rest
+# Fraction of the shortest latency objective that a request may wait in the queue; the run and its calls need
+# the rest.
+QUEUEING_TIME_SHARE = 0.2
+# Added to the running limit per core and period; doubles the initial limit in a third of a second.
+RUNNING_LIMIT_INCREASE = 1 / 3
+# Subtracted from the running limit per core and period; slower than the increase, as overload comes and goes.
+RUNNING_LIMIT_DECREASE = 1 / 6
+# Tasks per core that want to run, above which the running limit falls: further runs would only slow each
+# other.
+MAX_RUNNABLE_PER_CORE = 1.34
+# Minimum of the running limit, in runs per core; reading and connections may need the rest of the core.
+MIN_RUNNING_LIMIT_PER_CORE = 1 / 3
 
 
 class ConcurrencyLimit:
-    """Updates both limits once each period."""
+    """Updates the concurrency limit and the running limit once each period.
+
+    `reference` is the queue length (requests) that the concurrency limit is steered to.
+    """
 
     def __init__(
         self,
@@ -60,7 +70,10 @@
         self.running_limit = max(1.0, min(self.running_limit, bound))
 
     def _update_limit(self, now: int) -> None:
-        """Apply the update step of the design: u += Ki (ref - QL)."""
+        """Apply the update step of the design, u += Ki (ref - QL).
+
+        u is the concurrency limit, Ki is `GAIN`, ref is the reference length, QL is the queue's length.
+        """
         queued = len(self.pools.queued)
         service_time = max(1.0, self.service_times.current(now))
         max_queued = self.running_limit * self.timing.shortest_objective * QUEUEING_TIME_SHARE / service_time
--- a/lichencleat/admission/connections.py
+++ b/lichencleat/admission/connections.py
@@ -7,21 +7,30 @@
 
 from lichencleat.admission.types import NodeSpec
 
-MAX_CALLER_SAMPLES = 64  # of the last arrivals: about ten seconds on two cores
-MIN_RETURNING_SHARE = 0.5  # of the last arrivals, from callers seen before; below it, callers do not return
-MIN_IDLE_TIMEOUT_US = 100_000  # of one-time callers' connections: no further request is expected on them
-UPDATE_PERIOD_US = 1_000_000  # between changes of the one-time callers' timeout: about ten arrivals
-# Of the timeout's logarithm, per task and core above the maximum: an excess of a third is a factor of e.
+MAX_CALLER_SAMPLES = 64  # arrivals whose callers are remembered: about ten seconds on two cores
+# Fraction of the last arrivals that came from callers seen before. Below it, callers count as one-time
+# callers, who do not return.
+MIN_RETURNING_SHARE = 0.5
+# Minimum idle timeout of one-time callers' connections, on which no further request is expected.
+MIN_IDLE_TIMEOUT_US = 100_000
+UPDATE_PERIOD_US = 1_000_000  # time between two changes of the one-time callers' timeout: about ten arrivals
+# Change of the logarithm of the one-time callers' timeout, per task and core above
+# `MAX_OTHER_RUNNABLE_PER_CORE`. An excess of a third of a task per core multiplies the timeout by e.
 TIMEOUT_GAIN = 3
-# Bounds of the factor of one change: the maximum timeout is reached in two or three changes, and left slowly.
+# Least and greatest factor of one change: the timeout reaches its maximum in two or three changes and falls
+# slowly.
 TIMEOUT_STEP_RANGE = (2 / 3, 8)
-MAX_OTHER_RUNNABLE_PER_CORE = 1.5  # tasks besides runs; reading is at most one, the rest open connections
+# Tasks per core that want to run, besides runs of requests. Reading is at most one task, the others open
+# connections.
+MAX_OTHER_RUNNABLE_PER_CORE = 1.5
 
 
 class IdleTimeout:
-    """Keeps connections of callers that return or are few enough to return; closes those of others soon.
+    """Decides how long the host keeps a connection without requests open.
 
-    Prevents a table full of idle connections, which also slows the node. Cost: more handshakes.
+    Connections are kept for the maximum time if callers return, or are so few that they have to. Connections
+    of one-time callers are closed soon. Prevents a connection table full of idle connections, which also
+    slows the node. Cost: more handshakes.
     """
 
     def __init__(self, spec: NodeSpec) -> None:
@@ -29,14 +38,14 @@
         self.max_timeout = spec.idle_timeout_us
         self.has_few_callers = 0 < spec.callers <= MIN_RETURNING_SHARE * MAX_CALLER_SAMPLES
         self.recent_callers: deque[int] = deque(maxlen=MAX_CALLER_SAMPLES)
-        self.is_overloaded = False  # connections took up the cores in the last period
+        self.is_overloaded = False  # whether opening connections took up the cores in the last update period
         self._one_time_caller_timeout = float(MIN_IDLE_TIMEOUT_US)
         self._next_update = 0
         self._other_runnable_sum: float = 0
         self._other_runnable_samples = 0
 
     def current(self) -> int:
-        """Return the timeout (µs) that the host should use from now on."""
+        """Return the idle timeout (µs) that the host should use from now on."""
         callers = self.recent_callers
         if (
             self.has_few_callers
@@ -46,13 +55,13 @@
         return int(min(self._one_time_caller_timeout, self.max_timeout))
 
     def update(self, now: int, other_runnable: float) -> None:
-        """Move the timeout by integral feedback on its logarithm.
+        """Move the one-time callers' timeout by integral feedback on its logarithm.
 
-        While opening connections and reading take up the cores, the connection table is left full, as a full
-        table refuses callers at no cost. Otherwise it is emptied, as a full table takes capacity and keeps
-        callers out. Prevents overload by connection attempts of any origin: callers that try one node of
-        their list after another, clients' retries, a caller's burst. Cost: a caller that makes a single
-        attempt is refused while the table is full.
+        While opening connections and reading take up the cores, a long timeout leaves the connection table
+        full, as a full table refuses callers at no cost. Otherwise a short timeout empties the table, as a
+        full table takes capacity and keeps callers out. Prevents overload by connection attempts of any
+        origin: callers that try one node of their list after another, clients' retries, a caller's burst.
+        Cost: a caller that makes a single attempt is refused while the table is full.
 
         `other_runnable` is the number of tasks besides runs that want a core.
         """
--- a/lichencleat/admission/controller.py
+++ b/lichencleat/admission/controller.py
@@ -41,7 +41,7 @@
     ResourceUsage,
 )
 
-MIN_BUSY_UTILIZATION = 0.9  # busy share of the cores; above it further runs gain nothing
+MIN_BUSY_UTILIZATION = 0.9  # fraction of the cores in use; above it, further runs gain nothing
 
 
 class AdmissionController:
@@ -74,15 +74,16 @@
         )
         self.usage = ResourceUsage()
         self.is_healthy = True
-        self.to_abort: dict[Request, None] = {}  # running requests for which possibly nobody waits
-        self.next_update = 0
+        self.to_abort: dict[Request, None] = {}  # running requests whose callers may no longer wait
+        self.next_update = 0  # time of the next update of the limits
         self.wake_at = 0  # when the current timer fires; 0 if none is set
         self._round: Iterator[Decision] | None = None  # the remaining decisions of the current round
-        # Once health has been reported, the host answers health checks from the last report.
+        # Health that the host last got from this controller, or assumes at the start; None if neither. The
+        # first report makes a host whose health checks do work answer them from the last report instead.
         self._reported_health = None if spec.health_checks_do_work else True
         self._reported_idle_timeout = spec.idle_timeout_us
 
-    # --- events: they only update the state ---
+    # --- event handlers: they update the state and make no decisions ---
 
     def on_request(self, now: int, request: Request) -> None:
         """Handle the arrival of a request."""
@@ -106,25 +107,25 @@
             self.pools.move(request, self.pools.queued, RequestState.QUEUED)
 
     def seed_run_time(self, _now: int, request_class: RequestClass, took: int) -> None:
-        """Use a service time of the previous process as a first guess, if no run has ended in this one."""
+        """Use a service time of the previous process until a run of the class has ended in this process."""
         self.service_times.seed(request_class, took)
 
     def on_outcome_pending(self, now: int, request: Request, took: int) -> None:
-        """Handle the end of a run whose outcome is being recorded; `on_run_completed` follows."""
+        """Handle the end of a run whose outcome the host is still recording; `on_run_completed` follows."""
         self.service_times.add(request.request_class, took)
         self.outliers.progress_at = now
         self.pools.move(request, self.pools.coalesced, RequestState.COALESCED)
 
     def set_recording_available(self, _now: int, is_available: bool) -> None:
-        """Set whether the host is able to make idempotency records."""
+        """Set whether the host can make idempotency records."""
         self.records.is_available = is_available
 
     def set_admitted_share(self, _now: int, share: float) -> None:
-        """Set the share of its arrivals that the node may admit while the fleet recovers."""
+        """Set the fraction of its arrivals that the node may admit while the fleet recovers."""
         self.backpressure.admitted_share = share
 
     def on_record_failed(self, _now: int, request: Request) -> None:
-        """Handle a failure to make a request's record; its run was not started."""
+        """Queue a request again whose record the host could not make and whose run it did not start."""
         self.records.expiry.pop(request, None)
         request.started = None
         self.pools.move(request, self.pools.queued, RequestState.QUEUED)
@@ -147,7 +148,7 @@
             self.pools.move(request, self.pools.awaiting_call, RequestState.AWAITING_CALL)
 
     def set_call_quota(self, _now: int, quota: float) -> None:
-        """Set the fleet's quota of calls in flight for this node; calls already in flight continue."""
+        """Set the number of calls in flight that the fleet grants to this node; calls in flight continue."""
         self.calls.granted_quota = quota
 
     def on_caller_gone(self, _now: int, request: Request) -> None:
@@ -168,14 +169,14 @@
             self.draining.advance_due_time(request)
 
     def on_timer(self, _now: int, usage: ResourceUsage) -> None:
-        """Handle the timer, which comes with the node's measurements."""
+        """Handle the expiry of the timer, which the host reports together with the node's measurements."""
         self.usage = usage
         self.wake_at = 0
 
-    # --- decisions, returned one by one ---
+    # --- decision rounds ---
 
     def next_decision(self, now: int) -> Decision | None:
-        """Return the next decision of the round; None at its end."""
+        """Return the next decision of the current round, None at the end of the round."""
         self._round = self._round or self.decide(now)
         decision = next(self._round, None)
         if decision is None:
@@ -221,7 +222,7 @@
         self.records.expire(now)
 
     def update_health(self, now: int) -> None:
-        """Set whether this node is healthy; it is not if other nodes may serve its requests better.
+        """Set whether this node is healthy: whether other nodes would not serve its requests better.
 
         A node that is overloaded by connection attempts stays healthy: such attempts hit all nodes alike, and
         a node that leaves the endpoint list sends its load to the others. Cost: a node that is hit alone
@@ -233,7 +234,8 @@
     def answer_due(self, now: int) -> Iterator[Decision]:
         """Answer requests that are due before the next round, so that each is answered in time."""
         pools = self.pools
-        stalled = self.outliers.is_stalled(now)  # then callers may still reach another node in time
+        # On a stalled node, idempotent runs fail early, so that callers may reach another node in time.
+        stalled = self.outliers.is_stalled(now)
         is_reading_late = self.outliers.read_delay(now) > LATE_READ_DELAY_US * self.timing.scale
         is_contended = bool(pools.queued) or is_reading_late
         started = (*pools.running, *pools.calling, *pools.awaiting_call)
@@ -252,9 +254,9 @@
     def abort_unwanted(self, now: int) -> Iterator[Decision]:
         """Abort runs for which nobody waits, unless a repeat waits for the outcome.
 
-        A keyed run is not aborted within its objective: its caller mostly repeats the request and shares the
-        run, while an aborted keyed request can neither run again nor be rejected. Cost: some runs finish for
-        nobody.
+        A keyed run is not aborted within its objective. Its caller mostly repeats the request, and the repeat
+        shares the run; after an abort, the keyed request could neither run again nor be rejected. Cost: some
+        runs finish although nobody waits.
         """
         unwanted = self.to_abort
         self.to_abort = {}
@@ -289,12 +291,13 @@
             self.backpressure.on_queued()
 
     def admit_repeat(self, now: int, request: Request) -> Iterator[Decision]:
-        """Queue a repeat, which may then share the run of the attempt that it repeats.
+        """Queue a repeat (a further attempt of a request), which may then share the earlier attempt's run.
 
         While the memory budget is exceeded, repeats of an unfinished attempt are answered at once. This
-        bounds the memory that repeats of one run take. Cost: their callers do not learn the outcome and may
-        repeat again. A repeat of an ended attempt is answered in this round. A repeat that is due before the
-        next round fails at once, as sharing a run takes work too.
+        bounds the memory that repeats of one run take. Cost: the callers do not learn the outcome and may
+        repeat again. A repeat of an ended attempt takes memory only until the end of this round, so it is
+        queued in any case. A repeat that is due before the next round fails at once, as sharing a run takes
+        work too.
         """
         original = request.original
         if self.deadlines.is_due(now, request):
@@ -330,7 +333,7 @@
         return bool(queued) and busy and queued + running >= self.concurrency.limit
 
     def review_queue(self, now: int) -> Iterator[Decision]:
-        """Let repeats share an existing run, answer requests that can't succeed, record the rest."""
+        """Let repeats share an existing run, answer requests that can't succeed, make the others' records."""
         for request in list(self.pools.queued):
             original = request.original = find_original(request)
             if request.original_unknown or (original is not None and original.started is not None):
@@ -339,7 +342,7 @@
                     yield Decision(Action.COALESCE, request)
                     continue
                 if request.request_class.effect is not Effect.IDEMPOTENT:
-                    yield self.fail(request)  # its run failed, so it is neither run again nor rejected
+                    yield self.fail(request)  # the original's run failed: no second run, and no rejection
                     continue
             if original is not None:
                 if original.state is not RequestState.ENDED:
@@ -348,7 +351,7 @@
             yield from self.review_first_attempt(now, request)
 
     def review_first_attempt(self, now: int, request: Request) -> Iterator[Decision]:
-        """Answer a queued request that can't succeed, else make its record if it needs one."""
+        """Answer a queued request that can't succeed; otherwise make the record that the request needs."""
         lacks_record = self.needs_record(request) and request not in self.records.expiry
         keyed = request.request_class.effect is Effect.KEYED
         if has_unrepeatable_run(request):
@@ -364,14 +367,14 @@
             yield Decision(Action.ADD_RECORD, request, duration_us=self.records.add(now, request))
 
     def needs_record(self, request: Request) -> bool:
-        """Return whether a request gets a record before its run."""
+        """Return whether a request must have an idempotency record before its run."""
         records_idempotent = (
             self.records.freshness > 0 and request.has_key and self.memory.can_record_idempotent()
         )
         return records_idempotent or request.request_class.effect is Effect.KEYED
 
     def release_calls(self, now: int) -> Iterator[Decision]:
-        """Send calls in the order of the value they add, under the limit; skip some under congestion."""
+        """Send downstream calls up to the call limit, highest added value first; give up hopeless calls."""
 
         def added_value(each: Request) -> float:
             return self.queue.value(each) * (1 - each.request_class.value_share_without_call)
@@ -389,7 +392,7 @@
                 yield Decision(Action.CALL, request, duration_us=duration)
 
     def is_call_given_up(self, now: int, request: Request, position: int) -> bool:
-        """Return whether a call can't earn its value any more, or can be skipped and would wait too long."""
+        """Return whether a call comes too late to earn value, or may be skipped and would wait too long."""
         if request.failed_calls >= MAX_CALL_ATTEMPTS:
             return True
         if has_no_late_value(request) and now >= objective_end(request):
@@ -397,7 +400,7 @@
         return request.request_class.value_share_without_call > 0 and self.calls.would_wait_long(position)
 
     def finish_without_call(self, now: int, request: Request) -> Decision:
-        """Continue a run without its call if that still earns value, else fail the request."""
+        """Continue a run without its call if the run still earns value, otherwise fail the request."""
         if request.request_class.value_share_without_call > 0 and now < objective_end(request):
             self.pools.move(request, self.pools.running, RequestState.RUNNING)
             return Decision(Action.SKIP_CALL, request)
@@ -426,7 +429,7 @@
             yield Decision(Action.START, request)
 
     def can_start(self, request: Request) -> bool:
-        """Return whether a queued request may start, the limits aside."""
+        """Return whether a queued request may start, apart from the limits on the number of runs."""
         if request.original is not None or not self.records.may_start(request):
             return False
         request_class = request.request_class
@@ -474,7 +477,7 @@
         if request in self.pools.running:
             self.to_abort[request] = None
         elif request in self.pools.awaiting_call:
-            # Dropped when the host reports its end.
+            # The request is dropped when the host reports the end of the call.
             self.pools.move(request, self.pools.calling, RequestState.CALLING)
         elif request not in self.pools.calling:
             self.pools.end(request)
--- a/lichencleat/admission/deadlines.py
+++ b/lichencleat/admission/deadlines.py
@@ -1,4 +1,4 @@
-"""The deadline guard: finds requests that are due before the next round or can no longer earn their value."""
+"""The deadline guard: finds requests that are due before the next round or too late to earn value."""
 
 from __future__ import annotations
 
@@ -31,14 +31,14 @@
         self.outliers = outliers
 
     def is_due(self, now: int, request: Request) -> bool:
-        """Return whether a request must be answered in this round, as the next round comes too late."""
+        """Return whether a request must be answered in this decision round, as the next one is too late."""
         return request.due <= now + self.timing.guard
 
     def would_be_late(self, now: int, request: Request, ahead: int = 0) -> bool:
-        """Return whether a request would end after its objective, with `ahead` requests before it.
+        """Return whether a request would end after its objective if `ahead` other requests run first.
 
-        Prevents work that earns nothing. If a core is idle, the request runs nevertheless: this is how a node
-        learns that it is no longer slow.
+        Prevents work that earns nothing. A request that an idle core could run at once does not count as
+        late, on a slow node only if nothing else runs: this is how a node learns that it is no longer slow.
         """
         idle = 0 if ahead else self.cores - len(self.pools.running)
         if idle > 0 and (not self.pools.running or not self.outliers.is_slow(now, request.request_class)):
@@ -53,7 +53,7 @@
         return self.service_times.current(now) * ahead / slots
 
     def is_expired_and_abortable(self, now: int, request: Request) -> bool:
-        """Return whether a running request is past its objective, earns nothing and can be aborted."""
+        """Return whether a running request can no longer earn any value and can be aborted."""
         earns = now < objective_end(request) or request.request_class.late_value_share
         return not earns and request.request_class.effect is Effect.IDEMPOTENT and self.can_abort
 
--- a/lichencleat/admission/downstream.py
+++ b/lichencleat/admission/downstream.py
@@ -9,27 +9,40 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import Downstream, Effect, NodeSpec, Outcome, Request
 
-CALL_QUOTA_SHARE = 0.7  # of this node's call quota; cold nodes call more, and calls linger at the dependency
-# Of the maximum limit, but not above 1 call; keeps a slow dependency at work.
-# Also the minimum at which a granted quota is counted.
+# Fraction of this node's call quota that the node uses itself. The rest allows for cold nodes, which call
+# more, and for calls that linger at the dependency.
+CALL_QUOTA_SHARE = 0.7
+# Minimum of the call limit, as a fraction of the maximum limit but not above 1 call; keeps a slow dependency
+# at work. A quota granted by the fleet counts as at least this many calls.
 MIN_CALL_LIMIT_SHARE = 0.25
-MAX_PACING_LEAD_US = 300_000  # how far calls may run ahead of their pace, to delay no usual calls
-LIMIT_DECREASE_FACTOR = 0.8  # once per round of calls that end slow or failed
-# Calls are slow if the median of the recent ones exceeds this multiple of the first quartile of all samples.
-# So large a difference is not chance but an overload downstream.
+# A call may be sent this much earlier than pacing allows, so that usual calls are not delayed.
+MAX_PACING_LEAD_US = 300_000
+# The call limit is multiplied by this factor when recent calls are slow or have failed, and again only once a
+# call sent after that has ended.
+LIMIT_DECREASE_FACTOR = 0.8
+# Calls are slow if the median duration of the recent calls exceeds this multiple of the first quartile of all
+# samples. So large a difference is not chance but an overload downstream.
 SLOW_CALL_FACTOR = 5
-MAX_CALL_SAMPLES = 64  # about ten seconds of calls, so that the first quartile outlasts a slow period
-RECENT_CALL_SAMPLES = 8  # show the current state; with fewer, one long call would look like an overload
-MAX_CALL_WAIT_SHARE = 0.25  # of the longest objective, to wait for a call: mostly half of the shortest
-MAX_CALL_ATTEMPTS = 3  # per call; further attempts cost more than the answer is worth
-HEDGE_TIMEOUT_FACTOR = 6  # times the median call; few usual calls are that long, and the longest earn most
-MIN_HEDGE_TIMEOUT_US = 300_000  # three rounds; with a shorter timeout a second call gains nothing
+# Calls whose durations are kept: about ten seconds of calls, so that the first quartile outlasts a slow
+# period.
+MAX_CALL_SAMPLES = 64
+# Last calls that show the current state; with fewer, one long call would look like an overload.
+RECENT_CALL_SAMPLES = 8
+# Fraction of the longest latency objective that a request may wait for its call to be sent; this is mostly
+# half of the shortest objective.
+MAX_CALL_WAIT_SHARE = 0.25
+MAX_CALL_ATTEMPTS = 3  # attempts per call; further ones cost more than the answer is worth
+# Hedge timeout as a multiple of the median call duration; few usual calls take that long, and the longest
+# calls earn most.
+HEDGE_TIMEOUT_FACTOR = 6
+MIN_HEDGE_TIMEOUT_US = 300_000  # three decision rounds; with a shorter timeout, a second call gains nothing
 MAX_CALL_DURATION_US = 3_600_000_000  # longer than any deadline, so no bound in practice
-CALL_RETRY_DELAY_US = 50_000  # before a call that never ran is retried: gives the dependency time for answers
+# Time before a call is retried, per failed attempt; gives the dependency time to answer other calls.
+CALL_RETRY_DELAY_US = 50_000
 
 
 class DownstreamCalls:
-    """Bounds the calls in flight by the results of recent calls; times are in µs."""
+    """Limits the calls in flight, by the durations and outcomes of recent calls; times are in µs."""
 
     def __init__(self, spec: NodeSpec, timing: Timing, pools: RequestPools) -> None:
         self.timing = timing
@@ -44,14 +57,14 @@
             self.max_limit * spec.call_quota_window_us if self.max_limit < 1 else MAX_CALL_DURATION_US
         )
         self.times: deque[tuple[int, bool]] = deque(maxlen=MAX_CALL_SAMPLES)  # duration, succeeded
-        self._limit_cut_at = 0
-        self._next_call_at = 0
+        self._limit_cut_at = 0  # when the limit was last decreased
+        self._next_call_at = 0  # when pacing allows the next call
         self._timeout: int | None = None  # cached hedge timeout; None after a call has ended
 
     def on_completed(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
         """Update the limit after a call has ended, and schedule the retry of a failed call."""
         succeeded = outcome is Outcome.COMPLETED
-        if not (self.is_hedged and outcome is Outcome.TIMED_OUT):  # else `took` is the hedge timeout
+        if not (self.is_hedged and outcome is Outcome.TIMED_OUT):  # else `took` equals the hedge timeout
             self.times.append((took, succeeded))
             self._timeout = None
         # Prevents overload of the dependency by many nodes that each have one call in flight at the same
@@ -95,16 +108,18 @@
     def count_in_flight(self, now: int) -> int:
         """Count the calls in flight that the limit bounds.
 
-        Calls to a tier beyond the hedge timeout are not counted, as the nodes that they call may be lost.
+        Calls to a tier that have lasted longer than the hedge timeout are not counted, as the called nodes
+        may be lost.
         """
         since = now - self.hedge_timeout() if self.is_hedged else 0
         return sum(each.called_at >= since for each in self.pools.calling)
 
     def hedge_timeout(self) -> int:
-        """Return the time after which an idempotent call to a tier is better retried at another node.
+        """Return the time (µs) after which an idempotent call to a tier is better retried at another node.
 
-        Some nodes of a tier may be slow or silent. Cost where all are slow: work is done twice. Therefore the
-        timeout follows the recent calls, and the last attempt has no hedge timeout.
+        Some nodes of a tier may be slow or silent. Cost if all nodes of the tier are slow: work is done
+        twice. Therefore the timeout follows the durations of recent calls, and the last attempt has no hedge
+        timeout.
         """
         if self._timeout is None:
             ordered = sorted(took for took, succeeded in self.times if succeeded)
@@ -116,15 +131,15 @@
         return self._timeout
 
     def effective_limit(self) -> float:
-        """Return the limit, bounded by the quota that the fleet has granted."""
+        """Return the limit on calls in flight, bounded by the quota that the fleet has granted."""
         return min(self.limit, max(self.granted_quota, MIN_CALL_LIMIT_SHARE))
 
     def recent_median(self) -> float:
-        """Return the median duration of the last few calls."""
+        """Return the median duration (µs) of the last few calls, 0 without calls."""
         return median([took for took, _ in self.times][-RECENT_CALL_SAMPLES:] or [0.0])
 
     def would_wait_long(self, ahead: int) -> bool:
-        """Return whether a call behind `ahead` others waits too long, if all take as long as recent ones."""
+        """Return whether a call would wait too long behind `ahead` calls of the recent median duration."""
         wait = ahead * self.recent_median() / self.effective_limit()
         return wait > self.timing.longest_objective * MAX_CALL_WAIT_SHARE
 
@@ -142,7 +157,7 @@
         return self.count_in_flight(now) < self.limit and len(self.pools.calling) < self.granted_quota
 
     def duration(self, now: int, request: Request, until: int) -> int:
-        """Return the time limit of a call that is sent now and whose answer is useless after `until`."""
+        """Return the time limit (µs) of a call that is sent now and whose answer is no use after `until`."""
         duration = min(max(until - now, self.timing.guard), int(self.max_duration))
         idempotent = request.request_class.effect is Effect.IDEMPOTENT
         if idempotent and self.is_hedged and request.failed_calls < MAX_CALL_ATTEMPTS - 1:
--- a/lichencleat/admission/draining.py
+++ b/lichencleat/admission/draining.py
@@ -5,17 +5,17 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec, Request
 
-DRAIN_MARGIN_US = 300_000  # all requests are answered this long before the stop: three rounds
+DRAIN_MARGIN_US = 300_000  # all requests are answered this long before the stop: three decision rounds
 
 
 class Draining:
-    """Holds the times (µs) of an orderly drain; None before the stop notice."""
+    """Holds the time limits (µs) of an orderly drain; both are None before the stop notice."""
 
     def __init__(self, spec: NodeSpec, timing: Timing) -> None:
         self.grace = spec.drain_grace_us
         self.timing = timing
-        self.answers_until: int | None = None
-        self.no_run_after: int | None = None
+        self.answers_until: int | None = None  # by then, all requests must be answered
+        self.no_run_after: int | None = None  # requests that arrive later are not run
 
     @property
     def is_active(self) -> bool:
@@ -28,10 +28,10 @@
         self.no_run_after = now + self.grace
 
     def advance_due_time(self, request: Request) -> None:
-        """Make a request due before the stop."""
+        """Move the due time of a request forward, so that it is answered before the process is stopped."""
         if self.answers_until is not None:
             request.due = min(request.due, self.answers_until + self.timing.guard)
 
     def may_run(self, request: Request) -> bool:
-        """Return whether a request arrived early enough to be run."""
+        """Return whether a request arrived before or soon enough after the stop notice to be run."""
         return self.no_run_after is None or request.arrived <= self.no_run_after
--- a/lichencleat/admission/memory.py
+++ b/lichencleat/admission/memory.py
@@ -6,12 +6,16 @@
 from lichencleat.admission.records import IdempotencyRecords
 from lichencleat.admission.types import NodeSpec, Request
 
-MEMORY_BUDGET_SHARE = 0.85  # leaves memory for requests that are read during a decision round
-IDEMPOTENT_RECORD_SHARE = 0.5  # of the budget; such records only save work, so runs come first
+# Fraction of the node's memory that the budget covers; the rest is for requests that are read during a
+# decision round.
+MEMORY_BUDGET_SHARE = 0.85
+# Fraction of the budget in use above which idempotent requests get no record. The records of idempotent
+# requests only save second runs, so the memory is left for running requests.
+IDEMPOTENT_RECORD_SHARE = 0.5
 
 
 class MemoryBudget:
-    """Compares the memory in use with a share of the node's memory, in kilobytes."""
+    """Compares the memory in use with the budget, a fraction of the node's memory; both in kilobytes."""
 
     def __init__(self, spec: NodeSpec, pools: RequestPools, records: IdempotencyRecords) -> None:
         self.limit_kb = spec.memory_kb * MEMORY_BUDGET_SHARE or float("inf")
@@ -21,7 +25,7 @@
         self.records = records
 
     def used_kb(self) -> float:
-        """Return the memory used by all requests and records."""
+        """Return the memory (kilobytes) used by all requests and records."""
         pools = self.pools
         started_kb = sum(each.size_kb for each in pools.started())
         waiting_kb = sum(each.size_kb for each in (*pools.new, *pools.queued, *pools.coalesced))
@@ -30,7 +34,7 @@
         )
 
     def is_exceeded(self) -> bool:
-        """Return whether more is in use than the budget allows."""
+        """Return whether more memory is in use than the budget allows."""
         return self.used_kb() > self.limit_kb
 
     def can_start(self, request: Request) -> bool:
--- a/lichencleat/admission/node_spec.py
+++ b/lichencleat/admission/node_spec.py
@@ -28,16 +28,18 @@
     "share_of": CapacitySignal.PROBABILITY,
 }
 DOWNSTREAMS = {"none": Downstream.NONE, "shared": Downstream.SHARED, "tier": Downstream.TIER}
-GAUGES = {  # gauge names on the wire to fields of ResourceUsage
+GAUGES = {  # maps the names of gauges on the wire to fields of ResourceUsage
     "cpu_busy": "busy",
     "runnable": "runnable",
     "mem_used": "memory",
     "sockets": "connections",
 }
 
-MAX_AMOUNT = 1e12  # more than the seconds, kilobytes or calls of any machine, so larger values are mistakes
+# Maximum of a number in the settings: more than the seconds, kilobytes or calls of any machine, so larger
+# values are mistakes.
+MAX_AMOUNT = 1e12
 MICROSECONDS_PER_SECOND = 1_000_000
-ROOT = "settings"  # path of the top level in error texts
+ROOT = "settings"  # path of the outermost object in error texts
 
 ValueT = TypeVar("ValueT")
 
@@ -56,7 +58,7 @@
 
 
 class InvalidTypeError(InvalidInputError):
-    """A setting that is not of the expected container type, object or list."""
+    """A setting that is not an object where an object is expected, or not a list where a list is."""
 
     def __init__(self, path: str, expected: type, value: object) -> None:
         super().__init__(f"{path}: expected a {expected.__name__}, got {value!r:.60}")
@@ -89,7 +91,7 @@
 
 
 def look_up(table: Mapping[str, ValueT], name: object, default: ValueT, path: str) -> ValueT:
-    """Return the table's value for a name, or the default if the name is None.
+    """Return the value of a table for a name, or the default if the name is None.
 
     Raises:
         UnknownValueError: if the name is not in the table.
@@ -102,10 +104,10 @@
 
 
 def check_amount(value: object, path: str) -> float:
-    """Return a number from the settings, 0 if it is None.
+    """Return a value of the settings as a number, 0 if the value is None.
 
     Raises:
-        InvalidAmountError: if it is not a number from 0 to `MAX_AMOUNT`.
+        InvalidAmountError: if the value is not a number from 0 to `MAX_AMOUNT`.
     """
     if value is None:
         return 0
@@ -122,15 +124,27 @@
     path: str = ROOT
 
     def amount(self, key: str) -> float:
-        """Return a number, 0 if it is missing; raises InvalidAmountError."""
+        """Return the number at a key, 0 if the key is missing.
+
+        Raises:
+            InvalidAmountError: if the value is not a number from 0 to `MAX_AMOUNT`.
+        """
         return check_amount(self.values.get(key), f"{self.path}.{key}")
 
     def duration_us(self, key: str) -> int:
-        """Return a duration, given in seconds, in µs; 0 if it is missing. Raises InvalidAmountError."""
+        """Return the duration at a key, which is given in seconds, in µs; 0 if the key is missing.
+
+        Raises:
+            InvalidAmountError: if the value is not a number from 0 to `MAX_AMOUNT`.
+        """
         return to_microseconds(self.amount(key))
 
     def choice(self, key: str, table: Mapping[str, ValueT], default: ValueT) -> ValueT:
-        """Return the table's value for the name under a key; raises UnknownValueError."""
+        """Return the value of a table for the name at a key, or the default if the key is missing.
+
+        Raises:
+            UnknownValueError: if the name is not in the table.
+        """
         return look_up(table, self.values.get(key), default, f"{self.path}.{key}")
 
     def flag(self, key: str) -> bool:
@@ -138,15 +152,23 @@
         return bool(self.values.get(key))
 
     def section(self, key: str) -> Section:
-        """Return a nested object, empty if it is missing; raises InvalidTypeError."""
+        """Return the object at a key, an empty one if the key is missing.
+
+        Raises:
+            InvalidTypeError: if the value is not an object.
+        """
         return Section(self._container(key, dict), key)
 
     def list_entries(self, key: str) -> list[object]:
-        """Return a list, empty if it is missing; raises InvalidTypeError."""
+        """Return the list at a key, an empty one if the key is missing.
+
+        Raises:
+            InvalidTypeError: if the value is not a list.
+        """
         return self._container(key, list)
 
     def iterate_named_entries(self, key: str, entry_kind: str) -> Iterator[tuple[str, Section]]:
-        """Yield the names and sections of a list of objects.
+        """Yield name and section of each object in the list at a key.
 
         Raises:
             InvalidTypeError: if the value is not a list.
@@ -169,7 +191,10 @@
 
 
 def decode_tenant_quotas(settings: Section) -> dict[str, float]:
-    """Return each tenant's quota at this node, in requests per second: an equal part for each server."""
+    """Return each tenant's quota at this node, in requests per second.
+
+    The settings have the quota for all servers, of which each server gets an equal part.
+    """
     servers = max(1.0, settings.amount("servers"))
     quotas = {}
     for name, tenant in settings.iterate_named_entries("orgs", "tenant"):
@@ -179,7 +204,7 @@
 
 
 def decode_request_classes(settings: Section, specifics: Section) -> list[RequestClass]:
-    """Return the request classes; lists in the node's specifics hold their downstream calls."""
+    """Return the request classes of the settings; `specifics` states which classes call downstream."""
     calls = specifics.list_entries("classCalls")
     values_without_call = specifics.list_entries("classSkipWorth")
     return [
@@ -191,7 +216,10 @@
 def decode_request_class(
     name: str, section: Section, index: int, calls: Sequence[object], values_without_call: Sequence[object]
 ) -> RequestClass:
-    """Return one request class; the lists hold one value per class and may be shorter."""
+    """Return the request class at `index` of the settings.
+
+    `calls` and `values_without_call` hold one value for each class; missing values at the end mean none.
+    """
     value_without_call = values_without_call[index] if index < len(values_without_call) else 0
     return RequestClass(
         name=name,
@@ -208,7 +236,7 @@
 
 
 def decode_node_spec(raw_settings: Mapping[str, object]) -> NodeSpec:
-    """Return the node described by the settings.
+    """Return the `NodeSpec` that the settings describe.
 
     Raises:
         InvalidInputError: if a known setting has an invalid value.
@@ -248,14 +276,17 @@
 
 
 def decode_over_quota_value_share(settings: Section) -> float:
-    """Return the share of the value earned beyond a tenant's quota; 1 if it is not set."""
+    """Return which fraction of its value a request beyond its tenant's quota earns; 1 if it is not set."""
     if settings.values.get("overShareWorth") is None:
         return 1.0
     return settings.amount("overShareWorth")
 
 
 def decode_gauges(raw_settings: Mapping[str, object]) -> list[str | None]:
-    """Return the fields of `ResourceUsage` in the order of the readings; None for an unknown gauge."""
+    """Return for each gauge of the node the field of `ResourceUsage`, None for an unknown gauge.
+
+    The order is the order of the readings that `read_gauges` gets.
+    """
     names = Section(raw_settings).section("specifics").list_entries("gauges")
     return [GAUGES.get(name) if isinstance(name, str) else None for name in names]
 
--- a/lichencleat/admission/outliers.py
+++ b/lichencleat/admission/outliers.py
@@ -12,12 +12,20 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec, Request, RequestClass
 
-MIN_STALL_US = 700_000  # without progress on full cores: far above the time between two ends of runs
-MIN_RUNNING_SHARE = 0.5  # of the running limit; with fewer runs, all of them may be late by chance
-STALL_FACTOR = 3  # median service times without progress
-LATE_READ_DELAY_US = 150_000  # from arrival to reading, several reads long: the cores lack time for reading
-MAX_READ_DELAY_SHARE = 0.5  # of the longest objective, from arrival to reading: half of it is used up by then
-MAX_READ_SAMPLES = 16  # about a second of arrivals
+# Least time without progress, while every core has a run, that counts as a stall: far above the time between
+# the ends of two runs.
+MIN_STALL_US = 700_000
+# Least number of runs, as a fraction of the cores or of a lower running limit, for the check for missed
+# objectives. With fewer runs, all of them may be late by chance.
+MIN_RUNNING_SHARE = 0.5
+STALL_FACTOR = 3  # a stall lasts at least this multiple of the median service time
+# Delay from arrival to reading above which the node counts as reading late. Reading takes a small part of it,
+# so the cores lack time for reading.
+LATE_READ_DELAY_US = 150_000
+# Delay from arrival to reading, as a fraction of the longest latency objective, above which the node counts
+# as unhealthy: that fraction of the objective is used up before the request is read.
+MAX_READ_DELAY_SHARE = 0.5
+MAX_READ_SAMPLES = 16  # arrivals whose read delays are kept: about a second of arrivals
 # Older samples do not count, so that a node that has read its backlog no longer reports late reading.
 MAX_READ_SAMPLE_AGE_US = 3_000_000
 
@@ -45,7 +53,7 @@
         self.read_delays: deque[tuple[int, int]] = deque(maxlen=MAX_READ_SAMPLES)  # time of reading, delay
 
     def reset_progress(self, now: int) -> None:
-        """Count the time without progress from now on, as nothing ran before."""
+        """Restart the time without progress, as no request was running before."""
         self.progress_at = now
         self.on_time_at = now
 
@@ -54,7 +62,7 @@
         self.read_delays.append((now, now - request.arrived))
 
     def read_delay(self, now: int) -> float:
-        """Return the median time that recent arrivals waited to be read."""
+        """Return the median time (µs) that recent arrivals waited to be read, 0 without recent arrivals."""
         return median(
             [delay for at, delay in self.read_delays if now - at <= MAX_READ_SAMPLE_AGE_US] or [0.0]
         )
@@ -71,10 +79,11 @@
         return now - self.progress_at > stall_time
 
     def is_missing_objectives(self, now: int) -> bool:
-        """Return whether cores are at work, but no run ended in time for as long as the longest objective.
+        """Return whether requests run, but none has met its objective for as long as the longest objective.
 
-        Detects faults of this node alone, as other nodes may still serve the requests that it can't. An
-        overloaded node still ends some runs in time. The check does harm if all nodes are faulty at once.
+        Detects faults of a single node, whose requests other nodes may still serve. Overload alone is not
+        detected, as an overloaded node still ends some runs in time. Cost: if all nodes are faulty at once,
+        all of them count as unhealthy.
         """
         if self.is_stalled(now):
             return True
@@ -83,10 +92,10 @@
         return len(self.pools.running) >= min_running and late
 
     def is_read_delay_excessive(self, now: int) -> bool:
-        """Return whether arrivals are read so late that their answers would be late."""
+        """Return whether arrivals are read so late that their answers would miss the latency objective."""
         return self.read_delay(now) > self.timing.longest_objective * MAX_READ_DELAY_SHARE
 
     def is_slow(self, now: int, request_class: RequestClass) -> bool:
-        """Return whether a request would be late here even if it ran alone, and calls are not the cause."""
+        """Return whether runs of a class take longer than its objective although calls are not slow."""
         late = self.service_times.current(now, request_class) > request_class.latency_objective
         return late and not self.calls.are_slow()
--- a/lichencleat/admission/pools.py
+++ b/lichencleat/admission/pools.py
@@ -15,10 +15,11 @@
         self.awaiting_call: dict[Request, None] = {}
         self.calling: dict[Request, None] = {}
         self.coalesced: dict[Request, None] = {}
-        self.has_ended_unstarted = False  # since the idempotency records were last checked
+        # Whether a request has ended without a run since the idempotency records were last checked.
+        self.has_ended_unstarted = False
 
     def started(self) -> tuple[Request, ...]:
-        """Return the requests whose run has begun, those at a call among them."""
+        """Return the requests whose run has begun, including those that wait for a downstream call."""
         return (*self.running, *self.awaiting_call, *self.calling)
 
     def count_started(self) -> int:
@@ -26,13 +27,13 @@
         return len(self.running) + len(self.awaiting_call) + len(self.calling)
 
     def move(self, request: Request, pool: dict[Request, None], state: RequestState) -> None:
-        """Move a request from its pool to the end of another."""
+        """Move a request from its pool to the end of `pool`."""
         self._remove(request)
         pool[request] = None
         request.state = state
 
     def end(self, request: Request) -> None:
-        """Remove a request from its pool; it has ended."""
+        """Remove a request that has ended from its pool."""
         self._remove(request)
         request.state = RequestState.ENDED
         self.has_ended_unstarted = self.has_ended_unstarted or request.started is None
--- a/lichencleat/admission/queueing.py
+++ b/lichencleat/admission/queueing.py
@@ -9,7 +9,8 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec, Request
 
-MIN_FULL_TIME_FOR_LIFO_US = 1_000_000  # several turnovers of the queue; after it, the newest request is first
+# Once the queue has been full for this time, the newest request starts first: several turnovers of the queue.
+MIN_FULL_TIME_FOR_LIFO_US = 1_000_000
 
 
 class Queue:
@@ -31,7 +32,10 @@
         self.full_since: int | None = None
 
     def value(self, request: Request) -> float:
-        """Return the value of a request, relative to the core time that it takes."""
+        """Return the value of a request, divided by the usual core time of its class relative to all classes.
+
+        If the settings count values per unit of work, the value is not divided.
+        """
         own_time = 0 if self.value_by_work else self.service_times.usual(request.request_class)
         earned_value = request.request_class.value * self.quotas.value_share(request)
         return earned_value * (self.service_times.usual() / own_time if own_time else 1)
--- a/lichencleat/admission/records.py
+++ b/lichencleat/admission/records.py
@@ -14,17 +14,17 @@
 
 
 class IdempotencyRecords:
-    """The index of the records on this node, with the time (µs) at which each record expires."""
+    """Tracks which requests have a record on this node, and the time (µs) at which each record expires."""
 
     def __init__(self, spec: NodeSpec, timing: Timing, pools: RequestPools) -> None:
         self.freshness = spec.freshness_us
         self.timing = timing
         self.pools = pools
         self.expiry: dict[Request, int] = {}
-        self.is_available = True  # the host is able to make records
+        self.is_available = True  # whether the host can make records
 
     def add(self, now: int, request: Request) -> int:
-        """Add the record of a run that may start, and return how long the record lasts.
+        """Add the record of a request that may run, and return how long (µs) the host must keep the record.
 
         The record covers the window that begins with the arrival of the request.
         """
@@ -39,7 +39,10 @@
         self.expiry = {each: until for each, until in self.expiry.items() if until > now}
 
     def pop_unstarted(self) -> Iterator[Request]:
-        """Drop and yield the records of attempts that ended without a run, as they prevent no second run."""
+        """Drop the records of attempts that ended without a run, and yield these attempts.
+
+        There is no run that such a record could keep from being repeated.
+        """
         candidates = list(self.expiry) if self.pools.has_ended_unstarted else []
         self.pools.has_ended_unstarted = False
         for request in candidates:
@@ -48,10 +51,10 @@
                 yield request
 
     def replace(self, original: Request, request: Request) -> None:
-        """Replace an attempt that ended without a run by a repeat of it.
+        """Let `request`, a repeat, take the place of the attempt `original`, which ended without a run.
 
         Prevents two runs when two repeats of one rejected attempt are read together: the first repeat
-        replaces the attempt, and the second one counts as a repeat of the first.
+        replaces the attempt, and the second repeat counts as a repeat of the first one.
         """
         original.replacement = request
         request.original = None
@@ -63,10 +66,10 @@
 
 
 def find_original(request: Request) -> Request | None:
-    """Return the attempt that a request repeats, or the attempt that replaced it.
+    """Return the earlier attempt whose run a request must share, or None if the request has no such attempt.
 
-    Several attempts with one key may be read out of order. A repeat runs only if each attempt that it repeats
-    has ended without a run.
+    If a repeat has taken the place of an earlier attempt, that repeat is returned. Several attempts with one
+    key may be read out of order. A repeat runs only if each earlier attempt has ended without a run.
     """
     original = request.original
     while original is not None:
--- a/lichencleat/admission/service_times.py
+++ b/lichencleat/admission/service_times.py
@@ -8,8 +8,8 @@
 from lichencleat.admission.pools import RequestPools
 from lichencleat.admission.types import NodeSpec, Request, RequestClass
 
-MAX_RUN_SAMPLES = 16  # per class: a few seconds of runs on a busy node
-MIN_RUN_SAMPLES = 4  # of one class; with fewer, the median of all classes is more reliable
+MAX_RUN_SAMPLES = 16  # runs kept per class: a few seconds of runs on a busy node
+MIN_RUN_SAMPLES = 4  # least runs of a class to use its own median; with fewer, that of all is more reliable
 
 
 class ServiceTimes:
@@ -44,7 +44,7 @@
             self.costs.setdefault(request.request_class, deque(maxlen=MAX_RUN_SAMPLES)).append(request.cost)
 
     def usual(self, request_class: RequestClass | None = None) -> float:
-        """Return the median service time, of the class alone if it has enough samples."""
+        """Return the median service time (µs) of a class, or of all classes if the class has few samples."""
         own = self.samples.get(request_class, ()) if request_class else ()
         request_class = request_class if len(own) >= MIN_RUN_SAMPLES else None
         if request_class not in self._medians:
@@ -53,7 +53,7 @@
         return self._medians[request_class]
 
     def current(self, now: int, request_class: RequestClass | None = None) -> float:
-        """Return the median service time, or the median age of current runs if that is longer.
+        """Return the median service time (µs), or the median age of current runs if that is longer.
 
         Current runs show a slowdown sooner than ended runs.
         """
@@ -62,7 +62,7 @@
         return max(self.usual(request_class), age)
 
     def relative_size(self, request: Request) -> float:
-        """Return the expected cost of a request as a multiple of its class's median; 1 if it is unknown."""
+        """Return a request's expected core time as a multiple of its class's median; 1 if unknown."""
         costs = self.costs.get(request.request_class, ())
         is_known = request.cost and len(costs) >= MIN_RUN_SAMPLES
         return request.cost / max(1.0, median(costs)) if is_known else 1.0
--- a/lichencleat/admission/slow_start.py
+++ b/lichencleat/admission/slow_start.py
@@ -1,10 +1,12 @@
-"""Slow start: the concurrency that a node survives while it warms up."""
+"""Slow start: the concurrency that a node survives (runs without collapsing) while it warms up."""
 
 from __future__ import annotations
 
 from lichencleat.admission.types import NodeSpec
 
-SURVIVABLE_SHARE = 0.6  # of the survivable concurrency: requests at calls may want a core again at once
+# Maximum of started requests, as a fraction of the concurrency that the node survives; started requests that
+# wait for calls may all want a core again at once.
+SURVIVABLE_SHARE = 0.6
 
 
 class SlowStart:
@@ -18,7 +20,7 @@
         self.started_at: int | None = None
 
     def speed(self, now: int) -> float:
-        """Return the minimum speed as a share of full speed; 1 if the node is warm."""
+        """Return the node's minimum speed as a fraction of full speed; 1 if the node is warm."""
         age = 0 if self.started_at is None else now - self.started_at
         return min(1.0, self.cold_speed_share + (1 - self.cold_speed_share) * age / max(1, self.warmup_us))
 
@@ -27,5 +29,5 @@
         return self.cores * (1 + (self.max_concurrency_per_core - 1) * self.speed(now))
 
     def concurrency_bound(self, now: int) -> float:
-        """Return how many requests may have started: a share of the concurrency that the node survives."""
+        """Return how many requests may be started: a fraction of the concurrency that the node survives."""
         return self.survivable_concurrency(now) * SURVIVABLE_SHARE
--- a/lichencleat/admission/tenant_quotas.py
+++ b/lichencleat/admission/tenant_quotas.py
@@ -1,10 +1,11 @@
-"""Tenant quotas: whether a tenant's recent starts are within its share of this node."""
+"""Tenant quotas: whether a tenant's recent starts on this node are within the tenant's quota."""
 
 from __future__ import annotations
 
 from lichencleat.admission.types import NodeSpec, Request
 
-QUOTA_WINDOW_S = 3  # starts are compared with the quota over this time: a few starts of the smallest tenant
+# Time over which starts are compared with the quota; the smallest tenant has a few starts in it.
+QUOTA_WINDOW_S = 3
 
 
 class TenantQuotas:
@@ -18,14 +19,14 @@
     def __init__(self, spec: NodeSpec) -> None:
         self.quotas = spec.tenant_quotas  # requests per second at this node
         self.over_quota_value_share = spec.over_quota_value_share
-        self.recent_starts: dict[str, float] = {}
+        self.recent_starts: dict[str, float] = {}  # by tenant: starts less the accrued quota
 
     def is_over(self, request: Request) -> bool:
         """Return whether the tenant's recent starts use up its quota."""
         return self.recent_starts.get(request.tenant, 0.0) >= self._allowance(request)
 
     def value_share(self, request: Request) -> float:
-        """Return the share of its value that a request earns."""
+        """Return the fraction of its value that a request earns: less beyond the tenant's quota."""
         return self.over_quota_value_share if self.is_over(request) else 1.0
 
     def on_start(self, request: Request) -> None:
--- a/lichencleat/admission/types.py
+++ b/lichencleat/admission/types.py
@@ -29,9 +29,9 @@
     """How callers interpret the advertised capacity that accompanies every answer."""
 
     NONE = auto()
-    PRIORITY_THRESHOLD = auto()  # callers send no requests of lower rank
-    WINDOW = auto()  # maximum of outstanding requests of each caller at this node
-    PROBABILITY = auto()  # callers send a request to this node with this probability
+    PRIORITY_THRESHOLD = auto()  # callers send no request whose rank is below the advertised value
+    WINDOW = auto()  # each caller has at most the advertised number of outstanding requests at this node
+    PROBABILITY = auto()  # callers send each request to this node with the advertised probability
 
 
 class Downstream(Enum):
@@ -62,7 +62,7 @@
     RUNNING = "running"
     AWAITING_CALL = "asking"  # needs a downstream call that has not been sent
     CALLING = "calling"
-    COALESCED = "sharing"  # waits for the outcome of the attempt that it repeats
+    COALESCED = "sharing"  # waits for the outcome of an earlier attempt of the same request
     ENDED = "ended"
 
 
@@ -94,11 +94,11 @@
     latency_objective: int = 0  # an answer after this time is worth less, or nothing
     deadline: int = 0
     value: float = 1.0
-    late_value_share: float = 0.0  # share of the value earned after the objective
+    late_value_share: float = 0.0  # fraction of the value that an answer after the objective earns
     objective_stretch: float = 0.0  # the objective grows by this multiple of the request's cost
-    window: int = 0  # keyed requests: how long after its arrival a request may be repeated
+    window: int = 0  # keyed requests: time after its arrival in which callers may repeat a request
     calls_downstream: bool = False
-    value_share_without_call: float = 0.0  # share of the value earned if the call is skipped
+    value_share_without_call: float = 0.0  # fraction of the value earned if the call is skipped
 
 
 @dataclass(slots=True)
@@ -111,7 +111,7 @@
     record_kb: float = 0.0
     max_concurrency_per_core: float = 2.0  # running requests per core that a warm node survives
     starts_cold: bool = False
-    cold_speed_share: float = 1.0  # minimum speed at a cold start, as a share of full speed
+    cold_speed_share: float = 1.0  # minimum speed at a cold start, as a fraction of full speed
     warmup_us: int = 0
     preemption: Preemption = Preemption.NONE
     capacity_signal: CapacitySignal = CapacitySignal.NONE
@@ -120,15 +120,16 @@
     downstream: Downstream = Downstream.NONE
     call_quota: float = 0.0  # this node's part of the concurrent calls that the dependency survives
     call_quota_window_us: int = 0
-    idle_timeout_us: int = 0  # after which callers close idle connections, 0 if unknown
+    idle_timeout_us: int = 0  # time after which callers close idle connections, 0 if unknown
     freshness_us: int = 0  # how long an idempotent request's answer may be returned to repeats, 0 for never
-    health_checks_do_work: bool = False  # unless the host answers them from the last health report
-    drain_grace_us: int = 0  # requests that arrive later than this after the stop notice are not run
+    # Whether health checks cost work on this node as long as the host has no health report to answer from.
+    health_checks_do_work: bool = False
+    drain_grace_us: int = 0  # time after the stop notice in which arriving requests are still run
     resolution: int = 0  # µs, minimum time between two batches of events
-    callers_send_deadline: bool = False  # requests state how long their caller waits
-    value_by_work: bool = False  # the value counts per unit of work, not per request
+    callers_send_deadline: bool = False  # whether requests state how long their caller waits
+    value_by_work: bool = False  # whether a class's value is earned per unit of work, not per request
     tenant_quotas: dict[str, float] = field(default_factory=dict)  # requests per second at this node
-    over_quota_value_share: float = 1.0  # share of the value earned by requests beyond the tenant's quota
+    over_quota_value_share: float = 1.0  # fraction of its value that a request beyond the quota earns
     request_classes: list[RequestClass] = field(default_factory=list)
 
 
@@ -142,10 +143,11 @@
     rank: float = 0.0  # by value, from 0 to below 1; see CapacitySignal.PRIORITY_THRESHOLD
     caller: int = 0
     tenant: str = ""
-    original: Request | None = None  # the attempt that this request repeats
-    other_originals: list[Request] = field(default_factory=list)  # others of its key, in their windows
-    original_unknown: bool = False  # it repeats an attempt that the host no longer has
-    replacement: Request | None = None  # the repeat that replaced this attempt, which never ran
+    original: Request | None = None  # an earlier attempt of the same request; None for a first attempt
+    # Further earlier attempts with the same idempotency key whose windows have not passed.
+    other_originals: list[Request] = field(default_factory=list)
+    original_unknown: bool = False  # whether there was an earlier attempt that the host no longer has
+    replacement: Request | None = None  # the repeat that took the place of this attempt, which never ran
     has_key: bool = False
     is_retry: bool = False
     cost: int = 0  # expected core time, 0 if unknown
@@ -164,7 +166,7 @@
 class ResourceUsage:
     """The node's own measurements; None if the node lacks the gauge."""
 
-    busy: float | None = None  # share of the cores in use
+    busy: float | None = None  # fraction of the cores in use
     runnable: float | None = None  # tasks that want a core: running requests, reading, connections
     memory: float | None = None
     connections: float | None = None
@@ -176,7 +178,8 @@
 
     action: Action
     request: Request | None = None
-    duration_us: int = 0  # of a retry-after, call, record, idle timeout or timer; 0 for none
+    # By action: the retry-after time, time limit of the call, retention of the record, idle timeout or timer.
+    duration_us: int = 0
     capacity: float = 0.0  # ADVERTISE_CAPACITY: as the node's CapacitySignal defines it
     no_retry_elsewhere: bool = False  # REJECT: the caller must not retry at another node
     is_healthy: bool = False  # REPORT_HEALTH
--- a/lichencleat/bench_adapter/actions.py
+++ b/lichencleat/bench_adapter/actions.py
@@ -21,7 +21,7 @@
     Action.SET_TIMER: "notifyMe",
     Action.LOG: "trace",
 }
-TIMER_TAG = "wake"  # returned with the `fired` event; each node has one timer
+TIMER_TAG = "wake"  # tag of a node's only timer; the simulator returns it with the `fired` event
 
 
 def to_seconds(duration_us: int) -> float:
@@ -30,7 +30,7 @@
 
 
 def encode_request_action(decision: Decision, request_id: str) -> list[object]:
-    """Return the wire's array for a decision about a request."""
+    """Return the array that encodes a decision about a request on the wire."""
     action = decision.action
     encoded: list[object] = [ACTION_NAMES[action], request_id]
     if action is Action.REJECT:
@@ -42,11 +42,11 @@
 
 
 def encode_node_action(decision: Decision) -> list[object]:
-    """Return the wire's array for a decision about the node itself."""
+    """Return the array that encodes a decision about the node itself on the wire."""
     action = decision.action
     name = ACTION_NAMES[action]
     if action is Action.REPORT_HEALTH:
-        return [name, decision.is_healthy, True]  # reported to health checks and the endpoint list
+        return [name, decision.is_healthy, True]  # the report goes to health checks and to the endpoint list
     if action is Action.ADVERTISE_CAPACITY:
         return [name, decision.capacity]
     if action is Action.SET_IDLE_TIMEOUT:
@@ -57,5 +57,5 @@
 
 
 def encode_panic(failure: Exception) -> list[object]:
-    """Return the wire's array for an unexpected exception in a node."""
+    """Return the array that reports an unexpected exception of a node on the wire."""
     return ["panic", f"{type(failure).__name__}: {failure}"]
--- a/lichencleat/bench_adapter/errors.py
+++ b/lichencleat/bench_adapter/errors.py
@@ -1,7 +1,7 @@
 """Errors of input that the simulator's wire does not allow.
 
-All are subclasses of `InvalidInputError`, as are the errors of the start settings. The program prints one
-line for such an error and exits.
+All are subclasses of `InvalidInputError`, as are the errors of the start settings. On an `InvalidInputError`
+the program prints one line and exits.
 """
 
 from __future__ import annotations
@@ -10,18 +10,18 @@
 
 
 class InvalidBatchError(InvalidInputError):
-    """A line that is not a batch."""
+    """A line of input that is not a batch."""
 
 
 class NotJsonError(InvalidBatchError):
-    """A line that is not JSON."""
+    """A line of input that is not JSON."""
 
     def __init__(self, cause: ValueError) -> None:
         super().__init__(f"not JSON: {cause}")
 
 
 class NotAnObjectError(InvalidBatchError):
-    """A line whose JSON is not an object."""
+    """A line of input whose JSON is not an object."""
 
     def __init__(self) -> None:
         super().__init__("a batch must be an object")
@@ -84,7 +84,7 @@
 
 
 class InvalidOpeningError(InvalidEventError):
-    """An `openInstance` event without a seed or settings."""
+    """An `openInstance` event without a seed or without settings."""
 
     def __init__(self) -> None:
         super().__init__("openInstance: needs a seed and the settings")
@@ -99,7 +99,7 @@
 
 
 class UnknownRequestClassError(InvalidEventError):
-    """An arrival of a request class that is missing in the settings."""
+    """An arrival whose request class is missing in the node's settings."""
 
     def __init__(self, request_id: str, class_name: str) -> None:
         super().__init__(f"inbound {request_id!r}: unknown class {class_name!r}")
--- a/lichencleat/bench_adapter/instance.py
+++ b/lichencleat/bench_adapter/instance.py
@@ -58,14 +58,14 @@
         """Pass an event on to its handler.
 
         Raises:
-            InvalidInputError: if the event is unknown or its values are not what the wire allows.
+            InvalidInputError: if the event is unknown or the wire does not allow its values.
         """
         if name not in self._event_handlers:
             raise UnknownEventError(name)
         try:
             self._event_handlers[name](now, *values)
         except TypeError as error:
-            # Without a further frame the call itself failed: the values don't fit the handler's parameters.
+            # If the traceback ends in this function, the handler's parameters don't fit the number of values.
             if error.__traceback__ is not None and error.__traceback__.tb_next is None:
                 raise EventValuesError(name, values) from error
             raise
@@ -154,7 +154,7 @@
         self.controller.on_timer(now, read_gauges(self.gauges, readings or []))
 
     def take_actions(self, now: int) -> list[list[object]]:
-        """Run a decision round and return its actions as the wire's arrays."""
+        """Run a decision round and return its decisions, encoded as actions of the wire."""
         actions = []
         while (decision := self.controller.next_decision(now)) is not None:
             request = decision.request
@@ -166,8 +166,12 @@
 
 
 def decode_outcome(status: str, event_name: str) -> Outcome:
-    """Return the outcome for a status; raises UnknownValueError.
+    """Return the outcome that a status on the wire stands for.
 
-    The wire always sends a status. A null in its place becomes None, which equals no outcome.
+    The wire always sends a status. If it sent null instead, the result would be None, which equals no
+    outcome.
+
+    Raises:
+        UnknownValueError: if the status is unknown.
     """
     return cast(Outcome, look_up(OUTCOMES, status, None, event_name))
--- a/lichencleat/bench_adapter/wire.py
+++ b/lichencleat/bench_adapter/wire.py
@@ -1,4 +1,4 @@
-"""Batches of the simulator's wire: one JSON line in, one JSON line out, for all nodes of the process."""
+"""Batches of the simulator's wire: a JSON line with the events of all nodes in, one with the actions out."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class Batch(NamedTuple):
-    """The events of one turn."""
+    """The events of all nodes in one turn of the simulation."""
 
-    clock: float  # seconds
-    turn: int
-    nodes: list[object]
+    clock: float  # seconds of simulated time
+    turn: int  # number of the turn
+    nodes: list[object]  # an inbox for each node
 
 
 class NodeInbox(NamedTuple):
@@ -44,7 +44,11 @@
 
 
 def decode_batch(line: str) -> Batch:
-    """Decode a line; raises InvalidBatchError."""
+    """Decode a line of input as a batch.
+
+    Raises:
+        InvalidBatchError: if the line is not a batch.
+    """
     try:
         fields = json.loads(line)
     except ValueError as error:
@@ -58,14 +62,18 @@
 
 
 def decode_node_inbox(turn: int, entry: object) -> NodeInbox:
-    """Decode one node's entry of a batch; raises InvalidNodeEntryError."""
+    """Decode the entry of one node in a batch.
+
+    Raises:
+        InvalidNodeEntryError: if the entry does not name its node or has no inbox.
+    """
     if not isinstance(entry, dict) or "who" not in entry or not isinstance(entry.get("inbox"), list):
         raise InvalidNodeEntryError(turn, entry)
     return NodeInbox(entry["who"], entry["inbox"])
 
 
 class Wire:
-    """Answers batches; holds all instances of this process by their node ids on the wire."""
+    """Answers batches; owns the instances of this process, by the node ids of the wire."""
 
     def __init__(self) -> None:
         self.instances: dict[int, Instance] = {}
@@ -73,10 +81,11 @@
     def answer(self, line: str) -> str:
         """Handle a batch and return the line that answers it.
 
-        An unexpected exception in a node is printed with its traceback and reported as its only action.
+        An unexpected exception in a node is printed with its traceback and reported as the node's only
+        action.
 
         Raises:
-            InvalidInputError: if the batch or one of its events is not what the wire allows.
+            InvalidInputError: if the wire does not allow the batch or one of its events.
         """
         batch = decode_batch(line)
         now = to_microseconds(batch.clock)
@@ -116,7 +125,11 @@
 
 
 def open_instance(values: list[object]) -> Instance:
-    """Create the instance that an `openInstance` event describes; raises InvalidInputError."""
+    """Create the instance that an `openInstance` event describes.
+
+    Raises:
+        InvalidInputError: if the event has no seed or no settings, or if a setting is invalid.
+    """
     match values:
         case [seed, dict(settings), *_]:
             # A seed that `Random` rejects is reported as a panic of the node.
--- a/lichencleat/config/addresses.py
+++ b/lichencleat/config/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses of peers in configuration files: `host:port`, IPv6 hosts in brackets."""
+"""Addresses of other processes in configuration files: `host:port`, with an IPv6 host in brackets."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 
 def parse_address(address: str) -> tuple[str, int]:
-    """Returns host, without the brackets of IPv6, and port."""
+    """Returns the host of an address, without the brackets of IPv6, and its port."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def is_valid_address(address: str) -> bool:
-    """Whether port and IPv4 octets are in range; the text must have the form of an address."""
+    """Whether the port and, for IPv4, the octets are in range; `address` must have the form of an address."""
     host, port = parse_address(address)
     octets = host.split(".") if "." in host else []
     return 0 < port <= MAX_PORT and all(int(octet) <= MAX_OCTET for octet in octets)
--- a/lichencleat/config/document.py
+++ b/lichencleat/config/document.py
@@ -7,7 +7,7 @@
 
 import yaml
 
-# One step of a path as msgspec reports it: `.key`, `[3]` or `[...]`.
+# One element of a path as msgspec reports it: `.key`, `[3]` or `[...]`.
 PATH_STEP = re.compile(r"\.([^.\[]+)|\[(\d+)\]|\[\.\.\.\]")
 
 
@@ -17,30 +17,34 @@
 
 
 class YamlDocument:
-    """The YAML nodes of one file."""
+    """The tree of YAML nodes of one file."""
 
     def __init__(self, root: yaml.Node | None) -> None:
-        """`root` is None for an empty file."""
+        """`root` is the outermost YAML node, None for an empty file."""
         self.root = root
 
     @classmethod
     def parse(cls, text: str) -> YamlDocument:
-        """Parses the text without building its values.
+        """Parses YAML text into nodes that know their lines, without converting them to Python values.
 
         Raises:
-            yaml.YAMLError: it is not YAML.
+            yaml.YAMLError: the text is not YAML.
         """
         return cls(yaml.compose(text, Loader=yaml.SafeLoader))
 
     def line_of(self, path: str) -> int | None:
-        """Returns the line, from 1, of the node at a path, or of its nearest parent; None for the root."""
+        """Returns the line of the setting at a path, counted from 1.
+
+        If the setting is not in the file, returns the line of its nearest parent that is, or None if there is
+        no such parent.
+        """
         line = None
         for node_line, _ in self._walk(path):
             line = node_line
         return line
 
     def has_value(self, path: str) -> bool:
-        """Whether the document has a value at a path; otherwise the default applies."""
+        """Whether the file has a value at a path; if not, the setting has its default."""
         return sum(1 for _ in self._walk(path)) == len(PATH_STEP.findall(path))
 
     def find_duplicate_key(self) -> tuple[str, int] | None:
@@ -61,7 +65,7 @@
         return None
 
     def _walk(self, path: str) -> Iterator[tuple[int, yaml.Node]]:
-        """Yields line and node of each step of a path, up to the first step that does not exist."""
+        """Yields line and YAML node of each element of a path, up to the first element not in the file."""
         node = self.root
         for key, index in PATH_STEP.findall(path):
             if isinstance(node, yaml.MappingNode) and key:
--- a/lichencleat/config/listing.py
+++ b/lichencleat/config/listing.py
@@ -1,4 +1,4 @@
-"""Lists the effective settings with the origin of each."""
+"""Lists the effective settings of a file, each with its origin: a line of the file, or the default."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Setting:
-    """One effective value and its origin."""
+    """The effective value of one setting and where the value comes from."""
 
     path: str
     value: object
@@ -20,7 +20,7 @@
 
 
 def list_settings(path: str) -> list[Setting]:
-    """Returns every effective value, defaults included.
+    """Returns the effective settings of the file at `path`, defaults included.
 
     Raises:
         InvalidConfigError: the file can't be read or contains a mistake.
@@ -34,7 +34,7 @@
 
 
 def _walk_values(value: object, path: str) -> Iterator[tuple[str, object]]:
-    """Yields path and value of each leaf."""
+    """Yields path and value of each setting within `value`, a struct, a list or a single value at `path`."""
     if isinstance(value, Struct):
         for name in value.__struct_fields__:
             yield from _walk_values(getattr(value, name), f"{path}.{name}")
--- a/lichencleat/config/loading.py
+++ b/lichencleat/config/loading.py
@@ -47,7 +47,7 @@
 
 
 def parse_node_config(path: str, text: str) -> tuple[NodeConfig, YamlDocument]:
-    """Decodes and validates the text of a node's configuration file; messages name `path`.
+    """Decodes and validates the text of a node's configuration file; error messages name the file as `path`.
 
     Raises:
         InvalidConfigError: the text contains a mistake.
@@ -58,7 +58,7 @@
 
 
 def parse_config(path: str, text: str, schema: type[ConfigT]) -> tuple[ConfigT, YamlDocument]:
-    """Decodes YAML text as a struct of the given type; messages name `path`.
+    """Decodes YAML text as a struct of the type `schema`; error messages name the file as `path`.
 
     Raises:
         InvalidConfigError: the text is not YAML or does not fit the schema.
@@ -71,7 +71,7 @@
 
 
 def _parse_yaml(path: str, text: str) -> tuple[YamlDocument, object]:
-    """Returns the document and its value."""
+    """Returns the YAML document of the text, and the Python value that the document encodes."""
     try:
         document = YamlDocument.parse(text)
         _reject_duplicate_keys(path, document)
@@ -108,7 +108,7 @@
 
 
 def _list_keys(setting: str, schema: type[Struct]) -> list[str]:
-    """Returns the keys of the struct at a path."""
+    """Returns the keys that the schema allows at a path."""
     for key in path_keys(setting):
         field_type = next(field.type for field in msgspec.structs.fields(schema) if field.name == key)
         schema = _find_struct(field_type) or schema
@@ -116,7 +116,7 @@
 
 
 def _find_struct(annotation: object) -> type[Struct] | None:
-    """Returns the struct type in an annotation: itself, or within an optional, a list or a mapping."""
+    """Returns the struct type that an annotation is or contains (in an optional, a list or a mapping)."""
     if isinstance(annotation, type) and issubclass(annotation, Struct):
         return annotation
     arguments = getattr(annotation, "__args__", ())
--- a/lichencleat/config/validation.py
+++ b/lichencleat/config/validation.py
@@ -9,7 +9,7 @@
 
 
 def validate_node_config(path: str, document: YamlDocument, config: NodeConfig) -> None:
-    """Checks a node's settings against each other.
+    """Checks the settings of a node that have the right form.
 
     Raises:
         InvalidConfigError: a value is out of range or contradicts another one.
@@ -34,10 +34,10 @@
 
 
 def check_address(path: str, document: YamlDocument, setting: str, address: str, example: str) -> None:
-    """Checks the ranges of an address that has the right form; `setting` is its path without `$.`.
+    """Checks that the parts of an address are in range; `setting` is the path of the setting without `$.`.
 
     Raises:
-        InvalidConfigError: port or octets are out of range.
+        InvalidConfigError: the port or an octet is out of range.
     """
     if not is_valid_address(address):
         problem = (
@@ -50,7 +50,8 @@
     """Checks `distribution.sources`; `listen` is the process's own address, which must not be a source.
 
     Raises:
-        InvalidConfigError: an address is wrong, occurs twice or is `listen`, or there are too many.
+        InvalidConfigError: an address is out of range, occurs twice or is `listen`, or there are too many
+            addresses.
     """
     seen = {listen}
     for tier, addresses in enumerate(tiers):
--- a/lichencleat/daemon.py
+++ b/lichencleat/daemon.py
@@ -1,4 +1,4 @@
-"""Run a daemon on the reactor: signals, unhandled errors as log lines, and the exit code."""
+"""Runs a daemon on the reactor: handles signals, logs unhandled errors and returns the exit code."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
     @property
     def log(self) -> EventLogger:
-        """The logger for errors of the reactor."""
+        """The logger for unhandled errors."""
 
     @property
     def exit_code(self) -> int:
@@ -45,7 +45,7 @@
             daemon.log.warning("error", trace=failure.getBriefTraceback().replace("\n", " | "))
 
     globalLogBeginner.beginLoggingTo(
-        [log_failure],  # type: ignore[list-item]  # a function that satisfies the zope interface
+        [log_failure],  # type: ignore[list-item]  # a function is a valid observer by its zope interface
         redirectStandardIO=False,
         discardBuffer=True,
     )
--- a/lichencleat/log/structured.py
+++ b/lichencleat/log/structured.py
@@ -1,6 +1,7 @@
 """Structured log lines: one event with its fields per line, as logfmt or JSON, to standard error.
 
-The lines of each event are limited per second; the event's next line states how many were dropped.
+The number of lines per second is limited for each event. Lines beyond the limit are dropped, and the next
+line of the event states how many.
 """
 
 from __future__ import annotations
@@ -16,8 +17,8 @@
 from lichencleat.log.interfaces import EventLogger
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-MAX_LINES_PER_EVENT = 10  # per second: enough to see what happens, too few to take up a core
-MAX_EVENTS = 512  # events with a count of their own; further events share one
+MAX_LINES_PER_EVENT = 10  # lines per second: enough to see what happens, too few to take up a core
+MAX_EVENTS = 512  # number of events that are counted separately; all further events share one count
 
 Clock = Callable[[], int]  # µs of Unix time
 
@@ -26,9 +27,9 @@
 class EventCount:
     """Counts of the lines of one event."""
 
-    second: int = 0  # of the clock, in which `lines` were counted
-    lines: int = 0
-    dropped: int = 0  # since the last written line
+    second: int = 0  # the second of Unix time in which `lines` were counted
+    lines: int = 0  # lines in that second, including dropped ones
+    dropped: int = 0  # lines dropped since the last written line
 
 
 class RateLimiter:
@@ -39,10 +40,10 @@
         self._counts: dict[str, EventCount] = {}
 
     def __call__(self, logger: WrappedLogger, method: str, event: EventDict) -> EventDict:
-        """Adds the field `left_out`, the number of lines dropped before this one, if there are any.
+        """Adds the field `left_out`, the number of lines dropped before this line, unless it is 0.
 
         Raises:
-            structlog.DropEvent: the event is over its limit.
+            structlog.DropEvent: the event has reached its limit of lines in this second.
         """
         count = self._count_of(str(event.get("event", "")))
         second = self._clock() // MICROSECONDS_PER_SECOND
