--- a/lichencleat/config/schema.py
+++ b/lichencleat/config/schema.py
@@ -60,7 +60,7 @@
     """This node as a client of a group of voters. If absent, the node runs without a group."""
 
     group: Name
-    # Addresses of members of the group, from which the node learns the addresses of the voters.
+    # Addresses of members of the group, at which the node looks for the group's leader.
     members: Annotated[list[Address], Meta(min_length=1, max_length=64)]
     zone: str = ""  # the zone of this node
     candidate: bool = False  # whether the node may hold leases on the fleet's jobs
--- a/lichencleat/consensus/__init__.py
+++ b/lichencleat/consensus/__init__.py
@@ -2,8 +2,9 @@
 
 A proposal that was confirmed to a client stays at the same index in every member's log and is applied exactly
 once. While a majority of the voters can communicate and write, there is a leader that accepts proposals.
-No bound on time holds while faults last. No guarantee at all holds if a disk confirms a flush that it has not
-made, or if a voter's directory is restored from a copy while the other members are unreachable.
+While faults last, there is no bound on the time until a proposal is confirmed. No guarantee at all holds if a
+disk confirms a flush that it has not made, or if a voter's directory is restored from a copy while the other
+members are unreachable.
 
 Literature: Raft (Ongaro and Ousterhout 2014) and Ongaro's thesis (2014): leadership transfer 3.10, membership
 changes by single steps 4.1, sessions 6.3, linearizable reads 6.4, pre-vote 9.6.
--- a/lichencleat/consensus/client_requests.py
+++ b/lichencleat/consensus/client_requests.py
@@ -29,16 +29,16 @@
 
     @property
     def is_participating(self) -> bool:
-        """Whether the member participates in the cluster yet."""
+        """Whether the member participates in the cluster already."""
 
     def now(self) -> int:
-        """Return µs of the member's monotonic clock."""
+        """Return the time in µs of the member's monotonic clock."""
 
     def make_status(self) -> Status:
         """Return the member's status."""
 
     def count(self, event: str) -> None:
-        """Count an abnormal event."""
+        """Count an abnormal event; the member's status shows the counts."""
 
 
 class ClientRequests:
--- a/lichencleat/consensus/configuration.py
+++ b/lichencleat/consensus/configuration.py
@@ -7,8 +7,9 @@
 from lichencleat.consensus.messages import Configuration, Member
 from lichencleat.transport.outcomes import RejectReason
 
-MAX_VOTERS = 7  # each commit waits for a majority of the voters; five tolerate the loss of two
-MAX_MEMBERS = 512  # including learners, as the leader replicates to each member
+# Each commit waits for a majority of the voters. Five voters already tolerate the loss of two.
+MAX_VOTERS = 7
+MAX_MEMBERS = 512  # voters and learners together, as the leader replicates to each of them
 
 
 def has_majority(voters: frozenset[int], members: Iterable[int]) -> bool:
@@ -31,15 +32,15 @@
 
 
 def without_member(configuration: Configuration, member_id: int) -> Configuration:
-    """Return the configuration without that member."""
+    """Return the configuration without the member `member_id`."""
     return Configuration(tuple(each for each in configuration.members if each.member_id != member_id))
 
 
 def change_rejection(old: Configuration, new: Configuration) -> RejectReason | None:
     """Return why the change from `old` to `new` is not allowed, or None if it is allowed.
 
-    If two configurations differ by one voter, any majority of one shares a voter with any majority of the
-    other. With a larger difference this may not hold.
+    If two configurations differ by one voter, any majority of one configuration shares a voter with any
+    majority of the other. If they differ by more voters, two majorities without a common voter may exist.
     """
     if not _is_well_formed(new):
         return RejectReason.INVALID_REQUEST
--- a/lichencleat/consensus/durable_writer.py
+++ b/lichencleat/consensus/durable_writer.py
@@ -1,9 +1,9 @@
-"""Passes durable writes to the store in order; the chunks of a large snapshot are written before its write.
+"""Passes durable writes to the store in order, and before a write the chunks of its snapshot if it is large.
 
 Each chunk is committed before the next one is passed on, so that the store's queue holds one chunk at a time
 and a confirmed write never lacks a chunk. Later writes wait meanwhile, some 100 ms for a snapshot of 20 MB.
-This delays the confirmation of proposals but does not depose the leader, as heartbeats depend on the write of
-its term only.
+This delays the confirmation of proposals. The leader is not deposed, as heartbeats only wait for the write of
+the leader's term.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class QueuedWrite(NamedTuple):
-    """A write, and the batches that must be confirmed before it."""
+    """A write, and the batches that must be confirmed before the write is passed on."""
 
     write: DurableWrite
     chunk_batches: Iterator[Batch]
@@ -30,8 +30,9 @@
 class DurableWriter:
     """Owns the queue of writes.
 
-    The queue is bounded by the number of proposals that a leader accepts (`leader.MAX_PENDING_PROPOSALS`) or
-    of messages that it sends without a response (`progress.MAX_INFLIGHT_MESSAGES`).
+    The queue's length is bounded: on a leader by the number of proposals that it accepts
+    (`leader.MAX_PENDING_PROPOSALS`), on a follower by the number of messages that the leader sends without a
+    response (`progress.MAX_INFLIGHT_MESSAGES`).
     """
 
     def __init__(
@@ -41,7 +42,11 @@
         on_durable: Callable[[int], None],
         on_failed: Callable[[Failure], None],
     ) -> None:
-        """`on_durable` is called with the number of each write, in order; `on_failed` ends all writing."""
+        """Start with an empty queue.
+
+        `on_durable` is called with the number of each durable write, in order. `on_failed` is called when a
+        write fails; no write is passed to the store after that.
+        """
         self.store = store
         self.storage = storage
         self.on_durable = on_durable
--- a/lichencleat/consensus/elector.py
+++ b/lichencleat/consensus/elector.py
@@ -20,9 +20,10 @@
     def can_campaign(self) -> bool:
         """Return whether this member may become leader.
 
-        A member whose removal is in its log and not known to be committed may still campaign, because only it
-        may be able to commit the removal: members that have that entry do not elect a candidate without it
-        (thesis 4.2.2). Such a member does not count its own vote.
+        A member that is being removed may still campaign until it knows that its removal is committed. It may
+        be the only member that can commit the removal: members whose log has the entry of the removal elect
+        no candidate whose log lacks that entry (thesis 4.2.2). A member that is being removed does not count
+        its own vote.
         """
         if self.member_id in self.voters:
             return True
@@ -50,7 +51,7 @@
             self.enqueue_message(replace(request, term=self.term + 1))
 
     def on_pre_vote_response(self, now: int, message: Message) -> None:
-        """Count a pre-vote; start the election once a majority is reached."""
+        """Count a granted pre-vote; start the election once a majority of the voters has granted theirs."""
         if self.role is Role.PRE_CANDIDATE and message.granted and message.term == self.term + 1:
             self.votes_received |= {message.sender}
             if has_majority(self.voters, self.votes_received):
@@ -73,7 +74,7 @@
             self.enqueue_message(replace(request, is_transfer=is_transfer))
 
     def on_vote_response(self, now: int, message: Message) -> None:
-        """Count a vote; become leader once a majority is reached."""
+        """Count a granted vote; become leader once a majority of the voters has granted theirs."""
         if self.role is Role.CANDIDATE and message.granted:
             self.votes_received |= {message.sender}
             if has_majority(self.voters, self.votes_received):
@@ -119,7 +120,7 @@
         self.enqueue_message(replace(response, term=term, granted=granted))
 
     def on_vote(self, now: int, message: Message) -> None:
-        """Vote for the sender if no other member has the vote of this term and its log is up to date."""
+        """Vote for the sender if its log is up to date and this member has not voted for another one."""
         can_vote = self.vote in (NO_MEMBER, message.sender) and self.role in (
             Role.FOLLOWER,
             Role.PRE_CANDIDATE,
--- a/lichencleat/consensus/extension.py
+++ b/lichencleat/consensus/extension.py
@@ -24,13 +24,14 @@
         """The zone of the member."""
 
     def now(self) -> int:
-        """Return µs of the member's monotonic clock."""
+        """Return the time in µs of the member's monotonic clock."""
 
     def confirm_leadership(self, on_result: Callable[[bool], None]) -> None:
         """Check that this member is the leader.
 
         `on_result` is called with True once a majority has confirmed this leader after this call and all
-        entries committed before it are applied; it is called with False if this member does not lead.
+        entries that were committed before the call are applied. It is called with False if this member does
+        not lead.
         """
 
 
@@ -38,7 +39,7 @@
     """Answers requests from the state that the member has applied."""
 
     def start(self, member: MemberView) -> None:
-        """Start; the member does not participate in the cluster yet."""
+        """Start the extension; called before the member participates in the cluster."""
 
     def handles(self, operation: str) -> bool:
         """Return whether the extension handles requests for that operation."""
--- a/lichencleat/consensus/follower.py
+++ b/lichencleat/consensus/follower.py
@@ -15,7 +15,7 @@
     """Handles APPEND and SNAPSHOT messages."""
 
     def on_leader_contact(self, now: int, leader_id: int) -> None:
-        """Follow the sender of a leader's message of this term."""
+        """Record a message from the leader of this term, and follow that leader."""
         self.failed_campaigns = 0
         if self.role is not Role.FOLLOWER or self.leader_id != leader_id:
             self.become_follower(now, self.term, leader_id)
@@ -29,12 +29,12 @@
         self.enqueue_message(replace(response, index=match_index, read_round=read_round, granted=True))
 
     def on_append(self, now: int, message: Message) -> None:
-        """Append the leader's entries if the logs match before them; otherwise reply where they may match."""
+        """Append the leader's entries if the logs match up to the first one; otherwise reject the message."""
         self.on_leader_contact(now, message.sender)
         previous_index = message.index
         previous_term = message.log_term
         entries = message.entries
-        if previous_index < self.log.snapshot_index:  # committed, so the logs match
+        if previous_index < self.log.snapshot_index:  # the snapshot is committed, so the logs match up to it
             entries = entries[self.log.snapshot_index - previous_index :]
             previous_index = self.log.snapshot_index
             previous_term = self.log.snapshot.term
@@ -49,7 +49,7 @@
         self.send_append_response(message.sender, message.read_round)
 
     def _reject_append(self, message: Message, previous_index: int) -> None:
-        """Respond with the index that the leader should try next, which skips a term at a time."""
+        """Respond with an index at which the logs may match; the search goes back a whole term at a time."""
         if previous_index > self.log.last_index:
             hint = self.log.last_index
         else:
@@ -95,7 +95,7 @@
         return True
 
     def on_snapshot_chunk(self, now: int, message: Message) -> None:
-        """Store the chunk; install the snapshot once it is complete."""
+        """Keep a chunk of the leader's snapshot; install the snapshot once all chunks have arrived."""
         self.on_leader_contact(now, message.sender)
         if message.index > self.commit_index:
             received = self.snapshot_receiver.add_chunk(message)
@@ -108,7 +108,7 @@
         self.send_append_response(message.sender, message.read_round)
 
     def install_snapshot(self, now: int, snapshot: Snapshot) -> None:
-        """Replace state and log by the snapshot; if the log matches at its index, keep the later entries."""
+        """Replace state and log by the snapshot; keep later entries if the log contains its last entry."""
         if self.log.term_at(snapshot.index) == snapshot.term:
             self.log.compact(snapshot)
             self.writes.mark_compacted(snapshot.index)
--- a/lichencleat/consensus/greetings.py
+++ b/lichencleat/consensus/greetings.py
@@ -1,4 +1,4 @@
-"""Greetings between members: makes and answers them, and stores incarnations before answering."""
+"""Makes and answers greetings between members; a peer's incarnation is stored before it gets the answer."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 from lichencleat.transport.identity import CLIENT_ID, GreetingResult, Incarnation
 from lichencleat.transport.inbound import InboundConnection
 
-INCARNATION_KEY_PREFIX = b"l"  # of keys in the store; followed by the member id
+INCARNATION_KEY_PREFIX = b"l"  # prefix of keys in the store, followed by the member id
 MEMBER_ID_BYTES = 8
 
 decode_incarnation = msgspec.msgpack.Decoder(Incarnation).decode
 
 
 def incarnation_key(member_id: int) -> bytes:
-    """Return the key under which the latest incarnation of that member is stored."""
+    """Return the key under which the latest incarnation of the member `member_id` is stored."""
     return INCARNATION_KEY_PREFIX + member_id.to_bytes(MEMBER_ID_BYTES, "big")
 
 
@@ -40,7 +40,7 @@
     """The part of a member process that greetings use."""
 
     def halt(self, reason: str) -> None:
-        """Halt the member, because another incarnation of it exists."""
+        """Halt the member, because another member knows a later incarnation of it."""
 
     def on_disk_failed(self, failure: Failure) -> None:
         """Halt the member, because an incarnation can't be stored."""
--- a/lichencleat/consensus/identity.py
+++ b/lichencleat/consensus/identity.py
@@ -20,15 +20,15 @@
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
 IDENTITY_KEY = b"i"  # key in the store; never changes
-CONFIRMATION_WAIT_US = 3_000_000  # then a member participates without the others' confirmation
+CONFIRMATION_WAIT_US = 3_000_000  # after this wait, a member participates without the others' confirmation
 MEMBER_ID_BITS = 63
 
 
 class GreetingDecision(NamedTuple):
-    """The answer to a greeting, and whether to store the incarnation in it."""
+    """The answer to a greeting, and whether the greeting's incarnation must be stored."""
 
     result: GreetingResult
-    is_new_incarnation: bool  # must be stored before the answer is sent
+    is_new_incarnation: bool  # if true, the incarnation must be stored before the answer is sent
 
 
 class PeerIncarnations:
@@ -37,7 +37,7 @@
     def __init__(
         self, cluster_id: bytes, member_id: int, incarnation: Incarnation, known: dict[int, Incarnation]
     ) -> None:
-        """`cluster_id` is empty while unknown; `known`: the stored incarnations by member id."""
+        """`cluster_id` is empty while unknown; `known` has the stored incarnations by member id."""
         self.cluster_id = cluster_id
         self.member_id = member_id
         self.incarnation = incarnation
@@ -61,7 +61,7 @@
         return GreetingDecision(GreetingResult.ACCEPTED, True)
 
     def on_greeting_reply(self, member_id: int, result: GreetingResult) -> str | None:
-        """Handle another member's answer; return why this member must halt, or None."""
+        """Handle another member's answer to a greeting; return why this member must halt, None if not."""
         if result is GreetingResult.ACCEPTED:
             self.confirmed_by.add(member_id)
             return None
@@ -93,7 +93,8 @@
     member_name: str
     member_id: int
     start_count: int
-    distribution: bool = False  # the cluster replicates configuration; the member can't serve in another kind
+    # Whether the cluster replicates configuration; the member can't join a cluster of the other kind.
+    distribution: bool = False
 
 
 decode_identity = msgspec.msgpack.Decoder(Identity).decode
--- a/lichencleat/consensus/key_value.py
+++ b/lichencleat/consensus/key_value.py
@@ -8,7 +8,7 @@
 
 STATE_PART = "facts"  # name of this part of the replicated state; stored and sent
 MAX_KEYS = 65_536
-MAX_VALUE_BYTES = 65_536  # of one value; snapshots contain all values
+MAX_VALUE_BYTES = 65_536  # size of one value; snapshots contain all values
 NO_REVISION = 0  # revision of a key that does not exist
 
 
@@ -24,11 +24,11 @@
     """The value of a key, with its revision."""
 
     value: bytes
-    revision: int  # index of the log entry that set it
+    revision: int  # index of the log entry that set the value
 
 
 class SetResult(msgspec.Struct, frozen=True, array_like=True):
-    """The result of a command: whether it was applied, and the key's revision, or 0 if it does not exist."""
+    """The result of a command: whether it was applied, and the key's revision (0 if the key is absent)."""
 
     is_applied: bool
     revision: int
--- a/lichencleat/consensus/leader.py
+++ b/lichencleat/consensus/leader.py
@@ -1,7 +1,8 @@
 """The state of a leader: progress of followers, pending proposals and reads, leadership transfer. No I/O.
 
-It is created when an election is won and dropped when leadership ends, so that it never holds state of an
-earlier term.
+`LeaderState` is created when an election is won and dropped when leadership ends, so it never holds state of
+an earlier term. A read round is a round of heartbeats to the voters; once a majority has answered, this
+member was still the leader after the round began, and may serve the reads that arrived before.
 """
 
 from __future__ import annotations
@@ -14,17 +15,18 @@
 from lichencleat.consensus.progress import Progress
 from lichencleat.transport.outcomes import RejectReason
 
-MAX_PENDING_PROPOSALS = 4_096  # uncommitted; some MB, and at most a second's work of a slow cluster
-MAX_PENDING_READS = 4_096  # waiting for a read round
+# Proposals that are not committed yet: some MB, and at most a second's work of a slow cluster.
+MAX_PENDING_PROPOSALS = 4_096
+MAX_PENDING_READS = 4_096  # reads that wait until heartbeats confirm that this member still leads
 
 
 @dataclass(frozen=True, slots=True)
 class PendingRead:
-    """A read that waits for proof that this member was still the leader after the read arrived."""
+    """A read that waits until heartbeats confirm that this member still led after the read arrived."""
 
     context: RequestContext
     index: int  # the read index: the commit index when the read arrived
-    read_round: int  # the round that gives the proof
+    read_round: int  # number of the read round that must be confirmed
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,22 +34,26 @@
     """A leadership transfer in progress."""
 
     target: int  # member id
-    deadline: int  # µs; when the transfer is abandoned
+    deadline: int  # time in µs at which the transfer is abandoned
 
 
 class LeaderState:
     """The state that a node holds while it is the leader."""
 
     def __init__(self, member_id: int, first_index: int) -> None:
-        """`first_index`: of the term's first entry; the commit index may be too low until it is committed."""
+        """Start without followers.
+
+        `first_index` is the index of the term's first entry. Until that entry is committed, the commit index
+        may be too low.
+        """
         self.member_id = member_id
         self.first_index = first_index
         self.progress: dict[int, Progress] = {}
         self.pending_sends: dict[int, None] = {}  # member ids of followers that may need a message, in order
-        self.pending_proposals: dict[int, RequestContext] = {}  # by index
+        self.pending_proposals: dict[int, RequestContext] = {}  # by index of the proposal's entry
         self.pending_reads: list[PendingRead] = []
-        self.read_round = 0  # the last round begun; heartbeats carry it
-        self.confirmed_round = 0  # the last round that a majority answered
+        self.read_round = 0  # number of the last read round begun; heartbeats carry the number
+        self.confirmed_round = 0  # number of the last read round that a majority of the voters answered
         self.transfer: LeadershipTransfer | None = None
 
     def update_members(self, member_ids: Iterable[int], next_index: int, now: int) -> None:
@@ -71,7 +77,7 @@
         )
 
     def match_index(self, member_id: int) -> int:
-        """Return the index up to which that follower's durable log is known to match; 0 if none is known."""
+        """Return the index up to which a member's durable log is known to match, 0 if nothing is known."""
         progress = self.progress.get(member_id)
         return progress.match_index if progress else 0
 
@@ -84,17 +90,20 @@
         """Return whether a majority of the voters responded after the time `since` (µs)."""
         return has_majority(voters, self.responsive_members(since))
 
-    # -- reads: a leader that was replaced must not answer from its stale state (thesis 6.4) -----------
+    # -- reads: confirmed by heartbeats, as the state of a replaced leader is stale (thesis 6.4) -------
 
     def add_read(self, context: RequestContext, index: int) -> RejectReason | None:
-        """Add a read at the read index `index`; a round that begins later must confirm it."""
+        """Add a read with the read index `index`; return why it is rejected, None if it is accepted.
+
+        The next read round must confirm the read, as an earlier round may have begun before the read arrived.
+        """
         if len(self.pending_reads) >= MAX_PENDING_READS:
             return RejectReason.TOO_MANY_PROPOSALS
         self.pending_reads.append(PendingRead(context, index, self.read_round + 1))
         return None
 
     def begin_read_round(self) -> bool:
-        """Begin a read round if one is due, and return whether it has begun."""
+        """Begin a read round if reads wait and no round is in progress; return whether a round was begun."""
         if self.pending_reads and self.confirmed_round == self.read_round:
             self.read_round += 1
             return True
@@ -108,7 +117,7 @@
         self.confirmed_round = max(self.confirmed_round, confirmed)
 
     def read_round_of(self, member_id: int) -> int:
-        """Return the last read round that the follower answered."""
+        """Return the number of the last read round that a follower answered, 0 if there is none."""
         progress = self.progress.get(member_id)
         return progress.read_round if progress else 0
 
@@ -120,7 +129,7 @@
     # -- leadership transfer -------------------------------------------------------------------------
 
     def ready_transfer_target(self, last_index: int) -> int:
-        """Return the target of the leadership transfer if it has all entries, else NO_MEMBER."""
+        """Return the target of the leadership transfer if its log has all entries, otherwise NO_MEMBER."""
         if self.transfer and self.match_index(self.transfer.target) >= last_index:
             return self.transfer.target
         return NO_MEMBER
--- a/lichencleat/consensus/leader_proposals.py
+++ b/lichencleat/consensus/leader_proposals.py
@@ -14,7 +14,7 @@
 from lichencleat.transport.twisted_types import DelayedCall, ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-PROPOSAL_INTERVAL_S = 0.05
+PROPOSAL_INTERVAL_S = 0.05  # time between two checks for commands that are due
 
 
 class LeaderProposal(NamedTuple):
@@ -24,7 +24,8 @@
     command: Encodable
 
 
-# Called on the leader with its state machine and µs of its clock; called with None when it stops leading.
+# Returns the commands that are due. Called on the leader with its state machine and the time in µs of its
+# monotonic clock; called with None in place of the state machine when the member stops leading.
 DueProposals = Callable[[StateMachine | None, int], list[LeaderProposal]]
 
 
@@ -43,7 +44,10 @@
         self._supported_states = supported_states
 
     def admit(self, state_name: str, now: int) -> str | None:
-        """Return why commands for that state are rejected, or None; propose its activation if necessary."""
+        """Return why commands for a state are rejected, None if they are admitted.
+
+        If the state is not active yet and may be activated, also propose its activation.
+        """
         state_machine = self._applier.state_machine
         if state_name in state_machine.active_states or self._node.leader_state is None:
             return None
@@ -68,7 +72,7 @@
         due_proposals: DueProposals,
         on_proposed: Callable[[], None],
     ) -> None:
-        """`on_proposed` is called after each proposal, before the node's actions for it are executed."""
+        """`on_proposed` is called after each proposal, so that the process executes the node's actions."""
         self.role = Role.FOLLOWER
         self._reactor = reactor
         self._node = node
--- a/lichencleat/consensus/log_storage.py
+++ b/lichencleat/consensus/log_storage.py
@@ -3,10 +3,11 @@
 Keys: `t` holds the term, the vote, the snapshot's index and the last index; `s` the snapshot; `e` followed by
 eight bytes of the index holds an entry. A write is one batch and therefore atomic at a power cut.
 
-A snapshot too large for one value is stored in chunks under `p`, eight bytes of its index and four bytes of
-the chunk's number. The chunks are written first, each in a batch of its own; `s` then stores only their
-count, so that a power cut before it leaves the previous snapshot intact. `w` names the chunks being written,
-so that chunks left behind by a power cut are found and deleted. This module does no I/O itself.
+A snapshot too large for one value is stored in chunks. The key of a chunk is `p`, followed by eight bytes of
+the snapshot's index and four bytes of the chunk's number. The chunks are written first, each in a batch of
+its own, and `s` with their count last, so that a power cut in between leaves the previous snapshot intact.
+`w` names the chunks being written, so that chunks left behind by a power cut are found and deleted. This
+module does no I/O itself.
 """
 
 from __future__ import annotations
@@ -26,7 +27,8 @@
 ENTRY_KEY_PREFIX = b"e"
 CHUNK_KEY_PREFIX = b"p"
 PENDING_CHUNKS_KEY = b"w"
-MAX_CHUNK_BYTES = 4 << 20  # held by the store's writer at once; well below a value's limit of 16 MiB
+# Size of a chunk, which the store's writer holds in memory as a whole; well below a value's limit of 16 MiB.
+MAX_CHUNK_BYTES = 4 << 20
 
 
 class HardState(NamedTuple):
@@ -49,10 +51,10 @@
 
 
 class SnapshotHeader(msgspec.Struct, frozen=True, array_like=True):
-    """The value of the key `s`: a complete snapshot, or the description of one in chunks.
+    """The value of the key `s`: a complete snapshot, or the description of a snapshot in chunks.
 
     The first four fields are those of a `Snapshot`, so that stores written by versions without chunks can be
-    read. Such a version finds `data` empty in a store with chunks and does not start.
+    read. A version without chunks finds no `data` in a store with chunks and does not start.
     """
 
     index: int
@@ -86,15 +88,16 @@
 
 
 class LogStorage:
-    """Tracks the entries and chunks in the store; the next write deletes void ones."""
+    """Tracks the entries and chunks in the store, so that a write deletes those that are no longer valid."""
 
     def __init__(self, max_chunk_bytes: int = MAX_CHUNK_BYTES) -> None:
         """Start with an empty store; `load` must be called if the store may have data."""
         self.max_chunk_bytes = max_chunk_bytes
         self.snapshot_index = 0  # the store holds the entries snapshot_index + 1 to last_index
         self.last_index = 0
-        self.active_chunks = NO_CHUNKS  # of the current snapshot
-        self.pending_chunks = NO_CHUNKS  # completely or partly written, and not yet the current snapshot's
+        self.active_chunks = NO_CHUNKS  # chunks of the current snapshot
+        # Chunks of a snapshot that is not the current one yet; all or some of the chunks are written.
+        self.pending_chunks = NO_CHUNKS
 
     # -- reading -------------------------------------------------------------------------------------
 
@@ -126,7 +129,11 @@
         return entries
 
     def load_snapshot(self, get: Callable[[bytes], bytes | None]) -> Snapshot | None:
-        """Load the snapshot, or return None if there is none. Raises CorruptDataError."""
+        """Load the current snapshot, or return None if there is none.
+
+        Raises:
+            CorruptDataError: a confirmed chunk is missing or has the wrong size.
+        """
         encoded = get(SNAPSHOT_KEY)
         if encoded is None:
             return None
@@ -145,9 +152,10 @@
     # -- writing -------------------------------------------------------------------------------------
 
     def chunk_batches(self, write: DurableWrite) -> Iterator[Batch]:
-        """Yield the batches with the chunks of the write's snapshot, if it is large enough to need chunks.
+        """Yield the batches with the chunks of a write's snapshot; none if the snapshot fits into one value.
 
-        Each batch must be confirmed before the next one is written, and all before `make_batch` is called.
+        Each batch must be confirmed before the next one is written, and all of them before `make_batch` is
+        called.
         """
         snapshot = write.snapshot
         if snapshot is None or not self._is_chunked(snapshot):
@@ -163,7 +171,7 @@
             yield Batch().put(key, snapshot.data[offset : offset + self.max_chunk_bytes])
 
     def make_batch(self, write: DurableWrite) -> Batch:
-        """Return the batch for the write itself."""
+        """Return the batch that carries out a write, apart from the chunks of its snapshot."""
         batch = Batch()
         self._finish_snapshot(batch, write.snapshot)
         self._delete_void_entries(batch, write)
@@ -176,7 +184,11 @@
         return batch
 
     def bootstrap_batch(self, snapshot: Snapshot) -> Batch:
-        """Return the batch that initializes the store of a new cluster's first member with `snapshot`."""
+        """Return the batch that initializes the store of a new cluster's first member.
+
+        The log starts with the configuration, which `snapshot` contains: without a configuration, the member
+        would have no voters, so it could not become leader and commit a first entry.
+        """
         batch = Batch().put(SNAPSHOT_KEY, encode(snapshot))
         return batch.put(HARD_STATE_KEY, encode(HardState(0, 0, snapshot.index, snapshot.index)))
 
--- a/lichencleat/consensus/messages.py
+++ b/lichencleat/consensus/messages.py
@@ -56,7 +56,10 @@
 
 
 class Configuration(msgspec.Struct, frozen=True, array_like=True):
-    """The members of the cluster. Each member uses it once its entry is in the log, committed or not."""
+    """The members of the cluster.
+
+    A member uses a configuration once its own log has the entry with it, whether committed or not.
+    """
 
     members: tuple[Member, ...]
 
@@ -104,7 +107,9 @@
     index: int = 0
     log_term: int = 0  # term of the entry at `index`
     commit: int = 0  # the leader's commit index
-    read_round: int = 0  # number of the leader's latest read round; the response repeats it
+    # Number of the leader's latest read round, which is a round of heartbeats that confirms the leader before
+    # it serves reads; a response repeats the number.
+    read_round: int = 0
     granted: bool = False
     is_transfer: bool = False  # VOTE: the election is part of a leadership transfer
     entries: tuple[Entry, ...] = ()
@@ -115,7 +120,7 @@
 
 
 class ActionType(Enum):
-    """The type of an action for the host."""
+    """The type of an action that the host carries out for the Raft node."""
 
     WRITE = auto()  # write and flush the state, then call `on_write_durable` with the write's number
     SEND = auto()
@@ -133,10 +138,11 @@
     number: int
     term: int
     vote: int
-    first_index: int  # of the first entry in `entries`; earlier writes' entries from this index on are void
+    # Index of the first entry in `entries`; entries of earlier writes at this index and after it are void.
+    first_index: int
     entries: tuple[Entry, ...]
-    last_index: int  # of the last valid entry once this write is durable
-    snapshot_index: int  # entries up to this one are replaced by the snapshot
+    last_index: int  # index of the last valid entry once this write is durable
+    snapshot_index: int  # index of the snapshot, which replaces all entries up to this index
     snapshot: Snapshot | None = None  # a new snapshot; None: the previous one stays
 
 
--- a/lichencleat/consensus/node_state.py
+++ b/lichencleat/consensus/node_state.py
@@ -27,9 +27,10 @@
 
 DISTANT_PAST_US = -(1 << 62)  # earlier than any reading of the clock
 # The random part of the election timeout doubles with each failed election, at most this many times. Without
-# that, two candidates whose flushes take as long as the initial jitter would split the votes repeatedly.
+# the doubling, two candidates whose flushes take as long as the initial jitter would split the votes
+# repeatedly.
 MAX_JITTER_DOUBLINGS = 3
-EMPTY_SNAPSHOT = Snapshot(0, 0, Configuration(()), b"")  # of a member that has not joined a cluster
+EMPTY_SNAPSHOT = Snapshot(0, 0, Configuration(()), b"")  # for a member that has not joined a cluster
 
 
 class OutgoingMessage(NamedTuple):
@@ -48,14 +49,14 @@
     def __init__(
         self, member_id: int, durable: DurableState, timeouts: Timeouts, rng: random.Random, now: int
     ) -> None:
-        """`durable`: the state on the disk, all flushed; `now`: µs of the member's monotonic clock."""
+        """`durable` is the flushed state on the disk; `now` is in µs of the member's monotonic clock."""
         self.member_id = member_id
         self.timeouts = timeouts
         self.rng = rng
         self._restore(durable)
         self._reset_role()
         self.snapshot_receiver = SnapshotReceiver()
-        # By index; of proposals from this member's former leadership.
+        # By entry index: contexts of committed proposals that this member accepted before it lost leadership.
         self.committed_contexts: dict[int, RequestContext] = {}
         self.outbox: deque[OutgoingMessage] = deque()
         self.pending_actions: deque[Action] = deque()
@@ -70,17 +71,18 @@
         self.writes = PendingWrites(self.log)
         self.voters = self.log.configuration.voter_ids()
         self.commit_index = self.log.snapshot_index
-        self.delivered_index = self.log.snapshot_index  # entries up to here were handed out to be applied
+        # Entries up to this index were handed out to the host to be applied.
+        self.delivered_index = self.log.snapshot_index
 
     def _reset_role(self) -> None:
         self.role = Role.FOLLOWER
         self.leader_id = NO_MEMBER
         self.leader_state: LeaderState | None = None
         self.votes_received: frozenset[int] = frozenset()
-        self.last_leader_contact_at = DISTANT_PAST_US  # µs; when the leader's last message arrived
-        self.election_due_at = 0  # µs
-        self.failed_campaigns = 0  # since the last contact with a leader
-        self.heartbeat_due_at = 0  # µs
+        self.last_leader_contact_at = DISTANT_PAST_US  # time in µs of the leader's last message
+        self.election_due_at = 0  # time in µs at which this member starts an election
+        self.failed_campaigns = 0  # campaigns without success since the last contact with a leader
+        self.heartbeat_due_at = 0  # time in µs at which this leader sends the next heartbeats
         self.heartbeat_count = 0
         self.matched_index = 0  # the log is known to match the leader's up to this index
 
@@ -96,7 +98,7 @@
         )
 
     def reset_election_timer(self, now: int) -> None:
-        """Restart the election timeout, randomized so that two members seldom campaign at once."""
+        """Restart the election timeout; its length is random, so that two members seldom campaign at once."""
         jitter_us = self.timeouts.election_jitter_us << min(self.failed_campaigns, MAX_JITTER_DOUBLINGS)
         self.election_due_at = now + self.timeouts.election_timeout_us + self.rng.randrange(jitter_us)
 
@@ -115,7 +117,7 @@
         self.reset_election_timer(now)
 
     def abandon_leadership(self) -> None:
-        """Drop the leader's state; reject its pending requests, except those whose entry is committed."""
+        """Drop the leader's state; reject pending requests, except proposals whose entry is committed."""
         leader_state = self.leader_state
         self.leader_state = None
         if leader_state is None:
--- a/lichencleat/consensus/peer_connections.py
+++ b/lichencleat/consensus/peer_connections.py
@@ -23,14 +23,14 @@
         self._member_id = member_id
         self._rng = rng
         self._connectors: dict[int, PeerConnector] = {}  # by member id
-        # By member id: the last connection that each other member has opened. It is the only connection to a
-        # member that is not in this member's configuration yet.
+        # By member id: the last connection that each other member has opened. A member that is not in this
+        # member's configuration yet can be reached by that connection only.
         self._inbound: dict[int, InboundConnection] = {}
         self._configuration: Configuration | None = None  # the configuration that the connectors match
 
     def update(self, configuration: Configuration) -> None:
         """Connect to exactly the other members of the configuration."""
-        if configuration is self._configuration:  # the common case
+        if configuration is self._configuration:  # unchanged, which is the common case
             return
         self._configuration = configuration
         wanted = {
--- a/lichencleat/consensus/pending_writes.py
+++ b/lichencleat/consensus/pending_writes.py
@@ -26,13 +26,13 @@
 
     def __init__(self, log: RaftLog) -> None:
         """Start from a log that is completely durable."""
-        self.is_dirty = False
-        self.is_term_dirty = False  # the term or the vote changed
-        self.is_snapshot_dirty = False
-        self.first_unwritten = log.last_index + 1  # index of the first entry that is in no write
+        self.is_dirty = False  # whether anything changed since the last write was handed out
+        self.is_term_dirty = False  # whether the term or the vote changed since then
+        self.is_snapshot_dirty = False  # whether the snapshot changed since then
+        self.first_unwritten = log.last_index + 1  # index of the first entry that was in no write yet
         self.last_number = 0  # number of the last write handed out
         self.last_term_write = 0  # number of the last write with a new term or vote
-        self.durable_number = 0
+        self.durable_number = 0  # all writes up to this number are durable
         self.durable_index = log.last_index  # entries up to this index are durable
         self.in_flight: deque[InFlightWrite] = deque()
 
@@ -71,7 +71,7 @@
         return self.last_number + 1 if self.is_term_dirty else self.last_term_write
 
     def make_write(self, term: int, vote: int, log: RaftLog) -> DurableWrite:
-        """Return the next write, with all changes since the last one."""
+        """Return the next write, with all changes since the last write."""
         self.last_number += 1
         if self.is_term_dirty:
             self.last_term_write = self.last_number
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -47,10 +47,10 @@
 from lichencleat.transport.twisted_types import DelayedCall, TcpReactor
 from lichencleat.units import MICROSECONDS_PER_MILLISECOND, MICROSECONDS_PER_SECOND
 
-PARTICIPATION_POLL_S = 0.02  # between checks whether the others have confirmed this start
+PARTICIPATION_POLL_S = 0.02  # time between two checks whether the others have confirmed this start
 NONCE_BITS = 48
-EXIT_STOPPED = 0
-EXIT_HALTED = 3  # it was not safe to continue
+EXIT_STOPPED = 0  # stopped on request
+EXIT_HALTED = 3  # halted because it was not safe to continue
 
 
 def make_key_value_states() -> dict[str, ReplicatedState]:
@@ -65,7 +65,7 @@
     Attributes:
         make_states: returns the empty replicated states; must be the same at each member.
         due_proposals: returns the commands that a leader proposes on its own behalf.
-        timeouts: of the group; must be the same at each member.
+        timeouts: the group's timeouts; must be the same at each member.
         zone: the zone of the member.
         extension: answers requests outside the consensus protocol.
     """
@@ -104,7 +104,7 @@
         self.ended: Deferred[int] = Deferred()  # fires with the exit code
         self.is_participating = False
         self.is_ending = False
-        self.is_stopping_gracefully = False  # stops once its leadership is transferred
+        self.is_stopping_gracefully = False  # whether the process ends once leadership is transferred
         self.role = Role.FOLLOWER
         self.counts: dict[str, int] = {}
         self._store = store
@@ -147,7 +147,7 @@
         self._connections = PeerConnections(self.reactor, self, identity.member_id, rng)
 
     def now(self) -> int:
-        """Return µs of the monotonic clock."""
+        """Return the time in µs of the monotonic clock."""
         return int(self.reactor.seconds() * MICROSECONDS_PER_SECOND)
 
     def count(self, event: str) -> None:
@@ -186,11 +186,11 @@
     # -- events of connections ---------------------------------------------------------------------------
 
     def make_greeting(self, recipient: int) -> Greeting:
-        """Return the greeting for that member."""
+        """Return this member's greeting for the member `recipient`."""
         return self._greetings.make_greeting(recipient)
 
     def on_greeting_response(self, member_id: int, response: GreetingResponse) -> bool:
-        """Return whether messages may be sent to the member that was called."""
+        """Handle a member's response to a greeting; return whether messages may be sent to that member."""
         return self._greetings.on_response(member_id, response)
 
     def on_greeting(self, connection: InboundConnection, greeting: Greeting) -> None:
@@ -219,7 +219,7 @@
         self._schedule_run()
 
     def on_link_lost(self, member_id: int) -> None:
-        """Let the Raft node probe that member again."""
+        """Handle a lost connection: a leader sends the messages again that were in flight to the member."""
         self.node.on_link_lost(member_id)
         self._schedule_run()
 
@@ -229,7 +229,7 @@
         self._connections.on_disconnected(connection, member_id)
 
     def confirm_leadership(self, on_result: Callable[[bool], None]) -> None:
-        """Check that this member leads; see `extension.MemberView`."""
+        """Check whether this member leads; see `extension.MemberView`."""
         self.node.read(self.now(), LeadershipCheck(on_result))
         self._schedule_run()
 
@@ -257,7 +257,7 @@
         self.node.on_timer(self.now())
         self._schedule_run()
 
-    # -- the loop ----------------------------------------------------------------------------------------
+    # -- execution of actions ----------------------------------------------------------------------------
 
     def _schedule_run(self) -> None:
         if not self._run_is_scheduled and not self.is_ending:
@@ -329,10 +329,10 @@
         delay_us = max(0, self.node.deadline() - self.now())
         self._timer = self.reactor.callLater(delay_us / MICROSECONDS_PER_SECOND, self._on_timer)
 
-    # -- the end -----------------------------------------------------------------------------------------
+    # -- shutdown ----------------------------------------------------------------------------------------
 
     def stop_gracefully(self) -> None:
-        """Stop gracefully: a leader first transfers its leadership, within the transfer timeout."""
+        """Stop; a leader first transfers its leadership, for which it waits up to the transfer timeout."""
         leader_state = self.node.leader_state
         targets = sorted(self.node.voters - {self.node.member_id})
         if leader_state is None or not targets or leader_state.transfer:
--- a/lichencleat/consensus/progress.py
+++ b/lichencleat/consensus/progress.py
@@ -1,4 +1,4 @@
-"""A leader's view of one follower and the choice of the next message for it. No I/O.
+"""A leader's view of one follower, and the choice of the next message to the follower. No I/O.
 
 A message carries entries or a chunk of a snapshot, or is a heartbeat. As in etcd's raft, a follower is probed
 with one message at a time until the index where the logs match is known; from then on messages are pipelined.
@@ -11,9 +11,10 @@
 from lichencleat.consensus.messages import Message, MessageType
 from lichencleat.consensus.raft_log import RaftLog
 
-MAX_MESSAGE_BYTES = 256 << 10  # of entries in one message; takes a slow link some ms
-MAX_INFLIGHT_MESSAGES = 16  # messages with entries and without a response; the link must buffer them
-SNAPSHOT_CHUNK_BYTES = 256 << 10  # of a snapshot in one message
+MAX_MESSAGE_BYTES = 256 << 10  # bytes of entries in one message; sending them takes some ms on a slow link
+# Messages with entries that may be sent without a response; the connection must buffer them.
+MAX_INFLIGHT_MESSAGES = 16
+SNAPSHOT_CHUNK_BYTES = 256 << 10  # bytes of a snapshot in one message
 
 
 class Progress:
@@ -33,16 +34,16 @@
     )
 
     def __init__(self, next_index: int, now: int) -> None:
-        """`next_index`: the first entry to send; `now`: µs."""
+        """`next_index` is the index of the first entry to send; `now` is the time in µs."""
         self.match_index = 0  # the follower's durable log matches up to this index
         self.next_index = next_index
         self.is_probing = True
         self.inflight: tuple[int, ...] = ()  # last index of each message with entries that has no response
         self.snapshot_offset = 0  # bytes of the snapshot that the follower has received
         self.snapshot_index = 0  # index of the snapshot being sent; 0: none
-        self.last_response_at = now  # µs
-        self.read_round = 0  # the latest read round that the follower answered
-        self.awaiting_response = False  # the next message is sent only after a response to the last one
+        self.last_response_at = now  # time in µs of the follower's last response
+        self.read_round = 0  # number of the latest read round that the follower answered
+        self.awaiting_response = False  # whether the next message must wait for the response to the last one
         self.match_at_heartbeat = 0  # `match_index` at the last heartbeat
 
     def become_probe(self, next_index: int) -> None:
@@ -53,14 +54,14 @@
         self.next_index = next_index
 
     def on_rejected(self, previous_index: int, hint: int) -> None:
-        """Handle the response that the log does not match at `previous_index` but may match at `hint`."""
+        """Handle the response that the logs don't match at `previous_index` but may match at `hint`."""
         is_stale = self.is_probing and previous_index != self.next_index - 1
         if previous_index <= self.match_index or is_stale:
             return
         self.become_probe(max(self.match_index + 1, min(self.next_index - 1, hint + 1)))
 
     def on_accepted(self, match_index: int) -> bool:
-        """Handle the response that the log matches up to `match_index`; return whether that is an advance."""
+        """Handle the response that the logs match up to `match_index`; return whether the index advanced."""
         is_advance = match_index > self.match_index
         self.match_index = max(self.match_index, match_index)
         # While a snapshot is being sent, only an advance triggers the next message. Otherwise a follower with
@@ -73,7 +74,7 @@
         return is_advance
 
     def on_heartbeat(self) -> None:
-        """Resend messages that had no response since the last heartbeat, because they may be lost."""
+        """Allow messages to be resent that had no response since the last heartbeat, as they may be lost."""
         self.awaiting_response = False
         if self.inflight and self.match_index == self.match_at_heartbeat:
             self.become_probe(self.match_index + 1)
@@ -106,15 +107,16 @@
     def make_heartbeat(self, log: RaftLog, template: Message) -> Message:
         """Return a heartbeat at an index up to which the follower's log is known to match.
 
-        It carries the leader's commit index, which may be higher. The follower advances its own commit index
-        only as far as its log is known to match, and learns from the difference that it lacks entries.
+        The heartbeat carries the leader's commit index, which may be higher. The follower advances its own
+        commit index only as far as its log is known to match, and learns from the difference that it lacks
+        entries.
         """
         previous_index = max(self.match_index, log.snapshot_index)
         previous_term = log.term_at(previous_index) or 0
         return replace(template, index=previous_index, log_term=previous_term)
 
     def next_snapshot_chunk(self, log: RaftLog, template: Message) -> Message | None:
-        """Return the next chunk of the snapshot, or None while there is no response to the last one."""
+        """Return the next chunk of the snapshot, or None while the last chunk has had no response."""
         snapshot = log.snapshot
         if self.snapshot_index != snapshot.index:
             self.snapshot_index = snapshot.index
--- a/lichencleat/consensus/raft_log.py
+++ b/lichencleat/consensus/raft_log.py
@@ -28,7 +28,7 @@
         """Start with a snapshot and the entries that follow it."""
         self.snapshot = snapshot
         self.entries: list[Entry] = []
-        # The last one is in use, whether it is committed or not.
+        # Configurations of the snapshot and of later entries; the last one is in use, committed or not.
         self.configurations = [IndexedConfiguration(snapshot.index, snapshot.configuration)]
         self.append(entries)
 
@@ -46,12 +46,12 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or the snapshot's."""
+        """Index of the last entry, or of the snapshot if no entry follows it."""
         return self.snapshot.index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry, or the snapshot's."""
+        """Term of the last entry, or of the snapshot if no entry follows it."""
         return self.entries[-1].term if self.entries else self.snapshot.term
 
     @property
@@ -103,7 +103,10 @@
         return index
 
     def compact(self, snapshot: Snapshot) -> None:
-        """Replace all entries up to the snapshot's index, which must be in the log and committed, by it."""
+        """Replace all entries up to the snapshot's index by the snapshot.
+
+        The entry at that index must be in the log and committed.
+        """
         self.entries = self.entries[snapshot.index - self.snapshot_index :]
         later = [each for each in self.configurations if each.index > snapshot.index]
         self.configurations = [IndexedConfiguration(snapshot.index, snapshot.configuration), *later]
--- a/lichencleat/consensus/raft_node.py
+++ b/lichencleat/consensus/raft_node.py
@@ -3,8 +3,8 @@
 The inputs only update the node's state: `receive`, `on_timer`, `on_write_durable`, `propose`, `read`,
 `change_configuration`, `transfer_leadership`, `compact`. After one or more inputs the host calls
 `next_action` until it returns None, and carries out the actions in that order. A message is handed out only
-once the state that it reports is durable: a message of a term after the term and the vote are written, and a
-log index after the entries up to it are written.
+once the state that it reports is durable: each message waits until its term and this member's vote in that
+term are written, and a response reports a log index only once all entries up to that index are written.
 """
 
 from __future__ import annotations
@@ -28,7 +28,8 @@
 from lichencleat.consensus.role import Role
 from lichencleat.transport.outcomes import RejectReason
 
-# In entries: a learner that lags by more is not promoted to a voter. Some 100 ms of a busy cluster.
+# Entries by which a learner's log may lag behind the commit index when the learner is promoted to a voter. A
+# busy cluster commits as many in some 100 ms.
 MAX_PROMOTION_LAG = 256
 
 ELECTION_MESSAGES = frozenset(
@@ -93,8 +94,8 @@
     def adopt_newer_term(self, now: int, message: Message) -> bool:
         """Adopt the newer term of a message; return False for a message whose term must not be adopted.
 
-        These are pre-vote requests, granted pre-votes, and the vote request of a candidate while this member
-        has a live leader.
+        The term is not adopted from pre-vote requests, from granted pre-votes, and from the vote request of a
+        candidate while this member has a live leader.
         """
         if message.message_type == MessageType.PRE_VOTE:
             return False
@@ -107,7 +108,7 @@
         return True
 
     def reply_with_current_term(self, message: Message) -> None:
-        """Tell a sender with an older term the newer one, so that it stops leading or campaigning."""
+        """Answer a message of an older term, so that its sender stops leading or campaigning in that term."""
         match message.message_type:
             case MessageType.APPEND | MessageType.SNAPSHOT:
                 response_type = MessageType.APPEND_RESPONSE
@@ -120,7 +121,7 @@
         self.enqueue_message(self.make_message(response_type, message.sender))
 
     def on_timer(self, now: int) -> None:
-        """Handle due timeouts; must be called at `deadline` and may be called at any time."""
+        """Handle timeouts that are due; must be called at `deadline` and may be called at any time."""
         if self.leader_state is None:
             if now >= self.election_due_at:
                 self.start_pre_vote(now)
@@ -138,7 +139,7 @@
         return self.heartbeat_due_at if self.role is Role.LEADER else self.election_due_at
 
     def on_write_durable(self, now: int, number: int) -> None:
-        """Handle that all writes up to `number` are durable."""
+        """Record that all writes up to `number` are durable; commit or acknowledge their entries."""
         if self.role is Role.HALTED:
             return
         has_more_entries = self.writes.on_write_durable(number)
@@ -148,7 +149,7 @@
             self.send_append_response(self.leader_id, 0)
 
     def on_link_lost(self, member_id: int) -> None:
-        """Handle a lost connection: messages in flight to that member may be lost."""
+        """Handle a lost connection to a member: messages in flight may be lost, so a leader resends them."""
         progress = self._progress_of(member_id)
         if progress is not None:
             progress.become_probe(progress.match_index + 1)
@@ -207,7 +208,10 @@
         return configurations.change_rejection(self.log.configuration, configuration)
 
     def read(self, now: int, context: RequestContext) -> None:
-        """Request a linearizable read; a SERVE_READ action gives the index to apply before the answer."""
+        """Request a linearizable read.
+
+        A SERVE_READ action follows; the read may be answered once all entries up to its index are applied.
+        """
         rejection = self._add_read(context)
         if rejection is not None:
             self.reject(context, rejection)
@@ -222,7 +226,7 @@
         return self.leader_state.add_read(context, self.commit_index)
 
     def transfer_leadership(self, now: int, member_id: int) -> bool:
-        """Start to transfer leadership to that voter; return whether the transfer was started."""
+        """Start to transfer leadership to the voter `member_id`; return whether the transfer was started."""
         if self.leader_state is None or self.leader_state.transfer:
             return False
         if member_id == self.member_id or member_id not in self.voters:
@@ -233,7 +237,7 @@
         return True
 
     def compact(self, index: int, data: bytes) -> None:
-        """Replace all entries up to `index`, which must be applied, by a snapshot with `data`."""
+        """Replace all entries up to `index`, which must be applied, by a snapshot that contains `data`."""
         if self.role is Role.HALTED or not self.log.snapshot_index < index <= self.delivered_index:
             return
         term = self.log.term_at(index)
--- a/lichencleat/consensus/replicator.py
+++ b/lichencleat/consensus/replicator.py
@@ -16,7 +16,8 @@
 )
 from lichencleat.consensus.progress import Progress
 
-# In heartbeats to voters. Learners get fewer: they never campaign, and there may be hundreds of them.
+# A learner gets one heartbeat for this many heartbeats to a voter. Learners never campaign, and there may be
+# hundreds of them.
 LEARNER_HEARTBEAT_INTERVAL = 8
 
 
@@ -42,7 +43,7 @@
     # -- heartbeats and entries ----------------------------------------------------------------------
 
     def make_append(self, member_id: int) -> Message:
-        """Return an APPEND message to that follower, without index and entries."""
+        """Return an APPEND message to a follower, with neither index nor entries set."""
         return Message(
             message_type=MessageType.APPEND,
             term=self.term,
@@ -53,7 +54,7 @@
         )
 
     def send_heartbeat(self, member_id: int) -> None:
-        """Send a heartbeat to that follower."""
+        """Send a heartbeat to the follower `member_id`."""
         progress = self.required_leader_state.progress[member_id]
         self.enqueue_message(progress.make_heartbeat(self.log, self.make_append(member_id)))
 
@@ -118,7 +119,7 @@
         return self.leader_state.progress.get(member_id) if self.leader_state is not None else None
 
     def advance_commit_index(self, now: int) -> None:
-        """Commit up to the index that a majority has durable, if its entry is of this term (Raft 5.4.2)."""
+        """Commit the entries that a majority has flushed, if the last one is of this term (Raft 5.4.2)."""
         quorum_index = self.required_leader_state.quorum_match_index(self.voters, self.writes.durable_index)
         if quorum_index <= self.commit_index or self.log.term_at(quorum_index) != self.term:
             return
@@ -135,11 +136,12 @@
     # -- reads ---------------------------------------------------------------------------------------
 
     def start_read_round(self) -> None:
-        """Confirm with the voters that this member still leads, if reads wait and no round is in progress."""
+        """Start a round of heartbeats to confirm this leader, if reads wait and no round is in progress."""
         leader_state = self.required_leader_state
         while leader_state.begin_read_round():
             leader_state.update_confirmed_round(self.voters)
-            if leader_state.confirmed_round < leader_state.read_round:  # else the leader alone is a majority
+            # If the leader alone is a majority, the round is confirmed already.
+            if leader_state.confirmed_round < leader_state.read_round:
                 for member_id in sorted(self.voters & leader_state.progress.keys()):
                     self.send_heartbeat(member_id)
             self._serve_confirmed_reads()
--- a/lichencleat/consensus/request_contexts.py
+++ b/lichencleat/consensus/request_contexts.py
@@ -1,4 +1,4 @@
-"""Contexts that the Raft node returns with the outcome of a proposal or read, and that handle it."""
+"""Contexts of proposals and reads; the Raft node returns a context with the outcome, which it handles."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
         """Handle the result of the entry, which is committed and applied."""
 
     def on_rejected(self, reason: Rejection) -> None:
-        """Handle that the proposal was not accepted, or that it may be lost."""
+        """Handle the rejection of the proposal; depending on the reason, it may still take effect."""
 
 
 class ReadContext(Protocol):
@@ -43,16 +43,16 @@
         """Handle the encoded answer."""
 
     def on_rejected(self, reason: Rejection) -> None:
-        """Handle that this member is not the leader or has stopped leading."""
+        """Handle the rejection of the read, for example because this member does not lead."""
 
 
 class Responder:
-    """Sends the response to one client request; serves as the context of its proposal, if it makes one."""
+    """Sends the response to one client request; is also the context of the request's proposal, if any."""
 
     def __init__(
         self, connection: InboundConnection, number: int, find_leader: Callable[[], Member | None]
     ) -> None:
-        """`number`: of the request; `find_leader` is called when the response is sent."""
+        """`number` is the number of the request; `find_leader` is called when the response is sent."""
         self._connection = connection
         self._number = number
         self._find_leader = find_leader
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeadershipCheck:
-    """A read without a query: its read round confirms that this member leads."""
+    """A read without a query, which succeeds if heartbeats confirm that this member leads."""
 
     on_result: Callable[[bool], None]
     state_name: str = ""
--- a/lichencleat/consensus/requests.py
+++ b/lichencleat/consensus/requests.py
@@ -35,7 +35,7 @@
 
 
 class Proposal(msgspec.Struct, frozen=True, array_like=True):
-    """Proposes a command; `session_id` is 0 if it belongs to no session."""
+    """Proposes a command; `session_id` is 0 if the command belongs to no session."""
 
     session_id: int
     sequence: int
--- a/lichencleat/consensus/sessions.py
+++ b/lichencleat/consensus/sessions.py
@@ -12,7 +12,7 @@
 
 from lichencleat.transport.outcomes import SessionOutcome
 
-MAX_SESSIONS = 8_192  # some MB with their last results
+MAX_SESSIONS = 8_192  # sessions with their last results take some MB
 
 
 class ApplyResult(NamedTuple):
@@ -25,13 +25,16 @@
 class SessionRecord(msgspec.Struct, array_like=True):
     """The stored state of a session."""
 
-    sequence: int  # of the last proposal applied
-    last_used_index: int  # of the entry that used the session last
-    result: bytes  # of the last proposal applied
+    sequence: int  # number of the last proposal applied
+    last_used_index: int  # index of the entry that used the session last
+    result: bytes  # result of the last proposal applied
 
 
 class SessionTable:
-    """All sessions, least recently used first. Only the log changes them, so all members have the same."""
+    """All sessions, least recently used first.
+
+    Only log entries change the sessions, so all members have the same sessions.
+    """
 
     def __init__(self, max_sessions: int = MAX_SESSIONS) -> None:
         """Start without sessions."""
@@ -56,7 +59,7 @@
         if sequence > record.sequence + 1:
             return ApplyResult(SessionOutcome.GAP, b"")
         if sequence == record.sequence + 1:
-            record.result = apply()  # before any change, so that the record is unchanged if it raises
+            record.result = apply()  # first, so that an exception leaves the record unchanged
             record.sequence = sequence
         record.last_used_index = index
         self.records[session_id] = self.records.pop(session_id)  # moves it to the end: most recently used
--- a/lichencleat/consensus/snapshot_receiver.py
+++ b/lichencleat/consensus/snapshot_receiver.py
@@ -4,13 +4,13 @@
 
 from lichencleat.consensus.messages import Message, Snapshot
 
-# Limit of one snapshot, which is assembled in memory. The largest one holds incompressible pages of
-# configuration (128 MiB in config_distribution), its window of recent batches (16 MiB) and the sessions.
+# Limit of one snapshot, which is assembled in memory. The largest snapshot holds incompressible pages of
+# configuration (128 MiB in config_distribution), the window of recent batches (16 MiB) and the sessions.
 MAX_SNAPSHOT_BYTES = 160 << 20
 
 
 class SnapshotReceiver:
-    """Holds at most one partial snapshot; the first chunk of another one replaces it."""
+    """Holds at most one partial snapshot; the first chunk of another snapshot replaces it."""
 
     def __init__(self) -> None:
         """Start without a snapshot."""
--- a/lichencleat/consensus/state_applier.py
+++ b/lichencleat/consensus/state_applier.py
@@ -10,8 +10,9 @@
 from lichencleat.consensus.state_machine import ReplicatedState, StateMachine
 from lichencleat.transport.frames import encode_raw
 
-ENTRIES_PER_SNAPSHOT = 2_000  # some MB of log
-MAX_BYTES_PER_SNAPSHOT = 32 << 20  # of entries' data; up to two times this is in memory
+ENTRIES_PER_SNAPSHOT = 2_000  # entries between two snapshots: some MB of log
+# Bytes of entries' data after which the next snapshot is taken; up to twice as many bytes are in memory.
+MAX_BYTES_PER_SNAPSHOT = 32 << 20
 
 StateFactory = Callable[[], dict[str, ReplicatedState]]
 
@@ -36,7 +37,7 @@
     """Owns the state machine and the reads that wait for entries to be applied."""
 
     def __init__(self, make_states: StateFactory, compact: Callable[[int, bytes], None]) -> None:
-        """`make_states` returns empty states; `compact` replaces the log up to an index by a state dump."""
+        """`make_states` returns empty states; `compact` replaces the log up to an index by encoded state."""
         self.state_machine = StateMachine(make_states())
         self.make_states = make_states
         self._compact = compact
@@ -61,7 +62,10 @@
             self._take_snapshot(action.index)
 
     def _take_snapshot(self, index: int) -> None:
-        """Dump the state and compact the log up to the previous dump, so that slow followers find entries."""
+        """Dump the state and compact the log up to the previous dump.
+
+        The entries since the previous dump stay in the log, so that slow followers need no snapshot.
+        """
         if self._last_dump is not None:
             self._compact(self._last_dump.index, self._last_dump.data)
         self._last_dump = StateDump(index, self.state_machine.dump())
--- a/lichencleat/consensus/state_machine.py
+++ b/lichencleat/consensus/state_machine.py
@@ -73,7 +73,7 @@
         self.active_states: set[str] = set()  # names of the states that the log has activated
 
     def apply(self, index: int, entry: Entry) -> ApplyResult:
-        """Apply the entry at `index`, which must follow the last one applied.
+        """Apply the entry at `index`, which must follow the last entry applied.
 
         Raises:
             UnknownStateError: the cluster has activated a state that this program does not support.
@@ -111,23 +111,27 @@
         return encode(state.apply(index, command) if state is not None else None)
 
     def activate(self, names: list[str]) -> None:
-        """Activate these states. Raises UnknownStateError."""
+        """Activate the states with these names.
+
+        Raises:
+            UnknownStateError: this program does not support one of the states.
+        """
         unknown = set(names) - self.states.keys()
         if unknown:
             raise UnknownStateError(unknown)
         self.active_states.update(names)
 
     def has_data(self, name: str, initial_states: Mapping[str, ReplicatedState]) -> bool:
-        """Return whether that state differs from its initial state.
+        """Return whether the state `name` differs from its initial state.
 
-        This can be so without an activation: states may have data from before activation entries existed.
+        A state that was not activated may have data from before activation entries existed.
         """
         if name not in self.states:
             return False
         return bool(encode(self.states[name].dump()) != encode(initial_states[name].dump()))
 
     def read(self, name: str, query: Query) -> Encodable:
-        """Answer a query to that state; return None if there is no such state."""
+        """Answer a query to the state `name`; return None if there is no such state."""
         return self.states[name].read(query) if name in self.states else None
 
     def dump(self) -> bytes:
--- a/lichencleat/consensus/supported_states.py
+++ b/lichencleat/consensus/supported_states.py
@@ -1,10 +1,10 @@
 """Tracks which replicated states each member supports, and when a state may be activated. No I/O.
 
-A member that does not support a state skips its commands, and its snapshots lack their effect. After an
-upgrade to a version that supports the state, this member would differ from the others without detection. The
-leader therefore admits the first command for a state only once every member has reported that it supports the
-state. The leader then appends an activation entry to the log, which stops a member that is downgraded to a
-version without the state.
+A member that does not support a state skips the state's commands, and the member's snapshots lack their
+effect. After an upgrade to a version that supports the state, such a member would hold other data than the
+rest, and nothing would detect the difference. The leader therefore admits the first command for a state only
+once every member has reported that it supports the state. The leader then appends an activation entry to the
+log, which stops a member that is downgraded to a version without the state.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 # The states that a version supports if it is too old to report them. The names are stored.
 LEGACY_STATES = frozenset(["facts", "owners", "shares", "revive", "zones", "distribution"])
 MAX_TRACKED_MEMBERS = 2_048  # twice the number of connections that a leader accepts
-MAX_NAMED_MEMBERS = 3  # in a rejection, which should fit on one line for an operator
+MAX_NAMED_MEMBERS = 3  # members named in a rejection, which should fit on one line for an operator
 
 
 class UnknownStateError(Exception):
@@ -39,7 +39,7 @@
     """The states that each member has reported since this process started; the latest report counts."""
 
     def __init__(self, own: Iterable[str]) -> None:
-        """`own`: the states that this program supports."""
+        """`own` has the names of the states that this program supports."""
         self.own = frozenset(own)
         self.advertised = tuple(sorted(self.own))  # sent in greetings
         self.by_member: dict[int, frozenset[str]] = {}
