--- a/lichencleat/coordinator/candidate_expiry.py
+++ b/lichencleat/coordinator/candidate_expiry.py
@@ -20,7 +20,7 @@
 
         Args:
             state: the group's state machine; None when this member has stopped leading.
-            now: in µs of the member's monotonic clock.
+            now: the time in µs of the member's monotonic clock.
         """
         if state is None:
             self._expiry.reset()
--- a/lichencleat/coordinator/daemon.py
+++ b/lichencleat/coordinator/daemon.py
@@ -39,7 +39,7 @@
     """Starts a member on the reactor and stops it on request."""
 
     def __init__(self, reactor: Reactor, settings: QuorumSettings) -> None:
-        """`settings` must be those of a member, not of a client."""
+        """`settings` must have the keys that a member needs, not only those of a client."""
         self.exit_code = EXIT_STOPPED
         self.log = create_logger(
             unix_time,
@@ -57,7 +57,7 @@
 
     @inlineCallbacks
     def start(self) -> Generator[Any, Any, None]:
-        """Open the store and start the member; stop the reactor if that fails."""
+        """Open the store and start the member; stop the reactor if the store or the member can't start."""
         try:
             store = yield self._open_store()
         except StoreError as error:
@@ -79,7 +79,7 @@
             process.stop_gracefully()
 
     def request_stop(self) -> None:
-        """Stop the member gracefully; if it leads, it first transfers its leadership."""
+        """Stop the member gracefully; a member that leads first transfers its leadership."""
         self._stop_requested = True
         if self._process is not None:
             self._process.stop_gracefully()
@@ -98,7 +98,7 @@
 
     @inlineCallbacks
     def _record_start(self, store: Store) -> Generator[Any, Any, Identity]:
-        """Store the incremented start count; fires with the member's identity."""
+        """Store the member's incremented start count; the Deferred fires with the member's identity."""
         settings = self._settings
         assert settings.name is not None
         get = store.engine.get
--- a/lichencleat/coordinator/settings.py
+++ b/lichencleat/coordinator/settings.py
@@ -15,7 +15,9 @@
 
 __all__ = ["ElectionTimings", "QuorumSettings", "QuorumSettingsFile", "read_quorum_settings"]
 
-MIN_HEARTBEATS_PER_ELECTION = 3  # with fewer, one late message would end a leadership
+# Heartbeat intervals that must fit into the election timeout; with fewer, one late message would end a
+# leadership.
+MIN_HEARTBEATS_PER_ELECTION = 3
 REQUIRED_MEMBER_KEYS = ("name", "listen", "directory")
 
 Milliseconds = Annotated[int, Meta(ge=1, le=600_000)]
@@ -26,7 +28,7 @@
 
     Attributes:
         path: path of the file.
-        line: line of the mistake, or None if unknown.
+        line: line of the mistake, or None if the line is unknown.
         key: full path of the key in the file.
     """
 
@@ -40,10 +42,10 @@
 class ElectionTimings(Struct, forbid_unknown_fields=True, frozen=True):
     """The timeouts of the group in ms; they must be the same at each member."""
 
-    beat_ms: Milliseconds = 60
-    election_ms: Milliseconds = 400
-    spread_ms: Milliseconds = 400
-    transfer_ms: Milliseconds = 800
+    beat_ms: Milliseconds = 60  # heartbeat interval
+    election_ms: Milliseconds = 400  # election timeout
+    spread_ms: Milliseconds = 400  # limit of the random addition to the election timeout
+    transfer_ms: Milliseconds = 800  # timeout of a leadership transfer
 
     def to_timeouts(self) -> Timeouts:
         """Return the timeouts in µs for the consensus core."""
@@ -58,17 +60,18 @@
 class QuorumSettings(Struct, forbid_unknown_fields=True, frozen=True):
     """The section `quorum` of the file; a client needs only `group` and `members`."""
 
-    group: Name  # the same at each member and client
-    members: Annotated[list[Address], Meta(min_length=1, max_length=64)]  # where clients find the group
+    group: Name  # name of the group, the same at each member and client
+    # Addresses of members, at which clients look for the group's leader.
+    members: Annotated[list[Address], Meta(min_length=1, max_length=64)]
     name: Name | None = None  # name of this member
-    listen: Address | None = None
+    listen: Address | None = None  # address at which this member listens
     address: Address | None = None  # address at which others reach this member, if not `listen`
-    directory: str | None = None  # holds the member's store, which no other process may use
-    zone: str = ""
+    directory: str | None = None  # directory of the member's store, which no other process may use
+    zone: str = ""  # zone of this member
     times: ElectionTimings = ElectionTimings()
     log: LogConfig = LogConfig()
-    distribution: bool = False  # the group replicates configuration and key-value pairs only
-    disk: Literal["real", "held back"] = "real"  # held back: for tests; a kill loses unflushed writes
+    distribution: bool = False  # whether the group replicates configuration and key-value pairs only
+    disk: Literal["real", "held back"] = "real"  # "held back" is for tests: a kill loses unflushed writes
 
 
 class QuorumSettingsFile(Struct, forbid_unknown_fields=True, frozen=True):
--- a/lichencleat/coordinator/states.py
+++ b/lichencleat/coordinator/states.py
@@ -35,7 +35,7 @@
 def make_config_distribution_states() -> dict[str, ReplicatedState]:
     """Return the empty states of a group that replicates configuration.
 
-    It is a separate group so that snapshots of large configurations never delay lease renewals.
+    Configuration has a separate group, so that snapshots of large configurations never delay lease renewals.
     """
     from lichencleat.config_distribution.source import Source  # only groups for configuration load it
 
--- a/lichencleat/coordinator/storage.py
+++ b/lichencleat/coordinator/storage.py
@@ -1,4 +1,4 @@
-"""The directory of a member: its store limits, its kind of disk, and bootstrapping a new group in it."""
+"""The directory of a member: the limits of its store, its kind of disk, and the creation of a new group."""
 
 from __future__ import annotations
 
@@ -19,10 +19,12 @@
 from lichencleat.store.engine import Engine
 
 GROUP_ID_BYTES = 8
-# The log is compacted at snapshots, which keeps the store small.
+# Limits of the store in a group for a fleet's control plane; the log is compacted at snapshots, which keeps
+# the store small.
 CONTROL_PLANE_STORE_LIMITS = StoreLimits(segment_bytes=8 << 20, max_disk_bytes=256 << 20, max_entries=200_000)
-# Two snapshots of up to 160 MiB (the current one and the one being written), two logs of 32 MiB each, and the
-# same amount again for space that compaction has not freed yet.
+# Limits of the store in a group for configuration. The disk holds two snapshots of up to 160 MiB (the current
+# one and the one being written), two logs of 32 MiB each, and the same amount again for space that compaction
+# has not freed yet.
 CONFIG_DISTRIBUTION_STORE_LIMITS = StoreLimits(
     segment_bytes=8 << 20, max_disk_bytes=1 << 30, max_entries=200_000
 )
@@ -32,7 +34,7 @@
     """The directory already belongs to a member.
 
     Attributes:
-        directory: the path as given in the settings.
+        directory: the path of the directory as given in the settings.
     """
 
     def __init__(self, directory: str) -> None:
@@ -52,7 +54,7 @@
     """Open the directory of a member.
 
     Raises:
-        StoreError: the directory can't be opened, or that kind of disk is not available.
+        StoreError: the directory can't be opened, or the kind of disk in the settings is not available.
     """
     assert settings.directory is not None
     return open_disk(settings.disk, settings.directory)
--- a/lichencleat/leases/candidate_expiry.py
+++ b/lichencleat/leases/candidate_expiry.py
@@ -1,8 +1,9 @@
 """Decides when the group's leader may expire a candidate: only once the candidate's lease is over.
 
-The leader measures with its own monotonic clock, starting when it first sees the applied renewal. The
-candidate starts earlier, when it requests the renewal. A new leader starts the measurement again. The delay
-exceeds the lease by the largest drift between the two clocks.
+The leader measures the time since a renewal with its own monotonic clock, from the moment when it first sees
+the applied renewal. The candidate measures from an earlier moment, when it requests the renewal. A new leader
+starts the measurement again. The delay until expiry exceeds the lease by the largest drift between the two
+clocks.
 """
 
 from __future__ import annotations
@@ -13,7 +14,10 @@
 
 
 def expiry_delay(lease: int = LEASE_DURATION_US, drift: float = MAX_CLOCK_DRIFT) -> int:
-    """Return after how many µs of the leader's clock a lease is over if clock rates differ by `drift`."""
+    """Return after how many µs of the leader's clock a lease is over, if clock rates differ by `drift`.
+
+    Both `lease` and the result are in µs.
+    """
     return round(lease * (1 + drift))
 
 
@@ -22,8 +26,8 @@
     """A candidate's last renewal.
 
     Attributes:
-        index: Index of its log entry.
-        seen_at: When the leader first saw it, in µs of the leader's monotonic clock.
+        index: Index of the renewal's log entry.
+        seen_at: Time at which the leader first saw the renewal, in µs of the leader's monotonic clock.
     """
 
     index: int
--- a/lichencleat/leases/fencing.py
+++ b/lichencleat/leases/fencing.py
@@ -2,11 +2,11 @@
 
 from __future__ import annotations
 
-MAX_TOKENS = 4_096  # jobs that are remembered; a consensus group allows far fewer
+MAX_TOKENS = 4_096  # jobs whose tokens are remembered; a consensus group allows far fewer jobs
 
 
 class Fence:
-    """Rejects a job's token that is older than one accepted before.
+    """Rejects a fencing token that is older than a token accepted for the same job before.
 
     Args:
         tokens: Newest accepted token of each job. A receiver must store them together with the results;
@@ -18,7 +18,7 @@
         self.rejected = 0
 
     def accept(self, job: str, token: int) -> bool:
-        """Record `token` and return True, or return False if it is too old or there are too many jobs."""
+        """Record `token` and return True; return False if the token is too old or there are too many jobs."""
         known = self.tokens.get(job, 0)
         if token < known or (known == 0 and len(self.tokens) >= MAX_TOKENS):
             self.rejected += 1
--- a/lichencleat/leases/held_leases.py
+++ b/lichencleat/leases/held_leases.py
@@ -1,8 +1,8 @@
 """The leases that a candidate holds: which jobs it may act on and until when, by its own monotonic clock.
 
-The candidate measures a lease from just before it requests the renewal, and shortens it by the largest clock
-drift. So the lease ends here before the leader may expire this candidate. After a late reply, only the rest
-of that time remains.
+The candidate measures a lease from just before it requests the renewal, and shortens the lease by the largest
+clock drift. So the lease ends here before the leader may expire this candidate. If the reply is late, only
+the rest of the lease remains.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
     Args:
         name: Name of the candidate.
-        zone: Zone that it runs in.
+        zone: Zone of the candidate.
         incarnation: Random number drawn when the process starts.
         lease: Duration of a lease in µs.
         drift: Largest relative difference between the rates of two machines' clocks.
@@ -43,15 +43,15 @@
         self.incarnation = incarnation
         self.duration = round(lease * (1 - drift))
         self.renewal_interval = lease // RENEWALS_PER_LEASE
-        self.valid_until = 0  # µs; the tokens in `held_tokens` are valid before this time
+        self.valid_until = 0  # time in µs until which the tokens in `held_tokens` are valid
         self.held_tokens: dict[str, int] = {}  # job -> fencing token
-        self.requested_at: int | None = None  # µs; None while no renewal is in flight
-        self.next_request_at = 0  # µs
-        self.healthy = True
-        self.job_prefixes: list[str] = []  # see messages.Candidate
+        self.requested_at: int | None = None  # time in µs of the renewal in flight, None if there is none
+        self.next_request_at = 0  # time in µs at which the next renewal is due
+        self.healthy = True  # whether new jobs may be granted to this candidate
+        self.job_prefixes: list[str] = []  # prefixes of the jobs that this candidate can run; empty for all
         self.to_release: list[str] = []  # held jobs that the group wants released
         # Job -> token. The process has stopped these jobs, but their release is not known to be committed.
-        # The reply to an older renewal still lists them and must not start them again.
+        # The reply to an older renewal may still list these jobs and must not start them again.
         self.releasing: dict[str, int] = {}
         self.leaving = False
 
@@ -99,15 +99,15 @@
         return expired
 
     def fencing_token(self, now: int, job: str) -> int | None:
-        """The token to act on `job` under; None if the lease is not held or may be over at `now` (µs).
+        """The token under which to act on `job`; None if the lease is not held or may be over at `now` (µs).
 
-        The process may pause between this check and the action. So it sends the token with the action, and
-        the receiver checks it.
+        The process may pause between this check and the action. So the process sends the token with the
+        action, and the receiver checks the token.
         """
         return self.held_tokens.get(job) if now < self.valid_until else None
 
     def start_release(self, job: str) -> int | None:
-        """Stop holding `job`; return the token to release it under, None if the job is not held.
+        """Stop holding `job`; return the token for the release command, None if the job is not held.
 
         The job is not acquired again under that token before `on_released` is called.
         """
--- a/lichencleat/leases/interfaces.py
+++ b/lichencleat/leases/interfaces.py
@@ -8,7 +8,7 @@
 
 
 class GroupClient(Protocol):
-    """A client of the consensus group. A command or query is addressed to a part of the replicated state."""
+    """A client of the consensus group. Each command or query names the part of the state that handles it."""
 
     def propose(self, part: str, command: object, timeout: float, /) -> Deferred[Any]:
         """Have `command` applied once; fires with the decoded reply, or fails after `timeout` seconds."""
--- a/lichencleat/leases/leader_task.py
+++ b/lichencleat/leases/leader_task.py
@@ -18,7 +18,7 @@
 from lichencleat.transport.twisted_types import DelayedCall, ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-REQUEST_TIMEOUT_S = 1.0  # of a read or a proposal; after a failure the next poll decides again
+REQUEST_TIMEOUT_S = 1.0  # timeout of a read or a proposal; after a failure, the next poll decides again
 
 Decider = TypeVar("Decider")  # decision object: decides, under one fencing token, which commands to propose
 
@@ -32,7 +32,7 @@
 
 
 class LeaderTask(ABC, Generic[Decider]):
-    """Polls while this process holds the lease, and owns the poll timer. Implements `LeaseListener`.
+    """Polls the replicated state while this process holds the lease on a job. Implements `LeaseListener`.
 
     Args:
         reactor: Source of the monotonic clock and of the timer.
@@ -43,7 +43,7 @@
     """
 
     poll_interval_s = 1.0
-    query: object = None
+    query: object = None  # the query with which the part is read
 
     def __init__(
         self, reactor: ReactorClock, client: GroupClient, part: str, job: str, log: EventLogger
--- a/lichencleat/leases/lease_client.py
+++ b/lichencleat/leases/lease_client.py
@@ -28,7 +28,7 @@
 from lichencleat.transport.twisted_types import ReactorClock
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-LEAVE_TIMEOUT_S = 2.0  # if the command is lost, the lease expires without it
+LEAVE_TIMEOUT_S = 2.0  # time to wait for the reply to `Leave`; if the command is lost, the lease expires
 
 
 class LeaseListener(Protocol):
@@ -50,7 +50,7 @@
         reactor: Source of the monotonic clock and of the timer.
         client: Client of the consensus group.
         name: Name of this candidate, unique in the fleet.
-        zone: Zone that this candidate runs in.
+        zone: Zone of this candidate.
         listener: Notified of each lease acquired and lost.
         rng: Source of the incarnation number.
         log: Logger of the process.
@@ -117,7 +117,7 @@
         self.schedule_round()
 
     def report_crash(self, job: str) -> None:
-        """Release a job that crashed here: it goes to another candidate, or is suspended."""
+        """Release a job that crashed here; the group grants it to another candidate or suspends it."""
         self.release(job, crashed=True)
 
     def release(self, job: str, crashed: bool) -> None:
@@ -128,7 +128,7 @@
             self.propose_release(job, token, crashed)
 
     def propose_release(self, job: str, token: int, crashed: bool) -> None:
-        """Propose the release until it is committed; meanwhile the job is not acquired under that token."""
+        """Propose a release until it is committed; meanwhile the job is not acquired again under `token`."""
         if self.stopped or self.leases.releasing.get(job) != token:
             return
         command = ReleaseJob(self.leases.name, job, token, crashed)
--- a/lichencleat/leases/lease_state.py
+++ b/lichencleat/leases/lease_state.py
@@ -1,7 +1,7 @@
 """The replicated state of leases: which candidate holds which job, and under which fencing token.
 
-This is a part of the consensus group's state. It uses no I/O and no clock, so it is the same on each member
-and after any restart. The commands are described in `messages`.
+This is a part of the consensus group's state. The part uses no I/O and no clock, so it is the same on each
+member and after any restart. The commands are described in `messages`.
 """
 
 from __future__ import annotations
@@ -90,15 +90,16 @@
     # -- candidates --------------------------------------------------------------------------------------
 
     def renew(self, index: int, command: RenewLease) -> str:
-        """Register a candidate or renew its lease; return the reason if this is rejected, otherwise ""."""
+        """Register a candidate or renew its lease; return why the command is rejected, "" if accepted."""
         known = self.candidates.get(command.name)
         if known is not None and known.incarnation != command.incarnation:
-            # The earlier process of that name may still act; the new one must wait until it has expired.
+            # An earlier process of that name may still act; the new process must wait until the earlier one
+            # has expired.
             return "another one of that name has not gone yet"
         if known is None and len(self.candidates) >= MAX_CANDIDATES:
             return "too many candidates"
         if known is None and command.held_tokens:
-            return "it was gone"  # it has expired: it must stop all its jobs and register again
+            return "it was gone"  # the candidate has expired: it must stop all its jobs and register again
         self.candidates[command.name] = Candidate(
             command.zone, command.healthy, command.incarnation, index, command.job_prefixes
         )
@@ -138,7 +139,7 @@
     # -- jobs --------------------------------------------------------------------------------------------
 
     def is_current_token(self, job: str, token: int) -> bool:
-        """Whether a candidate holds the job, and holds it under `token`."""
+        """Whether a candidate holds the lease on `job` under the fencing token `token`."""
         known = self.jobs.get(job)
         return known is not None and bool(known.holder) and known.fencing_token == token
 
@@ -155,7 +156,7 @@
         return CommandReply(True)
 
     def move(self, command: MoveJob) -> CommandReply:
-        """Record the candidate that a job should go to once its holder releases it."""
+        """Record the candidate that gets a job once the job's holder has released it."""
         job = self.jobs.get(command.job)
         if job is None:
             return CommandReply(False, "no such job")
@@ -166,7 +167,7 @@
         return CommandReply(True)
 
     def define(self, command: DefineJob) -> CommandReply:
-        """Create a job, or change an existing one; resume it if it is suspended."""
+        """Create a job or change an existing job; a suspended job is resumed."""
         job = self.jobs.get(command.job)
         if job is None:
             if len(self.jobs) >= MAX_JOBS:
@@ -200,10 +201,10 @@
             self.jobs[relocation.job].next_holder = relocation.target
 
     def grant(self, name: str, job: Job, holder: str, index: int) -> None:
-        """Grant a free job.
+        """Grant a free job to the candidate `holder`.
 
-        The token is the log index, so it is greater than all earlier tokens, whichever process was leader and
-        even if the job was dropped and created again.
+        The fencing token is the log index, so it is greater than all earlier tokens, whichever member was
+        leader and even if the job was dropped and created again.
         """
         job.holder = holder
         job.fencing_token = index
@@ -217,7 +218,7 @@
     # -- the state as a whole ----------------------------------------------------------------------------
 
     def read(self, query: object) -> dict[str, object]:
-        """Return all jobs and candidates, whatever the query."""
+        """Return all jobs and candidates; the query is ignored."""
         return {"jobs": self.jobs, "candidates": self.candidates}
 
     def dump(self) -> Snapshot:
@@ -225,7 +226,7 @@
         return Snapshot(self.jobs, self.candidates, self.last_tokens)
 
     def load(self, dumped: msgspec.Raw) -> None:
-        """Replace the state by that of an encoded snapshot."""
+        """Replace the state by the state in an encoded snapshot."""
         snapshot = decode_snapshot(dumped)
         self.jobs = snapshot.jobs
         self.candidates = snapshot.candidates
--- a/lichencleat/leases/messages.py
+++ b/lichencleat/leases/messages.py
@@ -9,12 +9,12 @@
 import msgspec
 
 STATE_PART = "owners"  # the name of this part of the replicated state
-LEASE_DURATION_US = 1_000_000  # validity of one renewal, and about how long a dead holder's job is stalled
+LEASE_DURATION_US = 1_000_000  # validity of a renewal; after a holder dies, its jobs stall about as long
 MAX_CLOCK_DRIFT = 0.1  # relative difference of two machines' clock rates; intact clocks differ far less
-RENEWALS_PER_LEASE = 3  # two renewals in a row may be lost
+RENEWALS_PER_LEASE = 3  # renewals during one lease, so that two renewals in a row may be lost
 MAX_JOBS = 256
-MAX_CANDIDATES = 64  # each one writes RENEWALS_PER_LEASE log entries per lease duration
-MAX_CRASHES = 3  # crashes of its holders after which a job is suspended
+MAX_CANDIDATES = 64  # each candidate writes RENEWALS_PER_LEASE log entries per lease duration
+MAX_CRASHES = 3  # a job is suspended after it has crashed this many times on its holders
 
 
 class Job(msgspec.Struct, array_like=True):
@@ -22,12 +22,12 @@
 
     Attributes:
         preferred_zone: Zone that the job should run in if a candidate there can run it; may be empty.
-        holder: Name of the candidate that holds the lease; empty while none does.
+        holder: Name of the candidate that holds the lease; empty while the job is free.
         fencing_token: Index of the log entry that last granted the lease; it only grows.
         next_holder: Candidate that should get the lease once the holder has released it; may be empty.
-        crash_count: Number of times the job has crashed a holder since it was last defined.
-        last_crashed_holder: The holder that it crashed last; other candidates are preferred to this one.
-        suspended: Whether the job is not granted any more because it crashed MAX_CRASHES holders.
+        crash_count: Number of times that the job has crashed on a holder since it was last defined.
+        last_crashed_holder: The holder on which the job crashed last; other candidates are preferred.
+        suspended: Whether the job is no longer granted because it has crashed MAX_CRASHES times.
     """
 
     preferred_zone: str = ""
@@ -43,11 +43,11 @@
     """A process that can run jobs.
 
     Attributes:
-        zone: Zone that it runs in.
-        healthy: Whether jobs may be granted to it.
-        incarnation: Random number drawn when it starts; distinguishes processes of the same name.
-        renewal_index: Index of the log entry of its last renewal.
-        job_prefixes: Prefixes of the names of the jobs that it can run; empty if it can run all jobs.
+        zone: Zone of the process.
+        healthy: Whether jobs may be granted to the process.
+        incarnation: Random number drawn when the process starts; distinguishes processes of the same name.
+        renewal_index: Index of the log entry of the last renewal.
+        job_prefixes: Prefixes of the names of the jobs that the process can run; empty if it can run all.
     """
 
     zone: str
@@ -111,7 +111,7 @@
 
 
 class DropJob(msgspec.Struct, frozen=True, array_like=True, tag="drop"):
-    """Delete a job. If it is created again under the same name, its fencing tokens keep growing."""
+    """Delete a job. If a job of the same name is created later, its fencing tokens keep growing."""
 
     job: str
 
@@ -125,7 +125,7 @@
     Attributes:
         tokens: The jobs whose lease the candidate holds, with their fencing tokens.
         to_release: The held jobs that the candidate should release.
-        rejection: Why the lease was not renewed; empty if it was.
+        rejection: Why the lease was not renewed; empty if it was renewed.
     """
 
     tokens: dict[str, int]
@@ -134,7 +134,7 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
-    """The reply to any other command: whether it was accepted, and the reason if not."""
+    """The reply to any other command: whether the command was accepted, and the reason if it was not."""
 
     accepted: bool
     reason: str = ""
--- a/lichencleat/leases/periodic_proposer.py
+++ b/lichencleat/leases/periodic_proposer.py
@@ -37,7 +37,7 @@
         log: Logger of the process.
     """
 
-    min_round_interval_us = 0
+    min_round_interval_us = 0  # least time between two rounds
 
     def __init__(self, reactor: ReactorClock, client: GroupClient, part: str, log: EventLogger) -> None:
         self.reactor = reactor
@@ -88,11 +88,11 @@
 
     @abstractmethod
     def next_proposal(self, now: int) -> Proposal | None:
-        """Do the work that is due at `now` (µs), and return the command to propose, None if there is none."""
+        """Do the work that is due at `now` (µs); return the command to propose, None if no command is due."""
 
     @abstractmethod
     def next_round_at(self, now: int) -> int:
-        """The time in µs at which the next round is due; the caller bounds it by the interval limits."""
+        """The time in µs at which the next round is due; `schedule_round` applies the interval limits."""
 
     @abstractmethod
     def on_reply(self, reply: object) -> None:
@@ -100,4 +100,4 @@
 
     @abstractmethod
     def on_failure(self, failure: Failure) -> None:
-        """Handle a command without a reply; it may have been applied nevertheless."""
+        """Handle the failure of a proposal; the command may have been applied nevertheless."""
--- a/lichencleat/leases/placement.py
+++ b/lichencleat/leases/placement.py
@@ -10,8 +10,8 @@
 
 from lichencleat.leases.messages import Candidate, Job
 
-# A job moves if its holder has this many more jobs than another candidate. With 1, a job would move back and
-# forth between two candidates.
+# A job moves if its holder has at least this many jobs more than another candidate. With 1, a job would move
+# back and forth between two candidates.
 MIN_LOAD_DIFFERENCE = 2
 
 
@@ -41,9 +41,9 @@
 def choose_holder(job_name: str, jobs: Mapping[str, Job], candidates: Mapping[str, Candidate]) -> str:
     """Return the candidate that a free job should go to; an empty string if there is none.
 
-    The candidate must be healthy and able to run the job. The job's `next_holder` comes first. The other
-    candidates are compared by these criteria, in this order: not the one that the job crashed last, in the
-    job's preferred zone, fewest jobs.
+    The candidate must be healthy and able to run the job. The job's `next_holder` is preferred to all others.
+    The others are compared by three criteria, in this order: the job has not crashed there last, the job's
+    preferred zone, fewest jobs.
     """
     job = jobs[job_name]
     if job.suspended:
@@ -61,10 +61,10 @@
 
 
 def find_relocation(jobs: Mapping[str, Job], candidates: Mapping[str, Candidate]) -> Relocation | None:
-    """Return one job that should move; None if none should, or while another move is in progress.
+    """Return one job that should move; None if no job should, or while another move is in progress.
 
-    A job moves only if its holder is unhealthy, cannot run it, is outside the preferred zone, or has at least
-    MIN_LOAD_DIFFERENCE more jobs than an equally suitable candidate.
+    A job moves only if its holder is unhealthy, cannot run the job, is outside the preferred zone, or has at
+    least MIN_LOAD_DIFFERENCE more jobs than an equally suitable candidate.
     """
     if any(job.next_holder for job in jobs.values()):
         return None
@@ -80,7 +80,7 @@
 def find_better_holder(
     job_name: str, job: Job, candidates: Mapping[str, Candidate], counts: Mapping[str, int]
 ) -> str | None:
-    """Return the candidate that the job should move to, None if it should stay with its holder.
+    """Return the candidate that the job should move to, None if the job should stay with its holder.
 
     Args:
         job_name: Name of the job.
--- a/lichencleat/quotas/allocation.py
+++ b/lichencleat/quotas/allocation.py
@@ -1,23 +1,26 @@
 """How much of a pool each node should have: its floor, then its demand as far as the limit allows.
 
-Implements max-min fairness (Bertsekas and Gallager, Data Networks, 1992, 6.5.2). A part of what remains after
-all demands are met is divided evenly. Changes too small to justify a message are left out. All functions are
-pure and use no randomness.
+Implements max-min fairness (Bertsekas and Gallager, Data Networks, 1992, 6.5.2). If calls are left over after
+all demands are met, a part of them is divided evenly. Changes too small to justify a message are left out.
+All functions are pure and use no randomness.
 """
 
 from __future__ import annotations
 
 from lichencleat.quotas.messages import Pool
 
-MIN_RELATIVE_CHANGE = 0.15  # of a target; each change costs a renewal and holds calls back
-SURPLUS_SHARE = 0.5  # of what remains after all demands; lets a node serve a burst without a round trip
+# Least change of a target, as a fraction of the target; each change costs a renewal and holds calls back.
+MIN_RELATIVE_CHANGE = 0.15
+# Fraction of the calls left over after all demands that is divided among the nodes; lets a node serve a burst
+# without a round trip to the group.
+SURPLUS_SHARE = 0.5
 
 
 def compute_targets(pool: Pool) -> dict[str, int]:
-    """Return the target of each node.
+    """Return the target of each node: the number of calls that the node should have.
 
-    All floors, those of absent nodes included, are reserved first. The rest of the limit, scaled by
-    `allocatable_share`, bounds the sum of what the targets add to the floors.
+    All floors, those of absent nodes included, are reserved first. The rest of the limit, multiplied by
+    `allocatable_share`, is divided among the nodes on top of their floors.
     """
     quotas = pool.node_quotas
     if not quotas:
@@ -37,13 +40,13 @@
 def share_max_min_fairly(demands: dict[str, int], available: int, current: dict[str, int]) -> dict[str, int]:
     """Divide `available` into integer amounts by max-min fairness.
 
-    No name whose demand is not met gets less than another one, except for a remainder of 1.
+    No name whose demand is not met gets less than any other name, except for a difference of 1.
 
     Args:
         demands: The most that each name may get.
         available: The amount to divide.
         current: The amount that each name has now. The remainder of the division goes to the names with the
-            largest current amounts; otherwise it would move between names with each small change.
+            largest current amounts; otherwise the remainder would move between names with each small change.
     """
     allocated = dict.fromkeys(demands, 0)
     unsatisfied = sorted(demands, key=lambda name: (demands[name], name))
@@ -62,11 +65,11 @@
 
 
 def select_changes(pool: Pool, targets: dict[str, int]) -> dict[str, int]:
-    """Return the targets that differ from the current ones by more than the threshold.
+    """Return the targets that differ from the nodes' current targets by more than a threshold.
 
-    The threshold avoids a message for each call that starts or ends. It is 0 while any node's reservation is
-    below both its demand and its target. The sum of old and new targets may exceed the limit without harm,
-    because a reservation grows only as far as calls are free.
+    The threshold avoids a message for each call that starts or ends. It is 0 while the reservation of any
+    node is below the node's demand and below its target. The sum of unchanged and changed targets may exceed
+    the limit without harm, because a reservation grows only as far as calls are free.
     """
     quotas = pool.node_quotas
     has_shortage = any(
--- a/lichencleat/quotas/allocator.py
+++ b/lichencleat/quotas/allocator.py
@@ -1,8 +1,8 @@
 """Decides which commands the allocator of a pool proposes after each read of the pool.
 
-The allocator measures a grant's term from the moment when it first reads the renewal. The node starts
-earlier, when it requests the renewal. A new lease holder starts the measurement again. The delay until a
-grant counts as expired exceeds the term by the largest drift between the two clocks.
+The allocator measures a grant's term from the moment when it first reads the renewal. The node measures from
+an earlier moment, when it requests the renewal. A new lease holder starts the measurement again. The delay
+until a grant counts as expired exceeds the term by the largest drift between the two clocks.
 """
 
 from __future__ import annotations
@@ -11,11 +11,12 @@
 from lichencleat.quotas.allocation import compute_targets, select_changes
 from lichencleat.quotas.messages import Allocate, FencedCommand, GrantExpired, NodeQuota, Pool
 
-POLL_INTERVAL_TERMS = 0.1  # terms; short enough to meet a demand in about half a renewal interval
+# Poll interval as a fraction of a term; short enough to meet a demand in about half a renewal interval.
+POLL_INTERVAL_TERMS = 0.1
 
 
 def find_expirable_renewals(pool: Pool, quota: NodeQuota) -> list[int]:
-    """Return the log indexes of a node's renewals under which it has more than its floor."""
+    """Return the log indexes of the renewals under which a node may have more calls than its floor."""
     indexes = []
     if quota.reserved > pool.floor or quota.target > pool.floor:
         indexes.append(quota.renewal_index)
@@ -37,7 +38,7 @@
         self.pool = pool
         self.fencing_token = fencing_token
         self.drift = drift
-        self.seen_at: dict[tuple[str, int], int] = {}  # (node, renewal index) -> µs of the first read
+        self.seen_at: dict[tuple[str, int], int] = {}  # (node, renewal index) -> time in µs of the first read
 
     def decide(self, now: int, pool: Pool) -> list[FencedCommand]:
         """Return the commands to propose.
--- a/lichencleat/quotas/allocator_task.py
+++ b/lichencleat/quotas/allocator_task.py
@@ -68,5 +68,5 @@
             self.log.info("allocator command not applied", pool=self.pool, reason=str(reply))
 
     def on_proposal_failed(self, failure: Failure) -> None:
-        """Log the failure; the next poll proposes again what is still needed."""
+        """Log the failure; the next poll proposes the commands again that are still needed."""
         self.log.warning("allocator command not applied", pool=self.pool, reason=failure.getErrorMessage())
--- a/lichencleat/quotas/messages.py
+++ b/lichencleat/quotas/messages.py
@@ -10,13 +10,13 @@
 import msgspec
 
 STATE_PART = "shares"  # the name of this part of the replicated state
-DEFAULT_TERM_US = 5_000_000  # validity of a grant after one renewal; calls under the grant end within it
-RENEWALS_PER_TERM = 3  # two renewals in a row may be lost
+DEFAULT_TERM_US = 5_000_000  # validity of a grant after a renewal; all calls under the grant end within it
+RENEWALS_PER_TERM = 3  # renewals during one term, so that two renewals in a row may be lost
 MAX_POOLS = 64
-MAX_NODES = 1_024  # of one pool
-MAX_LIMIT = 1_000_000
-# With a shorter term, nodes would do little else than renew. With a longer one, the calls reserved for a lost
-# node would stay unusable for too long.
+MAX_NODES = 1_024  # nodes of one pool
+MAX_LIMIT = 1_000_000  # calls in flight of one pool
+# Bounds of a pool's term. With a shorter term, nodes would do little else than renew. With a longer term, the
+# calls reserved for a lost node would stay unusable for too long.
 MIN_TERM_US = 300_000
 MAX_TERM_US = 600_000_000
 RECOVERY_JOB = "revive"  # the job whose lease holder may set the allocatable share
@@ -32,9 +32,9 @@
         target: Calls that the allocator wants the node to have.
         demand: Calls that the node last reported it could use.
         renewal_index: Index of the log entry of the node's last renewal.
-        reserved_until_expiry: Calls that earlier incarnations may have in flight; the sum with `reserved` is
-            never below the floor.
-        previous_renewal_index: Index of the log entry of the last renewal of those incarnations.
+        reserved_until_expiry: Calls that earlier incarnations of the node may have in flight; the sum of this
+            number and `reserved` is never below the floor.
+        previous_renewal_index: Index of the log entry of the earlier incarnations' last renewal.
     """
 
     incarnation: int
@@ -52,13 +52,13 @@
 
     Attributes:
         limit: Calls in flight that the dependency can sustain.
-        floor: Calls that each node may have in flight without a grant, once it has run for a term.
+        floor: Calls that each node may have in flight without a grant, once the node has run for a term.
         max_nodes: Maximum number of nodes; the floor is reserved for each of them, present or not.
         term: How long a grant lasts, in µs.
         fencing_token: Token of the lease holder that allocated last; 0 if there was no allocation yet.
         node_quotas: The nodes that have asked for a grant.
-        allocatable_share: Share of the limit beyond all floors that may be allocated; below 1 while the fleet
-            recovers.
+        allocatable_share: Fraction of the limit, beyond all floors, that may be allocated; below 1 while the
+            fleet recovers.
     """
 
     limit: int
@@ -99,7 +99,8 @@
     Attributes:
         floor: The pool's floor in the node's configuration.
         term: The pool's term in the node's configuration, in µs.
-        in_use: Most calls that the node has in flight from before the request until the reply.
+        in_use: Greatest number of calls that the node may have in flight from before the request until the
+            reply.
         demand: Calls that the node could use.
     """
 
@@ -131,9 +132,9 @@
 
 
 class SetAllocatableShare(msgspec.Struct, frozen=True, array_like=True, tag="part"):
-    """The recovery planner limits what may be allocated of every pool; see `Pool.allocatable_share`."""
+    """The recovery planner limits the calls that may be allocated of all pools: `Pool.allocatable_share`."""
 
-    fencing_token: int  # of the lease on RECOVERY_JOB
+    fencing_token: int  # token of the lease on RECOVERY_JOB
     share: float
 
 
@@ -156,12 +157,12 @@
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
-    """The reply to any other command: whether it was accepted, and the reason if not."""
+    """The reply to any other command: whether the command was accepted, and the reason if it was not."""
 
     accepted: bool
     reason: str = ""
 
 
 def allocator_job(pool: str) -> str:
-    """Return the name of the job whose lease holder allocates that pool."""
+    """Return the name of the job whose lease holder allocates the pool `pool`."""
     return f"shares/{pool}"
--- a/lichencleat/quotas/quota_client.py
+++ b/lichencleat/quotas/quota_client.py
@@ -27,7 +27,7 @@
         reactor: Source of the monotonic clock and of the timer.
         client: Client of the consensus group.
         grant: State of the grant.
-        count_calls: Returns how many calls are in flight, and how many would be without a limit.
+        count_calls: Returns how many calls are in flight, and how many would be in flight without a limit.
         on_limit_changed: Called with each new limit on the calls in flight.
         log: Logger of the process.
     """
@@ -47,7 +47,7 @@
         self.grant = grant
         self.count_calls = count_calls
         self.on_limit_changed = on_limit_changed
-        self.limit: int | None = None  # the limit reported to the node last
+        self.limit: int | None = None  # the limit on calls in flight that was last reported to the node
         self.logged_rejection = ""
 
     def max_call_duration(self, duration: int) -> int:
@@ -69,7 +69,7 @@
         return self.grant.next_action_at(now)
 
     def update_limit(self, now: int) -> None:
-        """Report to the node how many calls may be in flight, if that has changed."""
+        """Report to the node how many calls may be in flight, if the number has changed."""
         usable = self.grant.usable_calls(now)
         if usable == self.limit:
             return
--- a/lichencleat/quotas/quota_grant.py
+++ b/lichencleat/quotas/quota_grant.py
@@ -1,8 +1,8 @@
 """A node's grant in a pool: how many calls it may have in flight, and until when by its own monotonic clock.
 
-The node measures a grant from just before it requests the renewal, and shortens it by the largest clock
-drift. After the grant ends, the node may use the floor, which is always reserved for it. If the group has
-rejected the node, it may then send no calls.
+The node measures a grant from just before it requests the renewal, and shortens the grant by the largest
+clock drift. After the grant ends, the node may use the floor, which is always reserved for the node. If the
+group has rejected the last renewal, the node may send no calls after the grant ends.
 """
 
 from __future__ import annotations
@@ -10,15 +10,17 @@
 from lichencleat.leases.messages import MAX_CLOCK_DRIFT
 from lichencleat.quotas.messages import RENEWALS_PER_TERM, QuotaReply, QuotaRequest
 
-REPLY_TIMEOUT_TERMS = 0.3  # terms; after a lost request, another one still fits into the term
+# Time to wait for a reply, as a fraction of a term; after a lost request, another request still fits into the
+# term.
+REPLY_TIMEOUT_TERMS = 0.3
 
 
 class QuotaGrant:
     """State of one node in one pool, without I/O.
 
     The caller sends the request that `next_request` returns, and passes the reply to `on_reply` or the
-    failure to `on_failure`. It starts calls only while fewer than `usable_calls` are in flight, and ends each
-    within `max_call_duration`.
+    failure to `on_failure`. The caller starts downstream calls only while fewer than `usable_calls` are in
+    flight, and ends each call within `max_call_duration`.
 
     Args:
         pool: Name of the pool.
@@ -46,25 +48,28 @@
         self.floor = floor
         self.term = term
         self.drift = drift
-        self.amount = 0
-        self.valid_until = 0  # µs; the amount is usable before this time, the floor after it
-        # µs; the floor is usable from then on, because calls of an earlier incarnation have ended
+        self.amount = 0  # calls that the current grant allows
+        self.valid_until = 0  # time in µs until which `amount` may be used, and the floor afterwards
+        # Time in µs from which the floor may be used: calls of an earlier incarnation have ended by then.
         self.floor_from = now + round(term * (1 + drift))
         self.fencing_token = 0
         self.request_number = 0
-        self.requested_at: int | None = None  # µs; None while no request is in flight
-        self.next_request_at = now  # µs
-        self.rejection = ""
-        self.demand = 0  # the most that the node could have used since the last request
+        self.requested_at: int | None = None  # time in µs of the request in flight, None if there is none
+        self.next_request_at = now  # time in µs at which the next request is due
+        self.rejection = ""  # why the last request was rejected; empty if it was granted
+        self.demand = 0  # greatest number of calls that the node could have used since the last request
 
     def usable_calls(self, now: int) -> int:
-        """How many calls may be in flight at `now` (µs); no call may start while as many or more are."""
+        """How many calls may be in flight at `now` (µs).
+
+        No call may start while that many calls, or more, are in flight.
+        """
         if now < self.valid_until:
             return self.amount
         return 0 if self.rejection or now < self.floor_from else self.floor
 
     def note_demand(self, demand: int) -> None:
-        """Record how many calls the node could use now; the next request reports the largest number."""
+        """Record how many calls the node could use now; the next request reports the largest such number."""
         self.demand = max(self.demand, demand)
 
     def max_call_duration(self, now: int) -> int:
--- a/lichencleat/quotas/quota_state.py
+++ b/lichencleat/quotas/quota_state.py
@@ -1,8 +1,9 @@
 """The replicated state of quotas: how many calls are reserved for which node of which pool.
 
-This is a part of the consensus group's state. It uses no I/O and no clock, so it is the same on each member.
-A reservation shrinks only when its node reports fewer calls or the allocator states that the grant has
-expired. So the reservations always cover the calls in flight, even if requests or replies are lost or late.
+This is a part of the consensus group's state. The part uses no I/O and no clock, so it is the same on each
+member. The calls reserved for a node become fewer only when the node reports fewer calls or the allocator
+states that the grant has expired. So the reservations always cover the calls in flight, even if requests or
+replies are lost or late.
 """
 
 from __future__ import annotations
@@ -39,7 +40,7 @@
 decode_command = msgspec.msgpack.Decoder(Command).decode
 decode_pools = msgspec.msgpack.Decoder(dict[str, Pool]).decode
 
-STALE_TOKEN = "an older owner's"
+STALE_TOKEN = "an older owner's"  # rejection: the fencing token is not that of the current lease holder
 
 
 def reserved_calls(pool: Pool) -> int:
@@ -97,7 +98,7 @@
         return self.expire_grant(command, pool)
 
     def has_current_token(self, command: FencedCommand) -> bool:
-        """Whether the command comes from the current lease holder, not from a late earlier one."""
+        """Whether the command comes from the current lease holder, not from an earlier holder."""
         return self.leases.is_current_token(allocator_job(command.pool), command.fencing_token)
 
     # -- pools -------------------------------------------------------------------------------------------
@@ -130,7 +131,7 @@
         return ""
 
     def definition_conflict(self, known: Pool | None, command: DefinePool) -> str:
-        """Return why the definition conflicts with the current state; an empty string if it does not."""
+        """Return why a definition conflicts with the current state; an empty string without a conflict."""
         if known is None:
             return "too many pools" if len(self.pools) >= MAX_POOLS else ""
         present = len(known.node_quotas)
@@ -148,7 +149,7 @@
         return CommandReply(True)
 
     def set_allocatable_share(self, command: SetAllocatableShare) -> CommandReply:
-        """Set which share of each pool may be allocated; the share is below 1 while the fleet recovers."""
+        """Set which fraction of each pool may be allocated; it is below 1 while the fleet recovers."""
         if not self.leases.is_current_token(RECOVERY_JOB, command.fencing_token):
             return CommandReply(False, STALE_TOKEN)
         for pool in self.pools.values():
@@ -198,7 +199,7 @@
 
     @staticmethod
     def adjust_reservation(pool: Pool, quota: NodeQuota, in_use: int) -> None:
-        """Move the reservation toward the target: down to the calls in use, or up within the limit."""
+        """Move a node's reservation toward its target: down to the calls in use, or up within the limit."""
         if quota.target < quota.reserved:
             quota.reserved = max(quota.target, min(quota.reserved, in_use))
         elif quota.target > quota.reserved:
@@ -236,7 +237,7 @@
     # -- the state as a whole ----------------------------------------------------------------------------
 
     def read(self, query: str | None) -> Mapping[str, Pool] | Pool | None:
-        """Return the pool of that name, or all pools for None."""
+        """Return the pool that the query names, or all pools if the query is None."""
         return self.pools if query is None else self.pools.get(query)
 
     def dump(self) -> dict[str, Pool]:
@@ -244,5 +245,5 @@
         return self.pools
 
     def load(self, dumped: msgspec.Raw) -> None:
-        """Replace the state by that of an encoded snapshot."""
+        """Replace the state by the state in an encoded snapshot."""
         self.pools = decode_pools(dumped)
