--- a/lichencleat/admission/backpressure.py
+++ b/lichencleat/admission/backpressure.py
@@ -14,9 +14,10 @@
 # Added to the shed fraction in each period with rejections or late reading, subtracted in each period in
 # which the node is idle. Callers see the result about once a second.
 SHED_INCREASE = 0.08
-# Subtracted from the shed fraction in each other period; slower, so that load does not return in one wave.
+# Subtracted from the shed fraction in each period that is neither overloaded nor idle; slower than the
+# increase, so that load does not return in one wave.
 SHED_DECREASE = 0.02
-MAX_SHED_FRACTION = 0.85  # below 1, so that callers still send requests of the highest value
+MAX_SHED_FRACTION = 0.85  # fraction of load; below 1, so that callers still send the most valuable requests
 # Fraction of the cores in use. A node below it whose queue is empty counts as idle: callers hold back load
 # that it could serve, so the shed fraction falls fast.
 MAX_IDLE_UTILIZATION = 0.75
--- a/lichencleat/admission/controller.py
+++ b/lichencleat/admission/controller.py
@@ -76,10 +76,10 @@
         self.is_healthy = True
         self.to_abort: dict[Request, None] = {}  # running requests whose callers may no longer wait
         self.next_update = 0  # time of the next update of the limits
-        self.wake_at = 0  # when the current timer fires; 0 if none is set
+        self.wake_at = 0  # time at which the current timer fires, 0 if no timer is set
         self._round: Iterator[Decision] | None = None  # the remaining decisions of the current round
-        # Health that the host last got from this controller, or assumes at the start; None if neither. The
-        # first report makes a host whose health checks do work answer them from the last report instead.
+        # The health that the host knows. Once health has been reported, the host answers health checks from
+        # the last report. Where health checks do work on the node, None causes a first report in any case.
         self._reported_health = None if spec.health_checks_do_work else True
         self._reported_idle_timeout = spec.idle_timeout_us
 
@@ -125,7 +125,7 @@
         self.backpressure.admitted_share = share
 
     def on_record_failed(self, _now: int, request: Request) -> None:
-        """Queue a request again whose record the host could not make and whose run it did not start."""
+        """Queue a request again that was not run because the host could not make its record."""
         self.records.expiry.pop(request, None)
         request.started = None
         self.pools.move(request, self.pools.queued, RequestState.QUEUED)
@@ -184,7 +184,7 @@
         return decision
 
     def abandon_round(self) -> None:
-        """Drop the remaining decisions of a round after an error in it."""
+        """Drop the remaining decisions of the current round, in which an error occurred."""
         self._round = None
 
     def decide(self, now: int) -> Iterator[Decision]:
@@ -222,7 +222,7 @@
         self.records.expire(now)
 
     def update_health(self, now: int) -> None:
-        """Set whether this node is healthy: whether other nodes would not serve its requests better.
+        """Update whether this node is healthy; it is unhealthy if other nodes may serve its requests better.
 
         A node that is overloaded by connection attempts stays healthy: such attempts hit all nodes alike, and
         a node that leaves the endpoint list sends its load to the others. Cost: a node that is hit alone
@@ -374,7 +374,7 @@
         return records_idempotent or request.request_class.effect is Effect.KEYED
 
     def release_calls(self, now: int) -> Iterator[Decision]:
-        """Send downstream calls up to the call limit, highest added value first; give up hopeless calls."""
+        """Send downstream calls up to the call limit, highest added value first; give up useless calls."""
 
         def added_value(each: Request) -> float:
             return self.queue.value(each) * (1 - each.request_class.value_share_without_call)
@@ -392,7 +392,11 @@
                 yield Decision(Action.CALL, request, duration_us=duration)
 
     def is_call_given_up(self, now: int, request: Request, position: int) -> bool:
-        """Return whether a call comes too late to earn value, or may be skipped and would wait too long."""
+        """Return whether to give up a call.
+
+        A call is given up if it has failed too often, comes too late to earn value, or may be skipped and
+        would wait too long.
+        """
         if request.failed_calls >= MAX_CALL_ATTEMPTS:
             return True
         if has_no_late_value(request) and now >= objective_end(request):
@@ -472,7 +476,7 @@
         return Decision(Action.REJECT, request, duration_us=duration, no_retry_elsewhere=no_retry_elsewhere)
 
     def fail(self, request: Request) -> Decision:
-        """Answer that a request failed, and drop it unless it runs or waits for a call."""
+        """Answer that a request failed; drop the request unless it runs or waits for a call."""
         request.answered = True
         if request in self.pools.running:
             self.to_abort[request] = None
--- a/lichencleat/admission/downstream.py
+++ b/lichencleat/admission/downstream.py
@@ -57,8 +57,8 @@
             self.max_limit * spec.call_quota_window_us if self.max_limit < 1 else MAX_CALL_DURATION_US
         )
         self.times: deque[tuple[int, bool]] = deque(maxlen=MAX_CALL_SAMPLES)  # duration, succeeded
-        self._limit_cut_at = 0  # when the limit was last decreased
-        self._next_call_at = 0  # when pacing allows the next call
+        self._limit_cut_at = 0  # time at which the limit was last decreased
+        self._next_call_at = 0  # time from which pacing allows the next call
         self._timeout: int | None = None  # cached hedge timeout; None after a call has ended
 
     def on_completed(self, now: int, request: Request, outcome: Outcome, took: int) -> None:
--- a/lichencleat/admission/draining.py
+++ b/lichencleat/admission/draining.py
@@ -1,4 +1,4 @@
-"""Draining: which requests a node still runs and answers between the stop notice and its end."""
+"""Draining: which requests a node still runs and answers between the stop notice and the process's end."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
     def __init__(self, spec: NodeSpec, timing: Timing) -> None:
         self.grace = spec.drain_grace_us
         self.timing = timing
-        self.answers_until: int | None = None  # by then, all requests must be answered
-        self.no_run_after: int | None = None  # requests that arrive later are not run
+        self.answers_until: int | None = None  # time by which all requests must be answered
+        self.no_run_after: int | None = None  # time after which arriving requests are not run
 
     @property
     def is_active(self) -> bool:
@@ -28,7 +28,7 @@
         self.no_run_after = now + self.grace
 
     def advance_due_time(self, request: Request) -> None:
-        """Move the due time of a request forward, so that it is answered before the process is stopped."""
+        """Make a request due early enough to be answered before the process is stopped."""
         if self.answers_until is not None:
             request.due = min(request.due, self.answers_until + self.timing.guard)
 
--- a/lichencleat/admission/node_spec.py
+++ b/lichencleat/admission/node_spec.py
@@ -132,7 +132,7 @@
         return check_amount(self.values.get(key), f"{self.path}.{key}")
 
     def duration_us(self, key: str) -> int:
-        """Return the duration at a key, which is given in seconds, in µs; 0 if the key is missing.
+        """Return the duration at a key, converted from seconds to µs; 0 if the key is missing.
 
         Raises:
             InvalidAmountError: if the value is not a number from 0 to `MAX_AMOUNT`.
--- a/lichencleat/admission/outliers.py
+++ b/lichencleat/admission/outliers.py
@@ -19,8 +19,8 @@
 # objectives. With fewer runs, all of them may be late by chance.
 MIN_RUNNING_SHARE = 0.5
 STALL_FACTOR = 3  # a stall lasts at least this multiple of the median service time
-# Delay from arrival to reading above which the node counts as reading late. Reading takes a small part of it,
-# so the cores lack time for reading.
+# Delay from arrival to reading above which the node counts as reading late. One read takes a fraction of this
+# time, so a longer delay means that the cores lack time for reading.
 LATE_READ_DELAY_US = 150_000
 # Delay from arrival to reading, as a fraction of the longest latency objective, above which the node counts
 # as unhealthy: that fraction of the objective is used up before the request is read.
@@ -48,8 +48,8 @@
         self.service_times = service_times
         self.concurrency = concurrency
         self.calls = calls
-        self.progress_at = 0  # when a run last ended or reached a call
-        self.on_time_at = 0  # when a run last ended within its objective
+        self.progress_at = 0  # time at which a run last ended or reached a call
+        self.on_time_at = 0  # time at which a run last ended within its objective
         self.read_delays: deque[tuple[int, int]] = deque(maxlen=MAX_READ_SAMPLES)  # time of reading, delay
 
     def reset_progress(self, now: int) -> None:
--- a/lichencleat/admission/queueing.py
+++ b/lichencleat/admission/queueing.py
@@ -32,9 +32,10 @@
         self.full_since: int | None = None
 
     def value(self, request: Request) -> float:
-        """Return the value of a request, divided by the usual core time of its class relative to all classes.
+        """Return the value of a request in relation to the core time that the request takes.
 
-        If the settings count values per unit of work, the value is not divided.
+        The earned value is divided by the median service time of the class, as a multiple of the median of
+        all classes. If the settings count values per unit of work, the value is not divided.
         """
         own_time = 0 if self.value_by_work else self.service_times.usual(request.request_class)
         earned_value = request.request_class.value * self.quotas.value_share(request)
@@ -58,7 +59,7 @@
         return order[::-1] if is_full_for_long else order
 
     def choose_rejected(self, arrival: Request) -> Request:
-        """Return the request to reject: the arrival, or the least valuable queued request."""
+        """Return the request to reject if the queue is full: the arrival or the least valuable queued one."""
         least_valuable = min(self.pools.queued, key=lambda each: (self.value(each), -each.arrived))
         if (
             has_unrepeatable_run(least_valuable)
--- a/lichencleat/admission/records.py
+++ b/lichencleat/admission/records.py
@@ -41,7 +41,7 @@
     def pop_unstarted(self) -> Iterator[Request]:
         """Drop the records of attempts that ended without a run, and yield these attempts.
 
-        There is no run that such a record could keep from being repeated.
+        Such a record is no longer needed, as there was no run that must not be repeated.
         """
         candidates = list(self.expiry) if self.pools.has_ended_unstarted else []
         self.pools.has_ended_unstarted = False
--- a/lichencleat/admission/service_times.py
+++ b/lichencleat/admission/service_times.py
@@ -9,7 +9,9 @@
 from lichencleat.admission.types import NodeSpec, Request, RequestClass
 
 MAX_RUN_SAMPLES = 16  # runs kept per class: a few seconds of runs on a busy node
-MIN_RUN_SAMPLES = 4  # least runs of a class to use its own median; with fewer, that of all is more reliable
+# Number of a class's runs from which on the class's own median is used; with fewer runs, the median of all
+# classes is more reliable.
+MIN_RUN_SAMPLES = 4
 
 
 class ServiceTimes:
--- a/lichencleat/admission/tenant_quotas.py
+++ b/lichencleat/admission/tenant_quotas.py
@@ -19,10 +19,10 @@
     def __init__(self, spec: NodeSpec) -> None:
         self.quotas = spec.tenant_quotas  # requests per second at this node
         self.over_quota_value_share = spec.over_quota_value_share
-        self.recent_starts: dict[str, float] = {}  # by tenant: starts less the accrued quota
+        self.recent_starts: dict[str, float] = {}  # starts less the accrued quota, by tenant
 
     def is_over(self, request: Request) -> bool:
-        """Return whether the tenant's recent starts use up its quota."""
+        """Return whether the recent starts of a request's tenant use up the tenant's quota."""
         return self.recent_starts.get(request.tenant, 0.0) >= self._allowance(request)
 
     def value_share(self, request: Request) -> float:
--- a/lichencleat/admission/timing.py
+++ b/lichencleat/admission/timing.py
@@ -19,8 +19,8 @@
         objectives = [each.latency_objective for each in spec.request_classes]
         self.shortest_objective = min(objectives, default=REFERENCE_OBJECTIVE_US)
         self.longest_objective = max(objectives, default=DEFAULT_LONGEST_OBJECTIVE_US)
-        # Prevents that time constants for long requests are applied to short ones. Cost: more decision
-        # rounds, down to 20 ms apart.
+        # Prevents short requests from being judged by time constants that suit long requests. Cost: more
+        # decision rounds, down to 20 ms apart.
         self.scale = min(1.0, max(MIN_SCALE, self.shortest_objective / REFERENCE_OBJECTIVE_US))
         self.period = int(PERIOD * self.scale)
         self.resolution = spec.resolution
--- a/lichencleat/admission/types.py
+++ b/lichencleat/admission/types.py
@@ -109,7 +109,7 @@
     memory_kb: float = 0.0
     running_memory_factor: float = 1.0  # memory of a running request, as a multiple of that of a queued one
     record_kb: float = 0.0
-    max_concurrency_per_core: float = 2.0  # running requests per core that a warm node survives
+    max_concurrency_per_core: float = 2.0  # running requests per core that a warm node can sustain
     starts_cold: bool = False
     cold_speed_share: float = 1.0  # minimum speed at a cold start, as a fraction of full speed
     warmup_us: int = 0
@@ -118,10 +118,10 @@
     callers: int = 0  # number of callers at the start, 0 if unknown
     max_retry_after_us: int = 0  # 0 if callers ignore retry-after times
     downstream: Downstream = Downstream.NONE
-    call_quota: float = 0.0  # this node's part of the concurrent calls that the dependency survives
+    call_quota: float = 0.0  # this node's part of the concurrent calls that the dependency can sustain
     call_quota_window_us: int = 0
     idle_timeout_us: int = 0  # time after which callers close idle connections, 0 if unknown
-    freshness_us: int = 0  # how long an idempotent request's answer may be returned to repeats, 0 for never
+    freshness_us: int = 0  # time in which repeats of an idempotent request may get its answer, 0 for none
     # Whether health checks cost work on this node as long as the host has no health report to answer from.
     health_checks_do_work: bool = False
     drain_grace_us: int = 0  # time after the stop notice in which arriving requests are still run
@@ -138,9 +138,9 @@
     """One attempt of a request on this node; times are in µs of the host's clock."""
 
     request_class: RequestClass
-    arrived: int  # when it reached the machine, before it was read
-    due: int  # time by which it must be answered
-    rank: float = 0.0  # by value, from 0 to below 1; see CapacitySignal.PRIORITY_THRESHOLD
+    arrived: int  # time at which the request reached the machine, before the node read it
+    due: int  # time by which the request must be answered
+    rank: float = 0.0  # rank by value, from 0 to below 1; see CapacitySignal.PRIORITY_THRESHOLD
     caller: int = 0
     tenant: str = ""
     original: Request | None = None  # an earlier attempt of the same request; None for a first attempt
@@ -182,5 +182,5 @@
     duration_us: int = 0
     capacity: float = 0.0  # ADVERTISE_CAPACITY: as the node's CapacitySignal defines it
     no_retry_elsewhere: bool = False  # REJECT: the caller must not retry at another node
-    is_healthy: bool = False  # REPORT_HEALTH
-    text: str = ""  # LOG
+    is_healthy: bool = False  # REPORT_HEALTH: whether the node is healthy
+    text: str = ""  # LOG: the text of the line
--- a/lichencleat/config/loading.py
+++ b/lichencleat/config/loading.py
@@ -93,7 +93,7 @@
 def _schema_error(
     path: str, document: YamlDocument, message: str, schema: type[Struct]
 ) -> InvalidConfigError:
-    """Returns an error with msgspec's message and the line; for an unknown key, it lists the known keys."""
+    """Returns an error with msgspec's message and the line; for an unknown key, the known keys are listed."""
     problem, _, setting = message.partition(" - at `")
     setting = setting.rstrip("`") or "$"
     unknown = re.search(r"unknown field `(.+)`", problem)
--- a/lichencleat/config/schema.py
+++ b/lichencleat/config/schema.py
@@ -74,7 +74,7 @@
     group: Name  # name of the group of voters that hold the configuration
     sources: RelayTiers  # addresses of the relays, nearest tier first
     zone: str = ""
-    directory: Annotated[str, Meta(min_length=1)] | None = None  # where the last version is persisted
+    directory: Annotated[str, Meta(min_length=1)] | None = None  # directory of the last version
     tenants: bool = False  # whether tenants are taken from the distributed table, not from the settings
 
 
--- a/lichencleat/consensus/follower.py
+++ b/lichencleat/consensus/follower.py
@@ -29,7 +29,7 @@
         self.enqueue_message(replace(response, index=match_index, read_round=read_round, granted=True))
 
     def on_append(self, now: int, message: Message) -> None:
-        """Append the leader's entries if the logs match up to the first one; otherwise reject the message."""
+        """Append the leader's entries if the logs match before the first one; otherwise reject them."""
         self.on_leader_contact(now, message.sender)
         previous_index = message.index
         previous_term = message.log_term
@@ -108,7 +108,7 @@
         self.send_append_response(message.sender, message.read_round)
 
     def install_snapshot(self, now: int, snapshot: Snapshot) -> None:
-        """Replace state and log by the snapshot; keep later entries if the log contains its last entry."""
+        """Replace state and log by the snapshot; later entries stay if the log matches the snapshot."""
         if self.log.term_at(snapshot.index) == snapshot.term:
             self.log.compact(snapshot)
             self.writes.mark_compacted(snapshot.index)
--- a/lichencleat/consensus/greetings.py
+++ b/lichencleat/consensus/greetings.py
@@ -1,4 +1,4 @@
-"""Makes and answers greetings between members; a peer's incarnation is stored before it gets the answer."""
+"""Makes and answers greetings between members; a peer's incarnation is stored before the peer is answered."""
 
 from __future__ import annotations
 
--- a/lichencleat/consensus/identity.py
+++ b/lichencleat/consensus/identity.py
@@ -20,7 +20,8 @@
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
 IDENTITY_KEY = b"i"  # key in the store; never changes
-CONFIRMATION_WAIT_US = 3_000_000  # after this wait, a member participates without the others' confirmation
+# Time that a starting member waits for the others' confirmation; then it participates without confirmation.
+CONFIRMATION_WAIT_US = 3_000_000
 MEMBER_ID_BITS = 63
 
 
--- a/lichencleat/consensus/key_value.py
+++ b/lichencleat/consensus/key_value.py
@@ -6,7 +6,7 @@
 
 from lichencleat.decode_errors import UNDECODABLE
 
-STATE_PART = "facts"  # name of this part of the replicated state; stored and sent
+STATE_PART = "facts"  # name of the key-value pairs' part of the replicated state; stored and sent
 MAX_KEYS = 65_536
 MAX_VALUE_BYTES = 65_536  # size of one value; snapshots contain all values
 NO_REVISION = 0  # revision of a key that does not exist
--- a/lichencleat/consensus/leader.py
+++ b/lichencleat/consensus/leader.py
@@ -50,7 +50,7 @@
         self.first_index = first_index
         self.progress: dict[int, Progress] = {}
         self.pending_sends: dict[int, None] = {}  # member ids of followers that may need a message, in order
-        self.pending_proposals: dict[int, RequestContext] = {}  # by index of the proposal's entry
+        self.pending_proposals: dict[int, RequestContext] = {}  # contexts by index of the proposal's entry
         self.pending_reads: list[PendingRead] = []
         self.read_round = 0  # number of the last read round begun; heartbeats carry the number
         self.confirmed_round = 0  # number of the last read round that a majority of the voters answered
--- a/lichencleat/consensus/member_status.py
+++ b/lichencleat/consensus/member_status.py
@@ -23,7 +23,7 @@
     counts: Mapping[str, int],
     now: int,
 ) -> Status:
-    """Return the status of a member; `now` in µs of its monotonic clock."""
+    """Return the status of a member; `now` is the time in µs of the member's monotonic clock."""
     return {
         "member": identity.member_name,
         "seat": identity.member_id,
--- a/lichencleat/consensus/messages.py
+++ b/lichencleat/consensus/messages.py
@@ -87,7 +87,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """The state after the entry at `index`; it replaces all log entries up to that index."""
+    """The state after the entry at `index`; a snapshot replaces all log entries up to that index."""
 
     index: int
     term: int
@@ -157,7 +157,7 @@
     entry: Entry | None = None
     snapshot: Snapshot | None = None
     context: RequestContext = None
-    reason: RejectReason | str | None = None  # a string for HALT
+    reason: RejectReason | str | None = None  # why a request is rejected, or why the member halts (a string)
 
 
 @dataclass(slots=True)
@@ -167,7 +167,7 @@
     term: int = 0
     vote: int = NO_MEMBER
     snapshot: Snapshot | None = None
-    entries: list[Entry] = field(default_factory=list)  # the first one has the snapshot's index + 1
+    entries: list[Entry] = field(default_factory=list)  # the first entry has the snapshot's index + 1
 
 
 @dataclass(frozen=True, slots=True)
--- a/lichencleat/consensus/node_state.py
+++ b/lichencleat/consensus/node_state.py
@@ -30,7 +30,7 @@
 # the doubling, two candidates whose flushes take as long as the initial jitter would split the votes
 # repeatedly.
 MAX_JITTER_DOUBLINGS = 3
-EMPTY_SNAPSHOT = Snapshot(0, 0, Configuration(()), b"")  # for a member that has not joined a cluster
+EMPTY_SNAPSHOT = Snapshot(0, 0, Configuration(()), b"")  # snapshot of a member that has not joined a cluster
 
 
 class OutgoingMessage(NamedTuple):
--- a/lichencleat/consensus/peer_connections.py
+++ b/lichencleat/consensus/peer_connections.py
@@ -22,8 +22,8 @@
         self._owner = owner
         self._member_id = member_id
         self._rng = rng
-        self._connectors: dict[int, PeerConnector] = {}  # by member id
-        # By member id: the last connection that each other member has opened. A member that is not in this
+        self._connectors: dict[int, PeerConnector] = {}  # connectors by member id
+        # The last connection that each other member has opened, by member id. A member that is not in this
         # member's configuration yet can be reached by that connection only.
         self._inbound: dict[int, InboundConnection] = {}
         self._configuration: Configuration | None = None  # the configuration that the connectors match
--- a/lichencleat/consensus/pending_writes.py
+++ b/lichencleat/consensus/pending_writes.py
@@ -27,8 +27,8 @@
     def __init__(self, log: RaftLog) -> None:
         """Start from a log that is completely durable."""
         self.is_dirty = False  # whether anything changed since the last write was handed out
-        self.is_term_dirty = False  # whether the term or the vote changed since then
-        self.is_snapshot_dirty = False  # whether the snapshot changed since then
+        self.is_term_dirty = False  # whether the term or the vote changed since the last write
+        self.is_snapshot_dirty = False  # whether the snapshot changed since the last write
         self.first_unwritten = log.last_index + 1  # index of the first entry that was in no write yet
         self.last_number = 0  # number of the last write handed out
         self.last_term_write = 0  # number of the last write with a new term or vote
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -109,7 +109,7 @@
         self.counts: dict[str, int] = {}
         self._store = store
         self._run_is_scheduled = False
-        self._timer: DelayedCall | None = None  # for the Raft node's deadline
+        self._timer: DelayedCall | None = None  # fires at the Raft node's deadline
         self._participation_timer: DelayedCall | None = None
         self._make_state(store, identity, rng, options)
         self._make_peers(store, identity, rng)
--- a/lichencleat/consensus/sessions.py
+++ b/lichencleat/consensus/sessions.py
@@ -39,7 +39,7 @@
     def __init__(self, max_sessions: int = MAX_SESSIONS) -> None:
         """Start without sessions."""
         self.max_sessions = max_sessions
-        self.records: dict[int, SessionRecord] = {}  # by session id
+        self.records: dict[int, SessionRecord] = {}  # records by session id
 
     def open(self, index: int) -> None:
         """Open the session with the id `index`; a full table evicts the least recently used session."""
--- a/lichencleat/leases/lease_client.py
+++ b/lichencleat/leases/lease_client.py
@@ -94,7 +94,7 @@
         return self.leases.next_action_at()
 
     def on_reply(self, reply: object) -> None:
-        """Handle the reply to a renewal: jobs lost, then jobs acquired, then jobs to release."""
+        """Handle the reply to a renewal: report lost jobs, then acquired jobs; then release jobs as asked."""
         held_before = dict(self.leases.held_tokens)
         renewed = msgspec.convert(reply, RenewalReply)
         acquired = self.leases.on_renewed(self.now(), renewed)
--- a/lichencleat/leases/lease_state.py
+++ b/lichencleat/leases/lease_state.py
@@ -43,7 +43,7 @@
 
 
 class LeaseState:
-    """A part of the replicated state. Only `grant` and `revoke` change a job's holder."""
+    """Jobs and candidates. Only `grant` and `revoke` change a job's holder."""
 
     def __init__(self) -> None:
         self.jobs: dict[str, Job] = {}
@@ -70,7 +70,7 @@
         return reply
 
     def execute(self, command: Command) -> CommandReply:
-        """Carry out any command but a renewal."""
+        """Carry out a command that is not a renewal, and return the reply."""
         match command:
             case CandidateExpired():
                 return self.expire(command)
--- a/lichencleat/leases/messages.py
+++ b/lichencleat/leases/messages.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-STATE_PART = "owners"  # the name of this part of the replicated state
+STATE_PART = "owners"  # name of the leases' part of the replicated state
 LEASE_DURATION_US = 1_000_000  # validity of a renewal; after a holder dies, its jobs stall about as long
 MAX_CLOCK_DRIFT = 0.1  # relative difference of two machines' clock rates; intact clocks differ far less
 RENEWALS_PER_LEASE = 3  # renewals during one lease, so that two renewals in a row may be lost
--- a/lichencleat/quotas/messages.py
+++ b/lichencleat/quotas/messages.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-STATE_PART = "shares"  # the name of this part of the replicated state
+STATE_PART = "shares"  # name of the quotas' part of the replicated state
 DEFAULT_TERM_US = 5_000_000  # validity of a grant after a renewal; all calls under the grant end within it
 RENEWALS_PER_TERM = 3  # renewals during one term, so that two renewals in a row may be lost
 MAX_POOLS = 64
--- a/lichencleat/quotas/quota_state.py
+++ b/lichencleat/quotas/quota_state.py
@@ -51,7 +51,7 @@
 
 
 class QuotaState:
-    """A part of the replicated state. Reservations above the floor grow in `adjust_reservation` only.
+    """Pools and their quotas. Reservations above the floor grow in `adjust_reservation` only.
 
     Args:
         leases: The replicated state of leases; fencing tokens of commands are checked against it.
