--- a/lichencleat/admission/controller.py
+++ b/lichencleat/admission/controller.py
@@ -107,7 +107,7 @@
             self.pools.move(request, self.pools.queued, RequestState.QUEUED)
 
     def seed_run_time(self, _now: int, request_class: RequestClass, took: int) -> None:
-        """Use a service time of the previous process until a run of the class has ended in this process."""
+        """Use a service time of the previous process as the first sample of a class that has none yet."""
         self.service_times.seed(request_class, took)
 
     def on_outcome_pending(self, now: int, request: Request, took: int) -> None:
--- a/lichencleat/admission/deadlines.py
+++ b/lichencleat/admission/deadlines.py
@@ -37,8 +37,9 @@
     def would_be_late(self, now: int, request: Request, ahead: int = 0) -> bool:
         """Return whether a request would end after its objective if `ahead` other requests run first.
 
-        Prevents work that earns nothing. A request that an idle core could run at once does not count as
-        late, on a slow node only if nothing else runs: this is how a node learns that it is no longer slow.
+        Prevents work that earns nothing. A request that an idle core could run at once does not count as late
+        if the node is not slow or has no other run. So a slow node still runs one request at a time, which is
+        how it learns that it is no longer slow.
         """
         idle = 0 if ahead else self.cores - len(self.pools.running)
         if idle > 0 and (not self.pools.running or not self.outliers.is_slow(now, request.request_class)):
