--- a/lichencleat/admission/connections.py
+++ b/lichencleat/admission/connections.py
@@ -20,8 +20,8 @@
 # Least and greatest factor of one change: the timeout reaches its maximum in two or three changes and falls
 # slowly.
 TIMEOUT_STEP_RANGE = (2 / 3, 8)
-# Tasks per core that want to run, besides runs of requests. Reading is at most one task, the others open
-# connections.
+# Tasks per core that want to run, besides runs of requests, above which opening connections counts as an
+# overload. Reading is at most one of these tasks, all others open connections.
 MAX_OTHER_RUNNABLE_PER_CORE = 1.5
 
 
--- a/lichencleat/admission/downstream.py
+++ b/lichencleat/admission/downstream.py
@@ -17,8 +17,8 @@
 MIN_CALL_LIMIT_SHARE = 0.25
 # A call may be sent this much earlier than pacing allows, so that usual calls are not delayed.
 MAX_PACING_LEAD_US = 300_000
-# The call limit is multiplied by this factor when recent calls are slow or have failed, and again only once a
-# call sent after that has ended.
+# The call limit is multiplied by this factor when recent calls are slow or have failed. The next decrease
+# comes at the earliest when a call that was sent after the last decrease has ended.
 LIMIT_DECREASE_FACTOR = 0.8
 # Calls are slow if the median duration of the recent calls exceeds this multiple of the first quartile of all
 # samples. So large a difference is not chance but an overload downstream.
@@ -26,7 +26,7 @@
 # Calls whose durations are kept: about ten seconds of calls, so that the first quartile outlasts a slow
 # period.
 MAX_CALL_SAMPLES = 64
-# Last calls that show the current state; with fewer, one long call would look like an overload.
+# Number of the last calls that show the current state; with fewer, one long call would look like an overload.
 RECENT_CALL_SAMPLES = 8
 # Fraction of the longest latency objective that a request may wait for its call to be sent; this is mostly
 # half of the shortest objective.
--- a/lichencleat/admission/slow_start.py
+++ b/lichencleat/admission/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: the concurrency that a node survives (runs without collapsing) while it warms up."""
+"""Slow start: the concurrency that a node survives (sustains without collapsing) while it warms up."""
 
 from __future__ import annotations
 
--- a/lichencleat/consensus/durable_writer.py
+++ b/lichencleat/consensus/durable_writer.py
@@ -1,4 +1,4 @@
-"""Passes durable writes to the store in order; a large snapshot is written in chunks before its write.
+"""Passes durable writes to the store in order; the chunks of a large snapshot are passed on before the write.
 
 Each chunk is committed before the next one is passed on, so that the store's queue holds one chunk at a time
 and a confirmed write never lacks a chunk. Later writes wait meanwhile, some 100 ms for a snapshot of 20 MB.
--- a/lichencleat/consensus/log_storage.py
+++ b/lichencleat/consensus/log_storage.py
@@ -102,7 +102,7 @@
     # -- reading -------------------------------------------------------------------------------------
 
     def load(self, get: Callable[[bytes], bytes | None]) -> DurableState:
-        """Load the state at start.
+        """Load the member's durable state when the member starts.
 
         Raises:
             CorruptDataError: confirmed data is missing.
--- a/lichencleat/consensus/process.py
+++ b/lichencleat/consensus/process.py
@@ -311,7 +311,7 @@
                 self.end(EXIT_HALTED)
 
     def _update_role(self) -> None:
-        """React to a change of this member's role, if there was one."""
+        """Log a change of this member's role, and start or stop the leader's own proposals."""
         role = self.node.role
         if role is self.role:
             return
