--- a/lichencleat/admission/queueing.py
+++ b/lichencleat/admission/queueing.py
@@ -9,7 +9,8 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec, Request
 
-MIN_FULL_TIME_FOR_LIFO_US = 1_000_000  # several turnovers of the queue; after it, the newest request is first
+# Once the queue has been full for this time, the newest request starts first: several turnovers of the queue.
+MIN_FULL_TIME_FOR_LIFO_US = 1_000_000
 
 
 class Queue:
@@ -31,7 +32,11 @@
         self.full_since: int | None = None
 
     def value(self, request: Request) -> float:
-        """Return the value of a request, relative to the core time that it takes."""
+        """Return the value of a request in relation to the core time that the request takes.
+
+        The earned value is divided by the median service time of the class, as a multiple of the median of
+        all classes. If the settings count values per unit of work, the value is not divided.
+        """
         own_time = 0 if self.value_by_work else self.service_times.usual(request.request_class)
         earned_value = request.request_class.value * self.quotas.value_share(request)
         return earned_value * (self.service_times.usual() / own_time if own_time else 1)
@@ -54,7 +59,7 @@
         return order[::-1] if is_full_for_long else order
 
     def choose_rejected(self, arrival: Request) -> Request:
-        """Return the request to reject: the arrival, or the least valuable queued request."""
+        """Return the request to reject if the queue is full: the arrival or the least valuable queued one."""
         least_valuable = min(self.pools.queued, key=lambda each: (self.value(each), -each.arrived))
         if (
             has_unrepeatable_run(least_valuable)
