--- a/lichencleat/failover/controller.py
+++ b/lichencleat/failover/controller.py
@@ -1,9 +1,10 @@
 """Failover controller: the commands that the leader proposes at each poll of the health reports; no I/O.
 
-A zone is judged by the observations of the routers of all zones, over several polls. After an outage and a
-quiet period, which doubles with each relapse, the zone is restored by a ramp that grows while the zone is
-healthy. Traffic is moved only within the capacity of the other zones; requests that no zone can serve are
-rejected in the zone where they arrive.
+A zone is judged by the observations of the routers of all zones, over several polls. A zone that has failed
+returns to service after a quiet period, which doubles with each relapse. Then other zones may use a small
+fraction of the zone's spare capacity; this fraction, the ramp, grows while the zone is healthy. Traffic is
+moved only within the capacity of the other zones; requests that no zone can serve are rejected in the zone
+where they arrive.
 """
 
 from __future__ import annotations
@@ -27,33 +28,39 @@
 
 ControllerCommand = ClearOverride | PublishPlan | UpdateCapacity
 
-POLL_INTERVAL_US = 300_000  # equals the report interval of the routers
-REPORT_TIMEOUT_US = 1_500_000  # without a report of any router of a zone: five report intervals
-MAX_LOST_FRACTION = 0.4  # of attempts; above it a zone is unhealthy
-LIMITED_FRACTION = 0.12  # of attempts rejected or lost; above it a zone is at its capacity
-MIN_UNHEALTHY_POLLS = 2  # in a row until a zone is taken out: one may be chance, three take almost 1 s
-MIN_ATTEMPTS = 10  # per poll; with fewer, a zone is not judged
-QUIET_PERIOD_US = 3_000_000  # without an unhealthy poll until a zone is restored; doubled per relapse
+POLL_INTERVAL_US = 300_000  # time between two polls; equals the report interval of the routers
+REPORT_TIMEOUT_US = 1_500_000  # older reports of a router are ignored: five report intervals
+MAX_LOST_FRACTION = 0.4  # a zone is unhealthy if a larger fraction of the attempts in the zone is lost
+LIMITED_FRACTION = 0.12  # a zone is at its capacity if a larger fraction of attempts is rejected or lost
+# Consecutive unhealthy polls until a zone is taken out of service: one may be chance, three take almost 1 s.
+MIN_UNHEALTHY_POLLS = 2
+MIN_ATTEMPTS = 10  # if a poll has fewer attempts in a zone, the zone is not judged by these attempts
+QUIET_PERIOD_US = 3_000_000  # time without an unhealthy poll until a zone is restored; doubled per relapse
 MAX_QUIET_PERIOD_US = 120_000_000
-FORGET_RELAPSES_AFTER_US = 600_000_000  # since the zone was restored
-INITIAL_RAMP = 0.1  # of a zone's spare capacity, offered for spillover when it is restored
-RAMP_GROWTH = 1.35  # factor on the ramp per healthy poll
-MAX_UTILIZATION = 0.95  # of a zone's known capacity, own load and spillover; the rest absorbs bursts
-CAPACITY_GAIN = 0.02  # of the difference to the observed capacity, per poll
-MIN_PLAN_CHANGE = 0.15  # of a zone's capacity; smaller changes are not published
+FORGET_RELAPSES_AFTER_US = 600_000_000  # relapses are forgotten this long after the zone was restored
+INITIAL_RAMP = 0.1  # fraction of a restored zone's spare capacity that other zones may use at first
+RAMP_GROWTH = 1.35  # factor by which the ramp grows in each healthy poll
+# Fraction of a zone's known capacity for its own load and that of other zones; the rest absorbs bursts.
+MAX_UTILIZATION = 0.95
+# In each poll, the known capacity changes by this fraction of its difference to the rate of successful
+# attempts.
+CAPACITY_GAIN = 0.02
+# A plan with the same roles is published only if a shed fraction changes by more than this, or a zone's
+# spillover by more than this fraction of the zone's capacity.
+MIN_PLAN_CHANGE = 0.15
 
 
 @dataclass(slots=True)
 class ZoneHealth:
     """The health of one zone as observed by this leader."""
 
-    unhealthy_polls: int = 0  # in a row
-    is_out: bool = False  # taken out of service
-    unhealthy_at: int = 0  # µs of the last unhealthy poll
-    restored_at: int = 0  # µs
-    relapses: int = 0
-    ramp: float = 1.0  # fraction of the spare capacity that is offered for spillover
-    reason: str = ""
+    unhealthy_polls: int = 0  # consecutive unhealthy polls until now
+    is_out: bool = False  # whether the zone is taken out of service
+    unhealthy_at: int = 0  # time of the last unhealthy poll, µs of the leader's monotonic clock
+    restored_at: int = 0  # time when the zone was last restored, µs of the same clock
+    relapses: int = 0  # how often the zone was taken out, until its relapses are forgotten
+    ramp: float = 1.0  # fraction of the zone's spare capacity that other zones may use
+    reason: str = ""  # reason of the last verdict
 
 
 class Verdict(NamedTuple):
@@ -67,7 +74,7 @@
 class LastSeen:
     """A log entry, and when this leader first saw it."""
 
-    index: int
+    index: int  # log index of the entry
     seen_at: int  # µs of the leader's monotonic clock
 
 
@@ -88,7 +95,13 @@
 def update_last_seen(
     last_seen: Mapping[str, LastSeen], indexes: Mapping[str, int], now: int
 ) -> dict[str, LastSeen]:
-    """Return when each log entry was first seen; an entry that is new or has a new index is seen now."""
+    """Return the log index of each name's entry, and the time when this leader first saw the entry.
+
+    Args:
+        last_seen: The result of the previous call.
+        indexes: The current log index of each name's entry.
+        now: µs; the time of an entry that was not in `last_seen`, or had another index there.
+    """
     updated = {}
     for name, index in indexes.items():
         last = last_seen.get(name)
@@ -102,9 +115,9 @@
 
     fencing_token: int
     health: dict[str, ZoneHealth] = field(default_factory=dict)
-    last_reports: dict[str, LastSeen] = field(default_factory=dict)  # by router
-    overrides_seen: dict[str, LastSeen] = field(default_factory=dict)  # by zone
-    has_begun: bool = False
+    last_reports: dict[str, LastSeen] = field(default_factory=dict)  # by router: its last report
+    overrides_seen: dict[str, LastSeen] = field(default_factory=dict)  # by zone: its override
+    has_begun: bool = False  # whether `take_over` was called
 
     def plan_next_step(
         self,
@@ -140,7 +153,7 @@
         return commands
 
     def take_over(self, now: int, plan: RoutingPlan) -> None:
-        """Continue the plan in force: a zone on standby stays out of service for a quiet period."""
+        """Continue the plan of the previous leader: a zone on standby stays out for a quiet period."""
         self.has_begun = True
         for name, role in plan.roles.items():
             if role == ZoneRole.STANDBY:
@@ -164,7 +177,10 @@
         }
 
     def expired_overrides(self, now: int, overrides: dict[str, ActiveOverride]) -> list[ClearOverride]:
-        """Clear expired overrides, also when the operator's terminal that set them is gone."""
+        """Return a command for each expired override, which clears the override.
+
+        The leader times the overrides, so an override ends even if the operator's terminal is gone.
+        """
         indexes = {zone: each.index for zone, each in overrides.items()}
         self.overrides_seen = update_last_seen(self.overrides_seen, indexes, now)
         return [
@@ -173,10 +189,10 @@
             if each.duration and now - self.overrides_seen[zone].seen_at >= each.duration
         ]
 
-    # -- one zone --------------------------------------------------------------------------------------
+    # -- health and capacity of a zone -----------------------------------------------------------------
 
     def update_health(self, now: int, health: ZoneHealth, verdict: Verdict | None) -> None:
-        """Take a zone out, restore it or ramp it up; without a verdict its health stays unchanged."""
+        """Update a zone's health by the verdict of this poll; None leaves the health unchanged."""
         if verdict is None:
             return
         health.reason = verdict.reason
@@ -187,7 +203,7 @@
 
     @staticmethod
     def record_unhealthy_poll(now: int, health: ZoneHealth) -> None:
-        """Take the zone out if it was unhealthy several times in a row."""
+        """Take the zone out of service after `MIN_UNHEALTHY_POLLS` consecutive unhealthy polls."""
         health.unhealthy_polls += 1
         health.unhealthy_at = now
         if health.is_out or health.unhealthy_polls < MIN_UNHEALTHY_POLLS:
@@ -199,7 +215,7 @@
 
     @staticmethod
     def record_healthy_poll(now: int, health: ZoneHealth) -> None:
-        """Restore the zone after its quiet period; then increase its ramp."""
+        """Restore the zone at the end of its quiet period, or increase the ramp of a restored zone."""
         health.unhealthy_polls = 0
         if not health.is_out:
             if health.ramp < 1.0:
@@ -214,11 +230,13 @@
     def judge(
         self, zone: str, current: dict[str, RouterHealth], routers: dict[str, RouterHealth]
     ) -> Verdict | None:
-        """Judge a zone by attempts from other zones, then by its own; None without observations.
+        """Judge a zone by attempts from other zones, then by its routers' reports and their own attempts.
+
+        Returns None if attempts from other zones show no failure, and no router of the zone ever reported.
 
         Args:
             zone: Name of the zone.
-            current: The reports that have not timed out.
+            current: The last report of each router, without reports that have timed out.
             routers: The last report of each router.
         """
         sent, lost = self.count_attempts(zone, current, from_other_zones=True)
@@ -236,16 +254,20 @@
     def count_attempts(
         zone: str, current: dict[str, RouterHealth], from_other_zones: bool
     ) -> tuple[int, int]:
-        """Return attempts sent to a zone and lost there, by reports of other zones' routers or its own."""
+        """Return how many attempts were sent to a zone, and how many of them were lost.
+
+        Counts the reports of other zones' routers if `from_other_zones`, otherwise of the zone's own routers.
+        """
         reports = {name: each for name, each in current.items() if (each.zone != zone) == from_other_zones}
         observations = observations_of(zone, reports)
         return sum(each.sent for each in observations), sum(each.lost for each in observations)
 
     def observed_capacity(self, name: str, zone: Zone, current: dict[str, RouterHealth]) -> float | None:
-        """Return the new capacity of a zone after this poll, None if it is unchanged.
+        """Return the new capacity of a zone after this poll, None if the capacity is unchanged.
 
-        The capacity follows the rate of successful attempts while others are rejected or lost, which corrects
-        an outdated configured capacity. It rises only to a rate that was attempted and succeeded.
+        The capacity falls towards the rate of successful attempts while many other attempts are rejected or
+        lost, and rises towards that rate when the rate is higher than the capacity. This corrects an outdated
+        configured capacity. The capacity never rises above a rate that was served.
         """
         observations = observations_of(name, current)
         sent = sum(each.sent for each in observations)
@@ -259,7 +281,7 @@
             return zone.capacity + CAPACITY_GAIN * (rate - zone.capacity)
         return None
 
-    # -- the plan --------------------------------------------------------------------------------------
+    # -- routing plan ----------------------------------------------------------------------------------
 
     def create_plan(
         self,
@@ -305,7 +327,7 @@
 
     @staticmethod
     def is_significant_change(old: RoutingPlan, new: RoutingPlan, zones: dict[str, Zone]) -> bool:
-        """Whether roles changed, or a spillover or shed fraction changed significantly."""
+        """Whether the new plan has other roles, or a significantly different spillover or shed fraction."""
         if (
             old.roles != new.roles
             or set(old.spillover) != set(new.spillover)
@@ -321,7 +343,11 @@
 
 
 def is_significant_rate(old: float, new: float, capacity: float) -> bool:
-    """Whether a spillover changed by much of the zone's capacity, or grew by a step of a low ramp."""
+    """Whether the change of a zone's spillover rate has to be published.
+
+    This holds for a change by a large part of the zone's capacity, and for the growth of a low rate by more
+    than `RAMP_GROWTH`, which happens while a restored zone's ramp grows. Rates are in requests per second.
+    """
     if abs(new - old) > MIN_PLAN_CHANGE * capacity * MAX_UTILIZATION:
         return True
     return new > old * RAMP_GROWTH and old < INITIAL_RAMP * capacity
--- a/lichencleat/failover/controller_task.py
+++ b/lichencleat/failover/controller_task.py
@@ -60,11 +60,11 @@
             self.propose(STATE_PART, command)
 
     def on_propose(self, command: object) -> None:
-        """Log each proposed plan whose reason is new."""
+        """Log a proposed plan if its reason differs from the last logged reason."""
         if isinstance(command, PublishPlan) and command.plan.reason != self.logged_reason:
             self.logged_reason = command.plan.reason
             self.log.info("routing plan proposed", after=command.previous_version, reason=command.plan.reason)
 
     def on_proposal_failed(self, failure: Failure) -> None:
-        """Log the failure; the next poll proposes again what is still needed."""
+        """Log the failure; the next poll proposes the commands that are still needed."""
         self.log.warning("routing plan proposal failed", reason=failure.getErrorMessage())
--- a/lichencleat/failover/locality_routing.py
+++ b/lichencleat/failover/locality_routing.py
@@ -1,8 +1,9 @@
-"""Locality routing: which share of its arrivals a router sends to other zones, and to which; no I/O.
+"""Locality routing: which fraction of its arrivals a router sends to other zones, and to which; no I/O.
 
-Traffic stays local while the local zone can serve it. The share that spills over grows only while attempts in
-the local zone fail, by bounded steps. It falls more slowly than it grew, so that a load at the limit does not
-oscillate. The cost of the slow fall: for some seconds after a burst, requests travel farther than necessary.
+Traffic stays local while the local zone can serve it. The fraction of arrivals that goes to other zones, the
+spill, grows by bounded steps while attempts in the local zone fail. The spill falls more slowly than it
+grows, so that it does not oscillate when the load is at the local zone's limit. Cost: for some seconds after
+a burst, requests travel farther than necessary.
 """
 
 from __future__ import annotations
@@ -13,20 +14,23 @@
 from lichencleat.failover.messages import RoutingPlan, Zone, ZoneRole
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-UPDATE_INTERVAL_US = 300_000  # between updates: tens of attempts at usual rates
-SPILL_INCREASE = 0.08  # of the arrivals, per update
-SPILL_DECREASE = 0.02  # of the arrivals, per update
-HIGH_FAILURE_FRACTION = 0.10  # of first attempts in the local zone; above it the spill increases
-LOW_FAILURE_FRACTION = 0.03  # of first attempts in the local zone; below it the spill decreases
-LOST_FRACTION = 0.5  # of first attempts in the local zone; above it the spill increases fast
-FAST_INCREASE_FACTOR = 4  # on the increase, when attempts are lost
-MIN_ATTEMPTS = 8  # per update; with fewer, the router waits for more
-HOLD_TIME_US = 10_000_000  # from the last increase to the first decrease, against oscillation
-RESTORE_DELAY_US = 3_000_000  # from the last increase until more traffic returns to a mostly remote zone
-PROBE_FRACTION = 0.05  # of the arrivals stay local, so that a recovery is noticed; none if the plan forbids
-PROBE_GROWTH = 1.25  # factor on the local share per update, while most traffic is remote and probes succeed
-MOSTLY_REMOTE = 0.5  # of the arrivals; a larger spill means a lost zone, a smaller one a slight overload
-PLAN_STALE_AFTER_US = 10_000_000  # without a plan: spillover is halved, after twice that time quartered
+UPDATE_INTERVAL_US = 300_000  # time between two updates of the spill: tens of attempts at usual rates
+SPILL_INCREASE = 0.08  # added to the spill in an update with many failures
+SPILL_DECREASE = 0.02  # subtracted from the spill in an update with few failures
+HIGH_FAILURE_FRACTION = 0.10  # the spill increases if a larger fraction of first local attempts fails
+LOW_FAILURE_FRACTION = 0.03  # the spill decreases if a smaller fraction of first local attempts fails
+LOST_FRACTION = 0.5  # the spill increases fast if a larger fraction of first local attempts is lost
+FAST_INCREASE_FACTOR = 4  # factor on `SPILL_INCREASE` for a fast increase
+MIN_ATTEMPTS = 8  # with fewer attempts, an update leaves the spill unchanged and keeps the counts
+HOLD_TIME_US = 10_000_000  # time from the last increase to the first decrease; prevents oscillation
+RESTORE_DELAY_US = 3_000_000  # used in place of `HOLD_TIME_US` while most traffic goes to other zones
+# Fraction of the arrivals that always stays local as probes, so that the router notices when the local zone
+# works again. The fraction is 0 if the plan drains or fences the local zone.
+PROBE_FRACTION = 0.05
+# Factor by which the local fraction grows per update while most traffic is remote and the probes succeed.
+PROBE_GROWTH = 1.25
+MOSTLY_REMOTE = 0.5  # a larger spill means that the local zone is lost, a smaller one a slight overload
+PLAN_STALE_AFTER_US = 10_000_000  # a plan of this age halves its spillover, of twice this age quarters it
 
 
 @dataclass(slots=True)
@@ -47,7 +51,10 @@
 
 
 class LocalityRouter:
-    """The locality decisions of one router; the owner calls `update` every `UPDATE_INTERVAL_US`.
+    """Decides for one router which requests go to other zones; the owner calls `update` at intervals.
+
+    Two limits apply: `spill`, which the router adjusts, and the spillover rates of the routing plan, which
+    all routers share. `update` is called every `UPDATE_INTERVAL_US`.
 
     Args:
         zone: The router's own zone.
@@ -61,14 +68,14 @@
         self.rng = rng
         self.spill = 0.0  # fraction of the arrivals that goes to other zones
         self.plan = RoutingPlan()
-        self.plan_received_at = 0  # µs when the plan was last confirmed
+        self.plan_received_at = 0  # µs: when this plan was last received
         self.attempts: dict[str, AttemptCounts] = {}  # by zone
-        self.spillover_left: dict[str, float] = {}  # by zone: requests that may go there until the update
-        self.router_count = 1  # known routers that share the spillover
-        self.increased_at = 0  # µs of the last increase
+        self.spillover_left: dict[str, float] = {}  # by zone: requests to send until the next update
+        self.router_count = 1  # number of routers that share the plan's spillover
+        self.increased_at = 0  # µs: when the spill last increased
 
     def apply_plan(self, now: int, plan: RoutingPlan, router_count: int = 1) -> bool:
-        """Apply a plan that was received at `now` (µs); returns False for one older than the current one."""
+        """Apply a plan that was received at `now` (µs); return False if the current plan is newer."""
         if plan.version < self.plan.version:
             return False
         self.plan_received_at = now
@@ -83,14 +90,14 @@
         self.attempts.setdefault(zone, AttemptCounts()).record(succeeded, rejected)
 
     def update(self, now: int) -> None:
-        """Adjust the spill by the attempts since the last update (`now` in µs)."""
+        """Adjust the spill by the outcomes of local attempts since the last update (`now` in µs)."""
         counts = self.attempts.get(self.zone, AttemptCounts())
-        # While most traffic is remote, few attempts stay local, and each one counts.
+        # While most traffic is remote, there are few local attempts, so a single one is enough.
         min_attempts = MIN_ATTEMPTS if self.spill <= MOSTLY_REMOTE else 1
         if self.plan.role(self.zone) in (ZoneRole.DRAINING, ZoneRole.FENCED):
             self.spill = 1.0
         else:
-            # Without probes, a zone would stay unused after a plan lets it serve again.
+            # Without probes, the router would not use the local zone after a plan lets the zone serve again.
             self.spill = min(self.spill, 1 - PROBE_FRACTION)
             if counts.sent >= min_attempts:
                 self.adjust_spill(now, counts)
@@ -99,7 +106,7 @@
         self.refill_spillover(now)
 
     def adjust_spill(self, now: int, counts: AttemptCounts) -> None:
-        """Increase or decrease the spill by one step, by the outcomes in the local zone."""
+        """Increase the spill if many local attempts failed; decrease the spill if few did."""
         failure_fraction = (counts.rejected + counts.lost) / counts.sent
         if failure_fraction > HIGH_FAILURE_FRACTION:
             factor = FAST_INCREASE_FACTOR if counts.lost > LOST_FRACTION * counts.sent else 1
@@ -109,7 +116,7 @@
             self.decrease_spill(now - self.increased_at)
 
     def decrease_spill(self, elapsed: int) -> None:
-        """Decrease the spill by one step if the last increase, `elapsed` µs ago, is old enough."""
+        """Decrease the spill if the last increase, `elapsed` µs ago, is old enough."""
         if self.spill > MOSTLY_REMOTE and elapsed >= RESTORE_DELAY_US:
             local = max(PROBE_FRACTION, 1 - self.spill) * PROBE_GROWTH
             self.spill = max(0.0, 1 - local)
@@ -117,11 +124,14 @@
             self.spill = max(0.0, self.spill - SPILL_DECREASE)
 
     def staleness_factor(self, now: int) -> float:
-        """Return the factor on the plan's spillover, which falls with age: the plan may be outdated."""
+        """Return the factor on the plan's spillover, which falls with the plan's age."""
         return 0.5 ** min(2, (now - self.plan_received_at) // PLAN_STALE_AFTER_US)
 
     def refill_spillover(self, now: int) -> None:
-        """Set this router's part of the plan's spillover to each other zone until the next update."""
+        """Set how many requests this router may send to each other zone until the next update.
+
+        The routers divide the rates of the plan evenly.
+        """
         interval_s = UPDATE_INTERVAL_US / MICROSECONDS_PER_SECOND
         share = interval_s / self.router_count * self.staleness_factor(now)
         self.spillover_left = {
--- a/lichencleat/failover/messages.py
+++ b/lichencleat/failover/messages.py
@@ -13,17 +13,17 @@
 STATE_PART = "zones"  # the name of this part of the replicated state
 HISTORY_QUERY = "history"  # reads the plans before the current one
 MAX_ZONES = 32
-MAX_ROUTERS = 1_024  # reporting routers that are stored
-MAX_HISTORY = 64  # former plans that are kept
+MAX_ROUTERS = 1_024  # limit on the routers whose reports are stored
+MAX_HISTORY = 64  # number of former plans that are stored
 
 
 class ZoneRole(IntEnum):
     """What a zone does under a plan. The numbers are stored: never reassigned."""
 
-    ACTIVE = 1  # it serves its own callers and spillover from other zones
-    DRAINING = 2  # its callers are sent to other zones; it finishes requests in flight
-    STANDBY = 3  # it gets no spillover; its own routers serve what they can
-    FENCED = 4  # it gets no requests, by an operator's override
+    ACTIVE = 1  # the zone serves its own callers, and requests that other zones send
+    DRAINING = 2  # the zone finishes requests in flight; new requests go to other zones
+    STANDBY = 3  # other zones send no requests to the zone; its own routers still use the zone
+    FENCED = 4  # an operator has excluded the zone from all requests
 
     @property
     def label(self) -> str:
@@ -48,12 +48,15 @@
 
 
 class RoutingPlan(msgspec.Struct, frozen=True, array_like=True):
-    """Roles and limits of the zones. An unnamed zone serves its own callers and gets no spillover."""
+    """Roles of the zones, and limits on the traffic between them.
+
+    A zone without a role is active; other zones send no requests to a zone without a spillover rate.
+    """
 
     version: int = 0
-    fencing_token: int = 0  # of the leader that published it
-    roles: dict[str, int] = {}  # by zone, a `ZoneRole`
-    spillover: dict[str, float] = {}  # by zone: requests per second from all other zones together
+    fencing_token: int = 0  # fencing token of the leader that published the plan
+    roles: dict[str, int] = {}  # by zone: a `ZoneRole`
+    spillover: dict[str, float] = {}  # by zone: requests per second that all other zones together may send
     shed: dict[str, float] = {}  # by zone: fraction of its arrivals to reject, as no zone can serve them
     reason: str = ""
 
@@ -63,7 +66,7 @@
 
 
 class ZoneObservation(msgspec.Struct, frozen=True, array_like=True):
-    """A router's observation of one zone in the last interval; only first attempts count."""
+    """A router's counts of the attempts in one zone in its last report interval, without retries."""
 
     sent: int
     succeeded: int  # served in time
@@ -102,30 +105,31 @@
 
     zone: str
     role: int
-    duration: int = 0  # µs, 0: until cleared; timed by the leader, so that a drill ends without its terminal
+    # µs, 0: until cleared. The leader measures the time, so a drill ends even if the terminal is gone.
+    duration: int = 0
 
 
 class ClearOverride(msgspec.Struct, frozen=True, array_like=True, tag="unwish"):
-    """From an operator, or from the leader when an override has expired: clear the override."""
+    """From an operator, or from the leader when an override has expired: clear a zone's override."""
 
     zone: str
-    index: int = 0  # log index of the override, 0: whichever is in force
+    index: int = 0  # log index of the override to clear, 0: any override of the zone
 
 
 class PublishPlan(msgspec.Struct, frozen=True, array_like=True, tag="give"):
-    """From the leader: replace the plan that the leader has read."""
+    """From the leader: replace the current plan by a new plan."""
 
     fencing_token: int
-    previous_version: int  # version of that plan; rejected if another one was published since
+    previous_version: int  # version of the plan to replace; rejected if the current plan has another version
     plan: RoutingPlan
 
 
 class UpdateCapacity(msgspec.Struct, frozen=True, array_like=True, tag="learn"):
-    """From the leader: the observed capacity of a zone."""
+    """From the leader: set the capacity of a zone to the observed one."""
 
     fencing_token: int
     zone: str
-    capacity: float
+    capacity: float  # requests per second
 
 
 Command = (
@@ -134,11 +138,11 @@
 
 
 class ActiveOverride(msgspec.Struct, array_like=True):
-    """An override in force."""
+    """An operator's override that is in force."""
 
-    role: int
+    role: int  # a `ZoneRole`
     duration: int  # µs, 0: until cleared
-    index: int  # of its log entry
+    index: int  # log index of the override
 
 
 class RouterHealth(msgspec.Struct, array_like=True):
@@ -148,7 +152,7 @@
     plan_version: int
     offered: float
     observations: dict[str, ZoneObservation]
-    index: int  # of its log entry
+    index: int  # log index of the report
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
--- a/lichencleat/failover/outlier_ejection.py
+++ b/lichencleat/failover/outlier_ejection.py
@@ -1,7 +1,7 @@
 """Outlier ejection: a router avoids nodes of a zone whose attempts fail, for a limited time; no I/O.
 
-As in Envoy: a node whose last attempts mostly failed is ejected, each time for longer. Its load moves to the
-other nodes, so at most a fixed fraction of a zone's nodes is ejected at once.
+As in Envoy, a node is ejected if most of its last attempts failed, and for longer each time. The node's load
+moves to the other nodes, so at most a fixed fraction of a zone's nodes is ejected at once.
 """
 
 from __future__ import annotations
@@ -9,13 +9,13 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-MAX_OUTCOMES = 10  # last attempts of a node: some 100 ms of a busy node
-MIN_OUTCOMES = 5  # with fewer, a node is not judged
-FAILURE_THRESHOLD = 0.5  # of the last attempts of a node
-BASE_EJECTION_US = 1_000_000  # doubled with each further ejection in a row
+MAX_OUTCOMES = 10  # number of last attempts by which a node is judged: a busy node has as many in some 100 ms
+MIN_OUTCOMES = 5  # a node with fewer attempts is not judged
+FAILURE_THRESHOLD = 0.5  # a node is an outlier if at least this fraction of its last attempts failed
+BASE_EJECTION_US = 1_000_000  # duration of a first ejection; doubled with each further consecutive ejection
 MAX_EJECTION_US = 60_000_000
-MAX_EJECTED_FRACTION = 1 / 3  # of a zone's nodes at once
-FORGET_AFTER_US = 30_000_000  # after the end of an ejection, the next one has the base duration
+MAX_EJECTED_FRACTION = 1 / 3  # largest fraction of a zone's nodes that may be ejected at once
+FORGET_AFTER_US = 30_000_000  # an ejection that begins this long after the previous one counts as a first one
 
 
 @dataclass(slots=True)
@@ -23,8 +23,8 @@
     """The last outcomes and ejections of one node."""
 
     outcomes: deque[bool] = field(default_factory=lambda: deque(maxlen=MAX_OUTCOMES))  # True: success
-    ejected_until: int = 0  # µs
-    ejections: int = 0  # in a row
+    ejected_until: int = 0  # µs: end of the last ejection
+    ejections: int = 0  # number of consecutive ejections
 
 
 class OutlierEjector:
@@ -47,7 +47,7 @@
             self.eject(now, health)
 
     def is_outlier(self, health: NodeHealth) -> bool:
-        """Whether the last attempts of a node mostly failed."""
+        """Whether at least `FAILURE_THRESHOLD` of a node's last attempts failed."""
         count = len(health.outcomes)
         return count >= MIN_OUTCOMES and health.outcomes.count(False) >= FAILURE_THRESHOLD * count
 
@@ -57,7 +57,7 @@
         return ejected + 1 <= MAX_EJECTED_FRACTION * len(self.nodes)
 
     def eject(self, now: int, health: NodeHealth) -> None:
-        """Eject a node; each ejection in a row lasts twice as long as the previous one."""
+        """Eject a node; each consecutive ejection lasts twice as long as the previous one."""
         is_repeated = now - health.ejected_until < FORGET_AFTER_US
         health.ejections = health.ejections + 1 if is_repeated else 1
         duration = min(MAX_EJECTION_US, BASE_EJECTION_US * 2 ** (health.ejections - 1))
@@ -65,5 +65,5 @@
         health.outcomes.clear()
 
     def eligible(self, now: int) -> list[str]:
-        """Return the nodes that are not ejected at `now` (µs), in the order in which they were set."""
+        """Return the nodes that are not ejected at `now` (µs), in the order of `set_nodes`."""
         return [name for name, each in self.nodes.items() if now >= each.ejected_until]
--- a/lichencleat/failover/preview.py
+++ b/lichencleat/failover/preview.py
@@ -1,4 +1,4 @@
-"""Preview of an operator's override: the plan that would follow from it; no I/O."""
+"""Preview of an operator's override: the routing plan that the override would lead to; no I/O."""
 
 from __future__ import annotations
 
@@ -16,7 +16,8 @@
 ) -> RoutingPlan:
     """Return the plan that would follow if `zone` had `role` and nothing else changed.
 
-    Computed by the failover controller from the replicated state that the other arguments hold.
+    The failover controller computes the plan; `zones`, `plan`, `routers` and `overrides` are the current
+    replicated state.
     """
     controller = FailoverController(plan.fencing_token)
     for name in zones:
--- a/lichencleat/failover/retry_budget.py
+++ b/lichencleat/failover/retry_budget.py
@@ -1,20 +1,20 @@
 """Retry budget: limits a router's retries to a fraction of its first attempts; no I/O.
 
-As in Finagle's retry budgets: retries add load to an overloaded zone, so that the total number of retries is
-limited to a small part of the load.
+Retries add load to an overloaded zone, so a router may retry only a small fraction of its requests, as with
+Finagle's retry budgets.
 """
 
 from __future__ import annotations
 
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-RETRY_FRACTION = 0.1  # retries per first attempt: at most a tenth more load
-MIN_RETRIES_PER_SECOND = 1.0  # at any rate of first attempts, so that a router with few requests can retry
-WINDOW_S = 10.0  # of unused retries that are kept: more would allow a retry storm
+RETRY_FRACTION = 0.1  # retries allowed per first attempt: retries add at most a tenth to the load
+MIN_RETRIES_PER_SECOND = 1.0  # retries always allowed, so that a router with few requests can retry
+WINDOW_S = 10.0  # unused retries of this time are kept; more would allow a retry storm
 
 
 class RetryBudget:
-    """The budget of one router; refilled by time and by first attempts.
+    """The budget of one router; time and first attempts add retries to the budget.
 
     Args:
         now: µs of a monotonic clock.
@@ -33,7 +33,7 @@
         self.available = min_retries_per_second
         self.refilled_at = now
         self.first_attempt_rate = 0.0  # per second, approximately
-        self.rejected = 0
+        self.rejected = 0  # retries that were not allowed
 
     def record_first_attempt(self, now: int) -> None:
         """Count a first attempt at `now` (µs)."""
@@ -53,7 +53,10 @@
         return WINDOW_S * max(self.min_retries_per_second, self.retry_fraction * self.first_attempt_rate)
 
     def acquire(self, now: int, may_have_run: bool) -> bool:
-        """Take one retry if available; an attempt that may have run is never retried."""
+        """Take one retry from the budget; return whether the attempt may be retried.
+
+        An attempt that may have run is never retried.
+        """
         self.refill(now)
         if may_have_run or self.available < 1:
             self.rejected += 1
--- a/lichencleat/failover/state.py
+++ b/lichencleat/failover/state.py
@@ -1,4 +1,4 @@
-"""Replicated state of the failover: zones, health reports, overrides and the plan; no I/O, no clock."""
+"""Replicated state of the failover: zones, health reports, overrides, routing plan; no I/O, no clock."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 from lichencleat.leases.lease_state import LeaseState
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
-MAX_UTILIZATION = 1.0  # of a zone's capacity; a plan with more spillover is rejected
+MAX_UTILIZATION = 1.0  # a plan is rejected if a zone's spillover is above this fraction of its capacity
 
 
 class FailoverSnapshot(msgspec.Struct, array_like=True):
@@ -45,7 +45,7 @@
 
 
 class FailoverView(TypedDict):
-    """The answer to a read; the keys are sent."""
+    """The answer to a read of the state; the keys are sent to clients."""
 
     zones: dict[str, Zone]
     order: RoutingPlan
@@ -57,7 +57,7 @@
 
 
 class FailoverState:
-    """The part of the replicated state that `messages.STATE_PART` names.
+    """The failover's part of the replicated state, whose name is `messages.STATE_PART`.
 
     Only `publish_plan` puts a plan in force.
 
@@ -118,7 +118,7 @@
             )
         return self.plan
 
-    # -- operators -------------------------------------------------------------------------------------
+    # -- commands of operators -------------------------------------------------------------------------
 
     def define_zone(self, message: DefineZone) -> CommandReply:
         """Add a zone, or change its properties."""
@@ -136,18 +136,18 @@
         return CommandReply(True)
 
     def clear_override(self, message: ClearOverride) -> CommandReply:
-        """Clear an override, unless the override in force is not the one that the command names."""
+        """Clear a zone's override; a command with a log index clears only the override of that index."""
         override = self.overrides.get(message.zone)
         if override is None or (message.index and override.index != message.index):
             return CommandReply(False, "no such wish")
         del self.overrides[message.zone]
         return CommandReply(True)
 
-    # -- the leader ------------------------------------------------------------------------------------
+    # -- commands of the leader ------------------------------------------------------------------------
 
     def is_from_leader(self, message: PublishPlan | UpdateCapacity) -> bool:
-        """Whether the command carries the newest fencing token of the job."""
-        # Else a leader that was suspended for longer than its lease could continue with an outdated view.
+        """Whether the command carries the newest fencing token of the failover's job."""
+        # Without this check, a leader that was suspended beyond its lease could act on an outdated view.
         return self.jobs.is_current_token(JOB, message.fencing_token)
 
     def update_capacity(self, message: UpdateCapacity) -> CommandReply:
@@ -158,7 +158,7 @@
         return CommandReply(True)
 
     def publish_plan(self, message: PublishPlan) -> CommandReply:
-        """Put a plan in force if it follows the current plan, fits the capacities and keeps fenced zones."""
+        """Put a plan in force if it replaces the current plan, fits the capacities and keeps zones fenced."""
         if not self.is_from_leader(message):
             return CommandReply(False, "an older owner's")
         if message.previous_version != self.plan.version:
