--- a/lichencleat/recovery/__init__.py
+++ b/lichencleat/recovery/__init__.py
@@ -1,9 +1,9 @@
 """Cold start of the fleet after a power loss; the concepts are described in docs/recovery.md.
 
-Guarantees: a node serves only under the current epoch of the fleet. A node trusts no idempotency window while
-its clock contradicts the clocks of the fleet. Nodes are opened in batches that grow while the open nodes are
-healthy. The rollout plan is replicated, so that another leader can continue it. A node that can't reach the
-consensus group does not wait indefinitely: after a delay it serves the requests that it can verify alone.
+Guarantees: a node serves only under the current epoch of the fleet. A node serves no keyed requests while its
+clock contradicts the clocks of the fleet. Nodes are opened (they get requests) in batches that grow while the
+open nodes are healthy. The rollout plan is replicated, so that another leader can continue it. A node that
+can't reach the consensus group does not wait indefinitely: after a delay, the node opens by itself.
 
 Decisions without I/O: `boot_record` (how the previous process ended), `trust` (which knowledge from before a
 start is trusted, and by which proof), `state` (epoch and plan, a part of the replicated state), `planner`
--- a/lichencleat/recovery/boot_record.py
+++ b/lichencleat/recovery/boot_record.py
@@ -1,4 +1,4 @@
-"""Boot record: how often a node was started, how and when its previous process ended; no I/O."""
+"""Boot record: how often a node was started, and how and when its last process ended; no I/O."""
 
 from __future__ import annotations
 
@@ -8,28 +8,35 @@
 
 from lichencleat.decode_errors import UNDECODABLE
 
-MAX_CLOCK_BEHIND_US = 1_000_000  # behind the last record: twice the size of usual clock adjustments
-MAX_CLOCK_AHEAD_US = 366 * 86_400_000_000  # after the last record: a longer downtime is implausible
+# A clock is plausible if it is at most this far behind the time of the last boot record: twice the size of
+# usual clock adjustments.
+MAX_CLOCK_BEHIND_US = 1_000_000
+# A clock is plausible if it is at most this far ahead of the time of the last boot record; a longer downtime
+# is implausible.
+MAX_CLOCK_AHEAD_US = 366 * 86_400_000_000
 FORMAT = 1
 
 
 class BootRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The stored record of one process, rewritten while it runs. Fields are never moved or dropped."""
+    """The stored record of one process, rewritten while the process runs.
+
+    Fields are never moved or dropped.
+    """
 
     format: int
-    boot_count: int
+    boot_count: int  # number of starts of the node, including this one
     clean_shutdown: bool  # set by a graceful shutdown; false while the process runs
-    last_alive: int  # µs of Unix time
+    last_alive: int  # µs of Unix time: when the record was last written
     group: str  # name of the fleet's consensus group, empty if there is none
     epoch: int  # last epoch in which the node took part
 
 
 class ClockCheck(Enum):
-    """The machine's clock, judged by the last boot record."""
+    """The result of comparing the machine's clock with the time of the last boot record."""
 
     PLAUSIBLE = auto()
-    BEHIND = auto()  # before the last record: an empty clock battery, or an operator set it back
-    AHEAD = auto()  # implausibly long after the last record
+    BEHIND = auto()  # the clock shows an earlier time: its battery is empty, or an operator set it back
+    AHEAD = auto()  # the clock shows an implausibly late time
 
 
 class InvalidBootRecordError(ValueError):
@@ -97,7 +104,7 @@
 
 
 def create_record(previous: BootRecord | None, unix_time: int, group: str) -> BootRecord:
-    """Return the boot record of a process that starts; it carries the epoch of the previous process."""
+    """Return the boot record of a process that starts, with the epoch of the previous process."""
     boot_count = 1 if previous is None else previous.boot_count + 1
     epoch = 0 if previous is None else previous.epoch
     return BootRecord(FORMAT, boot_count, False, unix_time, group, epoch)
--- a/lichencleat/recovery/boot_record_store.py
+++ b/lichencleat/recovery/boot_record_store.py
@@ -1,4 +1,4 @@
-"""Boot record of the running process, kept in the store of the node's idempotency records."""
+"""Loads and updates the boot record, which is in the same store as the node's idempotency records."""
 
 from __future__ import annotations
 
@@ -16,11 +16,13 @@
 )
 from lichencleat.recovery.interfaces import StoreReader
 
-BOOT_RECORD_KEY = b"b"  # in the node's store
+BOOT_RECORD_KEY = b"b"  # key of the boot record in the node's store
 
 
 class BootRecordStore:
-    """Loads the previous boot record; the current one is written with each heartbeat of the node's store.
+    """Loads the boot record of the previous process, and encodes that of this process.
+
+    The idempotency service stores the record of this process with each of its heartbeats.
 
     Args:
         group: The consensus group of this node.
@@ -30,16 +32,16 @@
     def __init__(self, group: str, unix_time: Callable[[], int]) -> None:
         self.group = group
         self.unix_time = unix_time
-        self.previous: BootRecord | None = None
-        self.current: BootRecord | None = None
+        self.previous: BootRecord | None = None  # of the previous process; None at a first start
+        self.current: BootRecord | None = None  # of this process; None until the store is open
         self.clock_check = ClockCheck.PLAUSIBLE
-        self.epoch = 0
+        self.epoch = 0  # last epoch in which the node took part
 
     def on_store_opened(self, read: StoreReader) -> None:
-        """Load the previous record and create the current one.
+        """Load the record of the previous process and create that of this process.
 
         Raises:
-            InvalidBootRecordError: The record can't be used.
+            InvalidBootRecordError: The record of the previous process can't be used.
         """
         self.previous = load_previous(read(BOOT_RECORD_KEY), self.group)
         self.clock_check = check_clock(self.previous, self.unix_time())
@@ -47,7 +49,7 @@
         self.epoch = self.current.epoch
 
     def to_entry(self, is_last: bool) -> tuple[bytes, bytes]:
-        """Return the key and value to store with a heartbeat.
+        """Return the key and the encoded boot record to store with a heartbeat.
 
         Args:
             is_last: Whether this is the last heartbeat before a graceful shutdown.
--- a/lichencleat/recovery/interfaces.py
+++ b/lichencleat/recovery/interfaces.py
@@ -1,6 +1,6 @@
-"""Interfaces through which a node's recovery uses its request engine and its store.
+"""Interfaces to a node's request engine and to the store of its idempotency records.
 
-The node implements them: with its request engine, and with the store of its idempotency records.
+The recovery package uses these interfaces; the node implements them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class RunStatistics(Protocol):
-    """The part of the admission controller that knows how long runs take."""
+    """The part of the admission controller that records how long runs take."""
 
     @property
     def service_times(self) -> ServiceTimes:
@@ -23,7 +23,7 @@
         ...
 
     def seed_run_time(self, now: int, request_class: RequestClass, took: int) -> None:
-        """Use the run time (µs) learned by the previous process as a first estimate."""
+        """Use `took`, a run time (µs) that the previous process learned, as a first estimate."""
         ...
 
 
@@ -54,13 +54,24 @@
         ...
 
     def load(self) -> float:
-        """The load: 0 when idle, 0.5 at capacity, above 1 when runs fail."""
+        """The load of the node, from 0 (idle).
+
+        Half of the used fraction of the running limit, plus 6 times the failed fraction of the last 16 runs
+        (0 if fewer runs have ended). So the load is 0.5 when the running limit is used in full and no run
+        fails, and above 1 when several of the last runs failed. The load is 2 while there is no admission
+        controller, or while the admission controller reports the node as unhealthy.
+        """
         ...
 
     def speed(self) -> float:
-        """Runs per second and core, 1 if no service time is known."""
+        """Runs per second and core, from the usual service time; 1 if no service time is known."""
         ...
 
     def set_allowance(self, share: float, receipted: bool) -> None:
-        """Set which fraction of arrivals is admitted, and whether keyed requests are among them."""
+        """Set what the node may serve.
+
+        Args:
+            share: Fraction of arrivals that is admitted, 0 to 1.
+            receipted: Whether keyed requests are admitted.
+        """
         ...
--- a/lichencleat/recovery/messages.py
+++ b/lichencleat/recovery/messages.py
@@ -20,41 +20,44 @@
 class NodeStatus(IntEnum):
     """Whether a node serves. The numbers are stored: never reassigned."""
 
-    SHUT = 1  # it has started and waits for its batch
-    OPEN = 2  # it serves
-    GONE = 3  # its reports have timed out
+    SHUT = 1  # the node has started, serves no requests yet and waits to be opened
+    OPEN = 2  # the node serves all requests, or a fraction of them
+    GONE = 3  # the node's reports have timed out
 
 
 class NodeState(msgspec.Struct, array_like=True):
-    """A node according to its last report to the consensus group."""
+    """The replicated state of a node: its last report, and the fraction of requests that it may serve."""
 
     zone: str
-    incarnation: int  # drawn at the start of its process
-    clean_shutdown: bool  # the previous process shut down gracefully
+    incarnation: int  # random number drawn when the node's process started
+    clean_shutdown: bool  # whether the node's previous process shut down gracefully
     status: int  # a `NodeStatus`
-    share: float  # fraction of its arrivals that it may admit, 0 to 1
-    last_report: int  # log index of its last report
-    unix_time: int  # µs of the node's clock when it reported
-    ready: bool = False  # the interpreter is up
-    records_verified: bool = False  # its idempotency records are loaded and verified
-    load: float = 0.0  # 0: idle, 1: at its capacity, above: it sheds load
-    batch: int = 0  # the batch in which it was opened
-    speed: float = 1.0  # learned runs per second and core
+    share: float  # fraction of the node's arrivals that the node may admit, 0 to 1
+    last_report: int  # log index of the node's last report
+    unix_time: int  # Unix time in µs, by the node's clock, when the node sent its last report
+    ready: bool = False  # whether the interpreter is up
+    records_verified: bool = False  # whether the node's idempotency records are loaded and verified
+    load: float = 0.0  # 0: idle, 0.5: running limit used in full, more: runs fail; see `RecoveringHost.load`
+    batch: int = 0  # number of the rollout batch in which the node was opened
+    speed: float = 1.0  # usual runs per second and core
 
 
 class RolloutPlan(msgspec.Struct, array_like=True):
-    """A recovery in progress."""
+    """The plan of a recovery in progress: limits on the open nodes and on their use of dependencies."""
 
-    max_open: float  # upper bound on open nodes
-    batch: int = 0
-    paused: bool = False  # by an operator
+    max_open: float  # upper bound on the number of open nodes; 0 until the first batch
+    batch: int = 0  # number of the last batch that was opened
+    paused: bool = False  # whether an operator has paused the recovery
     rollbacks: int = 0  # number of batches that were shut again
     dependency_share: float = 1.0  # fraction of the shared dependencies' capacity that is allocated
     reason: str = ""
 
 
 class NodeReport(msgspec.Struct, frozen=True, array_like=True, tag="report"):
-    """A node's report about itself: several per second while it is being opened, fewer once it is open."""
+    """A node's report about itself, several per second while the node is being opened, then fewer.
+
+    `NodeState` describes the fields of the same names.
+    """
 
     node: str
     zone: str
@@ -76,31 +79,31 @@
 
 
 class NodeLost(msgspec.Struct, frozen=True, array_like=True, tag="lost"):
-    """From the leader: the reports of a node have timed out since `last_report`."""
+    """From the leader: the reports of a node have timed out."""
 
     fencing_token: int
     node: str
-    last_report: int
+    last_report: int  # log index of the last report; the command is rejected if the node has reported since
 
 
 class NewEpoch(msgspec.Struct, frozen=True, array_like=True, tag="epoch"):
     """From the leader: a new epoch and a recovery begin, because many nodes lost power at once."""
 
     fencing_token: int
-    previous: int  # epoch that ends; the command is rejected if another epoch has begun since
+    previous: int  # the epoch that ends; the command is rejected if this is not the current epoch
     reason: str = ""
 
 
 class RolloutBatch(msgspec.Struct, frozen=True, array_like=True, tag="wave"):
-    """From the leader: new shares of some nodes, and the updated plan."""
+    """From the leader: open some nodes, further or for the first time, or shut them; update the plan."""
 
     fencing_token: int
-    shares: dict[str, float]  # fraction of arrivals to admit, by node; 0: shut the node again
+    shares: dict[str, float]  # by node: fraction of its arrivals to admit from now on; 0 shuts the node
     plan: RolloutPlan | None  # None: no recovery is in progress
 
 
 class PauseRollout(msgspec.Struct, frozen=True, array_like=True, tag="hold"):
-    """From an operator: pause or resume the rollout plan."""
+    """From an operator: pause or resume the recovery in progress."""
 
     paused: bool
 
@@ -123,12 +126,12 @@
 class ReportReply(msgspec.Struct, frozen=True, array_like=True):
     """The reply to a node's report."""
 
-    epoch: int
-    share: float
-    clock_offset: int = 0  # µs by which the node's clock is ahead of the fleet's, 0 if it agrees
-    reason: str = ""
-    report_often: bool = False  # a recovery is in progress, and the planner needs current reports
-    has_no_planner: bool = False  # no process holds the planner's lease, so no node is opened
+    epoch: int  # the fleet's current epoch
+    share: float  # fraction of its arrivals that the node may admit
+    clock_offset: int = 0  # µs by which the node's clock is ahead of the fleet's clocks, 0 if both agree
+    reason: str = ""  # why the node may not admit all arrivals
+    report_often: bool = False  # whether the node should report often, because a recovery is in progress
+    has_no_planner: bool = False  # whether no process holds the planner's lease, so that no node is opened
 
 
 class CommandReply(msgspec.Struct, frozen=True, array_like=True):
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -1,8 +1,12 @@
 """Rollout planner: the commands that the leader proposes at each poll of the fleet's state; no I/O.
 
-Nodes are opened in batches. An integral controller bounds the number of open nodes: the bound grows by a
-fraction of itself at each step at which the open nodes have spare capacity, and falls when they are
-overloaded. The controller's whole state is part of the replicated plan, so that another leader can continue.
+Nodes are opened in batches. An integral controller bounds the number of open nodes. The bound changes at each
+step, that is at each poll while a recovery is in progress: it grows by a fraction of itself while the open
+nodes have spare capacity, and falls while the nodes are overloaded. The controller's state is part of the
+replicated plan, so that another leader can continue.
+
+A node is opened gradually: its share, the fraction of its arrivals that it may admit, grows at each step. The
+dependency share is the fraction of the shared dependencies' capacity that is allocated to the nodes.
 """
 
 from __future__ import annotations
@@ -21,32 +25,37 @@
 
 PlannerCommand = NodeLost | NewEpoch | RolloutBatch | SetAllocatableShare
 
-REPORT_TIMEOUT_US = 5_000_000  # without a report, a node is marked as gone; an open node reports every 2 s
-# From the first restart until a power loss is distinguished from single restarts: most nodes report by then.
+REPORT_TIMEOUT_US = 5_000_000  # a node without a report for this time is gone; an open node reports every 2 s
+# Time after the first report of a restarted node until the planner decides that the power was lost: most
+# restarted nodes report by then.
 EPOCH_DELAY_US = 2_000_000
-POWER_LOSS_FRACTION = 0.5  # of the known nodes; as many restarted or gone at once indicate a power loss
-MAX_SMALL_FLEET = 2  # nodes: too few to distinguish a power loss from single restarts
-FIRST_BATCH_FRACTION = 1 / 3  # of the known nodes: enough to observe the load on shared dependencies
-# Fraction of the shared dependencies' capacity that is allocated at first: while cold, they may fail at
-# a third of their usual load.
+POWER_LOSS_FRACTION = 0.5  # a power loss is assumed if this fraction of the nodes is restarted or gone
+MAX_SMALL_FLEET = 2  # a fleet of at most two nodes is too small to tell a power loss from single restarts
+FIRST_BATCH_FRACTION = 1 / 3  # fraction of the nodes in the first batch: enough to load shared dependencies
+# Dependency share at the start of a recovery: cold dependencies may fail at a third of their usual load.
 INITIAL_DEPENDENCY_SHARE = 0.3
-# Relative growth of the dependency share per step: at most 7 % per second, so that an overload is noticed
-# before it does harm.
+# In each step (0.3 s), the dependency share grows by this fraction of itself, times the difference by which
+# the mean load is below `DEPENDENCY_REFERENCE_LOAD`; it falls if the mean load is above. The share grows by
+# at most 7 % per step, so that an overload is noticed before it does harm, and falls by at most 5 % per step.
 DEPENDENCY_GAIN = 0.1
-DEPENDENCY_REFERENCE_LOAD = 0.7  # well below the load at which many calls fail
-GAIN = 0.5  # relative change of the bound on open nodes per step, at most
-REFERENCE_LOAD = 1.0  # target load of the open nodes: at capacity without shedding
+# Mean load (see `RecoveringHost.load`) above which the dependency share falls: well below the load at which
+# many calls fail.
+DEPENDENCY_REFERENCE_LOAD = 0.7
+GAIN = 0.5  # the bound on open nodes changes by at most this fraction of itself per step
+# Mean load (see `RecoveringHost.load`) above which the bound on open nodes falls. Fully used nodes without
+# failed runs have the load 0.5; only failed runs or unhealthy nodes raise the load above 1.
+REFERENCE_LOAD = 1.0
 UNREADY_LOAD = 2.0  # assumed load of an open node whose interpreter is down
-ROLLBACK_FACTOR = 0.5  # factor on the bound when the open nodes fail and the batch is shut again
-OPENING_STEP = 0.34  # of a node's arrivals per step: a node is fully open after three steps
-SETTLING_STEPS = 2  # healthy steps of a batch before the next batch
+ROLLBACK_FACTOR = 0.5  # factor on the bound on open nodes when the last batch is shut again
+OPENING_STEP = 0.34  # added to a node's share per step: a node is fully open after three steps
+SETTLING_STEPS = 2  # number of consecutive healthy steps before the next batch is opened
 
 
 @dataclass(frozen=True, slots=True)
 class LastReport:
-    """A node's last report, and when this leader first saw it."""
+    """A node's last report, and when this leader first saw the report."""
 
-    index: int  # of the log entry
+    index: int  # log index of the report
     seen_at: int  # µs of the leader's monotonic clock
 
 
@@ -63,7 +72,11 @@
 
 
 def opening_order(nodes: dict[str, NodeState]) -> list[str]:
-    """Order the shut nodes that are ready: zones alternate; verified records first, then fast nodes."""
+    """Return the names of the shut nodes that are ready, in the order in which they are opened.
+
+    The next node is from the zone with the fewest open nodes. Within a zone, nodes with verified records come
+    first, and among these the fast nodes.
+    """
     open_by_zone: dict[str, int] = {}
     for each in nodes.values():
         if each.status == NodeStatus.OPEN:
@@ -88,10 +101,10 @@
 
     def __init__(self, fencing_token: int) -> None:
         self.fencing_token = fencing_token
-        self.last_reports: dict[str, LastReport] = {}
-        self.waiting_since: int | None = None  # µs when the first of the shut nodes was seen
-        self.first_reports: dict[str, int] = {}  # by node: log index of the first report seen
-        self.healthy_steps = 0  # since the last batch
+        self.last_reports: dict[str, LastReport] = {}  # by node
+        self.waiting_since: int | None = None  # µs: when this leader saw the first of the shut nodes
+        self.first_reports: dict[str, int] = {}  # by node: log index of the first report seen by this leader
+        self.healthy_steps = 0  # number of consecutive healthy steps since the last batch
 
     def plan_next_step(
         self, now: int, epoch: int, nodes: dict[str, NodeState], plan: RolloutPlan | None
@@ -114,7 +127,10 @@
         return commands
 
     def find_lost_nodes(self, now: int, nodes: dict[str, NodeState]) -> list[NodeLost]:
-        """Find nodes whose reports timed out; a new leader counts the time from its own first step."""
+        """Return a command for each node whose reports timed out.
+
+        A new leader measures the time from its own first poll.
+        """
         last_reports = {}
         lost = []
         for name, each in nodes.items():
@@ -131,7 +147,7 @@
     def plan_single_restarts(
         self, now: int, epoch: int, nodes: dict[str, NodeState], shut: list[NodeState]
     ) -> list[PlannerCommand]:
-        """Open single restarted nodes at once, by steps; begin an epoch if the restarts show a power loss."""
+        """Open restarted nodes without a plan; begin an epoch if their number shows a power loss."""
         opening = self.next_shares(nodes)
         if not shut:
             self.waiting_since = None
@@ -148,14 +164,14 @@
         return [RolloutBatch(self.fencing_token, opening, None)] if opening else []
 
     def count_present(self, nodes: dict[str, NodeState]) -> int:
-        """Count open nodes that have reported again since this leader first saw them."""
+        """Return the number of open nodes that have reported again since this leader first saw them."""
         return sum(
             each.status == NodeStatus.OPEN and each.last_report > self.first_reports[name]
             for name, each in nodes.items()
         )
 
     def next_shares(self, nodes: dict[str, NodeState]) -> dict[str, float]:
-        """Return the next shares of healthy, partly open nodes, by name."""
+        """Return, by name, the increased share of each partly open node that is healthy."""
         return {
             name: round(min(1.0, each.share + OPENING_STEP), 3)
             for name, each in nodes.items()
@@ -167,7 +183,11 @@
     def plan_rollout(
         self, nodes: dict[str, NodeState], plan: RolloutPlan, shut: list[NodeState]
     ) -> list[PlannerCommand]:
-        """Return the next step of a recovery: its first batch, a rollback, its end, or another batch."""
+        """Return the commands of the next step of a recovery.
+
+        The step begins the recovery, shuts the last batch again, ends the recovery, or continues the recovery
+        and opens another batch if the open nodes are healthy.
+        """
         open_nodes = {name: each for name, each in nodes.items() if each.status == NodeStatus.OPEN}
         if not plan.max_open:
             return self.begin_rollout(nodes, plan, len(open_nodes))
@@ -215,7 +235,7 @@
     def next_plan(
         self, plan: RolloutPlan, node_count: int, open_count: int, load: float, dependency_share: float
     ) -> RolloutPlan:
-        """Return the plan with its bound moved by one step of the controller."""
+        """Return the next plan, with the bound on open nodes adjusted by the mean load of the open nodes."""
         error = max(-1.0, min(1.0, REFERENCE_LOAD - load))
         max_open = plan.max_open * (1 + GAIN * error)
         reason = (
@@ -232,7 +252,11 @@
         )
 
     def next_dependency_share(self, plan: RolloutPlan, load: float, has_open_nodes: bool) -> float:
-        """Return the next dependency share: larger while calls succeed, smaller as soon as some fail."""
+        """Return the next dependency share.
+
+        The share grows while the mean load is below `DEPENDENCY_REFERENCE_LOAD`, and falls while it is above:
+        failed runs raise the load.
+        """
         if not has_open_nodes:
             return plan.dependency_share
         error = max(-0.5, min(1.0, DEPENDENCY_REFERENCE_LOAD - load))
@@ -240,7 +264,7 @@
         return min(1.0, max(INITIAL_DEPENDENCY_SHARE / 2, moved))
 
     def next_batch(self, nodes: dict[str, NodeState], plan: RolloutPlan, open_count: int) -> dict[str, float]:
-        """Return the first shares of the next nodes within the bound on open nodes, by name."""
+        """Return, by name, the first share of each node to open next, up to the bound on open nodes."""
         count = max(0, int(plan.max_open) - open_count)
         return dict.fromkeys(opening_order(nodes)[:count], OPENING_STEP)
 
--- a/lichencleat/recovery/planner_task.py
+++ b/lichencleat/recovery/planner_task.py
@@ -46,7 +46,7 @@
         return RolloutPlanner(fencing_token)
 
     def on_state(self, state: object, decider: RolloutPlanner) -> None:
-        """Propose the next step of the plan, and poll again after the usual interval."""
+        """Propose the planner's commands, and poll again after the usual interval."""
         self.schedule_poll(decider, self.poll_interval_s)
         if not state:  # voters of an older version have no fleet state
             return
@@ -57,7 +57,7 @@
             self.propose(QUOTAS_PART if isinstance(command, SetAllocatableShare) else STATE_PART, command)
 
     def on_propose(self, command: object) -> None:
-        """Log each stage of the plan once, with its reason."""
+        """Log the reason of a proposed plan or epoch if it differs from the last logged reason."""
         reason = ""
         if isinstance(command, RolloutBatch) and command.plan is not None:
             reason = command.plan.reason
@@ -68,5 +68,5 @@
             self.log.info("plan", token=command.fencing_token, reason=reason)
 
     def on_proposal_failed(self, failure: Failure) -> None:
-        """Log the failure; the next poll proposes again what is still needed."""
+        """Log the failure; the next poll proposes the commands that are still needed."""
         self.log.warning("rollout proposal failed", reason=failure.getErrorMessage())
--- a/lichencleat/recovery/readiness_gate.py
+++ b/lichencleat/recovery/readiness_gate.py
@@ -1,8 +1,9 @@
 """Readiness gate: which requests a node may serve after its start; no I/O.
 
-The gate is shut until the consensus group answers; then each reply sets the share of arrivals that the node
-may admit. If the group does not answer for some seconds, the node opens by itself, slowly: it may serve the
-requests that it can verify alone, because an indefinite wait would only extend the outage.
+The node serves no requests until the consensus group answers; then each reply sets the fraction of arrivals
+that the node may admit. If the group does not answer for some seconds after the start, or has no planner, the
+node opens slowly by itself, because an indefinite wait would only extend the outage. Keyed requests need the
+node's own verified records and a plausible clock in either case.
 """
 
 from __future__ import annotations
@@ -14,20 +15,23 @@
 from lichencleat.recovery.trust import Verified, can_serve_keyed
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-STANDALONE_DELAY_US = 4_000_000  # without a reply of the group; a running group elects a leader within 1 s
-# Fraction of arrivals added per second without the group: open after 20 s, the warm-up time of a cold engine.
+# Time without a reply of the group, or without a planner, after which a node opens by itself. A running group
+# elects a leader within 1 s.
+STANDALONE_DELAY_US = 4_000_000
+# Added to the admitted fraction of arrivals per second while a node opens by itself. The node is fully open
+# after 20 s, the warm-up time of a cold engine.
 STANDALONE_STEP = 0.05
-FREQUENT_REPORT_INTERVAL_US = 400_000  # while the node is being opened
-REPORT_INTERVAL_US = 2_000_000  # while the node is open
+FREQUENT_REPORT_INTERVAL_US = 400_000  # time between reports while nodes are being opened
+REPORT_INTERVAL_US = 2_000_000  # time between reports of an open node
 
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
     """The requests that a node may serve at one moment."""
 
-    share: float  # fraction of its arrivals
+    share: float  # fraction of the node's arrivals that the node may admit
     keyed: bool  # whether keyed requests may be served
-    reason: str
+    reason: str  # why the node may not serve all requests
 
 
 class ReadinessGate:
@@ -36,10 +40,10 @@
     Args:
         node: Name of the node.
         zone: Zone of the node.
-        incarnation: Drawn at the start of the process.
+        incarnation: Random number drawn at the start of the process.
         clean_shutdown: Whether the previous process ended gracefully.
         epoch: The last epoch that the node took part in.
-        clock: The node's clock, judged by its boot record.
+        clock: The result of comparing the machine's clock with the last boot record.
         now: µs of the monotonic clock at the start.
     """
 
@@ -59,16 +63,17 @@
         self.clean_shutdown = clean_shutdown
         self.epoch = epoch
         self.clock = clock
-        self.group_answered = False  # since the start
-        self.alone_since: int | None = now  # µs since when the group does not answer, or no process plans
-        self.share = 0.0
-        self.clock_offset = 0
+        self.group_answered = False  # whether the group has answered since the start
+        # µs: when the node began to wait for a reply of a group with a planner; None after such a reply.
+        self.alone_since: int | None = now
+        self.share = 0.0  # fraction of arrivals in the last reply
+        self.clock_offset = 0  # of the last reply, see `ReportReply`
         self.reason = "waiting for the first reply of the group"
-        self.report_sent_at: int | None = None
-        self.next_report_at = now
-        self.ready = False
-        self.records_verified = False
-        self.has_records = True  # the node stores idempotency records
+        self.report_sent_at: int | None = None  # µs: when the unanswered report, if any, was sent
+        self.next_report_at = now  # µs: earliest time of the next report
+        self.ready = False  # whether the interpreter is up
+        self.records_verified = False  # whether the node's idempotency records are loaded and verified
+        self.has_records = True  # whether the node stores idempotency records
 
     def verified(self) -> Verified:
         """Return what has been verified since the start."""
@@ -78,7 +83,7 @@
     def allowance(self, now: int) -> Allowance:
         """Return what may be served at `now` (µs).
 
-        The share is that of the last reply in the current epoch; without a reply it grows with time alone.
+        The admitted fraction is that of the last reply or that of `standalone_share`, whichever is larger.
         """
         share, reason = self.share, self.reason
         standalone_share = self.standalone_share(now)
@@ -91,7 +96,10 @@
         return Allowance(share, keyed, reason)
 
     def standalone_share(self, now: int) -> float:
-        """Return the fraction of arrivals that the node may admit at `now` (µs) without the group."""
+        """Return the fraction of arrivals that the node may admit by itself at `now` (µs).
+
+        0 unless the group has not answered, or has no planner, for `STANDALONE_DELAY_US`.
+        """
         if self.alone_since is None or now - self.alone_since < STANDALONE_DELAY_US:
             return 0.0
         seconds = (now - self.alone_since - STANDALONE_DELAY_US) // MICROSECONDS_PER_SECOND
@@ -118,7 +126,7 @@
         )
 
     def on_reply(self, now: int, reply: ReportReply) -> bool:
-        """Handle the reply to a report; return whether it names an epoch that is new to this node."""
+        """Handle the reply to a report; return whether the reply's epoch is new to this node."""
         self.report_sent_at = None
         is_new_epoch = reply.epoch > self.epoch
         if reply.epoch >= self.epoch:
@@ -140,6 +148,6 @@
             self.alone_since = now
 
     def on_report_failed(self, now: int) -> None:
-        """Handle a report without a reply: the last reply stays in force."""
+        """Handle a report that got no reply: the last reply stays in force."""
         self.report_sent_at = None
         self.next_report_at = now + FREQUENT_REPORT_INTERVAL_US
--- a/lichencleat/recovery/reporter.py
+++ b/lichencleat/recovery/reporter.py
@@ -17,18 +17,18 @@
 from lichencleat.recovery.service_time_store import ServiceTimeStore
 from lichencleat.transport.twisted_types import ReactorClock
 
-ROUND_INTERVAL_US = 100_000  # between checks of the gate
+ROUND_INTERVAL_US = 100_000  # time between two updates of the gate and the host
 REPORT_TIMEOUT_S = 1.0
 
 
 class RecoveryReporter(PeriodicProposer):
-    """Sends the node's reports by timer, and sets which requests the host may serve.
+    """Sends the node's reports at intervals, and sets which requests the host may serve.
 
     Args:
         reactor: Source of the monotonic clock and of the timer.
         client: Client of the consensus group.
         host: The request engine of the node.
-        gate: Decides what may be served.
+        gate: Decides which requests may be served.
         boot_records: The boot record of this process.
         are_records_verified: Whether the node's idempotency records are loaded and verified.
         unix_time: Returns µs of Unix time.
@@ -54,10 +54,10 @@
         self.unix_time = unix_time
         self.service_times = ServiceTimeStore(host, log)
         self.host_allowance: tuple[float, bool] | None = None  # share and keyed, as last set on the host
-        self.logged_allowance: tuple[str, bool, str] | None = None  # rounded share, keyed, reason
+        self.logged_allowance: tuple[str, bool, str] | None = None  # share, keyed, reason, as last logged
 
     def next_proposal(self, now: int) -> Proposal | None:
-        """Update gate and host, and return the report that is due, or None."""
+        """Update the gate and the host; return the report that is due, or None."""
         self.service_times.apply_pending()
         self.update_gate()
         self.update_host(now)
@@ -65,11 +65,11 @@
         return Proposal(report, REPORT_TIMEOUT_S) if report is not None else None
 
     def next_round_at(self, now: int) -> int:
-        """Return the time of the next check, in µs."""
+        """Return the time of the next update, in µs."""
         return now + ROUND_INTERVAL_US
 
     def update_gate(self) -> None:
-        """Set on the gate what the node has verified by now."""
+        """Pass the node's current state to the gate: whether it is ready, and what it has verified."""
         gate = self.gate
         gate.ready = self.host.ready()
         gate.records_verified = self.are_records_verified()
@@ -80,7 +80,7 @@
             gate.clean_shutdown = previous is not None and previous.clean_shutdown
 
     def update_host(self, now: int) -> None:
-        """Set on the host what it may serve at `now` (µs) if that has changed, and log the change."""
+        """Pass the allowance at `now` (µs) to the host if the allowance has changed, and log the change."""
         allowance = self.gate.allowance(now)
         if (allowance.share, allowance.keyed) != self.host_allowance:
             self.host_allowance = (allowance.share, allowance.keyed)
@@ -88,7 +88,7 @@
         self.log_allowance(allowance)
 
     def log_allowance(self, allowance: Allowance) -> None:
-        """Log what the node may serve, once per visible change."""
+        """Log the allowance, unless it equals the last logged one after rounding."""
         visible = (f"{allowance.share:.2f}", allowance.keyed, allowance.reason)
         if visible != self.logged_allowance:
             self.logged_allowance = visible
@@ -113,11 +113,11 @@
         self.update_host(self.now())
 
     def on_failure(self, failure: Failure) -> None:
-        """Let the gate send another report soon."""
+        """Tell the gate that the report got no reply; the gate then sends another report."""
         self.gate.on_report_failed(self.now())
 
     def leave(self) -> None:
-        """Stop, and report to the group that the node shuts down gracefully."""
+        """Stop sending reports, and tell the group that the node shuts down gracefully."""
         self.stop()
         command = NodeLeaving(self.gate.node, self.gate.incarnation)
         self.client.propose(STATE_PART, command, REPORT_TIMEOUT_S).addErrback(lambda failure: None)
--- a/lichencleat/recovery/service_time_store.py
+++ b/lichencleat/recovery/service_time_store.py
@@ -1,4 +1,4 @@
-"""Learned service times, kept in the store of the node's idempotency records across restarts."""
+"""Loads and stores learned service times, in the same store as the node's idempotency records."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from lichencleat.recovery.service_times import encode_merged, load_service_times
 from lichencleat.units import MICROSECONDS_PER_MILLISECOND
 
-SERVICE_TIMES_KEY = b"f"  # in the node's store
+SERVICE_TIMES_KEY = b"f"  # key of the service times in the node's store
 
 
 class ServiceTimeStore:
-    """Passes the service times of the previous process to the host, once, and stores those of this process.
+    """Passes the service times of the previous process to the host, and encodes those of this process.
 
     Args:
         host: The request engine of the node.
@@ -22,8 +22,8 @@
     def __init__(self, host: RecoveringHost, log: EventLogger) -> None:
         self.host = host
         self.log = log
-        self.previous: dict[str, int] = {}  # usual run time in µs, by request class
-        self.is_pending = False  # not yet passed to the host
+        self.previous: dict[str, int] = {}  # by request class: usual run time in µs of the previous process
+        self.is_pending = False  # whether `previous` is loaded but not yet passed to the host
 
     def on_store_opened(self, read: StoreReader) -> None:
         """Load the service times of the previous process."""
@@ -46,7 +46,7 @@
         )
 
     def to_entry(self, is_last: bool) -> tuple[bytes, bytes]:
-        """Return the key and value to store with a heartbeat."""
+        """Return the key and the encoded service times to store with a heartbeat."""
         node = self.host.node
         run_times = node.service_times.samples if node is not None else {}
         current = {
@@ -57,7 +57,7 @@
         return SERVICE_TIMES_KEY, encode_merged(self.host.machine.cores, self.previous, current)
 
     def apply_pending(self) -> None:
-        """Pass the service times to the host once its interpreter is up, before or after the store opens."""
+        """Pass the service times of the previous process to the host, as soon as the interpreter is up."""
         node = self.host.node
         if self.is_pending and node is not None:
             self.is_pending = False
--- a/lichencleat/recovery/service_times.py
+++ b/lichencleat/recovery/service_times.py
@@ -1,7 +1,7 @@
-"""Service times that a node learned, kept as a first estimate for its next start; no I/O.
+"""Service times that a node learned, stored as first estimates for the node's next process; no I/O.
 
-The service times are read from the node's own disk after its verification (`trust`). The first few runs
-outweigh a wrong estimate; an implausible estimate is dropped.
+The service times are read from the node's own disk after the disk was verified (see `trust`). The first few
+runs outweigh a wrong estimate; an implausible estimate is dropped.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from lichencleat.decode_errors import UNDECODABLE
 
 FORMAT = 1
-MAX_CLASSES = 256  # stored request classes: more than any settings define, a few KB
+MAX_CLASSES = 256  # limit on the stored request classes: more than any settings define, a few KB
 
 
 class ServiceTimes(msgspec.Struct, frozen=True, array_like=True):
@@ -66,7 +66,13 @@
 
 
 def encode_merged(cores: float, previous: Mapping[str, int], current: Mapping[str, int]) -> bytes:
-    """Encode the times of this process, and those of the previous one for classes without runs since."""
+    """Encode the run times of each request class: the current ones, or else those of the previous process.
+
+    Args:
+        cores: Cores of this machine.
+        previous: Usual run time in µs by request class, of the previous process.
+        current: Usual run time in µs by request class, of this process.
+    """
     merged = {**previous, **current}
     kept = dict(sorted(merged.items())[:MAX_CLASSES])
     return encode_service_times(ServiceTimes(FORMAT, cores, kept))
--- a/lichencleat/recovery/state.py
+++ b/lichencleat/recovery/state.py
@@ -31,8 +31,10 @@
 
 decode_command = msgspec.msgpack.Decoder(Command).decode
 RECENT_ENTRIES = 64  # clocks reported within this number of log entries count as current
-MIN_CLOCKS = 3  # including the judged one: of two clocks, either may be wrong
-MAX_CLOCK_OFFSET_US = 5_000_000  # from the median: far above clock drift and report delays
+MIN_CLOCKS = 3  # with fewer current clocks no clock is judged: of two clocks, either may be wrong
+# A clock that differs by more from the median of the current clocks is wrong. The limit is far above clock
+# drift and report delays.
+MAX_CLOCK_OFFSET_US = 5_000_000
 
 
 class FleetSnapshot(msgspec.Struct, array_like=True):
@@ -44,7 +46,7 @@
 
 
 class FleetView(TypedDict):
-    """The answer to a read."""
+    """The answer to a read of the state; the keys are sent to clients."""
 
     epoch: int
     nodes: dict[str, NodeState]
@@ -55,7 +57,7 @@
 
 
 def explain_share(node: NodeState, plan: RolloutPlan | None) -> str:
-    """Return why a node is not fully open; empty if it is."""
+    """Return why a node is not fully open; empty if the node is fully open."""
     if node.share >= 1.0:
         return ""
     if node.status == NodeStatus.OPEN:
@@ -66,7 +68,7 @@
 
 
 class FleetState:
-    """The part of the replicated state that `messages.STATE_PART` names.
+    """The recovery's part of the replicated state, whose name is `messages.STATE_PART`.
 
     Args:
         jobs: The leases, another part of the same state; a command of the leader is rejected unless it
@@ -107,7 +109,7 @@
 
     def apply_leader_command(self, message: NodeLost | NewEpoch | RolloutBatch) -> CommandReply:
         """Apply a command of the leader, unless its lease has ended."""
-        # Else a leader that was suspended before a power loss could continue with an outdated plan.
+        # Without this check, a leader that was suspended before a power loss could use an outdated plan.
         if not self.jobs.is_current_token(JOB, message.fencing_token):
             return CommandReply(False, "an older owner's")
         match message:
@@ -121,13 +123,13 @@
     # -- nodes -----------------------------------------------------------------------------------------
 
     def apply_report(self, index: int, report: NodeReport) -> ReportReply:
-        """Record a node's report; the reply holds the share of arrivals that it may admit."""
+        """Record a node's report; the reply has the fraction of arrivals that the node may admit."""
         node = self.nodes.get(report.node)
         if node is None and len(self.nodes) >= MAX_NODES:
             return ReportReply(self.epoch, 0.0, reason="too many nodes")
         if node is None or node.incarnation != report.incarnation:
             node = self.add_node(index, report)
-        elif node.status == NodeStatus.GONE:  # opened again like a node that restarted
+        elif node.status == NodeStatus.GONE:  # the node is opened again, like a restarted node
             node.status = NodeStatus.SHUT
             node.share = 0.0
         node.zone = report.zone
@@ -166,7 +168,10 @@
         return job is not None and bool(job.holder)
 
     def clock_offset(self, index: int, node: NodeState) -> int:
-        """Return the µs by which the node's clock is ahead of the median; 0 if small, or for few clocks."""
+        """Return the µs by which a node's clock is ahead of the median of the clocks reported recently.
+
+        0 if the difference is at most `MAX_CLOCK_OFFSET_US`, or if there are fewer than `MIN_CLOCKS` clocks.
+        """
         clocks = [each.unix_time for each in self.nodes.values() if each.last_report > index - RECENT_ENTRIES]
         if len(clocks) < MIN_CLOCKS:
             return 0
@@ -174,7 +179,7 @@
         return offset if abs(offset) > MAX_CLOCK_OFFSET_US else 0
 
     def remove_leaving(self, message: NodeLeaving) -> CommandReply:
-        """Remove a node that shuts down gracefully, unless it has restarted since."""
+        """Remove a node that shuts down gracefully, unless the node has restarted meanwhile."""
         node = self.nodes.get(message.node)
         if node is None or node.incarnation != message.incarnation:
             return CommandReply(False, "no such node")
@@ -182,7 +187,7 @@
         return CommandReply(True)
 
     def set_share(self, name: str, share: float) -> CommandReply:
-        """Open a node to `share` of its arrivals; 0 shuts it."""
+        """Let a node admit the fraction `share` of its arrivals; 0 shuts the node."""
         node = self.nodes.get(name)
         if node is None or node.status == NodeStatus.GONE:
             return CommandReply(False, "nothing is heard of it")
@@ -192,7 +197,7 @@
         node.share = min(1.0, max(0.0, share))
         return CommandReply(True)
 
-    # -- the plan --------------------------------------------------------------------------------------
+    # -- rollout plan ----------------------------------------------------------------------------------
 
     def pause(self, message: PauseRollout) -> CommandReply:
         """Pause or resume the recovery in progress."""
@@ -202,7 +207,7 @@
         return CommandReply(True)
 
     def mark_gone(self, message: NodeLost) -> CommandReply:
-        """Mark a node as gone, unless it has reported since."""
+        """Mark a node as gone, unless the node has reported after the report that the leader saw last."""
         node = self.nodes.get(message.node)
         if node is None or node.last_report != message.last_report:
             return CommandReply(False, "it was heard since")
@@ -211,7 +216,7 @@
         return CommandReply(True)
 
     def begin_epoch(self, message: NewEpoch) -> CommandReply:
-        """Begin an epoch; nodes that kept power stay open and learn the epoch by their next report."""
+        """Begin an epoch; nodes that kept power stay open and get the epoch in their next reply."""
         if message.previous != self.epoch:
             return CommandReply(False, "another epoch has begun since")
         self.epoch += 1
@@ -221,7 +226,8 @@
     def apply_batch(self, message: RolloutBatch) -> CommandReply:
         """Store the plan, and open or shut the nodes that the batch names."""
         if message.plan is not None and self.plan is not None:
-            message.plan.paused = self.plan.paused  # an operator may have paused it since the leader read it
+            # An operator may have paused the plan after the leader read the state.
+            message.plan.paused = self.plan.paused
             if message.plan.paused:
                 return CommandReply(False, "an operator holds the plan")
         self.plan = message.plan
--- a/lichencleat/recovery/trust.py
+++ b/lichencleat/recovery/trust.py
@@ -1,4 +1,4 @@
-"""Which knowledge from before its start a node trusts, and the proof that each item requires; no I/O.
+"""Which knowledge a node still trusts after a restart, and the proof that each item requires; no I/O.
 
 Implements the table of docs/recovery.md: an item that is not in the table is not trusted.
 """
@@ -12,9 +12,9 @@
 class Proof(Enum):
     """The proof that an item requires before it is trusted."""
 
-    OWN_DISK = auto()  # the node's own record, after verification
-    GROUP = auto()  # a reply of the consensus group since the start
-    NEVER = auto()
+    OWN_DISK = auto()  # the item is stored on the node's own disk, and the disk was verified
+    GROUP = auto()  # the consensus group has answered since the start
+    NEVER = auto()  # the item is never trusted after a restart
 
 
 class Item(Enum):
@@ -22,7 +22,7 @@
 
     IDENTITY = auto()  # the node's name and zone
     IDEMPOTENCY_RECORDS = auto()  # the node's intents and results
-    KEY_WINDOWS = auto()  # remaining time of the records' windows
+    KEY_WINDOWS = auto()  # remaining time in which a repeat gets the result of an idempotency record
     GRANTS = auto()
     LEASES = auto()
     EPOCH = auto()
@@ -60,10 +60,10 @@
 
 
 def can_serve_keyed(verified: Verified) -> bool:
-    """Whether keyed requests may be served.
+    """Whether a node may serve keyed requests.
 
-    Rule 2 of docs/recovery.md, applied by each node alone: the node's own records are verified, and its
-    clock dates attempts correctly. Keys that ran on other nodes are not considered.
+    Rule 2 of docs/recovery.md, which each node applies by itself: the node's own records are verified, and
+    the node's clock is right. Requests that ran on other nodes are not considered.
     """
     return (
         is_trusted(Item.IDEMPOTENCY_RECORDS, verified)
