--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -1,4 +1,4 @@
-"""Builds a node's idempotency service: directory, store, index."""
+"""Creates a node's idempotency service with its index, opens its store and starts it."""
 
 from __future__ import annotations
 
@@ -22,16 +22,19 @@
 from lichencleat.store.store import open_store
 
 MEGABYTE = 1 << 20
-SEGMENT_BYTES = 4 << 20  # records expire after some 10 s, so that whole segments soon become free
-LIVE_SHARE = 0.5  # of the disk's bytes for live records; compaction needs the rest
-EXTRA_ENTRIES = 16  # entries of the store besides the idempotency records
+# Size of a segment of the store: small, because records expire after some 10 s, and a segment is removed
+# without copies once all of its records have expired.
+SEGMENT_BYTES = 4 << 20
+LIVE_SHARE = 0.5  # fraction of the allowed disk space for unexpired records; compaction needs the rest
+EXTRA_ENTRIES = 16  # limit on entries of the store that are not idempotency records
 
 
 class Interpreter(Protocol):
     """The part of the interpreter's connection that the service uses."""
 
-    early: dict[bytes, tuple[Outcome, int, bytes]] | None  # ends of unadopted runs, if kept
-    began: Callable[[int], None] | None  # called with the interpreter's age in µs
+    # By run id: outcome, run time (µs) and result of runs that ended before adoption; None: not recorded.
+    early: dict[bytes, tuple[Outcome, int, bytes]] | None
+    began: Callable[[int], None] | None  # called when the interpreter connects, with its age in µs
 
 
 class NodeParts(Protocol):
@@ -46,7 +49,7 @@
 def create_service(
     node: NodeParts, name: str, config: IdempotencyConfig, clock: Callable[[], int]
 ) -> IdempotencyService:
-    """Creates the service of a node; keyed requests wait until the service has started."""
+    """Creates the service of a node; keyed requests wait until `start_service` has loaded the index."""
     index = RecordIndex(config.entries, round(config.disk_mb * MEGABYTE * LIVE_SHARE))
     service = IdempotencyService(name, node.host, node.deadlines, node.report, clock, index)
     node.interpreter.early = {}
--- a/lichencleat/idempotency/earlier_runs.py
+++ b/lichencleat/idempotency/earlier_runs.py
@@ -1,4 +1,7 @@
-"""Runs of an earlier incarnation: their repeats wait while the interpreter may still report the run."""
+"""Earlier runs: runs that an earlier process (incarnation) of this node started.
+
+A repeat of such a run's request waits while the interpreter may still report the outcome of the run.
+"""
 
 from __future__ import annotations
 
@@ -11,12 +14,13 @@
 from lichencleat.idempotency.node_time import NodeTime
 from lichencleat.idempotency.writer import RecordWriter
 
-# After the last heartbeat, by the system clock: an interpreter that started later has no earlier runs.
+# An interpreter that started more than this after the last heartbeat of the earlier process, by the system
+# clock, has no earlier runs.
 HEARTBEAT_MARGIN_US = 2_000_000
 
 
 class EarlierRuns:
-    """Adopts the runs of an earlier incarnation, and answers repeats that wait for them."""
+    """Receives the outcomes of earlier runs from the interpreter, and answers repeats that wait for them."""
 
     def __init__(
         self,
@@ -37,24 +41,27 @@
         self._interpreter_started_at: int | None = None  # µs of the monotonic clock
 
     def adopt_all(self) -> None:
-        """Subscribes to the reports of all earlier runs, once the index is loaded."""
+        """Subscribes to the interpreter's reports of all earlier runs; called once the index is loaded."""
         for run_id in list(self._index.earlier_runs):
             self._engine.adopt_run(run_id, partial(self._on_run_ended, run_id))
         self._engine.end_adoption()
         self._discard_if_interpreter_is_new()
 
     def wait_for(self, key: bytes, case: PendingRequest) -> None:
-        """Queues a repeat until the run of its key is reported."""
+        """Queues a repeat until the earlier run of its key is reported or dropped."""
         self._waiting.setdefault(key, []).append(case)
 
     def on_interpreter_started(self, age: int) -> None:
-        """Handles a connected interpreter that started `age` µs ago, also before the index is loaded."""
+        """Handles the connection of an interpreter that started `age` µs ago.
+
+        May be called before the index is loaded.
+        """
         self._interpreter_started_at = self._timers.now() - age
         if self._index.is_loaded:
             self._discard_if_interpreter_is_new()
 
     def discard_overdue(self) -> None:
-        """Answers repeats whose run is past its deadline with an error."""
+        """Drops the earlier runs whose deadline has passed; repeats that wait for them get an error."""
         for key in self._index.discard_overdue_runs(self._time.now()):
             self._answer_waiting(key, None)
 
@@ -76,10 +83,11 @@
             self._engine.complete_repeat(case, result)
 
     def _discard_if_interpreter_is_new(self) -> None:
-        """Answers all waiting repeats with an error if the interpreter started after the earlier runs.
+        """Drops all earlier runs if the interpreter started after them; waiting repeats get an error.
 
-        This holds if the interpreter started during this incarnation, or after the last heartbeat of the
-        earlier incarnation by the system clock. If the clock was set, a wait may end too early; no worse.
+        An interpreter started after the earlier runs if it started during this process, or by the system
+        clock well after the last heartbeat of the earlier process. If the system clock was set meanwhile, a
+        repeat may get the error too early, but no request runs a second time.
         """
         started_at = self._interpreter_started_at
         if started_at is None or not self._index.earlier_runs:
--- a/lichencleat/idempotency/errors.py
+++ b/lichencleat/idempotency/errors.py
@@ -8,11 +8,16 @@
 
 
 class ForeignDirectoryError(IdempotencyError):
-    """The directory belongs to another node, or is a copy."""
+    """The directory belongs to another node, was copied, or has another format."""
 
 
 class ServiceStartError(IdempotencyError):
-    """The service can't start on its directory."""
+    """The service can't start with its directory.
+
+    Attributes:
+        directory: Path of the directory.
+        reason: The error that occurred.
+    """
 
     def __init__(self, directory: str, reason: Exception) -> None:
         super().__init__(f"keyed.directory: {directory}: {reason}")
--- a/lichencleat/idempotency/index.py
+++ b/lichencleat/idempotency/index.py
@@ -1,6 +1,6 @@
 """Index of the idempotency records: state of each key, answers to repeats, expiry.
 
-No I/O; times are µs of the node's own time (see `node_time`).
+No I/O. All times are µs of node time, a clock that stops while the node is down (see `node_time`).
 """
 
 from __future__ import annotations
@@ -13,11 +13,12 @@
 
 from lichencleat.idempotency.records import IdempotencyRecord, RecordState
 
-READ_DELAY_US = 10_000_000  # a record outlives its window: requests that arrived in it may be read later
-MAX_CACHED_RESULT_BYTES = 4 << 20  # results kept in memory; others are read from disk
-RECORD_OVERHEAD_BYTES = 160  # on disk, besides the result: names, times, frames
-MAX_EXPIRED_PER_SWEEP = 2_000  # removed per sweep, once per second; takes some ms
-COMPLETION_DELAY_US = 1_000_000  # after a run's due time; later reports are not expected
+# Time that a record is kept after its window: a request that arrived in the window may be read later.
+READ_DELAY_US = 10_000_000
+MAX_CACHED_RESULT_BYTES = 4 << 20  # limit on results in memory; other results are read from disk
+RECORD_OVERHEAD_BYTES = 160  # size of a record on disk without its result: names, times, frames
+MAX_EXPIRED_PER_SWEEP = 2_000  # limit on the records removed in one sweep per second; takes some ms
+COMPLETION_DELAY_US = 1_000_000  # no report of a run is expected this long after the run's deadline
 
 
 class LookupResult(Enum):
@@ -33,43 +34,49 @@
 
 @dataclass(slots=True)
 class EarlierRun:
-    """An intent of an earlier incarnation whose run the interpreter may still report."""
+    """A run of an earlier process (incarnation) whose outcome the interpreter may still report."""
 
-    key: bytes
-    record: IdempotencyRecord
-    deadline: int  # no report is expected afterwards
+    key: bytes  # record key
+    record: IdempotencyRecord  # the intent of the run
+    deadline: int  # time after which no report of the run is expected
 
 
 class IndexRow(NamedTuple):
     """The fields of a record that are kept in memory."""
 
-    state: int
-    expires: int
+    state: int  # a `RecordState`
+    expires: int  # end of the record's window
     body_digest: bytes
-    result_size: int
+    result_size: int  # bytes
 
 
-ROW_FORMAT = struct.Struct("<BQ16sI")  # of an IndexRow, packed: as objects, rows take four times the memory
+ROW_FORMAT = struct.Struct("<BQ16sI")  # packs an IndexRow: as objects, rows take four times the memory
 
 
 class RecordIndex:
-    """All records by key, bounded in number and bytes, with a result cache and the earlier runs."""
+    """The records by key, with limits on their number and bytes, a cache of results, and the earlier runs."""
 
     def __init__(
         self, max_records: int, max_bytes: int, max_cached_bytes: int = MAX_CACHED_RESULT_BYTES
     ) -> None:
         self.max_records = max_records
-        self.max_bytes = max_bytes  # on disk, estimated
+        self.max_bytes = max_bytes  # limit on the records' estimated size on disk
         self.max_cached_bytes = max_cached_bytes
         self.rows: dict[bytes, bytes] = {}  # packed IndexRow by record key, roughly in order of age
-        self.disk_bytes = 0  # estimated
+        self.disk_bytes = 0  # estimated size of the records on disk
         self.result_cache: OrderedDict[bytes, bytes] = OrderedDict()
         self.cached_bytes = 0
         self.earlier_runs: dict[bytes, EarlierRun] = {}  # by run id
-        self.is_loaded = False  # all stored records have been read
+        self.is_loaded = False  # whether all stored records have been read
 
     def look_up(self, key: bytes, body_digest: bytes, arrived: int) -> LookupResult:
-        """Returns the state of `key` for a request with that body that arrived at `arrived`."""
+        """Returns the state of a request's key.
+
+        Args:
+            key: Record key of the request.
+            body_digest: Digest of the request's class and body.
+            arrived: Time when the request arrived.
+        """
         row = self._row(key)
         if row is None or arrived > row.expires:
             return LookupResult.NEW
@@ -114,7 +121,10 @@
             self.cached_bytes -= len(evicted)
 
     def cached_result(self, key: bytes) -> bytes | None:
-        """Returns the result of a known key; None if it must be read. Empty results are always known."""
+        """Returns the result of a key in the index, or None if the result must be read from disk.
+
+        An empty result is never read from disk.
+        """
         if key in self.result_cache:
             self.result_cache.move_to_end(key)
             return self.result_cache[key]
@@ -122,7 +132,7 @@
         return b"" if row is not None and row.result_size == 0 else None
 
     def remove_expired(self, now: int) -> list[bytes]:
-        """Removes records past window and read delay, oldest first, and returns their keys."""
+        """Removes records whose window and read delay have ended, oldest first; returns their keys."""
         expired: list[bytes] = []
         for key, packed in self.rows.items():
             row = IndexRow(*ROW_FORMAT.unpack(packed))
@@ -134,9 +144,9 @@
         return expired
 
     def restore(self, key: bytes, record: IdempotencyRecord, now: int) -> bool:
-        """Adds a stored record of an earlier incarnation; returns False if it has expired."""
+        """Adds a stored record of an earlier process; returns False if the record has expired."""
         if key in self.rows:
-            return True  # a record of this incarnation is newer
+            return True  # the key has a newer record of this process
         if record.expires + READ_DELAY_US < now:
             return False
         self._add_row(key, record)  # the result is read on demand
@@ -146,16 +156,16 @@
         return True
 
     def discard_earlier_runs(self) -> None:
-        """Drops all earlier runs, because the interpreter started after them."""
+        """Drops all earlier runs; called if the interpreter started after them."""
         self.earlier_runs.clear()
 
     def discard_overdue_runs(self, now: int) -> list[bytes]:
-        """Drops earlier runs past their deadline, and returns their keys."""
+        """Drops the earlier runs whose deadline has passed, and returns their keys."""
         overdue = [run_id for run_id, run in self.earlier_runs.items() if run.deadline <= now]
         return [self.earlier_runs.pop(run_id).key for run_id in overdue]
 
     def resolve_earlier_run(self, run_id: bytes) -> EarlierRun | None:
-        """Removes and returns the earlier run that the interpreter reported, None if it is unknown."""
+        """Removes and returns the earlier run that the interpreter reported; None if the run is unknown."""
         return self.earlier_runs.pop(run_id, None)
 
     def _row(self, key: bytes) -> IndexRow | None:
--- a/lichencleat/idempotency/intents.py
+++ b/lichencleat/idempotency/intents.py
@@ -1,4 +1,4 @@
-"""Records of this incarnation's requests: the intent before the run, the result before the answer."""
+"""Writes the records of this process's requests: the intent before a run, the result before the answer."""
 
 from __future__ import annotations
 
@@ -22,9 +22,9 @@
     """A run that waits until its intent is durable."""
 
     case: PendingRequest
-    since: int  # µs of the monotonic clock when the intent was written
-    is_confirmed: bool = False
-    is_requested: bool = False  # the admission controller has started the run
+    since: int  # µs of the monotonic clock: when the write of the intent began
+    is_confirmed: bool = False  # whether the intent is durable
+    is_requested: bool = False  # whether the admission controller has decided to start the run
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,7 +36,7 @@
 
 
 def complete_record(record: IdempotencyRecord, outcome: Outcome, result: bytes) -> IdempotencyRecord:
-    """Returns the record of an intent whose run has ended, with the result if the run completed."""
+    """Returns the record that replaces an intent after the run; it has the result if the run completed."""
     is_completed = outcome is Outcome.COMPLETED
     return msgspec.structs.replace(
         record,
@@ -46,7 +46,7 @@
 
 
 class IntentLog:
-    """Records the intent and the result of each run, and starts the run between them."""
+    """Writes the intent of each run, starts the run once the intent is durable, and writes the result."""
 
     def __init__(
         self,
@@ -69,7 +69,10 @@
         self.pending_starts: dict[Request, PendingStart] = {}  # bounded by the node's running limit
 
     def record_intent(self, case: PendingRequest, window: int) -> None:
-        """Writes an intent; the same key within the next `window` µs is a repeat of this request."""
+        """Writes the intent of a request.
+
+        A request with the same key that arrives within the next `window` µs is a repeat of this request.
+        """
         request = case.request
         key, body_digest = split_request_key(case.key)
         record = IdempotencyRecord(
@@ -92,9 +95,9 @@
         self._on_capacity_changed()
 
     def start_run(self, case: PendingRequest) -> None:
-        """Starts a run as soon as its intent is confirmed."""
+        """Starts a run as soon as its intent is durable."""
         start = self.pending_starts.get(case.request)
-        if start is None:  # withdrawn in the same reactor turn
+        if start is None:  # the start was withdrawn in the same reactor turn
             self._timers.after(0, self._engine.on_start_withdrawn, case)
             return
         start.is_requested = True
@@ -107,7 +110,10 @@
         self._delete_record(request)
 
     def withdraw_late_starts(self, now: int) -> None:
-        """Withdraws starts whose intent takes too long; `now` is µs of the monotonic clock."""
+        """Withdraws the starts whose intent is not durable after `SLOW_WRITE_US`.
+
+        `now` is in µs of the monotonic clock.
+        """
         late = [start for start in self.pending_starts.values() if now - start.since > SLOW_WRITE_US]
         for start in late:
             if not start.is_confirmed:
@@ -116,9 +122,9 @@
     def on_run_completed(
         self, case: PendingRequest, outcome: Outcome, result: bytes, on_recorded: Callable[[], None]
     ) -> None:
-        """Records a run's result; `on_recorded` is called when it is durable or its write has failed.
+        """Writes a run's result; calls `on_recorded` when the result is durable or the write has failed.
 
-        If the disk fails, the caller gets the result all the same, because the run has happened. A repeat
+        If the write fails, the caller gets the result nevertheless, because the run has happened. A repeat
         after a restart then gets an error.
         """
         known = self._open_records.pop(case.request, None)
@@ -129,28 +135,29 @@
         self._writer.write_result(known.key, completed).addBoth(lambda _: on_recorded())
 
     def on_run_lost(self, case: PendingRequest) -> None:
-        """Keeps the intent of a run whose outcome is unknown."""
+        """Handles a run whose outcome is unknown: the intent stays stored."""
         self._open_records.pop(case.request, None)
 
     def _on_intent_written(self, _: None, start: PendingStart) -> None:
         if self.pending_starts.get(start.case.request) is not start:
-            return  # withdrawn meanwhile, and the record is deleted
+            return  # the start was withdrawn meanwhile, and the intent is deleted
         start.is_confirmed = True
         if start.is_requested:
             self._begin_run(start)
 
     def _on_intent_failed(self, failure: Failure, start: PendingStart) -> None:
-        self._timers.after(0, self._withdraw, start)  # the engine accepts inputs after its current round
+        # in the next reactor turn, because the engine may still be processing its current decisions
+        self._timers.after(0, self._withdraw, start)
 
     def _begin_run(self, start: PendingStart) -> None:
         del self.pending_starts[start.case.request]
         if start.case.open:
             self._engine.begin_run(start.case)
-        else:  # the caller has gone or is answered; nothing ran
+        else:  # the caller has disconnected or has an answer already, so the run is not started
             self._engine.on_run_abandoned(start.case)
 
     def _withdraw(self, start: PendingStart) -> None:
-        """Withdraws a start whose intent was not confirmed in time: nothing runs, the record is deleted."""
+        """Withdraws a start whose intent was not durable in time: nothing runs, the intent is deleted."""
         case = start.case
         if self.pending_starts.get(case.request) is not start:
             return
--- a/lichencleat/idempotency/interfaces.py
+++ b/lichencleat/idempotency/interfaces.py
@@ -1,4 +1,4 @@
-"""Interfaces of the node's parts that the service uses: request engine, timers and report."""
+"""Interfaces of the parts of the node that the idempotency service uses: request engine, timers, report."""
 
 from __future__ import annotations
 
@@ -14,16 +14,19 @@
     """The part of a request in flight that this package uses."""
 
     request: Request
-    ident: bytes  # run id at the interpreter
+    ident: bytes  # id of the request's run at the interpreter
     key: bytes  # the caller's key followed by the digest of request class and body
-    open: bool  # the caller still waits for the answer
+    open: bool  # whether the caller still waits for the answer
 
 
 class RequestEngine(Protocol):
-    """Continues a request after the disk has answered; `node.host.Host` implements it."""
+    """The node's request engine, which continues requests after the disk has answered.
+
+    `node.host.Host` implements this interface.
+    """
 
     def submit_request(self, case: PendingRequest) -> None:
-        """Continues a request that was held until the index was loaded."""
+        """Continues a request that has waited until the index was loaded."""
 
     def fail_request(self, case: PendingRequest) -> None:
         """Answers the request with an error."""
@@ -32,10 +35,10 @@
         """Starts the run of a request whose intent is durable."""
 
     def on_start_withdrawn(self, case: PendingRequest) -> None:
-        """Rejects a request whose intent was not confirmed in time."""
+        """Rejects a request whose intent was not durable in time."""
 
     def on_run_abandoned(self, case: PendingRequest) -> None:
-        """Closes a request whose caller has gone or was answered before the run."""
+        """Closes a request whose caller disconnected or got an answer before the run."""
 
     def complete_repeat(self, case: PendingRequest, result: bytes | None) -> None:
         """Answers a repeat with the result, or with an error if the result is None."""
@@ -44,14 +47,14 @@
         """Sets whether keyed requests are admitted."""
 
     def adopt_run(self, ident: bytes, ended: RunCallback) -> None:
-        """Subscribes to the end of a run of an earlier incarnation."""
+        """Calls `ended` with the outcome of a run that an earlier process (incarnation) started."""
 
     def end_adoption(self) -> None:
-        """Drops the interpreter's reports about other earlier runs."""
+        """Drops the interpreter's reports about earlier runs that were not adopted."""
 
 
 class Timers(Protocol):
-    """A monotonic clock with timers; `node.deadlines.Deadlines` implements it."""
+    """A monotonic clock with timers; `node.deadlines.Deadlines` implements this interface."""
 
     def now(self) -> int:
         """µs of the monotonic clock."""
@@ -61,10 +64,10 @@
 
 
 class Report(Protocol):
-    """Counters and log lines; `node.report.Report` implements it."""
+    """Counters and log lines; `node.report.Report` implements this interface."""
 
     def count(self, peer: str, what: str, amount: int = 1) -> None:
-        """Adds to a counter."""
+        """Adds `amount` to the counter `what` of `peer`."""
 
     def note(self, text: str) -> None:
         """Logs one line."""
--- a/lichencleat/idempotency/lookups.py
+++ b/lichencleat/idempotency/lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups of arriving requests in the index, and answers to repeats."""
+"""Looks up arriving requests in the index, and answers repeats."""
 
 from __future__ import annotations
 
@@ -34,7 +34,10 @@
         self._report = report
 
     def admit(self, case: PendingRequest) -> bool:
-        """Marks a request as new or a repeat; rejects a key with another body and returns False."""
+        """Marks a request as new or as a repeat, and returns True.
+
+        If the request's key was used with another body, the request fails, and the result is False.
+        """
         found = self._look_up(case)
         if found is LookupResult.DIFFERENT_BODY:
             self._report.count("keyed", "keys with another body")
@@ -44,7 +47,7 @@
         return True
 
     def answer_repeat(self, case: PendingRequest) -> None:
-        """Answers a repeat whose first request is not in flight here."""
+        """Answers a repeat whose first request is not in flight on this node."""
         key, _ = split_request_key(case.key)
         found = self._look_up(case)
         self._report.count("keyed", f"repeats told {found.value}")
@@ -84,5 +87,5 @@
         self._writer.store.get(key).addCallbacks(on_read, on_read_failed)
 
     def _answer_after_round(self, case: PendingRequest, result: bytes | None) -> None:
-        """Answers in the next reactor turn: the engine accepts inputs after its current round."""
+        """Answers in the next reactor turn: the engine may still be processing its current decisions."""
         self._timers.after(0, self._engine.complete_repeat, case, result)
--- a/lichencleat/idempotency/ownership.py
+++ b/lichencleat/idempotency/ownership.py
@@ -1,4 +1,4 @@
-"""Checks the ownership of the directory before any record in it is trusted or written."""
+"""Checks that a directory belongs to the node, before records are read from or written to the directory."""
 
 from __future__ import annotations
 
@@ -15,15 +15,20 @@
 
 
 def check_ownership(store: Store, node: str, directory_id: int) -> bytes | None:
-    """Checks that the directory belongs to this node and is no copy; `directory_id` is its inode.
+    """Checks that the store's directory belongs to this node and is no copy.
 
     Prevents a second run of a request: another directory lacks the records of the node's last window.
 
+    Args:
+        store: The open store.
+        node: Name of this node.
+        directory_id: Inode of the store's directory.
+
     Returns:
-        The ownership record to write, or None if it is stored already.
+        The ownership record to write, or None if the record is stored already.
 
     Raises:
-        ForeignDirectoryError: the directory belongs to another node, is a copy or has another format.
+        ForeignDirectoryError: The directory belongs to another node, is a copy or has another format.
     """
     stored = store.engine.get(OWNERSHIP_KEY)
     if stored is None:
--- a/lichencleat/idempotency/records.py
+++ b/lichencleat/idempotency/records.py
@@ -1,4 +1,6 @@
-"""Codec of the stored records: one per key, rewritten when its state changes; the owner; the last heartbeat.
+"""Encodes and decodes the stored records: idempotency records, the ownership and the last heartbeat.
+
+There is one idempotency record per key, which is rewritten when the state of the request changes.
 
 The structs are arrays on disk: fields may be renamed, but never moved or dropped.
 """
@@ -17,7 +19,7 @@
 OWNERSHIP_KEY = b"w"
 HEARTBEAT_KEY = b"s"
 
-DIGEST_BYTES = 16  # of keys and bodies: long enough against collisions, also intended ones
+DIGEST_BYTES = 16  # size of the digests of keys and bodies: prevents collisions, also intended ones
 
 
 class RecordState(IntEnum):
@@ -29,31 +31,34 @@
 
 
 class IdempotencyRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The stored record of one key. Times are µs of the node's own time (see `node_time`)."""
+    """The stored record of one key.
+
+    All times are µs of node time, a clock that stops while the node is down (see `node_time`).
+    """
 
-    state: int
+    state: int  # a `RecordState`
     request_class: str
-    arrived: int  # arrival of the request that was admitted to run
-    expires: int  # the same key is a repeat if it arrives up to this time
-    due: int
-    run_id: bytes  # at the interpreter
-    body_digest: bytes  # of the request class and the body
+    arrived: int  # time when the request that was admitted to run arrived
+    expires: int  # end of the window: a request with the same key that arrives until then is a repeat
+    due: int  # deadline of the request that was admitted to run
+    run_id: bytes  # id of the run at the interpreter
+    body_digest: bytes  # digest of the request class and the body
     result: bytes = b""
 
 
 class Ownership(msgspec.Struct, frozen=True, array_like=True):
-    """The node that owns the directory, and the directory's inode when this was written."""
+    """The node that owns the directory."""
 
-    format: int
-    node: str
-    directory_id: int  # inode of the directory; a copy has another one
+    format: int  # `FORMAT_VERSION` of the program that wrote the records
+    node: str  # name of the node
+    directory_id: int  # inode of the directory; a copy has another inode
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """When the node was last alive."""
+    """The time when the node was last alive, on two clocks."""
 
-    node_time: int  # µs of the node's own time
-    unix_time: int  # µs, by the system clock
+    node_time: int  # µs of node time (see `node_time`)
+    unix_time: int  # µs of Unix time, by the system clock
 
 
 encode = msgspec.msgpack.encode
@@ -63,7 +68,7 @@
 
 
 def record_key(caller_key: bytes) -> bytes:
-    """Returns the fixed-length key under which store and index hold a caller's key.
+    """Returns the record key: the fixed-length key under which the store and the index hold a caller's key.
 
     The digest is cryptographic: with a faster hash, a hostile caller could make two keys collide.
     """
@@ -71,5 +76,5 @@
 
 
 def split_request_key(key: bytes) -> tuple[bytes, bytes]:
-    """Splits a pending request's key into record key and body digest."""
+    """Returns the record key and the body digest for the key of a pending request."""
     return record_key(key[:-DIGEST_BYTES]), key[-DIGEST_BYTES:]
--- a/lichencleat/idempotency/service.py
+++ b/lichencleat/idempotency/service.py
@@ -1,7 +1,7 @@
-"""The idempotency service of a node: loads the records, holds arrivals meanwhile, writes the heartbeat.
+"""The idempotency service of a node: loads the records, holds requests meanwhile, writes the heartbeat.
 
-Every wait for the disk ends: with the disk's answer, at the time limit for a slow disk, or at the request's
-own deadline.
+Every wait of a request for the disk ends: with the disk's answer, at the time limit for a slow disk, or at
+the request's own deadline.
 """
 
 from __future__ import annotations
@@ -32,11 +32,11 @@
 from lichencleat.store.batch import Batch
 from lichencleat.store.store import Store
 
-HEARTBEAT_INTERVAL_US = 1_000_000  # also detects that a failed disk works again
-POLL_INTERVAL_US = 50_000  # between checks for expired waits, while requests or writes wait
-MAX_PENDING_ARRIVALS = 4_096  # requests that wait for the index, of all connections: some MB
-MAX_ARRIVAL_WAIT_US = 1_500_000  # for the index; most indexes are loaded by then
-LOAD_CHUNK = 4_000  # records read at once at the start; blocks the reactor for some 15 ms
+HEARTBEAT_INTERVAL_US = 1_000_000  # time between heartbeats, which also detect that a failed disk works again
+POLL_INTERVAL_US = 50_000  # time between checks for waits that are too long, while requests or writes wait
+MAX_PENDING_ARRIVALS = 4_096  # limit on the requests, of all connections, that wait for the index: some MB
+MAX_ARRIVAL_WAIT_US = 1_500_000  # longest wait of a request for the index; most indexes are loaded by then
+LOAD_CHUNK = 4_000  # number of records loaded at once, which blocks the reactor for some 15 ms
 
 Get = Callable[[bytes], bytes | None]
 
@@ -45,11 +45,11 @@
     """A request that waits until the index is loaded."""
 
     case: PendingRequest
-    since: int  # µs of the monotonic clock
+    since: int  # µs of the monotonic clock: when the request arrived
 
 
 class IdempotencyService:
-    """Owns the store and the requests that wait for it; `close` releases the store."""
+    """Owns the store, and the requests that wait for the index; `close` closes the store."""
 
     def __init__(
         self,
@@ -76,19 +76,25 @@
         )
         self.index = index
         self.pending_arrivals: deque[PendingArrival] = deque()
-        # Other parts' records in the store: read at the start, written with each heartbeat (True: the last).
+        # Callbacks of other parts of the node that have records in the store. Those in `on_opened` read the
+        # store at the start. Those in `heartbeat_records` return a key and a value to write with each
+        # heartbeat; their argument is True for the last heartbeat before a graceful shutdown.
         self.on_opened: list[Callable[[Get], None]] = []
         self.heartbeat_records: list[Callable[[bool], tuple[bytes, bytes]]] = []
-        self._is_available: bool | None = None  # as last set on the engine
+        self._is_available: bool | None = None  # the last value that was set on the engine
         self._is_polling = False
         self._is_closed = False
-        self._unwritten_ownership: bytes | None = None  # to be written with the next heartbeat
+        self._unwritten_ownership: bytes | None = None  # record to write with the next heartbeat
 
     @inlineCallbacks
     def start(self, store: Store, directory_id: int) -> Generator[Deferred[Any], Any, None]:
-        """Loads the records while the node serves; `directory_id` is the directory's inode.
+        """Loads the records, while the node serves requests without a key.
 
-        Fails with ForeignDirectoryError before anything is written.
+        Fails with ForeignDirectoryError, before anything is written, if the directory is not this node's.
+
+        Args:
+            store: The open store.
+            directory_id: Inode of the store's directory.
         """
         self._writer.store = store
         self._unwritten_ownership = check_ownership(store, self._node, directory_id)
@@ -100,7 +106,10 @@
         self._on_index_loaded()
 
     def on_arrival(self, case: PendingRequest) -> bool:
-        """Returns whether the engine continues a request now; else the request is answered or held here."""
+        """Returns whether the engine may continue a keyed request now.
+
+        Otherwise this service holds the request until the index is loaded, or answers it with an error.
+        """
         if self.index.is_loaded:
             return self._lookup.admit(case)
         if len(self.pending_arrivals) >= MAX_PENDING_ARRIVALS or self._is_closed:
@@ -115,11 +124,11 @@
         self._lookup.answer_repeat(case)
 
     def on_interpreter_started(self, age: int) -> None:
-        """Handles a connected interpreter that started `age` µs ago."""
+        """Handles the connection of an interpreter that started `age` µs ago."""
         self._earlier_runs.on_interpreter_started(age)
 
     def close(self) -> Deferred[None]:
-        """Closes the store; fires when all writes are durable and the directory is released."""
+        """Closes the store; fires when all writes are durable and the directory is unlocked."""
         self._is_closed = True
         store = self._writer.store
         if store is None:
@@ -183,7 +192,7 @@
                 self._engine.submit_request(case)
 
     def _update_availability(self) -> None:
-        """Sets on the engine, on a change, whether keyed requests can be admitted."""
+        """Tells the engine whether keyed requests can be admitted, if this has changed."""
         writer = self._writer
         is_ready = self.index.is_loaded and not writer.failure
         is_available = is_ready and not writer.is_slow and self.index.has_capacity()
@@ -212,10 +221,10 @@
             self._schedule_poll()
 
     def _send_heartbeat(self) -> None:
-        """Writes the heartbeat, and deletes what has expired."""
+        """Writes the heartbeat, and removes expired records and overdue runs."""
         if self._is_closed:
             return
-        if not self._writer.in_flight:  # behind other writes, the heartbeat would only wait
+        if not self._writer.in_flight:  # a heartbeat would only wait behind the other writes
             self._write_heartbeat()
         self._earlier_runs.discard_overdue()
         self._update_availability()
--- a/lichencleat/idempotency/writer.py
+++ b/lichencleat/idempotency/writer.py
@@ -1,4 +1,4 @@
-"""Writes to the store, and the health of the disk: failing, slow or healthy."""
+"""Writes records to the store, and determines whether the disk is healthy, slow or failing."""
 
 from __future__ import annotations
 
@@ -14,8 +14,12 @@
 from lichencleat.store.errors import StoreError
 from lichencleat.store.store import Store
 
-SLOW_WRITE_US = 250_000  # from then on no new run waits for the disk; a healthy disk flushes in a few ms
-MAX_UNWRITTEN_RESULTS = 1_024  # kept for a retry; repeats of further ones get an error after a restart
+# The disk is slow while a write takes longer; then no new run waits for the disk. A healthy disk flushes in a
+# few ms.
+SLOW_WRITE_US = 250_000
+# Limit on the results that are kept for a retry after a failed write; repeats of other requests get an error
+# after a restart.
+MAX_UNWRITTEN_RESULTS = 1_024
 
 
 class RecordWriter:
@@ -35,20 +39,22 @@
         self._on_write_started = on_write_started
         self._on_write_finished = on_write_finished
         self._last_number = 0
-        self._unwritten: dict[bytes, IdempotencyRecord] = {}
-        self.in_flight: dict[int, int] = {}  # start (µs) by write number; bounded by the store's queue
-        self.failure = ""  # the disk's last error, empty while it works
-        self.last_write_us = 0
+        self._unwritten: dict[bytes, IdempotencyRecord] = {}  # by record key: results to write again
+        # By number of the write: µs of the monotonic clock when the write began. The store's queue bounds
+        # them.
+        self.in_flight: dict[int, int] = {}
+        self.failure = ""  # the disk's last error, empty while the disk works
+        self.last_write_us = 0  # duration of the last successful write
         self.store: Store | None = None
 
     @property
     def is_slow(self) -> bool:
-        """Whether the oldest write has been in flight for too long."""
+        """Whether the oldest write in flight has taken longer than `SLOW_WRITE_US`."""
         oldest = next(iter(self.in_flight.values()), None)
         return oldest is not None and self._timers.now() - oldest > SLOW_WRITE_US
 
     def write(self, batch: Batch) -> Deferred[None]:
-        """Commits a batch; fires when it is durable, or fails with the store's error."""
+        """Commits a batch; fires when the batch is durable, or fails with the store's error."""
         assert self.store is not None
         self._last_number += 1
         number = self._last_number
@@ -62,18 +68,21 @@
         return committed
 
     def write_and_forget(self, batch: Batch) -> None:
-        """Commits a batch whose loss is harmless."""
+        """Commits a batch whose loss is harmless; errors are ignored."""
         self.write(batch).addErrback(lambda failure: None)
 
     def delete(self, keys: list[bytes]) -> None:
-        """Deletes records; if the write fails, they expire again later."""
+        """Deletes records; if the write fails, the records stay on disk until they expire after a restart."""
         batch = Batch()
         for key in keys:
             batch.delete(key)
         self.write_and_forget(batch)
 
     def write_result(self, key: bytes, record: IdempotencyRecord) -> Deferred[None]:
-        """Records a result; fires also if the disk fails, and then retries when the disk works again."""
+        """Writes a record with the outcome of a run; the Deferred fires also if the write fails.
+
+        A failed write is repeated when the disk works again.
+        """
         self._index.put(key, record)
 
         def keep_for_retry(failure: Failure) -> None:
@@ -83,7 +92,7 @@
         return self.write(Batch().put(key, encode(record))).addErrback(keep_for_retry)
 
     def on_disk_failure(self, failure: Failure) -> None:
-        """Counts a failure, and logs it if it differs from the previous one."""
+        """Counts a failure of the disk, and logs the failure if it differs from the previous one."""
         self._report.count("keyed", "disk failures")
         message = failure.getErrorMessage()
         if not isinstance(failure.value, StoreError):
@@ -108,7 +117,7 @@
         return failure
 
     def _retry_unwritten(self) -> None:
-        """Writes results again, unless their keys have a newer state."""
+        """Writes the results of failed writes again, if the index still has their records."""
         unwritten = self._unwritten
         self._unwritten = {}
         for key, record in unwritten.items():
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -31,7 +31,8 @@
 EPOCH_DELAY_US = 2_000_000
 POWER_LOSS_FRACTION = 0.5  # a power loss is assumed if this fraction of the nodes is restarted or gone
 MAX_SMALL_FLEET = 2  # a fleet of at most two nodes is too small to tell a power loss from single restarts
-FIRST_BATCH_FRACTION = 1 / 3  # fraction of the nodes in the first batch: enough to load shared dependencies
+# Fraction of the known nodes in the first batch: enough to observe the load on the shared dependencies.
+FIRST_BATCH_FRACTION = 1 / 3
 # Dependency share at the start of a recovery: cold dependencies may fail at a third of their usual load.
 INITIAL_DEPENDENCY_SHARE = 0.3
 # In each step (0.3 s), the dependency share grows by this fraction of itself, times the difference by which
