--- a/lichencleat/idempotency/writer.py
+++ b/lichencleat/idempotency/writer.py
@@ -40,8 +40,8 @@
         self._on_write_finished = on_write_finished
         self._last_number = 0
         self._unwritten: dict[bytes, IdempotencyRecord] = {}  # by record key: results to write again
-        # By number of the write: µs of the monotonic clock when the write began. The store's queue bounds
-        # them.
+        # By number of each write in flight: µs of the monotonic clock when the write began. The limit of the
+        # store's queue also limits the number of writes in flight.
         self.in_flight: dict[int, int] = {}
         self.failure = ""  # the disk's last error, empty while the disk works
         self.last_write_us = 0  # duration of the last successful write
--- a/lichencleat/store/batch.py
+++ b/lichencleat/store/batch.py
@@ -6,11 +6,11 @@
 from lichencleat.store.errors import BatchSizeError, InvalidExpiryError, KeySizeError, ValueSizeError
 from lichencleat.store.segments import Record
 
-MAX_BATCH_BYTES = 32 << 20  # size of a batch's frames; a batch is written and confirmed as a whole
+MAX_BATCH_BYTES = 32 << 20  # limit on the size of a batch's frames; a batch is written as a whole
 MAX_EXPIRY_US = (1 << 63) - 1
 
 Change = tuple[bytes, bytes | None, int]
-"""Key, value (None: deleted), expiry in µs of Unix time (0: none)."""
+"""Key, value (None: the key is deleted), expiry in µs of Unix time (0: none)."""
 
 
 class Batch:
@@ -19,7 +19,7 @@
     Attributes:
         changes: The changes in the order of the calls.
         bytes: Upper limit on the size of the batch's frames.
-        has_puts: Whether the batch sets values; one that only deletes may use more of a full store's space.
+        has_puts: Whether the batch sets values. Batches that only delete may use more of the disk space.
     """
 
     __slots__ = ("changes", "bytes", "has_puts")
@@ -30,7 +30,7 @@
         self.has_puts = False
 
     def put(self, key: bytes, value: bytes, expiry: int = 0) -> Batch:
-        """Set a key's value and return the batch.
+        """Add a change that sets a key's value; return the batch.
 
         Args:
             key: 1 to 65,536 bytes.
@@ -48,11 +48,15 @@
         return self._append(key, value, expiry)
 
     def delete(self, key: bytes) -> Batch:
-        """Delete a key, which need not exist, and return the batch. Raises BadRecordError."""
+        """Add a change that deletes a key if the key exists; return the batch.
+
+        Raises:
+            BadRecordError: If the key or the batch is outside its limits.
+        """
         return self._append(key, None, 0)
 
     def to_records(self) -> list[Record]:
-        """The log records of all changes; a commit record follows unless there is exactly one change."""
+        """Return the log records of all changes, and a commit record unless there is only one change."""
         if len(self.changes) == 1:
             ((key, value, expiry),) = self.changes
             if value is None:
--- a/lichencleat/store/bench.py
+++ b/lichencleat/store/bench.py
@@ -1,4 +1,4 @@
-"""Benchmark: measures a store on a local disk, for `store bench` and benchmarks/store.py."""
+"""Benchmark: measures the rate and latency of a store's writes, for `store bench` and benchmarks/store.py."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def now() -> int:
-    """The current time in µs of Unix time."""
+    """Return the current time in µs of Unix time."""
     return time.time_ns() // 1000
 
 
@@ -37,7 +37,7 @@
 
 
 def quantiles(latencies: HdrHistogram) -> list[int]:
-    """The 50th, 99th and 99.9th percentile in µs."""
+    """Return the 50th, 99th and 99.9th percentile of latencies, in µs."""
     return [int(latencies.get_value_at_percentile(each)) for each in PERCENTILES]
 
 
@@ -69,7 +69,7 @@
 
 
 def measure_grouped(path: str, callers: int, seconds: float, value: bytes) -> Row:
-    """Measure group commit with `callers` concurrent callers, each with one put outstanding.
+    """Measure group commit with `callers` concurrent callers, each of which waits for one put at a time.
 
     Each group has one put of every caller.
     """
@@ -92,7 +92,7 @@
 
 
 def measure_puts(path: str, callers: list[int], seconds: float, value_bytes: int) -> list[Row]:
-    """Measure the baseline, and group commit with each number of callers; leaves the directory empty."""
+    """Measure the baseline, and group commit with each number in `callers`; leaves the directory empty."""
     value = random.Random(1).randbytes(value_bytes)
     RealDisk(path, create=True).unlock()  # creates the directory
     rows: list[Row] = []
--- a/lichencleat/store/capacity.py
+++ b/lichencleat/store/capacity.py
@@ -10,7 +10,7 @@
 from lichencleat.store.index import ENTRY_BYTES, Index
 
 MIB = 1 << 20
-RESERVED_SEGMENTS = 2  # of `max_segments`, reserved for compaction
+RESERVED_SEGMENTS = 2  # number of segments, out of `max_segments`, that commits leave for compaction
 
 
 @dataclass(frozen=True, slots=True)
@@ -20,17 +20,17 @@
     The defaults suit a node with a few hundred MB of memory and 1,024 file descriptors.
     """
 
-    segment_bytes: int = 16 * MIB  # a segment is sealed at this size; each uses a file descriptor
-    max_disk_bytes: int = 1024 * MIB  # of all segments, including the space reserved for compaction
+    segment_bytes: int = 16 * MIB  # a segment is sealed at this size
+    max_disk_bytes: int = 1024 * MIB  # size of all segments, including the space reserved for compaction
     max_entries: int = 2_000_000
-    max_memory_bytes: int = 512 * MIB  # estimated, of the index
-    max_segments: int = 512  # open files
-    keep_reserve: bool = True  # hold a reserve file of `reserve_bytes`, for compaction when the disk is full
-    max_undo_entries: int = 1_000_000  # keys changed during a snapshot; the snapshot ends above it
+    max_memory_bytes: int = 512 * MIB  # estimated memory of the index
+    max_segments: int = 512  # each segment is an open file
+    keep_reserve: bool = True  # whether a file of `reserve_bytes` keeps space for compaction on a full disk
+    max_undo_entries: int = 1_000_000  # a snapshot ends when more keys than this have changed since its start
 
     @property
     def reserve_bytes(self) -> int:
-        """Bytes that compacting one segment may need: its size and some overhead."""
+        """Bytes that compacting one segment may need: the size of a segment and some overhead."""
         return self.segment_bytes + self.segment_bytes // 16
 
 
@@ -53,26 +53,26 @@
         self.index = index
         self.disk_bytes = disk_bytes
         self.out_of_segments = needs_segment and segment_count >= limits.max_segments - RESERVED_SEGMENTS
-        self.added_entries = 0
-        self.added_memory = 0
-        self.near_index_limit = False
+        self.added_entries = 0  # entries that the admitted batches add to the index
+        self.added_memory = 0  # estimated bytes that the admitted batches add to the index
+        self.near_index_limit = False  # whether `admit` has to count each batch's new keys
 
     def expect(self, total_changes: int, total_bytes: int) -> None:
-        """Set the total changes and bytes of all batches that follow.
+        """Set the total changes and bytes of all batches that are checked next.
 
-        If the index has space for all of them, `admit` does not count each batch's new keys.
+        If the index has space for all of these changes, `admit` does not count each batch's new keys.
         """
         memory_bytes = self.index.memory_bytes + ENTRY_BYTES * total_changes + total_bytes
         too_many_entries = len(self.index) + total_changes > self.limits.max_entries
         self.near_index_limit = too_many_entries or memory_bytes > self.limits.max_memory_bytes
 
     def admit(self, batch: Batch) -> StoreError | None:
-        """Admit the batch and return None, or return an error that names the limit it would exceed.
+        """Admit the batch and return None, or return an error with the limit that the batch would exceed.
 
         Batches that only delete may use half of the space reserved for compaction.
         """
         limits = self.limits
-        # the batch with its commit record
+        # size of the segments after the batch and its commit record
         disk_bytes = self.disk_bytes + batch.bytes + framing.MAX_FRAME_OVERHEAD_BYTES
         reserved_bytes = limits.reserve_bytes if batch.has_puts else limits.reserve_bytes // 2
         if disk_bytes > limits.max_disk_bytes - reserved_bytes:
--- a/lichencleat/store/check.py
+++ b/lichencleat/store/check.py
@@ -30,15 +30,23 @@
     entries: int = 0
     segments: int = 0
     bytes_read: int = 0
-    torn_bytes: int = 0  # left by a power cut at the log's end; not a finding
-    unproved_records: int = 0  # at the log's end; written again when the store opens
-    checkpoint: str = "none"
+    torn_bytes: int = 0  # bytes of an incomplete write at the log's end, after a power cut; not a finding
+    unproved_records: int = 0  # records at the log's end not known to be flushed; opening rewrites them
+    checkpoint: str = "none"  # the last sequence that the checkpoint covers, as text
 
 
 def check(disk: Disk, directory: str, now: int, progress: Progress = ignore_progress) -> CheckReport:
-    """Check the store in a directory, under its lock. `now` is in µs of Unix time.
+    """Check the store in a directory, and hold the directory's lock meanwhile.
 
-    Raises CannotOpenError if it is not a store, UnreadableDirectoryError if reading fails.
+    Args:
+        disk: The directory.
+        directory: The directory's name in errors.
+        now: µs of Unix time; entries that expire until then are not counted.
+        progress: Called before each file is read.
+
+    Raises:
+        CannotOpenError: If the directory is not a store, has a newer format, or is in use.
+        UnreadableDirectoryError: If reading fails.
     """
     disk.lock()
     scan = RecoveryScan(disk, directory)
@@ -67,7 +75,7 @@
 
 
 def _damaged_spans(scan: RecoveryScan, segment: Segment) -> list[Finding]:
-    """Every span of a segment's valid size that is not an intact frame."""
+    """Return a finding for each span of a segment's valid bytes that is not an intact frame."""
     found: list[Finding] = []
     read = scan.reader(segment.file)
     end = segment.data_start
@@ -100,7 +108,7 @@
     replay = Replay(scan.disk, scan.segments, checkpoint, scan.findings)
     checkpoint_locations, _ = replay.build_index(now)
     if replay.checkpoint is None:
-        return  # an old checkpoint that does not match the log is harmless
+        return  # opening the store ignores an old checkpoint that does not match the log
     for key in sorted({*locations, *checkpoint_locations}):
         from_log, from_checkpoint = locations.get(key), checkpoint_locations.get(key)
         if from_log != from_checkpoint and not all(
--- a/lichencleat/store/checkpoint.py
+++ b/lichencleat/store/checkpoint.py
@@ -1,10 +1,12 @@
-"""Checkpoints: encodes and decodes the index as of one sequence. No I/O.
+"""Checkpoints: encodes and decodes copies of the index. No I/O.
 
-With a checkpoint, opening a store reads keys and locations but no values. If the checkpoint is missing, old
-or torn, opening only takes longer. It is written in steps from a snapshot, under a temporary name until it is
-flushed.
+A checkpoint has the location of each key after one log record, whose sequence it names. With a checkpoint,
+opening a store reads keys and locations but no values. If the checkpoint is missing, old or torn, opening
+only takes longer. A checkpoint is written in steps from a snapshot, and is renamed from a temporary name once
+it is flushed.
 
-The first frame is a `CheckpointHeader`, frames of `Rows` follow, and the last frame is the number of entries.
+The first frame of the file is a `CheckpointHeader`, frames of `Rows` follow, and the last frame is the number
+of entries.
 """
 
 from __future__ import annotations
@@ -20,7 +22,7 @@
 from lichencleat.store import file_names, framing
 from lichencleat.store.index import FIELD_BITS, expiry_of, length_of, offset_of, segment_of
 
-ROWS_PER_FRAME = 4_096  # entries: some 150 KB
+ROWS_PER_FRAME = 4_096  # number of entries in a frame, which then has some 150 KB
 UINT32 = "I"  # type codes of `array.array`
 UINT64 = "Q"
 ROWS_FIRST_BYTE = 0x95  # msgpack array of five: the first byte of a frame of rows
@@ -32,12 +34,12 @@
 class CheckpointHeader(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """The part of the log that a checkpoint covers."""
 
-    store: bytes
-    sequence: int  # the last sequence covered
-    time: int  # µs
-    newest: int  # number of the newest segment
-    offset: int  # end of the covered frames in the newest segment
-    tombstone_bytes: list[tuple[int, int]]  # segment number, bytes of its tombstones
+    store: bytes  # identity of the store
+    sequence: int  # sequence of the last log record that the checkpoint covers
+    time: int  # µs of Unix time: the latest time that the store had seen
+    newest: int  # number of the newest segment that the checkpoint covers
+    offset: int  # end of the covered frames in that segment, in bytes
+    tombstone_bytes: list[tuple[int, int]]  # for each segment: its number, and the bytes of its tombstones
 
 
 _decode_header = msgspec.msgpack.Decoder(CheckpointHeader).decode
@@ -47,7 +49,7 @@
 
 @dataclass(slots=True)
 class Checkpoint:
-    """A decoded checkpoint: the part of the log that it covers, and the location of each key."""
+    """A decoded checkpoint; see `CheckpointHeader`. `locations` has the packed location of each key."""
 
     sequence: int
     time: int
@@ -58,22 +60,22 @@
 
 
 class CheckpointEncoder:
-    """Encodes the file in pieces, which the caller appends in order."""
+    """Encodes a checkpoint file in pieces, which the caller appends to the file in order."""
 
     def __init__(self, salt: bytes) -> None:
         self.salt = salt
         self.salt_checksum = crc32c(salt)
-        self.size = 0
-        self.count = 0
+        self.size = 0  # bytes encoded so far
+        self.count = 0  # entries encoded so far
 
     def encode_header(self, header: CheckpointHeader) -> bytes:
-        """The first piece: the file header and the checkpoint's header."""
+        """Return the first piece: the file header and the checkpoint's header."""
         head = framing.encode_file_header(framing.CHECKPOINT_MAGIC, self.salt)
         self.size = len(head)
         return head + self._encode_frame(header)
 
     def encode_rows(self, entries: Sequence[tuple[bytes, int]]) -> bytes:
-        """The next piece: keys and packed locations, in order of keys."""
+        """Return the next piece: keys and packed locations, in order of keys."""
         self.count += len(entries)
         locations = [location for _, location in entries]
         columns = [
@@ -85,7 +87,7 @@
         return self._encode_frame(([key for key, _ in entries], *map(_encode_column, columns)))
 
     def encode_count(self) -> bytes:
-        """The last piece: the number of entries. A checkpoint without it is torn."""
+        """Return the last piece: the number of entries. A checkpoint without this piece is torn."""
         return self._encode_frame(self.count)
 
     def _encode_frame(self, content: object) -> bytes:
@@ -109,9 +111,15 @@
 
 
 def decode_checkpoint(read: framing.Read, size: int, store: bytes) -> Checkpoint | None:
-    """The checkpoint in the file, or None if it is incomplete or belongs to another store.
+    """Return the checkpoint in a file, or None if the checkpoint is incomplete or of another store.
 
-    Raises NewerFormatError.
+    Args:
+        read: Reads the file.
+        size: Size of the file in bytes.
+        store: Identity of the store.
+
+    Raises:
+        NewerFormatError: If a newer version of this program wrote the file.
     """
     header_bytes = read(0, framing.FILE_HEADER_BYTES)
     salt = framing.decode_file_header(header_bytes, framing.CHECKPOINT_MAGIC, file_names.CHECKPOINT)
@@ -149,7 +157,7 @@
     segments, offsets, lengths = (_decode_column(UINT32, each) for each in columns[:3])
     expiries = _decode_column(UINT64, columns[3])
     bits = FIELD_BITS
-    if not any(expiries):  # a third faster in the usual case without expiries
+    if not any(expiries):  # usually no entry expires; packing is then a third faster
         locations = [(s << bits | o) << bits | n for s, o, n in zip(segments, offsets, lengths, strict=True)]
     else:
         locations = [
--- a/lichencleat/store/checkpoint_writer.py
+++ b/lichencleat/store/checkpoint_writer.py
@@ -18,21 +18,21 @@
     snapshot: Snapshot
     encoder: checkpoint.CheckpointEncoder
     file: FileHandle
-    cursor: bytes  # the key at which the next rows begin
-    log_position: int  # bytes of log written before the checkpoint began
+    cursor: bytes  # the key from which the next rows are read
+    log_position: int  # `Log.bytes_written` when the checkpoint began
 
 
 class CheckpointWriter:
-    """Writes one checkpoint at a time; only `abort` closes its file and snapshot."""
+    """Writes one checkpoint at a time; only `abort` closes the checkpoint's file and snapshot."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
         self.in_progress: CheckpointInProgress | None = None
-        self.log_position = 0  # bytes of log written before the last checkpoint
-        self.last_sequence = 0  # the last sequence that the last checkpoint covers
+        self.log_position = 0  # `Log.bytes_written` when the last complete checkpoint began
+        self.last_sequence = 0  # sequence of the last log record that the last checkpoint covers
 
     def bytes_since_last(self) -> int:
-        """Bytes of log since the last checkpoint, which would be replayed when the store opens."""
+        """Return the bytes of log since the last checkpoint, which opening the store would replay."""
         return self.log.bytes_written - self.log_position
 
     def begin(self) -> None:
@@ -63,7 +63,7 @@
             with self.log.lock:
                 rows = current.snapshot.chunk(current.cursor, b"", checkpoint.ROWS_PER_FRAME)
             if not current.snapshot.is_open:
-                self.abort()  # more keys changed meanwhile than the undo list holds
+                self.abort()  # the snapshot has ended: too many keys changed since the checkpoint began
                 return
             if not rows:
                 self._finish(current)
@@ -86,7 +86,7 @@
         self.abort()
 
     def on_disk_failed(self) -> None:
-        """Abort after an error of the disk; the next attempt waits for another checkpoint interval of log."""
+        """Abort the checkpoint after an error of the disk; the next one waits for another interval of log."""
         if self.in_progress is not None:
             self.log_position = self.log.bytes_written
             self.abort()
--- a/lichencleat/store/compactor.py
+++ b/lichencleat/store/compactor.py
@@ -1,4 +1,4 @@
-"""Compactor: copies a segment's live records and needed tombstones to the log's end and removes its file."""
+"""Compactor: copies a segment's live records and needed tombstones to the log's end; removes the segment."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 
 @dataclass(slots=True)
 class Compaction:
-    """A compaction in progress: its victim, and the place from which the rest is read."""
+    """A compaction in progress."""
 
-    segment: Segment
-    offset: int  # bytes
-    sequence: int  # of the frame at `offset`
+    segment: Segment  # the segment that is removed at the end of the compaction
+    offset: int  # offset of the next frame to read from the segment, in bytes
+    sequence: int  # sequence of that frame
 
     @property
     def remaining_bytes(self) -> int:
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EntryMove:
-    """An entry whose record is copied, with its location before the copy."""
+    """An index entry whose record is copied, with the record's location before the copy."""
 
     key: bytes
     old_location: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class CopyBatch:
-    """Records that one step writes, each with the entry that it moves, if any."""
+    """Records that one step of a compaction writes, each with the index entry to move to it, if any."""
 
     records: list[Record] = field(default_factory=list)
     moves: list[EntryMove | None] = field(default_factory=list)
@@ -57,15 +57,15 @@
         self.in_progress: Compaction | None = None
 
     def begin(self, segment: Segment | None) -> None:
-        """Begin to compact the segment, unless it is None; the next calls of `step` do the work."""
+        """Begin to compact a segment; the next calls of `step` do the work. None begins nothing."""
         if segment is not None:
             self.in_progress = Compaction(segment, segment.data_start, segment.first_sequence)
 
     def step(self, compaction: Compaction, budget: int) -> None:
-        """Read and copy about `budget` bytes; remove the segment once all of it is copied.
+        """Read and copy about `budget` bytes of a segment; remove the segment after its last record.
 
         Raises:
-            CorruptDataError: If the segment has bytes that are not a record; the segment is kept.
+            CorruptDataError: If the segment has valid bytes that are not a record; the segment is kept.
             OSError: If writing failed; the segment is kept.
         """
         log, segment = self.log, compaction.segment
@@ -76,7 +76,8 @@
         if not is_oldest or log.index.live_bytes.get(segment.number, 0):
             self._collect_copies(compaction, budget, remaining, copies)
             is_complete = compaction.offset >= segment.size
-        # else nothing is copied: the oldest segment's tombstones are not needed
+        # An oldest segment without live entries needs no copies: no older segment has values that its
+        # tombstones hide.
         if is_complete:
             copies.add(Record(framing.SEGMENT_REMOVED, segment.number, b""))
         if copies.records:
@@ -90,7 +91,7 @@
     def _collect_copies(
         self, compaction: Compaction, budget: int, remaining: Sequence[Segment], copies: CopyBatch
     ) -> None:
-        """Read about `budget` bytes of the segment and add the records that have to be kept."""
+        """Read about `budget` bytes of the segment; add the records that have to be kept to `copies`."""
         segment = compaction.segment
         processed_bytes = 0
         frames = framing.iter_frames(
@@ -126,7 +127,7 @@
         return read
 
     def _mark_damaged(self, segment: Segment, offset: int, problem: str) -> CorruptDataError:
-        """Exclude the segment from compaction and keep it for `check` and `salvage`."""
+        """Exclude the segment from compaction, so that `check` and `salvage` can read it; return an error."""
         self.in_progress = None
         segment.is_damaged = True
         return CorruptDataError([Finding(segment.name, offset, problem)])
@@ -141,7 +142,17 @@
         location: int,
         remaining: Sequence[Segment],
     ) -> Record | None:
-        """The record that replaces this one when its segment is removed, or None if none is needed."""
+        """Return the record to write in place of a record of the segment, or None if none is needed.
+
+        Args:
+            kind: Kind of the record.
+            sequence: Sequence of the record.
+            number: Number of the record, see `framing.Body`.
+            key: Key of the record.
+            value: Value of the record.
+            location: Packed location of the record.
+            remaining: All segments except the one that is compacted.
+        """
         index = self.log.index
         if kind in framing.PUTS:
             if index.locations.get(key) == location:
@@ -150,8 +161,8 @@
                 with self.log.lock:
                     index.delete(key)
             elif not number or key in index.locations:
-                return None  # a newer value or tombstone replaces it
-            # expired: a tombstone has to hide an older value of the key in an older segment
+                return None  # the key has a newer value, or a newer tombstone
+            # The value has expired: a tombstone has to hide older values of the key in older segments.
             tombstone_sequence = sequence
         elif kind in framing.DELETES:
             tombstone_sequence = number or sequence
@@ -166,7 +177,7 @@
         )
 
     def _copy(self, copies: CopyBatch) -> None:
-        """Write and flush the copies together, with the reserve's space if the disk is full."""
+        """Write and flush all copies; a full disk releases the reserve to make space for them."""
         log = self.log
         written_before = log.counts["bytes written"]
         try:
--- a/lichencleat/store/creation.py
+++ b/lichencleat/store/creation.py
@@ -10,7 +10,7 @@
 
 
 def check_empty(names: Sequence[str], directory: str) -> None:
-    """Check that the directory holds only files of an interrupted creation, which may be removed.
+    """Check that the directory has no files except those of an interrupted creation, which may be removed.
 
     Raises:
         DirectoryNotEmptyError: If there are files of another program.
@@ -29,7 +29,7 @@
 def create_store(log: Log, names: Sequence[str]) -> None:
     """Create a new store with an empty log, after removing the files in `names`. Raises OSError.
 
-    The marker is written last: after a power cut before that, the store is created again.
+    The marker file is written last: after a power cut without a marker file, the store is created again.
     """
     disk = log.disk
     for name in names:
--- a/lichencleat/store/disk.py
+++ b/lichencleat/store/disk.py
@@ -19,8 +19,8 @@
     """A flat directory.
 
     Every method except `names`, `lock` and `unlock` may raise OSError; the call may then be done in part.
-    Appended data survives a power cut once `flush` of its file has returned without an error; a new name, a
-    rename and a removal survive it once `flush_directory` has.
+    Appended data survives a power cut once `flush` of the file has returned without an error. A new name, a
+    rename and a removal survive a power cut once `flush_directory` has returned without an error.
     """
 
     def names(self) -> list[str]:
@@ -36,7 +36,7 @@
         """Append data at the file's end."""
 
     def read(self, file: FileHandle, offset: int, length: int) -> bytes:
-        """Return up to `length` bytes from `offset` on; fewer only at the file's end."""
+        """Return `length` bytes from `offset` on, or fewer bytes at the file's end."""
 
     def flush(self, file: FileHandle) -> None:
         """Make appended data survive a power cut."""
@@ -45,10 +45,10 @@
         """Make new names, renames and removals survive a power cut."""
 
     def rename(self, old: str, new: str) -> None:
-        """Rename a file; replaces a file that has the new name."""
+        """Rename a file; replaces an existing file that has the new name."""
 
     def remove(self, name: str) -> None:
-        """Remove a file; open handles of it stay usable."""
+        """Remove a file; open handles of the file stay usable."""
 
     def size(self, file: FileHandle) -> int:
         """Return the file's size in bytes."""
@@ -64,9 +64,9 @@
 
 
 class RealDisk:
-    """A directory of the file system, created if it is missing and `create` is set.
+    """A directory of the file system; a missing directory is created if `create` is set.
 
-    Raises UnusableDirectoryError if it can't be opened or created.
+    Raises UnusableDirectoryError if the directory can't be opened or created.
     """
 
     def __init__(self, path: str, create: bool = False) -> None:
@@ -99,7 +99,7 @@
     def append(self, file: int, data: bytes) -> None:
         """See `Disk`."""
         rest = memoryview(data)
-        while rest:  # after a short write, the next write raises the error, if any
+        while rest:  # a write may be short; the next write then raises the error, if there is one
             rest = rest[os.write(file, rest) :]
 
     def read(self, file: int, offset: int, length: int) -> bytes:
--- a/lichencleat/store/disk_kinds.py
+++ b/lichencleat/store/disk_kinds.py
@@ -1,4 +1,4 @@
-"""The kinds of disk that a settings file can name, and how each is opened.
+"""The kinds of disk that a settings file can name, and the function that opens each kind.
 
 The program itself has the kind `real` only. The test kit registers other kinds, such as a disk with a
 volatile write cache, in the processes that it starts.
@@ -11,7 +11,7 @@
 from lichencleat.store.disk import Disk, RealDisk
 from lichencleat.store.errors import StoreError
 
-DiskFactory = Callable[[str], Disk]  # from a directory's path; creates the directory if it is missing
+DiskFactory = Callable[[str], Disk]  # opens the directory of that path; creates a missing directory
 
 
 class UnknownDiskKindError(StoreError):
@@ -34,7 +34,7 @@
 
 
 def register_disk_kind(kind: str, factory: DiskFactory) -> None:
-    """Make a kind of disk available in this process; replaces an earlier kind of that name."""
+    """Make a kind of disk available in this process; a kind with the same name is replaced."""
     _factories[kind] = factory
 
 
--- a/lichencleat/store/engine.py
+++ b/lichencleat/store/engine.py
@@ -29,8 +29,8 @@
 from lichencleat.store.reserve import Reserve
 from lichencleat.store.segments import Record
 
-STEP_BYTES = 256 << 10  # read or written by one step of maintenance
-CHECKPOINT_AT_CLOSE_BYTES = 1 << 20  # log since the last checkpoint, above which `close` writes one
+STEP_BYTES = 256 << 10  # bytes that one step of maintenance reads and writes
+CHECKPOINT_AT_CLOSE_BYTES = 1 << 20  # bytes of log after a checkpoint, above which `close` writes a new one
 
 
 class Engine:
@@ -45,7 +45,7 @@
         self.compactor = Compactor(self.log, self.reserve)
         self.checkpoint_writer = CheckpointWriter(self.log)
         self.expiry_sweeper = ExpirySweeper(self.log)
-        self.compact_all = False  # compaction applies the garbage limits for disk pressure
+        self.compact_all = False  # whether `compact_everything` was called
         self.closed = False
         self.get = self.reader.get
         self.scan = self.reader.scan
@@ -65,7 +65,9 @@
         create: bool = False,
         directory: str = "the directory",
     ) -> Engine:
-        """Lock the directory, recover the confirmed records and write unproved ones again.
+        """Lock the directory and recover all confirmed records.
+
+        Records at the log's end that are intact but not known to be flushed are kept and written again.
 
         Args:
             disk: The directory.
@@ -108,14 +110,17 @@
         self._load_log(scan, unproved_records)
         self.reserve.load(names)
         if scan.must_rewrite_tail():
-            # unproved records go to a new segment, which is renamed once all of them are flushed
+            # The rewritten records go to a new segment, which is renamed once all of them are flushed.
             self.reserve.run_with_reserve(self.log.begin, unproved_records)
-        for name in scan.obsolete_files:  # last: the records of their removal have to be on disk first
+        for name in scan.obsolete_files:  # after the rewrite, which makes the removal of segments durable
             with contextlib.suppress(OSError):
                 self.disk.remove(name)
 
     def _recover(self, scan: RecoveryScan) -> list[Record]:
-        """Load the confirmed records into the index; returns the unproved records, to be written again."""
+        """Load the confirmed records into the index.
+
+        Returns the records that are not known to be flushed, which have to be written again.
+        """
         log = self.log
         scan.read()
         if scan.findings:
@@ -143,7 +148,10 @@
     # -- writing -----------------------------------------------------------------------------------
 
     def commit(self, batches: Sequence[Batch]) -> list[StoreError | None]:
-        """Write and flush all batches that fit the limits; returns None (confirmed) or an error for each."""
+        """Write and flush all batches that fit the limits.
+
+        Returns for each batch None if the batch is confirmed, or else an error.
+        """
         if self.closed:
             return [ClosedError()] * len(batches)
         log = self.log
@@ -177,8 +185,10 @@
     def step(self, budget: int = STEP_BYTES) -> int:
         """Do one bounded step of maintenance, which reads and writes about `budget` bytes.
 
-        Returns the bytes left of the current job, or 0 if no job is due. Raises StoreError if the disk fails;
-        confirmed records stay confirmed, and a later step may succeed.
+        Returns the estimated bytes left of the current maintenance job, or 0 if no job is due.
+
+        Raises:
+            StoreError: If the disk fails; confirmed records stay confirmed, and a later step may succeed.
         """
         if self.closed:
             return 0
@@ -196,7 +206,7 @@
             raise to_store_error(error) from error
 
     def _step_current_job(self, budget: int) -> bool:
-        """Continue the current job; returns whether there was one."""
+        """Continue the current maintenance job; return whether there was a job."""
         if self.compactor.in_progress is not None:
             self.compactor.step(self.compactor.in_progress, budget)
         elif self.expiry_sweeper.cursor is not None:
@@ -221,7 +231,7 @@
                 self.reserve.begin()
 
     def _remaining_bytes(self) -> int:
-        """Bytes left of the current job; without one, 1 if another job is due, otherwise 0."""
+        """Return the estimated bytes left of the current job; without one, 1 if a job is due, else 0."""
         if self.compactor.in_progress is not None:
             return max(1, self.compactor.in_progress.remaining_bytes)
         if self.reserve.file is not None:
@@ -250,15 +260,16 @@
         )
 
     def compact_everything(self) -> None:
-        """Apply the garbage limits for disk pressure to every sealed segment, for `store compact --all`."""
+        """Compact even segments with little garbage, as under disk pressure; for `store compact --all`."""
         self.compact_all = True
 
-    # -- ending ------------------------------------------------------------------------------------
+    # -- shutdown ----------------------------------------------------------------------------------
 
     def close(self) -> None:
-        """Write a last time mark and, after enough log, a checkpoint; then close all files and unlock.
+        """Write a last time mark and, if needed, a checkpoint; close all files and unlock the directory.
 
-        The time mark proves that all records before it were flushed.
+        The time mark, a log record with the current time, shows the next opening that all earlier records
+        were flushed.
         """
         if self.closed:
             return
@@ -266,7 +277,7 @@
             with contextlib.suppress(StoreError):
                 self._save_time_at_next_start()
         except OSError:
-            # not an error: the time mark and the checkpoint only make the next opening faster
+            # The time mark and the checkpoint only make the next opening faster, so the caller gets no error.
             self.log.counts["writes failed"] += 1
         finally:
             self.release_resources()
@@ -283,7 +294,7 @@
                 writer.step(STEP_BYTES)
 
     def release_resources(self) -> None:
-        """Close all files and unlock the directory without writing."""
+        """Close all files and unlock the directory, without writing a time mark or a checkpoint."""
         with self.log.lock:
             self.closed = True
             self.reader.closed = True
@@ -293,7 +304,10 @@
         self.disk.unlock()
 
     def stat(self) -> dict[str, int]:
-        """Current sizes, and counts since opening, from any thread; docs/operate-store.md explains each."""
+        """Return the current sizes, and counts since the opening; docs/operate-store.md explains each figure.
+
+        Any thread may call this method.
+        """
         log = self.log
         with log.lock:
             segments, live_bytes = list(log.segments.values()), dict(log.index.live_bytes)
--- a/lichencleat/store/errors.py
+++ b/lichencleat/store/errors.py
@@ -1,7 +1,7 @@
 """The store's errors. Each message says what failed and where; attributes hold the values.
 
-`StoreError` is the base class. Errors that report a rejected call (`BadRecordError`, `FullError`,
-`CannotOpenError`) guarantee that nothing was written.
+`StoreError` is the base class. After a `BadRecordError`, a `CannotOpenError` or a `FullError` for another
+limit than `Limit.DISK_SPACE`, no record was written.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 class Limit(StrEnum):
-    """The limits in `FullError.limit`; the values appear in messages and logs."""
+    """The limits that a `FullError` can name; the values appear in messages and logs."""
 
     ENTRIES = "entries"
     MEMORY = "bytes in memory"
@@ -37,7 +37,7 @@
 
 
 class StoreError(Exception):
-    """Any rejected or failed call of the store."""
+    """Base class of the store's errors."""
 
 
 class ClosedError(StoreError):
@@ -48,14 +48,18 @@
 
 
 class SnapshotEndedError(StoreError):
-    """The snapshot was closed, or ended because its undo list or its files reached a limit."""
+    """The snapshot was closed, or ended because its undo list or the files kept for it reached a limit."""
 
     def __init__(self) -> None:
         super().__init__("the snapshot has ended: it was closed, or its changes or files reached a limit")
 
 
 class FullError(StoreError):
-    """A limit was reached; nothing was written.
+    """A limit was reached; a change that fails with this error is not confirmed and not visible.
+
+    Nothing of the change was written, unless the limit is `Limit.DISK_SPACE`. Then a part of the records may
+    be in the file, after the valid bytes, and as after a `NotConfirmedError` the change may become visible
+    when the store is opened again.
 
     Attributes:
         limit: The limit, a value of `Limit`.
@@ -67,10 +71,10 @@
 
 
 class NotConfirmedError(StoreError):
-    """Writing or flushing failed.
+    """Writing or flushing failed; the change is not confirmed and not visible.
 
-    The records are not visible. After a power cut before the next confirmed write, they may be visible, in
-    complete batches only.
+    If the store is closed or loses power before a later write is confirmed, the change may become visible
+    when the store is opened again. A batch becomes visible as a whole or not at all.
     """
 
 
--- a/lichencleat/store/expiry.py
+++ b/lichencleat/store/expiry.py
@@ -4,7 +4,7 @@
 
 from lichencleat.store.log import Log
 
-ENTRIES_PER_STEP = 512  # holds the lock for some 10 ms if all of them have expired
+ENTRIES_PER_STEP = 512  # entries checked in one step, which holds the lock for some 10 ms if all have expired
 
 
 class ExpirySweeper:
@@ -13,8 +13,8 @@
     def __init__(self, log: Log) -> None:
         self.log = log
         self.cursor: bytes | None = None  # the key at which the sweep continues; None: no sweep runs
-        self.earliest_expiry = 0  # µs: the earliest expiry that the sweep has passed; 0: none
-        self.ended_at = 0  # µs: end of the last sweep
+        self.earliest_expiry = 0  # µs: the earliest expiry of the entries that this sweep has kept; 0: none
+        self.ended_at = 0  # µs: when the last sweep ended
 
     def begin(self) -> None:
         """Begin a sweep; the next calls of `step` run it."""
@@ -23,7 +23,10 @@
         self.log.index.earliest_expiry = 0  # set again by entries that are written from now on
 
     def step(self, cursor: bytes) -> None:
-        """Sweep the next entries from the cursor on. The end of a sweep writes a time mark."""
+        """Remove the expired entries among the next ones from the cursor on.
+
+        At the end of the sweep, write a time mark: a log record with the current time.
+        """
         log = self.log
         with log.lock:
             count_before = len(log.index)
@@ -37,4 +40,4 @@
                 log.index.earliest_expiry = min(expiries, default=0)
                 self.ended_at = log.time
         if next_cursor is None and log.time > log.last_time_mark:
-            log.write([])  # keeps the entries expired if the clock steps back after a power cut
+            log.write([])  # the entries stay expired, even if the clock steps back after a power cut
--- a/lichencleat/store/file_names.py
+++ b/lichencleat/store/file_names.py
@@ -6,9 +6,9 @@
 NEW_STORE_MARKER = "STORE.new"
 CHECKPOINT = "checkpoint"
 NEW_CHECKPOINT = "checkpoint.new"
-RESERVE = "reserve"  # a file of zeros; removed to make space for compaction when the disk is full
-SEGMENT = "{:012d}.log"  # formatted with the segment's number
-NEW_SEGMENT = "segment.new"  # a segment before it is renamed to its number; not used after a power cut
+RESERVE = "reserve"  # a file of zeros that is removed to make space for compaction when the disk is full
+SEGMENT = "{:012d}.log"  # a segment's name, formatted with the segment's number
+NEW_SEGMENT = "segment.new"  # a new segment until it is flushed; after a power cut it is removed
 
 TEMPORARY_FILES = (NEW_SEGMENT, NEW_STORE_MARKER, NEW_CHECKPOINT)
 NON_SEGMENT_FILES = frozenset([STORE_MARKER, RESERVE, CHECKPOINT, *TEMPORARY_FILES])
@@ -22,5 +22,5 @@
 
 
 def segment_number(name: str) -> int:
-    """The number in a segment's file name."""
+    """Return the number in a segment's file name."""
     return int(name.removesuffix(".log"))
--- a/lichencleat/store/framing.py
+++ b/lichencleat/store/framing.py
@@ -21,7 +21,7 @@
 STORE_MAGIC = b"lcststo"
 SALT_BYTES = 8  # random bytes in a file's header
 FILE_HEADER_BYTES = len(LOG_MAGIC) + 1 + SALT_BYTES  # magic, version, salt
-MARKER = b"\xa7\xc5"  # begins a frame, so that a search for the next one runs in C
+MARKER = b"\xa7\xc5"  # first bytes of each frame; `bytes.find` searches for them at the speed of C
 FRAME_HEADER = struct.Struct("<2sII")  # marker, length of the body, checksum
 LENGTH_MULTIPLIER = 2_654_435_769  # 2^32 over the golden ratio: spreads lengths over the checksum's 32 bits
 CHECKSUM_MASK = 0xFFFFFFFF
@@ -33,25 +33,27 @@
 BODY_FIRST_BYTE = 0x96  # msgpack array of six: the first byte of every log frame's body
 
 # Kinds of log records. They are stored and never change.
-PUT = 1
-DELETE = 2
-BATCH_PUT = 3
-BATCH_DELETE = 4
-COMMIT = 5
-TIME_MARK = 6
-SEGMENT_REMOVED = 7
+PUT = 1  # a batch of one change
+DELETE = 2  # a batch of one change
+BATCH_PUT = 3  # a change of a batch that a commit record ends
+BATCH_DELETE = 4  # a change of a batch that a commit record ends
+COMMIT = 5  # the end of a batch
+TIME_MARK = 6  # the current time
+SEGMENT_REMOVED = 7  # the removal of a segment by compaction
 PUTS = (PUT, BATCH_PUT)
 DELETES = (DELETE, BATCH_DELETE)
 IN_BATCH = (BATCH_PUT, BATCH_DELETE)
 SINGLE = (PUT, DELETE)
 
 Body = tuple[int, int, int, int, bytes, memoryview]
-"""Sequence, kind, flush distance, number, key, value.
+"""The body of a log frame: sequence, kind, flush distance, number, key, value.
 
-The flush distance is the frame's sequence minus the last sequence that was flushed when the frame was
-written. The number is a put's expiry (0: none), the sequence of the deletion that a copied tombstone stands
-for (0: its own sequence), a commit's count of records, a time mark's time, or the number of a removed
-segment. A plain tuple, because decoding it is the inner loop of opening a store.
+The sequence counts all frames of the store. The flush distance is the frame's sequence minus the sequence of
+the last frame that was flushed when this frame was written. The number depends on the kind: the expiry of a
+put (0: none), the sequence of the deletion that a copied tombstone stands for (0: the frame's own sequence),
+the count of records before a commit, the time of a time mark in µs, or the number of a removed segment.
+
+The type is a plain tuple, because decoding bodies is the inner loop of opening a store.
 """
 decode_body = msgspec.msgpack.Decoder(Body).decode
 encode_body = msgspec.msgpack.encode
@@ -61,12 +63,15 @@
 
 
 def encode_file_header(magic: bytes, salt: bytes) -> bytes:
-    """The header of a file."""
+    """Return the header of a file."""
     return magic + bytes([FORMAT]) + salt
 
 
 def decode_file_header(data: bytes, magic: bytes, name: str) -> bytes | None:
-    """The file's salt, or None if the data is not a complete header. Raises NewerFormatError."""
+    """Return the salt in a file's header, or None if the data is not a complete header.
+
+    Raises NewerFormatError if a newer version of this program wrote the file `name`.
+    """
     if len(data) < FILE_HEADER_BYTES or not data.startswith(magic):
         return None
     version = data[len(magic)]
@@ -76,17 +81,17 @@
 
 
 def checksum(salt_checksum: int, offset: int, body: bytes | memoryview) -> int:
-    """A frame's checksum. `salt_checksum` is the checksum of the file's salt, computed once per file."""
+    """Return the checksum of the frame at an offset; `salt_checksum` is the checksum of the file's salt."""
     return crc32c(body, (salt_checksum + offset + len(body) * LENGTH_MULTIPLIER) & CHECKSUM_MASK)
 
 
 def encode_frame(salt_checksum: int, offset: int, body: bytes) -> bytes:
-    """The frame with this body, for this offset of the file."""
+    """Return the frame with this body, to be written at this offset of the file."""
     return FRAME_HEADER.pack(MARKER, len(body), checksum(salt_checksum, offset, body)) + body
 
 
 def decode_frame(data: bytes, salt_checksum: int, offset: int) -> memoryview | None:
-    """The body, if the data, read at `offset`, is exactly one intact frame; otherwise None."""
+    """Return the body of the frame read at `offset`, or None if the data is not exactly one intact frame."""
     if len(data) < FRAME_HEADER.size:
         return None
     marker, length, expected = FRAME_HEADER.unpack_from(data)
@@ -98,10 +103,10 @@
 def iter_frames(
     read: Read, start: int, size: int, salt_checksum: int
 ) -> Iterator[tuple[int, int, memoryview]]:
-    """Yield offset, length and body of each frame from `start` on, up to the first one that is not intact.
+    """Yield offset, length and body of each frame from `start` on, up to the first frame that is not intact.
 
-    A body is a view of a read window. The caller may keep it; the window's memory is freed with its last
-    view.
+    A body is a view of the memory of one read, which may hold many frames. The caller may keep the body; the
+    memory is freed with the last body in it.
     """
     base, data = start, b""
     offset = start
@@ -135,7 +140,7 @@
 
 
 def find_frame(read: Read, start: int, size: int, salt_checksum: int) -> int | None:
-    """The offset of the first intact log frame at or after `start`, or None; skips all other bytes.
+    """Return the offset of the first intact log frame at or after `start`, or None if there is none.
 
     Checks every offset with a frame marker; an offset without a frame costs at most one checksum.
     """
@@ -155,7 +160,7 @@
 
 
 def _is_frame_at(read: Read, data: bytes, position: int, offset: int, size: int, salt_checksum: int) -> bool:
-    """Whether a log frame begins at `position` in the window `data`, at `offset` in the file."""
+    """Whether an intact log frame begins at `position` in `data`, which is at `offset` in the file."""
     _, length, _ = FRAME_HEADER.unpack_from(data, position)
     body_start = position + FRAME_HEADER.size
     end = body_start + length
@@ -172,7 +177,7 @@
     """Yield offset, length and body of every intact frame at or after `start`; skips bytes between frames."""
     frame_start = find_frame(read, start, size, salt_checksum)
     while frame_start is not None:
-        end = frame_start + 1  # moves on even if the second read returns other bytes than the first
+        end = frame_start + 1  # the search advances, even if the second read finds no frame here
         for offset, length, body in iter_frames(read, frame_start, size, salt_checksum):
             yield offset, length, body
             end = offset + length
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -13,9 +13,9 @@
 from sortedcontainers import SortedDict, SortedList
 
 ENTRY_BYTES = 150  # memory of an entry besides its key: dict slot, sorted list, location, object headers
-FIELD_BITS = 32  # of an offset, a length and a segment's number each
+FIELD_BITS = 32  # bits in a location for each of offset, length and segment number
 FIELD_MASK = (1 << FIELD_BITS) - 1
-MAX_UNDO_ENTRIES = 1_000_000  # keys changed since a snapshot was taken: some 150 MB
+MAX_UNDO_ENTRIES = 1_000_000  # limit on the keys that change after a snapshot is taken: some 150 MB
 
 
 def pack_location(segment: int, offset: int, length: int, expiry: int) -> int:
@@ -24,41 +24,41 @@
 
 
 def segment_of(location: int) -> int:
-    """The number of the segment."""
+    """Return the number of the segment at a location."""
     return location >> 2 * FIELD_BITS & FIELD_MASK
 
 
 def offset_of(location: int) -> int:
-    """The frame's offset in the segment's file, in bytes."""
+    """Return the offset of the frame at a location, in bytes from the start of the segment's file."""
     return location >> FIELD_BITS & FIELD_MASK
 
 
 def length_of(location: int) -> int:
-    """The frame's length in bytes."""
+    """Return the length of the frame at a location, in bytes."""
     return location & FIELD_MASK
 
 
 def expiry_of(location: int) -> int:
-    """The expiry in µs of Unix time, 0 for none."""
+    """Return the expiry in a location, in µs of Unix time, 0 for none."""
     return location >> 3 * FIELD_BITS
 
 
 def is_expired(location: int, now: int) -> bool:
-    """Whether the entry has an expiry that is not after `now` (µs)."""
+    """Whether the location has an expiry that is not after `now` (µs)."""
     return 0 < location >> 3 * FIELD_BITS <= now
 
 
 @dataclass(slots=True)
 class LocationTotals:
-    """Totals over all entries, computed in one pass when the store opens."""
+    """Figures about all entries, computed in one pass when the store opens."""
 
     live_bytes: dict[int, int]  # by segment number: bytes of the frames that entries point at
-    ends: dict[int, int]  # by segment number: offset at which the last of these frames ends
+    ends: dict[int, int]  # by segment number: offset at which the last frame that an entry points at ends
     earliest_expiry: int  # µs: 0 if no entry expires
 
 
 def total_locations(locations: dict[bytes, int]) -> LocationTotals:
-    """Compute the totals of all locations."""
+    """Return the live bytes and the last end of each segment, and the earliest expiry, of all locations."""
     live_bytes: dict[int, int] = {}
     ends: dict[int, int] = {}
     earliest_expiry = 0
@@ -103,14 +103,14 @@
         return len(self.locations)
 
     def load(self, locations: dict[bytes, int], totals: LocationTotals) -> None:
-        """Load all entries at once when the store opens, with the totals from `total_locations`."""
+        """Load all entries when the store opens; `totals` is the result of `total_locations` for them."""
         self.locations = locations
         self.sorted_keys = SortedList(locations)
         self.memory_bytes = sum(map(len, locations)) + ENTRY_BYTES * len(locations)
         self.live_bytes, self.earliest_expiry = totals.live_bytes, totals.earliest_expiry
 
     def get(self, key: bytes, now: int) -> int | None:
-        """The key's location, or None if the entry does not exist or has expired."""
+        """Return the location of a key's value, or None if the entry does not exist or has expired."""
         location = self.locations.get(key)
         return None if location is None or is_expired(location, now) else location
 
@@ -127,9 +127,9 @@
         self._set_location(key, location)
 
     def move(self, key: bytes, old_location: int, new_location: int) -> bool:
-        """Record that compaction copied a value to another location; snapshots do not change.
+        """Record that compaction copied a value to another location; snapshots keep the old location.
 
-        Returns whether `old_location` was still the key's location; otherwise nothing changes.
+        Returns False, and changes nothing, if the key's location is not `old_location` any more.
         """
         if self.locations.get(key) != old_location:
             return False
@@ -161,8 +161,8 @@
     def drop_expired(self, cursor: bytes, limit: int, now: int) -> tuple[bytes | None, int]:
         """Remove the expired entries among the next `limit` keys from the cursor on.
 
-        Returns the next cursor (None at the end) and the earliest expiry among the remaining ones of these
-        keys (0: none).
+        Returns the next cursor (None at the end), and the earliest expiry (0: none) of the checked entries
+        that have not expired.
         """
         keys = list(islice(self.sorted_keys.irange(cursor), limit + 1))
         earliest_expiry = 0
@@ -175,7 +175,10 @@
         return (keys[limit] if len(keys) > limit else None), earliest_expiry
 
     def snapshot(self, sequence: int) -> Snapshot:
-        """Take a snapshot of the entries as of that sequence; the caller closes it."""
+        """Take a snapshot of the current entries; the caller closes the snapshot.
+
+        `sequence` is that of the last log record whose change is in the index.
+        """
         snapshot = Snapshot(self, sequence)
         self.snapshots[snapshot] = None
         return snapshot
@@ -189,7 +192,7 @@
 
     def __init__(self, index: Index, sequence: int) -> None:
         self.index = index
-        self.sequence = sequence  # of the last change in the snapshot
+        self.sequence = sequence  # sequence of the last log record that the snapshot includes
         self.undo: SortedDict = SortedDict()  # key -> location in the snapshot, None: no entry
         self.is_open = True
 
@@ -208,7 +211,7 @@
         self.index.snapshots.pop(self, None)
 
     def get(self, key: bytes) -> int | None:
-        """The key's location in the snapshot, or None; ignores expiry."""
+        """Return the key's location in the snapshot, also of an expired entry; None without an entry."""
         return self.undo[key] if key in self.undo else self.index.locations.get(key)
 
     def chunk(self, cursor: bytes, prefix: bytes, limit: int) -> list[tuple[bytes, int]]:
@@ -230,5 +233,5 @@
             if not merged:
                 break
             found = [(key, location) for key in merged if (location := self.get(key)) is not None]
-            cursor = merged[-1] + b"\0"  # continues if none of these keys was in the snapshot
+            cursor = merged[-1] + b"\0"  # the loop continues if none of these keys was in the snapshot
         return found
--- a/lichencleat/store/log.py
+++ b/lichencleat/store/log.py
@@ -21,7 +21,8 @@
 from lichencleat.store.index import Index, Snapshot, pack_location
 from lichencleat.store.segments import Record, Segment
 
-# Between time marks in the log: bounds how far time can step back after a power cut.
+# Time between two time marks, which are log records with the current time. The interval bounds how far time
+# can step back after a power cut.
 TIME_MARK_INTERVAL_US = 1_000_000
 DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 COUNTER_NAMES = (
@@ -43,14 +44,18 @@
 
 
 def to_store_error(error: OSError) -> StoreError:
-    """The store error that callers get for an error of the disk."""
+    """Return the store's error for an error of the disk."""
     if error.errno in DISK_FULL_ERRNOS:
         return FullError(Limit.DISK_SPACE, f"({error.strerror}); no change of this write is confirmed")
     return NotConfirmedError(f"the disk failed: {error.strerror or error}")
 
 
 class Log:
-    """The segments and the index. `release_resources`, `remove_segment` and `release` close the files."""
+    """The segments and the index of an open store.
+
+    The log owns the segments' files: `release_resources`, `remove_segment`, `release` and `close_segments`
+    close them.
+    """
 
     def __init__(self, disk: Disk, clock: Callable[[], int], rng: random.Random, limits: StoreLimits) -> None:
         self.disk = disk
@@ -59,15 +64,17 @@
         self.limits = limits
         self.lock = threading.Lock()
         self.index = Index(limits.max_undo_entries)
-        self.store = b""
+        self.store = b""  # identity of the store: the salt in its marker file
         self.segments: dict[int, Segment] = {}  # by number, oldest first
-        self.active: Segment | None = None  # the segment appended to; None: the next write begins a new one
-        self.sequence = 0  # of the last frame that was flushed
-        self.time = 0  # µs: the latest time seen; expired entries stay so if the clock steps back
+        self.active: Segment | None = None  # the segment to append to; None: the next write begins a segment
+        self.sequence = 0  # sequence of the last flushed frame
+        self.time = 0  # µs: the latest time seen; expired entries stay expired if the clock steps back
         self.last_time_mark = 0  # µs: the latest time recorded in the log
-        self.bytes_written = 0  # log written since opening, and before it but not covered by a checkpoint
-        self.disk_full = False  # the last write failed because the disk was full
-        self.pins: dict[Snapshot, dict[int, Segment]] = {}  # removed segments that a snapshot still needs
+        # Bytes of log written since the store was opened, and of the older log that no checkpoint covers.
+        self.bytes_written = 0
+        self.disk_full = False  # whether the last write failed because the disk was full
+        # By open snapshot of a reader: the removed segments that the snapshot still needs, by number.
+        self.pins: dict[Snapshot, dict[int, Segment]] = {}
         self.counts = dict.fromkeys(COUNTER_NAMES, 0)
 
     def tick(self) -> int:
@@ -83,20 +90,21 @@
         self.sequence = self.newest().last_sequence
 
     def newest(self) -> Segment:
-        """The segment with the highest number."""
+        """Return the segment with the highest number."""
         return self.active or next(reversed(self.segments.values()))
 
     def sealed(self) -> list[Segment]:
-        """All segments except the active one, oldest first."""
+        """Return all segments except the active segment, oldest first."""
         return [each for each in self.segments.values() if each is not self.active]
 
     def begin(self, initial_records: Sequence[Record] = ()) -> Segment:
         """Begin a new active segment. Raises OSError.
 
-        Its header records the valid size of each older segment; bytes after that are ignored from then on.
+        The new segment's header records the valid size of each older segment; bytes after the valid size are
+        ignored from then on.
 
         Args:
-            initial_records: Written to the new segment and flushed before it is renamed to its number.
+            initial_records: Records to write and flush before the new segment's file gets its final name.
         """
         with contextlib.suppress(FileNotFoundError):
             self.disk.remove(file_names.NEW_SEGMENT)  # left by an attempt that failed
@@ -117,7 +125,7 @@
             self.disk.flush_directory()
         except BaseException:
             self.disk.close(file)
-            with contextlib.suppress(OSError):  # frees its space, which a full disk may need
+            with contextlib.suppress(OSError):  # removing the file frees space, which a full disk may need
                 self.disk.remove(file_names.NEW_SEGMENT)
             raise
         segment.size += len(data)
@@ -134,40 +142,43 @@
         return self.active is None or self.active.size >= self.limits.segment_bytes
 
     def remove_segment(self, segment: Segment) -> None:
-        """Remove a segment's file; it stays open while a reader or snapshot needs it."""
+        """Remove a segment and its file; the file stays open while a reader or snapshot needs it."""
         with self.lock:
             segment.is_removed = True
             del self.segments[segment.number]
             self.index.live_bytes.pop(segment.number, None)
-            for pinned in self.pins.values():  # any snapshot may still point at its records
+            for pinned in self.pins.values():  # each snapshot may still point at records of the segment
                 pinned[segment.number] = segment
                 segment.reference_count += 1
             is_unused = segment.reference_count == 0
-        with contextlib.suppress(OSError):  # the log records the removal: the next start removes the file
+        with contextlib.suppress(OSError):  # on an error, the next opening removes the file
             self.disk.remove(segment.name)
             self.disk.flush_directory()
         if is_unused:
             self.disk.close(segment.file)
 
     def release(self, segment: Segment) -> None:
-        """Drop one reference of a reader or snapshot, and close an unused removed file. Requires the lock."""
+        """Drop one reference to a segment; close the file of a removed segment without references.
+
+        The caller holds the lock.
+        """
         segment.reference_count -= 1
         if segment.is_removed and segment.reference_count == 0:
             self.disk.close(segment.file)
 
     def unpin(self, snapshot: Snapshot) -> None:
-        """Close a snapshot and release the files kept for it. Requires the lock."""
+        """Close a snapshot and release the files kept for it. The caller holds the lock."""
         snapshot.close()
         for segment in self.pins.pop(snapshot, {}).values():
             self.release(segment)
 
     def total_bytes(self) -> int:
-        """Bytes of all segments, including removed ones that a snapshot keeps open."""
+        """Return the bytes of all segments, including removed segments that a snapshot keeps open."""
         removed = {each for pinned in list(self.pins.values()) for each in list(pinned.values())}
         return sum(each.size + each.void_bytes for each in (*self.segments.values(), *removed))
 
     def end_snapshots_for(self, needed: int) -> None:
-        """End snapshots, oldest first, until the files that they keep open leave `needed` bytes free."""
+        """End snapshots that keep removed segments, oldest first, until `needed` bytes fit the disk limit."""
         while self.total_bytes() + needed > self.limits.max_disk_bytes - self.limits.reserve_bytes and any(
             self.pins.values()
         ):
@@ -176,11 +187,11 @@
             self.counts["snapshots ended"] += 1
 
     def release_resources(self) -> None:
-        """Close all files. Requires the lock, so that a reader finds either all segments or none."""
+        """Close all files. The caller holds the lock, so that a reader finds either all segments or none."""
         for snapshot in list(self.pins):
             self.unpin(snapshot)
         for segment in self.segments.values():
-            segment.is_removed = True  # a reader that uses it closes the file
+            segment.is_removed = True  # the last reader that uses the segment closes the file
             if not segment.reference_count:
                 self.disk.close(segment.file)
         self.segments = {}
@@ -198,8 +209,9 @@
     def write(self, records: list[Record]) -> StoreError | None:
         """Append and flush the records, then apply them to the index; all of them or none.
 
-        Without records, writes a time mark, which proves that all earlier records were flushed. Returns None
-        or the error; after an error the segment is sealed.
+        Without records, writes only a time mark: a log record with the current time, which shows recovery
+        that all earlier records were flushed. Returns None, or the error if the disk failed; the active
+        segment is then sealed.
         """
         if self.time - self.last_time_mark >= TIME_MARK_INTERVAL_US or not records:
             records = [Record(framing.TIME_MARK, self.time, b""), *records]
@@ -215,9 +227,9 @@
         return None
 
     def append(self, records: Sequence[Record]) -> tuple[Segment, list[tuple[int, int]]]:
-        """Write and flush the records; returns the segment, and offset and length of each record.
+        """Write and flush the records; return their segment, and offset and length of each record.
 
-        Raises OSError; the segment is then sealed.
+        Raises OSError if the disk failed; the active segment is then sealed.
         """
         try:
             if self.needs_segment():
@@ -238,7 +250,7 @@
         return segment, spans
 
     def _abandon_active_segment(self, error: OSError) -> None:
-        """Seal the segment after a failed write, which may have left a part of its records on disk."""
+        """Seal the active segment after a failed write, which may have left a part of the records on disk."""
         if self.active is not None:
             with contextlib.suppress(OSError):
                 self.active.void_bytes = max(0, self.disk.size(self.active.file) - self.active.size)
--- a/lichencleat/store/log_tail.py
+++ b/lichencleat/store/log_tail.py
@@ -1,10 +1,11 @@
-"""Log tail recovery: finds which frames of the newest segment are proved to be flushed. No I/O.
-
-Every frame stores the distance from its own sequence to the last sequence that was flushed when the frame
-was written. A group of frames is written only after the flush of the previous group, so an intact frame
-proves that all frames up to its sequence minus that distance were flushed. Frames after those are unproved:
-they are intact, but a power cut may still remove them. Bytes that are not a frame are a torn write, unless a
-later frame proves that flushed frames were there; then they are corruption.
+"""Log tail recovery: finds which frames of the newest segment are known to be flushed. No I/O.
+
+Each frame stores the distance from its own sequence to the last sequence that was flushed when the frame was
+written. A group of frames is written only after the flush of the previous group, so an intact frame proves
+that all frames up to its sequence minus the distance were flushed. The frames after those are called
+unproved: they are intact, but not known to be flushed, so a power cut may still remove them. Bytes that are
+not a frame are a torn write, unless a later frame proves that flushed frames were there; then the bytes are
+corrupt.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 @dataclass(slots=True)
 class TailFrame:
-    """An intact frame that is not yet proved to be flushed."""
+    """An intact frame that is not yet known to be flushed."""
 
     sequence: int
     kind: int
@@ -29,21 +30,21 @@
     """Reads the newest segment's frames in order and determines which of them were flushed.
 
     Attributes:
-        last_sequence: Sequence of the last frame accepted.
-        proved_sequence: The last sequence that is proved to be flushed.
-        proved_end: End of the proved frames, as an offset in bytes.
-        unproved_frames: Frames after these, oldest first.
-        removed_segments: For each segment-removed record, its sequence and the number of the segment.
-        time: The latest time in a time mark, in µs.
+        last_sequence: Sequence of the last frame that was accepted.
+        proved_sequence: Sequence of the last frame that is known to be flushed.
+        proved_end: Offset at which the frames that are known to be flushed end, in bytes.
+        unproved_frames: The accepted frames that are not known to be flushed, oldest first.
+        removed_segments: For each segment-removed record, its sequence and the removed segment's number.
+        time: The latest time in a time mark (a log record with the current time), in µs.
     """
 
     def __init__(self, first_sequence: int, flushed_through: int, data_start: int) -> None:
-        """Begins before the segment's first frame.
+        """Create the state before the segment's first frame after the header.
 
         Args:
-            first_sequence: Sequence of that frame.
+            first_sequence: Sequence of the first frame.
             flushed_through: Frames up to this sequence were flushed before the segment was renamed.
-            data_start: Offset of that frame, in bytes.
+            data_start: Offset of the first frame, in bytes.
         """
         self.last_sequence = first_sequence - 1
         self.proved_sequence = max(flushed_through, first_sequence - 1)
@@ -55,9 +56,9 @@
     def accept(
         self, offset: int, length: int, sequence: int, kind: int, flush_distance: int, number: int
     ) -> bool:
-        """Accept the frame if it is the next one in sequence; returns whether it was accepted.
+        """Accept a frame if its sequence follows that of the last frame; return whether it was accepted.
 
-        `number` is the record's number, see `framing.Body`.
+        `offset` and `length` are in bytes. For the other arguments see `framing.Body`.
         """
         if sequence != self.last_sequence + 1 or not 0 < flush_distance <= sequence:
             return False
@@ -71,7 +72,7 @@
         return True
 
     def mark_proved(self, sequence: int) -> None:
-        """Record that all frames up to that sequence were flushed."""
+        """Record that all frames up to a sequence are known to be flushed."""
         self.proved_sequence = max(self.proved_sequence, sequence)
         while self.unproved_frames and self.unproved_frames[0].sequence <= self.proved_sequence:
             frame = self.unproved_frames.popleft()
@@ -82,7 +83,10 @@
         return sequence - flush_distance > self.last_sequence
 
     def unproved_records(self) -> list[tuple[int, int]]:
-        """Offset and length of the unproved frames to keep: single records and complete batches."""
+        """Return offset and length of the frames that are not known to be flushed but have to be kept.
+
+        These are the frames of single records and of complete batches.
+        """
         spans: list[tuple[int, int]] = []
         batch: list[tuple[int, int]] = []
         for frame in self.unproved_frames:
--- a/lichencleat/store/maintenance.py
+++ b/lichencleat/store/maintenance.py
@@ -15,24 +15,29 @@
 
 from lichencleat.store.segments import Segment
 
-# Share of all bytes: no compaction for garbage below it. At 0.5, each byte kept costs one copy.
+# Compaction for garbage starts when garbage is more than this fraction of all bytes. At 0.5, each byte kept
+# costs one copy.
 MAX_GARBAGE_SHARE = 0.4
-# Share of a segment: with less garbage, compaction reclaims too little for the bytes that it copies.
+# A segment is not compacted if garbage is less than this fraction of its bytes, because compaction would
+# reclaim too little for the bytes that it copies.
 MIN_GARBAGE_SHARE = 0.25
-# Share of a segment, when disk space is short: well above the size of the segment-removed record.
+# Used in place of `MIN_GARBAGE_SHARE` under disk pressure, that is when disk space is short. The garbage is
+# then still much larger than the segment-removed record that each compaction writes.
 MIN_GARBAGE_SHARE_UNDER_PRESSURE = 0.1
-# Share of the bytes allowed: above it, the garbage limits for disk pressure apply.
+# The store is under disk pressure if it uses more than this fraction of the bytes that its limits allow.
 DISK_PRESSURE_SHARE = 0.8
-# Share of all bytes: above it, the oldest segment is compacted, because a tombstone can be dropped only
-# when no older segment remains.
+# The oldest segment is compacted if tombstones are more than this fraction of all bytes: a tombstone can be
+# dropped only when no older segment remains.
 MAX_TOMBSTONE_SHARE = 0.1
-# Log to replay when the store opens, which takes a third of a second.
+# Smallest size of the log between two checkpoints. Opening a store replays this log in a third of a second.
 CHECKPOINT_INTERVAL_BYTES = 32 << 20
-# Share of all bytes: a checkpoint costs as much as its keys, so a large store writes fewer.
+# The log between two checkpoints has at least this fraction of all bytes. A checkpoint has as many bytes as
+# its keys, so a large store writes fewer checkpoints.
 CHECKPOINT_INTERVAL_SHARE = 0.5
-# Segments above twice the number that their bytes need; every opening and failed write begins a segment.
+# Number of segments allowed above twice the number that their bytes need. Each opening and each failed write
+# begins a segment, which may stay small.
 MAX_EXTRA_SEGMENTS = 8
-# Pause between two sweeps, for each entry: a sweep takes at most a tenth of it.
+# Pause between two expiry sweeps, for each entry of the store. A sweep takes at most a tenth of this time.
 SWEEP_PAUSE_PER_ENTRY_US = 200
 
 
@@ -47,35 +52,38 @@
 
 @dataclass(slots=True)
 class MaintenanceState:
-    """Input of the policy. Sizes count a segment's valid bytes, not what follows its last valid frame."""
+    """The state of the store on which the next job depends.
 
-    segments: Sequence[Segment]  # sealed segments, oldest first, without the active one
+    Sizes count the valid bytes of segments, not the bytes after a segment's last valid frame.
+    """
+
+    segments: Sequence[Segment]  # all segments except the active segment, oldest first
     live_bytes: dict[int, int]  # by segment number: bytes of the frames that entries point at
     total_bytes: int  # bytes of all segments
-    max_bytes: int  # bytes allowed, reserve included
+    max_bytes: int  # limit on the bytes of all segments, including the space reserved for compaction
     reserve_bytes: int  # space for the copies of one compaction when the disk is full
-    segment_bytes: int
-    bytes_since_checkpoint: int
+    segment_bytes: int  # size at which a segment is sealed
+    bytes_since_checkpoint: int  # bytes of log that opening the store would replay
     entry_count: int
     earliest_expiry: int  # µs, 0 if no entry expires
-    last_sweep_at: int  # µs: end of the last sweep
-    reserve_missing: bool
-    disk_full: bool  # the last write failed because the disk was full
-    compact_all: bool  # applies the garbage limits for disk pressure
+    last_sweep_at: int  # µs: when the last expiry sweep ended
+    reserve_missing: bool  # whether the reserve should be written now
+    disk_full: bool  # whether the last write failed because the disk was full
+    compact_all: bool  # whether compaction acts as under disk pressure
 
     def kept_bytes(self, segment: Segment) -> int:
-        """Bytes that compacting the segment may have to copy."""
+        """Return the bytes that compacting the segment may have to copy."""
         return self.live_bytes.get(segment.number, 0) + segment.tombstone_bytes
 
 
 def garbage_bytes(segment: Segment, live_bytes: dict[int, int]) -> int:
-    """Bytes that compacting the segment reclaims; tombstones count as kept."""
+    """Return the bytes that compacting a segment reclaims, if all of its tombstones are kept."""
     live = live_bytes.get(segment.number, 0)
     return segment.size + segment.void_bytes - live - segment.tombstone_bytes
 
 
 def pick_compaction_victim(state: MaintenanceState) -> Segment | None:
-    """The segment to compact next, or None if no compaction is worth its cost."""
+    """Return the segment to compact next, or None if no compaction is worth its cost."""
     segments = state.segments
     if not segments:
         return None
@@ -87,7 +95,7 @@
     tombstone_bytes = sum(each.tombstone_bytes for each in segments)
     many_tombstones = tombstone_bytes > MAX_TOMBSTONE_SHARE * state.total_bytes
     if many_tombstones and segments[0] in eligible and len(segments) > 1:
-        return segments[0]  # newer tombstones are needed until this segment is removed
+        return segments[0]  # the other segments' tombstones are needed until this segment is removed
     best = _best_scored_victim(state, eligible)
     if best is not None:
         return best
@@ -98,18 +106,18 @@
 
 
 def _oldest_without_live_entries(state: MaintenanceState, eligible: Sequence[Segment]) -> Segment | None:
-    """The oldest segment that has no live entry and whose tombstones need no copy."""
+    """Return the oldest segment that compaction can remove without copies, or None if there is none."""
     for each in eligible:
         if state.live_bytes.get(each.number, 0):
             continue
-        has_data = each.size + each.void_bytes > each.data_start  # otherwise only a header
+        has_data = each.size + each.void_bytes > each.data_start  # False: the file has only a header
         if has_data and (not each.tombstone_bytes or each is state.segments[0]):
             return each
     return None
 
 
 def _best_scored_victim(state: MaintenanceState, eligible: Sequence[Segment]) -> Segment | None:
-    """The segment with the best score, if the store has enough garbage or too little space."""
+    """Return the segment with the best score, or None without enough garbage or disk pressure."""
     live_bytes = state.live_bytes
     nearly_full = state.total_bytes > DISK_PRESSURE_SHARE * state.max_bytes
     under_pressure = nearly_full or state.disk_full or state.compact_all
@@ -127,16 +135,16 @@
 
 
 def compaction_score(segment: Segment, live_bytes: dict[int, int], newest_sequence: int) -> float:
-    """Reclaimed space times age, divided by the bytes read and written.
+    """Return the reclaimed space times the age, divided by the bytes read and written.
 
-    `newest_sequence` is the newest segment's last sequence.
+    `newest_sequence` is the last sequence of the newest sealed segment, relative to which ages are computed.
     """
     kept_share = 1 - garbage_bytes(segment, live_bytes) / (segment.size + segment.void_bytes)
     return (1 - kept_share) * (newest_sequence - segment.last_sequence + 1) / (1 + kept_share)
 
 
 def next_job(state: MaintenanceState, now: int) -> MaintenanceJob | None:
-    """The job to begin at the time `now` (µs), or None if no job is due."""
+    """Return the job to begin at `now` (µs), or None if no job is due."""
     if state.disk_full:  # every other job needs disk space
         return MaintenanceJob.COMPACT if pick_compaction_victim(state) is not None else None
     sweep_due = now >= state.last_sweep_at + SWEEP_PAUSE_PER_ENTRY_US * state.entry_count
--- a/lichencleat/store/reader.py
+++ b/lichencleat/store/reader.py
@@ -18,13 +18,13 @@
 from lichencleat.store.log import Log
 from lichencleat.store.segments import Segment
 
-CHUNK_ENTRIES = 256  # per lookup of a scan: holds the lock for some 0.1 ms
-MAX_SNAPSHOTS = 64  # each keeps removed files open and has an undo list
+CHUNK_ENTRIES = 256  # entries that a scan looks up at once, which holds the lock for some 0.1 ms
+MAX_SNAPSHOTS = 64  # limit on open snapshots: each keeps removed files open and has an undo list
 
 
 @dataclass(slots=True)
 class _PinnedEntry:
-    """An entry to be read, and its segment, which stays open until the entry is read."""
+    """An entry to read. A reference keeps the file of its segment open until the entry is read."""
 
     key: bytes
     location: int
@@ -32,14 +32,19 @@
 
 
 class Reader:
-    """Reads values; holds the log's lock for lookups of locations, never during disk I/O."""
+    """Reads values. The log's lock is held while locations are looked up, never during disk I/O."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
         self.closed = False
 
     def get(self, key: bytes) -> bytes | None:
-        """Read the value of a key, or None. Raises CorruptDataError if the confirmed bytes can't be read."""
+        """Return the value of a key, or None if the key is missing or the entry has expired.
+
+        Raises:
+            CorruptDataError: If the confirmed record can't be read.
+            ClosedError: If the store is closed.
+        """
         log = self.log
         with log.lock:
             self._check_open()
@@ -55,7 +60,10 @@
                 log.release(segment)
 
     def read_value(self, segment: Segment, key: bytes, location: int) -> bytes:
-        """Read the value at a location of a segment that the caller keeps open. Raises CorruptDataError."""
+        """Return the value of a key at a location in a segment whose file the caller keeps open.
+
+        Raises CorruptDataError if the record of the key can't be read at this location.
+        """
         offset, length = offset_of(location), length_of(location)
         try:
             data = self.log.disk.read(segment.file, offset, length)
@@ -72,7 +80,12 @@
         raise CorruptDataError([Finding(segment.name, offset, "a confirmed record is not whole")])
 
     def snapshot(self) -> Snapshot:
-        """Take a snapshot of the entries, to be released by `release`. Raises FullError, ClosedError."""
+        """Take a snapshot of the entries, which the caller passes to `release` later.
+
+        Raises:
+            FullError: If `MAX_SNAPSHOTS` are open.
+            ClosedError: If the store is closed.
+        """
         log = self.log
         with log.lock:
             self._check_open()
@@ -110,10 +123,13 @@
                         self.log.release(each.segment)
             if found or next_cursor is None:
                 return found
-            cursor = next_cursor  # continues if all of these entries have expired
+            cursor = next_cursor  # the loop continues if all of these entries have expired
 
     def scan(self, prefix: bytes = b"", snapshot: Snapshot | None = None) -> Iterator[tuple[bytes, bytes]]:
-        """Yield keys and values in order of keys, as of the snapshot or of the scan's beginning."""
+        """Yield the keys that begin with `prefix` and their values, in order of keys.
+
+        The entries are those of the snapshot, by default of a snapshot taken when the scan begins.
+        """
         view = snapshot if snapshot is not None else self.snapshot()
         cursor = prefix
         try:
@@ -131,7 +147,10 @@
     def _pin_entries(
         self, snapshot: Snapshot, cursor: bytes, prefix: bytes, limit: int
     ) -> tuple[bytes | None, list[_PinnedEntry]]:
-        """Pin the unexpired entries of the next chunk; returns the next cursor (None: the end) and them."""
+        """Look up the next chunk of entries, and keep the files of their segments open.
+
+        Returns the next cursor (None at the end), and the unexpired entries of the chunk.
+        """
         log = self.log
         with log.lock:
             if not snapshot.is_open:
--- a/lichencleat/store/recovery.py
+++ b/lichencleat/store/recovery.py
@@ -23,12 +23,12 @@
     Attributes:
         store: The store's identity, from its marker file or its newest segment.
         segments: The store's segments, oldest first.
-        findings: Every place where the files differ from what was confirmed.
+        findings: Each place where the files differ from the confirmed records.
         obsolete_files: Names of files that are not part of the store any more.
-        torn_bytes: Bytes after the newest segment's last intact frame, left by a power cut.
+        torn_bytes: Bytes after the newest segment's last intact frame, left by an incomplete write.
         time: The latest time recorded in the store (µs).
-        tail: The newest segment's frames; None before `read`.
-        checkpoint: The checkpoint, if a valid one was read.
+        tail: Which frames of the newest segment are known to be flushed; None before `read`.
+        checkpoint: The checkpoint, or None if there is no valid checkpoint.
     """
 
     def __init__(self, disk: Disk, directory: str = "the directory") -> None:
@@ -44,9 +44,9 @@
         self.checkpoint: checkpoint.Checkpoint | None = None
 
     def read(self, use_checkpoint: bool = True) -> None:
-        """Read the directory; reports corruption in `findings`.
+        """Read the directory and set the attributes; corruption is reported in `findings`.
 
-        Raises CannotOpenError if the directory is not a store, or its format is newer.
+        Raises CannotOpenError if the directory is not a store, or has a newer format.
         """
         names = self.disk.names()
         logs = [each for each in names if file_names.is_segment(each)]
@@ -72,17 +72,18 @@
         self.obsolete_files += [each for each in file_names.TEMPORARY_FILES if each in names]
 
     def reader(self, file: FileHandle) -> framing.Read:
-        """A function that reads the file."""
+        """Return a function that reads the file by offset and length."""
         return lambda offset, length: self.disk.read(file, offset, length)
 
     def removed_segments(self) -> set[int]:
-        """Numbers of the segments that were removed according to records in the newest one."""
+        """Return the numbers of the removed segments, from segment-removed records in the newest segment."""
         return {number for _, number in self.tail.removed_segments} if self.tail else set()
 
     def must_rewrite_tail(self) -> bool:
-        """Whether unproved records or segment removals have to be written again, in a new segment.
+        """Whether the end of the log has to be written again, in a new segment.
 
-        Until then a power cut may still remove them, so nothing else may depend on them.
+        This holds if records to keep, or segment-removed records, are not known to be flushed. A power cut
+        may still remove such records, so no other write may depend on them before they are written again.
         """
         tail = self.tail
         if tail is None:
@@ -91,7 +92,10 @@
         return bool(tail.unproved_records()) or removal_unproved
 
     def unproved_records(self) -> list[Record]:
-        """The records that are intact but not proved to be flushed. Raises CorruptDataError."""
+        """Return the records at the log's end that are intact but not known to be flushed.
+
+        Raises CorruptDataError if one of these records can't be read again.
+        """
         newest = self.segments[-1]
         records = []
         for offset, length in self.tail.unproved_records() if self.tail else []:
@@ -129,7 +133,7 @@
             raise NotAStoreError(self.directory, f"(its file {marker} is not a valid marker)")
 
     def _read_file_header(self, name: str) -> bytes:
-        """The file's header, and one more byte to detect a file that is too long."""
+        """Return the file's header, and the next byte, if any, which shows that a file is too long."""
         file = self.disk.open(name)
         try:
             return self.disk.read(file, 0, framing.FILE_HEADER_BYTES + 1)
@@ -147,7 +151,7 @@
         return found
 
     def _read_checkpoint(self) -> None:
-        # without a checkpoint the whole log is replayed, which only takes longer
+        # without a checkpoint, opening the store replays the whole log, which only takes longer
         with contextlib.suppress(OSError, CannotOpenError):
             file = self.disk.open(file_names.CHECKPOINT)
             try:
@@ -180,7 +184,7 @@
         self.segments = [segment]
 
     def _read_tail(self, segment: Segment, size: int, tail: LogTail) -> int:
-        """Pass the segment's frames to the tail; returns the offset at which they end."""
+        """Pass the segment's frames to `tail`; return the offset at which the accepted frames end."""
         end = segment.data_start
         frames = framing.iter_frames(self.reader(segment.file), end, size, segment.salt_checksum)
         for offset, length, body in frames:
@@ -194,7 +198,7 @@
         return end
 
     def _find_lost_records(self, segment: Segment, end: int, size: int, tail: LogTail) -> None:
-        """Search the bytes after `end` for a frame that proves that a confirmed record is missing."""
+        """Report a finding if a frame after `end` proves that a confirmed record is missing."""
         read = self.reader(segment.file)
         for frame_offset, _, body in framing.iter_frames_past_gaps(read, end, size, segment.salt_checksum):
             with contextlib.suppress(*UNDECODABLE):
--- a/lichencleat/store/replay.py
+++ b/lichencleat/store/replay.py
@@ -15,7 +15,10 @@
 
 
 class ReplayedRecord(NamedTuple):
-    """A valid record without its value. A NamedTuple, because opening a store makes one per record."""
+    """A valid record without its value.
+
+    The type is a NamedTuple, which is cheap to create: opening a store creates an instance for each record.
+    """
 
     offset: int
     length: int
@@ -45,10 +48,10 @@
         self.findings = findings
 
     def build_index(self, now: int) -> tuple[dict[bytes, int], LocationTotals]:
-        """Build the location of each key, and the totals of all locations.
+        """Return the packed location of each key, and figures about all locations.
 
-        Ignores a checkpoint that does not match the log; otherwise reuses and changes its `locations`. Sets
-        the segments' `tombstone_bytes`. `now` is in µs.
+        Sets the segments' `tombstone_bytes`. The method changes and returns the dictionary `locations` of the
+        checkpoint, unless the checkpoint does not match the log. `now` is in µs.
         """
         locations = self.checkpoint.locations if self.checkpoint is not None else {}
         newest = self.segments[-1]
@@ -60,7 +63,8 @@
                 ) << FIELD_BITS | record.length
             else:
                 locations.pop(record.key, None)
-                if segment is newest:  # known from a newer header or the checkpoint for sealed segments
+                # for a sealed segment, the header of a newer segment or the checkpoint has this number
+                if segment is newest:
                     segment.tombstone_bytes += record.length
         totals = total_locations(locations)
         if self.checkpoint is None:
@@ -99,9 +103,14 @@
                 yield segment, record
 
     def _segment_records(self, segment: Segment, offset: int, sequence: int) -> Iterator[ReplayedRecord]:
-        """Yield the segment's valid records from a frame on, without incomplete batches.
+        """Yield the segment's valid records from an offset on, without incomplete batches.
+
+        Bytes that are not the next frame are reported as a finding and end the iteration.
 
-        Bytes that are not a frame are reported as a finding and end the iteration.
+        Args:
+            segment: The segment.
+            offset: Offset of the first frame to read, in bytes.
+            sequence: Sequence of the first frame to read.
         """
         batch: list[ReplayedRecord] = []
         end = offset
--- a/lichencleat/store/reserve.py
+++ b/lichencleat/store/reserve.py
@@ -10,20 +10,20 @@
 from lichencleat.store.disk import FileHandle
 from lichencleat.store.log import DISK_FULL_ERRNOS, Log
 
-RETRY_INTERVAL_US = 30_000_000  # between attempts to write the reserve again
-ZEROS = bytes(1 << 20)  # one write
+RETRY_INTERVAL_US = 30_000_000  # time between two attempts to write the reserve
+ZEROS = bytes(1 << 20)  # content of one write
 
 P = ParamSpec("P")
 R = TypeVar("R")
 
 
 class Reserve:
-    """Writes and releases the reserve; its open file is closed by the last `step` or by `abort`."""
+    """Writes and releases the reserve; the last `step` or `abort` closes the reserve's file."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
         self.file: FileHandle | None = None  # open while the reserve is written
-        self.last_attempt = -RETRY_INTERVAL_US  # µs: start of the last attempt to write it
+        self.last_attempt = -RETRY_INTERVAL_US  # µs: when the last attempt to write the reserve began
         self.held_bytes = 0  # size of the complete reserve, 0 if there is none
 
     def load(self, names: Sequence[str]) -> None:
@@ -37,7 +37,10 @@
                 disk.close(file)
 
     def run_with_reserve(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> R:
-        """Make the call; if the disk is full, release the reserve and call once more. Raises OSError."""
+        """Return the result of `call`; if the disk is full, release the reserve and call once more.
+
+        Raises OSError if the last call failed.
+        """
         try:
             return call(*args, **kwargs)
         except OSError as error:
@@ -46,7 +49,7 @@
             return call(*args, **kwargs)
 
     def release(self) -> bool:
-        """Remove the reserve to free its space; returns whether there was a reserve."""
+        """Remove the reserve's file to free its space; return whether there was a reserve."""
         if not self.held_bytes:
             return False
         self.held_bytes = 0
@@ -56,20 +59,20 @@
         return True
 
     def is_missing(self) -> bool:
-        """Whether the reserve is too small and an attempt to write it is due."""
+        """Whether the reserve is too small, and the next attempt to write the reserve is due."""
         limits = self.log.limits
         too_small = limits.keep_reserve and self.held_bytes < limits.reserve_bytes
         return too_small and self.log.time - self.last_attempt >= RETRY_INTERVAL_US
 
     def begin(self) -> None:
-        """Create the file; the next calls of `step` write it. Raises OSError."""
+        """Create the reserve's file, empty; the next calls of `step` write the zeros. Raises OSError."""
         with contextlib.suppress(FileNotFoundError):
             self.log.disk.remove(file_names.RESERVE)
         self.last_attempt = self.log.time
         self.file = self.log.disk.open(file_names.RESERVE, create=True)
 
     def remaining_bytes(self) -> int:
-        """Bytes still to be written."""
+        """Return the bytes of the reserve that are still to be written."""
         return self.log.limits.reserve_bytes - self.log.disk.size(self.file)
 
     def step(self, budget: int) -> None:
@@ -92,7 +95,7 @@
             disk.close(file)
 
     def abort(self) -> None:
-        """Close and remove an incomplete file, if there is one."""
+        """Close and remove the file of an incomplete reserve, if there is one."""
         file, self.file = self.file, None
         if file is not None:
             self.log.disk.close(file)
--- a/lichencleat/store/salvage.py
+++ b/lichencleat/store/salvage.py
@@ -26,18 +26,18 @@
 from lichencleat.store.recovery import RecoveryScan
 from lichencleat.store.segments import Record, read_header
 
-GROUP_BATCHES = 256  # committed together
+GROUP_BATCHES = 256  # number of batches that are committed together
 
 
 @dataclass(slots=True)
 class SalvageReport:
     """Result of `salvage`."""
 
-    records: int = 0  # copied to the new store
-    lost: int = 0  # frames missing according to the sequence numbers
+    records: int = 0  # records copied to the new store
+    lost: int = 0  # frames that are missing, by the gaps between sequences
     batches_lost: int = 0  # incomplete batches, which are not copied
-    entries: int = 0
-    findings: list[Finding] = field(default_factory=list)
+    entries: int = 0  # entries of the new store
+    findings: list[Finding] = field(default_factory=list)  # damage found in the old store
 
 
 @dataclass(slots=True, frozen=True)
@@ -64,9 +64,19 @@
     limits: StoreLimits,
     progress: Progress = ignore_progress,
 ) -> SalvageReport:
-    """Write every intact record to a new store, in order, without incomplete batches.
+    """Copy each intact record of a damaged store to a new store, in order, without incomplete batches.
 
-    A key whose last records are lost has an older value in the new store, or is missing.
+    A key whose last records are lost has an older value in the new store, or is missing there.
+
+    Args:
+        disk: The directory of the damaged store.
+        new_disk: An empty directory for the new store.
+        clock: Returns µs of Unix time.
+        rng: Source of the salts of new files.
+        directory: Name of the damaged store's directory in errors.
+        new_directory: Name of the new store's directory in errors.
+        limits: Limits on the new store's size.
+        progress: Called before each file is read.
 
     Raises:
         CannotOpenError: If the directory has no file of a store.
@@ -128,7 +138,11 @@
 def _salvageable_batches(
     disk: Disk, scan: RecoveryScan, report: SalvageReport, progress: Progress
 ) -> Iterator[Batch]:
-    """Yield the batches of all intact frames, except those that the remaining headers show as obsolete."""
+    """Yield the batches of all intact frames that belong to the store.
+
+    Frames of removed segments, and frames after the valid bytes of a segment, are skipped, as far as intact
+    headers show which frames these are.
+    """
     files = [
         SegmentFile(name, file, disk.size(file))
         for name in disk.names()
@@ -142,7 +156,7 @@
         for each in files:
             progress(each.name, done_bytes, total_bytes)
             done_bytes += each.size
-            if not _is_removed(scan, each):  # the records of a removed segment were copied to a newer one
+            if not _is_removed(scan, each):  # compaction copied the records of a removed segment
                 yield from _intact_batches(
                     scan.reader(each.file), each, last_sequences.get(each.number), report
                 )
@@ -152,7 +166,7 @@
 
 
 def _is_removed(scan: RecoveryScan, segment: SegmentFile) -> bool:
-    """Whether the newest segment shows that this one was removed from the store."""
+    """Whether the newest segment shows that a segment was removed from the store."""
     if segment.number in scan.removed_segments():
         return True
     is_newest_intact = bool(scan.segments) and not any(each.file == segment.name for each in scan.findings)
@@ -160,7 +174,7 @@
 
 
 def _last_sequences(scan: RecoveryScan, files: Sequence[SegmentFile]) -> dict[int, int]:
-    """The last valid sequence of each segment, by number, from the intact headers of newer segments."""
+    """Return the last valid sequence of each segment, by number, from intact headers of newer segments."""
     last_sequences: dict[int, int] = {}
     for each in files:  # in order of numbers, so that the newest header wins
         found = read_header(scan.reader(each.file), each.file, each.name)
@@ -173,7 +187,7 @@
 def _intact_batches(
     read: framing.Read, segment: SegmentFile, last_sequence: int | None, report: SalvageReport
 ) -> Iterator[Batch]:
-    """Yield the segment's complete batches, up to the sequence `last_sequence` if it is known."""
+    """Yield the segment's complete batches up to `last_sequence`, if given; record losses in `report`."""
     salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.LOG_MAGIC, segment.name)
     if salt is None:
         problem = "its salt is lost: nothing in it can be told from chance"
--- a/lichencleat/store/segments.py
+++ b/lichencleat/store/segments.py
@@ -24,11 +24,11 @@
 class SegmentHeader(msgspec.Struct, array_like=True, frozen=True, forbid_unknown_fields=True):
     """The body of a segment's first frame."""
 
-    store: bytes
+    store: bytes  # identity of the store
     number: int
     first_sequence: int
-    flushed_through: int  # frames up to this sequence were flushed before the file was renamed
-    time: int  # µs
+    flushed_through: int  # frames up to this sequence were flushed before the segment's file was renamed
+    time: int  # µs of Unix time: the latest time that the store had seen
     older: list[OlderSegment]
 
 
@@ -48,7 +48,10 @@
 
 
 class Segment:
-    """One file of the log. Only the newest is appended to, and only by the process that created it."""
+    """One file of the log.
+
+    Only the newest segment is appended to, and only by the process that created the segment.
+    """
 
     __slots__ = (
         "number",
@@ -73,13 +76,13 @@
         self.file = file
         self.salt_checksum = salt_checksum
         self.data_start = data_start  # bytes: offset of the first frame after the header
-        self.first_sequence = first_sequence
+        self.first_sequence = first_sequence  # sequence of the first frame after the header
         self.size = data_start  # valid bytes; later bytes are ignored
-        self.last_sequence = first_sequence - 1  # of the last valid frame
+        self.last_sequence = first_sequence - 1  # sequence of the last valid frame
         self.flushed_through = first_sequence - 1  # see SegmentHeader
-        self.tombstone_bytes = 0
-        self.reference_count = 0  # readers and snapshots that use the file
-        self.is_removed = False
+        self.tombstone_bytes = 0  # bytes of the segment's tombstones
+        self.reference_count = 0  # number of readers and snapshots that use the file
+        self.is_removed = False  # whether the segment was removed; the last reference closes the file
         self.is_damaged = False  # compaction found bytes that are not a frame, and skips the segment
         self.void_bytes = 0  # bytes in the file after the valid ones
 
@@ -94,7 +97,7 @@
 
 
 def encode_header(store: bytes, segment: Segment, salt: bytes, time: int, older: Sequence[Segment]) -> bytes:
-    """A new segment's file header and header frame."""
+    """Return a new segment's file header and header frame; `older` are the store's other segments."""
     header = SegmentHeader(
         store,
         segment.number,
@@ -110,7 +113,12 @@
 
 
 def read_header(read: framing.Read, file: FileHandle, name: str) -> tuple[Segment, SegmentHeader] | None:
-    """A segment as described by its own header, or None if that is not intact. Raises NewerFormatError."""
+    """Return the segment in a file, and the segment's header.
+
+    Returns None if the header is not intact, or names another segment than the file's name.
+
+    Raises NewerFormatError if a newer version of this program wrote the file.
+    """
     salt = framing.decode_file_header(read(0, framing.FILE_HEADER_BYTES), framing.LOG_MAGIC, name)
     if salt is None:
         return None
@@ -130,13 +138,13 @@
 def encode_records(
     records: Sequence[Record], segment: Segment, sequence: int, flushed: int
 ) -> tuple[bytes, list[tuple[int, int]]]:
-    """Encode records as frames for the segment's end; returns the bytes, and offset and length of each frame.
+    """Encode records as frames for the segment's end; return the bytes, and offset and length of each frame.
 
     Args:
         records: The records to encode.
         segment: The segment to which the frames are appended.
         sequence: Sequence of the first record.
-        flushed: The last sequence that was flushed.
+        flushed: Sequence of the last frame that was flushed.
     """
     offset, salt_checksum = segment.size, segment.salt_checksum
     frames: list[bytes] = []
--- a/lichencleat/store/store.py
+++ b/lichencleat/store/store.py
@@ -1,8 +1,8 @@
 """Store: the engine for a program on a reactor, with Deferreds, group commit and maintenance between writes.
 
-In the reactor's thread the store only queues calls and delivers results. Other threads do the disk I/O; one
-of them writes. Batches that arrive while a group is written form the next group. A batch that does not fit
-the queue is rejected immediately.
+In the reactor's thread, the store only queues calls and delivers results. Other threads do the disk I/O; one
+of these threads writes. Batches that arrive while a group is written form the next group. A batch that does
+not fit the queue is rejected immediately.
 """
 
 from __future__ import annotations
@@ -24,14 +24,14 @@
 from lichencleat.store.reader import CHUNK_ENTRIES
 from lichencleat.store.threads import Executor, StoreThreads, ThreadedReactor, Timer
 
-MAX_QUEUED_BATCHES = 4_096  # waiting for the writer: some 20 groups on a disk that flushes in 1 ms
-MAX_QUEUED_BYTES = 64 << 20  # of the waiting batches
-MAX_GROUP_BATCHES = 512  # confirmed by one flush; the next group waits a few ms for it
-MAX_GROUP_BYTES = 4 << 20  # of one group, unless a single batch is larger
-MAX_READS = 1_024  # running or waiting for a thread
+MAX_QUEUED_BATCHES = 4_096  # limit on the waiting batches: some 20 groups on a disk that flushes in 1 ms
+MAX_QUEUED_BYTES = 64 << 20  # limit on the size of the waiting batches
+MAX_GROUP_BATCHES = 512  # limit on the batches that one flush confirms; the next group waits a few ms
+MAX_GROUP_BYTES = 4 << 20  # limit on the size of a group, unless a single batch is larger
+MAX_READS = 1_024  # limit on the reads that run or wait for a thread
 READER_THREADS = 2  # more threads would wait for the interpreter lock
-MAINTENANCE_INTERVAL_S = 1.0  # pause after a step that had nothing to do or failed
-MAX_GROUPS_BETWEEN_STEPS = 16  # group commits before a step of maintenance runs first
+MAINTENANCE_INTERVAL_S = 1.0  # pause after a maintenance step that had nothing to do or failed
+MAX_GROUPS_BETWEEN_STEPS = 16  # after this number of groups, a maintenance step runs before the next group
 
 P = ParamSpec("P")
 R = TypeVar("R")
@@ -58,13 +58,13 @@
         run_in_reader: Executor,
         maintenance: bool = True,
     ) -> None:
-        """Begins with a step of maintenance, unless the owner runs maintenance.
+        """Create the store and start the first step of maintenance, unless the owner runs maintenance.
 
         Args:
-            reactor: Runs the timer of maintenance.
+            reactor: Runs the timer for maintenance steps.
             engine: An open engine.
             run_in_writer: Runs calls one after another.
-            run_in_reader: May run several calls concurrently.
+            run_in_reader: Runs calls, several of them concurrently.
             maintenance: Whether the store runs maintenance; otherwise the owner calls `step`.
         """
         self.reactor = reactor
@@ -75,12 +75,12 @@
         self.queue: deque[QueuedBatch] = deque()
         self.queued_bytes = 0
         self.pending_reads = 0
-        self.writing = False  # the writer thread runs a group, a step or the closing
-        self.groups_since_step = 0  # groups written since the last step of maintenance
-        self.idle = False  # the last step had nothing to do or failed
+        self.writing = False  # whether the writer thread writes a group, runs a maintenance step or closes
+        self.groups_since_step = 0  # groups written since the last maintenance step
+        self.idle = False  # whether the last maintenance step had nothing to do or failed
         self.maintenance_timer: Timer | None = None
-        self.closing: Deferred[None] | None = None
-        self.on_closed: Callable[[], None] = lambda: None  # stops the threads
+        self.closing: Deferred[None] | None = None  # fires when the engine is closed; None before `close`
+        self.on_closed: Callable[[], None] = lambda: None  # called when the engine is closed
         self.last_error = ""  # message of the last failed step of maintenance
         self._start_next_write()
 
@@ -89,18 +89,24 @@
     def put(self, key: bytes, value: bytes, expiry: int = 0) -> Deferred[None]:
         """Set a key's value; fires once the entry survives a power cut.
 
-        `expiry` is in µs of Unix time, 0 for none. Raises BadRecordError; fails as `commit`.
+        `expiry` is in µs of Unix time, 0 for none. Raises BadRecordError if an argument is outside its
+        limits. The Deferred fails with the errors of `commit`.
         """
         return self.commit(Batch().put(key, value, expiry))
 
     def delete(self, key: bytes) -> Deferred[None]:
-        """Delete a key, which need not exist. Raises BadRecordError; fails as `commit`."""
+        """Delete a key if it exists; fires once the deletion survives a power cut.
+
+        Raises BadRecordError if the key is outside its limits. The Deferred fails with the errors of
+        `commit`.
+        """
         return self.commit(Batch().delete(key))
 
     def commit(self, batch: Batch) -> Deferred[None]:
-        """Write all changes or none; fires once they survive a power cut.
+        """Write all changes of a batch or none; fires once the changes survive a power cut.
 
-        Fails with FullError (immediately if the queue is full), NotConfirmedError or ClosedError.
+        The Deferred fails with FullError (immediately if the queue is full), NotConfirmedError or
+        ClosedError.
         """
         if self.closing is not None:
             return fail(ClosedError())
@@ -114,7 +120,10 @@
         return queued.done
 
     def _start_next_write(self) -> None:
-        """Start the writer's next call unless one runs: a group, a step of maintenance, or the closing."""
+        """Start the next call in the writer thread, unless a call runs.
+
+        The call writes a group, runs a maintenance step or closes the engine.
+        """
         if self.writing:
             return
         step_due = (
@@ -149,7 +158,7 @@
         self, errors: Sequence[StoreError | None] | Failure, group: list[QueuedBatch]
     ) -> None:
         self.writing = False
-        self._start_next_write()  # before the callbacks: the disk works while they run
+        self._start_next_write()  # before the callbacks, so that the disk works while the callbacks run
         for position, each in enumerate(group):
             error = errors if isinstance(errors, Failure) else errors[position]
             if error is None:
@@ -160,7 +169,10 @@
     # -- maintenance -------------------------------------------------------------------------------
 
     def step(self, budget: int = STEP_BYTES) -> Deferred[int]:
-        """Do one step of maintenance, for an owner that runs it; fires with the bytes left, 0 if none."""
+        """Do one step of maintenance, for an owner that runs maintenance itself.
+
+        Fires with the estimated bytes left of the current maintenance job, 0 if no job is due.
+        """
         if self.closing is not None:
             return succeed(0)
         return self.run_in_writer(self.engine.step, budget)
@@ -184,29 +196,46 @@
     # -- reading -----------------------------------------------------------------------------------
 
     def get(self, key: bytes) -> Deferred[bytes | None]:
-        """Read the value, or None. Fails with CorruptDataError, or with FullError at the limit on reads."""
+        """Read a key's value; fires with None if the key is missing or the entry has expired.
+
+        The Deferred fails with CorruptDataError, ClosedError, or FullError at the limit on reads.
+        """
         return self.submit_read(self.engine.get, key)
 
     def snapshot(self) -> Snapshot:
-        """Take a snapshot of the confirmed entries, to be released. Raises FullError, ClosedError."""
+        """Take a snapshot of the confirmed entries, which the caller passes to `release` later.
+
+        Raises FullError at the limit on snapshots, or ClosedError.
+        """
         return self.engine.snapshot()
 
     def release(self, snapshot: Snapshot) -> None:
-        """Release a snapshot."""
+        """Close a snapshot and release the files that were kept open for it."""
         self.engine.release(snapshot)
 
     def chunk(
         self, snapshot: Snapshot, cursor: bytes = b"", prefix: bytes = b"", limit: int = CHUNK_ENTRIES
     ) -> Deferred[list[tuple[bytes, bytes]]]:
-        """Read up to `limit` keys and values in order of keys from `cursor` on; the last chunk is empty."""
+        """Read up to `limit` keys and values of a snapshot from `cursor` on, in order of keys.
+
+        Only keys that begin with `prefix` are read. The next chunk's cursor is the last key followed by a
+        zero byte. The last chunk is empty.
+        """
         return self.submit_read(self.engine.chunk, snapshot, cursor, prefix, limit)
 
     def scan(self, prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
-        """Yield all entries; blocks on the disk, so not for a reactor's thread that has other work."""
+        """Yield the keys that begin with `prefix` and their values, in order of keys.
+
+        The reads block the calling thread, so a reactor's thread should call this only without other work.
+        """
         return self.engine.scan(prefix)
 
     def submit_read(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
-        """Run a reading call in a reader thread. Fails with FullError at the limit on reads."""
+        """Run a call that reads the store in a reader thread; fires with the result.
+
+        The Deferred fails with the error of the call, with ClosedError, or with FullError at the limit on
+        reads.
+        """
         if self.closing is not None:
             return fail(ClosedError())
         if self.pending_reads >= MAX_READS:
@@ -224,10 +253,10 @@
         self.pending_reads -= 1
         return failure
 
-    # -- ending ------------------------------------------------------------------------------------
+    # -- shutdown ----------------------------------------------------------------------------------
 
     def close(self) -> Deferred[None]:
-        """Write and confirm the queued batches, then close; fires once the directory is unlocked."""
+        """Write the queued batches, then close the engine; fires once the directory is unlocked."""
         if self.closing is None:
             self.closing = Deferred()
             if self.maintenance_timer is not None:
@@ -248,7 +277,7 @@
         self.closing.callback(None)
 
     def stat(self) -> dict[str, int]:
-        """The engine's sizes and counts, and the sizes of the queues."""
+        """Return the engine's sizes and counts, and the sizes of the queues."""
         return {
             **self.engine.stat(),
             "waiting writes": len(self.queue),
--- a/lichencleat/store/threads.py
+++ b/lichencleat/store/threads.py
@@ -1,4 +1,4 @@
-"""Threads of a store: one writer and several readers, which the store uses through `Executor`."""
+"""Threads of a store: one writer thread and several reader threads, which run calls for the store."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class Executor(Protocol):
-    """Runs a function in a thread that may block; the Deferred fires with its result or error."""
+    """Runs functions in threads that may block."""
 
     def __call__(self, call: Callable[P, R], *args: P.args, **kwargs: P.kwargs) -> Deferred[R]:
-        """Run the call."""
+        """Run `call` with the arguments; the Deferred fires with the result or fails with the error."""
 
 
 class Timer(Protocol):
