--- a/lichencleat/failover/controller.py
+++ b/lichencleat/failover/controller.py
@@ -30,8 +30,8 @@
 
 POLL_INTERVAL_US = 300_000  # time between two polls; equals the report interval of the routers
 REPORT_TIMEOUT_US = 1_500_000  # older reports of a router are ignored: five report intervals
-MAX_LOST_FRACTION = 0.4  # a zone is unhealthy if a larger fraction of the attempts in the zone is lost
-LIMITED_FRACTION = 0.12  # a zone is at its capacity if a larger fraction of attempts is rejected or lost
+MAX_LOST_FRACTION = 0.4  # a zone is unhealthy if more than this fraction of its attempts is lost
+LIMITED_FRACTION = 0.12  # a zone is at its capacity if more than this fraction is rejected or lost
 # Consecutive unhealthy polls until a zone is taken out of service: one may be chance, three take almost 1 s.
 MIN_UNHEALTHY_POLLS = 2
 MIN_ATTEMPTS = 10  # if a poll has fewer attempts in a zone, the zone is not judged by these attempts
--- a/lichencleat/failover/locality_routing.py
+++ b/lichencleat/failover/locality_routing.py
@@ -17,9 +17,9 @@
 UPDATE_INTERVAL_US = 300_000  # time between two updates of the spill: tens of attempts at usual rates
 SPILL_INCREASE = 0.08  # added to the spill in an update with many failures
 SPILL_DECREASE = 0.02  # subtracted from the spill in an update with few failures
-HIGH_FAILURE_FRACTION = 0.10  # the spill increases if a larger fraction of first local attempts fails
-LOW_FAILURE_FRACTION = 0.03  # the spill decreases if a smaller fraction of first local attempts fails
-LOST_FRACTION = 0.5  # the spill increases fast if a larger fraction of first local attempts is lost
+HIGH_FAILURE_FRACTION = 0.10  # the spill increases if more than this fraction of first local attempts fails
+LOW_FAILURE_FRACTION = 0.03  # the spill decreases if less than this fraction of first local attempts fails
+LOST_FRACTION = 0.5  # the spill increases fast if more than this fraction of first local attempts is lost
 FAST_INCREASE_FACTOR = 4  # factor on `SPILL_INCREASE` for a fast increase
 MIN_ATTEMPTS = 8  # with fewer attempts, an update leaves the spill unchanged and keeps the counts
 HOLD_TIME_US = 10_000_000  # time from the last increase to the first decrease; prevents oscillation
