--- a/lichencleat/membership/datagram_transport.py
+++ b/lichencleat/membership/datagram_transport.py
@@ -29,11 +29,11 @@
     sent_bytes: int = 0
     received: int = 0
     undecodable: int = 0
-    unsent: int = 0  # too large, or not accepted by the socket
+    unsent: int = 0  # datagrams that were too large, or that the socket did not accept
 
 
 class GossipTransport(DatagramProtocol):
-    """Owns the socket and the timer until `stop`, which closes the one and cancels the other."""
+    """Owns the socket and the timer until `stop`, which closes the socket and cancels the timer."""
 
     noisy = False
     transport: Port | None  # type: ignore[assignment]  # untyped in Twisted
@@ -62,7 +62,7 @@
         self._run_actions()
 
     def datagramReceived(self, data: bytes, address: tuple[str, int]) -> None:
-        """Pass a datagram to the member; count and drop it if it cannot be decoded."""
+        """Pass a datagram to the member; count and drop a datagram that cannot be decoded."""
         try:
             message = decode_message(data)
         except UNDECODABLE:
--- a/lichencleat/membership/dissemination.py
+++ b/lichencleat/membership/dissemination.py
@@ -1,6 +1,6 @@
-"""Dissemination of member updates, which are piggybacked on other datagrams.
+"""Dissemination of member updates, which are piggybacked on the datagrams of probes.
 
-Each update is sent a bounded number of times; updates sent least often are sent first.
+Each update is sent a bounded number of times. Updates that were sent least often come first.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 from lichencleat.membership.messages import MemberUpdate
 
-MAX_DATAGRAM_BYTES = 1_200  # below the minimum MTU of IPv6, so datagrams are not fragmented
+MAX_DATAGRAM_BYTES = 1_200  # limit on a datagram: below the minimum MTU of IPv6, so no fragmentation
 UPDATE_OVERHEAD_BYTES = 40  # upper bound of an update's encoded size without its strings
 
 
@@ -26,14 +26,14 @@
 
 
 def retransmit_limit(member_count: int, multiplier: int) -> int:
-    """Return how often a member sends an update, so that nearly every member of the group receives it."""
+    """Return how often each member sends an update, so that nearly every member of the group receives it."""
     return multiplier * math.ceil(math.log2(member_count + 2))
 
 
 class QueuedUpdate(NamedTuple):
-    """An update to send, and how often it was sent already."""
+    """An update to send."""
 
-    transmissions: int
+    transmissions: int  # how often this member has sent the update
     update: MemberUpdate
 
 
@@ -56,12 +56,12 @@
         self._queue.clear()
 
     def take(self, max_bytes: int, limit: int, first: str = "") -> tuple[MemberUpdate, ...]:
-        """Return updates for one datagram, those sent least often first.
+        """Return the updates for one datagram; updates that were sent least often come first.
 
         Args:
             max_bytes: Size available for the updates.
             limit: Number of transmissions after which an update is removed from the queue.
-            first: Name of the member whose update, if there is one, comes before all others.
+            first: Name of a member; the update about this member, if there is one, comes before all others.
         """
         taken: list[MemberUpdate] = []
         remaining = max_bytes
--- a/lichencleat/membership/gossip.py
+++ b/lichencleat/membership/gossip.py
@@ -18,7 +18,7 @@
 from lichencleat.membership.state_sync import StateSync
 from lichencleat.membership.suspicion import SuspicionTracker
 
-SEQUENCE_BITS = 30  # size of the random first sequence number
+SEQUENCE_BITS = 30  # number of random bits in the first sequence number
 
 
 class GossipMember:
@@ -26,9 +26,10 @@
 
     Args:
         group: Name of the group; datagrams of other groups are ignored.
-        own: This member; its incarnation is the Unix time of its start in µs, so it overrides earlier ones.
+        own: The update about this member. Its incarnation is the Unix time of the start in µs, so that updates
+            about this start override those about earlier starts.
         seeds: Addresses of members to join through; this member's own address is ignored.
-        settings: Settings of the protocol, the same on each member.
+        settings: Settings of the protocol; all members have the same settings.
         rng: Chooses the members to probe, to ask for indirect probes and to synchronize with.
         now: Time in µs by the caller's monotonic clock.
     """
@@ -75,7 +76,7 @@
         return self._outbox.next_action()
 
     def next_deadline(self) -> int:
-        """The latest time in µs at which `on_timer` should be called."""
+        """Return the latest time in µs at which `on_timer` should be called next."""
         return min(
             self._sync.next_sync_at,
             *self._prober.iter_deadlines(),
@@ -84,7 +85,7 @@
         )
 
     def on_message(self, now: int, host: str, port: int, message: GossipMessage) -> None:
-        """Handle a datagram that was received from that address."""
+        """Handle a datagram that was received from an address, at `now` (µs)."""
         if message.group != self._group or message.sender == self.own.name:
             return
         for update in message.updates:
@@ -102,7 +103,7 @@
         self._sync.on_timer(now, self.own)
 
     def leave(self, now: int) -> None:
-        """Announce to some members, which disseminate it, that this member leaves."""
+        """Announce to some members that this member leaves; these members disseminate the announcement."""
         self._has_left = True
         self.own = self.own.with_state(MemberState.LEFT)
         self.apply_update(now, self.own, "")
@@ -111,13 +112,13 @@
             self._outbox.send_update(each.host, each.port, self.own)
 
     def apply_update(self, now: int, update: MemberUpdate, sender: str) -> None:
-        """Apply an update, and disseminate it if it is new.
+        """Apply an update; disseminate the update if it is new.
 
         Args:
             now: Time in µs.
             update: The update.
-            sender: Name of the member that it comes from; empty when this member announces that it leaves, or
-                declares a suspect dead.
+            sender: Name of the member that sent the update; empty when this member announces that it leaves,
+                or declares a suspect dead.
         """
         if update.name == self.own.name and not self._has_left:
             if update.precedence() > self.own.precedence():
@@ -155,9 +156,10 @@
             self._suspicions.confirm(update.name, sender)
 
     def _refute(self, now: int, update: MemberUpdate) -> None:
-        """Override a wrong update about this member by a greater incarnation.
+        """Override a wrong update about this member by an update with a greater incarnation.
 
-        If the update says that this member is not alive, it probably answers late, so its health score rises.
+        If the wrong update says that this member is not alive, this member probably answers too late, so its
+        health score rises.
         """
         if update.state != MemberState.ALIVE:
             self.health.degrade()
@@ -171,7 +173,7 @@
             self.apply_update(now, known.with_state(MemberState.SUSPECT), self.own.name)
 
     def _expire(self, now: int) -> None:
-        """Declare suspects dead that did not refute in time, and forget members that are dead for long."""
+        """Declare suspects dead that did not refute the suspicion in time; forget members dead for long."""
         for name in self._suspicions.expired(now):
             self.apply_update(now, self.table.members[name].with_state(MemberState.DEAD), "")
         for name in self.table.forget_dead(now, self._settings.dead_retention):
--- a/lichencleat/membership/local_health.py
+++ b/lichencleat/membership/local_health.py
@@ -1,4 +1,4 @@
-"""Lifeguard's local health: a member that misses answers may itself be slow, so it then waits longer."""
+"""Lifeguard's local health: a member that gets no answers may itself be slow, so it then waits longer."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class LocalHealth:
-    """A score of this member: 0 is healthy, a greater one makes its intervals longer."""
+    """The health score of this member: 0 is healthy; a greater score makes the member's intervals longer."""
 
     def __init__(self) -> None:
         self.score = 0
--- a/lichencleat/membership/member_table.py
+++ b/lichencleat/membership/member_table.py
@@ -21,10 +21,10 @@
 
     def __init__(self) -> None:
         self.members: dict[str, MemberUpdate] = {}
-        self._state_changed_at: dict[str, int] = {}  # name -> µs by this member's clock
+        self._state_changed_at: dict[str, int] = {}  # by name: µs of this member's monotonic clock
 
     def apply(self, now: int, update: MemberUpdate) -> bool:
-        """Apply an update; return whether it overrides the known one."""
+        """Apply an update; return whether it overrides the known update about the member."""
         known = self.members.get(update.name)
         if known is None:
             is_accepted = len(self.members) < MAX_MEMBERS and update.state in MemberState._value2member_map_
--- a/lichencleat/membership/outbox.py
+++ b/lichencleat/membership/outbox.py
@@ -18,7 +18,7 @@
 
 HEADER_BYTES = 120  # upper bound of a datagram's size without its updates
 MAX_UPDATES_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES
-MAX_ACTIONS = 4_096  # pending ones; beyond that the oldest are dropped
+MAX_ACTIONS = 4_096  # limit on the pending actions; beyond this, the oldest are dropped
 
 
 @dataclass(slots=True)
@@ -70,7 +70,7 @@
         return next(self._sequence)
 
     def report_change(self, update: MemberUpdate) -> None:
-        """Queue the report of a changed member."""
+        """Queue a report that the latest update about a member has changed."""
         self._actions.append(MemberChanged(update))
 
     def send(
@@ -78,25 +78,28 @@
     ) -> None:
         """Queue a datagram with piggybacked updates.
 
-        If the table says that `recipient` is not alive, the datagram includes that update, so that the
-        recipient can refute it.
+        If the member table says that `recipient` is not alive, the datagram includes the update that says so,
+        and the recipient can refute the update.
         """
         updates = self._piggyback(recipient)
         self._queue(host, port, GossipMessage(self._group, kind, sequence, self._sender, target, 0, updates))
 
     def send_update(self, host: str, port: int, update: MemberUpdate) -> None:
-        """Queue a ping that carries only this update; its answer is ignored."""
+        """Queue a ping that carries only this update; the answer to the ping is ignored."""
         message = GossipMessage(self._group, MessageKind.PING, 0, self._sender, updates=(update,))
         self._queue(host, port, message)
 
     def send_sync_request(self, host: str, port: int, *updates: MemberUpdate) -> None:
-        """Queue a request for the table of the member at that address, unless it equals the own table."""
+        """Queue a request to the member at an address for its member table, if the table differs.
+
+        The datagram also carries the given updates.
+        """
         digest = self._table.digest()
         kind = MessageKind.SYNC_REQUEST
         self._queue(host, port, GossipMessage(self._group, kind, 0, self._sender, "", digest, updates))
 
     def send_table(self, host: str, port: int) -> None:
-        """Queue the whole table, in as many datagrams as needed."""
+        """Queue the whole member table, in as many datagrams as needed."""
         updates: list[MemberUpdate] = []
         remaining = MAX_UPDATES_BYTES
         for update in list(self._table.members.values()):
--- a/lichencleat/membership/probing.py
+++ b/lichencleat/membership/probing.py
@@ -1,4 +1,7 @@
-"""SWIM's failure detector: this member's own probes, and indirect probes on behalf of other members."""
+"""SWIM's failure detector: this member's own probes, and indirect probes on behalf of other members.
+
+A helper is a member that is asked for an indirect probe because a direct probe got no answer.
+"""
 
 from __future__ import annotations
 
@@ -12,18 +15,18 @@
 from lichencleat.membership.outbox import Outbox
 from lichencleat.membership.settings import GossipSettings
 
-MAX_INDIRECT_PROBES = 256  # unanswered ones on behalf of other members
+MAX_INDIRECT_PROBES = 256  # limit on the unanswered probes on behalf of other members
 
 
 @dataclass(slots=True)
 class Probe:
     """An unanswered probe that this member started."""
 
-    target: MemberUpdate
+    target: MemberUpdate  # the update about the probed member when the probe started
     sequence: int
     started_at: int  # µs
-    helpers_asked: int = 0
-    nacks: int = 0  # helpers that got no answer from the target either
+    helpers_asked: int = 0  # number of helpers asked; 1 also if there is no helper to ask
+    nacks: int = 0  # number of helpers that got no answer from the target either
 
 
 class Prober:
@@ -40,7 +43,7 @@
         now: int,
         on_probe_failed: Callable[[int, MemberUpdate], None],
     ) -> None:
-        """`on_probe_failed` is called with the time and the target's update when the probe started."""
+        """`on_probe_failed` is called for a failed probe, with the time (µs) and the probe's `target`."""
         self._own_name = own_name
         self._table = table
         self._outbox = outbox
@@ -49,11 +52,11 @@
         self._rng = rng
         self._on_probe_failed = on_probe_failed
         self._probe: Probe | None = None
-        self._remaining: list[str] = []  # names to probe in this round; the last one is next
+        self._remaining: list[str] = []  # names of members to probe in this round; the last name is next
         self._next_probe_at = now + rng.randrange(settings.probe_interval)
 
     def on_ack(self, sequence: int) -> None:
-        """End the current probe if it has that sequence number."""
+        """End the current probe if an ack with its sequence number has arrived."""
         if self._probe is not None and self._probe.sequence == sequence:
             self._probe = None
             self._health.improve()
@@ -64,7 +67,10 @@
             self._probe.nacks += 1
 
     def on_timer(self, now: int) -> None:
-        """Ask helpers for indirect probes, or fail the probe and start the next one, as due at `now` (µs)."""
+        """Do what is due at `now` (µs): ask helpers for indirect probes, or start the next probe.
+
+        The start of the next probe ends the current one, which has then failed.
+        """
         probe = self._probe
         if probe is not None and not probe.helpers_asked and now >= self._helpers_deadline(probe):
             self._ask_helpers(probe)
@@ -116,7 +122,7 @@
     def _fail(self, now: int, probe: Probe) -> None:
         """Report the probe as failed.
 
-        Missing nacks of helpers indicate that this member is slow, so its local health degrades.
+        Missing nacks of helpers indicate that this member is slow, so this member's health score rises.
         """
         self._probe = None
         if probe.nacks < min(probe.helpers_asked, self._settings.indirect_probes) - 1:
@@ -128,8 +134,8 @@
 class IndirectProbe:
     """A probe on behalf of another member."""
 
-    request: GossipMessage
-    target: MemberUpdate
+    request: GossipMessage  # the ping request of the other member
+    target: MemberUpdate  # the update about the probed member
     started_at: int  # µs
 
 
@@ -152,7 +158,7 @@
         self._outbox.send(target.host, target.port, MessageKind.PING, sequence, recipient=target.name)
 
     def on_ack(self, sequence: int) -> bool:
-        """Forward an ack to the requester; return False if it answers no indirect probe."""
+        """Forward an ack to the requester; return False if the ack answers no indirect probe."""
         probe = self._probes.pop(sequence, None)
         if probe is None:
             return False
--- a/lichencleat/membership/program.py
+++ b/lichencleat/membership/program.py
@@ -26,8 +26,8 @@
 
 Address = Annotated[str, Meta(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
 
-PROBES_PER_SYNC = 5  # probe intervals per sync interval
-LEAVE_DELAY_S = 0.2  # before the process stops; lets the announcement be sent
+PROBES_PER_SYNC = 5  # number of probe intervals in a sync interval
+LEAVE_DELAY_S = 0.2  # pause before the process stops, in which the announcement is sent
 EXIT_CANT_LISTEN = 2
 
 STATE_EVENTS = {
@@ -48,8 +48,8 @@
     seeds: Annotated[list[Address], Meta(max_length=64)] = []
     zone: str = ""
     role: str = "node"
-    period_ms: Annotated[int, Meta(ge=20, le=60_000)] = 1_000
-    answer_ms: Annotated[int, Meta(ge=5, le=60_000)] = 300
+    period_ms: Annotated[int, Meta(ge=20, le=60_000)] = 1_000  # time between two probes
+    answer_ms: Annotated[int, Meta(ge=5, le=60_000)] = 300  # time limit for the answer to a direct probe
 
     def gossip_settings(self) -> GossipSettings:
         """Return the protocol's settings."""
--- a/lichencleat/membership/state_sync.py
+++ b/lichencleat/membership/state_sync.py
@@ -1,4 +1,4 @@
-"""Synchronization of whole tables, for joins, merges of partitions and the repair of lost updates."""
+"""Synchronization of whole member tables, to join a group, merge partitions and repair lost updates."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from lichencleat.membership.outbox import Outbox
 from lichencleat.membership.settings import GossipSettings
 
-SEED_PROBABILITY = 0.3  # of synchronizing with a seed; connects groups that formed separately
+SEED_PROBABILITY = 0.3  # probability to synchronize with a seed, which connects groups that formed separately
 
 
 class StateSync:
@@ -29,10 +29,10 @@
         self._settings = settings
         self._seeds = seeds
         self._rng = rng
-        self.next_sync_at = 0  # µs
+        self.next_sync_at = 0  # µs: when the next synchronization is due
 
     def join(self, now: int, own: MemberUpdate) -> None:
-        """Ask a seed for its table; until a member answers, the next synchronization repeats this."""
+        """Ask a seed for its member table; until a member answers, each synchronization asks a seed."""
         half = self._settings.sync_interval // 2
         self.next_sync_at = now + half + self._rng.randrange(half)
         if self._seeds:
@@ -40,15 +40,15 @@
             self._outbox.send_sync_request(host, port, own)
 
     def on_timer(self, now: int, own: MemberUpdate) -> None:
-        """Synchronize if that is due at `now` (µs)."""
+        """Synchronize if a synchronization is due at `now` (µs)."""
         if now >= self.next_sync_at:
             self._sync(now, own)
 
     def _sync(self, now: int, own: MemberUpdate) -> None:
-        """Ask one member for its table.
+        """Ask one member for its member table.
 
-        Choose a dead member if there is one, so that partitions merge; otherwise a seed or any active member,
-        to repair lost updates.
+        The member is a dead member if there is one, so that partitions merge. Otherwise it is a seed or any
+        active member, to repair lost updates.
         """
         interval = self._settings.sync_interval
         self.next_sync_at = now + interval // 2 + self._rng.randrange(interval)
--- a/lichencleat/membership/suspicion.py
+++ b/lichencleat/membership/suspicion.py
@@ -1,4 +1,7 @@
-"""Suspicion: how long a suspect has to refute; the more members suspect it independently, the shorter."""
+"""Suspicion: how long a suspect has to refute the suspicion that it is dead.
+
+The more members suspect it independently, the shorter this timeout is.
+"""
 
 from __future__ import annotations
 
@@ -14,10 +17,10 @@
 
 @dataclass(slots=True)
 class Suspicion:
-    """The suspicion of one member: when it started, and the names of the members that share it."""
+    """The suspicion that one member is dead."""
 
-    since: int  # µs
-    suspected_by: set[str] = field(default_factory=set)
+    since: int  # µs: when the suspicion started
+    suspected_by: set[str] = field(default_factory=set)  # names of the members that suspect the member
 
 
 class SuspicionTracker:
@@ -29,11 +32,11 @@
         self._suspicions: dict[str, Suspicion] = {}
 
     def start(self, name: str, now: int, sender: str) -> None:
-        """Start the timeout of a suspect; `sender` is the member that suspects it, or empty."""
+        """Start the timeout of the suspect `name`; `sender` is the member that suspects it, or empty."""
         self._suspicions[name] = Suspicion(now, {sender} if sender else set())
 
     def confirm(self, name: str, sender: str) -> None:
-        """Record that another member also suspects this one."""
+        """Record that the member `sender` also suspects the member `name`."""
         self._suspicions[name].suspected_by.add(sender)
 
     def clear(self, name: str) -> None:
@@ -45,9 +48,9 @@
         return name in self._suspicions
 
     def expired(self, now: int) -> Iterator[str]:
-        """Yield the suspects that did not refute in time.
+        """Yield the suspects that did not refute the suspicion in time.
 
-        Each timeout depends on the size of the table at the moment when the iteration reaches the suspect.
+        Each timeout depends on the size of the member table when the iteration reaches the suspect.
         """
         for name, suspicion in list(self._suspicions.items()):
             if now - suspicion.since >= self._timeout(suspicion):
