--- a/lichencleat/transport/errors.py
+++ b/lichencleat/transport/errors.py
@@ -12,7 +12,7 @@
 
     Attributes:
         reason: Reason that the group or the client gave.
-        may_take_effect: Whether the request may have been carried out, or may still be.
+        may_take_effect: Whether the request may have been carried out, or may still be carried out.
     """
 
     def __init__(self, reason: str, may_take_effect: bool) -> None:
--- a/lichencleat/transport/framed_protocol.py
+++ b/lichencleat/transport/framed_protocol.py
@@ -1,4 +1,4 @@
-"""A TCP connection that carries frames, with a bound on the unsent bytes."""
+"""A TCP connection that carries frames, with a limit on the unsent bytes."""
 
 from __future__ import annotations
 
@@ -10,11 +10,12 @@
 from lichencleat.transport.frames import MAX_FRAME_BYTES, Frame, FrameDecoder, decode_frame, encode
 from lichencleat.transport.twisted_types import TcpTransport
 
-MAX_UNSENT_BYTES = 8 << 20  # not yet accepted by the kernel; enough for a window of snapshot chunks
+# Limit on the bytes that the kernel has not accepted yet: enough for a window of snapshot chunks.
+MAX_UNSENT_BYTES = 8 << 20
 
 
 class FramedProtocol(Int32StringReceiver):
-    """Sends and decodes frames; a subclass handles the received ones."""
+    """Sends frames, and decodes received frames for a subclass, which handles them."""
 
     MAX_LENGTH = MAX_FRAME_BYTES
     decode_frame: FrameDecoder = staticmethod(decode_frame)
@@ -25,7 +26,7 @@
         return cast(TcpTransport, self.transport)
 
     def send(self, frame: Frame) -> bool:
-        """Send a frame; return False if it was dropped: not connected, or too many unsent bytes."""
+        """Send a frame; without a connection, or with too many unsent bytes, drop it and return False."""
         if not self.connected or self.unsent_bytes() > MAX_UNSENT_BYTES:
             return False
         self.sendString(encode(frame))  # type: ignore[no-untyped-call]
@@ -34,7 +35,7 @@
     def unsent_bytes(self) -> int:
         """Return the number of bytes that are not yet accepted by the kernel."""
         transport: Any = self.transport  # Twisted's interfaces do not include a buffer's size
-        if not hasattr(transport, "_tempDataLen"):  # a transport in a test
+        if not hasattr(transport, "_tempDataLen"):  # the transport of a test
             return 0
         return int(len(transport.dataBuffer) + transport._tempDataLen)
 
--- a/lichencleat/transport/group_client.py
+++ b/lichencleat/transport/group_client.py
@@ -1,8 +1,8 @@
 """The client of a group: finds the leader, retries unanswered requests, and has each proposal applied once.
 
 Proposals are sent one at a time in a session. A retry has the same sequence number as the first attempt, so
-the group applies the proposal only once and always answers with the result of that time. If the group has
-evicted the session meanwhile, the request fails, and the error states that it may have taken effect.
+the group applies the proposal only once, and answers each attempt with the same result. If the group has
+evicted the session meanwhile, the request fails, and the error says that the request may have taken effect.
 """
 
 from __future__ import annotations
@@ -35,15 +35,16 @@
 from lichencleat.transport.outcomes import RejectReason, SessionOutcome
 from lichencleat.transport.twisted_types import Connector, DelayedCall, TcpReactor
 
-ATTEMPT_TIMEOUT_S = 1.0  # at one member; longer than an election, shorter than a caller's timeout
-MIN_BACKOFF_S = 0.02  # before the next attempt; doubled after each attempt, with jitter
+ATTEMPT_TIMEOUT_S = 1.0  # limit for an attempt at one member: longer than an election, below usual timeouts
+MIN_BACKOFF_S = 0.02  # first pause before another attempt; doubled after each attempt, with jitter
 MAX_BACKOFF_S = 0.4
-REQUEST_TIMEOUT_S = 10.0
+REQUEST_TIMEOUT_S = 10.0  # default time limit for a request, with all of its attempts
 MAX_PENDING_REQUESTS = 1_024
-# reasons for which another attempt would be rejected as well
+# Reasons for a rejection that another attempt would get as well.
 FINAL_REASONS = frozenset([RejectReason.INVALID_REQUEST.value, RejectReason.LAST_VOTER.value])
 
-PROPOSE = "propose"  # operations of a group; the values are on the wire
+# Names of a group's operations. The values are on the wire.
+PROPOSE = "propose"
 READ = "read"
 OPEN_SESSION = "open"
 
@@ -59,7 +60,7 @@
         self.content = content
         self.deadline = deadline  # s of the reactor's clock
         self.result: Deferred[Result] = Deferred()
-        self.sequence = 0  # sequence number of a proposal in its session; 0 before the first attempt
+        self.sequence = 0  # sequence number of a proposal in the session; 0 before the first attempt
         self.may_take_effect = False  # whether an attempt may have reached the group
 
 
@@ -99,7 +100,7 @@
 
 
 class _ConnectionFactory(ClientFactory):
-    """One attempt to connect; its identity distinguishes the current connection from dropped ones."""
+    """Creates one connection; the client compares factories to recognize events of dropped connections."""
 
     noisy = False
 
@@ -138,17 +139,17 @@
         self._reactor = reactor
         self._rng = rng
         self._addresses = list(addresses)
-        self._address = rng.choice(self._addresses)  # of the current member
-        self._connection: _ClientConnection | None = None  # set once the greeting is answered
-        self._is_accepted = False
+        self._address = rng.choice(self._addresses)  # address of the current member
+        self._connection: _ClientConnection | None = None  # set once the member has answered the greeting
+        self._is_accepted = False  # whether the member has accepted the greeting
         self._connector: Connector | None = None
-        self._factory: _ConnectionFactory | None = None  # of the current connection
+        self._factory: _ConnectionFactory | None = None  # factory of the current connection
         self._pending: deque[_PendingRequest] = deque()
         self._session_id = 0  # 0 while no session is open
         self._last_sequence = 0  # last sequence number used in the session
-        self._request_number = 0  # of the last request sent
-        self._backoff_s = MIN_BACKOFF_S
-        self._timer: DelayedCall | None = None  # of the current attempt, or of the backoff before the next
+        self._request_number = 0  # number of the last request that was sent
+        self._backoff_s = MIN_BACKOFF_S  # next backoff, before jitter
+        self._timer: DelayedCall | None = None  # timeout of the current attempt, or end of the backoff
         self._is_closed = False
         self._last_failure = "nobody answers"
 
@@ -211,7 +212,7 @@
     # -- attempts ----------------------------------------------------------------------------------------
 
     def _attempt(self) -> None:
-        """Attempt the first pending request at the current member."""
+        """Send the first pending request to the current member; connect to the member before, if needed."""
         self._stop_timer()
         if self._is_closed or not self._pending:
             return
@@ -245,7 +246,7 @@
             if not request.sequence:
                 self._last_sequence += 1
                 request.sequence = self._last_sequence
-            request.may_take_effect = True  # even if the connection is lost
+            request.may_take_effect = True  # from here on, even if the connection is lost
             proposal = (self._session_id, request.sequence, request.content)
             frame = ClientRequest(number, PROPOSE, encode_raw(proposal))
         self._connection.send(frame)
--- a/lichencleat/transport/identity.py
+++ b/lichencleat/transport/identity.py
@@ -10,13 +10,13 @@
 
 
 class Incarnation(msgspec.Struct, frozen=True, array_like=True, order=True):
-    """Identifies one start of a member; a later start is greater."""
+    """Identifies one start of a member; the incarnation of a later start is greater."""
 
-    start_count: int  # number of starts, including this one
+    start_count: int  # number of the member's starts, including this start
     nonce: int  # random number drawn at the start
 
 
-NO_INCARNATION = Incarnation(0, 0)  # of a process that is not a member
+NO_INCARNATION = Incarnation(0, 0)  # incarnation of a process that is not a member
 
 
 class GreetingResult(IntEnum):
@@ -24,8 +24,8 @@
 
     ACCEPTED = 0
     WRONG_CLUSTER = 1
-    WRONG_MEMBER = 2  # the caller expected another member here
-    STALE_INCARNATION = 3  # a later incarnation is known, or another one with the same start count
+    WRONG_MEMBER = 2  # the caller expected another member at this address
+    STALE_INCARNATION = 3  # a later incarnation is known, or another incarnation with the same start count
 
     @property
     def log_reason(self) -> str:
--- a/lichencleat/transport/inbound.py
+++ b/lichencleat/transport/inbound.py
@@ -20,8 +20,8 @@
 )
 from lichencleat.transport.twisted_types import TcpReactor
 
-MAX_CONNECTIONS = 1_024  # from clients and members; further connections are closed at once
-MAX_OPEN_REQUESTS = 256  # unanswered ones on one connection
+MAX_CONNECTIONS = 1_024  # limit on the connections of clients and members; others are closed at once
+MAX_OPEN_REQUESTS = 256  # limit on the unanswered requests of one connection
 
 
 class ListenerOwner(Protocol):
@@ -47,15 +47,15 @@
     """A connection that a member or a client opened to this process."""
 
     def __init__(self, listener: Listener) -> None:
-        """Create the connection; frames other than the greeting are rejected until it is accepted."""
+        """Create the connection; until the greeting is accepted, other frames are rejected."""
         self.listener = listener
         self.decode_frame = listener.decode_frame
-        self.greeting: Greeting | None = None
-        self.is_accepted = False
-        self.open_requests = 0
+        self.greeting: Greeting | None = None  # the received greeting
+        self.is_accepted = False  # whether the listener's owner has accepted the greeting
+        self.open_requests = 0  # number of unanswered requests
 
     def connectionMade(self) -> None:
-        """Register with the listener, or abort the connection if there are too many."""
+        """Register with the listener, or abort the connection if the listener has too many connections."""
         if len(self.listener.connections) >= MAX_CONNECTIONS:
             self.listener.owner.count("connections over the bound")
             self.tcp.abortConnection()
@@ -119,7 +119,7 @@
         port: int,
         decode: FrameDecoder = decode_frame,
     ) -> None:
-        """Listen on that address. `decode` decodes the frames of all connections.
+        """Listen on an address. `decode` decodes the frames of all connections.
 
         Raises:
             CannotListenError: Listening on the address is not possible.
--- a/lichencleat/transport/outbound.py
+++ b/lichencleat/transport/outbound.py
@@ -1,8 +1,8 @@
-"""Connections that a member opens to other members, and opens again after a failure, until they are closed.
+"""Connections that a member opens to other members. A connection that fails is opened again.
 
-A member sends its messages to another one over the connection that it opened itself. So each direction has
-its own connection and can fail independently. A frame that exceeds the bound on unsent bytes is dropped; the
-consensus protocol sends the missing messages again.
+A member sends its messages to another member over the connection that the sender opened. So each direction
+has its own connection and can fail independently. A frame that exceeds the limit on unsent bytes is dropped;
+the consensus protocol sends the missing messages again.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 )
 from lichencleat.transport.twisted_types import Connector, DelayedCall, TcpReactor
 
-MIN_BACKOFF_S = 0.05  # before a connection is opened again; doubled after each failure, with jitter
+MIN_BACKOFF_S = 0.05  # first pause before a connection is opened again; doubled per failure, with jitter
 MAX_BACKOFF_S = 1.0
-CONNECT_TIMEOUT_S = 3.0  # to open a connection; the response to the greeting may take as long again
+CONNECT_TIMEOUT_S = 3.0  # time limit for opening a connection, and again for the response to the greeting
 
 
 class PeerEndpoint(Protocol):
@@ -50,7 +50,7 @@
     """Provides the greetings of a connector and handles its events."""
 
     def make_greeting(self, recipient: int) -> Greeting:
-        """Return the greeting to send to that member."""
+        """Return the greeting to send to the member with the id `recipient`."""
 
     def on_greeting_response(self, member_id: int, response: GreetingResponse) -> bool:
         """Handle the response to a greeting; return whether messages may be sent to the member."""
@@ -69,7 +69,7 @@
     """One connection to another member."""
 
     def __init__(self, peer: PeerConnector) -> None:
-        """Create the connection; it sends the greeting once it is made."""
+        """Create the protocol, which sends the greeting once the connection is established."""
         self.peer = peer
         self.decode_frame = peer.decode_frame
 
@@ -85,13 +85,13 @@
         if isinstance(frame, GreetingResponse):
             self.peer.on_greeting_response(self, frame)
         elif isinstance(frame, PeerMessage) and frame.message.sender == self.peer.endpoint.member_id:
-            # sent by a member that does not know this member's address yet
+            # A member that does not know this member's address yet sends its messages over this connection.
             self.peer.owner.on_peer_message(frame.message)
         elif frame is not None:
             self.tcp.abortConnection()
 
     def connectionLost(self, reason: Failure | None = None) -> None:
-        """Notify the connector, which opens the connection again."""
+        """Notify the connector, which opens a new connection."""
         self.peer.on_connection_lost(self)
 
 
@@ -108,7 +108,7 @@
         rng: random.Random,
         decode: FrameDecoder = decode_frame,
     ) -> None:
-        """Start opening the connection. `rng` draws the jitter; `decode` decodes the frames."""
+        """Start to open the connection. `rng` draws the jitter; `decode` decodes the frames."""
         self.owner = owner
         self.endpoint = endpoint
         self.decode_frame = decode
@@ -128,7 +128,7 @@
             self.owner.count("messages dropped")
 
     def close(self) -> None:
-        """Close the connection, and do not open it again."""
+        """Close the connection; no new connection is opened."""
         self._is_closed = True
         self._cancel_greeting_timeout()
         if self._retry_call is not None:
@@ -138,7 +138,7 @@
             self._connector.disconnect()
 
     def buildProtocol(self, addr: IAddress | None) -> OutboundConnection:
-        """Create the protocol of the opened connection, and start the timeout of the greeting."""
+        """Create the protocol of the established connection, and start the timeout of the greeting."""
         connection = OutboundConnection(self)
         self._greeting_timeout = self._reactor.callLater(
             CONNECT_TIMEOUT_S, self._on_greeting_timeout, connection
@@ -150,7 +150,7 @@
         self._schedule_retry()
 
     def on_greeting_response(self, connection: OutboundConnection, response: GreetingResponse) -> None:
-        """Use the connection if both sides accept each other, otherwise close it."""
+        """Use the connection if both members accept each other; otherwise close the connection."""
         self._cancel_greeting_timeout()
         if self._is_closed or not self.owner.on_greeting_response(self.endpoint.member_id, response):
             connection.tcp.loseConnection()
@@ -173,7 +173,7 @@
         )
 
     def _on_greeting_timeout(self, connection: OutboundConnection) -> None:
-        """Abort the connection to a peer that accepted it but did not answer the greeting."""
+        """Abort a connection whose peer did not answer the greeting in time."""
         self._greeting_timeout = None
         connection.tcp.abortConnection()
 
--- a/lichencleat/transport/outcomes.py
+++ b/lichencleat/transport/outcomes.py
@@ -25,7 +25,9 @@
 class SessionOutcome(IntEnum):
     """The outcome of a proposal. Numbers and names are sent to clients."""
 
-    DONE = 1  # applied now or by an earlier attempt; the result is that of the first time
-    UNKNOWN_SESSION = 2  # session evicted or never opened; not applied now, but maybe by an earlier attempt
-    PAST = 3  # the session has applied a later proposal, so the result of this one is no longer stored
+    DONE = 1  # the proposal was applied, now or by an earlier attempt, and the result is sent
+    # The session was evicted or never opened. The proposal was not applied now, but an earlier attempt may
+    # have been applied.
+    UNKNOWN_SESSION = 2
+    PAST = 3  # the session has applied a later proposal, so this proposal's result is no longer stored
     GAP = 4  # the proposal with the previous sequence number was never applied
