--- a/lichencleat/failover/controller.py
+++ b/lichencleat/failover/controller.py
@@ -31,7 +31,7 @@
 POLL_INTERVAL_US = 300_000  # time between two polls; equals the report interval of the routers
 REPORT_TIMEOUT_US = 1_500_000  # older reports of a router are ignored: five report intervals
 MAX_LOST_FRACTION = 0.4  # a zone is unhealthy if more than this fraction of its attempts is lost
-LIMITED_FRACTION = 0.12  # a zone is at its capacity if more than this fraction is rejected or lost
+LIMITED_FRACTION = 0.12  # a zone is full if more than this fraction of its attempts is rejected or lost
 # Consecutive unhealthy polls until a zone is taken out of service: one may be chance, three take almost 1 s.
 MIN_UNHEALTHY_POLLS = 2
 MIN_ATTEMPTS = 10  # if a poll has fewer attempts in a zone, the zone is not judged by these attempts
@@ -39,7 +39,7 @@
 MAX_QUIET_PERIOD_US = 120_000_000
 FORGET_RELAPSES_AFTER_US = 600_000_000  # relapses are forgotten this long after the zone was restored
 INITIAL_RAMP = 0.1  # fraction of a restored zone's spare capacity that other zones may use at first
-RAMP_GROWTH = 1.35  # factor by which the ramp grows in each healthy poll
+RAMP_GROWTH = 1.35  # growth factor, per healthy poll, of the spare capacity that other zones may use
 # Fraction of a zone's known capacity for its own load and that of other zones; the rest absorbs bursts.
 MAX_UTILIZATION = 0.95
 # In each poll, the known capacity changes by this fraction of its difference to the rate of successful
@@ -215,7 +215,7 @@
 
     @staticmethod
     def record_healthy_poll(now: int, health: ZoneHealth) -> None:
-        """Restore the zone at the end of its quiet period, or increase the ramp of a restored zone."""
+        """Restore the zone after its quiet period, or raise the `ramp` of a restored zone."""
         health.unhealthy_polls = 0
         if not health.is_out:
             if health.ramp < 1.0:
--- a/lichencleat/failover/locality_routing.py
+++ b/lichencleat/failover/locality_routing.py
@@ -14,23 +14,29 @@
 from lichencleat.failover.messages import RoutingPlan, Zone, ZoneRole
 from lichencleat.units import MICROSECONDS_PER_SECOND
 
-UPDATE_INTERVAL_US = 300_000  # time between two updates of the spill: tens of attempts at usual rates
-SPILL_INCREASE = 0.08  # added to the spill in an update with many failures
-SPILL_DECREASE = 0.02  # subtracted from the spill in an update with few failures
-HIGH_FAILURE_FRACTION = 0.10  # the spill increases if more than this fraction of first local attempts fails
-LOW_FAILURE_FRACTION = 0.03  # the spill decreases if less than this fraction of first local attempts fails
-LOST_FRACTION = 0.5  # the spill increases fast if more than this fraction of first local attempts is lost
-FAST_INCREASE_FACTOR = 4  # factor on `SPILL_INCREASE` for a fast increase
-MIN_ATTEMPTS = 8  # with fewer attempts, an update leaves the spill unchanged and keeps the counts
-HOLD_TIME_US = 10_000_000  # time from the last increase to the first decrease; prevents oscillation
+UPDATE_INTERVAL_US = 300_000  # time between two updates: long enough for tens of attempts at usual rates
+SPILL_INCREASE = 0.08  # added, if many attempts fail, to the fraction of arrivals sent to other zones
+SPILL_DECREASE = 0.02  # subtracted, if few attempts fail, from the fraction of arrivals sent to other zones
+# If more than this fraction of first attempts in the local zone fails, more traffic goes to other zones.
+HIGH_FAILURE_FRACTION = 0.10
+# If less than this fraction of first attempts in the local zone fails, less traffic goes to other zones.
+LOW_FAILURE_FRACTION = 0.03
+# If more than this fraction of first attempts in the local zone is lost, traffic to other zones grows fast.
+LOST_FRACTION = 0.5
+FAST_INCREASE_FACTOR = 4  # factor on `SPILL_INCREASE` for fast growth of the traffic to other zones
+MIN_ATTEMPTS = 8  # an update with fewer local attempts changes nothing, and keeps the counts of attempts
+# Time from the last increase of the traffic to other zones until its first decrease; prevents oscillation.
+HOLD_TIME_US = 10_000_000
 RESTORE_DELAY_US = 3_000_000  # used in place of `HOLD_TIME_US` while most traffic goes to other zones
 # Fraction of the arrivals that always stays local as probes, so that the router notices when the local zone
 # works again. The fraction is 0 if the plan drains or fences the local zone.
 PROBE_FRACTION = 0.05
 # Factor by which the local fraction grows per update while most traffic is remote and the probes succeed.
 PROBE_GROWTH = 1.25
-MOSTLY_REMOTE = 0.5  # a larger spill means that the local zone is lost, a smaller one a slight overload
-PLAN_STALE_AFTER_US = 10_000_000  # a plan of this age halves its spillover, of twice this age quarters it
+# If more than this fraction of arrivals goes to other zones, the local zone is probably lost; if less, the
+# local zone is slightly overloaded.
+MOSTLY_REMOTE = 0.5
+PLAN_STALE_AFTER_US = 10_000_000  # a plan's spillover is halved at this age, and quartered at twice this age
 
 
 @dataclass(slots=True)
@@ -90,7 +96,10 @@
         self.attempts.setdefault(zone, AttemptCounts()).record(succeeded, rejected)
 
     def update(self, now: int) -> None:
-        """Adjust the spill by the outcomes of local attempts since the last update (`now` in µs)."""
+        """Adjust the traffic to other zones by the outcomes of local attempts since the last update.
+
+        `now` is in µs of the router's clock.
+        """
         counts = self.attempts.get(self.zone, AttemptCounts())
         # While most traffic is remote, there are few local attempts, so a single one is enough.
         min_attempts = MIN_ATTEMPTS if self.spill <= MOSTLY_REMOTE else 1
@@ -106,7 +115,7 @@
         self.refill_spillover(now)
 
     def adjust_spill(self, now: int, counts: AttemptCounts) -> None:
-        """Increase the spill if many local attempts failed; decrease the spill if few did."""
+        """Send more traffic to other zones if many local attempts failed, and less if few failed."""
         failure_fraction = (counts.rejected + counts.lost) / counts.sent
         if failure_fraction > HIGH_FAILURE_FRACTION:
             factor = FAST_INCREASE_FACTOR if counts.lost > LOST_FRACTION * counts.sent else 1
@@ -116,7 +125,7 @@
             self.decrease_spill(now - self.increased_at)
 
     def decrease_spill(self, elapsed: int) -> None:
-        """Decrease the spill if the last increase, `elapsed` µs ago, is old enough."""
+        """Send less traffic to other zones if the last increase, `elapsed` µs ago, is old enough."""
         if self.spill > MOSTLY_REMOTE and elapsed >= RESTORE_DELAY_US:
             local = max(PROBE_FRACTION, 1 - self.spill) * PROBE_GROWTH
             self.spill = max(0.0, 1 - local)
@@ -139,7 +148,7 @@
         }
 
     def choose_zone(self, now: int, time_left: int, usual_latency: int) -> str | None:
-        """Choose the zone of a first attempt; None if no zone can serve it and the router must reject it.
+        """Return the zone for a first attempt; None if no zone can serve the request, which is then rejected.
 
         Args:
             now: µs of the router's clock.
--- a/lichencleat/failover/messages.py
+++ b/lichencleat/failover/messages.py
@@ -11,7 +11,7 @@
 
 JOB = "zones"  # the holder of this job's lease publishes the routing plan
 STATE_PART = "zones"  # the name of this part of the replicated state
-HISTORY_QUERY = "history"  # reads the plans before the current one
+HISTORY_QUERY = "history"  # the query of a read that returns the plans before the current plan
 MAX_ZONES = 32
 MAX_ROUTERS = 1_024  # limit on the routers whose reports are stored
 MAX_HISTORY = 64  # number of former plans that are stored
@@ -44,7 +44,7 @@
 
     region: str
     capacity: float  # requests per second that the zone is known to serve
-    round_trips: dict[str, int] = {}  # µs, by other zone
+    round_trips: dict[str, int] = {}  # by name of another zone: round-trip time to that zone in µs
 
 
 class RoutingPlan(msgspec.Struct, frozen=True, array_like=True):
--- a/lichencleat/failover/retry_budget.py
+++ b/lichencleat/failover/retry_budget.py
@@ -32,7 +32,7 @@
         self.min_retries_per_second = min_retries_per_second
         self.available = min_retries_per_second
         self.refilled_at = now
-        self.first_attempt_rate = 0.0  # per second, approximately
+        self.first_attempt_rate = 0.0  # first attempts per second, approximately
         self.rejected = 0  # retries that were not allowed
 
     def record_first_attempt(self, now: int) -> None:
--- a/lichencleat/failover/state.py
+++ b/lichencleat/failover/state.py
@@ -190,7 +190,7 @@
         }
 
     def dump(self) -> FailoverSnapshot:
-        """Return a snapshot of the state; it shares its objects with the live state."""
+        """Return a snapshot of the state; the snapshot shares its objects with the live state."""
         return FailoverSnapshot(self.zones, self.plan, self.routers, self.overrides, self.history)
 
     def load(self, dumped: msgspec.Raw) -> None:
--- a/lichencleat/idempotency/earlier_runs.py
+++ b/lichencleat/idempotency/earlier_runs.py
@@ -37,7 +37,7 @@
         self._engine = engine
         self._timers = timers
         self._report = report
-        self._waiting: dict[bytes, list[PendingRequest]] = {}  # by record key
+        self._waiting: dict[bytes, list[PendingRequest]] = {}  # by record key: repeats that wait
         self._interpreter_started_at: int | None = None  # µs of the monotonic clock
 
     def adopt_all(self) -> None:
--- a/lichencleat/idempotency/index.py
+++ b/lichencleat/idempotency/index.py
@@ -24,7 +24,7 @@
 class LookupResult(Enum):
     """The state of an arriving request's key. The values are parts of counter names."""
 
-    NEW = "new"  # the key is unknown, or its window has ended
+    NEW = "new"  # the key has no record, or the record's window has ended
     DIFFERENT_BODY = "other"  # the key was used with another body
     COMPLETED = "result"  # a repeat of a request that completed; its result is stored
     FAILED = "failed"  # a repeat of a request that ran and failed
@@ -102,7 +102,7 @@
             self.cache_result(key, record.result)
 
     def remove(self, key: bytes) -> None:
-        """Removes a record if it exists."""
+        """Removes the record of a key, if there is one."""
         row = self._row(key)
         if row is None:
             return
@@ -111,7 +111,7 @@
         self.cached_bytes -= len(self.result_cache.pop(key, b""))
 
     def cache_result(self, key: bytes, result: bytes) -> None:
-        """Caches a result, unless it is cached already or its record has been removed since."""
+        """Caches the result of a key, unless a result is cached already or the key's record was removed."""
         if key in self.result_cache or key not in self.rows:
             return
         self.result_cache[key] = result
--- a/lichencleat/idempotency/intents.py
+++ b/lichencleat/idempotency/intents.py
@@ -36,7 +36,7 @@
 
 
 def complete_record(record: IdempotencyRecord, outcome: Outcome, result: bytes) -> IdempotencyRecord:
-    """Returns the record that replaces an intent after the run; it has the result if the run completed."""
+    """Returns the record that replaces an intent after the run, with the result if the run completed."""
     is_completed = outcome is Outcome.COMPLETED
     return msgspec.structs.replace(
         record,
--- a/lichencleat/idempotency/node_time.py
+++ b/lichencleat/idempotency/node_time.py
@@ -23,7 +23,7 @@
         self.last_heartbeat_unix = 0  # Unix time of the last heartbeat of the earlier process
 
     def resume(self, last: Heartbeat | None) -> None:
-        """Continues from the last heartbeat of the earlier process, or from Unix time if it is None."""
+        """Continues from the last heartbeat of the earlier process, or from Unix time if `last` is None."""
         if last is None:
             last = Heartbeat(self._unix_clock(), self._unix_clock())
         self._origin = last.node_time
--- a/lichencleat/membership/gossip.py
+++ b/lichencleat/membership/gossip.py
@@ -26,7 +26,7 @@
 
     Args:
         group: Name of the group; datagrams of other groups are ignored.
-        own: The update about this member. Its incarnation is the Unix time of the start in µs, so that updates
+        own: The update about this member. The incarnation is the Unix time of the start in µs; so updates
             about this start override those about earlier starts.
         seeds: Addresses of members to join through; this member's own address is ignored.
         settings: Settings of the protocol; all members have the same settings.
--- a/lichencleat/membership/member_table.py
+++ b/lichencleat/membership/member_table.py
@@ -58,6 +58,6 @@
         return sum(1 for _ in self.active())
 
     def digest(self) -> int:
-        """Return a checksum of the table; it is never 0, and equal tables have equal checksums."""
+        """Return a checksum of the table; equal tables have equal checksums, and no checksum is 0."""
         rows = sorted((each.name, each.incarnation, each.state) for each in self.members.values())
         return crc32c(msgspec.msgpack.encode(rows)) or 1
--- a/lichencleat/membership/outbox.py
+++ b/lichencleat/membership/outbox.py
@@ -90,9 +90,10 @@
         self._queue(host, port, message)
 
     def send_sync_request(self, host: str, port: int, *updates: MemberUpdate) -> None:
-        """Queue a request to the member at an address for its member table, if the table differs.
+        """Queue a request for the member table of the member at an address.
 
-        The datagram also carries the given updates.
+        That member answers only if its table differs from this member's table. The datagram also carries the
+        given updates.
         """
         digest = self._table.digest()
         kind = MessageKind.SYNC_REQUEST
--- a/lichencleat/membership/state_sync.py
+++ b/lichencleat/membership/state_sync.py
@@ -13,7 +13,7 @@
 
 
 class StateSync:
-    """Periodically asks one member for its table."""
+    """Periodically asks one member for its member table."""
 
     def __init__(
         self,
--- a/lichencleat/recovery/boot_record.py
+++ b/lichencleat/recovery/boot_record.py
@@ -24,7 +24,7 @@
     """
 
     format: int
-    boot_count: int  # number of starts of the node, including this one
+    boot_count: int  # number of starts of the node, including the start of this process
     clean_shutdown: bool  # set by a graceful shutdown; false while the process runs
     last_alive: int  # µs of Unix time: when the record was last written
     group: str  # name of the fleet's consensus group, empty if there is none
--- a/lichencleat/recovery/messages.py
+++ b/lichencleat/recovery/messages.py
@@ -95,10 +95,10 @@
 
 
 class RolloutBatch(msgspec.Struct, frozen=True, array_like=True, tag="wave"):
-    """From the leader: open some nodes, further or for the first time, or shut them; update the plan."""
+    """From the leader: set the fraction of arrivals that some nodes may admit, and update the plan."""
 
     fencing_token: int
-    shares: dict[str, float]  # by node: fraction of its arrivals to admit from now on; 0 shuts the node
+    shares: dict[str, float]  # by node: fraction of the node's arrivals to admit; 0 shuts the node
     plan: RolloutPlan | None  # None: no recovery is in progress
 
 
@@ -109,7 +109,7 @@
 
 
 class SkipNode(msgspec.Struct, frozen=True, array_like=True, tag="skip"):
-    """From an operator: open the node now, ahead of its batch; the node's own checks still apply."""
+    """From an operator: open a node now, ahead of its batch; the node's own checks still apply."""
 
     node: str
 
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -5,7 +5,7 @@
 nodes have spare capacity, and falls while the nodes are overloaded. The controller's state is part of the
 replicated plan, so that another leader can continue.
 
-A node is opened gradually: its share, the fraction of its arrivals that it may admit, grows at each step. The
+A node is opened gradually: its share, the fraction of its arrivals that it may admit, grows at each poll. The
 dependency share is the fraction of the shared dependencies' capacity that is allocated to the nodes.
 """
 
@@ -33,14 +33,15 @@
 MAX_SMALL_FLEET = 2  # a fleet of at most two nodes is too small to tell a power loss from single restarts
 # Fraction of the known nodes in the first batch: enough to observe the load on the shared dependencies.
 FIRST_BATCH_FRACTION = 1 / 3
-# Dependency share at the start of a recovery: cold dependencies may fail at a third of their usual load.
+# Fraction of the shared dependencies' capacity that is allocated when a recovery begins: while cold, the
+# dependencies may fail at a third of their usual load.
 INITIAL_DEPENDENCY_SHARE = 0.3
-# In each step (0.3 s), the dependency share grows by this fraction of itself, times the difference by which
-# the mean load is below `DEPENDENCY_REFERENCE_LOAD`; it falls if the mean load is above. The share grows by
-# at most 7 % per step, so that an overload is noticed before it does harm, and falls by at most 5 % per step.
+# In each step (0.3 s), the allocated fraction of the dependencies' capacity is multiplied by 1 plus this gain
+# times the difference between `DEPENDENCY_REFERENCE_LOAD` and the mean load. So it grows by at most 7 % per
+# step, which lets the planner notice an overload before it does harm, and shrinks by at most 5 % per step.
 DEPENDENCY_GAIN = 0.1
-# Mean load (see `RecoveringHost.load`) above which the dependency share falls: well below the load at which
-# many calls fail.
+# Mean load of the open nodes (see `RecoveringHost.load`) above which the allocated fraction of the
+# dependencies' capacity shrinks: well below the load at which many calls fail.
 DEPENDENCY_REFERENCE_LOAD = 0.7
 GAIN = 0.5  # the bound on open nodes changes by at most this fraction of itself per step
 # Mean load (see `RecoveringHost.load`) above which the bound on open nodes falls. Fully used nodes without
@@ -48,7 +49,9 @@
 REFERENCE_LOAD = 1.0
 UNREADY_LOAD = 2.0  # assumed load of an open node whose interpreter is down
 ROLLBACK_FACTOR = 0.5  # factor on the bound on open nodes when the last batch is shut again
-OPENING_STEP = 0.34  # added to a node's share per step: a node is fully open after three steps
+# Added in each step to the fraction of arrivals that an opening node may admit: the node is fully open after
+# three steps.
+OPENING_STEP = 0.34
 SETTLING_STEPS = 2  # number of consecutive healthy steps before the next batch is opened
 
 
@@ -172,7 +175,7 @@
         )
 
     def next_shares(self, nodes: dict[str, NodeState]) -> dict[str, float]:
-        """Return, by name, the increased share of each partly open node that is healthy."""
+        """Return, by name, the fraction of arrivals that each healthy, partly open node may admit next."""
         return {
             name: round(min(1.0, each.share + OPENING_STEP), 3)
             for name, each in nodes.items()
@@ -253,10 +256,10 @@
         )
 
     def next_dependency_share(self, plan: RolloutPlan, load: float, has_open_nodes: bool) -> float:
-        """Return the next dependency share.
+        """Return the fraction of the shared dependencies' capacity to allocate in the next step.
 
-        The share grows while the mean load is below `DEPENDENCY_REFERENCE_LOAD`, and falls while it is above:
-        failed runs raise the load.
+        The fraction grows while the mean load is below `DEPENDENCY_REFERENCE_LOAD`, and shrinks while the
+        mean load is above, because failed runs raise the load.
         """
         if not has_open_nodes:
             return plan.dependency_share
@@ -265,7 +268,10 @@
         return min(1.0, max(INITIAL_DEPENDENCY_SHARE / 2, moved))
 
     def next_batch(self, nodes: dict[str, NodeState], plan: RolloutPlan, open_count: int) -> dict[str, float]:
-        """Return, by name, the first share of each node to open next, up to the bound on open nodes."""
+        """Return the nodes to open next, up to the bound on open nodes.
+
+        Returns by name the fraction of arrivals that each of these nodes may admit at first.
+        """
         count = max(0, int(plan.max_open) - open_count)
         return dict.fromkeys(opening_order(nodes)[:count], OPENING_STEP)
 
--- a/lichencleat/recovery/readiness_gate.py
+++ b/lichencleat/recovery/readiness_gate.py
@@ -67,7 +67,7 @@
         # µs: when the node began to wait for a reply of a group with a planner; None after such a reply.
         self.alone_since: int | None = now
         self.share = 0.0  # fraction of arrivals in the last reply
-        self.clock_offset = 0  # of the last reply, see `ReportReply`
+        self.clock_offset = 0  # clock offset in the last reply, see `ReportReply`
         self.reason = "waiting for the first reply of the group"
         self.report_sent_at: int | None = None  # µs: when the unanswered report, if any, was sent
         self.next_report_at = now  # µs: earliest time of the next report
@@ -108,7 +108,7 @@
     # -- reports ---------------------------------------------------------------------------------------
 
     def next_report(self, now: int, unix_time: int, load: float, speed: float) -> NodeReport | None:
-        """Return the report to send at `now` (µs); None if none is due, or the last one is unanswered."""
+        """Return the report to send at `now` (µs); None if no report is due, or a report is unanswered."""
         if self.report_sent_at is not None or now < self.next_report_at:
             return None
         self.report_sent_at = now
--- a/lichencleat/recovery/reporter.py
+++ b/lichencleat/recovery/reporter.py
@@ -69,7 +69,7 @@
         return now + ROUND_INTERVAL_US
 
     def update_gate(self) -> None:
-        """Pass the node's current state to the gate: whether it is ready, and what it has verified."""
+        """Pass the node's current state to the gate: whether the interpreter is up, and what is verified."""
         gate = self.gate
         gate.ready = self.host.ready()
         gate.records_verified = self.are_records_verified()
@@ -88,7 +88,7 @@
         self.log_allowance(allowance)
 
     def log_allowance(self, allowance: Allowance) -> None:
-        """Log the allowance, unless it equals the last logged one after rounding."""
+        """Log the allowance, unless the last logged allowance is the same after rounding."""
         visible = (f"{allowance.share:.2f}", allowance.keyed, allowance.reason)
         if visible != self.logged_allowance:
             self.logged_allowance = visible
--- a/lichencleat/recovery/service_times.py
+++ b/lichencleat/recovery/service_times.py
@@ -21,7 +21,7 @@
     """The stored service times. Later formats may add fields at the end."""
 
     format: int
-    cores: float  # of the machine on which the times were learned
+    cores: float  # cores of the machine on which the times were learned
     run_times: dict[str, int]  # usual run time in µs, by request class
 
 
--- a/lichencleat/recovery/state.py
+++ b/lichencleat/recovery/state.py
@@ -108,7 +108,7 @@
                 return CommandReply(self.nodes.pop(message.node, None) is not None, "no such node")
 
     def apply_leader_command(self, message: NodeLost | NewEpoch | RolloutBatch) -> CommandReply:
-        """Apply a command of the leader, unless its lease has ended."""
+        """Apply a command of the leader, unless the leader's lease has ended."""
         # Without this check, a leader that was suspended before a power loss could use an outdated plan.
         if not self.jobs.is_current_token(JOB, message.fencing_token):
             return CommandReply(False, "an older owner's")
@@ -216,7 +216,10 @@
         return CommandReply(True)
 
     def begin_epoch(self, message: NewEpoch) -> CommandReply:
-        """Begin an epoch; nodes that kept power stay open and get the epoch in their next reply."""
+        """Begin an epoch and a recovery.
+
+        Nodes that kept power stay open; the reply to their next report has the new epoch.
+        """
         if message.previous != self.epoch:
             return CommandReply(False, "another epoch has begun since")
         self.epoch += 1
@@ -242,7 +245,7 @@
         return {"epoch": self.epoch, "nodes": self.nodes, "plan": self.plan}
 
     def dump(self) -> FleetSnapshot:
-        """Return a snapshot of the state; it shares its objects with the live state."""
+        """Return a snapshot of the state; the snapshot shares its objects with the live state."""
         return FleetSnapshot(self.epoch, self.nodes, self.plan)
 
     def load(self, dumped: msgspec.Raw) -> None:
--- a/lichencleat/store/capacity.py
+++ b/lichencleat/store/capacity.py
@@ -30,12 +30,12 @@
 
     @property
     def reserve_bytes(self) -> int:
-        """Bytes that compacting one segment may need: the size of a segment and some overhead."""
+        """Return the bytes that compacting one segment may need: a segment's size and some overhead."""
         return self.segment_bytes + self.segment_bytes // 16
 
 
 class CapacityCheck:
-    """The space left for the batches of one commit; each admitted batch reduces it."""
+    """Checks the batches of one commit against the limits; each admitted batch reduces the space left."""
 
     def __init__(
         self, limits: StoreLimits, index: Index, disk_bytes: int, needs_segment: bool, segment_count: int
--- a/lichencleat/store/check.py
+++ b/lichencleat/store/check.py
@@ -31,7 +31,8 @@
     segments: int = 0
     bytes_read: int = 0
     torn_bytes: int = 0  # bytes of an incomplete write at the log's end, after a power cut; not a finding
-    unproved_records: int = 0  # records at the log's end not known to be flushed; opening rewrites them
+    # Records at the log's end that are not known to be flushed; opening the store writes these records again.
+    unproved_records: int = 0
     checkpoint: str = "none"  # the last sequence that the checkpoint covers, as text
 
 
--- a/lichencleat/store/checkpoint_writer.py
+++ b/lichencleat/store/checkpoint_writer.py
@@ -36,7 +36,10 @@
         return self.log.bytes_written - self.log_position
 
     def begin(self) -> None:
-        """Begin a checkpoint unless one is in progress; the next calls of `step` write it. Raises OSError."""
+        """Begin a checkpoint, unless one is in progress; the next calls of `step` write the rows.
+
+        Raises OSError.
+        """
         if self.in_progress is not None:
             return
         log = self.log
@@ -86,7 +89,7 @@
         self.abort()
 
     def on_disk_failed(self) -> None:
-        """Abort the checkpoint after an error of the disk; the next one waits for another interval of log."""
+        """Abort the checkpoint after a disk error; the next checkpoint waits for another interval of log."""
         if self.in_progress is not None:
             self.log_position = self.log.bytes_written
             self.abort()
--- a/lichencleat/store/compactor.py
+++ b/lichencleat/store/compactor.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class CopyBatch:
-    """Records that one step of a compaction writes, each with the index entry to move to it, if any."""
+    """Records that one step of a compaction writes; `moves` has each record's index entry, if any."""
 
     records: list[Record] = field(default_factory=list)
     moves: list[EntryMove | None] = field(default_factory=list)
@@ -85,7 +85,7 @@
         if is_complete:
             self.in_progress = None
             log.remove_segment(segment)
-            log.disk_full = False  # space was freed; the next write shows whether it is enough
+            log.disk_full = False  # space was freed; the next write shows whether the space is enough
             log.counts["segments cleaned"] += 1
 
     def _collect_copies(
--- a/lichencleat/store/expiry.py
+++ b/lichencleat/store/expiry.py
@@ -17,13 +17,13 @@
         self.ended_at = 0  # µs: when the last sweep ended
 
     def begin(self) -> None:
-        """Begin a sweep; the next calls of `step` run it."""
+        """Begin a sweep; the next calls of `step` run the sweep."""
         self.cursor = b""
         self.earliest_expiry = 0
-        self.log.index.earliest_expiry = 0  # set again by entries that are written from now on
+        self.log.index.earliest_expiry = 0  # entries that are written from now on set this again
 
     def step(self, cursor: bytes) -> None:
-        """Remove the expired entries among the next ones from the cursor on.
+        """Remove the expired entries among the next `ENTRIES_PER_STEP` entries from the cursor on.
 
         At the end of the sweep, write a time mark: a log record with the current time.
         """
--- a/lichencleat/store/file_names.py
+++ b/lichencleat/store/file_names.py
@@ -8,7 +8,7 @@
 NEW_CHECKPOINT = "checkpoint.new"
 RESERVE = "reserve"  # a file of zeros that is removed to make space for compaction when the disk is full
 SEGMENT = "{:012d}.log"  # a segment's name, formatted with the segment's number
-NEW_SEGMENT = "segment.new"  # a new segment until it is flushed; after a power cut it is removed
+NEW_SEGMENT = "segment.new"  # a segment until its first content is flushed; removed after a power cut
 
 TEMPORARY_FILES = (NEW_SEGMENT, NEW_STORE_MARKER, NEW_CHECKPOINT)
 NON_SEGMENT_FILES = frozenset([STORE_MARKER, RESERVE, CHECKPOINT, *TEMPORARY_FILES])
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -78,7 +78,7 @@
 
 
 class Index:
-    """The entries and the open snapshots of them.
+    """The entries of the store, and the open snapshots of the entries.
 
     Attributes:
         locations: Packed location of each key.
--- a/lichencleat/store/log.py
+++ b/lichencleat/store/log.py
@@ -1,4 +1,4 @@
-"""The log: owns the segments and their files, appends to the newest, and tracks which files are still needed.
+"""The log: owns the segments' files, appends to the newest segment, tracks which files are still needed.
 
 One thread writes; any thread may read at the same time. `Log.lock` protects the index and the collections of
 segments. It is held while the entries of one chunk or commit are processed, never during disk I/O.
--- a/lichencleat/store/salvage.py
+++ b/lichencleat/store/salvage.py
@@ -1,4 +1,4 @@
-"""Salvage: copies the intact records of a damaged store to a new one; does not change the damaged store."""
+"""Salvage: copies the intact records of a damaged store to a new store; never changes the damaged store."""
 
 from __future__ import annotations
 
--- a/lichencleat/store/segments.py
+++ b/lichencleat/store/segments.py
@@ -84,7 +84,7 @@
         self.reference_count = 0  # number of readers and snapshots that use the file
         self.is_removed = False  # whether the segment was removed; the last reference closes the file
         self.is_damaged = False  # compaction found bytes that are not a frame, and skips the segment
-        self.void_bytes = 0  # bytes in the file after the valid ones
+        self.void_bytes = 0  # bytes in the file after the valid bytes, for example of a failed write
 
     @property
     def name(self) -> str:
--- a/lichencleat/transport/group_client.py
+++ b/lichencleat/transport/group_client.py
@@ -125,7 +125,7 @@
         rng: random.Random,
         caller_name: str = "",
     ) -> None:
-        """Create the client; it connects at the first request.
+        """Create the client, which connects at the first request.
 
         Args:
             reactor: Opens the connections and times the attempts.
@@ -184,7 +184,7 @@
     def call(
         self, operation: str, content: Encodable = None, timeout_s: float = REQUEST_TIMEOUT_S
     ) -> Deferred[Result]:
-        """Have the leader carry out an operation; a request is sent once all earlier ones are finished.
+        """Have the leader carry out an operation; a request is sent once all earlier requests are finished.
 
         Returns:
             Fires with the result. Fails with RequestFailedError, at the latest after `timeout_s` seconds.
--- a/lichencleat/transport/inbound.py
+++ b/lichencleat/transport/inbound.py
@@ -1,4 +1,4 @@
-"""Connections that other processes open to this one, and the listener that accepts them."""
+"""Connections that other processes open to this process, and the listener that accepts the connections."""
 
 from __future__ import annotations
 
@@ -71,7 +71,7 @@
             self.listener.owner.on_disconnected(self, self.greeting.member_id)
 
     def stringReceived(self, string: bytes) -> None:
-        """Handle a frame; an undecodable or unexpected one aborts the connection."""
+        """Handle a frame; an undecodable or unexpected frame aborts the connection."""
         frame = self.read(string)
         if isinstance(frame, Greeting) and self.greeting is None:
             self.greeting = frame
@@ -134,7 +134,7 @@
         return InboundConnection(self)
 
     def close(self) -> None:
-        """Stop accepting connections, and close the open ones."""
+        """Stop accepting connections, and close the open connections."""
         self.listening_port.stopListening()
         for connection in list(self.connections):
             connection.tcp.loseConnection()
--- a/lichencleat/transport/outbound.py
+++ b/lichencleat/transport/outbound.py
@@ -80,7 +80,7 @@
         self.send(self.peer.owner.make_greeting(self.peer.endpoint.member_id))
 
     def stringReceived(self, string: bytes) -> None:
-        """Handle a frame; an undecodable or unexpected one aborts the connection."""
+        """Handle a frame; an undecodable or unexpected frame aborts the connection."""
         frame = self.read(string)
         if isinstance(frame, GreetingResponse):
             self.peer.on_greeting_response(self, frame)
@@ -123,7 +123,7 @@
         self._connect()
 
     def send(self, frame: Frame) -> None:
-        """Send a frame; drop and count it if there is no connection or too many bytes are unsent."""
+        """Send a frame; without a connection, or with too many unsent bytes, drop and count the frame."""
         if self._connection is None or not self._connection.send(frame):
             self.owner.count("messages dropped")
 
--- a/lichencleat/transport/outcomes.py
+++ b/lichencleat/transport/outcomes.py
@@ -8,7 +8,7 @@
 class RejectReason(Enum):
     """Why this member does not carry out a request. The values are sent to clients.
 
-    After LEADERSHIP_LOST the request may still take effect; after any other reason it does not.
+    After LEADERSHIP_LOST the request may still take effect; after any other reason it has no effect.
     """
 
     NOT_LEADER = "not the leader"
