--- a/lichencleat/failover/controller.py
+++ b/lichencleat/failover/controller.py
@@ -79,7 +79,7 @@
 
 
 def offered_load(zones: Mapping[str, Zone], routers: Mapping[str, RouterHealth]) -> dict[str, float]:
-    """Return the requests per second that arrive in each zone, from the reports of its routers."""
+    """Return the requests per second that arrive in each zone, from the reports of the zone's routers."""
     offered = dict.fromkeys(zones, 0.0)
     for each in routers.values():
         if each.zone in offered:
@@ -111,7 +111,7 @@
 
 @dataclass(slots=True)
 class FailoverController:
-    """The controller of one leader, under one fencing token."""
+    """Decides which commands the leader proposes, for one holder of the lease (one fencing token)."""
 
     fencing_token: int
     health: dict[str, ZoneHealth] = field(default_factory=dict)
@@ -127,7 +127,7 @@
         routers: dict[str, RouterHealth],
         overrides: dict[str, ActiveOverride],
     ) -> list[ControllerCommand]:
-        """Return the commands to propose, in this order.
+        """Return the commands to propose in this poll, in the order in which they are proposed.
 
         Args:
             now: µs of the leader's monotonic clock.
--- a/lichencleat/failover/messages.py
+++ b/lichencleat/failover/messages.py
@@ -61,7 +61,7 @@
     reason: str = ""
 
     def role(self, zone: str) -> ZoneRole:
-        """Return the role of `zone`."""
+        """Return the role of `zone` under this plan; a zone that the plan does not name is active."""
         return ZoneRole(self.roles.get(zone, ZoneRole.ACTIVE))
 
 
--- a/lichencleat/membership/messages.py
+++ b/lichencleat/membership/messages.py
@@ -52,7 +52,7 @@
 
 
 class MessageKind(IntEnum):
-    """Kinds of datagrams. The numbers are on the wire."""
+    """Kinds of datagrams between members. The numbers are on the wire."""
 
     PING = 1
     ACK = 2
--- a/lichencleat/membership/probing.py
+++ b/lichencleat/membership/probing.py
@@ -149,7 +149,7 @@
         self._probes: dict[int, IndirectProbe] = {}  # by the sequence number of this member's ping
 
     def on_request(self, now: int, request: GossipMessage) -> None:
-        """Probe the target, unless it is unknown or too many probes are unanswered."""
+        """Probe the target of a ping request, unless it is unknown or too many probes are unanswered."""
         target = self._table.members.get(request.target)
         if target is None or len(self._probes) >= MAX_INDIRECT_PROBES:
             return
--- a/lichencleat/recovery/interfaces.py
+++ b/lichencleat/recovery/interfaces.py
@@ -46,7 +46,7 @@
         ...
 
     def clock(self) -> int:
-        """µs of the node's clock."""
+        """The current time in µs of Unix time, by the node's system clock."""
         ...
 
     def ready(self) -> bool:
--- a/lichencleat/recovery/messages.py
+++ b/lichencleat/recovery/messages.py
@@ -72,7 +72,7 @@
 
 
 class NodeLeaving(msgspec.Struct, frozen=True, array_like=True, tag="leave"):
-    """A node shuts down gracefully."""
+    """From a node that shuts down gracefully: remove the node."""
 
     node: str
     incarnation: int
--- a/lichencleat/recovery/planner.py
+++ b/lichencleat/recovery/planner.py
@@ -101,7 +101,7 @@
 
 
 class RolloutPlanner:
-    """The planner of one leader, under one fencing token."""
+    """Decides which commands the leader proposes, for one holder of the lease (one fencing token)."""
 
     def __init__(self, fencing_token: int) -> None:
         self.fencing_token = fencing_token
@@ -113,7 +113,7 @@
     def plan_next_step(
         self, now: int, epoch: int, nodes: dict[str, NodeState], plan: RolloutPlan | None
     ) -> list[PlannerCommand]:
-        """Return the commands to propose, in this order.
+        """Return the commands to propose in this poll, in the order in which they are proposed.
 
         Args:
             now: µs of the leader's monotonic clock.
@@ -220,7 +220,7 @@
     def begin_rollout(
         self, nodes: dict[str, NodeState], plan: RolloutPlan, open_count: int
     ) -> list[PlannerCommand]:
-        """Return the first batch of a recovery."""
+        """Return the commands that begin a recovery and open its first batch."""
         max_open = max(1.0, len(nodes) * FIRST_BATCH_FRACTION)
         first_plan = RolloutPlan(
             max_open=max_open,
--- a/lichencleat/recovery/readiness_gate.py
+++ b/lichencleat/recovery/readiness_gate.py
@@ -35,7 +35,7 @@
 
 
 class ReadinessGate:
-    """The gate of one process.
+    """Decides which requests a node may serve, from the start of its process on.
 
     Args:
         node: Name of the node.
--- a/lichencleat/store/capacity.py
+++ b/lichencleat/store/capacity.py
@@ -40,7 +40,7 @@
     def __init__(
         self, limits: StoreLimits, index: Index, disk_bytes: int, needs_segment: bool, segment_count: int
     ) -> None:
-        """Begins with the store's state before the commit.
+        """Create the check with the store's state before the commit.
 
         Args:
             limits: The store's limits.
--- a/lichencleat/store/disk.py
+++ b/lichencleat/store/disk.py
@@ -16,7 +16,7 @@
 
 
 class Disk(Protocol):
-    """A flat directory.
+    """A directory without subdirectories, in which a store has its files.
 
     Every method except `names`, `lock` and `unlock` may raise OSError; the call may then be done in part.
     Appended data survives a power cut once `flush` of the file has returned without an error. A new name, a
--- a/lichencleat/store/expiry.py
+++ b/lichencleat/store/expiry.py
@@ -8,7 +8,7 @@
 
 
 class ExpirySweeper:
-    """Runs one sweep at a time."""
+    """Runs expiry sweeps over the index, one sweep at a time."""
 
     def __init__(self, log: Log) -> None:
         self.log = log
--- a/lichencleat/store/index.py
+++ b/lichencleat/store/index.py
@@ -159,7 +159,7 @@
             snapshot.record_previous(key, old_location)
 
     def drop_expired(self, cursor: bytes, limit: int, now: int) -> tuple[bytes | None, int]:
-        """Remove the expired entries among the next `limit` keys from the cursor on.
+        """Remove the expired entries among the next `limit` entries, in order of keys, from `cursor` on.
 
         Returns the next cursor (None at the end), and the earliest expiry (0: none) of the checked entries
         that have not expired.
