--- a/lichencleat/membership/member_table.py
+++ b/lichencleat/membership/member_table.py
@@ -21,10 +21,10 @@
 
     def __init__(self) -> None:
         self.members: dict[str, MemberUpdate] = {}
-        self._state_changed_at: dict[str, int] = {}  # name -> µs by this member's clock
+        self._state_changed_at: dict[str, int] = {}  # by name: µs of this member's monotonic clock
 
     def apply(self, now: int, update: MemberUpdate) -> bool:
-        """Apply an update; return whether it overrides the known one."""
+        """Apply an update; return whether it overrides the known update about the member."""
         known = self.members.get(update.name)
         if known is None:
             is_accepted = len(self.members) < MAX_MEMBERS and update.state in MemberState._value2member_map_
@@ -58,6 +58,6 @@
         return sum(1 for _ in self.active())
 
     def digest(self) -> int:
-        """Return a checksum of the table; it is never 0, and equal tables have equal checksums."""
+        """Return a checksum of the table; equal tables have equal checksums, and no checksum is 0."""
         rows = sorted((each.name, each.incarnation, each.state) for each in self.members.values())
         return crc32c(msgspec.msgpack.encode(rows)) or 1
