--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -30,14 +30,14 @@
 class Interpreter(Protocol):
     """The part of the interpreter's connection that the service uses."""
 
-    early: dict[bytes, tuple[Outcome, int, bytes]] | None  # ends of unadopted runs, if kept
-    began: Callable[[int], None] | None  # called with the interpreter's age in µs
+    early_outcomes: dict[bytes, tuple[Outcome, int, bytes]] | None  # ends of unadopted runs, if kept
+    on_interpreter_started: Callable[[int], None] | None  # called with the interpreter's age in µs
 
 
 class NodeParts(Protocol):
     """The parts of a node that the service uses."""
 
-    host: RequestEngine
+    engine: RequestEngine
     deadlines: Timers
     report: Report
     interpreter: Interpreter
@@ -48,9 +48,9 @@
 ) -> IdempotencyService:
     """Creates the service of a node; keyed requests wait until the service has started."""
     index = RecordIndex(config.entries, round(config.disk_mb * MEGABYTE * LIVE_SHARE))
-    service = IdempotencyService(name, node.host, node.deadlines, node.report, clock, index)
-    node.interpreter.early = {}
-    node.interpreter.began = service.on_interpreter_started
+    service = IdempotencyService(name, node.engine, node.deadlines, node.report, clock, index)
+    node.interpreter.early_outcomes = {}
+    node.interpreter.on_interpreter_started = service.on_interpreter_started
     return service
 
 
--- a/lichencleat/idempotency/interfaces.py
+++ b/lichencleat/idempotency/interfaces.py
@@ -20,7 +20,7 @@
 
 
 class RequestEngine(Protocol):
-    """Continues a request after the disk has answered; `node.host.Host` implements it."""
+    """Continues a request after the disk has answered; `node.host.RequestEngine` implements it."""
 
     def submit_request(self, case: PendingRequest) -> None:
         """Continues a request that was held until the index was loaded."""
--- a/lichencleat/node/config.py
+++ b/lichencleat/node/config.py
@@ -12,11 +12,11 @@
 from lichencleat.admission.types import NodeSpec
 
 MB = 1 << 20  # bytes
-PORT_MOST = 65_535  # the last one there is
+MAX_PORT = 65_535  # the last one there is
 
 
 @dataclass(slots=True)
-class Told:
+class StartSettings:
     name: str
     listen: tuple[str, int]
     interpreter: tuple[str, int]
@@ -29,42 +29,42 @@
     machine: NodeSpec
     gauges: list[str | None]
     tenants: frozenset[bytes]  # empty at a site without them
-    mark: int  # of the settings, to see whether they change
+    settings_checksum: int  # of the settings, to see whether they change
 
 
-def read_told(environment: Mapping[str, str]) -> Told:
+def read_start_settings(environment: Mapping[str, str]) -> StartSettings:
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise InvalidInputError("BALANCER_CONFIG is not set")
     try:
         with open(path, encoding="utf-8") as file:
-            told = json.load(file)
-    except (OSError, ValueError, RecursionError) as wrong:
-        raise InvalidInputError(f"BALANCER_CONFIG: {wrong}") from wrong
-    if not isinstance(told, dict):
+            document = json.load(file)
+    except (OSError, ValueError, RecursionError) as error:
+        raise InvalidInputError(f"BALANCER_CONFIG: {error}") from error
+    if not isinstance(document, dict):
         raise InvalidInputError("BALANCER_CONFIG: not a JSON object")
-    told.setdefault("name", environment.get("BALANCER_NAME"))
-    told.setdefault("listen", environment.get("BALANCER_LISTEN"))
-    settings, limits = field(told, "settings", dict), field(told, "limits", dict)
-    return Told(
-        name=field(told, "name", str),
-        listen=address(told, "listen"),
-        interpreter=address(told, "vm"),
-        members=address(told, "members"),
-        catalogue=address(told, "catalog") if told.get("catalog") else None,
-        seed=str(field(told, "seed", (str, int))),
-        stop_after=round(field(told, "stop_ms", (int, float)) * 1000),
-        descriptors=field(limits, "sockets", int),
-        memory=int(field(limits, "memory_mb", (int, float)) * MB) if "memory_mb" in limits else None,
-        machine=machine(settings),
-        gauges=decoded(decode_gauges, settings),
-        tenants=tenants(settings),
-        mark=crc32(json.dumps(settings, sort_keys=True).encode()),
+    document.setdefault("name", environment.get("BALANCER_NAME"))
+    document.setdefault("listen", environment.get("BALANCER_LISTEN"))
+    settings, limits = read_field(document, "settings", dict), read_field(document, "limits", dict)
+    return StartSettings(
+        name=read_field(document, "name", str),
+        listen=read_address(document, "listen"),
+        interpreter=read_address(document, "vm"),
+        members=read_address(document, "members"),
+        catalogue=read_address(document, "catalog") if document.get("catalog") else None,
+        seed=str(read_field(document, "seed", (str, int))),
+        stop_after=round(read_field(document, "stop_ms", (int, float)) * 1000),
+        descriptors=read_field(limits, "sockets", int),
+        memory=int(read_field(limits, "memory_mb", (int, float)) * MB) if "memory_mb" in limits else None,
+        machine=read_machine(settings),
+        gauges=decode_settings(decode_gauges, settings),
+        tenants=read_tenants(settings),
+        settings_checksum=crc32(json.dumps(settings, sort_keys=True).encode()),
     )
 
 
-def field(told: dict, key: str, kind: Any) -> Any:
-    value = told.get(key)
+def read_field(document: dict, key: str, kind: Any) -> Any:
+    value = document.get(key)
     if (
         not isinstance(value, kind)
         or isinstance(value, bool)
@@ -74,29 +74,29 @@
     return value
 
 
-def address(told: dict, key: str) -> tuple[str, int]:
-    host, _, port = field(told, key, str).rpartition(":")
-    if not host or not port.isdecimal() or len(port) > 5 or int(port) > PORT_MOST:
-        raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is no address: {told[key]!r:.60}")
+def read_address(document: dict, key: str) -> tuple[str, int]:
+    host, _, port = read_field(document, key, str).rpartition(":")
+    if not host or not port.isdecimal() or len(port) > 5 or int(port) > MAX_PORT:
+        raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is no address: {document[key]!r:.60}")
     return host, int(port)
 
 
-def tenants(settings: dict) -> frozenset[bytes]:
+def read_tenants(settings: dict) -> frozenset[bytes]:
     try:
         return frozenset(each["name"].encode() for each in settings.get("orgs") or [])
-    except (KeyError, TypeError, AttributeError) as wrong:
-        raise InvalidInputError(f"BALANCER_CONFIG: 'settings': 'orgs': {wrong!r:.200}") from wrong
+    except (KeyError, TypeError, AttributeError) as error:
+        raise InvalidInputError(f"BALANCER_CONFIG: 'settings': 'orgs': {error!r:.200}") from error
 
 
-def decoded(decode: Callable[[dict], Any], settings: dict) -> Any:
+def decode_settings(decode: Callable[[dict], Any], settings: dict) -> Any:
     try:
         return decode(settings)
-    except InvalidInputError as wrong:
-        raise InvalidInputError(f"BALANCER_CONFIG: 'settings': {wrong}") from wrong
+    except InvalidInputError as error:
+        raise InvalidInputError(f"BALANCER_CONFIG: 'settings': {error}") from error
 
 
-def machine(settings: dict) -> NodeSpec:
-    made = decoded(decode_node_spec, settings)
+def read_machine(settings: dict) -> NodeSpec:
+    made = decode_settings(decode_node_spec, settings)
     if not made.request_classes or any(each.deadline <= 0 for each in made.request_classes):
         raise InvalidInputError("BALANCER_CONFIG: 'settings': no classes, or one without its deadline")
     return made
--- a/lichencleat/node/deadlines.py
+++ b/lichencleat/node/deadlines.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any
 
-LATE = 20_000  # µs: later than this the process was held up, and what came meanwhile is read first
-DEAD_MOST = 64  # cancelled timers in the heap before it is built anew: a few seconds' worth
+MAX_LATENESS = 20_000  # µs: later than this the process was held up, and what came meanwhile is read first
+MAX_CANCELLED = 64  # cancelled timers in the heap before it is built anew: a few seconds' worth
 
 
 class Deadline:
@@ -18,13 +18,13 @@
 
 
 class Deadlines:
-    def __init__(self, reactor: Any, trouble: Callable[[str], None]) -> None:
-        self.reactor, self.trouble = reactor, trouble
+    def __init__(self, reactor: Any, log_exception: Callable[[str], None]) -> None:
+        self.reactor, self.log_exception = reactor, log_exception
         self.heap: list[tuple[int, int, Deadline]] = []
-        self.serial = self.dead = 0
-        self.armed: Any = None
-        self.armed_at = 0
-        self.has_read = False
+        self.serial = self.cancelled = 0
+        self.scheduled_call: Any = None
+        self.scheduled_at = 0
+        self.has_yielded = False
 
     def now(self) -> int:
         return int(self.reactor.seconds() * 1_000_000)
@@ -34,7 +34,7 @@
         deadline = Deadline(call, values)
         self.serial += 1
         heapq.heappush(self.heap, (self.now() + max(0, span), self.serial, deadline))
-        self.arm()
+        self.schedule()
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
@@ -42,39 +42,41 @@
         if deadline is None or deadline.call is None:
             return
         deadline.call = None
-        self.dead += 1
-        if self.dead > max(DEAD_MOST, len(self.heap) // 2):
+        self.cancelled += 1
+        if self.cancelled > max(MAX_CANCELLED, len(self.heap) // 2):
             self.heap = [entry for entry in self.heap if entry[2].call]
             heapq.heapify(self.heap)
-            self.dead = 0
-            self.arm()
+            self.cancelled = 0
+            self.schedule()
 
-    def arm(self) -> None:
-        if not self.heap or (self.armed is not None and self.armed_at <= self.heap[0][0]):
+    def schedule(self) -> None:
+        if not self.heap or (self.scheduled_call is not None and self.scheduled_at <= self.heap[0][0]):
             return
-        if self.armed is not None:
-            self.armed.cancel()
-        self.armed_at = self.heap[0][0]
-        self.armed = self.reactor.callLater(max(0, self.armed_at - self.now()) / 1_000_000, self.fire)
+        if self.scheduled_call is not None:
+            self.scheduled_call.cancel()
+        self.scheduled_at = self.heap[0][0]
+        self.scheduled_call = self.reactor.callLater(
+            max(0, self.scheduled_at - self.now()) / 1_000_000, self.fire
+        )
 
     def fire(self) -> None:
         """Guards against judging by the clock after a pause: the reactor reads once before what is late."""
-        self.armed, now = None, self.now()
-        if self.heap and now - self.heap[0][0] > LATE and not self.has_read:
-            self.has_read, self.armed_at = True, 0
-            self.armed = self.reactor.callLater(0, self.fire)
+        self.scheduled_call, now = None, self.now()
+        if self.heap and now - self.heap[0][0] > MAX_LATENESS and not self.has_yielded:
+            self.has_yielded, self.scheduled_at = True, 0
+            self.scheduled_call = self.reactor.callLater(0, self.fire)
             return
-        self.has_read = False
+        self.has_yielded = False
         due = []
         while self.heap and self.heap[0][0] <= now:
             due.append(heapq.heappop(self.heap)[2])
         for deadline in due:
             call, deadline.call = deadline.call, None
             if call is None:
-                self.dead = max(0, self.dead - 1)
+                self.cancelled = max(0, self.cancelled - 1)
                 continue
             try:
                 call(*deadline.values)
             except Exception:
-                self.trouble("a timer")
-        self.arm()
+                self.log_exception("a timer")
+        self.schedule()
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -1,4 +1,4 @@
-"""Dispatchers: reads requests from their connections, writes answers, answers checks, closes idle ones."""
+"""The listener for dispatchers: reads requests, writes answers, answers health checks, closes connections."""
 
 from __future__ import annotations
 
@@ -12,484 +12,560 @@
 from zope.interface import implementer
 
 from lichencleat.admission.types import Request
-from lichencleat.node.catalogue import links_most
+from lichencleat.node.catalogue import max_catalogue_links
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.framing import BrokenFramingError
-from lichencleat.node.host import Answer, Case, Host
+from lichencleat.node.host import Answer, PendingRequest, RequestEngine
 from lichencleat.node.report import Report
 from lichencleat.node.requests import BadRequestError, read_request
 from lichencleat.node.resp import ArrayReader, array
 from lichencleat.node.slots import Slots
 
-READ_MOST = 16_384  # bytes read at once: a flood on one connection holds the others up for some ms at most
-OPEN_MOST = 32  # requests open on one connection, by the protocol
-BAD_MOST = 4  # unusable arrays on one connection: more is no slip, and each costs as much as a good one
-TAG_DIGITS = 18  # of a tag: more than any connection has arrays
-FIRST_WAIT = 1_500_000  # µs from connecting to a whole array: half of what is owed to those who send none
-REST_WAIT = 1_000_000  # µs for the rest of an array that has begun: they are written in one piece
-BACKLOG = 1_024  # callers that may wait to be accepted: as many as there are, after a restart of all
-OWN = 16  # descriptors: process, reactor, listener and links have 10; a link or file more now and then
-SPARE = 8  # one in so many connections is for those that are on their way out, so that none has to be cut off
-CROWDED = 0.75  # of the connections: from there on those at rest are asked to go
-REST_LEAST = 1_000_000  # µs without traffic before that: a caller that comes back mostly does so sooner
-REST_CUT = 60_000  # µs without traffic before one is ended for room: what crosses an end is sent once more
-ROOM_AGAIN = 20_000  # µs between looks for room while no connection is accepted: a third of REST_CUT
-LINGER = 1_000_000  # µs from our end of a connection to the caller's, who has all answers by then, or is gone
-DROPPED_MOST = 262_144  # bytes read and dropped on one that ends: more than 32 requests, with their bodies
-RESULT_MOST = 4_096  # bytes, by the protocol
-MEMORY_LEAST = 64 << 20  # bytes of the program, where it is not told: three times what one takes at rest
-UNREAD_PART = 1 / 8  # of that, for answers that callers leave unread: a third of it is taken at rest
-UNREAD_LONG = 10_000_000  # µs that a caller may leave answers unread: longer than any request waits
-CLOSE_AFTER = 300_000  # µs after goaway by which an unused connection is closed from here: what crossed is in
-WORDS = {Answer.HONOURED: b"200", Answer.DEFERRED: b"503", Answer.GIVEN_UP: b"500"}
+# bytes per read: a flood on one connection then delays the others by a few ms at most
+MAX_READ = 16_384
+MAX_OPEN_REQUESTS = 32  # per connection, by the protocol
+# unusable arrays per connection; more are no accident, and each costs as much as a usable one
+MAX_BAD_ARRAYS = 4
+MAX_TAG_DIGITS = 18  # enough for any number of arrays on one connection
+# µs from connecting to the first whole array: half of the time that the protocol allows a silent client
+FIRST_ARRAY_TIMEOUT = 1_500_000
+ARRAY_TIMEOUT = 1_000_000  # µs for the rest of a partial array; clients write an array in one piece
+BACKLOG = 1_024  # connections waiting to be accepted: after a restart all clients connect at once
+# descriptors for the process, the reactor, the listener and the links, which use 10; the others are for
+# further links or files
+RESERVED_DESCRIPTORS = 16
+# One in so many connections is kept free for connections that are closing, so that none has to be aborted.
+CONNECTIONS_PER_SPARE = 8
+GOAWAY_FILL_SHARE = 0.75  # share of the connections in use from which idle ones get a goaway
+GOAWAY_MIN_IDLE = 1_000_000  # µs without traffic before that goaway; most clients send again sooner
+# µs without traffic before a connection is closed to free its descriptor; a client resends a request that
+# crosses the close
+EVICTION_MIN_IDLE = 60_000
+# µs between evictions while no connection is accepted: a third of EVICTION_MIN_IDLE
+EVICTION_PERIOD = 20_000
+# µs from our half-close to the client's; by then it has read all answers, or is gone
+LINGER_TIMEOUT = 1_000_000
+# bytes read and dropped on a closing connection: more than 32 requests with their bodies
+MAX_DROPPED = 262_144
+MAX_RESULT = 4_096  # bytes, by the protocol
+# bytes of memory to assume without a limit in the settings: three times what an idle node uses
+DEFAULT_MEMORY = 64 << 20
+# share of the memory for answers that clients leave unread; an idle node uses a third of the memory
+UNREAD_MEMORY_SHARE = 1 / 8
+UNREAD_TIMEOUT = 10_000_000  # µs that a client may leave answers unread: longer than any request waits
+# µs from goaway to the close of an unused connection; requests that crossed the goaway have arrived by then
+GOAWAY_CLOSE_DELAY = 300_000
+STATUS_CODES = {Answer.SERVED: b"200", Answer.REJECTED: b"503", Answer.FAILED: b"500"}
 
 
 @implementer(IHalfCloseableProtocol)
 class Connection(Protocol):
-    """Owns the tags open on it; each is given back in `answer`, or all in `caller_gone`.
+    """A client's connection, with its open requests by tag.
 
-    It ends in four steps: it is to end (`closing`, `going`); once nothing is open on it, the reactor reads
-    once more what came by then; if that opened nothing, our side is shut (`over`), after all answers; then
-    what the caller still had under way is read and dropped until it ends its side too, for `LINGER` at most.
-    A close over unread bytes would reset the connection, and answers that were written would go with it.
+    `answer` removes one open request, `abandon_all` removes all of them.
+
+    A connection closes in four steps:
+
+    1. It is marked (`closing`, `goaway_sent`).
+    2. Once no request is open, the reactor reads once more what has arrived by then.
+    3. If that opened no request, our side is half-closed after all answers (`write_closed`).
+    4. What the client still had in flight is read and dropped until it closes its side too, for
+       `LINGER_TIMEOUT` at most.
+
+    Closing with unread bytes would reset the connection, and answers already written would be lost.
     """
 
-    def __init__(self, door: Dispatchers) -> None:
-        self.door = door
+    def __init__(self, listener: DispatcherListener) -> None:
+        self.listener = listener
         self.reader = ArrayReader()
-        self.cases: dict[int, Case] = {}
+        self.pending_requests: dict[int, PendingRequest] = {}
         self.number = -1
         self.last_traffic = 0
         self.checks_only = True
-        self.bad = 0  # unusable arrays
-        self.whole_by: Deadline | None = None  # the array under way, or the first one
-        self.slow = False  # it was not whole by then, and is not waited for
-        self.going = False  # goaway was sent
-        self.closing = False  # it ends once nothing is open on it
-        self.deaf = False  # what comes can't be read any more, and is dropped
-        self.over = False  # our side is shut: what comes crossed that, and is dropped
-        self.ended_at: int | None = None  # when the end of our side went out
-        self.dropped = 0  # bytes
-        self.unread: Deadline | None = None
-        self.idle: Deadline | None = None
-        self.flow: Any = None  # metered, where flow export is switched on
-        self.cut_off = False
+        self.bad_arrays = 0
+        self.array_timer: Deadline | None = (
+            None  # runs out unless the partial or first array is whole by then
+        )
+        self.array_timed_out = False  # the array was not whole in time; no new timer is set for it
+        self.goaway_sent = False
+        self.closing = False  # closes once no request is open
+        self.ignores_input = False  # the framing is broken: further input is dropped
+        self.write_closed = False  # our side is half-closed: further input crossed that, and is dropped
+        self.write_closed_at: int | None = None  # when our half-close was sent (µs)
+        self.dropped_bytes = 0
+        self.unread_timer: Deadline | None = None
+        self.idle_timer: Deadline | None = None
+        self.flow: Any = None  # the meter of this connection if flow export is on
+        self.was_aborted = False
 
     def connectionMade(self) -> None:
-        self.number = self.door.connections.take(self)
-        self.door.report.count("dispatchers", "connections")
+        self.number = self.listener.connections.acquire(self)
+        self.listener.report.count("dispatchers", "connections")
         self.transport.setTcpNoDelay(True)
-        self.transport.bufferSize = READ_MOST
+        self.transport.bufferSize = MAX_READ
         self.transport.registerProducer(self, True)
-        self.last_traffic = self.door.deadlines.now()
-        self.door.strangers[self] = None
-        if self.door.flows is not None:
-            self.flow = self.door.flows.opened(self.transport)
-        self.whole_by = self.door.deadlines.after(FIRST_WAIT, self.too_slow, "nothing whole came in time")
-        self.watch_idle()
+        self.last_traffic = self.listener.deadlines.now()
+        self.listener.without_array[self] = None
+        if self.listener.flows is not None:
+            self.flow = self.listener.flows.opened(self.transport)
+        self.array_timer = self.listener.deadlines.after(
+            FIRST_ARRAY_TIMEOUT, self.on_array_timeout, "no complete array in time after connecting"
+        )
+        self.restart_idle_timer()
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
-        self.door.connections.give_back(self.number)
-        self.door.strangers.pop(self, None)
-        self.door.unreading.pop(self, None)
-        self.door.deadlines.cancel(self.whole_by)
-        self.door.deadlines.cancel(self.unread)
-        self.door.deadlines.cancel(self.idle)
-        self.closing = self.over = True
-        self.caller_gone()
+        self.listener.connections.release(self.number)
+        self.listener.without_array.pop(self, None)
+        self.listener.stalled.pop(self, None)
+        self.listener.deadlines.cancel(self.array_timer)
+        self.listener.deadlines.cancel(self.unread_timer)
+        self.listener.deadlines.cancel(self.idle_timer)
+        self.closing = self.write_closed = True
+        self.abandon_all()
         if self.flow is not None:
-            self.door.flows.ended(self.flow, self.cut_off)
-        self.door.has_room()
+            self.listener.flows.ended(self.flow, self.was_aborted)
+        self.listener.resume_accepting()
 
-    def caller_gone(self) -> None:
-        cases, self.cases = self.cases, {}
-        for case in cases.values():
-            self.door.report.count("dispatchers", "lost with their connection")
-            self.abandon(case)
+    def abandon_all(self) -> None:
+        """Abandon all open requests, as the connection is lost or half-closed by the client."""
+        pending_requests, self.pending_requests = self.pending_requests, {}
+        for pending in pending_requests.values():
+            self.listener.report.count("dispatchers", "lost with their connection")
+            self.abandon(pending)
 
     def readConnectionLost(self) -> None:
-        """The caller ended its side: nobody waits any more, and what was written goes out."""
-        if not self.over:
+        """The client closed its side: abandon its requests, and close once all written answers are sent."""
+        if not self.write_closed:
             self.transport.unregisterProducer()
-        self.closing = self.over = True
-        self.caller_gone()
-        self.door.deadlines.cancel(self.unread)
-        self.unread = self.door.deadlines.after(UNREAD_LONG, self.abort, "answers left unread")
+        self.closing = self.write_closed = True
+        self.abandon_all()
+        self.listener.deadlines.cancel(self.unread_timer)
+        self.unread_timer = self.listener.deadlines.after(UNREAD_TIMEOUT, self.abort, "answers left unread")
         self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """All answers went out, and then the end of our side."""
-        self.ended_at = self.door.deadlines.now()
-        self.door.deadlines.cancel(self.unread)
-        self.unread = self.door.deadlines.after(LINGER, self.transport.loseConnection)
+        """All answers and our half-close are sent: wait for the client's close."""
+        self.write_closed_at = self.listener.deadlines.now()
+        self.listener.deadlines.cancel(self.unread_timer)
+        self.unread_timer = self.listener.deadlines.after(LINGER_TIMEOUT, self.transport.loseConnection)
 
-    # --- a caller that does not read --------------------------------------------------------------
+    # --- a client that does not read answers -----------------------------------------------------
 
     def pauseProducing(self) -> None:
-        """Guards the memory against answers that nobody reads: nothing more is read, then it is closed."""
+        """Stop reading from a client that does not read its answers, and abort it after `UNREAD_TIMEOUT`.
+
+        Prevents unread answers from filling the memory.
+        """
         self.transport.pauseProducing()
-        if self.unread is None:
-            self.unread = self.door.deadlines.after(UNREAD_LONG, self.abort, "answers left unread")
-            self.door.stuck(self)
+        if self.unread_timer is None:
+            self.unread_timer = self.listener.deadlines.after(
+                UNREAD_TIMEOUT, self.abort, "answers left unread"
+            )
+            self.listener.on_stalled(self)
 
     def resumeProducing(self) -> None:
-        self.door.deadlines.cancel(self.unread)
-        self.unread = None
-        self.door.unreading.pop(self, None)
+        self.listener.deadlines.cancel(self.unread_timer)
+        self.unread_timer = None
+        self.listener.stalled.pop(self, None)
         self.transport.resumeProducing()
 
     def stopProducing(self) -> None:
         pass
 
     def abort(self, why: str) -> None:
-        self.door.report.count("dispatchers", f"aborted: {why}")
-        self.closing = self.over = self.cut_off = True
-        self.door.unreading.pop(self, None)
+        """Reset the connection; `why` is part of a counter's name."""
+        self.listener.report.count("dispatchers", f"aborted: {why}")
+        self.closing = self.write_closed = self.was_aborted = True
+        self.listener.stalled.pop(self, None)
         self.transport.abortConnection()
 
-    def abandon(self, case: Case) -> None:
+    def abandon(self, pending: PendingRequest) -> None:
+        """Report that the client of a request has cancelled it or is gone."""
         if self.flow is not None:
             self.flow.counts.abandoned += 1
-            self.add_times(case.request)
-        self.door.host.caller_left(case)
+            self.add_times(pending.request)
+        self.listener.engine.on_caller_gone(pending)
 
     def add_times(self, request: Request) -> None:
-        """How long it was in hand, and of that since its run began, for its flow."""
-        now, counts = self.door.host.clock(), self.flow.counts
-        begun = now if request.started is None else min(request.started, now)
-        counts.held += max(0, begun - request.arrived)
-        counts.run += now - begun
+        """Add the request's waiting time and run time to its flow."""
+        now, counts = self.listener.engine.clock(), self.flow.counts
+        started = now if request.started is None else min(request.started, now)
+        counts.held += max(0, started - request.arrived)
+        counts.run += now - started
 
-    # --- what comes -------------------------------------------------------------------------------
+    # --- input ------------------------------------------------------------------------------------
 
     def dataReceived(self, data: bytes) -> None:
-        self.last_traffic = self.door.deadlines.now()
+        self.last_traffic = self.listener.deadlines.now()
         if self.flow is not None:
-            self.door.flows.received(self.flow, len(data))
-        if self.deaf or self.over:
-            self.drop(len(data))
+            self.listener.flows.received(self.flow, len(data))
+        if self.ignores_input or self.write_closed:
+            self.drop_input(len(data))
             return
         came = False
         try:
             for words in self.reader.feed(data):
                 came = True
-                self.take(words)
-                if self.deaf:
+                self.handle_array(words)
+                if self.ignores_input:
                     return
         except BrokenFramingError as broken:
-            self.refuse_all(str(broken))
+            self.stop_reading(str(broken))
             return
         if came:
-            self.door.strangers.pop(self, None)
-            self.door.deadlines.cancel(self.whole_by)
-            self.whole_by, self.slow = None, False
-        if self.whole_by is None and self.reader.begun() and not self.slow:
-            self.whole_by = self.door.deadlines.after(REST_WAIT, self.too_slow, "an array came without end")
-
-    def take(self, words: list[bytes]) -> None:
-        """Guards the node against one bad array: it is answered by its tag, or ends its connection."""
-        report = self.door.report
-        tag = int(words[1]) if len(words) > 1 and words[1].isdigit() and len(words[1]) <= TAG_DIGITS else 0
-        if tag < 1 or (tag in self.cases and words[0] != b"ABORT"):
-            self.refuse_all(f"tag missing or used: {words[0][:20]!r}")
+            self.listener.without_array.pop(self, None)
+            self.listener.deadlines.cancel(self.array_timer)
+            self.array_timer, self.array_timed_out = None, False
+        if self.array_timer is None and self.reader.has_partial_message() and not self.array_timed_out:
+            self.array_timer = self.listener.deadlines.after(
+                ARRAY_TIMEOUT, self.on_array_timeout, "incomplete array"
+            )
+
+    def handle_array(self, words: list[bytes]) -> None:
+        """Handle one array; a bad one is answered under its tag, or closes the connection."""
+        report = self.listener.report
+        tag = (
+            int(words[1]) if len(words) > 1 and words[1].isdigit() and len(words[1]) <= MAX_TAG_DIGITS else 0
+        )
+        if tag < 1 or (tag in self.pending_requests and words[0] != b"ABORT"):
+            self.stop_reading(f"tag missing, invalid or in use: {words[0][:20]!r}")
             return
         try:
             if words[0] == b"REQ":
                 self.checks_only = False
                 report.count("dispatchers", "got requests")
-                self.request(tag, words)
+                self.handle_request(tag, words)
             elif words[0] == b"ABORT":
                 report.count("dispatchers", "got aborts")
-                case = self.cases.pop(tag, None)
-                if case is not None:
-                    self.abandon(case)
+                pending = self.pending_requests.pop(tag, None)
+                if pending is not None:
+                    self.abandon(pending)
             elif words[0] == b"HEALTH":
                 report.count("dispatchers", "got checks")
-                self.send(tag, b"serving" if self.door.host.healthy else b"not_serving", self.said(), b"")
+                self.send(
+                    tag,
+                    b"serving" if self.listener.engine.is_serving else b"not_serving",
+                    self.status_fields(),
+                    b"",
+                )
             else:
-                raise BadRequestError(f"unknown word {words[0][:20]!r}")
+                raise BadRequestError(f"unknown command {words[0][:20]!r}")
         except BadRequestError as bad:
             report.count("dispatchers", "unusable arrays")
             report.note(f"dispatchers: {bad}")
-            self.send(tag, WORDS[Answer.GIVEN_UP], self.said(), b"")
-            self.bad += 1
-            if self.bad >= BAD_MOST:
-                self.refuse_all("too many unusable arrays")
+            self.send(tag, STATUS_CODES[Answer.FAILED], self.status_fields(), b"")
+            self.bad_arrays += 1
+            if self.bad_arrays >= MAX_BAD_ARRAYS:
+                self.stop_reading("too many unusable arrays")
         except Exception:
-            report.trouble("reading a request")
-            if tag in self.cases:
-                self.door.host.fail(self.cases[tag])
+            report.log_exception("reading a request")
+            if tag in self.pending_requests:
+                self.listener.engine.abort_request(self.pending_requests[tag])
             else:
-                self.send(tag, WORDS[Answer.GIVEN_UP], self.said(), b"")
-
-    def request(self, tag: int, words: list[bytes]) -> None:
-        if len(self.cases) >= OPEN_MOST:
-            raise BadRequestError("more open than a connection carries")
-        case, tenant = read_request(words, self.door.host, self.door.tenants, partial(self.answer, tag))
-        self.cases[tag] = case
+                self.send(tag, STATUS_CODES[Answer.FAILED], self.status_fields(), b"")
+
+    def handle_request(self, tag: int, words: list[bytes]) -> None:
+        """Pass a request to the engine; raises BadRequestError."""
+        if len(self.pending_requests) >= MAX_OPEN_REQUESTS:
+            raise BadRequestError("too many open requests on the connection")
+        pending, tenant = read_request(
+            words, self.listener.engine, self.listener.tenants, partial(self.answer, tag)
+        )
+        self.pending_requests[tag] = pending
         if self.flow is not None:
-            self.door.flows.belongs(self.flow, tenant, case.request.request_class.name, case.request.caller)
-        self.door.host.arrives(case)
+            self.listener.flows.belongs(
+                self.flow, tenant, pending.request.request_class.name, pending.request.caller
+            )
+        self.listener.engine.on_request_received(pending)
 
-    def refuse_all(self, why: str) -> None:
-        """What follows can't be read: the connection ends once what is open on it has its answers."""
-        if self.deaf:
+    def stop_reading(self, why: str) -> None:
+        """Drop all further input, and close once the open requests are answered."""
+        if self.ignores_input:
             return
-        self.door.report.count("dispatchers", "broken framing")
-        self.door.report.note(f"dispatchers: {why}; the connection is closed")
-        self.closing = self.deaf = True
-        self.end_if_done()
-
-    def too_slow(self, why: str) -> None:
-        """Guards the descriptors. One that spoke is asked to go: should the rest come, it is taken."""
-        self.whole_by, self.slow = None, True
-        self.door.report.count("dispatchers", "arrays too slow")
-        self.door.report.note(f"dispatchers: {why}; the connection is closed")
-        if self in self.door.strangers or self.closing:
-            self.end()
+        self.listener.report.count("dispatchers", "broken framing")
+        self.listener.report.note(f"dispatchers: {why}; the connection is closed")
+        self.closing = self.ignores_input = True
+        self.close_if_done()
+
+    def on_array_timeout(self, why: str) -> None:
+        """Close a connection whose array is incomplete, so that it does not occupy a descriptor.
+
+        If it has sent a whole array before, it gets a goaway; should the rest arrive, the array is handled.
+        """
+        self.array_timer, self.array_timed_out = None, True
+        self.listener.report.count("dispatchers", "arrays too slow")
+        self.listener.report.note(f"dispatchers: {why}; the connection is closed")
+        if self in self.listener.without_array or self.closing:
+            self.schedule_close()
         else:
-            self.go_away()
+            self.send_goaway()
 
-    def drop(self, size: int) -> None:
-        """Guards the processor against a flood on a connection that ends: past a bound it is not read."""
-        self.door.report.count("dispatchers", "bytes dropped", size)
-        self.dropped += size
-        if self.dropped > DROPPED_MOST:
+    def drop_input(self, size: int) -> None:
+        """Drop input on a closing connection; past `MAX_DROPPED` stop reading, as a flood costs CPU time."""
+        self.listener.report.count("dispatchers", "bytes dropped", size)
+        self.dropped_bytes += size
+        if self.dropped_bytes > MAX_DROPPED:
             self.transport.pauseProducing()
 
-    # --- what goes --------------------------------------------------------------------------------
+    # --- output -----------------------------------------------------------------------------------
 
     def answer(self, tag: int, answer: Answer, result: bytes, span: int, last: bool) -> None:
-        case = self.cases.pop(tag, None)
-        if case is None:
+        """Send the answer to an open request; `span` (µs) and `last` tell how to retry a rejected one."""
+        pending = self.pending_requests.pop(tag, None)
+        if pending is None:
             return
         if self.flow is not None:
             counts = self.flow.counts
-            counts.honoured += answer is Answer.HONOURED
-            counts.deferred += answer is Answer.DEFERRED
-            counts.given_up += answer is Answer.GIVEN_UP
-            self.add_times(case.request)
-        fields = self.said()
-        if answer is Answer.DEFERRED:
+            counts.honoured += answer is Answer.SERVED
+            counts.deferred += answer is Answer.REJECTED
+            counts.given_up += answer is Answer.FAILED
+            self.add_times(pending.request)
+        fields = self.status_fields()
+        if answer is Answer.REJECTED:
             fields += [b"w=%d" % (span // 1000)] if span else []
             fields += [b"l=1"] if last else []
-        self.door.report.count("dispatchers", "sent " + answer.value)
-        self.send(tag, WORDS[answer], fields, result)
-        self.end_if_done()
+        self.listener.report.count("dispatchers", "sent " + answer.value)
+        self.send(tag, STATUS_CODES[answer], fields, result)
+        self.close_if_done()
 
-    def said(self) -> list[bytes]:
-        value = self.door.host.free_value
+    def status_fields(self) -> list[bytes]:
+        """The fields of each answer: the advertised capacity, if there is one."""
+        value = self.listener.engine.free_value
         return [] if value is None else [b"v=%.4f" % value]
 
     def send(self, tag: int, word: bytes, fields: list[bytes], body: bytes) -> None:
-        self.last_traffic = self.door.deadlines.now()
+        self.last_traffic = self.listener.deadlines.now()
         self.write(array(b"%d" % tag, word, b",".join(fields), body))
 
     def write(self, parts: list[bytes]) -> None:
         self.transport.writeSequence(parts)
         if self.flow is not None:
-            self.door.flows.sent(self.flow, sum(map(len, parts)), self.transport)
+            self.listener.flows.sent(self.flow, sum(map(len, parts)), self.transport)
 
-    def end_if_done(self) -> None:
-        if self.closing and not self.cases:
-            self.end()
+    def close_if_done(self) -> None:
+        if self.closing and not self.pending_requests:
+            self.schedule_close()
 
-    def end(self) -> None:
-        """Guards what came and was not read yet: the reactor reads before this connection ends."""
-        self.door.deadlines.after(0, self.shut)
+    def schedule_close(self) -> None:
+        """Close after the reactor has read the input that has arrived by now."""
+        self.listener.deadlines.after(0, self.close)
 
-    def shut(self, in_any_case: bool = False) -> None:
-        """Ends our side, unless something was read meanwhile that is owed an answer.
+    def close(self, in_any_case: bool = False) -> None:
+        """Half-close our side, unless a request is open or, after a goaway, an array is partly read.
 
-        A connection with a producer would wait for that to go on.
+        The producer is unregistered: a connection with a paused producer would not close.
         """
-        under_way = self.going and not self.closing and self.whole_by is not None and self.reader.begun()
-        if self.over or ((self.cases or under_way) and not in_any_case):
+        under_way = (
+            self.goaway_sent
+            and not self.closing
+            and self.array_timer is not None
+            and self.reader.has_partial_message()
+        )
+        if self.write_closed or ((self.pending_requests or under_way) and not in_any_case):
             return
-        self.over = True
-        for each in (self.whole_by, self.idle, self.unread):
-            self.door.deadlines.cancel(each)
-        self.door.strangers.pop(self, None)
-        self.unread = self.door.deadlines.after(UNREAD_LONG, self.abort, "answers left unread")
+        self.write_closed = True
+        for each in (self.array_timer, self.idle_timer, self.unread_timer):
+            self.listener.deadlines.cancel(each)
+        self.listener.without_array.pop(self, None)
+        self.unread_timer = self.listener.deadlines.after(UNREAD_TIMEOUT, self.abort, "answers left unread")
         self.transport.unregisterProducer()
         self.transport.resumeProducing()
         self.transport.loseWriteConnection()
 
     # --- idle connections -------------------------------------------------------------------------
 
-    def watch_idle(self) -> None:
-        self.door.deadlines.cancel(self.idle)
-        self.idle = None
-        if self.door.idle_span and not self.going:
-            quiet = self.door.deadlines.now() - self.last_traffic
-            self.idle = self.door.deadlines.after(self.door.idle_span - quiet, self.idled)
-
-    def idled(self) -> None:
-        quiet = self.door.deadlines.now() - self.last_traffic
-        if quiet < self.door.idle_span or self.cases or self.checks_only:
-            self.idle = self.door.deadlines.after(
-                max(self.door.idle_span - quiet, self.door.idle_span // 2), self.idled
+    def restart_idle_timer(self) -> None:
+        self.listener.deadlines.cancel(self.idle_timer)
+        self.idle_timer = None
+        if self.listener.idle_timeout and not self.goaway_sent:
+            quiet = self.listener.deadlines.now() - self.last_traffic
+            self.idle_timer = self.listener.deadlines.after(self.listener.idle_timeout - quiet, self.on_idle)
+
+    def on_idle(self) -> None:
+        """Send a goaway after the idle timeout; connections that only check health stay open."""
+        quiet = self.listener.deadlines.now() - self.last_traffic
+        if quiet < self.listener.idle_timeout or self.pending_requests or self.checks_only:
+            self.idle_timer = self.listener.deadlines.after(
+                max(self.listener.idle_timeout - quiet, self.listener.idle_timeout // 2), self.on_idle
             )
         else:
-            self.go_away()
+            self.send_goaway()
 
-    def go_away(self) -> None:
-        """The caller sends nothing more here and closes; if it does not, an unused connection is closed."""
-        if not (self.going or self.closing or self.over):
-            self.going = True
+    def send_goaway(self) -> None:
+        """Ask the client to send no more requests here and to close; if it does not, close once unused."""
+        if not (self.goaway_sent or self.closing or self.write_closed):
+            self.goaway_sent = True
             self.write(array(b"0", b"goaway"))
-            self.door.report.count("dispatchers", "sent goaway")
-            self.door.deadlines.cancel(self.idle)  # or it would outlast the connection, and keep it in memory
-            self.idle = self.door.deadlines.after(CLOSE_AFTER, self.close_unused)
+            self.listener.report.count("dispatchers", "sent goaway")
+            # a timer that is not cancelled would outlive the connection and keep it in memory
+            self.listener.deadlines.cancel(self.idle_timer)
+            self.idle_timer = self.listener.deadlines.after(GOAWAY_CLOSE_DELAY, self.close_unused)
 
     def close_unused(self) -> None:
-        """Once more after each end that something read meanwhile has put off."""
-        self.idle = self.door.deadlines.after(CLOSE_AFTER, self.close_unused)
-        if not self.cases:
-            self.end()
+        """Close if no request is open, and try again later if new input prevented the close."""
+        self.idle_timer = self.listener.deadlines.after(GOAWAY_CLOSE_DELAY, self.close_unused)
+        if not self.pending_requests:
+            self.schedule_close()
 
 
-class Listener(Port):
-    """Guards the descriptors: Twisted's own takes in a hundred at once, whatever room there is."""
+class ListeningPort(Port):
+    """Accepts no more connections at once than there are free descriptors; Twisted's own port accepts 100."""
 
     def doRead(self) -> None:
-        self.numberAccepts = self.factory.may_accept()
+        self.numberAccepts = self.factory.max_accepts()
         super().doRead()
 
 
-class Dispatchers(Factory):
+class DispatcherListener(Factory):
+    """Accepts the dispatchers' connections within the limit on descriptors, and closes idle ones."""
+
     noisy = False
 
     def __init__(
         self,
-        host: Host,
+        engine: RequestEngine,
         deadlines: Deadlines,
         report: Report,
         descriptors: int,
         tenants: Container[bytes] = frozenset(),
         flows: Any = None,
-        memory: int = MEMORY_LEAST,
+        memory: int = DEFAULT_MEMORY,
     ) -> None:
-        """`flows`: as flows.assembly.Flows, where connections are metered. `memory`: the program's, bytes."""
-        self.host, self.deadlines, self.report = host, deadlines, report
+        """`flows`: a flows.assembly.Flows to meter connections; `memory`: bytes that the process may use."""
+        self.engine, self.deadlines, self.report = engine, deadlines, report
         self.tenants = tenants
         self.flows = flows
-        self.most = max(1, descriptors - OWN - links_most(descriptors))
+        self.max_connections = max(1, descriptors - RESERVED_DESCRIPTORS - max_catalogue_links(descriptors))
         self.connections: Slots[Connection] = Slots()
-        self.unreading: dict[Connection, None] = {}  # that read no answers, the longest so first
-        self.unreading_most = max(1, int(memory * UNREAD_PART) // (READ_MOST + OPEN_MOST * RESULT_MOST))
-        self.strangers: dict[Connection, None] = {}  # those of whom nothing whole has come, oldest first
-        self.idle_span = host.machine.idle_timeout_us  # until the decisions say otherwise
+        self.stalled: dict[Connection, None] = {}  # clients that read no answers, the longest stalled first
+        self.max_stalled = max(
+            1, int(memory * UNREAD_MEMORY_SHARE) // (MAX_READ + MAX_OPEN_REQUESTS * MAX_RESULT)
+        )
+        self.without_array: dict[Connection, None] = {}  # that sent no whole array yet, oldest first
+        self.idle_timeout = engine.machine.idle_timeout_us  # µs, until a decision changes it
         self.port: Any = None
-        self.accepts = True
-        host.doors.append(self)
+        self.is_accepting = True
+        engine.listeners.append(self)
 
     def listen(self, reactor: Any, address: tuple[str, int]) -> None:
-        self.port = Listener(address[1], self, BACKLOG, address[0], reactor)
+        self.port = ListeningPort(address[1], self, BACKLOG, address[0], reactor)
         self.port.startListening()
 
     def buildProtocol(self, addr: Any) -> Connection | None:
-        """Guards the descriptors: where many are open, the one longest at rest is asked to go, checks too.
+        """Accept a connection, and free descriptors when few are left.
 
-        Near the bound one is ended for each that comes, and with half of the spare room left none is accepted
-        for the moment; those that wait have not been taken in. Harm: a caller that rests, or is slow to send
-        its first array, has to connect anew; nothing that came of it goes unread.
+        With many connections open, the longest idle one gets a goaway, even if it only checks health. Near
+        the limit one is closed for each new one. With half of the spare connections left, accepting pauses;
+        waiting clients stay in the backlog. Cost: a client that is idle, or slow to send its first array, has
+        to reconnect; nothing that it sent goes unread.
         """
-        count, spare = len(self.connections), self.most // SPARE
-        if count >= CROWDED * self.most and (resting := self.longest_at_rest(REST_LEAST, False)):
-            resting.go_away()
-        if count >= self.most - spare:
-            self.make_room()
-        if count >= self.most:
+        count, spare = len(self.connections), self.max_connections // CONNECTIONS_PER_SPARE
+        if count >= GOAWAY_FILL_SHARE * self.max_connections and (
+            resting := self.longest_idle(GOAWAY_MIN_IDLE, False)
+        ):
+            resting.send_goaway()
+        if count >= self.max_connections - spare:
+            self.evict_one()
+        if count >= self.max_connections:
             self.report.count("dispatchers", "connections too many")
             return None
-        if count + 1 >= self.full_at():
-            self.accept(False)
+        if count + 1 >= self.accept_limit():
+            self.set_accepting(False)
         return Connection(self)
 
-    def full_at(self) -> int:
-        return max(1, self.most - self.most // SPARE // 2)
+    def accept_limit(self) -> int:
+        """The number of open connections at which accepting pauses."""
+        return max(1, self.max_connections - self.max_connections // CONNECTIONS_PER_SPARE // 2)
 
-    def may_accept(self) -> int:
-        """How many at once: the reactor reads what these say before it takes in more."""
-        return max(1, self.full_at() - len(self.connections))
+    def max_accepts(self) -> int:
+        """The number of connections to accept at once; the reactor reads from them before it accepts more."""
+        return max(1, self.accept_limit() - len(self.connections))
 
-    def accept(self, on: bool) -> None:
-        if on is self.accepts or self.port is None:
+    def set_accepting(self, on: bool) -> None:
+        if on is self.is_accepting or self.port is None:
             return
-        self.accepts = on
+        self.is_accepting = on
         if on:
             self.port.resumeProducing()
         else:
             self.report.count("dispatchers", "times full")
             self.port.pauseProducing()
-            self.deadlines.after(ROOM_AGAIN, self.look_for_room)
+            self.deadlines.after(EVICTION_PERIOD, self.retry_accepting)
 
-    def look_for_room(self) -> None:
-        if not self.accepts and self.port is not None:
-            self.make_room()
-            self.deadlines.after(ROOM_AGAIN, self.look_for_room)
+    def retry_accepting(self) -> None:
+        """Evict connections periodically while accepting is paused."""
+        if not self.is_accepting and self.port is not None:
+            self.evict_one()
+            self.deadlines.after(EVICTION_PERIOD, self.retry_accepting)
 
-    def has_room(self) -> None:
-        if len(self.connections) < self.full_at():
-            self.accept(True)
+    def resume_accepting(self) -> None:
+        """Accept again if enough connections have closed."""
+        if len(self.connections) < self.accept_limit():
+            self.set_accepting(True)
 
-    def make_room(self) -> None:
-        """Ends the oldest that said nothing, or the longest at rest, and is done with those that linger."""
+    def evict_one(self) -> None:
+        """Close the oldest connection without a whole array or the longest idle one; abort lingering ones."""
         now = self.deadlines.now()
         for each in self.connections:
-            if each.ended_at is not None and each.ended_at < now - REST_CUT:
+            if each.write_closed_at is not None and each.write_closed_at < now - EVICTION_MIN_IDLE:
                 each.transport.abortConnection()
-        oldest = next(iter(self.strangers), None)
-        if oldest is None or oldest.last_traffic >= now - REST_CUT:
-            oldest = self.longest_at_rest(REST_CUT, True)
+        oldest = next(iter(self.without_array), None)
+        if oldest is None or oldest.last_traffic >= now - EVICTION_MIN_IDLE:
+            oldest = self.longest_idle(EVICTION_MIN_IDLE, True)
         if oldest is not None:
             self.report.count("dispatchers", "ended for room")
-            self.strangers.pop(oldest, None)
+            self.without_array.pop(oldest, None)
             oldest.closing = True
-            oldest.end()
+            oldest.schedule_close()
 
-    def longest_at_rest(self, span: int, going: bool) -> Connection | None:
-        """`going`: may it be one that was asked to go already."""
+    def longest_idle(self, span: int, goaway_sent: bool) -> Connection | None:
+        """The connection longest without traffic, for more than `span` µs, that has no open request.
+
+        `goaway_sent`: include connections that got a goaway.
+        """
         before = self.deadlines.now() - span
         resting = [
             each
             for each in self.connections
             if each.last_traffic < before
-            and not (each.cases or each.closing or each.over)
-            and (going or not each.going)
+            and not (each.pending_requests or each.closing or each.write_closed)
+            and (goaway_sent or not each.goaway_sent)
         ]
         return min(resting, key=lambda each: each.last_traffic, default=None)
 
-    def close_idle(self, span: int) -> None:
-        self.idle_span = span
+    def set_idle_timeout(self, span: int) -> None:
+        """Set after how many µs without traffic a connection gets a goaway."""
+        self.idle_timeout = span
         for connection in self.connections:
-            if not connection.going:
-                connection.watch_idle()
+            if not connection.goaway_sent:
+                connection.restart_idle_timer()
 
-    def beliefs(self) -> str:
-        going = sum(each.going for each in self.connections)
-        busy = sum(bool(each.cases) for each in self.connections)
+    def describe(self) -> str:
+        """The listener's part of the status line."""
+        goaway_sent = sum(each.goaway_sent for each in self.connections)
+        busy = sum(bool(each.pending_requests) for each in self.connections)
         return (
-            f"{len(self.connections)} callers, {busy} busy, {len(self.strangers)} silent, {going} sent away"
+            f"{len(self.connections)} callers, {busy} busy, "
+            f"{len(self.without_array)} silent, {goaway_sent} sent away"
         )
 
-    def go_away(self) -> None:
+    def send_goaway(self) -> None:
         for connection in self.connections:
-            connection.go_away()
+            connection.send_goaway()
 
-    def stuck(self, connection: Connection) -> None:
-        """Guards the memory: past the bound, who has left answers unread for longest is cut off."""
-        self.unreading[connection] = None
-        if len(self.unreading) > self.unreading_most:
-            next(iter(self.unreading)).abort("memory for others")
+    def on_stalled(self, connection: Connection) -> None:
+        """Abort the longest stalled connection if the unread answers of all could exceed their memory."""
+        self.stalled[connection] = None
+        if len(self.stalled) > self.max_stalled:
+            next(iter(self.stalled)).abort("memory for others")
 
-    def shut(self) -> None:
+    def close(self) -> None:
+        """Half-close all connections, even those with open requests."""
         for connection in self.connections:
-            connection.shut(in_any_case=True)
+            connection.close(in_any_case=True)
 
     def stop_listening(self) -> None:
-        """Guards what waits to be accepted: it is taken in before the listener closes, lot by lot."""
+        """Accept all connections in the backlog, in batches, then close the listening socket."""
         if self.port is not None:
             self.port, port = None, self.port
             before = -1
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -28,18 +28,18 @@
 SECOND = 1_000_000  # µs
 
 
-class Works:
+class LeaseListenerGroup:
     """A `LeaseListener` that hands each job to those that know it."""
 
-    def __init__(self, works: list[LeaseListener]) -> None:
-        self.works = works
+    def __init__(self, tasks: list[LeaseListener]) -> None:
+        self.tasks = tasks
 
     def on_lease_acquired(self, job: str, fencing_token: int) -> None:
-        for each in self.works:
+        for each in self.tasks:
             each.on_lease_acquired(job, fencing_token)
 
     def on_lease_lost(self, job: str, reason: str) -> None:
-        for each in self.works:
+        for each in self.tasks:
             each.on_lease_lost(job, reason)
 
 
@@ -50,85 +50,97 @@
         self,
         reactor: Any,
         name: str,
-        chosen: FleetConfig,
-        host: Any,
+        config: FleetConfig,
+        engine: Any,
         keyed: Any,
-        unix: Callable[[], int],
+        unix_time: Callable[[], int],
         rng: random.Random,
         log: Any,
     ) -> None:
-        """`host`: as net.host.Host; `keyed`: as idempotency.service.IdempotencyService, or None."""
-        self.reactor, self.name, self.chosen, self.rng, self.log = reactor, name, chosen, rng, log
+        """`engine`: as net.engine.Host; `keyed`: as idempotency.service.IdempotencyService, or None."""
+        self.reactor, self.name, self.config, self.rng, self.log = reactor, name, config, rng, log
         self.clients: list[GroupClient] = []
-        self.seat = self.make_seat(host) if chosen.shares is not None else None
-        self.back = self.make_return(host, keyed, unix) if chosen.revive else None
-        self.holder = self.make_holder() if chosen.candidate else None
-
-    def client(self) -> GroupClient:
-        addresses = [parse_address(each) for each in self.chosen.members]
-        made = GroupClient(self.reactor, self.chosen.group, addresses, self.rng, self.name)
+        self.quota_client = self.make_quota_client(engine) if config.shares is not None else None
+        self.recovery_reporter = (
+            self.make_recovery_reporter(engine, keyed, unix_time) if config.revive else None
+        )
+        self.holder = self.make_lease_holder() if config.candidate else None
+
+    def add_client(self) -> GroupClient:
+        addresses = [parse_address(each) for each in self.config.members]
+        made = GroupClient(self.reactor, self.config.group, addresses, self.rng, self.name)
         self.clients.append(made)
         return made
 
     def now(self) -> int:
         return int(self.reactor.seconds() * SECOND)
 
-    def make_seat(self, host: Any) -> QuotaClient:
-        shares, life = self.chosen.shares, self.rng.getrandbits(48)
+    def make_quota_client(self, engine: Any) -> QuotaClient:
+        shares, incarnation = self.config.shares, self.rng.getrandbits(48)
         assert shares is not None
         term = round(shares.term_s * SECOND)
-        grants = QuotaGrant(shares.pool, self.name, life, shares.floor, term, self.now())
-        seat = QuotaClient(self.reactor, self.client(), grants, host.calls_wanted, host.may_call, self.log)
-        host.call_span = seat.max_call_duration
-        return seat
-
-    def make_return(self, host: Any, keyed: Any, unix: Callable[[], int]) -> RecoveryReporter:
-        boot_records = BootRecordStore(self.chosen.group, unix)
-        life = self.rng.getrandbits(48)
-        gate = ReadinessGate(self.name, self.chosen.zone, life, False, 0, ClockCheck.PLAUSIBLE, self.now())
+        grants = QuotaGrant(shares.pool, self.name, incarnation, shares.floor, term, self.now())
+        quota_client = QuotaClient(
+            self.reactor, self.add_client(), grants, engine.call_demand, engine.set_call_quota, self.log
+        )
+        engine.limit_call_duration = quota_client.max_call_duration
+        return quota_client
+
+    def make_recovery_reporter(
+        self, engine: Any, keyed: Any, unix_time: Callable[[], int]
+    ) -> RecoveryReporter:
+        boot_records = BootRecordStore(self.config.group, unix_time)
+        incarnation = self.rng.getrandbits(48)
+        gate = ReadinessGate(
+            self.name, self.config.zone, incarnation, False, 0, ClockCheck.PLAUSIBLE, self.now()
+        )
         gate.has_records = keyed is not None
-        host.set_allowance(0.0, False)  # until there is a word, or a reason to go on without
-        proof = (lambda: keyed.index.is_loaded) if keyed is not None else (lambda: False)
-        back = RecoveryReporter(self.reactor, self.client(), host, gate, boot_records, proof, unix, self.log)
+        engine.set_allowance(0.0, False)  # until there is a word, or a reason to go on without
+        is_index_loaded = (lambda: keyed.index.is_loaded) if keyed is not None else (lambda: False)
+        recovery_reporter = RecoveryReporter(
+            self.reactor, self.add_client(), engine, gate, boot_records, is_index_loaded, unix_time, self.log
+        )
         if keyed is not None:
-            keyed.on_opened += [boot_records.on_store_opened, back.service_times.on_store_opened]
-            keyed.heartbeat_records += [boot_records.to_entry, back.service_times.to_entry]
-        return back
-
-    def make_holder(self) -> LeaseClient:
-        works: list[Any] = []
-        if self.chosen.shares is not None:
-            works.append(AllocatorTask(self.reactor, self.client(), self.chosen.shares.pool, self.log))
-        if self.chosen.revive:
-            works.append(RolloutPlannerTask(self.reactor, self.client(), self.log))
-        zone = self.chosen.zone
-        holder = LeaseClient(self.reactor, self.client(), self.name, zone, Works(works), self.rng, self.log)
-        for each in works:
+            keyed.on_opened += [boot_records.on_store_opened, recovery_reporter.service_times.on_store_opened]
+            keyed.heartbeat_records += [boot_records.to_entry, recovery_reporter.service_times.to_entry]
+        return recovery_reporter
+
+    def make_lease_holder(self) -> LeaseClient:
+        tasks: list[Any] = []
+        if self.config.shares is not None:
+            tasks.append(AllocatorTask(self.reactor, self.add_client(), self.config.shares.pool, self.log))
+        if self.config.revive:
+            tasks.append(RolloutPlannerTask(self.reactor, self.add_client(), self.log))
+        zone = self.config.zone
+        holder = LeaseClient(
+            self.reactor, self.add_client(), self.name, zone, LeaseListenerGroup(tasks), self.rng, self.log
+        )
+        for each in tasks:
             each.lease_client = holder
         # a node whose file names no part of it would own a job and do nothing
-        holder.leases.job_prefixes = [each.job for each in works] or ["none"]
+        holder.leases.job_prefixes = [each.job for each in tasks] or ["none"]
         return holder
 
     def start(self) -> None:
-        for each in (self.seat, self.back, self.holder):
+        for each in (self.quota_client, self.recovery_reporter, self.holder):
             if each is not None:
                 each.start()
 
     def leave(self) -> Deferred[None]:
         """At a drain: its jobs go at once, the seat stays until the end, as calls may be under way."""
-        if self.back is not None:
-            self.back.leave()
+        if self.recovery_reporter is not None:
+            self.recovery_reporter.leave()
         return self.holder.leave() if self.holder is not None else succeed(None)
 
     def stop(self) -> None:
-        for each in (self.seat, self.back):
+        for each in (self.quota_client, self.recovery_reporter):
             if each is not None:
                 each.stop()
-        for client in self.clients:
-            client.close()
+        for add_client in self.clients:
+            add_client.close()
 
-    def beliefs(self) -> str:
-        said = [self.seat.describe()] if self.seat is not None else []
-        said += [self.back.describe()] if self.back is not None else []
+    def describe(self) -> str:
+        parts = [self.quota_client.describe()] if self.quota_client is not None else []
+        parts += [self.recovery_reporter.describe()] if self.recovery_reporter is not None else []
         jobs = ", ".join(sorted(self.holder.leases.held_tokens)) if self.holder is not None else ""
-        return "; ".join(said + ([f"owns {jobs}"] if jobs else [])) or "alone"
+        return "; ".join(parts + ([f"owns {jobs}"] if jobs else [])) or "alone"
--- a/lichencleat/node/framing.py
+++ b/lichencleat/node/framing.py
@@ -7,7 +7,9 @@
 
 Message = TypeVar("Message")
 
-TRIM = 4_096  # bytes that were read before the buffer is cut: seldom enough, and little for each connection
+TRIM_THRESHOLD = (
+    4_096  # bytes that were read before the buffer is cut: seldom enough, and little for each connection
+)
 
 
 class BrokenFramingError(Exception):
@@ -17,39 +19,39 @@
 class Reader(Generic[Message]):
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.at = 0  # what lies before it was read
+        self.position = 0  # what lies before it was read
 
     def feed(self, data: bytes) -> Iterator[Message]:
         self.buffer += data
-        while (message := self.step()) is not None:
+        while (message := self.next_message()) is not None:
             yield message
-        if self.at == len(self.buffer) or self.at > TRIM:
-            del self.buffer[: self.at]
-            self.at = 0
+        if self.position == len(self.buffer) or self.position > TRIM_THRESHOLD:
+            del self.buffer[: self.position]
+            self.position = 0
 
-    def begun(self) -> bool:
+    def has_partial_message(self) -> bool:
         """Is a message under way that is not all there?"""
-        return self.at < len(self.buffer)
+        return self.position < len(self.buffer)
 
-    def step(self) -> Message | None:
+    def next_message(self) -> Message | None:
         """The next message, or None where it is not all there yet."""
         raise NotImplementedError
 
-    def line_end(self, most: int) -> int | None:
+    def find_line_end(self, max_length: int) -> int | None:
         """Where the line ends that begins here, or None where it is not all there yet."""
-        end = self.buffer.find(b"\r\n", self.at, self.at + most)
+        end = self.buffer.find(b"\r\n", self.position, self.position + max_length)
         if end >= 0:
             return end
-        if len(self.buffer) - self.at >= most:
+        if len(self.buffer) - self.position >= max_length:
             raise BrokenFramingError("a line has no end")
         return None
 
-    def counted(self, start: int, length: int) -> bytes | None:
+    def read_counted(self, start: int, length: int) -> bytes | None:
         """So many bytes and the end of line after them, or None where they are not all there yet."""
         stop = start + length
         if len(self.buffer) < stop + 2:
             return None
         if self.buffer[stop : stop + 2] != b"\r\n":
             raise BrokenFramingError("more came than the length says")
-        self.at = stop + 2
+        self.position = stop + 2
         return bytes(self.buffer[start:stop])
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -1,7 +1,8 @@
-"""Drives the admission controller: turns what happened into calls, pulls decisions, carries them out.
+"""Drives the admission controller: reports events to it, pulls its decisions and carries them out.
 
-It knows no wire. What reads requests (`dispatchers.py`, or another protocol beside it) hands each in as a
-`Case` with a way to answer it; the interpreter and the catalogue tell how runs and calls end.
+This module knows no wire protocol. A listener (`dispatchers.py`, or one of another protocol beside it) passes
+each request as a `PendingRequest` with a callback for the answer; the interpreter and the catalogue report
+how runs and calls end.
 """
 
 from __future__ import annotations
@@ -28,23 +29,28 @@
 from lichencleat.node.catalogue import Call, Catalogue
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.interpreter import Interpreter, Run
-from lichencleat.node.receipts import Receipts
+from lichencleat.node.receipts import IdempotencyRecords
 from lichencleat.node.report import Report
 from lichencleat.node.slots import Slots
 
-GAUGES_WAIT = 40_000  # µs for the gauges at a wake-up: well under its period, and far over a usual answer
-STRAIN_CALLS, STRAIN_FAILED = 16, 6.0  # last calls, and strain for all of them failed: few are told early
-AFTER_ERROR = 50_000  # µs to the next round after one that failed
+# µs to wait for the gauges before a timer event: well below the timer's period, far above a usual reply time
+GAUGES_TIMEOUT = 40_000
+# Number of recent calls that count for the load, and the load if all of them failed. Few calls, so that
+# failures are reported early.
+LOAD_CALLS, FAILED_CALLS_LOAD = 16, 6.0
+ROUND_RETRY_DELAY = 50_000  # µs from a round of decisions that raised an error to the next
 
 
 class Answer(Enum):
-    HONOURED = "honoured"
-    DEFERRED = "deferred"
-    GIVEN_UP = "given up"
+    """How a request is answered; the values are names of counters."""
 
+    SERVED = "honoured"
+    REJECTED = "deferred"
+    FAILED = "given up"
 
-class Case:
-    """A request in hand, and what the host needs to carry out what is decided on it."""
+
+class PendingRequest:
+    """A request in flight, with the state that the engine needs to carry out decisions on it."""
 
     __slots__ = (
         "request",
@@ -54,33 +60,37 @@
         "reply",
         "open",
         "run",
-        "unsettled",
+        "awaiting_storage",
         "call",
         "call_body",
-        "spent",
+        "used_links",
     )
 
     def __init__(
         self, request: Request, ident: bytes, body: bytes, key: bytes, reply: Callable[..., None]
     ) -> None:
         self.request, self.ident, self.body, self.key = request, ident, body, key
-        self.reply = reply  # with the Answer, the result, the span to stay away, and whether to try elsewhere
-        self.open = True  # an answer is owed
+        self.reply = (
+            reply  # takes the Answer, the result, the retry delay (µs), and whether to retry nowhere else
+        )
+        self.open = True  # not answered yet, and its caller is still there
         self.run: Run | None = None
-        self.unsettled = False  # its start or its outcome waits for the disk
+        self.awaiting_storage = False  # its start or its outcome waits for a write to disk
         self.call: Call | None = None
         self.call_body = b""
-        self.spent: list[Any] = []  # connections that carried a call of it
+        self.used_links: list[Any] = []  # catalogue connections that carried a call of this request
 
 
-class Door(Protocol):
-    """What reads requests, as far as the host has to know it."""
+class ClientListener(Protocol):
+    """The part of a client-facing listener that the engine uses."""
 
-    def close_idle(self, span: int) -> None: ...
+    def set_idle_timeout(self, span: int) -> None:
+        """Set after how many µs idle connections are asked to close."""
+        ...
 
 
-class Host:
-    """Owns the cases in hand; each is given back in `release` alone."""
+class RequestEngine:
+    """Owns the pending requests and carries out the decisions on them; only `release` removes one."""
 
     def __init__(
         self,
@@ -97,410 +107,453 @@
         self.clock, self.deadlines, self.report = clock, deadlines, report
         self.interpreter, self.catalogue = interpreter, catalogue
         self.request_classes = {each.name.encode(): each for each in machine.request_classes}
-        self.receipts = Receipts(deadlines)
-        self.cases: Slots[Case] = Slots()
-        self.idents: set[bytes] = set()  # of the cases in hand
+        self.records = IdempotencyRecords(deadlines)
+        self.pending_requests: Slots[PendingRequest] = Slots()
+        self.pending_ids: set[bytes] = set()  # ids of the pending requests
         self.node: AdmissionController | None = None
-        self.leaves_at: int | None = None
-        self.notice_at = 0  # when it was told to leave: the grace counts from then
-        self.stirred = False
-        self.shares: list[Case] = []  # whose outcome was there already when they were to share it
-        self.healthy = True
+        self.stop_at: int | None = None
+        self.drain_started_at = 0  # the drain grace counts from here
+        self.decisions_scheduled = False
+        # repeats whose original had ended when they were coalesced; answered after the round of decisions
+        self.finished_repeats: list[PendingRequest] = []
+        self.is_serving = True
         self.free_value: float | None = None
-        self.doors: list[Door] = []  # one for each protocol that callers speak
-        self.calls_granted: int | None = None  # None: nobody deals them out
-        self.call_span: Callable[[int], int] = lambda span: span  # shortened where a grant ends before
-        self.keyed: Any = None  # as idempotency.service.IdempotencyService, where receipts outlive a restart
-        self.able = self.trusted = True  # to record receipted requests; both have to hold
-        self.open_share = 1.0
-        self.carries_out = {
+        self.listeners: list[ClientListener] = []  # one for each client protocol
+        self.call_quota: int | None = None  # None: calls are not limited by a quota
+        # limits a call's duration (µs) to the end of the quota grant
+        self.limit_call_duration: Callable[[int], int] = lambda span: span
+        self.keyed: Any = None  # an idempotency.service.IdempotencyService, if records outlive a restart
+        self.can_record = self.may_record = True  # keyed requests are admitted only if both hold
+        self.admitted_share = 1.0
+        self.handlers = {
             Action.START: self.start_run,
             Action.ABORT: self.stop_run,
-            Action.REJECT: self.defer,
-            Action.FAIL: self.give_up,
+            Action.REJECT: self.reject,
+            Action.FAIL: self.answer_failed,
             Action.CALL: self.place_call,
-            Action.SKIP_CALL: self.give_up,  # this interpreter knows no way to go on without the call
-            Action.ADD_RECORD: self.record,
-            Action.DELETE_RECORD: self.strike,
-            Action.COALESCE: self.share,
-            Action.REPORT_HEALTH: self.tell_health,
-            Action.ADVERTISE_CAPACITY: self.tell_free_value,
-            Action.SET_IDLE_TIMEOUT: self.tell_idle,
-            Action.SET_TIMER: self.ask_wake,
-            Action.LOG: self.note,
+            Action.SKIP_CALL: self.answer_failed,  # this interpreter can't continue a run without the call
+            Action.ADD_RECORD: self.add_record,
+            Action.DELETE_RECORD: self.delete_record,
+            Action.COALESCE: self.coalesce,
+            Action.REPORT_HEALTH: self.set_health,
+            Action.ADVERTISE_CAPACITY: self.set_free_value,
+            Action.SET_IDLE_TIMEOUT: self.set_idle_timeout,
+            Action.SET_TIMER: self.set_timer,
+            Action.LOG: self.log_text,
         }
 
-    # --- what happened ----------------------------------------------------------------------------
+    # --- events ----------------------------------------------------------------------------------
 
-    def begin(self, cold: bool) -> None:
-        """The interpreter is up: from now on there is something to decide on."""
+    def on_interpreter_ready(self, cold: bool) -> None:
+        """Create the admission controller, now that the interpreter is up."""
         self.machine.starts_cold = cold
         self.node = AdmissionController(self.machine, random.Random(self.seed))
-        if self.calls_granted is not None:
-            self.node.set_call_quota(self.clock(), self.calls_granted)
-        self.node.set_recording_available(self.clock(), self.able and self.trusted)
-        self.node.set_admitted_share(self.clock(), self.open_share)
-        if self.leaves_at is not None:
-            self.node.start_draining(self.notice_at, self.leaves_at)
-        self.stir()
-
-    def arrives(self, case: Case) -> None:
+        if self.call_quota is not None:
+            self.node.set_call_quota(self.clock(), self.call_quota)
+        self.node.set_recording_available(self.clock(), self.can_record and self.may_record)
+        self.node.set_admitted_share(self.clock(), self.admitted_share)
+        if self.stop_at is not None:
+            self.node.start_draining(self.drain_started_at, self.stop_at)
+        self.schedule_decisions()
+
+    def on_request_received(self, pending: PendingRequest) -> None:
+        """Admit a new request, or have the idempotency service look up its key first."""
         self.report.count("host", "requests")
         if self.node is None:
-            self.answer(case, Answer.GIVEN_UP)
+            self.answer(pending, Answer.FAILED)
             return
-        case.request.number = self.cases.take(case)
-        self.idents.add(case.ident)
-        if self.keyed is None or not case.key or self.keyed.on_arrival(case):
-            self.submit_request(case)
-
-    def submit_request(self, case: Case) -> None:
-        """What is known of its key was looked up: now it is for the decisions."""
-        request = case.request
-        if case.key and (tries := self.receipts.tries(case.key, request)):
+        pending.request.number = self.pending_requests.acquire(pending)
+        self.pending_ids.add(pending.ident)
+        if self.keyed is None or not pending.key or self.keyed.on_arrival(pending):
+            self.submit_request(pending)
+
+    def submit_request(self, pending: PendingRequest) -> None:
+        """Pass a request, whose key was looked up, to the admission controller."""
+        request = pending.request
+        if pending.key and (tries := self.records.find_all(pending.key, request)):
             *request.other_originals, request.original = tries
             request.original_unknown = False
-        elif case.key and not request.original_unknown:
-            self.receipts.enter(case.key, request)
+        elif pending.key and not request.original_unknown:
+            self.records.add(pending.key, request)
         self.node.on_request(self.clock(), request)
-        self.stir()
+        self.schedule_decisions()
 
-    def fail_request(self, case: Case) -> None:
-        """It is given up before the decisions hear of it."""
-        self.answer(case, Answer.GIVEN_UP)
-        self.release(case)
+    def fail_request(self, pending: PendingRequest) -> None:
+        """Answer that the request failed; the admission controller does not know it yet."""
+        self.answer(pending, Answer.FAILED)
+        self.release(pending)
 
-    def caller_left(self, case: Case) -> None:
-        """The caller is known to be gone: no answer is owed any more."""
-        if case.open:
-            case.open = False
+    def on_caller_gone(self, pending: PendingRequest) -> None:
+        """Drop the request of a caller that cancelled it or closed its connection."""
+        if pending.open:
+            pending.open = False
             self.report.count("host", "abandoned")
-            self.tell_left(case)
-            self.release(case)
-            self.stir()
-
-    def tell_left(self, case: Case) -> None:
-        self.node.on_caller_gone(self.clock(), case.request)
-        self.receipts.unshare(case.request.original, case)
-        self.drop_call(case)
-
-    def run_waits(self, case: Case, body: bytes) -> None:
-        case.call_body = body
-        self.node.on_call_needed(self.clock(), case.request)
-        self.stir()
-
-    def recorded(self, case: Case, outcome: Outcome, took: int, result: bytes) -> None:
-        """Its result survives a cut, or never will: now it may be told."""
-        case.unsettled = False
-        self.run_ended(case, outcome, took, result, True)
-
-    def run_ended(
-        self, case: Case, outcome: Outcome, took: int, result: bytes, recorded: bool = False
+            self.report_caller_gone(pending)
+            self.release(pending)
+            self.schedule_decisions()
+
+    def report_caller_gone(self, pending: PendingRequest) -> None:
+        """Tell the controller and the records that the caller is gone, and cancel the request's call."""
+        self.node.on_caller_gone(self.clock(), pending.request)
+        self.records.remove_waiter(pending.request.original, pending)
+        self.cancel_call(pending)
+
+    def on_call_needed(self, pending: PendingRequest, body: bytes) -> None:
+        """Queue a call to the catalogue, for which the run waits."""
+        pending.call_body = body
+        self.node.on_call_needed(self.clock(), pending.request)
+        self.schedule_decisions()
+
+    def on_outcome_recorded(
+        self, pending: PendingRequest, outcome: Outcome, took: int, result: bytes
+    ) -> None:
+        """Answer with the outcome, which is now on disk or can't be stored."""
+        pending.awaiting_storage = False
+        self.on_run_ended(pending, outcome, took, result, True)
+
+    def on_run_ended(
+        self, pending: PendingRequest, outcome: Outcome, took: int, result: bytes, is_recorded: bool = False
     ) -> None:
-        now, request, run = self.clock(), case.request, case.run
-        case.run = None
-        self.drop_call(case)
-        if self.keyed is not None and case.key and not recorded:
+        """Store the outcome of a run if it must survive a restart, else end the request with it."""
+        now, request, run = self.clock(), pending.request, pending.run
+        pending.run = None
+        self.cancel_call(pending)
+        if self.keyed is not None and pending.key and not is_recorded:
             if outcome in (Outcome.COMPLETED, Outcome.FAILED):
-                case.unsettled = True
+                pending.awaiting_storage = True
                 self.node.on_outcome_pending(now, request, took)
-                self.stir()
+                self.schedule_decisions()
                 self.keyed.intents.on_run_completed(
-                    case, outcome, result, partial(self.tend, case, self.recorded, outcome, took, result)
+                    pending,
+                    outcome,
+                    result,
+                    partial(self.run_guarded, pending, self.on_outcome_recorded, outcome, took, result),
                 )
                 return
             if outcome is not Outcome.UNREACHABLE:
-                self.keyed.intents.on_run_lost(case)
-        if outcome in (Outcome.ABORTED, Outcome.SUPERSEDED) and not (run and run.stopping):
-            self.node.on_caller_gone(now, request)  # it ends by itself only where nobody waits any more
+                self.keyed.intents.on_run_lost(pending)
+        if outcome in (Outcome.ABORTED, Outcome.SUPERSEDED) and not (run and run.is_stopping):
+            self.node.on_caller_gone(
+                now, request
+            )  # a run that nobody stopped is aborted only once its caller is gone
         if outcome is Outcome.UNREACHABLE:
-            request.started = None  # proved: a repeat of it may run
+            request.started = None  # it provably never ran: a repeat of it may run
         self.node.on_run_completed(now, request, outcome, took)
-        well = outcome is Outcome.COMPLETED
-        if well:
-            self.answer(case, Answer.HONOURED, result)
+        succeeded = outcome is Outcome.COMPLETED
+        if succeeded:
+            self.answer(pending, Answer.SERVED, result)
         if request.state is RequestState.ENDED:
-            self.answer(case, Answer.GIVEN_UP)
-            for sharer in self.receipts.ended(request, result if well else None):
-                self.complete_repeat(sharer, result if well else None)
-            self.release(case)
-        self.stir()
-
-    def call_ended(self, case: Case, call: Call, outcome: Outcome, reply: bytes) -> None:
-        if case.call is not call:
+            self.answer(pending, Answer.FAILED)
+            for waiter in self.records.complete(request, result if succeeded else None):
+                self.complete_repeat(waiter, result if succeeded else None)
+            self.release(pending)
+        self.schedule_decisions()
+
+    def on_call_ended(self, pending: PendingRequest, call: Call, outcome: Outcome, reply: bytes) -> None:
+        """Pass a reply to the run, and the call's outcome to the controller."""
+        if pending.call is not call:
             return
-        case.call = None
+        pending.call = None
         now = self.clock()
-        if outcome is Outcome.COMPLETED and case.run is not None:
-            self.interpreter.resolve(case.run, reply)
-        self.node.on_call_completed(now, case.request, outcome, now - case.request.called_at)
-        self.stir()
-
-    def may_call(self, most: int) -> None:
-        self.calls_granted = most
+        if outcome is Outcome.COMPLETED and pending.run is not None:
+            self.interpreter.resolve(pending.run, reply)
+        self.node.on_call_completed(now, pending.request, outcome, now - pending.request.called_at)
+        self.schedule_decisions()
+
+    def set_call_quota(self, max_calls: int) -> None:
+        """Limit the number of concurrent calls."""
+        self.call_quota = max_calls
         if self.node is not None:
-            self.node.set_call_quota(self.clock(), most)
-            self.stir()
-
-    def calls_wanted(self) -> tuple[int, int]:
-        """How many are out, and how many would be if they might."""
-        out = sum(case.call is not None for case in self.cases)
-        waiting = sum(case.request.state is RequestState.AWAITING_CALL for case in self.cases)
+            self.node.set_call_quota(self.clock(), max_calls)
+            self.schedule_decisions()
+
+    def call_demand(self) -> tuple[int, int]:
+        """The number of calls in flight, and that number plus the calls waiting for the quota."""
+        out = sum(pending.call is not None for pending in self.pending_requests)
+        waiting = sum(
+            pending.request.state is RequestState.AWAITING_CALL for pending in self.pending_requests
+        )
         return out, out + waiting
 
-    def must_leave(self, at: int) -> None:
-        if self.leaves_at is None:
-            self.leaves_at, self.notice_at = at, self.clock()
+    def start_draining(self, at: int) -> None:
+        """Start to drain; the process stops at time `at` (µs)."""
+        if self.stop_at is None:
+            self.stop_at, self.drain_started_at = at, self.clock()
             if self.node is not None:
-                self.node.start_draining(self.notice_at, at)
-                self.stir()
+                self.node.start_draining(self.drain_started_at, at)
+                self.schedule_decisions()
 
-    def wake(self) -> None:
-        """Guards against old readings: the decisions wake with those asked for now, or with none."""
-        asked = self.interpreter.gauges()
+    def on_timer(self) -> None:
+        """Read the gauges, then run the timer event with fresh readings or none, never with old ones."""
+        asked = self.interpreter.request_gauges()
         if asked is None:
-            self.woken(None)
+            self.on_gauges(None)
             return
-        limit = self.deadlines.after(GAUGES_WAIT, asked.cancel)
-        asked.addCallback(self.woken, limit)
+        limit = self.deadlines.after(GAUGES_TIMEOUT, asked.cancel)
+        asked.addCallback(self.on_gauges, limit)
 
-    def woken(self, readings: list[float] | None, limit: Any = None) -> None:
+    def on_gauges(self, readings: list[float] | None, limit: Any = None) -> None:
+        """Run the controller's timer event with the readings, or without any."""
         self.deadlines.cancel(limit)
         if readings is None:
             self.report.count("host", "wake-ups without gauges")
         self.node.on_timer(self.clock(), read_gauges(self.gauges, readings) if readings else ResourceUsage())
-        self.stir()
+        self.schedule_decisions()
 
-    def tend(self, case: Case, happened: Callable[..., None], *values: Any) -> None:
-        """Guards the node against an error with one request: that one fails, the others go on."""
+    def run_guarded(self, pending: PendingRequest, happened: Callable[..., None], *values: Any) -> None:
+        """Call `happened`; an error in it fails this request alone."""
         try:
-            happened(case, *values)
+            happened(pending, *values)
         except Exception:
-            self.report.trouble(happened.__name__)
-            self.fail(case)
-
-    def fail(self, case: Case) -> None:
-        self.answer(case, Answer.GIVEN_UP)
-        self.drop_call(case)
-        if case.run is not None:
-            self.interpreter.halt(case.run)
-        elif case.request.number >= 0:
-            self.node.on_run_completed(self.clock(), case.request, Outcome.FAILED, 0)
-            self.release(case)
-        self.stir()
+            self.report.log_exception(happened.__name__)
+            self.abort_request(pending)
+
+    def abort_request(self, pending: PendingRequest) -> None:
+        """Fail a request after an internal error, and stop its run."""
+        self.answer(pending, Answer.FAILED)
+        self.cancel_call(pending)
+        if pending.run is not None:
+            self.interpreter.stop_run(pending.run)
+        elif pending.request.number >= 0:
+            self.node.on_run_completed(self.clock(), pending.request, Outcome.FAILED, 0)
+            self.release(pending)
+        self.schedule_decisions()
 
     # --- decisions --------------------------------------------------------------------------------
 
-    def stir(self) -> None:
-        """Decisions are pulled once for all that the reactor reads in one turn."""
-        if not self.stirred:
-            self.stirred = True
-            self.deadlines.after(0, self.pull)
+    def schedule_decisions(self) -> None:
+        """Run one round of decisions for all that the reactor reads in this turn."""
+        if not self.decisions_scheduled:
+            self.decisions_scheduled = True
+            self.deadlines.after(0, self.run_decisions)
 
-    def pull(self) -> None:
-        self.stirred = False
+    def run_decisions(self) -> None:
+        """Pull and carry out all decisions; then answer the repeats of finished requests."""
+        self.decisions_scheduled = False
         now = self.clock()
         self.report.count("host", "rounds")
         try:
             while (decision := self.node.next_decision(now)) is not None:
-                self.carry_out(decision)
+                self.execute(decision)
         except Exception:
-            self.report.trouble("a round of decisions")
+            self.report.log_exception("a round of decisions")
             self.node.abandon_round()
-            self.deadlines.after(AFTER_ERROR, self.stir)
-        shares, self.shares = self.shares, []
-        for case in shares:
-            receipt = self.receipts.by_request.get(case.request.original)
-            self.complete_repeat(case, receipt.result if receipt else None)
-
-    def carry_out(self, decision: Decision) -> None:
-        """Guards the node against an error with one request: that one is given up, the others go on."""
-        case = None
+            self.deadlines.after(ROUND_RETRY_DELAY, self.schedule_decisions)
+        finished, self.finished_repeats = self.finished_repeats, []
+        for pending in finished:
+            record = self.records.by_request.get(pending.request.original)
+            self.complete_repeat(pending, record.result if record else None)
+
+    def execute(self, decision: Decision) -> None:
+        """Carry out one decision; an error in it fails its request alone."""
+        pending = None
         try:
             if decision.request is not None and decision.action is not Action.DELETE_RECORD:
-                case = self.cases.get(decision.request.number)
-                if case is None or case.request is not decision.request:
+                pending = self.pending_requests.get(decision.request.number)
+                if pending is None or pending.request is not decision.request:
                     self.report.count("host", f"decisions on ended requests: {decision.action.name}")
                     return
-            self.carries_out[decision.action](decision, case)
+            self.handlers[decision.action](decision, pending)
         except Exception:
-            self.report.trouble(f"carrying out {decision.action.name}")
-            if case is not None:
-                self.answer(case, Answer.GIVEN_UP)
-                self.deadlines.after(0, self.fail, case)
-
-    def set_recording_available(self, able: bool) -> None:
-        self.able = able
+            self.report.log_exception(f"carrying out {decision.action.name}")
+            if pending is not None:
+                self.answer(pending, Answer.FAILED)
+                self.deadlines.after(0, self.abort_request, pending)
+
+    def set_recording_available(self, can_record: bool) -> None:
+        """Set whether idempotency records can be stored."""
+        self.can_record = can_record
         if self.node is not None:
-            self.node.set_recording_available(self.clock(), self.able and self.trusted)
-            self.stir()
+            self.node.set_recording_available(self.clock(), self.can_record and self.may_record)
+            self.schedule_decisions()
 
     def set_allowance(self, share: float, receipted: bool) -> None:
-        """As the fleet says, or this node by itself: so much of what comes, and whether what is receipted."""
-        self.open_share, self.trusted = share, receipted
+        """Set which share of the requests is admitted, and whether keyed ones are (`receipted`)."""
+        self.admitted_share, self.may_record = share, receipted
         if self.node is not None:
             self.node.set_admitted_share(self.clock(), share)
-            self.set_recording_available(self.able)
+            self.set_recording_available(self.can_record)
 
     def ready(self) -> bool:
+        """Whether the interpreter is up and linked."""
         return self.node is not None and self.interpreter.link is not None
 
     def load(self) -> float:
-        """0: idle; 0.5: all it can do; above 1: it fails at it. Each of the last calls that failed adds."""
+        """The load: 0 if idle, 0.5 at the running limit, 2 if unhealthy; failed recent calls add to it."""
         node = self.node
         if node is None or not node.is_healthy:
             return 2.0
-        last = [well for _, well in node.calls.times][-STRAIN_CALLS:]
-        failed = last.count(False) / len(last) if len(last) == STRAIN_CALLS else 0.0
+        last = [succeeded for _, succeeded in node.calls.times][-LOAD_CALLS:]
+        failed = last.count(False) / len(last) if len(last) == LOAD_CALLS else 0.0
         return (
             0.5 * min(1.0, len(node.pools.running) / max(1.0, node.concurrency.running_limit))
-            + STRAIN_FAILED * failed
+            + FAILED_CALLS_LOAD * failed
         )
 
     def speed(self) -> float:
-        """Runs a second and core, as the last ones went; 1 where none did."""
+        """Runs per second and core by the recent service times; 1 without any."""
         usual = self.node.service_times.usual() if self.node is not None else 0.0
         return 1_000_000 / usual if usual else 1.0
 
-    def on_start_withdrawn(self, case: Case) -> None:
-        """Its entry could not be made: nothing was begun, and the decisions are asked again."""
-        case.unsettled = False
-        if case.request.state is not RequestState.ENDED:
-            self.receipts.unrecord(case.request)
-            self.node.on_record_failed(self.clock(), case.request)
-        self.release(case)
-        self.stir()
+    def on_start_withdrawn(self, pending: PendingRequest) -> None:
+        """Report that the record was not stored and the run did not start; the controller decides again."""
+        pending.awaiting_storage = False
+        if pending.request.state is not RequestState.ENDED:
+            self.records.clear_expiry(pending.request)
+            self.node.on_record_failed(self.clock(), pending.request)
+        self.release(pending)
+        self.schedule_decisions()
 
-    def on_run_abandoned(self, case: Case) -> None:
-        """Nobody waits for it any more, and it was not begun yet: that it never ran is proved."""
-        case.unsettled = False
-        self.run_ended(case, Outcome.UNREACHABLE, 0, b"")
+    def on_run_abandoned(self, pending: PendingRequest) -> None:
+        """End a request whose run was abandoned before it started, and so provably never ran."""
+        pending.awaiting_storage = False
+        self.on_run_ended(pending, Outcome.UNREACHABLE, 0, b"")
 
     def adopt_run(self, ident: bytes, ended: Callable[[Outcome, int, bytes], None]) -> None:
-        self.interpreter.adopt(ident, ended)
+        """Subscribe to the end of a run that an earlier incarnation of this node started."""
+        self.interpreter.adopt_run(ident, ended)
 
     def end_adoption(self) -> None:
-        self.interpreter.early = None
-
-    def start_run(self, decision: Decision, case: Case) -> None:
-        if self.keyed is not None and case.key:
-            case.unsettled = True
-            self.keyed.intents.start_run(case)
+        """Drop the outcomes that were kept for runs to be adopted."""
+        self.interpreter.early_outcomes = None
+
+    def start_run(self, decision: Decision, pending: PendingRequest) -> None:
+        """Start the run, for a keyed request after its intent is on disk."""
+        if self.keyed is not None and pending.key:
+            pending.awaiting_storage = True
+            self.keyed.intents.start_run(pending)
         else:
-            self.begin_run(case)
-
-    def begin_run(self, case: Case) -> None:
-        case.unsettled = False
-        case.run = Run(
-            case.ident,
-            partial(self.tend, case, self.run_waits),
-            partial(self.tend, case, self.run_ended),
+            self.begin_run(pending)
+
+    def begin_run(self, pending: PendingRequest) -> None:
+        """Start the run at the interpreter."""
+        pending.awaiting_storage = False
+        pending.run = Run(
+            pending.ident,
+            partial(self.run_guarded, pending, self.on_call_needed),
+            partial(self.run_guarded, pending, self.on_run_ended),
         )
-        request_class = case.request.request_class
+        request_class = pending.request.request_class
         self.interpreter.apply(
-            case.run, request_class.name.encode(), case.body, request_class.effect is Effect.IDEMPOTENT
+            pending.run, request_class.name.encode(), pending.body, request_class.effect is Effect.IDEMPOTENT
         )
 
-    def stop_run(self, decision: Decision, case: Case) -> None:
-        if case.run is not None:
-            self.interpreter.halt(case.run)
-
-    def defer(self, decision: Decision, case: Case) -> None:
-        self.drop_call(case)
-        self.answer(case, Answer.DEFERRED, span=decision.duration_us, last=decision.no_retry_elsewhere)
-        for sharer in self.receipts.ended(case.request, None) if self.keyed is not None else ():
-            self.complete_repeat(sharer, None)  # they waited for a run that was not begun after all
-        self.release(case)
-
-    def give_up(self, decision: Decision, case: Case) -> None:
-        self.drop_call(case)
-        self.receipts.unshare(case.request.original, case)
-        self.answer(case, Answer.GIVEN_UP)
-        self.release(case)
-
-    def place_call(self, decision: Decision, case: Case) -> None:
-        span = self.call_span(decision.duration_us)
-        case.call = self.catalogue.fetch(case.ident, span, case.call_body, case.spent)
-        case.spent.append(case.call.link)
-        case.call.ended.addCallback(
-            lambda ended, call: self.tend(case, self.call_ended, call, *ended), case.call
+    def stop_run(self, decision: Decision, pending: PendingRequest) -> None:
+        if pending.run is not None:
+            self.interpreter.stop_run(pending.run)
+
+    def reject(self, decision: Decision, pending: PendingRequest) -> None:
+        """Answer that the request was rejected, with the delay before a retry."""
+        self.cancel_call(pending)
+        self.answer(pending, Answer.REJECTED, span=decision.duration_us, last=decision.no_retry_elsewhere)
+        for waiter in self.records.complete(pending.request, None) if self.keyed is not None else ():
+            self.complete_repeat(waiter, None)  # the run that they waited for never started
+        self.release(pending)
+
+    def answer_failed(self, decision: Decision, pending: PendingRequest) -> None:
+        """Answer that the request failed."""
+        self.cancel_call(pending)
+        self.records.remove_waiter(pending.request.original, pending)
+        self.answer(pending, Answer.FAILED)
+        self.release(pending)
+
+    def place_call(self, decision: Decision, pending: PendingRequest) -> None:
+        """Send the request's call to the catalogue."""
+        span = self.limit_call_duration(decision.duration_us)
+        pending.call = self.catalogue.fetch(pending.ident, span, pending.call_body, pending.used_links)
+        pending.used_links.append(pending.call.link)
+        pending.call.ended.addCallback(
+            lambda ended, call: self.run_guarded(pending, self.on_call_ended, call, *ended), pending.call
         )
 
-    def drop_call(self, case: Case) -> None:
-        call, case.call = case.call, None
+    def cancel_call(self, pending: PendingRequest) -> None:
+        call, pending.call = pending.call, None
         if call is not None:
             call.ended.cancel()
 
-    def record(self, decision: Decision, case: Case) -> None:
-        self.receipts.record(self.clock(), case.key, case.request, decision.duration_us)
-        if self.keyed is not None and case.key:
-            self.keyed.intents.record_intent(case, decision.duration_us)
+    def add_record(self, decision: Decision, pending: PendingRequest) -> None:
+        """Confirm the idempotency record of a request, and queue its intent for the disk."""
+        self.records.set_expiry(self.clock(), pending.key, pending.request, decision.duration_us)
+        if self.keyed is not None and pending.key:
+            self.keyed.intents.record_intent(pending, decision.duration_us)
 
-    def strike(self, decision: Decision, case: Case | None) -> None:
-        self.receipts.strike(decision.request)
+    def delete_record(self, decision: Decision, pending: PendingRequest | None) -> None:
+        """Delete the idempotency record of a request, in memory and on disk."""
+        self.records.delete(decision.request)
         if self.keyed is not None:
             self.keyed.intents.delete_intent(decision.request)
 
-    def share(self, decision: Decision, case: Case) -> None:
-        """An outcome that is there already is answered after this round: inputs wait for its end."""
-        first = case.request.original
+    def coalesce(self, decision: Decision, pending: PendingRequest) -> None:
+        """Make a repeat wait for its original; if that has ended, answer after this round of decisions.
+
+        Events must not reach the controller during a round.
+        """
+        first = pending.request.original
         if first is None and self.keyed is not None:
-            self.keyed.answer_repeat(case)
+            self.keyed.answer_repeat(pending)
             return
-        self.receipts.share(first, case)
+        self.records.add_waiter(first, pending)
         if first is None or first.state is RequestState.ENDED:
-            self.shares.append(case)
+            self.finished_repeats.append(pending)
 
-    def complete_repeat(self, case: Case, result: bytes | None) -> None:
+    def complete_repeat(self, pending: PendingRequest, result: bytes | None) -> None:
+        """Answer a repeat with the result of its original; None means that it failed."""
         outcome = Outcome.FAILED if result is None else Outcome.COMPLETED
-        self.node.on_run_completed(self.clock(), case.request, outcome, 0)
-        self.answer(case, Answer.GIVEN_UP if result is None else Answer.HONOURED, result or b"")
-        self.release(case)
-        self.stir()
-
-    def tell_health(self, decision: Decision, case: Case | None) -> None:
-        self.healthy = decision.is_healthy
+        self.node.on_run_completed(self.clock(), pending.request, outcome, 0)
+        self.answer(pending, Answer.FAILED if result is None else Answer.SERVED, result or b"")
+        self.release(pending)
+        self.schedule_decisions()
+
+    def set_health(self, decision: Decision, pending: PendingRequest | None) -> None:
+        """Set the answer to health checks."""
+        self.is_serving = decision.is_healthy
         self.report.note("health " + ("on" if decision.is_healthy else "off"))
 
-    def tell_free_value(self, decision: Decision, case: Case | None) -> None:
+    def set_free_value(self, decision: Decision, pending: PendingRequest | None) -> None:
+        """Set the advertised capacity, which each answer carries."""
         self.free_value = decision.capacity
 
-    def tell_idle(self, decision: Decision, case: Case | None) -> None:
-        for door in self.doors:
-            door.close_idle(decision.duration_us)
+    def set_idle_timeout(self, decision: Decision, pending: PendingRequest | None) -> None:
+        for listener in self.listeners:
+            listener.set_idle_timeout(decision.duration_us)
 
-    def ask_wake(self, decision: Decision, case: Case | None) -> None:
-        self.deadlines.after(decision.duration_us, self.wake)
+    def set_timer(self, decision: Decision, pending: PendingRequest | None) -> None:
+        self.deadlines.after(decision.duration_us, self.on_timer)
 
-    def note(self, decision: Decision, case: Case | None) -> None:
+    def log_text(self, decision: Decision, pending: PendingRequest | None) -> None:
         self.report.note(decision.text)
 
     # --- answers ----------------------------------------------------------------------------------
 
     def answer(
-        self, case: Case, answer: Answer, result: bytes = b"", span: int = 0, last: bool = False
+        self, pending: PendingRequest, answer: Answer, result: bytes = b"", span: int = 0, last: bool = False
     ) -> None:
-        """The one place where an answer goes out: guards against a second one."""
-        if case.open:
-            case.open = False
+        """Answer the request unless it was answered before; no other code sends an answer."""
+        if pending.open:
+            pending.open = False
             self.report.count("host", answer.value)
-            case.reply(answer, result, span, last)
+            pending.reply(answer, result, span, last)
 
-    def release(self, case: Case) -> None:
-        """Gives the case back once it is neither owed an answer nor run."""
-        if case.open or case.run is not None or case.unsettled or case.request.number < 0:
+    def release(self, pending: PendingRequest) -> None:
+        """Remove the request once it is answered, not running, and no write of it is pending."""
+        if pending.open or pending.run is not None or pending.awaiting_storage or pending.request.number < 0:
             return
-        self.receipts.over(case.request)
-        self.idents.discard(case.ident)
-        self.cases.give_back(case.request.number)
-        case.request.number = -1
-
-    def beliefs(self) -> str:
-        states = Counter(each.request.state.value for each in self.cases)
+        self.records.discard_unconfirmed(pending.request)
+        self.pending_ids.discard(pending.ident)
+        self.pending_requests.release(pending.request.number)
+        pending.request.number = -1
+
+    def describe(self) -> str:
+        """The engine's part of the status line."""
+        states = Counter(each.request.state.value for each in self.pending_requests)
         held = ", ".join(f"{count} {name}" for name, count in sorted(states.items()))
         value = "none" if self.free_value is None else f"{self.free_value:.2f}"
-        health = "on" if self.healthy else "off"
-        return f"in hand: {held or 'nothing'}, {self.owed()} owed; health {health}, free value {value}"
+        health = "on" if self.is_serving else "off"
+        return (
+            f"in hand: {held or 'nothing'}, {self.unanswered_count()} owed; "
+            f"health {health}, free value {value}"
+        )
 
-    def owed(self) -> int:
-        return sum(case.open for case in self.cases)
+    def unanswered_count(self) -> int:
+        """The number of pending requests without an answer."""
+        return sum(pending.open for pending in self.pending_requests)
--- a/lichencleat/node/lines.py
+++ b/lichencleat/node/lines.py
@@ -6,9 +6,9 @@
 
 from lichencleat.node.framing import BrokenFramingError, Reader
 
-LINE_MOST = 1_024  # bytes: the longest line has a few words and a remark
-LENGTH_MOST = 9  # digits of a length
-BODY_MOST = 65_536  # bytes: far over any body or result, and small against the memory times connections
+MAX_LINE = 1_024  # bytes: the longest line has a few words and a remark
+MAX_LENGTH_DIGITS = 9  # digits of a length
+MAX_BODY = 65_536  # bytes: far over any body or result, and small against the memory times connections
 
 
 class LineReader(Reader[tuple[list[bytes], bytes]]):
@@ -19,22 +19,22 @@
         self.has_body = has_body
         self.words: list[bytes] | None = None  # of the line that waits for its body
 
-    def begun(self) -> bool:
-        return self.words is not None or super().begun()
+    def has_partial_message(self) -> bool:
+        return self.words is not None or super().has_partial_message()
 
-    def step(self) -> tuple[list[bytes], bytes] | None:
+    def next_message(self) -> tuple[list[bytes], bytes] | None:
         if self.words is None:
-            end = self.line_end(LINE_MOST)
+            end = self.find_line_end(MAX_LINE)
             if end is None:
                 return None
-            words = bytes(self.buffer[self.at : end]).split()
-            self.at = end + 2
+            words = bytes(self.buffer[self.position : end]).split()
+            self.position = end + 2
             if not self.has_body(words):
                 return words, b""
-            if not words[-1].isdigit() or len(words[-1]) > LENGTH_MOST or int(words[-1]) > BODY_MOST:
+            if not words[-1].isdigit() or len(words[-1]) > MAX_LENGTH_DIGITS or int(words[-1]) > MAX_BODY:
                 raise BrokenFramingError(f"a length reads {words[-1]!r}")
             self.words = words
-        body = self.counted(self.at, int(self.words[-1]))
+        body = self.read_counted(self.position, int(self.words[-1]))
         if body is None:
             return None
         words, self.words = self.words, None
--- a/lichencleat/node/membership.py
+++ b/lichencleat/node/membership.py
@@ -9,7 +9,9 @@
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.report import Report
 
-BEAT = 200_000  # µs between reports: with one in four lost, 14 in a row (3 s) are, once in 200 million
+REPORT_PERIOD = (
+    200_000  # µs between reports: with one in four lost, 14 in a row (3 s) are, once in 200 million
+)
 
 
 class Membership(DatagramProtocol):
@@ -18,7 +20,7 @@
     def __init__(self, name: str, service: tuple[str, int], deadlines: Deadlines, report: Report) -> None:
         self.name, self.service = name, service
         self.deadlines, self.report = deadlines, report
-        self.next: Deadline | None = None
+        self.next_report: Deadline | None = None
         self.port: Any = None
         self.sent_at = deadlines.now()
 
@@ -26,33 +28,33 @@
         self.port = reactor.listenUDP(0, self, interface=interface)
 
     def startProtocol(self) -> None:
-        self.beat()
+        self.send_periodically()
 
-    def beat(self) -> None:
-        self.next = self.deadlines.after(BEAT, self.beat)
+    def send_periodically(self) -> None:
+        self.next_report = self.deadlines.after(REPORT_PERIOD, self.send_periodically)
         self.send("UP")
 
-    def move(self, service: tuple[str, int]) -> bool:
+    def set_address(self, service: tuple[str, int]) -> bool:
         """The service has a new address: it hears of the node at once, unless that is leaving."""
         if service == self.service:
             return False
         self.service = service
-        if self.next is not None and self.next.call is not None:
-            self.deadlines.cancel(self.next)
-            self.beat()
+        if self.next_report is not None and self.next_report.call is not None:
+            self.deadlines.cancel(self.next_report)
+            self.send_periodically()
         return True
 
     def leave(self) -> None:
         """Says so once and is silent from then on: a report of any kind would keep the node listed."""
-        self.deadlines.cancel(self.next)
+        self.deadlines.cancel(self.next_report)
         if self.port is not None:
             self.send("OUT")
 
-    def beliefs(self) -> str:
+    def describe(self) -> str:
         return f"reported {(self.deadlines.now() - self.sent_at) // 1000} ms ago"
 
     def stop(self) -> None:
-        self.deadlines.cancel(self.next)
+        self.deadlines.cancel(self.next_report)
         if self.port is not None:
             self.port, port = None, self.port
             port.stopListening()
@@ -63,4 +65,4 @@
             self.sent_at = self.deadlines.now()
             self.report.count("membership", f"sent {state}")
         except OSError:
-            self.report.trouble("membership")
+            self.report.log_exception("membership")
--- a/lichencleat/node/program.py
+++ b/lichencleat/node/program.py
@@ -14,16 +14,18 @@
 
 from lichencleat.admission.node_spec import InvalidInputError
 from lichencleat.node.assembly import RealNode, UnixClock
-from lichencleat.node.config import read_told
+from lichencleat.node.config import read_start_settings
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.report import Report
 from lichencleat.reactor import make_reactor
 
 EXTRAS = {"crc32c": "store", "sortedcontainers": "store", "structlog": "fleet", "xxhash": "fleet"}
-TIDY = 10_000_000  # µs between full collections: they take 2 ms, and closed connections are cycles
+COLLECTION_PERIOD = (
+    10_000_000  # µs between full collections: they take 2 ms, and closed connections are cycles
+)
 
 
-def observe(report: Report) -> None:
+def log_reactor_errors(report: Report) -> None:
     """Guards against errors that reach Twisted: they are counted and told like all others."""
 
     def log(event: dict[str, Any]) -> None:
@@ -37,23 +39,26 @@
     globalLogBeginner.beginLoggingTo([log], redirectStandardIO=False, discardBuffer=True)
 
 
-def tidy(deadlines: Deadlines) -> None:
+def collect_periodically(deadlines: Deadlines) -> None:
     """Guards the memory against cycles that wait for the collector's own moment, some MB on a long day."""
     gc.collect()
-    deadlines.after(TIDY, tidy, deadlines)
+    deadlines.after(COLLECTION_PERIOD, collect_periodically, deadlines)
 
 
 def reload(node: RealNode) -> None:
     """Guards against a file that is missing, half written or wrong: the one before stays in force."""
     try:
-        told, chosen = read_told(os.environ), read_chosen(os.environ)  # both, before anything is taken over
-        node.reload(told, chosen)
-    except InvalidInputError as bad:
+        settings, operator_config = (
+            read_start_settings(os.environ),
+            read_operator_config(os.environ),
+        )  # both, before anything is taken over
+        node.reload(settings, operator_config)
+    except InvalidInputError as error:
         node.report.count("node", "configurations refused")
-        node.report.note(f"{bad}; the one before stays in force")
+        node.report.note(f"{error}; the one before stays in force")
 
 
-def read_chosen(environment: Mapping[str, str]) -> Any:
+def read_operator_config(environment: Mapping[str, str]) -> Any:
     """The operators' own file, where the node is told of one. Off means not imported: memory counts."""
     path = environment.get("LICHENCLEAT_FILE")
     if not path:
@@ -67,38 +72,38 @@
         ) from missing
     try:
         return read_node_config(path)
-    except InvalidConfigError as wrong:
-        raise InvalidInputError(f"LICHENCLEAT_FILE: {wrong}") from wrong
+    except InvalidConfigError as error:
+        raise InvalidInputError(f"LICHENCLEAT_FILE: {error}") from error
 
 
 def main() -> int:
     reactor = make_reactor()
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: reload(node)))
     try:
-        told = read_told(os.environ)
-        node = RealNode(reactor, UnixClock(), told, read_chosen(os.environ))
-        observe(node.report)
+        settings = read_start_settings(os.environ)
+        node = RealNode(reactor, UnixClock(), settings, read_operator_config(os.environ))
+        log_reactor_errors(node.report)
         node.ended.addCallback(lambda _: reactor.callLater(0, reactor.stop))
-        for told_to_leave in (signal.SIGTERM, signal.SIGINT):
-            signal.signal(told_to_leave, lambda *_: reactor.callFromThread(node.leave))
+        for stop_signal in (signal.SIGTERM, signal.SIGINT):
+            signal.signal(stop_signal, lambda *_: reactor.callFromThread(node.leave))
         signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(node.report.summary))
         node.start()
-    except InvalidInputError as bad:
-        print(f"lichencleat: {bad}", file=sys.stderr)
+    except InvalidInputError as error:
+        print(f"lichencleat: {error}", file=sys.stderr)
         return 2
     except ModuleNotFoundError as missing:  # of a part that the operators' file switches on
         if missing.name not in EXTRAS:
             raise
-        wanted = EXTRAS[missing.name]
+        extra = EXTRAS[missing.name]
         print(
-            f"lichencleat: LICHENCLEAT_FILE: needs {missing.name}: pip install 'lichencleat[{wanted}]'",
+            f"lichencleat: LICHENCLEAT_FILE: needs {missing.name}: pip install 'lichencleat[{extra}]'",
             file=sys.stderr,
         )
         return 2
-    except CannotListenError as bad:
-        print(f"lichencleat: BALANCER_CONFIG: 'listen': {bad}", file=sys.stderr)
+    except CannotListenError as error:
+        print(f"lichencleat: BALANCER_CONFIG: 'listen': {error}", file=sys.stderr)
         return 2
-    tidy(node.deadlines)
+    collect_periodically(node.deadlines)
     gc.freeze()  # what stands by now stays: a full collection looks through what came since, not through all
     reactor.run(installSignalHandlers=False)
     return node.code
--- a/lichencleat/node/report.py
+++ b/lichencleat/node/report.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-LINES_MOST = 20  # log lines a second: enough to see each kind of trouble, too few to cost a core
+MAX_LINES = 20  # log lines a second: enough to see each kind of trouble, too few to cost a core
 SECOND = 1_000_000  # µs
 
 
@@ -16,8 +16,8 @@
     def __init__(self, name: str, clock: Callable[[], int]) -> None:
         self.name, self.clock = name, clock
         self.counts: Counter[str] = Counter()
-        self.printed: deque[int] = deque(maxlen=LINES_MOST)
-        self.left_out = 0
+        self.recent_times: deque[int] = deque(maxlen=MAX_LINES)
+        self.suppressed = 0
 
     def count(self, peer: str, what: str, amount: int = 1) -> None:
         self.counts[f"{peer} {what}"] += amount
@@ -25,21 +25,21 @@
     def note(self, text: str) -> None:
         """One line, unless the last second has had its lines: then it is only counted."""
         now = self.clock()
-        if len(self.printed) == LINES_MOST and now - self.printed[0] < SECOND:
-            self.left_out += 1
+        if len(self.recent_times) == MAX_LINES and now - self.recent_times[0] < SECOND:
+            self.suppressed += 1
             return
-        self.printed.append(now)
-        more = f" (+{self.left_out} lines left out)" if self.left_out else ""
-        self.left_out = 0
+        self.recent_times.append(now)
+        more = f" (+{self.suppressed} lines left out)" if self.suppressed else ""
+        self.suppressed = 0
         self.write(f"{self.name} {now / SECOND:.3f} {text}{more}")
 
-    def trouble(self, where: str) -> None:
+    def log_exception(self, where: str) -> None:
         """An exception that was caught: counted, and told with the place that raised it."""
         self.count("node", "errors")
-        self.note(f"error in {where}: {self.trace()}")
+        self.note(f"error in {where}: {self.format_trace()}")
 
     @staticmethod
-    def trace() -> str:
+    def format_trace() -> str:
         return " | ".join(traceback.format_exc(limit=-3).split("\n"))
 
     def events(self) -> Events:
@@ -64,7 +64,7 @@
         self.report = report
 
     def info(self, event: str, **fields: Any) -> None:
-        said = ", ".join(f"{name} {value}" for name, value in fields.items() if value != "")
-        self.report.note(f"{event}: {said}" if said else event)
+        details = ", ".join(f"{name} {value}" for name, value in fields.items() if value != "")
+        self.report.note(f"{event}: {details}" if details else event)
 
     warning = info
--- a/lichencleat/node/requests.py
+++ b/lichencleat/node/requests.py
@@ -7,15 +7,15 @@
 from hashlib import blake2b
 
 from lichencleat.admission.types import Effect, Request
-from lichencleat.node.host import Case, Host
+from lichencleat.node.host import PendingRequest, RequestEngine
 
-BODY_MOST = 2_048  # bytes, by the protocol
-AHEAD_MOST = 1_000_000  # µs that an arrival may lie ahead of our clock, which is the same machine's
-BEHIND_MOST = 10_000_000  # µs past its hard limit that one may be read, by a machine that paused
-HINT_MOST = 60_000.0  # ms of work that a caller may expect: ten times the longest wait for an answer
-SIZE_MOST = 2_000.0  # KB booked for a request, by the protocol
-KEY_MARK = 16  # bytes: no two marks meet by chance, nor by a hostile caller's choice
-FORMS = {  # of the fields, by the protocol: nothing that merely converts
+MAX_BODY = 2_048  # bytes, by the protocol
+MAX_ARRIVAL_AHEAD = 1_000_000  # µs that an arrival may lie ahead of our clock, which is the same machine's
+MAX_ARRIVAL_BEHIND = 10_000_000  # µs past its hard limit that one may be read, by a machine that paused
+MAX_COST_HINT = 60_000.0  # ms of work that a caller may expect: ten times the longest wait for an answer
+MAX_SIZE = 2_000.0  # KB booked for a request, by the protocol
+KEY_DIGEST_SIZE = 16  # bytes: no two marks meet by chance, nor by a hostile caller's choice
+FIELD_PATTERNS = {  # of the fields, by the protocol: nothing that merely converts
     b"i": re.compile(rb"[0-9a-fA-F]{16}"),
     b"s": re.compile(rb"[0-9]{1,15}"),
     b"f": re.compile(rb"[0-9]{1,9}"),
@@ -31,22 +31,22 @@
     """An array that is none; its text says what is wrong."""
 
 
-def fields(text: bytes) -> dict[bytes, bytes]:
+def parse_fields(text: bytes) -> dict[bytes, bytes]:
     """Guards the decisions against figures that none means: each field once, in its form."""
     pairs = [each.split(b"=", 1) for each in text.split(b",")]
-    said = dict(pairs)
-    if len(said) < len(pairs):
+    values = dict(pairs)
+    if len(values) < len(pairs):
         raise ValueError("a field comes twice")
-    for name, value in said.items():
-        form = FORMS.get(name)
-        if form is not None and not form.fullmatch(value):
+    for name, value in values.items():
+        pattern = FIELD_PATTERNS.get(name)
+        if pattern is not None and not pattern.fullmatch(value):
             raise ValueError(f"{name!r} reads {value[:40]!r}")
-    return said
+    return values
 
 
 def read_request(
-    words: list[bytes], host: Host, tenants: Container[bytes], reply: Callable[..., None]
-) -> tuple[Case, bytes]:
+    words: list[bytes], engine: RequestEngine, tenants: Container[bytes], reply: Callable[..., None]
+) -> tuple[PendingRequest, bytes]:
     """The request in hand, and its tenant. Raises BadRequestError with what is wrong.
 
     `tenants`: those that there are; false at a site without them.
@@ -54,43 +54,47 @@
     if not 4 <= len(words) <= 5:
         raise BadRequestError(f"{len(words)} words")
     body = words[4] if len(words) == 5 else b""
-    request_class = host.request_classes.get(words[2])
-    if request_class is None or len(body) > BODY_MOST:
+    request_class = engine.request_classes.get(words[2])
+    if request_class is None or len(body) > MAX_BODY:
         raise BadRequestError(f"tariff {words[2][:40]!r}, body of {len(body)} bytes")
-    now = host.clock()
+    now = engine.clock()
     try:
-        said = fields(words[3])
-        ident, came, tenant = said[b"i"], int(said[b"s"]) * 1000, said.get(b"t", b"")
-        arrived, size_kb, cost_ms = min(came, now), float(said[b"m"]), float(said.get(b"h", 0))
+        values = parse_fields(words[3])
+        ident, stated_arrival, tenant = values[b"i"], int(values[b"s"]) * 1000, values.get(b"t", b"")
+        arrived, size_kb, cost_ms = min(stated_arrival, now), float(values[b"m"]), float(values.get(b"h", 0))
         if tenants and tenant not in tenants:
             raise ValueError("no such tenant")
-        if not now - BEHIND_MOST - request_class.deadline <= came <= now + AHEAD_MOST:
+        if not now - MAX_ARRIVAL_BEHIND - request_class.deadline <= stated_arrival <= now + MAX_ARRIVAL_AHEAD:
             raise ValueError("not of this time")
-        if not 0 < size_kb < SIZE_MOST or cost_ms > HINT_MOST or ident in host.idents:
+        if not 0 < size_kb < MAX_SIZE or cost_ms > MAX_COST_HINT or ident in engine.pending_ids:
             raise ValueError("a figure out of range, or an id in hand")
         request = Request(
             request_class=request_class,
             arrived=arrived,
             due=max(arrived + request_class.deadline, now),
-            rank=float(said[b"p"]),
-            caller=int(said[b"f"]),
+            rank=float(values[b"p"]),
+            caller=int(values[b"f"]),
             tenant=tenant.decode(errors="replace"),
-            is_retry=b"r" in said,
+            is_retry=b"r" in values,
             cost=int(cost_ms * 1000),
             size_kb=size_kb,
         )
-        key = said[b"k"] + mark(tenant, words[2], body) if request_class.effect is Effect.KEYED else b""
+        key = (
+            values[b"k"] + digest_parts(tenant, words[2], body)
+            if request_class.effect is Effect.KEYED
+            else b""
+        )
     except (KeyError, ValueError) as wrong:
         raise BadRequestError(f"fields {words[3][:120]!r}: {wrong!r}") from wrong
-    return Case(request, ident, body, key, reply), tenant
+    return PendingRequest(request, ident, body, key, reply), tenant
 
 
-def mark(*parts: bytes) -> bytes:
+def digest_parts(*parts: bytes) -> bytes:
     """Guards against the key of another: tries of one request share its tenant, class and body as well.
 
     Each part goes in with its length, so that no two lots of parts read alike.
     """
-    digest = blake2b(digest_size=KEY_MARK)
+    digest = blake2b(digest_size=KEY_DIGEST_SIZE)
     for part in parts:
         digest.update(b"%d:" % len(part) + part)
     return digest.digest()
--- a/lichencleat/node/slots.py
+++ b/lichencleat/node/slots.py
@@ -5,34 +5,34 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-Thing = TypeVar("Thing")
+Item = TypeVar("Thing")
 
 
-class Slots(Generic[Thing]):
+class Slots(Generic[Item]):
     def __init__(self) -> None:
-        self.things: list[Thing | None] = []
+        self.items: list[Item | None] = []
         self.free: list[int] = []
 
-    def take(self, thing: Thing) -> int:
+    def acquire(self, item: Item) -> int:
         if self.free:
             number = self.free.pop()
-            self.things[number] = thing
+            self.items[number] = item
             return number
-        self.things.append(thing)
-        return len(self.things) - 1
+        self.items.append(item)
+        return len(self.items) - 1
 
-    def give_back(self, number: int) -> None:
+    def release(self, number: int) -> None:
         """Guards against two owners: a number that is not in use can't be given back."""
         if self.get(number) is None:
             raise KeyError(number)
-        self.things[number] = None
+        self.items[number] = None
         self.free.append(number)
 
-    def get(self, number: int) -> Thing | None:
-        return self.things[number] if 0 <= number < len(self.things) else None
+    def get(self, number: int) -> Item | None:
+        return self.items[number] if 0 <= number < len(self.items) else None
 
     def __len__(self) -> int:
-        return len(self.things) - len(self.free)
+        return len(self.items) - len(self.free)
 
-    def __iter__(self) -> Iterator[Thing]:
-        return iter([thing for thing in self.things if thing is not None])
+    def __iter__(self) -> Iterator[Item]:
+        return iter([item for item in self.items if item is not None])
--- a/lichencleat/node/structured.py
+++ b/lichencleat/node/structured.py
@@ -23,9 +23,9 @@
             event, detail = "note", text
         self.log.info(event, **({"detail": detail} if detail else {}))
 
-    def trouble(self, where: str) -> None:
+    def log_exception(self, where: str) -> None:
         self.count("node", "errors")
-        self.log.warning("error", where=where, trace=self.trace())
+        self.log.warning("error", where=where, format_trace=self.format_trace())
 
     def events(self) -> Any:
         return self.log
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -51,7 +51,7 @@
         return self.table.find(TENANT, name) is not None
 
 
-class Said:
+class PrefixedLog:
     """The node's events, with what they are of."""
 
     def __init__(self, events: Any) -> None:
@@ -64,112 +64,112 @@
         self.events.warning(f"distribution: {event}", **fields)
 
 
-class Distributed:
+class DistributedConfig:
     """Owns the links to relays and what is kept on the disk; given back in `stop`."""
 
     def __init__(
         self,
         reactor: Any,
         name: str,
-        chosen: Any,
+        config: Any,
         settings: frozenset[bytes],
-        unix: Callable[[], int],
+        unix_time: Callable[[], int],
         rng: random.Random,
         report: Any,
     ) -> None:
         """`chosen`: as config.schema.DistributionConfig; `settings`: the tenants that the settings name;
         `unix`: µs; `report`: as net.report.Report.
         """
-        self.reactor, self.name, self.chosen, self.unix, self.rng = reactor, name, chosen, unix, rng
-        self.report, self.log = report, Said(report.events())
+        self.reactor, self.name, self.config, self.unix_time, self.rng = reactor, name, config, unix_time, rng
+        self.report, self.log = report, PrefixedLog(report.events())
         self.tenants = Tenants(settings)
-        self.kept: Kept | None = None
+        self.store: Kept | None = None
         self.mark = b""
         self.subscriber: Subscriber | None = None
-        self.stopped = False
+        self.is_stopped = False
 
     @inlineCallbacks
     def start(self) -> Any:
         """What is on the disk is in force once it is checked; where none is whole, nothing is."""
         table = Table()
-        if self.chosen.directory is not None:
+        if self.config.directory is not None:
             from lichencleat.config_distribution.kept import (
                 open_kept,  # off means not imported: memory counts
             )
 
             try:
-                self.kept = yield open_kept(
+                self.store = yield open_kept(
                     self.reactor,
-                    self.chosen.directory,
-                    self.unix,
+                    self.config.directory,
+                    self.unix_time,
                     self.rng,
-                    group=self.chosen.group,
-                    tell=self.disk_says,
+                    group=self.config.group,
+                    tell=self.log_store_error,
                 )
-                table, self.mark, _ = yield self.kept.load()
-            except (StoreError, OSError) as wrong:  # it goes on without: what it lacks comes from a relay
-                self.disk_says(f"{wrong}; goes on without it")
-                kept, self.kept = self.kept, None
-                if kept is not None:
-                    kept.close()
-        if not self.stopped:
-            self.follow(table)
-        elif self.kept is not None:
-            self.kept.close()
-
-    def disk_says(self, what: str) -> None:
+                table, self.mark, _ = yield self.store.load()
+            except (StoreError, OSError) as error:  # it goes on without: what it lacks comes from a relay
+                self.log_store_error(f"{error}; goes on without it")
+                store, self.store = self.store, None
+                if store is not None:
+                    store.close()
+        if not self.is_stopped:
+            self.start_subscriber(table)
+        elif self.store is not None:
+            self.store.close()
+
+    def log_store_error(self, name_: str) -> None:
         self.report.count("distribution", "words of the disk")
-        self.log.warning("disk", says=what)
+        self.log.warning("disk", says=name_)
 
-    def follow(self, table: Table) -> None:
+    def start_subscriber(self, table: Table) -> None:
         copy = TableCopy(table, self.mark)
-        if self.chosen.tenants:
+        if self.config.tenants:
             self.tenants.table = table
         now = int(self.reactor.seconds() * SECOND)
-        tiers = tuple(map(tuple, self.chosen.sources))
-        follower = Follower(tiers, copy, self.rng, now, True, self.chosen.zone)
+        tiers = tuple(map(tuple, self.config.sources))
+        follower = Follower(tiers, copy, self.rng, now, True, self.config.zone)
         self.subscriber = Subscriber(
             self.reactor,
-            self.chosen.group,
+            self.config.group,
             self.name,
             follower,
             copy,
             self.rng,
             self.log,
-            on_taken=self.taken,
-            on_told=self.told,
+            on_taken=self.on_batches_taken,
+            on_told=self.on_version_known,
         )
         self.subscriber.start()
 
-    def taken(self, batches: tuple[Batch, ...]) -> None:
-        if self.kept is None or self.subscriber is None:
+    def on_batches_taken(self, batches: tuple[Batch, ...]) -> None:
+        if self.store is None or self.subscriber is None:
             return
         table = self.subscriber.copy.table
         if batches:
-            self.kept.wrote(table, batches)
+            self.store.wrote(table, batches)
         else:
-            self.kept.replaced(table)
+            self.store.replaced(table)
 
-    def told(self) -> None:
+    def on_version_known(self) -> None:
         """The group's mark is known with the first version."""
         if self.subscriber is not None and self.subscriber.copy.mark != self.mark:
             self.mark = self.subscriber.copy.mark
-            if self.kept is not None:
-                self.kept.mark(self.mark)
+            if self.store is not None:
+                self.store.mark(self.mark)
 
     def stop(self) -> Deferred[None]:
         """Fires once the disk has what it was given."""
-        self.stopped = True
-        self.tell_counts()
+        self.is_stopped = True
+        self.update_counters()
         if self.subscriber is not None:
             self.subscriber.stop()
-        return self.kept.close() if self.kept is not None else succeed(None)
+        return self.store.close() if self.store is not None else succeed(None)
 
-    def tell_counts(self) -> None:
+    def update_counters(self) -> None:
         if self.subscriber is not None:
-            for what, number in self.subscriber.counters().items():
-                self.report.counts[f"distribution {what}"] = number
+            for name_, number in self.subscriber.counters().items():
+                self.report.counts[f"distribution {name_}"] = number
 
-    def beliefs(self) -> str:
-        self.tell_counts()
+    def describe(self) -> str:
+        self.update_counters()
         return self.subscriber.beliefs() if self.subscriber is not None else "reads its disk"
--- a/lichencleat/router/door.py
+++ b/lichencleat/router/door.py
@@ -12,8 +12,8 @@
 
 from lichencleat.admission.types import NodeSpec
 from lichencleat.node.deadlines import Deadline, Deadlines
-from lichencleat.node.dispatchers import OPEN_MOST, Connection, Dispatchers
-from lichencleat.node.host import Answer, Case
+from lichencleat.node.dispatchers import MAX_OPEN_REQUESTS, Connection, DispatcherListener
+from lichencleat.node.host import Answer, PendingRequest
 from lichencleat.node.report import Report
 from lichencleat.node.requests import BadRequestError, read_request
 from lichencleat.node.slots import Slots
@@ -21,49 +21,53 @@
 from lichencleat.router.links import NodeLinks, Told, Try
 from lichencleat.router.terms import Act, Came, Carried, Decision
 
-TELL = 100_000  # µs between looks at what callers are to be told: as often as a node's
-IDENT_BITS = 64  # of a try's name, by the protocol
+CAPACITY_PERIOD = 100_000  # µs between looks at what callers are to be told: as often as a node's
+ID_BITS = 64  # of a try's name, by the protocol
 
 
 class RouterConnection(Connection):
     """A caller's connection to a router."""
 
-    def request(self, tag: int, words: list[bytes]) -> None:
-        if len(self.cases) >= OPEN_MOST:
+    def handle_request(self, tag: int, words: list[bytes]) -> None:
+        if len(self.pending_requests) >= MAX_OPEN_REQUESTS:
             raise BadRequestError("more open than a connection carries")
-        case, _ = read_request(words, self.door.host, self.door.tenants, partial(self.answer, tag))
-        self.cases[tag] = case
-        self.door.host.carries(case, words[2], words[3])
+        pending, _ = read_request(
+            words, self.listener.engine, self.listener.tenants, partial(self.answer, tag)
+        )
+        self.pending_requests[tag] = pending
+        self.listener.engine.on_request_received(pending, words[2], words[3])
 
 
-class Callers(Dispatchers):
+class RouterListener(DispatcherListener):
     """Owns the callers' connections."""
 
     def buildProtocol(self, address: Any) -> Connection | None:
         return RouterConnection(self) if super().buildProtocol(address) is not None else None
 
 
-class Hand:
+class ForwardedRequest:
     """A request in hand: what its caller sent, and its try under way."""
 
-    __slots__ = ("case", "carried", "request_class", "fields", "made", "result")
+    __slots__ = ("pending", "carried", "request_class", "fields", "attempt", "result")
 
-    def __init__(self, case: Case, carried: Carried, request_class: bytes, fields: bytes) -> None:
-        self.case, self.carried, self.request_class, self.fields = case, carried, request_class, fields
-        self.made: Try | None = None
+    def __init__(
+        self, pending: PendingRequest, carried: Carried, request_class: bytes, fields: bytes
+    ) -> None:
+        self.pending, self.carried, self.request_class, self.fields = pending, carried, request_class, fields
+        self.attempt: Try | None = None
         self.result = b""  # that came for it
 
 
-def again(fields: bytes, ident: bytes) -> bytes:
+def retry_fields(fields: bytes, ident: bytes) -> bytes:
     """The fields of a further try: under a name of its own and marked as one; all else as it came."""
     kept = [each for each in fields.split(b",") if not each.startswith((b"i=", b"r="))]
     return b",".join([b"i=" + ident, *kept, b"r=1"])
 
 
-class RouterHost:
+class RouterEngine:
     """Owns the requests in hand and the links; each request is given back in `release_if_done`.
 
-    To what reads callers it looks like `net.host.Host`.
+    To what reads callers it looks like `node.host.RequestEngine`.
     """
 
     def __init__(
@@ -80,18 +84,18 @@
         self.reactor, self.core, self.machine, self.clock = reactor, core, machine, clock
         self.deadlines, self.report, self.rng = deadlines, report, rng
         self.request_classes = {each.name.encode(): each for each in machine.request_classes}
-        self.idents: set[bytes] = set()
-        self.hands: Slots[Hand] = Slots()
-        self.healthy = True
+        self.pending_ids: set[bytes] = set()
+        self.forwarded_requests: Slots[ForwardedRequest] = Slots()
+        self.is_serving = True
         self.free_value: float | None = None
-        self.doors: list[Any] = []
+        self.listeners: list[Any] = []
         self.nodes: dict[str, NodeLinks] = {}
-        self.stirred = False
-        self.waking: Deadline | None = None
-        self.members(addresses)
-        self.tell()
+        self.decisions_scheduled = False
+        self.wake_timer: Deadline | None = None
+        self.set_nodes(addresses)
+        self.update_free_value()
 
-    def members(self, addresses: dict[str, tuple[str, int]]) -> None:
+    def set_nodes(self, addresses: dict[str, tuple[str, int]]) -> None:
         """Where the nodes are now. One that is gone or has moved ends what is open there as it ends."""
         for name, address in addresses.items():
             known = self.nodes.get(name)
@@ -99,149 +103,164 @@
                 says = partial(self.core.says, name)
                 self.nodes[name] = NodeLinks(self.reactor, name, address, self.deadlines, self.report, says)
                 if known is not None:
-                    self.let_go(known)
+                    self.retire_links(known)
         for name in [each for each in self.nodes if each not in addresses]:
-            self.let_go(self.nodes.pop(name))
+            self.retire_links(self.nodes.pop(name))
 
     @staticmethod
-    def let_go(links: NodeLinks) -> None:
+    def retire_links(links: NodeLinks) -> None:
         for link in list(links.links):
             links.distrust(link)
 
     # -- callers -----------------------------------------------------------------------------------------
 
-    def carries(self, case: Case, request_class: bytes, fields: bytes) -> None:
-        request = case.request
+    def on_request_received(self, pending: PendingRequest, request_class: bytes, fields: bytes) -> None:
+        request = pending.request
         self.report.count("router", "requests")
         carried = Carried(
             request.request_class,
-            case.ident,
+            pending.ident,
             request.arrived,
             request.due,
-            case.key,
+            pending.key,
             request.rank,
             request.is_retry,
         )
-        request.number = carried.number = self.hands.take(Hand(case, carried, request_class, fields))
-        self.idents.add(case.ident)
+        request.number = carried.number = self.forwarded_requests.acquire(
+            ForwardedRequest(pending, carried, request_class, fields)
+        )
+        self.pending_ids.add(pending.ident)
         self.core.arrives(self.clock(), carried)
-        self.stir()
+        self.schedule_decisions()
 
-    def caller_left(self, case: Case) -> None:
-        hand = self.hand_of(case)
-        if case.open and hand is not None:
-            case.open = False
+    def on_caller_gone(self, pending: PendingRequest) -> None:
+        forwarded = self.find_forwarded(pending)
+        if pending.open and forwarded is not None:
+            pending.open = False
             self.report.count("router", "abandoned")
-            self.core.caller_left(self.clock(), hand.carried)
-            self.release_if_done(hand)
-            self.stir()
+            self.core.caller_left(self.clock(), forwarded.carried)
+            self.release_if_done(forwarded)
+            self.schedule_decisions()
 
-    def fail(self, case: Case) -> None:
+    def abort_request(self, pending: PendingRequest) -> None:
         """Guards the router against an error with one request: that one is given up, the others go on."""
-        hand = self.hand_of(case)
-        self.answer(case, Answer.GIVEN_UP)
-        if hand is not None:
-            self.core.caller_left(self.clock(), hand.carried)
-            self.release_if_done(hand)
-            self.stir()
+        forwarded = self.find_forwarded(pending)
+        self.answer(pending, Answer.FAILED)
+        if forwarded is not None:
+            self.core.caller_left(self.clock(), forwarded.carried)
+            self.release_if_done(forwarded)
+            self.schedule_decisions()
 
-    def hand_of(self, case: Case) -> Hand | None:
-        hand = self.hands.get(case.request.number)
-        return hand if hand is not None and hand.case is case else None
+    def find_forwarded(self, pending: PendingRequest) -> ForwardedRequest | None:
+        forwarded = self.forwarded_requests.get(pending.request.number)
+        return forwarded if forwarded is not None and forwarded.pending is pending else None
 
     def answer(
-        self, case: Case, answer: Answer, result: bytes = b"", span: int = 0, last: bool = False
+        self, pending: PendingRequest, answer: Answer, result: bytes = b"", span: int = 0, last: bool = False
     ) -> None:
-        if case.open:
-            case.open = False
+        if pending.open:
+            pending.open = False
             self.report.count("router", answer.value)
-            case.reply(answer, result, min(span, self.machine.max_retry_after_us), last)
+            pending.reply(answer, result, min(span, self.machine.max_retry_after_us), last)
 
-    def tell(self) -> None:
+    def update_free_value(self) -> None:
         """What callers read in every answer, by what the nodes say."""
-        callers = sum(len(each.connections) for each in self.doors)
+        callers = sum(len(each.connections) for each in self.listeners)
         self.free_value = self.core.value(self.clock(), callers)
-        self.deadlines.after(TELL, self.tell)
+        self.deadlines.after(CAPACITY_PERIOD, self.update_free_value)
 
-    def owed(self) -> int:
-        return sum(each.case.open for each in self.hands)
+    def unanswered_count(self) -> int:
+        return sum(each.pending.open for each in self.forwarded_requests)
 
     # -- nodes -------------------------------------------------------------------------------------------
 
-    def try_over(self, hand: Hand, made: Try, told: Told) -> None:
-        if hand.made is made:
-            hand.made, hand.result = None, told.result
-            self.core.came(self.clock(), hand.carried, told.came, told.span, told.last)
-            self.stir()
+    def on_attempt_ended(self, forwarded: ForwardedRequest, attempt: Try, told: Told) -> None:
+        if forwarded.attempt is attempt:
+            forwarded.attempt, forwarded.result = None, told.result
+            self.core.came(self.clock(), forwarded.carried, told.came, told.span, told.last)
+            self.schedule_decisions()
 
     # -- decisions ---------------------------------------------------------------------------------------
 
-    def stir(self) -> None:
+    def schedule_decisions(self) -> None:
         """Decisions are pulled once for all that the reactor reads in one turn."""
-        if not self.stirred:
-            self.stirred = True
-            self.deadlines.after(0, self.pull)
+        if not self.decisions_scheduled:
+            self.decisions_scheduled = True
+            self.deadlines.after(0, self.run_decisions)
 
-    def pull(self) -> None:
-        self.stirred = False
+    def run_decisions(self) -> None:
+        self.decisions_scheduled = False
         now = self.clock()
         while (decision := self.core.next_decision(now)) is not None:
-            hand = self.hands.get(decision.request.number) if decision.request is not None else None
-            if decision.request is not None and (hand is None or hand.carried is not decision.request):
+            forwarded = (
+                self.forwarded_requests.get(decision.request.number) if decision.request is not None else None
+            )
+            if decision.request is not None and (
+                forwarded is None or forwarded.carried is not decision.request
+            ):
                 self.report.count("router", "decisions on ended requests")
                 continue
             try:
-                self.carry_out(decision, hand)
+                self.execute(decision, forwarded)
             except Exception:
-                self.report.trouble(f"carrying out {decision.act.name}")
-                if hand is not None:
-                    self.deadlines.after(0, self.fail, hand.case)
+                self.report.log_exception(f"carrying out {decision.act.name}")
+                if forwarded is not None:
+                    self.deadlines.after(0, self.abort_request, forwarded.pending)
                 continue
-            if hand is not None:
-                self.release_if_done(hand)
+            if forwarded is not None:
+                self.release_if_done(forwarded)
 
-    def carry_out(self, decision: Decision, hand: Hand | None) -> None:
+    def execute(self, decision: Decision, forwarded: ForwardedRequest | None) -> None:
         if decision.act is Act.WAKE:
-            self.deadlines.cancel(self.waking)
-            self.waking = self.deadlines.after(decision.span, self.stir)
+            self.deadlines.cancel(self.wake_timer)
+            self.wake_timer = self.deadlines.after(decision.span, self.schedule_decisions)
             return
-        assert hand is not None
+        assert forwarded is not None
         if decision.act is Act.SEND:
-            self.send(hand, decision)
+            self.send(forwarded, decision)
         elif decision.act is Act.QUIT:
-            self.quit(hand, decision)
+            self.cancel_attempt(forwarded, decision)
         elif decision.act is Act.HONOUR:
-            self.answer(hand.case, Answer.HONOURED, hand.result)
+            self.answer(forwarded.pending, Answer.SERVED, forwarded.result)
         elif decision.act is Act.DEFER:
-            self.answer(hand.case, Answer.DEFERRED, span=decision.span, last=decision.last)
+            self.answer(forwarded.pending, Answer.REJECTED, span=decision.span, last=decision.last)
         else:
-            self.answer(hand.case, Answer.GIVEN_UP)
+            self.answer(forwarded.pending, Answer.FAILED)
 
-    def send(self, hand: Hand, decision: Decision) -> None:
-        fields = hand.fields
+    def send(self, forwarded: ForwardedRequest, decision: Decision) -> None:
+        fields = forwarded.fields
         if not decision.first:
-            fields = again(fields, b"%016x" % self.rng.getrandbits(IDENT_BITS))
-        made = Try([hand.request_class, fields, hand.case.body], lambda told: self.try_over(hand, made, told))
-        hand.made = made
+            fields = retry_fields(fields, b"%016x" % self.rng.getrandbits(ID_BITS))
+        attempt = Try(
+            [forwarded.request_class, fields, forwarded.pending.body],
+            lambda told: self.on_attempt_ended(forwarded, attempt, told),
+        )
+        forwarded.attempt = attempt
         links = self.nodes.get(decision.node)
-        if links is None or not links.send(made):
-            self.deadlines.after(0, self.try_over, hand, made, Told(Came.UNSENT))  # after this round
+        if links is None or not links.send(attempt):
+            self.deadlines.after(
+                0, self.on_attempt_ended, forwarded, attempt, Told(Came.UNSENT)
+            )  # after this round
 
-    def quit(self, hand: Hand, decision: Decision) -> None:
+    def cancel_attempt(self, forwarded: ForwardedRequest, decision: Decision) -> None:
         """Guards what comes after against a link that says nothing: no other try goes out on it."""
-        made, hand.made = hand.made, None
-        if made is not None and made.link is not None:
-            if hand.case.open and made.link.heard_at < made.sent_at:
-                made.link.node.distrust(made.link)
-            made.link.quit(made)
+        attempt, forwarded.attempt = forwarded.attempt, None
+        if attempt is not None and attempt.link is not None:
+            if forwarded.pending.open and attempt.link.heard_at < attempt.sent_at:
+                attempt.link.node.distrust(attempt.link)
+            attempt.link.quit(attempt)
 
-    def release_if_done(self, hand: Hand) -> None:
+    def release_if_done(self, forwarded: ForwardedRequest) -> None:
         """It has its answer, or nobody waits for one, and no try of it is under way."""
-        if not hand.case.open and hand.made is None and self.hands.get(hand.carried.number) is hand:
-            self.idents.discard(hand.case.ident)
-            self.hands.give_back(hand.carried.number)
-
-    def beliefs(self) -> str:
+        if (
+            not forwarded.pending.open
+            and forwarded.attempt is None
+            and self.forwarded_requests.get(forwarded.carried.number) is forwarded
+        ):
+            self.pending_ids.discard(forwarded.pending.ident)
+            self.forwarded_requests.release(forwarded.carried.number)
+
+    def describe(self) -> str:
         links = sum(len(each.links) for each in self.nodes.values())
         return f"{self.core.beliefs()}, {links} links to {len(self.nodes)} nodes"
 
--- a/lichencleat/router/links.py
+++ b/lichencleat/router/links.py
@@ -124,7 +124,7 @@
             self.node.report.note(f"node {self.node.name}: {broken}; the connection is given up")
             self.transport.abortConnection()
         except Exception:
-            self.node.report.trouble("an answer of a node")
+            self.node.report.log_exception("an answer of a node")
 
     def take(self, words: list[bytes]) -> None:
         if words[:2] == [b"0", b"goaway"]:
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -21,7 +21,7 @@
 from lichencleat.node.structured import StructuredReport
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.router.core import Router
-from lichencleat.router.door import Callers, RouterHost
+from lichencleat.router.door import RouterEngine, RouterListener
 from lichencleat.router.file import RouterChoice, RouterFile, parse_address, read_router
 from lichencleat.router.health_reporter import HealthReporter
 from lichencleat.router.links import LINKS_MOST
@@ -50,7 +50,7 @@
         )
         self.report = StructuredReport(chosen.name, self.clock, file.log.form)
         self.report.log = self.log
-        self.deadlines = Deadlines(reactor, self.report.trouble)
+        self.deadlines = Deadlines(reactor, self.report.log_exception)
         self.rng = random.Random(os.urandom(16))
         self.core = Router(
             chosen.zone,
@@ -62,7 +62,7 @@
             chosen.routers,
             machine.drain_grace_us,
         )
-        self.host = RouterHost(
+        self.host = RouterEngine(
             reactor,
             self.core,
             machine,
@@ -73,7 +73,7 @@
             self.rng,
         )
         upstream = min(chosen.descriptors // 2, LINKS_MOST * sum(len(z.nodes) for z in chosen.zones.values()))
-        self.callers = Callers(
+        self.callers = RouterListener(
             self.host,
             self.deadlines,
             self.report,
@@ -127,7 +127,7 @@
         self.tell_beliefs()
 
     def tell_beliefs(self) -> None:
-        self.report.note(f"believes: {self.host.beliefs()}; {self.callers.beliefs()}")
+        self.report.note(f"believes: {self.host.describe()}; {self.callers.describe()}")
 
     def reload(self) -> None:
         """Takes over which nodes there are, and where; what else changed needs a restart. A file that is
@@ -149,7 +149,7 @@
             fixed.append("zones")
         else:
             self.core.nodes.members({name: list(each.nodes) for name, each in new.zones.items()})
-            self.host.members(addresses_of(new))
+            self.host.set_nodes(addresses_of(new))
             self.core.locality.zones = zones_of(new)
         late = f"{', '.join(fixed)} changed, which needs a restart" if fixed else ""
         self.log.info("file read again", nodes=len(self.host.nodes), late=late)
@@ -162,10 +162,10 @@
             return
         now = self.clock()
         self.stop_at = now + int(self.chosen.stop_ms * 1_000)
-        self.log.info("told to leave", in_hand=self.host.owed())
-        self.host.healthy = False
+        self.log.info("told to leave", in_hand=self.host.unanswered_count())
+        self.host.is_serving = False
         self.core.must_leave(now, self.stop_at)
-        self.host.stir()
+        self.host.schedule_decisions()
         if self.telling is not None:
             self.telling.stop()
         if self.holder is not None:
@@ -176,23 +176,25 @@
     def look(self) -> None:
         """After the grace nothing new is sent: the program ends as soon as all is answered."""
         assert self.stop_at is not None
-        if self.host.owed() and self.clock() < self.stop_at - CLOSED_BY - CROSSING:
+        if self.host.unanswered_count() and self.clock() < self.stop_at - CLOSED_BY - CROSSING:
             self.deadlines.after(LOOK, self.look)
             return
         self.callers.stop_listening()
-        self.callers.go_away()
+        self.callers.send_goaway()
         left = max(0, self.stop_at - CLOSED_BY - self.clock())
         self.deadlines.after(min(CROSSING, left), self.end)
 
     def end(self) -> None:
         """Once all connections have ended in their own time; or, where that is short, with their answers."""
         assert self.stop_at is not None
-        if (self.host.owed() or len(self.callers.connections)) and self.clock() < self.stop_at - CLOSED_BY:
+        if (
+            self.host.unanswered_count() or len(self.callers.connections)
+        ) and self.clock() < self.stop_at - CLOSED_BY:
             self.deadlines.after(LOOK, self.end)
             return
-        self.log.info("left", unanswered=self.host.owed())
+        self.log.info("left", unanswered=self.host.unanswered_count())
         if len(self.callers.connections):
-            self.callers.shut()
+            self.callers.close()
             self.deadlines.after(LAST, self.stop, EXIT_STOPPED)
         else:
             self.stop(EXIT_STOPPED)
--- a/tests/admission/test_node_spec.py
+++ b/tests/admission/test_node_spec.py
@@ -10,7 +10,7 @@
 from lichencleat.admission.controller import AdmissionController
 from lichencleat.admission.node_spec import InvalidInputError, decode_node_spec
 from lichencleat.admission.types import Request, ResourceUsage
-from lichencleat.node.config import read_told
+from lichencleat.node.config import read_start_settings
 
 ODD_VALUES = [
     None,
@@ -88,7 +88,7 @@
         within[path[-1]] = odd
         config_file.write_text(json.dumps(config))
         try:
-            read = read_told({"BALANCER_CONFIG": str(config_file)})
+            read = read_start_settings({"BALANCER_CONFIG": str(config_file)})
         except InvalidInputError as bad:
             assert str(bad).startswith("BALANCER_CONFIG: ") and "\n" not in str(bad) and len(str(bad)) < 300
         else:
@@ -98,7 +98,7 @@
 def test_config_is_read_unchanged(tmp_path):
     config_file = tmp_path / "config.json"
     config_file.write_text(json.dumps(CONFIG))
-    read = read_told({"BALANCER_CONFIG": str(config_file)})
+    read = read_start_settings({"BALANCER_CONFIG": str(config_file)})
     assert read.seed == str(2**70) and read.memory == 96 << 20 and read.machine.callers == 5
 
 
--- a/tests/flows/test_export.py
+++ b/tests/flows/test_export.py
@@ -104,7 +104,7 @@
 
 @pytest.fixture
 def deadlines(reactor, report):
-    return Deadlines(reactor, report.trouble)
+    return Deadlines(reactor, report.log_exception)
 
 
 @pytest.fixture
--- a/tests/idempotency/node_lifecycle.py
+++ b/tests/idempotency/node_lifecycle.py
@@ -10,7 +10,7 @@
 from lichencleat.idempotency.index import RecordIndex
 from lichencleat.idempotency.service import IdempotencyService
 from lichencleat.node.deadlines import Deadlines
-from lichencleat.node.host import Case, Host
+from lichencleat.node.host import PendingRequest, RequestEngine
 from lichencleat.node.report import Report
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
@@ -40,23 +40,23 @@
 
 class FakeInterpreter:
     def __init__(self, environment):
-        self.environment, self.runs, self.early = environment, {}, {}
+        self.environment, self.runs, self.early_outcomes = environment, {}, {}
 
     def apply(self, run, request_class, body, pure):
         self.runs[run.ident] = run
         self.environment.runs.append((run.ident, request_class, body))
         self.environment.running[run.ident] = body
 
-    def adopt(self, ident, ended):
-        if ident in (self.early or {}):
-            ended(*self.early.pop(ident))
+    def adopt_run(self, ident, ended):
+        if ident in (self.early_outcomes or {}):
+            ended(*self.early_outcomes.pop(ident))
         else:
-            self.runs[ident] = type("Adopted", (), {"ended": staticmethod(ended)})
+            self.runs[ident] = type("Adopted", (), {"on_ended": staticmethod(ended)})
 
-    def halt(self, run):
+    def stop_run(self, run):
         pass
 
-    def gauges(self):
+    def request_gauges(self):
         return None
 
 
@@ -99,7 +99,7 @@
         reactor, environment = self.reactor, self.environment
         self.report = Report(self.name, self.clock)
         self.report.write = lambda line: None
-        self.deadlines = Deadlines(reactor, self.report.trouble)
+        self.deadlines = Deadlines(reactor, self.report.log_exception)
         self.interpreter = FakeInterpreter(environment)
         machine = NodeSpec(
             cores=2,
@@ -108,13 +108,15 @@
             max_retry_after_us=SECOND,
             request_classes=[LOOK, SAVE],
         )
-        self.host = Host(machine, [], "1", self.clock, self.deadlines, self.interpreter, None, self.report)
-        self.host.able = False
+        self.host = RequestEngine(
+            machine, [], "1", self.clock, self.deadlines, self.interpreter, None, self.report
+        )
+        self.host.can_record = False
         index = RecordIndex(self.entries, 1 << 20)
         self.service = self.host.keyed = IdempotencyService(
             self.name, self.host, self.deadlines, self.report, self.clock, index
         )
-        self.host.begin(False)
+        self.host.on_interpreter_ready(False)
         self.threads = ManualThreads()
         try:
             engine = Engine.open(
@@ -170,12 +172,12 @@
             assert number not in self.answers, "answered twice"
             self.answers[number] = (answer.value, result)
 
-        self.cases[number] = case = Case(request, ident, key + body, request_key, reply)
-        self.host.arrives(case)
+        self.cases[number] = case = PendingRequest(request, ident, key + body, request_key, reply)
+        self.host.on_request_received(case)
         self.run_turn()
 
     def disconnect_caller(self, number):
-        self.host.caller_left(self.cases[number])
+        self.host.on_caller_gone(self.cases[number])
         self.run_turn()
 
     def complete_runs(self, number=1):
@@ -187,7 +189,7 @@
             environment.made.append(result)
             run = self.interpreter.runs.pop(ident, None)
             if run is not None:
-                run.ended(Outcome.COMPLETED, 1_000, result)
+                run.on_ended(Outcome.COMPLETED, 1_000, result)
         self.run_turn()
 
     def run_script(self, first=0):
--- a/tests/idempotency/test_idempotency_service.py
+++ b/tests/idempotency/test_idempotency_service.py
@@ -203,11 +203,11 @@
     node = NodeIncarnation(Environment())
     node.start()
     node.send_request(1)
-    node.host.must_leave(node.clock() + 3 * SECOND)
+    node.host.start_draining(node.clock() + 3 * SECOND)
     node.advance(2.5)
     assert node.answers[1][0] in ("deferred", "given up") and node.environment.runs == []
     node.run_disk_calls()
-    assert node.host.owed() == 0 and node.service.intents.pending_starts == {}
+    assert node.host.unanswered_count() == 0 and node.service.intents.pending_starts == {}
     restarted = node.crash()
     restarted.start()
     (
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -9,8 +9,8 @@
 from lichencleat.admission.types import Effect, NodeSpec, Request, RequestClass
 from lichencleat.node.catalogue import Catalogue
 from lichencleat.node.deadlines import Deadlines
-from lichencleat.node.dispatchers import Connection, Dispatchers
-from lichencleat.node.host import Case, Host
+from lichencleat.node.dispatchers import Connection, DispatcherListener
+from lichencleat.node.host import PendingRequest, RequestEngine
 from lichencleat.node.interpreter import Interpreter, Link, Run
 from lichencleat.node.report import Report
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def deadlines(reactor, report):
-    return Deadlines(reactor, report.trouble)
+    return Deadlines(reactor, report.log_exception)
 
 
 @pytest.fixture
@@ -43,9 +43,9 @@
 
 
 @pytest.fixture
-def host(reactor, deadlines, report, request_class, receipted):
+def engine(reactor, deadlines, report, request_class, receipted):
     machine = NodeSpec(cores=2, memory_kb=10_000.0, request_classes=[request_class, receipted])
-    made = Host(
+    made = RequestEngine(
         machine,
         [],
         "5",
@@ -65,17 +65,17 @@
 
 
 @pytest.fixture
-def case(host, request_class, answers):
-    made = Case(
+def pending(engine, request_class, answers):
+    made = PendingRequest(
         Request(request_class, 0, 5 * SECOND), ID, b"x", b"", lambda *answer: answers.append(answer[0])
     )
-    made.request.number = host.cases.take(made)
+    made.request.number = engine.pending_requests.acquire(made)
     return made
 
 
 @pytest.fixture
-def connection(host, deadlines, report):
-    made = Connection(Dispatchers(host, deadlines, report, 100))
+def connection(engine, deadlines, report):
+    made = Connection(DispatcherListener(engine, deadlines, report, 100))
     made.makeConnection(Transport())
     return made
 
@@ -104,9 +104,9 @@
 
 @pytest.fixture
 def place(reactor, catalogue):
-    def place(spent=(), connected=True):
+    def place(used_links=(), connected=True):
         known = len(catalogue.links)
-        call, heard = catalogue.fetch(ID, SECOND, b"x", list(spent)), []
+        call, heard = catalogue.fetch(ID, SECOND, b"x", list(used_links)), []
         call.ended.addCallback(heard.append)
         if connected and len(catalogue.links) > known:
             call.link.makeConnection(Transport())
--- a/tests/node/test_connections.py
+++ b/tests/node/test_connections.py
@@ -3,17 +3,17 @@
 import pytest
 from net_parts import CHECK, ID, REQUEST, SECOND, Transport
 
-from lichencleat.node.dispatchers import BAD_MOST, Dispatchers
+from lichencleat.node.dispatchers import MAX_BAD_ARRAYS, DispatcherListener
 from lichencleat.node.host import Answer
 from lichencleat.node.membership import Membership
-from lichencleat.node.requests import mark
+from lichencleat.node.requests import digest_parts
 
 
 def test_after_its_leave_the_node_reports_no_more(reactor, deadlines, report):
     membership, sent = Membership("n1", ("", 0), deadlines, report), []
     membership.transport = membership.port = Transport()
     membership.transport.write = lambda datagram, address: sent.append(datagram)
-    membership.beat()
+    membership.send_periodically()
     membership.leave()
     reactor.advance(5)
     assert sent == [b"HB n1 UP", b"HB n1 OUT"]
@@ -22,7 +22,9 @@
 def test_a_request_under_an_id_in_hand_is_given_up(connection):
     connection.dataReceived(REQUEST % ID)
     connection.dataReceived(REQUEST.replace(b"$1\r\n7", b"$1\r\n8") % ID)
-    assert list(connection.cases) == [7] and b"$1\r\n8\r\n$3\r\n500" in connection.transport.value()
+    assert (
+        list(connection.pending_requests) == [7] and b"$1\r\n8\r\n$3\r\n500" in connection.transport.value()
+    )
 
 
 def test_answers_that_nobody_reads_end_the_connection(connection, reactor):
@@ -33,31 +35,31 @@
     assert connection.transport.aborted
 
 
-def test_an_error_at_an_arrival_is_answered_and_leaves_nothing_behind(connection, host, report):
-    host.node.on_request = lambda now, request: 1 / 0
+def test_an_error_at_an_arrival_is_answered_and_leaves_nothing_behind(connection, engine, report):
+    engine.node.on_request = lambda now, request: 1 / 0
     connection.dataReceived(REQUEST % ID)
     assert b"500" in connection.transport.value() and report.counts["node errors"] == 1
-    assert not connection.cases and not len(host.cases) and not host.idents
+    assert not connection.pending_requests and not len(engine.pending_requests) and not engine.pending_ids
 
 
 def test_a_tag_in_use_ends_the_connection_after_its_answer(connection, reactor):
     connection.dataReceived(REQUEST % ID)
     connection.dataReceived(REQUEST % b"00000000000000b2")
     reactor.advance(0)
-    assert len(connection.cases) == 1 and not connection.transport.ended
-    connection.cases[7].reply(Answer.HONOURED, b"x", 0, False)
+    assert len(connection.pending_requests) == 1 and not connection.transport.ended
+    connection.pending_requests[7].reply(Answer.SERVED, b"x", 0, False)
     reactor.advance(0)
     assert connection.transport.ended and connection.transport.producer is None
 
 
 def test_idle_connections_are_sent_away_and_closed_but_none_with_something_open(connection, reactor):
     connection.checks_only = False
-    connection.cases[1] = None
-    connection.door.close_idle(100_000)
+    connection.pending_requests[1] = None
+    connection.listener.set_idle_timeout(100_000)
     for _ in range(10):
         reactor.advance(0.06)
     assert not connection.transport.value()
-    connection.cases.clear()
+    connection.pending_requests.clear()
     for _ in range(20):
         reactor.advance(0.06)
     assert b"goaway" in connection.transport.value() and connection.transport.ended
@@ -65,19 +67,19 @@
 
 def test_connections_at_rest_are_asked_to_go_where_there_are_many_checks_too(connection, reactor):
     connection.dataReceived(CHECK)
-    connection.door.most = 1
-    connection.door.buildProtocol(None)
+    connection.listener.max_connections = 1
+    connection.listener.buildProtocol(None)
     assert b"goaway" not in connection.transport.value()
     reactor.advance(2)
-    connection.door.buildProtocol(None)
+    connection.listener.buildProtocol(None)
     assert b"goaway" in connection.transport.value()
 
 
 def test_a_connection_that_was_asked_to_go_leaves_no_timer_behind(connection, reactor, deadlines):
-    connection.door.idle_span = 30 * SECOND
-    connection.watch_idle()
+    connection.listener.idle_timeout = 30 * SECOND
+    connection.restart_idle_timer()
     connection.dataReceived(CHECK)
-    connection.go_away()
+    connection.send_goaway()
     reactor.advance(1)
     reactor.advance(0)
     connection.connectionLost()
@@ -103,7 +105,7 @@
     bad = b"*2\r\n$3\r\nODD\r\n$1\r\n%d\r\n"
     connection.dataReceived(b"".join(bad % tag for tag in range(1, 9)))
     reactor.advance(0)
-    assert connection.transport.value().count(b"500") == BAD_MOST and connection.transport.ended
+    assert connection.transport.value().count(b"500") == MAX_BAD_ARRAYS and connection.transport.ended
 
 
 def test_a_tag_of_thousands_of_digits_ends_its_connection(connection, report, reactor):
@@ -113,29 +115,31 @@
 
 
 def test_more_requests_than_a_connection_carries_are_answered_as_failed(connection):
-    connection.cases = dict.fromkeys(range(100, 132))
+    connection.pending_requests = dict.fromkeys(range(100, 132))
     connection.dataReceived(REQUEST % ID)
     assert b"500" in connection.transport.value()
 
 
-def test_the_key_of_a_request_with_another_body_is_another_key(connection, host):
-    host.clock = lambda: SECOND
+def test_the_key_of_a_request_with_another_body_is_another_key(connection, engine):
+    engine.clock = lambda: SECOND
     for tag, ident, body in ((1, ID, b"x"), (2, b"00000000000000b2", b"y"), (3, b"00000000000000c3", b"x")):
         said = b"i=%s,s=1000,f=1,m=9,p=0.5,k=%s" % (ident, b"5c" * 16)
-        connection.take([b"REQ", b"%d" % tag, b"save", said, body])
-    first, other, repeat = (each.request for each in connection.cases.values())
+        connection.handle_array([b"REQ", b"%d" % tag, b"save", said, body])
+    first, other, repeat = (each.request for each in connection.pending_requests.values())
     assert repeat.original is first and other.original is None
 
 
-def test_the_key_of_another_tenant_is_another_key_and_no_lot_of_parts_reads_like_another(connection, host):
-    host.clock = lambda: SECOND
-    connection.door.tenants = frozenset([b"acme", b"other"])
+def test_the_key_of_another_tenant_is_another_key_and_no_lot_of_parts_reads_like_another(connection, engine):
+    engine.clock = lambda: SECOND
+    connection.listener.tenants = frozenset([b"acme", b"other"])
     for tag, tenant in ((1, b"acme"), (2, b"other"), (3, b"acme")):
         said = b"i=%016d,s=1000,f=1,m=9,p=0.5,t=%s,k=%s" % (tag, tenant, b"5c" * 16)
-        connection.take([b"REQ", b"%d" % tag, b"save", said, b"x"])
-    first, other, repeat = (each.request for each in connection.cases.values())
+        connection.handle_array([b"REQ", b"%d" % tag, b"save", said, b"x"])
+    first, other, repeat = (each.request for each in connection.pending_requests.values())
     assert repeat.original is first and other.original is None
-    assert mark(b"", b"a", b"b c") != mark(b"", b"a b", b"c") != mark(b"a", b"b", b"c")
+    assert (
+        digest_parts(b"", b"a", b"b c") != digest_parts(b"", b"a b", b"c") != digest_parts(b"a", b"b", b"c")
+    )
 
 
 @pytest.mark.parametrize(
@@ -152,30 +156,32 @@
     ]
     + ["h=60001", "s=99000", "s=-1", "f=", "f=1_0", "t=nobody", "r=2"],
 )
-def test_no_field_that_is_out_of_form_or_range_reaches_the_decisions(connection, host, said):
-    host.clock = lambda: 50 * SECOND
-    connection.door.tenants = frozenset([b"acme"])
+def test_no_field_that_is_out_of_form_or_range_reaches_the_decisions(connection, engine, said):
+    engine.clock = lambda: 50 * SECOND
+    connection.listener.tenants = frozenset([b"acme"])
     good = {"i": "00000000000000a1", "s": 50_000, "f": 1, "m": 9, "p": 0.5, "t": "acme"}
     name = said.split("=")[0]
     text = ",".join([f"{key}={value}" for key, value in good.items() if key != name] + [said]).encode()
-    connection.take([b"REQ", b"1", b"look", text, b"x"])
-    assert not connection.cases and b"500" in connection.transport.value()
-    connection.take([b"REQ", b"2", b"look", ",".join(f"{k}={v}" for k, v in good.items()).encode(), b"x"])
-    assert list(connection.cases) == [2]
+    connection.handle_array([b"REQ", b"1", b"look", text, b"x"])
+    assert not connection.pending_requests and b"500" in connection.transport.value()
+    connection.handle_array(
+        [b"REQ", b"2", b"look", ",".join(f"{k}={v}" for k, v in good.items()).encode(), b"x"]
+    )
+    assert list(connection.pending_requests) == [2]
 
 
 def test_a_caller_at_rest_for_longer_than_told_is_sent_away_from_the_start(
-    connection, host, deadlines, report
+    connection, engine, deadlines, report
 ):
-    host.machine.idle_timeout_us = 30 * SECOND
-    assert Dispatchers(host, deadlines, report, 100).idle_span == 30 * SECOND
+    engine.machine.idle_timeout_us = 30 * SECOND
+    assert DispatcherListener(engine, deadlines, report, 100).idle_timeout == 30 * SECOND
 
 
 def test_a_moved_service_hears_of_the_node_at_once_but_not_of_one_that_left(deadlines, report):
     membership, sent = Membership("n1", ("", 0), deadlines, report), []
     membership.transport = membership.port = Transport()
     membership.transport.write = lambda datagram, address: sent.append(address)
-    membership.beat()
-    assert membership.move(("", 1)) and sent == [("", 0), ("", 1)]
+    membership.send_periodically()
+    assert membership.set_address(("", 1)) and sent == [("", 0), ("", 1)]
     membership.leave()
-    assert membership.move(("", 2)) and len(sent) == 3
+    assert membership.set_address(("", 2)) and len(sent) == 3
--- a/tests/node/test_interpreter_link.py
+++ b/tests/node/test_interpreter_link.py
@@ -4,7 +4,7 @@
 from net_parts import ID, SECOND
 
 from lichencleat.admission.types import Outcome
-from lichencleat.node.interpreter import KEPT_MOST, SILENT
+from lichencleat.node.interpreter import MAX_KEPT_NOTICES, SILENCE_TIMEOUT
 
 
 def test_a_notice_that_comes_again_is_passed_over(link, run):
@@ -18,8 +18,8 @@
 
 def test_a_new_link_says_again_that_a_run_is_to_stop(link, run):
     made, _ = run
-    link.interpreter.runs[ID], made.stopping = made, True
-    link.interpreter.renew(link)
+    link.interpreter.runs[ID], made.is_stopping = made, True
+    link.interpreter.resend_commands(link)
     assert link.transport.value() == b"BREAK " + ID + b"\r\n"
 
 
@@ -29,7 +29,7 @@
     link.ready = written
     link.interpreter.apply(made, b"look", b"x", pure)
     link.transport.clear()
-    link.interpreter.renew(link)
+    link.interpreter.resend_commands(link)
     assert link.transport.value().count(b"APPLY") == again
 
 
@@ -41,13 +41,13 @@
 ):
     made, _ = run
     link.interpreter.apply(made, b"look", b"x", pure)
-    link.interpreter.waits(ID, b"call")
+    link.interpreter.on_call_needed(ID, b"call")
     link.interpreter.resolve(made, b"reply")
     reactor.rightNow += age
     link.connectionLost()
     link.transport.clear()
-    link.interpreter.renew(link)
-    assert link.transport.value().split(b" ")[0] == said and made.stopping == bool(said)
+    link.interpreter.resend_commands(link)
+    assert link.transport.value().split(b" ")[0] == said and made.is_stopping == bool(said)
 
 
 @pytest.mark.parametrize("took", [b"nan", b"inf", b"-1", b"1e300", b"x"])
@@ -61,7 +61,9 @@
     assert heard == [(Outcome.ABORTED, 5000, b"")]
 
 
-@pytest.mark.parametrize("number", [b"9" * 17, b"%d" % (KEPT_MOST + 1), b"+1", b"1_0", b"9" * 5000, b"-1"])
+@pytest.mark.parametrize(
+    "number", [b"9" * 17, b"%d" % (MAX_KEPT_NOTICES + 1), b"+1", b"1_0", b"9" * 5000, b"-1"]
+)
 def test_a_spoilt_number_does_not_make_the_notices_after_it_look_repeated(link, run, report, number):
     made, heard = run
     link.interpreter.runs[ID] = made
@@ -82,7 +84,7 @@
 @pytest.mark.parametrize("pure", [True, False])
 def test_a_second_banner_on_a_link_says_nothing_again_and_starts_nothing_anew(link, run, report, pure):
     made, heard = run
-    began, link.ready, link.interpreter.began = [], False, lambda age: began.append(age)
+    began, link.ready, link.interpreter.on_interpreter_started = [], False, lambda age: began.append(age)
     link.dataReceived(b"BANNER LOADED 5000\r\nTOPS sync 0.2 1 0.1 3\r\n")
     link.interpreter.apply(made, b"look", b"x", pure)
     link.transport.clear()
@@ -110,8 +112,8 @@
 
 
 def test_a_moved_link_is_replaced_by_the_new_one_alone(link, reactor):
-    assert link.interpreter.move(("", 1)) and not link.interpreter.move(("", 1))
-    assert link.interpreter.move(("", 2)) and link.interpreter.link is link
+    assert link.interpreter.set_address(("", 1)) and not link.interpreter.set_address(("", 1))
+    assert link.interpreter.set_address(("", 2)) and link.interpreter.link is link
     assert reactor.connects[0].buildProtocol(None) is None  # of the address before
     new = reactor.connects[1].buildProtocol(None)
     link.connectionLost()
@@ -130,21 +132,21 @@
     made, _ = run
     link.interpreter.apply(made, b"save", b"x", False)
     link.transport.clear()
-    link.interpreter.halt(made)
+    link.interpreter.stop_run(made)
     assert b"APPLY" not in link.transport.value()
-    link.interpreter.halt(made)
+    link.interpreter.stop_run(made)
     assert b"APPLY " + ID + b" save 1\r\nx\r\nBREAK" in link.transport.value()
 
 
 def test_a_link_that_stays_silent_is_renewed(link, reactor):
-    link.interpreter.up = None
-    link.interpreter.gauges()
-    reactor.advance(SILENT / SECOND + 0.01)
-    assert link.interpreter.gauges() is None and link.transport.aborted
+    link.interpreter.started = None
+    link.interpreter.request_gauges()
+    reactor.advance(SILENCE_TIMEOUT / SECOND + 0.01)
+    assert link.interpreter.request_gauges() is None and link.transport.aborted
 
 
 def test_gauges_asked_before_the_link_broke_come_as_none(link):
-    heard, link.interpreter.up = [], None
-    link.interpreter.gauges().addCallback(heard.append)
+    heard, link.interpreter.started = [], None
+    link.interpreter.request_gauges().addCallback(heard.append)
     link.connectionLost()
     assert heard == [None]
--- a/tests/node/test_leaving.py
+++ b/tests/node/test_leaving.py
@@ -7,7 +7,7 @@
 from standins import SETTINGS
 
 from lichencleat.node.assembly import RealNode
-from lichencleat.node.config import read_told
+from lichencleat.node.config import read_start_settings
 
 
 @pytest.fixture
@@ -20,10 +20,12 @@
         reactor = Machine()
         reactor.advance(1_000)
         made = RealNode(
-            reactor, lambda: int(reactor.seconds() * SECOND), read_told({"BALANCER_CONFIG": str(config)})
+            reactor,
+            lambda: int(reactor.seconds() * SECOND),
+            read_start_settings({"BALANCER_CONFIG": str(config)}),
         )
         made.start()
-        made.host.begin(False)
+        made.engine.on_interpreter_ready(False)
         return made
 
     return make
@@ -40,10 +42,10 @@
     caller = left.dispatchers.buildProtocol(None)
     caller.makeConnection(Transport())
     caller.dataReceived(REQUEST.replace(b"s=1,", b"s=1000000,").replace(b"$36", b"$42") % ID)
-    assert list(caller.cases) == [7]
+    assert list(caller.pending_requests) == [7]
     left.leave()
     step(left, stop_ms + 10)
-    assert left.ended.called and not left.host.owed()
+    assert left.ended.called and not left.engine.unanswered_count()
     assert caller.transport.value().count(b"\r\n7\r\n") == 1 and caller.transport.ended
 
 
@@ -60,7 +62,7 @@
         left.leave()
     step(left, 3300)
     assert caller.transport.value().count(b"\r\n7\r\n") == 1
-    assert left.ended.called and not left.host.owed()
+    assert left.ended.called and not left.engine.unanswered_count()
 
 
 def test_a_caller_that_never_ends_its_side_is_let_go_at_the_end_with_its_answers(node):
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -19,10 +19,10 @@
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Change, Digests, Pages
 from lichencleat.node.assembly import RealNode
-from lichencleat.node.config import read_told
+from lichencleat.node.config import read_start_settings
 from lichencleat.node.host import Answer
 from lichencleat.node.report import Report
-from lichencleat.node.tenants import Distributed, Tenants
+from lichencleat.node.tenants import DistributedConfig, Tenants
 from lichencleat.store.errors import StoreError
 
 
@@ -35,7 +35,7 @@
 
     def __init__(self, connection, tenants):
         self.connection, self.tag = connection, 0
-        connection.door.tenants = tenants
+        connection.listener.tenants = tenants
 
     def ask(self, tenant, tariff=b"look", key=b""):
         """Its tag, where it was taken in hand; None where it was refused."""
@@ -43,8 +43,8 @@
         said = b"i=%016d,s=1000,f=1,m=9,p=0.5" % self.tag
         said += (b",t=" + tenant if tenant else b"") + (b",k=" + key if key else b"")
         self.connection.dataReceived(words(b"REQ", b"%d" % self.tag, tariff, said, b"x"))
-        self.connection.bad = 0
-        return self.tag if self.tag in self.connection.cases else None
+        self.connection.bad_arrays = 0
+        return self.tag if self.tag in self.connection.pending_requests else None
 
 
 def put(*names):
@@ -101,7 +101,7 @@
 
     def seen():
         taken = [bool(asking.ask(each)) for each in (b"acme", b"leaves", b"comes")]
-        asking.connection.cases.clear()  # a connection carries so many at once
+        asking.connection.pending_requests.clear()  # a connection carries so many at once
         return taken
 
     copy.stage((batch,))
@@ -135,14 +135,14 @@
     table.apply(5, [Change("tenant", "acme", None)])
     assert not asking.ask(b"acme", b"save", key)
     connection.transport.clear()
-    connection.cases[mine].reply(Answer.HONOURED, b"of-acme", 0, False)
+    connection.pending_requests[mine].reply(Answer.SERVED, b"of-acme", 0, False)
     assert (
         b"of-acme" in connection.transport.value() and b"$1\r\n%d\r\n" % mine in connection.transport.value()
     )
-    assert other in connection.cases and mine not in connection.cases
+    assert other in connection.pending_requests and mine not in connection.pending_requests
     table.apply(6, put("acme"))
     again = asking.ask(b"acme", b"save", key)
-    assert connection.cases[again].key != connection.cases[other].key
+    assert connection.pending_requests[again].key != connection.pending_requests[other].key
 
 
 FILE = "distribution: {group: config, zone: z, sources: [[10.0.0.1:1]], tenants: true}"
@@ -161,12 +161,12 @@
         reactor = Machine()
         reactor.advance(1_000)
         chosen, _ = parse_node_config("f", text)
-        told = read_told({"BALANCER_CONFIG": str(config)})
+        told = read_start_settings({"BALANCER_CONFIG": str(config)})
         node = RealNode(reactor, lambda: int(reactor.seconds() * SECOND), told, chosen)
         node.told_lines = []
         node.report.write = node.told_lines.append
         node.start()
-        node.host.begin(False)
+        node.engine.on_interpreter_ready(False)
         return node
 
     return make
@@ -175,14 +175,14 @@
 def test_a_changed_section_needs_a_restart_and_a_hangup_leaves_what_runs(whole_node):
     node = whole_node(FILE)
     subscriber = node.distributed.subscriber
-    node.reload(node.told, parse_node_config("f", FILE)[0])
+    node.reload(node.settings, parse_node_config("f", FILE)[0])
     assert "distribution" not in node.told_lines[-1]
     for text in (FILE.replace("zone: z", "zone: y"), ""):
-        node.reload(node.told, parse_node_config("f", text)[0])
+        node.reload(node.settings, parse_node_config("f", text)[0])
         assert "distribution changed, which needs a restart" in node.told_lines[-1]
     assert node.distributed.subscriber is subscriber and not subscriber.stopped
     plain = whole_node("")
-    plain.reload(plain.told, parse_node_config("f", FILE)[0])
+    plain.reload(plain.settings, parse_node_config("f", FILE)[0])
     assert "distribution changed, which needs a restart" in plain.told_lines[-1]
     assert plain.distributed is None and plain.dispatchers.tenants == frozenset([b"old"])
 
@@ -216,19 +216,19 @@
     )
     report = Report("n1", lambda: int(reactor.seconds() * 1_000_000))
     report.write = lambda line: None
-    made = Distributed(reactor, "n1", chosen, frozenset([b"old"]), lambda: 0, random.Random(1), report)
+    made = DistributedConfig(reactor, "n1", chosen, frozenset([b"old"]), lambda: 0, random.Random(1), report)
     return reactor, made, report
 
 
 def test_a_node_that_hears_of_no_relay_goes_on_and_says_so():
     reactor, node, report = make()
-    assert node.beliefs() == "reads its disk"
+    assert node.describe() == "reads its disk"
     node.start()
     for _ in range(100):
         reactor.advance(0.1)
         while reactor.tcpClients:
             reactor.tcpClients.pop()[2].clientConnectionFailed(None, None)
-    assert node.beliefs() == "version 0, age unknown, relay none"
+    assert node.describe() == "version 0, age unknown, relay none"
     assert b"old" in node.tenants and b"new" not in node.tenants
     assert report.counts["distribution left"] > 1
     node.stop()
@@ -276,12 +276,12 @@
     node.start()
     assert b"acme" in node.tenants and b"old" not in node.tenants
     assert node.subscriber.copy.mark == b"mark-one"
-    assert node.beliefs() == "version 4, age unknown, relay none"
+    assert node.describe() == "version 4, age unknown, relay none"
     batch = table.apply(5, put("new"))
-    node.taken((batch,))
-    node.taken(())
+    node.on_batches_taken((batch,))
+    node.on_batches_taken(())
     node.subscriber.copy.mark = b"mark-two"
-    node.told()
+    node.on_version_known()
     assert disk.calls == [("wrote", table, (batch,)), ("replaced", table), ("mark", b"mark-two")]
     node.stop()
     assert disk.calls[-1] == "close"
@@ -292,7 +292,7 @@
     _, node, report = on_disk(opened())
     node.start()
     assert report.counts["distribution words of the disk"] == 1
-    assert node.subscriber is not None and node.kept is None
+    assert node.subscriber is not None and node.store is None
     node.stop()
 
 
--- a/tests/node/test_timers_and_log.py
+++ b/tests/node/test_timers_and_log.py
@@ -6,18 +6,18 @@
 import pytest
 from net_parts import SECOND
 
-from lichencleat.node.program import TIDY, tidy
-from lichencleat.node.report import LINES_MOST
+from lichencleat.node.program import COLLECTION_PERIOD, collect_periodically
+from lichencleat.node.report import MAX_LINES
 from lichencleat.node.slots import Slots
 
 
 def test_a_slot_goes_to_the_next_and_is_given_back_once():
     slots = Slots()
-    first = slots.take("a")
-    slots.give_back(first)
+    first = slots.acquire("a")
+    slots.release(first)
     with pytest.raises(KeyError):
-        slots.give_back(first)
-    assert slots.take("b") == first and list(slots) == ["b"] and len(slots) == 1
+        slots.release(first)
+    assert slots.acquire("b") == first and list(slots) == ["b"] and len(slots) == 1
 
 
 def test_deadlines_fire_in_order_and_not_once_cancelled(reactor, deadlines):
@@ -55,12 +55,12 @@
 
 
 def test_log_lines_are_rate_limited_and_the_rest_counted(report, reactor, capsys):
-    for _ in range(LINES_MOST + 5):
+    for _ in range(MAX_LINES + 5):
         report.note("x")
     reactor.advance(2)
     report.note("y")
     lines = capsys.readouterr().err.splitlines()
-    assert len(lines) == LINES_MOST + 1 and "+5 lines" in lines[-1]
+    assert len(lines) == MAX_LINES + 1 and "+5 lines" in lines[-1]
 
 
 def test_what_is_closed_does_not_wait_for_the_collectors_own_moment(deadlines, reactor):
@@ -68,11 +68,11 @@
         pass
 
     gc.disable()
-    tidy(deadlines)
+    collect_periodically(deadlines)
     closed = Closed()
     closed.itself, seen = closed, weakref.ref(closed)
     del closed
     assert seen()
-    reactor.advance(TIDY / SECOND + 0.01)
+    reactor.advance(COLLECTION_PERIOD / SECOND + 0.01)
     gc.enable()
     assert not seen()
--- a/tests/node/test_windows.py
+++ b/tests/node/test_windows.py
@@ -9,7 +9,7 @@
 from lichencleat.admission.types import Effect, NodeSpec, Outcome, Preemption, Request, RequestClass
 from lichencleat.node.catalogue import Catalogue
 from lichencleat.node.deadlines import Deadlines
-from lichencleat.node.host import Answer, Case, Host
+from lichencleat.node.host import Answer, PendingRequest, RequestEngine
 from lichencleat.node.interpreter import Interpreter
 from lichencleat.node.report import Report
 
@@ -27,7 +27,7 @@
         self.now = lambda: int(self.reactor.seconds() * SECOND)
         report = Report("n1", self.now)
         report.write = lambda line: None
-        deadlines = Deadlines(self.reactor, report.trouble)
+        deadlines = Deadlines(self.reactor, report.log_exception)
         self.request_class = RequestClass("save", Effect.KEYED, 700_000, DEADLINE, window=window)
         machine = NodeSpec(
             cores=1,
@@ -38,9 +38,9 @@
         )
         interpreter = Interpreter(self.reactor, ("", 0), deadlines, report)
         catalogue = Catalogue(self.reactor, ("", 0), deadlines, report)
-        self.host = Host(machine, [], "5", self.now, deadlines, interpreter, catalogue, report)
-        self.host.node = AdmissionController(machine, rng)
-        self.host.stir()
+        self.engine = RequestEngine(machine, [], "5", self.now, deadlines, interpreter, catalogue, report)
+        self.engine.node = AdmissionController(machine, rng)
+        self.engine.schedule_decisions()
         self.report, self.interpreter = report, interpreter
         self.begun = []  # tries, in the order in which their runs began
         apply = interpreter.apply
@@ -59,10 +59,10 @@
         request = Request(self.request_class, came, max(came + DEADLINE, now), size_kb=20.0)
         tell = tried["answers"].append
         reply = lambda answer, result, span, last: tell((answer, result, self.now()))  # noqa: E731
-        tried["case"] = Case(request, tried["ident"], b"x", tried["key"], reply)
+        tried["pending"] = PendingRequest(request, tried["ident"], b"x", tried["key"], reply)
         tried["left"] = False
         self.tries.append(tried)
-        self.host.arrives(tried["case"])
+        self.engine.on_request_received(tried["pending"])
 
     def run_ends(self):
         runs = list(self.interpreter.runs.values())
@@ -73,14 +73,14 @@
         end = self.rng.choice([Outcome.COMPLETED] * 4 + [Outcome.FAILED, Outcome.UNREACHABLE])
         if end is Outcome.UNREACHABLE:  # proved: it never ran
             self.begun = [each for each in self.begun if each["ident"] != run.ident]
-        run.ended(end, 100_000, run.ident if end is Outcome.COMPLETED else b"")
+        run.on_ended(end, 100_000, run.ident if end is Outcome.COMPLETED else b"")
 
     def caller_leaves(self):
-        waiting = [each for each in self.tries if each["case"].open]
+        waiting = [each for each in self.tries if each["pending"].open]
         if waiting:
             left = self.rng.choice(waiting)
             left["left"] = True
-            self.host.caller_left(left["case"])
+            self.engine.on_caller_gone(left["pending"])
 
     def passes(self, span):
         while span > 0:
@@ -98,10 +98,10 @@
     for tried in world.tries:
         assert len(tried["answers"]) == (0 if tried["left"] else 1), "not one answer"
         for answer, result, at in tried["answers"]:
-            assert at <= max(tried["s"] + DEADLINE, tried["case"].request.arrived) + SLACK, "answered late"
+            assert at <= max(tried["s"] + DEADLINE, tried["pending"].request.arrived) + SLACK, "answered late"
             ran = tried in world.begun
-            assert not (ran and answer is Answer.DEFERRED), "what ran was turned away"
-            if answer is Answer.HONOURED:
+            assert not (ran and answer is Answer.REJECTED), "what ran was turned away"
+            if answer is Answer.SERVED:
                 made = world.by_ident(result)
                 assert made["key"] == tried["key"] and made in world.begun, "served with what no run made"
     assert not world.report.counts["node errors"]
@@ -119,6 +119,6 @@
             world.run_ends()
             world.passes(100_000)
         judge(world, window)
-        assert not len(world.host.cases)
+        assert not len(world.engine.pending_requests)
         world.passes(window + 2 * DEADLINE + 12 * SECOND)
-        assert not world.host.receipts.by_key
+        assert not world.engine.records.by_key
--- a/tests/recovery/recovering_host.py
+++ b/tests/recovery/recovering_host.py
@@ -5,7 +5,7 @@
 from service_time_cases import REQUEST_CLASSES
 
 from lichencleat.admission.types import NodeSpec
-from lichencleat.node.host import Host
+from lichencleat.node.host import RequestEngine
 
 
 class RecordingLog:
@@ -27,5 +27,5 @@
     host.set_allowance = lambda *allowance: host.allowances.append(allowance)
     host.ready = lambda: host.node is not None
     host.load = lambda: 0.0
-    host.speed = lambda: Host.speed(host)
+    host.speed = lambda: RequestEngine.speed(host)
     return host
