--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -15,7 +15,7 @@
 from lichencleat.node.report import Report
 from lichencleat.node.resp import ArrayReader, array
 from lichencleat.router.core import Router
-from lichencleat.router.door import Callers, RouterConnection, RouterHost, again
+from lichencleat.router.door import RouterConnection, RouterEngine, RouterListener, retry_fields
 from lichencleat.router.file import read_router
 from lichencleat.router.links import CONNECT_WAIT, LINKS_MOST, OPEN_MOST, NodeLinks, Told, Try, read_answer
 from lichencleat.router.terms import Came
@@ -56,7 +56,7 @@
 
 @pytest.fixture
 def deadlines(reactor, report):
-    return Deadlines(reactor, report.trouble)
+    return Deadlines(reactor, report.log_exception)
 
 
 @pytest.fixture
@@ -192,12 +192,12 @@
     )
     core = Router("a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, Value.PRIORITY_THRESHOLD, rng, clock())
     addresses = {"n1": ("10.0.0.1", 1), "n2": ("10.0.0.2", 2)}
-    return RouterHost(reactor, core, machine, addresses, clock, deadlines, report, rng)
+    return RouterEngine(reactor, core, machine, addresses, clock, deadlines, report, rng)
 
 
 @pytest.fixture
 def caller(host, deadlines, report):
-    made = RouterConnection(Callers(host, deadlines, report, 100))
+    made = RouterConnection(RouterListener(host, deadlines, report, 100))
     made.makeConnection(Transport())
     return made
 
@@ -230,7 +230,7 @@
     link.dataReceived(b"".join(array(b"1", b"200", b"v=0.25", b"\x00made\r\n")))
     turn(reactor)
     assert arrays(caller.transport.value()) == [[b"7", b"200", b"", b"\x00made\r\n"]]
-    assert not host.idents and not len(host.hands) and not host.core.in_hand
+    assert not host.pending_ids and not len(host.forwarded_requests) and not host.core.in_hand
     reactor.advance(0.2)
     caller.transport.clear()
     caller.dataReceived(b"".join(array(b"HEALTH", b"8", b"")))
@@ -251,7 +251,7 @@
         said.pop(b"r") == b"1" and re.fullmatch(rb"[0-9a-f]{16}", said[b"i"]) and said[b"i"] != before[b"i"]
     )
     assert {**said, b"i": b""} == {**before, b"i": b""} and words[4] == b"body"
-    assert again(b"r=1,i=1,s=2", b"9") == b"i=9,s=2,r=1"
+    assert retry_fields(b"r=1,i=1,s=2", b"9") == b"i=9,s=2,r=1"
 
 
 def test_a_caller_that_leaves_or_aborts_is_told_to_the_node_and_nothing_is_kept(reactor, host, caller):
@@ -265,13 +265,13 @@
     turn(reactor)
     sent = [words for link in links for words in arrays(link.transport.value())]
     assert sum(words[0] == b"ABORT" for words in sent) == 2 and not caller.transport.value()
-    assert not host.idents and not len(host.hands) and not host.core.in_hand
+    assert not host.pending_ids and not len(host.forwarded_requests) and not host.core.in_hand
 
 
 def test_a_request_whose_caller_left_before_it_was_placed_is_never_sent(reactor, host, caller):
     caller.dataReceived(req(reactor, 1)[0] + b"".join(array(b"ABORT", b"1")))
     turn(reactor)
-    assert not reactor.tcpClients and not len(host.hands) and not host.idents
+    assert not reactor.tcpClients and not len(host.forwarded_requests) and not host.pending_ids
 
 
 def test_a_node_that_never_answers_costs_its_caller_no_lateness_and_is_not_sent_more_there(
@@ -285,7 +285,7 @@
     turn(reactor)
     assert arrays(caller.transport.value()) == [[b"1", b"500", b"", b""]]
     assert arrays(link.transport.value())[-1] == [b"ABORT", b"1"] and link.going
-    assert not len(host.hands)
+    assert not len(host.forwarded_requests)
 
 
 def test_an_address_that_moved_takes_what_comes_and_the_old_one_ends_what_it_has(reactor, host, caller):
@@ -293,7 +293,7 @@
     turn(reactor)
     link = connected(reactor)
     name = link.node.name
-    host.members({"n1": ("10.0.0.8", 1), "n2": ("10.0.0.9", 2)})
+    host.set_nodes({"n1": ("10.0.0.8", 1), "n2": ("10.0.0.9", 2)})
     assert link.going and not link.transport.disconnecting
     link.dataReceived(b"".join(array(b"1", b"200", b"", b"x")))
     turn(reactor)
@@ -306,7 +306,7 @@
     caller.dataReceived(req(reactor, 1)[0])
     turn(reactor)
     assert arrays(caller.transport.value())[0][:2] == [b"1", b"500"] and report.counts["node errors"] == 1
-    assert not len(host.hands) and not host.core.in_hand
+    assert not len(host.forwarded_requests) and not host.core.in_hand
 
 
 # -- the file ------------------------------------------------------------------------------------------------
