--- a/lichencleat/node/__init__.py
+++ b/lichencleat/node/__init__.py
@@ -1,1 +1,1 @@
-"""A real node on sockets round the decisions: each file has one job, and none of them decides."""
+"""A node on sockets: drives the admission controller, which makes all decisions."""
--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -1,4 +1,4 @@
-"""One real node, put together from its parts: started, settings to leave, and ended."""
+"""Builds a node from its parts, starts it, drains it and stops it."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from lichencleat.node.report import Report
 from lichencleat.reactor import unix_time
 
-DRAIN_CHECK_PERIOD = 20_000  # µs between looks whether all is answered, while leaving
-STATUS_PERIOD = 10_000_000  # µs between lines that tell what the node believes: a log stays readable
-EXIT_MARGIN = 150_000  # µs before the stop by which the program ends in any case
-FLUSH_MARGIN = 50_000  # µs before the stop by which the last flow records are sent or given up
+DRAIN_CHECK_PERIOD = 20_000  # µs between checks, while draining, whether all requests are answered
+STATUS_PERIOD = 10_000_000  # µs between status lines; more of them would make the log hard to read
+EXIT_MARGIN = 150_000  # µs before the stop time at which the program ends in any case
+FLUSH_MARGIN = 50_000  # µs before the stop time at which flow records are sent or dropped
 EXIT_CANNOT_START = 2  # exit code
-FINAL_WRITE_DELAY = 50_000  # µs for answers to go out on connections that are ended as the time is up
-GOAWAY_DELAY = 300_000  # µs after goaway for what crosses it, and for the last answers to go out
+FINAL_WRITE_DELAY = 50_000  # µs to send the answers on connections that are closed at the end of the time
+GOAWAY_DELAY = 300_000  # µs after goaway for requests that cross it, and for the last answers
 
 
 class UnixClock:
-    """Whole microseconds of Unix time, never going back within a life."""
+    """Unix time in µs that never goes back within the life of the process."""
 
     def __init__(self) -> None:
         self.last = 0
@@ -39,10 +39,12 @@
 
 
 class RealNode:
+    """A node with all its parts, on real sockets."""
+
     def __init__(
         self, reactor: Any, clock: Any, settings: StartSettings, operator_config: Any = None
     ) -> None:
-        """`chosen`: the operators' file, as config.schema.NodeConfig, where the node is settings of one."""
+        """`operator_config`: a config.schema.NodeConfig, if the node has an operators' file."""
         self.reactor, self.clock, self.settings = reactor, clock, settings
         self.report = self.make_report(operator_config)
         self.deadlines = Deadlines(reactor, self.report.log_exception)
@@ -67,7 +69,8 @@
         )
         self.flows: Any = None
         if operator_config is not None and operator_config.flows is not None:
-            from lichencleat.flows.assembly import Flows  # off means not imported: memory counts
+            # imported only if it is on, to save memory
+            from lichencleat.flows.assembly import Flows
 
             self.flows = Flows(
                 reactor, clock, self.deadlines, self.report, settings.seed, operator_config.flows
@@ -77,15 +80,15 @@
         self.keyed: Any = None
         self.operator_config = operator_config
         if operator_config is not None and operator_config.keyed is not None:
-            from lichencleat.idempotency.assembly import (
-                create_service,  # off means not imported: memory counts
-            )
+            # imported only if it is on, to save memory
+            from lichencleat.idempotency.assembly import create_service
 
             self.keyed = self.engine.keyed = create_service(self, settings.name, operator_config.keyed, clock)
             self.engine.can_record = False
         self.fleet: Any = None
         if operator_config is not None and operator_config.fleet is not None:
-            from lichencleat.node.fleet import FleetNode  # off means not imported: memory counts
+            # imported only if it is on, to save memory
+            from lichencleat.node.fleet import FleetNode
 
             rng, events = Random(os.urandom(16)), self.report.events()
             self.fleet = FleetNode(
@@ -93,7 +96,8 @@
             )
         self.distributed: Any = None
         if operator_config is not None and operator_config.distribution is not None:
-            from lichencleat.node.tenants import DistributedConfig  # off means not imported: memory counts
+            # imported only if it is on, to save memory
+            from lichencleat.node.tenants import DistributedConfig
 
             rng, distribution_config = Random(os.urandom(16)), operator_config.distribution
             self.distributed = DistributedConfig(
@@ -110,16 +114,19 @@
         )
         self.ended: Deferred = Deferred()
         self.stop_at: int | None = None
-        self.code = 0  # for the process to exit with
+        self.code = 0  # exit code of the process
 
     def make_report(self, operator_config: Any) -> Report:
+        """A plain report, or a structured one if the operators' file says so."""
         if operator_config is None or operator_config.log is None:
             return Report(self.settings.name, self.clock)
-        from lichencleat.node.structured import StructuredReport  # off means not imported: memory counts
+        # imported only if it is on, to save memory
+        from lichencleat.node.structured import StructuredReport
 
         return StructuredReport(self.settings.name, self.clock, operator_config.log.form)
 
     def start(self) -> None:
+        """Listen, connect to the interpreter, and start all other parts."""
         self.dispatchers.listen(self.reactor, self.settings.listen)
         self.interpreter.start().addCallback(self.engine.on_interpreter_ready)
         self.membership.start(self.reactor, self.settings.listen[0])
@@ -137,19 +144,19 @@
             started.addErrback(self.on_start_failed)
 
     def on_start_failed(self, failure: Any) -> None:
-        """Nothing receipted was begun: the program ends with what is wrong, and serves nothing."""
+        """Log the error of the idempotency service and stop; no keyed request was started."""
         self.code = EXIT_CANNOT_START
         self.report.note(f"can't start: {failure.getErrorMessage()}")
         self.dispatchers.stop_listening()
         self.stop_parts()
 
     def on_distribution_failed(self, failure: Any) -> None:
-        """A fault of ours: the node goes on with what it has."""
+        """Log an internal error; the node continues with the configuration that it has."""
         self.report.count("node", "errors")
         self.report.note(f"error in distribution: {failure.getErrorMessage()}")
 
     def log_status(self) -> None:
-        """One line with what the node believes, to be compared with what its peers see."""
+        """Log the node's view of itself and its peers in one line, to compare with what the peers see."""
         self.deadlines.after(STATUS_PERIOD, self.log_status)
         parts = [self.dispatchers, self.engine, self.interpreter, self.catalogue, self.membership]
         descriptions = [each.describe() for each in parts]
@@ -177,15 +184,15 @@
             "limits": "descriptors",
             "settings": "settings_checksum",
         }
-        unchanged = [
+        needs_restart = [
             key for key, name in fixed.items() if getattr(settings, name) != getattr(self.settings, name)
         ]
         if self.distribution_of(operator_config) != self.distribution_of(self.operator_config):
-            unchanged.append("distribution")
+            needs_restart.append("distribution")
         self.settings.stop_after = settings.stop_after
         self.report.count("node", "configurations read")
-        moved = ", ".join(name for name, did in moved_parts.items() if did) or "nothing"
-        restart_note = f"; {', '.join(unchanged)} changed, which needs a restart" if unchanged else ""
+        moved = ", ".join(name for name, has_changed in moved_parts.items() if has_changed) or "nothing"
+        restart_note = f"; {', '.join(needs_restart)} changed, which needs a restart" if needs_restart else ""
         flows = (
             f"; {self.flows.reload(operator_config.flows if operator_config else None)}"
             if self.flows is not None
@@ -195,10 +202,11 @@
 
     @staticmethod
     def distribution_of(operator_config: Any) -> Any:
+        """The `distribution` section of the operators' file, or None."""
         return operator_config.distribution if operator_config is not None else None
 
     def leave(self) -> None:
-        """The notice to leave: only the first one counts."""
+        """Start to drain; further calls do nothing."""
         if self.stop_at is None:
             now = self.clock()
             self.stop_at = now + self.settings.stop_after
@@ -211,52 +219,53 @@
             self.deadlines.after(min(self.settings.machine.drain_grace_us, latest), self.check_drained)
 
     def check_drained(self) -> None:
-        """After the grace nothing new is run: the program ends as soon as all is answered."""
+        """Send goaway once all requests are answered or time is short; no new run starts after the grace."""
         if self.engine.unanswered_count() and self.clock() < self.stop_at - EXIT_MARGIN - GOAWAY_DELAY:
             self.deadlines.after(DRAIN_CHECK_PERIOD, self.check_drained)
         else:
             self.dispatchers.stop_listening()
             self.dispatchers.send_goaway()
-            left = max(0, self.stop_at - EXIT_MARGIN - self.clock())
-            self.deadlines.after(min(GOAWAY_DELAY, left), self.close_listener)
+            time_left = max(0, self.stop_at - EXIT_MARGIN - self.clock())
+            self.deadlines.after(min(GOAWAY_DELAY, time_left), self.close_connections)
 
-    def close_listener(self) -> None:
-        """Once all connections have ended, in their own time; or, where that is short, with their answers."""
-        open_still = self.engine.unanswered_count() or len(self.dispatchers.connections)
-        if open_still and self.clock() < self.stop_at - EXIT_MARGIN:
-            self.deadlines.after(DRAIN_CHECK_PERIOD, self.close_listener)
+    def close_connections(self) -> None:
+        """Stop once all clients have closed their connections, or close those after their answers in time."""
+        has_open = self.engine.unanswered_count() or len(self.dispatchers.connections)
+        if has_open and self.clock() < self.stop_at - EXIT_MARGIN:
+            self.deadlines.after(DRAIN_CHECK_PERIOD, self.close_connections)
             return
-        self.report.note(f"left with {self.engine.unanswered_count()} unanswered")
+        self.report.note(f"drain ended with {self.engine.unanswered_count()} unanswered requests")
         if len(self.dispatchers.connections):
             self.dispatchers.close()
-            left = max(0, self.stop_at - FLUSH_MARGIN - self.clock())
-            self.deadlines.after(min(FINAL_WRITE_DELAY, left), self.stop_parts)
+            time_left = max(0, self.stop_at - FLUSH_MARGIN - self.clock())
+            self.deadlines.after(min(FINAL_WRITE_DELAY, time_left), self.stop_parts)
         else:
             self.stop_parts()
 
     def stop_parts(self) -> None:
-        """All answers are out: what is left to write is flushed, as far as the time to stop allows."""
+        """Stop all parts; those with unwritten data flush it within the time to the stop."""
         self.membership.stop()
         self.interpreter.stop()
         self.catalogue.stop()
         if self.fleet is not None:
             self.fleet.stop()
         now = self.clock()
-        left = (self.stop_at or now + self.settings.stop_after) - FLUSH_MARGIN - now
+        time_left = (self.stop_at or now + self.settings.stop_after) - FLUSH_MARGIN - now
         flushed = []
         if self.flows is not None:
-            flushed.append(self.flows.flush(left))
+            flushed.append(self.flows.flush(time_left))
         if self.keyed is not None:
             flushed.append(self.keyed.close())
-        if self.distributed is not None:  # it followed until now: what is in hand goes by its word
+        if self.distributed is not None:  # pending requests needed its configuration until now
             flushed.append(self.distributed.stop())
         if not flushed:
             self.on_flushed()
             return
-        self.deadlines.after(left, self.on_flushed)  # guards the time to stop, whatever happens to the flush
+        self.deadlines.after(time_left, self.on_flushed)  # stop in time even if the flush does not finish
         DeferredList(flushed, consumeErrors=True).addBoth(self.on_flushed)
 
     def on_flushed(self, _: Any = None) -> None:
+        """Write the counters and fire `ended`, once."""
         if not self.ended.called:
             if self.flows is not None:
                 self.flows.tell_totals()
--- a/lichencleat/node/catalogue.py
+++ b/lichencleat/node/catalogue.py
@@ -1,6 +1,7 @@
-"""Calls below, each on a connection of its own while it lasts: a Deferred that fires once with its outcome.
+"""Calls to the dependency through its proxy; each has a Deferred that fires once with its outcome.
 
-One spoilt reply, or one broken connection, so ends one call; past the bound on connections calls share them.
+Each call has a connection to itself, so that a corrupt reply or a broken connection ends one call only. Once
+the number of connections reaches its limit, calls share them.
 """
 
 from __future__ import annotations
@@ -18,22 +19,19 @@
 from lichencleat.node.lines import LineReader, line, line_with_body
 from lichencleat.node.report import Report
 
-IDLE_TIMEOUT = (
-    500_000  # µs: one left idle for longer may be forgotten by the other side, and the next call be lost
-)
-MAX_LINKS = 48  # connections, busy ones included: more calls at once than a machine of few cores makes
-DESCRIPTORS_PER_LINK = (
-    8  # one descriptor in so many, where that is fewer: callers may take half, and need not share
-)
+# µs until an idle connection is closed; later the proxy may drop it, and the next call on it would be lost
+IDLE_TIMEOUT = 500_000
+# connections, including busy ones: more concurrent calls than a machine with few cores makes
+MAX_LINKS = 48
+# One descriptor in so many is for a link, if that is fewer: clients may use half, and calls need not share.
+DESCRIPTORS_PER_LINK = 8
 REPLY_TIMEOUT = (
-    500_000  # µs for the rest of a reply that has begun: it comes in one piece from the same machine
+    500_000  # µs for the rest of a partial reply; the proxy on the same machine sends it in one piece
 )
 HEX = frozenset(b"0123456789abcdefABCDEF")
-ID_DIGITS = 16  # digits of an id
-CALL_TIMEOUT_MARGIN = (
-    50_000  # µs past a call's stated time before a silent proxy on the same machine is given up
-)
-CONNECT_TIMEOUT = 2_000_000  # µs for a connection to a proxy on the same machine
+ID_DIGITS = 16
+CALL_TIMEOUT_MARGIN = 50_000  # µs past a call's own timeout until a silent proxy is abandoned
+CONNECT_TIMEOUT = 2_000_000  # µs to connect to a proxy on the same machine
 OUTCOMES = {
     b"DATA": Outcome.COMPLETED,
     b"LATER": Outcome.REJECTED,
@@ -44,11 +42,13 @@
 
 
 def max_catalogue_links(descriptors: int) -> int:
-    """How many connections calls may take of so many descriptors; more calls share them."""
+    """The maximum number of connections for calls, out of `descriptors`; further calls share them."""
     return max(1, min(MAX_LINKS, descriptors // DESCRIPTORS_PER_LINK))
 
 
 class Call:
+    """One call in flight; cancelling `ended` cancels the call."""
+
     __slots__ = ("ident", "link", "span", "body", "ended", "timer", "written")
 
     def __init__(self, ident: bytes, link: Link, span: int, body: bytes) -> None:
@@ -59,17 +59,20 @@
 
 
 def has_body(words: list[bytes]) -> bool:
-    """Guards against taking noise for a reply: after what is none, nothing on that connection can be read."""
+    """Whether the line of a reply is followed by a body; raises BrokenFramingError if it is no reply.
+
+    After a line that is no reply, nothing further on that connection can be trusted.
+    """
     if len(words) >= 2 and len(words[0]) == ID_DIGITS and HEX.issuperset(words[0]):
         if words[1] == b"DATA" and len(words) == 3:
             return True
         if words[1] in OUTCOMES and words[1] != b"DATA" and len(words) == 2:
             return False
-    raise BrokenFramingError(f"no reply: {b' '.join(words)[:60]!r}")
+    raise BrokenFramingError(f"not a reply: {b' '.join(words)[:60]!r}")
 
 
 class Link(Protocol):
-    """Owns the calls on one connection; each is given back in `finish` alone."""
+    """One connection and the calls on it; only `finish` removes a call."""
 
     def __init__(self, catalogue: Catalogue) -> None:
         self.catalogue = catalogue
@@ -87,6 +90,7 @@
         self.close_when_idle()
 
     def add_call(self, call: Call) -> None:
+        """Send a call here, once connected, and start its timeout."""
         self.catalogue.deadlines.cancel(self.idle_timer)
         self.calls[call.ident] = call
         call.timer = self.catalogue.deadlines.after(
@@ -102,22 +106,24 @@
         self.catalogue.report.count("catalogue", "sent FETCH")
 
     def cancel_call(self, call: Call, outcome: Outcome) -> None:
-        """Gives up a call: by its Deferred's cancel, or as the other side stays silent past its time."""
+        """Cancel a call, because its Deferred was cancelled or its timeout has passed without a reply."""
         if self.calls.get(call.ident) is call:
             if call.written and self.transport is not None:
                 self.transport.writeSequence(line(b"QUIT", call.ident))
                 self.catalogue.report.count("catalogue", "sent QUIT")
             if outcome is Outcome.TIMED_OUT:
-                self.catalogue.retire(self)  # silent past the time that it was told: not trusted with another
+                self.catalogue.retire(self)  # no reply in time: no further call is sent here
             self.finish(call, outcome if call.written else Outcome.UNREACHABLE)
 
     def finish(self, call: Call, outcome: Outcome, reply: bytes = b"") -> None:
+        """Remove a call and fire its Deferred."""
         del self.calls[call.ident]
         self.catalogue.deadlines.cancel(call.timer)
         self.close_when_idle()
         call.ended.callback((outcome, reply))
 
     def close_when_idle(self) -> None:
+        """Without calls, close after the idle timeout, or at once if no further call is sent here."""
         self.catalogue.deadlines.cancel(self.idle_timer)
         if not self.calls and self.transport is not None:
             if self in self.catalogue.links:
@@ -138,23 +144,24 @@
             self.catalogue.deadlines.cancel(self.reply_timer)
             if self.reader.has_partial_message():
                 self.reply_timer = self.catalogue.deadlines.after(
-                    REPLY_TIMEOUT, self.abort, "a reply without end"
+                    REPLY_TIMEOUT, self.abort, "incomplete reply"
                 )
-        except BrokenFramingError as broken:
-            self.abort(str(broken))
+        except BrokenFramingError as error:
+            self.abort(str(error))
         except Exception:
             self.catalogue.report.log_exception("a reply to a call")
 
-    def abort(self, why: str) -> None:
-        """Nothing more can be read here: all its calls end now, with what a lost connection proves."""
+    def abort(self, reason: str) -> None:
+        """Abort the connection; its calls end with the outcome that a lost connection proves."""
         self.catalogue.report.count("catalogue", "connections given up")
-        self.catalogue.report.note(f"catalogue: {why}; the connection is given up")
+        self.catalogue.report.note(f"catalogue: {reason}; the connection is aborted")
         transport = self.transport
         self.on_lost()
         if transport is not None:
             transport.abortConnection()
 
     def on_reply(self, words: list[bytes], body: bytes) -> None:
+        """Finish the call that a reply belongs to."""
         report = self.catalogue.report
         report.count("catalogue", "got " + words[1].decode())
         call = self.calls.get(words[0])
@@ -167,7 +174,7 @@
         self.on_lost()
 
     def on_lost(self) -> None:
-        """A call that was never written never ran; of one that was, a lost connection proves nothing."""
+        """End all calls: one that was never sent never ran; whether a sent call ran is unknown."""
         self.catalogue.retire(self)
         self.transport = None
         self.catalogue.deadlines.cancel(self.idle_timer)
@@ -177,7 +184,7 @@
 
 
 class ConnectionAttempt(ClientFactory):
-    """One connection under way."""
+    """One attempt to connect."""
 
     noisy = False
 
@@ -194,6 +201,8 @@
 
 
 class Catalogue:
+    """Distributes calls over connections to the proxy of the dependency."""
+
     def __init__(
         self,
         reactor: Any,
@@ -203,14 +212,14 @@
         max_links: int = MAX_LINKS,
     ) -> None:
         self.reactor, self.address, self.max_links = reactor, address, max_links
-        self.wrap: Callable[[Any], Any] = lambda factory: factory  # meters the links, where flow export does
+        self.wrap: Callable[[Any], Any] = lambda factory: factory  # meters the links if flow export is on
         self.deadlines, self.report = deadlines, report
-        self.links: OrderedDict[Link, None] = OrderedDict()  # those that take calls, the last used at the end
+        self.links: OrderedDict[Link, None] = OrderedDict()  # links for new calls, the last used at the end
 
     def fetch(self, ident: bytes, span: int, body: bytes, used_links: list[Link]) -> Call:
-        """Places a call; not on a connection that carried one of the same request.
+        """Send a call, but not on a connection that carried an earlier call of the same request.
 
-        Guards against taking a late or a second reply to that one for the reply to this one.
+        Prevents a late or second reply to the earlier call from being taken for the reply to this one.
         """
         candidates = [
             each for each in reversed(self.links) if each not in used_links and ident not in each.calls
@@ -230,7 +239,10 @@
         return call
 
     def set_address(self, address: tuple[str, int] | None) -> bool:
-        """A new address takes the calls from now on; those under way end where they are."""
+        """Send new calls to a new address; calls in flight end on their connections.
+
+        Returns whether the address changed.
+        """
         if address == self.address or address is None:
             return False
         self.address = address
@@ -240,9 +252,11 @@
         return True
 
     def retire(self, link: Link) -> None:
+        """Send no further calls on a link."""
         self.links.pop(link, None)
 
     def describe(self) -> str:
+        """The catalogue's part of the status line."""
         return f"{sum(len(each.calls) for each in self.links)} calls on {len(self.links)} connections"
 
     def stop(self) -> None:
--- a/lichencleat/node/config.py
+++ b/lichencleat/node/config.py
@@ -1,4 +1,4 @@
-"""What the platform tells a node at its start, checked; what is wrong is said in one line."""
+"""The settings that the platform gives a node at its start, validated; each error is one line."""
 
 from __future__ import annotations
 
@@ -12,27 +12,30 @@
 from lichencleat.admission.types import NodeSpec
 
 MB = 1 << 20  # bytes
-MAX_PORT = 65_535  # the last one there is
+MAX_PORT = 65_535
 
 
 @dataclass(slots=True)
 class StartSettings:
+    """The settings of a node from the platform's configuration file."""
+
     name: str
     listen: tuple[str, int]
     interpreter: tuple[str, int]
     members: tuple[str, int]
-    catalogue: tuple[str, int] | None  # None on the last tier
+    catalogue: tuple[str, int] | None  # None on the last tier, which makes no calls
     seed: str
-    stop_after: int  # µs from the notice to leave to the stop
+    stop_after: int  # µs from the signal to stop until the process must have ended
     descriptors: int
-    memory: int | None  # bytes that the program may have, where it is told
+    memory: int | None  # limit of the process in bytes; None if the platform gives none
     machine: NodeSpec
     gauges: list[str | None]
-    tenants: frozenset[bytes]  # empty at a site without them
-    settings_checksum: int  # of the settings, to see whether they change
+    tenants: frozenset[bytes]  # empty on a site without tenants
+    settings_checksum: int  # to detect changes in `settings`
 
 
 def read_start_settings(environment: Mapping[str, str]) -> StartSettings:
+    """Read the file that BALANCER_CONFIG names; raises InvalidInputError."""
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise InvalidInputError("BALANCER_CONFIG is not set")
@@ -56,7 +59,7 @@
         stop_after=round(read_field(document, "stop_ms", (int, float)) * 1000),
         descriptors=read_field(limits, "sockets", int),
         memory=int(read_field(limits, "memory_mb", (int, float)) * MB) if "memory_mb" in limits else None,
-        machine=read_machine(settings),
+        machine=read_node_spec(settings),
         gauges=decode_settings(decode_gauges, settings),
         tenants=read_tenants(settings),
         settings_checksum=crc32(json.dumps(settings, sort_keys=True).encode()),
@@ -64,24 +67,27 @@
 
 
 def read_field(document: dict, key: str, kind: Any) -> Any:
+    """The value of a key, checked for its type and, for numbers, its range."""
     value = document.get(key)
     if (
         not isinstance(value, kind)
         or isinstance(value, bool)
         or (isinstance(value, int | float) and key != "seed" and not 0 <= value <= MAX_AMOUNT)
     ):
-        raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is missing or wrong: {value!r:.60}")
+        raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is missing or invalid: {value!r:.60}")
     return value
 
 
 def read_address(document: dict, key: str) -> tuple[str, int]:
+    """The host and port under a key."""
     host, _, port = read_field(document, key, str).rpartition(":")
     if not host or not port.isdecimal() or len(port) > 5 or int(port) > MAX_PORT:
-        raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is no address: {document[key]!r:.60}")
+        raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is not an address: {document[key]!r:.60}")
     return host, int(port)
 
 
 def read_tenants(settings: dict) -> frozenset[bytes]:
+    """The names of the tenants; empty on a site without tenants."""
     try:
         return frozenset(each["name"].encode() for each in settings.get("orgs") or [])
     except (KeyError, TypeError, AttributeError) as error:
@@ -89,14 +95,16 @@
 
 
 def decode_settings(decode: Callable[[dict], Any], settings: dict) -> Any:
+    """Decode the settings; an error names the key that holds them."""
     try:
         return decode(settings)
     except InvalidInputError as error:
         raise InvalidInputError(f"BALANCER_CONFIG: 'settings': {error}") from error
 
 
-def read_machine(settings: dict) -> NodeSpec:
+def read_node_spec(settings: dict) -> NodeSpec:
+    """Decode the settings of the admission controller."""
     made = decode_settings(decode_node_spec, settings)
     if not made.request_classes or any(each.deadline <= 0 for each in made.request_classes):
-        raise InvalidInputError("BALANCER_CONFIG: 'settings': no classes, or one without its deadline")
+        raise InvalidInputError("BALANCER_CONFIG: 'settings': no request classes, or one without a deadline")
     return made
--- a/lichencleat/node/deadlines.py
+++ b/lichencleat/node/deadlines.py
@@ -1,4 +1,4 @@
-"""The one ordered structure in which every timer of the program hangs, over one callLater."""
+"""All timers of the program: one heap, driven by a single callLater of the reactor."""
 
 from __future__ import annotations
 
@@ -6,11 +6,13 @@
 from collections.abc import Callable
 from typing import Any
 
-MAX_LATENESS = 20_000  # µs: later than this the process was held up, and what came meanwhile is read first
-MAX_CANCELLED = 64  # cancelled timers in the heap before it is built anew: a few seconds' worth
+MAX_LATENESS = 20_000  # µs; a later timer means that the process was paused, and pending input is read first
+MAX_CANCELLED = 64  # cancelled timers in the heap before it is rebuilt; these are cancelled in a few seconds
 
 
 class Deadline:
+    """One timer; `call` is None once it has fired or was cancelled."""
+
     __slots__ = ("call", "values")
 
     def __init__(self, call: Callable | None, values: tuple) -> None:
@@ -18,6 +20,8 @@
 
 
 class Deadlines:
+    """A heap of timers over the reactor's monotonic clock."""
+
     def __init__(self, reactor: Any, log_exception: Callable[[str], None]) -> None:
         self.reactor, self.log_exception = reactor, log_exception
         self.heap: list[tuple[int, int, Deadline]] = []
@@ -27,10 +31,11 @@
         self.has_yielded = False
 
     def now(self) -> int:
+        """µs of the monotonic clock."""
         return int(self.reactor.seconds() * 1_000_000)
 
     def after(self, span: int, call: Callable, *values: Any) -> Deadline:
-        """Calls in so many µs; with 0 once the reactor has read what is there now."""
+        """Call `call` in `span` µs; 0 means after the reactor has read the input that is there now."""
         deadline = Deadline(call, values)
         self.serial += 1
         heapq.heappush(self.heap, (self.now() + max(0, span), self.serial, deadline))
@@ -38,7 +43,7 @@
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """A deadline that has passed, or none, may be cancelled as well."""
+        """Cancel a timer; does nothing for None and for a timer that has fired."""
         if deadline is None or deadline.call is None:
             return
         deadline.call = None
@@ -50,6 +55,7 @@
             self.schedule()
 
     def schedule(self) -> None:
+        """Schedule the reactor call for the earliest timer."""
         if not self.heap or (self.scheduled_call is not None and self.scheduled_at <= self.heap[0][0]):
             return
         if self.scheduled_call is not None:
@@ -60,7 +66,11 @@
         )
 
     def fire(self) -> None:
-        """Guards against judging by the clock after a pause: the reactor reads once before what is late."""
+        """Fire the timers that are due.
+
+        After a pause of the process, the reactor first reads once, so that input which arrived in time is not
+        treated as late.
+        """
         self.scheduled_call, now = None, self.now()
         if self.heap and now - self.heap[0][0] > MAX_LATENESS and not self.has_yielded:
             self.has_yielded, self.scheduled_at = True, 0
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -172,9 +172,9 @@
     def stopProducing(self) -> None:
         pass
 
-    def abort(self, why: str) -> None:
-        """Reset the connection; `why` is part of a counter's name."""
-        self.listener.report.count("dispatchers", f"aborted: {why}")
+    def abort(self, reason: str) -> None:
+        """Reset the connection; `reason` is part of a counter's name."""
+        self.listener.report.count("dispatchers", f"aborted: {reason}")
         self.closing = self.write_closed = self.was_aborted = True
         self.listener.stalled.pop(self, None)
         self.transport.abortConnection()
@@ -202,17 +202,17 @@
         if self.ignores_input or self.write_closed:
             self.drop_input(len(data))
             return
-        came = False
+        has_array = False
         try:
             for words in self.reader.feed(data):
-                came = True
+                has_array = True
                 self.handle_array(words)
                 if self.ignores_input:
                     return
-        except BrokenFramingError as broken:
-            self.stop_reading(str(broken))
+        except BrokenFramingError as error:
+            self.stop_reading(str(error))
             return
-        if came:
+        if has_array:
             self.listener.without_array.pop(self, None)
             self.listener.deadlines.cancel(self.array_timer)
             self.array_timer, self.array_timed_out = None, False
@@ -250,9 +250,9 @@
                 )
             else:
                 raise BadRequestError(f"unknown command {words[0][:20]!r}")
-        except BadRequestError as bad:
+        except BadRequestError as error:
             report.count("dispatchers", "unusable arrays")
-            report.note(f"dispatchers: {bad}")
+            report.note(f"dispatchers: {error}")
             self.send(tag, STATUS_CODES[Answer.FAILED], self.status_fields(), b"")
             self.bad_arrays += 1
             if self.bad_arrays >= MAX_BAD_ARRAYS:
@@ -278,23 +278,23 @@
             )
         self.listener.engine.on_request_received(pending)
 
-    def stop_reading(self, why: str) -> None:
+    def stop_reading(self, reason: str) -> None:
         """Drop all further input, and close once the open requests are answered."""
         if self.ignores_input:
             return
         self.listener.report.count("dispatchers", "broken framing")
-        self.listener.report.note(f"dispatchers: {why}; the connection is closed")
+        self.listener.report.note(f"dispatchers: {reason}; the connection is closed")
         self.closing = self.ignores_input = True
         self.close_if_done()
 
-    def on_array_timeout(self, why: str) -> None:
+    def on_array_timeout(self, reason: str) -> None:
         """Close a connection whose array is incomplete, so that it does not occupy a descriptor.
 
         If it has sent a whole array before, it gets a goaway; should the rest arrive, the array is handled.
         """
         self.array_timer, self.array_timed_out = None, True
         self.listener.report.count("dispatchers", "arrays too slow")
-        self.listener.report.note(f"dispatchers: {why}; the connection is closed")
+        self.listener.report.note(f"dispatchers: {reason}; the connection is closed")
         if self in self.listener.without_array or self.closing:
             self.schedule_close()
         else:
@@ -355,13 +355,13 @@
 
         The producer is unregistered: a connection with a paused producer would not close.
         """
-        under_way = (
+        array_in_progress = (
             self.goaway_sent
             and not self.closing
             and self.array_timer is not None
             and self.reader.has_partial_message()
         )
-        if self.write_closed or ((self.pending_requests or under_way) and not in_any_case):
+        if self.write_closed or ((self.pending_requests or array_in_progress) and not in_any_case):
             return
         self.write_closed = True
         for each in (self.array_timer, self.idle_timer, self.unread_timer):
@@ -378,15 +378,17 @@
         self.listener.deadlines.cancel(self.idle_timer)
         self.idle_timer = None
         if self.listener.idle_timeout and not self.goaway_sent:
-            quiet = self.listener.deadlines.now() - self.last_traffic
-            self.idle_timer = self.listener.deadlines.after(self.listener.idle_timeout - quiet, self.on_idle)
+            idle_for = self.listener.deadlines.now() - self.last_traffic
+            self.idle_timer = self.listener.deadlines.after(
+                self.listener.idle_timeout - idle_for, self.on_idle
+            )
 
     def on_idle(self) -> None:
         """Send a goaway after the idle timeout; connections that only check health stay open."""
-        quiet = self.listener.deadlines.now() - self.last_traffic
-        if quiet < self.listener.idle_timeout or self.pending_requests or self.checks_only:
+        idle_for = self.listener.deadlines.now() - self.last_traffic
+        if idle_for < self.listener.idle_timeout or self.pending_requests or self.checks_only:
             self.idle_timer = self.listener.deadlines.after(
-                max(self.listener.idle_timeout - quiet, self.listener.idle_timeout // 2), self.on_idle
+                max(self.listener.idle_timeout - idle_for, self.listener.idle_timeout // 2), self.on_idle
             )
         else:
             self.send_goaway()
@@ -461,9 +463,9 @@
         """
         count, spare = len(self.connections), self.max_connections // CONNECTIONS_PER_SPARE
         if count >= GOAWAY_FILL_SHARE * self.max_connections and (
-            resting := self.longest_idle(GOAWAY_MIN_IDLE, False)
+            idle_connection := self.longest_idle(GOAWAY_MIN_IDLE, False)
         ):
-            resting.send_goaway()
+            idle_connection.send_goaway()
         if count >= self.max_connections - spare:
             self.evict_one()
         if count >= self.max_connections:
@@ -481,11 +483,11 @@
         """The number of connections to accept at once; the reactor reads from them before it accepts more."""
         return max(1, self.accept_limit() - len(self.connections))
 
-    def set_accepting(self, on: bool) -> None:
-        if on is self.is_accepting or self.port is None:
+    def set_accepting(self, accepting: bool) -> None:
+        if accepting is self.is_accepting or self.port is None:
             return
-        self.is_accepting = on
-        if on:
+        self.is_accepting = accepting
+        if accepting:
             self.port.resumeProducing()
         else:
             self.report.count("dispatchers", "times full")
@@ -524,14 +526,14 @@
         `goaway_sent`: include connections that got a goaway.
         """
         before = self.deadlines.now() - span
-        resting = [
+        idle_connection = [
             each
             for each in self.connections
             if each.last_traffic < before
             and not (each.pending_requests or each.closing or each.write_closed)
             and (goaway_sent or not each.goaway_sent)
         ]
-        return min(resting, key=lambda each: each.last_traffic, default=None)
+        return min(idle_connection, key=lambda each: each.last_traffic, default=None)
 
     def set_idle_timeout(self, span: int) -> None:
         """Set after how many µs without traffic a connection gets a goaway."""
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -1,7 +1,7 @@
-"""A node among others that agree through voters: its seat in a pool, its part in a return, its jobs.
+"""A node's part in the fleet: its quota of calls, its recovery reports, and the jobs whose leases it holds.
 
-Puts together what `quotas/`, `recovery/` and `leases/` make; decides nothing. Imported only where the
-operators' file names a fleet.
+Connects the clients of `quotas/`, `recovery/` and `leases/` to the node. Imported only if the operators' file
+has a `fleet` section.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class LeaseListenerGroup:
-    """A `LeaseListener` that hands each job to those that know it."""
+    """A `LeaseListener` that passes each event to several listeners."""
 
     def __init__(self, tasks: list[LeaseListener]) -> None:
         self.tasks = tasks
@@ -44,7 +44,7 @@
 
 
 class FleetNode:
-    """Owns the clients and what talks through them; all are given back in `stop`."""
+    """Owns the group clients and the tasks that use them, until `stop`."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         rng: random.Random,
         log: Any,
     ) -> None:
-        """`engine`: as net.engine.Host; `keyed`: as idempotency.service.IdempotencyService, or None."""
+        """`engine`: a node.host.RequestEngine; `keyed`: an idempotency.service.IdempotencyService or None."""
         self.reactor, self.name, self.config, self.rng, self.log = reactor, name, config, rng, log
         self.clients: list[GroupClient] = []
         self.quota_client = self.make_quota_client(engine) if config.shares is not None else None
@@ -67,15 +67,18 @@
         self.holder = self.make_lease_holder() if config.candidate else None
 
     def add_client(self) -> GroupClient:
+        """Create a client of the coordination group."""
         addresses = [parse_address(each) for each in self.config.members]
         made = GroupClient(self.reactor, self.config.group, addresses, self.rng, self.name)
         self.clients.append(made)
         return made
 
     def now(self) -> int:
+        """µs of the reactor's monotonic clock."""
         return int(self.reactor.seconds() * SECOND)
 
     def make_quota_client(self, engine: Any) -> QuotaClient:
+        """Create the client that limits the engine's calls to this node's quota."""
         shares, incarnation = self.config.shares, self.rng.getrandbits(48)
         assert shares is not None
         term = round(shares.term_s * SECOND)
@@ -89,13 +92,14 @@
     def make_recovery_reporter(
         self, engine: Any, keyed: Any, unix_time: Callable[[], int]
     ) -> RecoveryReporter:
+        """Create the reporter that sets what the engine may serve after a restart."""
         boot_records = BootRecordStore(self.config.group, unix_time)
         incarnation = self.rng.getrandbits(48)
         gate = ReadinessGate(
             self.name, self.config.zone, incarnation, False, 0, ClockCheck.PLAUSIBLE, self.now()
         )
         gate.has_records = keyed is not None
-        engine.set_allowance(0.0, False)  # until there is a word, or a reason to go on without
+        engine.set_allowance(0.0, False)  # until the planner replies, or the gate opens without a reply
         is_index_loaded = (lambda: keyed.index.is_loaded) if keyed is not None else (lambda: False)
         recovery_reporter = RecoveryReporter(
             self.reactor, self.add_client(), engine, gate, boot_records, is_index_loaded, unix_time, self.log
@@ -106,6 +110,7 @@
         return recovery_reporter
 
     def make_lease_holder(self) -> LeaseClient:
+        """Create the client that competes for the leases of the fleet's jobs."""
         tasks: list[Any] = []
         if self.config.shares is not None:
             tasks.append(AllocatorTask(self.reactor, self.add_client(), self.config.shares.pool, self.log))
@@ -117,7 +122,7 @@
         )
         for each in tasks:
             each.lease_client = holder
-        # a node whose file names no part of it would own a job and do nothing
+        # without tasks, request no lease: the node would hold a job and do nothing
         holder.leases.job_prefixes = [each.job for each in tasks] or ["none"]
         return holder
 
@@ -127,7 +132,7 @@
                 each.start()
 
     def leave(self) -> Deferred[None]:
-        """At a drain: its jobs go at once, the seat stays until the end, as calls may be under way."""
+        """Release the leases when a drain starts; the quota stays to the end, as calls may be in flight."""
         if self.recovery_reporter is not None:
             self.recovery_reporter.leave()
         return self.holder.leave() if self.holder is not None else succeed(None)
@@ -136,10 +141,11 @@
         for each in (self.quota_client, self.recovery_reporter):
             if each is not None:
                 each.stop()
-        for add_client in self.clients:
-            add_client.close()
+        for client in self.clients:
+            client.close()
 
     def describe(self) -> str:
+        """The fleet part of the status line."""
         parts = [self.quota_client.describe()] if self.quota_client is not None else []
         parts += [self.recovery_reporter.describe()] if self.recovery_reporter is not None else []
         jobs = ", ".join(sorted(self.holder.leases.held_tokens)) if self.holder is not None else ""
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -170,8 +170,8 @@
     def submit_request(self, pending: PendingRequest) -> None:
         """Pass a request, whose key was looked up, to the admission controller."""
         request = pending.request
-        if pending.key and (tries := self.records.find_all(pending.key, request)):
-            *request.other_originals, request.original = tries
+        if pending.key and (originals := self.records.find_all(pending.key, request)):
+            *request.other_originals, request.original = originals
             request.original_unknown = False
         elif pending.key and not request.original_unknown:
             self.records.add(pending.key, request)
@@ -285,27 +285,27 @@
 
     def on_timer(self) -> None:
         """Read the gauges, then run the timer event with fresh readings or none, never with old ones."""
-        asked = self.interpreter.request_gauges()
-        if asked is None:
+        gauge_request = self.interpreter.request_gauges()
+        if gauge_request is None:
             self.on_gauges(None)
             return
-        limit = self.deadlines.after(GAUGES_TIMEOUT, asked.cancel)
-        asked.addCallback(self.on_gauges, limit)
+        timer = self.deadlines.after(GAUGES_TIMEOUT, gauge_request.cancel)
+        gauge_request.addCallback(self.on_gauges, timer)
 
-    def on_gauges(self, readings: list[float] | None, limit: Any = None) -> None:
+    def on_gauges(self, readings: list[float] | None, timer: Any = None) -> None:
         """Run the controller's timer event with the readings, or without any."""
-        self.deadlines.cancel(limit)
+        self.deadlines.cancel(timer)
         if readings is None:
             self.report.count("host", "wake-ups without gauges")
         self.node.on_timer(self.clock(), read_gauges(self.gauges, readings) if readings else ResourceUsage())
         self.schedule_decisions()
 
-    def run_guarded(self, pending: PendingRequest, happened: Callable[..., None], *values: Any) -> None:
-        """Call `happened`; an error in it fails this request alone."""
+    def run_guarded(self, pending: PendingRequest, handler: Callable[..., None], *values: Any) -> None:
+        """Call `handler`; an error in it fails this request alone."""
         try:
-            happened(pending, *values)
+            handler(pending, *values)
         except Exception:
-            self.report.log_exception(happened.__name__)
+            self.report.log_exception(handler.__name__)
             self.abort_request(pending)
 
     def abort_request(self, pending: PendingRequest) -> None:
@@ -367,9 +367,9 @@
             self.node.set_recording_available(self.clock(), self.can_record and self.may_record)
             self.schedule_decisions()
 
-    def set_allowance(self, share: float, receipted: bool) -> None:
-        """Set which share of the requests is admitted, and whether keyed ones are (`receipted`)."""
-        self.admitted_share, self.may_record = share, receipted
+    def set_allowance(self, share: float, admit_keyed: bool) -> None:
+        """Set which share of the requests is admitted, and whether keyed ones are (`admit_keyed`)."""
+        self.admitted_share, self.may_record = share, admit_keyed
         if self.node is not None:
             self.node.set_admitted_share(self.clock(), share)
             self.set_recording_available(self.can_record)
@@ -488,12 +488,12 @@
 
         Events must not reach the controller during a round.
         """
-        first = pending.request.original
-        if first is None and self.keyed is not None:
+        original = pending.request.original
+        if original is None and self.keyed is not None:
             self.keyed.answer_repeat(pending)
             return
-        self.records.add_waiter(first, pending)
-        if first is None or first.state is RequestState.ENDED:
+        self.records.add_waiter(original, pending)
+        if original is None or original.state is RequestState.ENDED:
             self.finished_repeats.append(pending)
 
     def complete_repeat(self, pending: PendingRequest, result: bytes | None) -> None:
--- a/lichencleat/node/interpreter.py
+++ b/lichencleat/node/interpreter.py
@@ -14,22 +14,18 @@
 from lichencleat.node.lines import LineReader, line, line_with_body
 from lichencleat.node.report import Report
 
-RECONNECT_DELAY = 50_000  # µs after a try to connect that failed: a lost link itself is renewed at once
-CONNECT_TIMEOUT = 1_000_000  # µs for a connection on the same machine
-REPLY_LOSS_WINDOW = 100_000  # µs: twice what a link that breaks may take along of the commands written before
-MAX_EARLY_OUTCOMES = (
-    4_000  # ends of runs that an earlier life began, until it is known which: as many as are told
-)
-REPLACED_LINK_LIFETIME = (
-    2_000_000  # µs that a replaced link may stay open: the other side ends it after 1.5 s
-)
-SILENCE_TIMEOUT = (
-    2_000_000  # µs without pending_gauges, asked for ten times a second: to connect anew does no harm
-)
-MAX_KEPT_NOTICES = (
-    4_000  # notices that are kept, by the protocol: a number further ahead was spoilt on the way
-)
-MAX_DURATION = 31_536_000_000.0  # ms, a year: no run takes longer, and no interpreter is up for longer
+RECONNECT_DELAY = 50_000  # µs after a failed attempt to connect; a lost link itself is replaced at once
+CONNECT_TIMEOUT = 1_000_000  # µs to connect on the same machine
+# µs; twice the time before a link breaks in which a command written to it may be lost
+REPLY_LOSS_WINDOW = 100_000
+# outcomes of runs of an earlier incarnation, kept until they are adopted: as many as the interpreter reports
+MAX_EARLY_OUTCOMES = 4_000
+REPLACED_LINK_LIFETIME = 2_000_000  # µs; the interpreter closes a replaced link after 1.5 s
+# µs without gauges, which are requested ten times a second, before the link is replaced; that does no harm
+SILENCE_TIMEOUT = 2_000_000
+# notices that the interpreter keeps, by the protocol: a number further ahead is corrupt
+MAX_KEPT_NOTICES = 4_000
+MAX_DURATION = 31_536_000_000.0  # ms, one year: no run takes longer, and no interpreter is up for longer
 STATES = (b"EMPTY", b"LOADED")
 NOTICE_KINDS = (b"VALUE", b"AWAIT", b"TRACE", b"TOPS", b"BANNER", b"ERROR")
 OUTCOMES = {
@@ -38,30 +34,34 @@
     b"KILLED": Outcome.ABORTED,
     b"NOOP": Outcome.SUPERSEDED,
 }
-BODY_NOTICE_LENGTHS = {b"VALUE": 6, b"AWAIT": 4}  # words of a notice whose last one is a length
+BODY_NOTICE_LENGTHS = {
+    b"VALUE": 6,
+    b"AWAIT": 4,
+}  # notices with a body, and their number of words; the last word is its length
 
 
 def parse_integer(word: bytes) -> int:
-    """Guards against what merely converts: signs, underscores, thousands of digits."""
+    """Parse decimal digits; rejects other forms that `int` takes: signs, underscores, thousands of digits."""
     if not word.isdigit() or len(word) > 18:
-        raise ValueError(f"no number: {word[:40]!r}")
+        raise ValueError(f"not an integer: {word[:40]!r}")
     return int(word)
 
 
 def parse_number(word: bytes) -> float:
-    """Guards the decisions against figures that are none: a run that took `nan` ms would never be over."""
+    """Parse a number from 0 to `MAX_DURATION`; rejects `nan`, with which a run would never end."""
     value = float(word)
     if not 0 <= value <= MAX_DURATION:
-        raise ValueError(f"no figure: {word[:40]!r}")
+        raise ValueError(f"not a number in range: {word[:40]!r}")
     return value
 
 
 def parse_microseconds(word: bytes) -> int:
+    """Parse milliseconds to µs."""
     return int(parse_number(word) * 1000)
 
 
 class Run:
-    """One run: who hears of it, and the last command about it that no notice has confirmed."""
+    """One run: its callbacks, and the last command about it that no notice has confirmed."""
 
     __slots__ = (
         "ident",
@@ -86,19 +86,21 @@
         self.written = False
         self.written_at = 0
         self.is_idempotent = False
-        self.is_confirmed = False  # a notice told of it
+        self.is_confirmed = False  # a notice has shown that it started
         self.is_stopping = False
 
 
 class Link(Protocol):
+    """One connection to the interpreter."""
+
     def __init__(self, interpreter: Interpreter) -> None:
         self.interpreter = interpreter
         self.reader = LineReader(
             lambda words: len(words) == BODY_NOTICE_LENGTHS.get(words[0] if words else b"")
         )
         self.made_at = interpreter.deadlines.now()
-        self.greeted = False  # its banner came: it is the answer to CONNECT, so there is one
-        self.ready = False  # all notices that the last link may have missed were read
+        self.greeted = False  # its banner arrived, which answers CONNECT
+        self.ready = False  # all notices that the previous link may have missed were read
         self.pending_gauges: dict[bytes, Deferred] = {}
 
     def connectionMade(self) -> None:
@@ -109,26 +111,27 @@
         try:
             for words, body in self.reader.feed(data):
                 self.interpreter.on_notice(self, words, body)
-        except BrokenFramingError as broken:
+        except BrokenFramingError as error:
             self.interpreter.report.count("interpreter", "broken framing")
-            self.interpreter.report.note(f"interpreter: {broken}; the link is renewed")
+            self.interpreter.report.note(f"interpreter: {error}; reconnecting")
             self.transport.abortConnection()
 
     def ask_gauges(self, tag: bytes) -> Deferred:
-        asked = Deferred(lambda given_up: self.pending_gauges.pop(tag, given_up).callback(None))
-        self.pending_gauges[tag] = asked
+        """Fires with the readings, or with None if it is cancelled or the link is lost."""
+        reply = Deferred(lambda cancelled: self.pending_gauges.pop(tag, cancelled).callback(None))
+        self.pending_gauges[tag] = reply
         self.transport.writeSequence(line(b"TOP", tag))
-        return asked
+        return reply
 
     def connectionLost(self, reason: Any = connectionDone) -> None:
-        asked, self.pending_gauges = self.pending_gauges, {}
-        for each in asked.values():
+        replies, self.pending_gauges = self.pending_gauges, {}
+        for each in replies.values():
             each.callback(None)
         self.interpreter.on_link_lost(self)
 
 
 class ConnectionAttempt(ClientFactory):
-    """One try to connect; a later one makes it void."""
+    """One attempt to connect; a later attempt replaces it."""
 
     noisy = False
 
@@ -144,23 +147,27 @@
 
 
 class Interpreter:
+    """The interpreter as the node sees it: sends commands about runs, and reports what its notices say."""
+
     def __init__(self, reactor: Any, address: tuple[str, int], deadlines: Deadlines, report: Report) -> None:
         self.reactor, self.address = reactor, address
-        self.wrap: Callable[[Any], Any] = lambda factory: factory  # meters the links, where flow export does
+        self.wrap: Callable[[Any], Any] = lambda factory: factory  # meters the links if flow export is on
         self.deadlines, self.report = deadlines, report
         self.runs: dict[bytes, Run] = {}
         self.last_notice = self.gauge_requests = 0
         self.link: Link | None = None
-        self.started: Deferred | None = Deferred()  # fires once: is it cold
+        self.started: Deferred | None = Deferred()  # fires once with whether the interpreter is cold
         self.closed = False
         self.on_interpreter_started: Callable[[int], None] = lambda age: (
             None
-        )  # told how long ago the interpreter started, µs
+        )  # called with the µs since it started
         self.early_outcomes: dict[bytes, tuple[Outcome, int, bytes]] | None = (
-            None  # ends of runs not known here yet
+            None  # outcomes of runs not adopted yet
+        )
+        self.gauges_at = 0  # µs, when the last gauges were read
+        self.lost_at: int | None = (
+            None  # µs, when the first link broke since commands were last known to arrive
         )
-        self.gauges_at = 0  # the last pending_gauges
-        self.lost_at: int | None = None  # the first link to break since commands were last known to arrive
         self.connecting: ConnectionAttempt | None = None
         self.connect_timer: Deadline | None = None
         self.reconnect_timer: Deadline | None = None
@@ -168,6 +175,7 @@
     # --- the link ---------------------------------------------------------------------------------
 
     def start(self) -> Deferred:
+        """Connect; fires once the interpreter is up, with whether it is cold."""
         self.connect()
         return self.started
 
@@ -180,9 +188,10 @@
             self.connect_timer = self.deadlines.after(CONNECT_TIMEOUT, connector.stopConnecting)
 
     def on_connected(self) -> Link:
-        """A new link replaces the one before, on which nothing is written from now on.
+        """Replace the link by a new one; nothing more is written to the old link.
 
-        Guards against losing what was written there last: to close it with notices unread would reset it.
+        The old link stays open for a while: closing it with unread notices would reset it, and the last
+        commands written to it would be lost.
         """
         self.deadlines.cancel(self.connect_timer)
         self.connecting = None
@@ -192,13 +201,17 @@
         return self.link
 
     def on_connect_failed(self) -> None:
+        """Retry after `RECONNECT_DELAY`."""
         self.deadlines.cancel(self.connect_timer)
         self.connecting = None
         self.report.count("interpreter", "connections failed")
         self.reconnect_timer = self.deadlines.after(RECONNECT_DELAY, self.connect)
 
     def set_address(self, address: tuple[str, int]) -> bool:
-        """A new address: the link there replaces the one that is open, and whatever try is under way."""
+        """Connect to a new address; that link replaces the open one and any attempt in progress.
+
+        Returns whether the address changed.
+        """
         if address == self.address:
             return False
         self.address = address
@@ -207,7 +220,7 @@
         return True
 
     def on_link_lost(self, link: Link) -> None:
-        """Guards the runs against waiting: a lost link is renewed at once, unless that is under way."""
+        """Reconnect at once, unless an attempt is in progress, so that no run waits longer than needed."""
         if link is not self.link:
             return
         self.link = None
@@ -215,7 +228,7 @@
             self.lost_at = self.deadlines.now()
         if not self.closed:
             self.report.count("interpreter", "links lost")
-            self.report.note("interpreter: link lost, renewed at once")
+            self.report.note("interpreter: link lost; reconnecting")
             if self.connecting is None:
                 self.connect()
 
@@ -227,27 +240,29 @@
     # --- commands ---------------------------------------------------------------------------------
 
     def apply(self, run: Run, request_class: bytes, body: bytes, is_idempotent: bool) -> None:
+        """Start a run."""
         self.runs[run.ident] = run
         run.is_idempotent = is_idempotent
         self.command(run, line_with_body(b"APPLY", run.ident, request_class, body=body))
 
     def adopt_run(self, ident: bytes, on_ended: Callable[[Outcome, int, bytes], None]) -> None:
-        """A run that an earlier life of this node began, and that may be going on."""
-        known = (self.early_outcomes or {}).pop(ident, None)
-        if known is not None:
-            on_ended(*known)
+        """Subscribe to the end of a run that an earlier incarnation of this node started."""
+        early_outcome = (self.early_outcomes or {}).pop(ident, None)
+        if early_outcome is not None:
+            on_ended(*early_outcome)
             return
         run = self.runs[ident] = Run(ident, lambda body: None, on_ended)
         run.is_confirmed = True
 
     def resolve(self, run: Run, reply: bytes) -> None:
+        """Pass the reply to a call to the run that waits for it."""
         self.command(run, line_with_body(b"RESOLVE", run.ident, body=reply))
 
     def stop_run(self, run: Run) -> None:
-        """Stops a run of which nobody waits for the outcome.
+        """Stop a run whose outcome nobody waits for.
 
-        Guards against runs that never end here, as a link took their beginning along: told to stop once more,
-        they are begun first. That does nothing where they run, and else a notice tells that they are over.
+        If a run is to stop a second time, it is started first: its start may have been lost with a link, and
+        it would never end here. Starting does nothing if it runs; else a notice reports its end.
         """
         if self.link is not None and self.link.ready:
             if run.is_stopping and run.command and not run.is_confirmed:
@@ -256,6 +271,7 @@
         run.is_stopping = True
 
     def command(self, run: Run, command: list[bytes]) -> None:
+        """Keep the last command about a run, and send it if the link is ready."""
         run.command = command
         run.written = self.link is not None and self.link.ready
         run.written_at = self.deadlines.now()
@@ -267,12 +283,13 @@
         link.transport.writeSequence(command)
 
     def resend_commands(self, link: Link) -> None:
-        """Says again what the lost link may have swallowed, once all notices that it missed were read.
+        """Resend the commands that may be lost with the previous link, after all notices that it missed.
 
-        Guards the rule on effects: a command may have been carried out since, and its run be over or at its
-        next call. So what was never written is said again, and the beginning of pure runs, which does nothing
-        where they run. A pure run whose reply may be lost with the link is stopped, which is told as such: a
-        second reply might meet its next call. Harm: half of those that are stopped had their reply.
+        Prevents an effect from happening twice: a command may have been carried out meanwhile, and its run
+        may have ended or wait for its next call. So only two kinds of commands are sent again: those that
+        were never written, and starts of idempotent runs, which do nothing if the run exists. An idempotent
+        run whose reply may be lost with the link is stopped, and reported as stopped: a second reply could
+        be taken for the reply to its next call. Cost: half of the stopped runs had received their reply.
         """
         link.ready = True
         now, lost_at, self.lost_at = self.deadlines.now(), self.lost_at, None
@@ -294,7 +311,10 @@
                 self.write(link, line(b"BREAK", run.ident))
 
     def request_gauges(self) -> Deferred | None:
-        """Fires with the readings, or with None where they are cancelled or the link is lost."""
+        """Request the gauges; None without a ready link. A link that has been silent for too long is aborted.
+
+        Fires with the readings, or with None if it is cancelled or the link is lost.
+        """
         if self.link is None or self.started is not None:
             return None
         if self.deadlines.now() - max(self.gauges_at, self.link.made_at) > SILENCE_TIMEOUT:
@@ -307,6 +327,7 @@
         return self.link.ask_gauges(b"g%d" % self.gauge_requests)
 
     def describe(self) -> str:
+        """The interpreter's part of the status line."""
         age = f"{(self.deadlines.now() - self.gauges_at) // 1000} ms ago" if self.gauges_at else "never"
         link = "lost" if self.link is None else "ready" if self.link.ready else "not ready"
         return f"{len(self.runs)} runs, link {link}, gauges {age}"
@@ -314,7 +335,7 @@
     # --- notices ----------------------------------------------------------------------------------
 
     def on_notice(self, link: Link, words: list[bytes], body: bytes) -> None:
-        """Guards the node against one bad notice: it is counted and passed over."""
+        """Handle one notice; a bad one is counted and skipped."""
         kind = words[0] if words else b""
         try:
             if link is not self.link:
@@ -325,7 +346,7 @@
                     self.report.count("interpreter", "notices come again")
                     return
                 if number > self.last_notice + MAX_KEPT_NOTICES:
-                    raise ValueError("a number far ahead")
+                    raise ValueError("notice number is too far ahead")
                 self.last_notice = number
             self.report.count(
                 "interpreter", "got " + (kind.decode() if kind in NOTICE_KINDS else "unknown notices")
@@ -349,15 +370,15 @@
             self.report.log_exception(f"the notice {kind[:16]!r}")
 
     def on_banner(self, link: Link, words: list[bytes]) -> None:
-        """Guards the start against a banner that can't be read: without one, no command would ever go out.
+        """Handle the answer to CONNECT; an unreadable one aborts the link, as no command is sent before it.
 
-        One that comes again answers nothing: a link that was greeted lost nothing, so nothing is said again,
-        and when the interpreter started is known.
+        A second banner on a link is ignored: that link has lost nothing, so no command is sent again, and the
+        interpreter's start time is known.
         """
         try:
             state, age = words[1], parse_microseconds(words[2])
             if state not in STATES:
-                raise ValueError("no state")
+                raise ValueError("unknown state")
         except (ValueError, IndexError):
             self.report.count("interpreter", "banners unreadable")
             self.deadlines.after(RECONNECT_DELAY, link.transport.abortConnection)
@@ -375,12 +396,14 @@
             started.callback(state == b"EMPTY")
 
     def on_gauges(self, link: Link, tag: bytes, readings: list[float]) -> None:
+        """Pass gauge readings to whoever requested them."""
         self.gauges_at = self.deadlines.now()
-        asked = link.pending_gauges.pop(tag, None)
-        if asked is not None:
-            asked.callback(readings)
+        reply = link.pending_gauges.pop(tag, None)
+        if reply is not None:
+            reply.callback(readings)
 
     def on_call_needed(self, ident: bytes, body: bytes) -> None:
+        """Report that a run waits for a call."""
         run = self.runs.get(ident)
         if run is None:
             self.report.count("interpreter", "notices of no run")
@@ -389,8 +412,9 @@
         run.on_call_needed(body)
 
     def on_run_ended(self, ident: bytes, end: bytes, took: int, result: bytes) -> None:
+        """Report the end of a run, or keep it for a run that is not adopted yet."""
         if end not in OUTCOMES:
-            raise ValueError(f"unknown end {end!r}")
+            raise ValueError(f"unknown outcome {end!r}")
         run = self.runs.pop(ident, None)
         if run is None:
             self.report.count("interpreter", "notices of no run")
@@ -401,9 +425,10 @@
         run.on_ended(OUTCOMES[end], took, result)
 
     def on_error(self, words: list[bytes]) -> None:
-        """A command that was not carried out: to begin a run or to stop it proves that there is none.
+        """Handle a command that failed: a failed start or stop proves that the run does not exist.
 
-        The word to the beginning has no number and may be lost with a link; the one to the stop comes then.
+        An error about a start has no number and may be lost with a link; the error about the stop then
+        follows.
         """
         self.report.note(f"interpreter: {b' '.join(words)[:80].decode('ascii', 'replace')}")
         run = self.runs.get(words[2]) if words[1] in (b"APPLY", b"BREAK") else None
--- a/lichencleat/node/lines.py
+++ b/lichencleat/node/lines.py
@@ -1,4 +1,4 @@
-"""Lines of words, some followed by a counted body, read in place and written for gathered writes; no I/O."""
+"""Lines of words, some with a body of stated length: parsing, and encoding for gathered writes; no I/O."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 from lichencleat.node.framing import BrokenFramingError, Reader
 
-MAX_LINE = 1_024  # bytes: the longest line has a few words and a remark
-MAX_LENGTH_DIGITS = 9  # digits of a length
-MAX_BODY = 65_536  # bytes: far over any body or result, and small against the memory times connections
+MAX_LINE = 1_024  # bytes; the longest line has a few words and a remark
+MAX_LENGTH_DIGITS = 9  # decimal digits
+MAX_BODY = 65_536  # bytes: far above any body or result, yet small in memory for all connections
 
 
 class LineReader(Reader[tuple[list[bytes], bytes]]):
-    """`has_body` tells of a line's words whether the last one is the length of a body."""
+    """Parses lines; `has_body` tells from a line's words whether the last one is the length of a body."""
 
     def __init__(self, has_body: Callable[[list[bytes]], bool]) -> None:
         super().__init__()
         self.has_body = has_body
-        self.words: list[bytes] | None = None  # of the line that waits for its body
+        self.words: list[bytes] | None = None  # of a line whose body is not complete yet
 
     def has_partial_message(self) -> bool:
         return self.words is not None or super().has_partial_message()
@@ -32,7 +32,7 @@
             if not self.has_body(words):
                 return words, b""
             if not words[-1].isdigit() or len(words[-1]) > MAX_LENGTH_DIGITS or int(words[-1]) > MAX_BODY:
-                raise BrokenFramingError(f"a length reads {words[-1]!r}")
+                raise BrokenFramingError(f"invalid length {words[-1]!r}")
             self.words = words
         body = self.read_counted(self.position, int(self.words[-1]))
         if body is None:
@@ -42,8 +42,10 @@
 
 
 def line(*words: bytes) -> list[bytes]:
+    """The pieces of a line, for one gathered write."""
     return [b" ".join(words), b"\r\n"]
 
 
 def line_with_body(*words: bytes, body: bytes) -> list[bytes]:
+    """The pieces of a line and its body, for one gathered write."""
     return [b" ".join(words), b" %d\r\n" % len(body), body, b"\r\n"]
--- a/lichencleat/node/membership.py
+++ b/lichencleat/node/membership.py
@@ -1,4 +1,4 @@
-"""Reports to the membership service: one datagram each, unanswered, while the node is to be listed."""
+"""Reports to the membership service: periodic datagrams without a reply, while the node is to be listed."""
 
 from __future__ import annotations
 
@@ -10,11 +10,13 @@
 from lichencleat.node.report import Report
 
 REPORT_PERIOD = (
-    200_000  # µs between reports: with one in four lost, 14 in a row (3 s) are, once in 200 million
+    200_000  # µs between reports; with a quarter lost, 14 in a row (3 s) are lost once in 200 million
 )
 
 
 class Membership(DatagramProtocol):
+    """Reports the node as up until it leaves, then once as out."""
+
     noisy = False
 
     def __init__(self, name: str, service: tuple[str, int], deadlines: Deadlines, report: Report) -> None:
@@ -35,7 +37,7 @@
         self.send("UP")
 
     def set_address(self, service: tuple[str, int]) -> bool:
-        """The service has a new address: it hears of the node at once, unless that is leaving."""
+        """Report to a new address at once, unless the node is leaving; returns whether it changed."""
         if service == self.service:
             return False
         self.service = service
@@ -45,12 +47,13 @@
         return True
 
     def leave(self) -> None:
-        """Says so once and is silent from then on: a report of any kind would keep the node listed."""
+        """Report once that the node is out, then nothing more: any further report would keep it listed."""
         self.deadlines.cancel(self.next_report)
         if self.port is not None:
             self.send("OUT")
 
     def describe(self) -> str:
+        """The membership part of the status line."""
         return f"reported {(self.deadlines.now() - self.sent_at) // 1000} ms ago"
 
     def stop(self) -> None:
--- a/lichencleat/node/program.py
+++ b/lichencleat/node/program.py
@@ -1,4 +1,4 @@
-"""The program round one real node: configuration, reactor, signals, exit."""
+"""The program that runs one node: configuration, reactor, signals, exit code."""
 
 from __future__ import annotations
 
@@ -20,13 +20,12 @@
 from lichencleat.reactor import make_reactor
 
 EXTRAS = {"crc32c": "store", "sortedcontainers": "store", "structlog": "fleet", "xxhash": "fleet"}
-COLLECTION_PERIOD = (
-    10_000_000  # µs between full collections: they take 2 ms, and closed connections are cycles
-)
+# µs between full garbage collections, which take 2 ms; closed connections are reference cycles
+COLLECTION_PERIOD = 10_000_000
 
 
 def log_reactor_errors(report: Report) -> None:
-    """Guards against errors that reach Twisted: they are counted and told like all others."""
+    """Count and log errors that reach Twisted like all other errors."""
 
     def log(event: dict[str, Any]) -> None:
         failure = event.get("log_failure")
@@ -40,26 +39,24 @@
 
 
 def collect_periodically(deadlines: Deadlines) -> None:
-    """Guards the memory against cycles that wait for the collector's own moment, some MB on a long day."""
+    """Collect garbage regularly; on its own the collector leaves some MB of cycles over a long day."""
     gc.collect()
     deadlines.after(COLLECTION_PERIOD, collect_periodically, deadlines)
 
 
 def reload(node: RealNode) -> None:
-    """Guards against a file that is missing, half written or wrong: the one before stays in force."""
+    """Read the configuration again; the old one stays in force if a file is missing or invalid."""
     try:
-        settings, operator_config = (
-            read_start_settings(os.environ),
-            read_operator_config(os.environ),
-        )  # both, before anything is taken over
+        # read both before either takes effect
+        settings, operator_config = read_start_settings(os.environ), read_operator_config(os.environ)
         node.reload(settings, operator_config)
     except InvalidInputError as error:
         node.report.count("node", "configurations refused")
-        node.report.note(f"{error}; the one before stays in force")
+        node.report.note(f"{error}; the old configuration stays in force")
 
 
 def read_operator_config(environment: Mapping[str, str]) -> Any:
-    """The operators' own file, where the node is told of one. Off means not imported: memory counts."""
+    """Read the operators' file; None without one, and its modules are then not imported, to save memory."""
     path = environment.get("LICHENCLEAT_FILE")
     if not path:
         return None
@@ -77,6 +74,7 @@
 
 
 def main() -> int:
+    """Run a node until it ends; returns the exit code."""
     reactor = make_reactor()
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: reload(node)))
     try:
@@ -91,7 +89,7 @@
     except InvalidInputError as error:
         print(f"lichencleat: {error}", file=sys.stderr)
         return 2
-    except ModuleNotFoundError as missing:  # of a part that the operators' file switches on
+    except ModuleNotFoundError as missing:  # a library of a part that the operators' file enables
         if missing.name not in EXTRAS:
             raise
         extra = EXTRAS[missing.name]
@@ -104,6 +102,6 @@
         print(f"lichencleat: BALANCER_CONFIG: 'listen': {error}", file=sys.stderr)
         return 2
     collect_periodically(node.deadlines)
-    gc.freeze()  # what stands by now stays: a full collection looks through what came since, not through all
+    gc.freeze()  # objects that exist now stay alive: collections skip them
     reactor.run(installSignalHandlers=False)
     return node.code
--- a/lichencleat/node/report.py
+++ b/lichencleat/node/report.py
@@ -1,4 +1,4 @@
-"""Counters and log lines: what came in, what went out, what went wrong; plain print to standard error."""
+"""Counters and log lines, printed to standard error as plain text."""
 
 from __future__ import annotations
 
@@ -8,11 +8,13 @@
 from collections.abc import Callable
 from typing import Any
 
-MAX_LINES = 20  # log lines a second: enough to see each kind of trouble, too few to cost a core
+MAX_LINES = 20  # log lines per second: enough to see each kind of error, too few to use up a core
 SECOND = 1_000_000  # µs
 
 
 class Report:
+    """Counts events and logs lines, at most `MAX_LINES` of them per second."""
+
     def __init__(self, name: str, clock: Callable[[], int]) -> None:
         self.name, self.clock = name, clock
         self.counts: Counter[str] = Counter()
@@ -23,7 +25,7 @@
         self.counts[f"{peer} {what}"] += amount
 
     def note(self, text: str) -> None:
-        """One line, unless the last second has had its lines: then it is only counted."""
+        """Log one line; above the rate limit it is only counted."""
         now = self.clock()
         if len(self.recent_times) == MAX_LINES and now - self.recent_times[0] < SECOND:
             self.suppressed += 1
@@ -34,7 +36,7 @@
         self.write(f"{self.name} {now / SECOND:.3f} {text}{more}")
 
     def log_exception(self, where: str) -> None:
-        """An exception that was caught: counted, and told with the place that raised it."""
+        """Count and log the exception that is being handled, with its traceback."""
         self.count("node", "errors")
         self.note(f"error in {where}: {self.format_trace()}")
 
@@ -43,7 +45,7 @@
         return " | ".join(traceback.format_exc(limit=-3).split("\n"))
 
     def events(self) -> Events:
-        """Where subsystems tell events with fields."""
+        """A logger for events with fields."""
         return Events(self)
 
     def write(self, line: str) -> None:
@@ -53,12 +55,13 @@
             self.count("node", "lines lost")
 
     def summary(self) -> None:
+        """Write all counters."""
         for name in sorted(self.counts):
             self.write(f"{self.name} counter {name}: {self.counts[name]}")
 
 
 class Events:
-    """Events with fields, as plain lines."""
+    """Logs events with fields as plain lines."""
 
     def __init__(self, report: Report) -> None:
         self.report = report
--- a/lichencleat/node/requests.py
+++ b/lichencleat/node/requests.py
@@ -1,4 +1,4 @@
-"""A request read from its array: every field in its form and range, and the key that tells its repeats."""
+"""Parses requests: checks the form and range of each field, and derives the key that identifies repeats."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from lichencleat.node.host import PendingRequest, RequestEngine
 
 MAX_BODY = 2_048  # bytes, by the protocol
-MAX_ARRIVAL_AHEAD = 1_000_000  # µs that an arrival may lie ahead of our clock, which is the same machine's
-MAX_ARRIVAL_BEHIND = 10_000_000  # µs past its hard limit that one may be read, by a machine that paused
-MAX_COST_HINT = 60_000.0  # ms of work that a caller may expect: ten times the longest wait for an answer
-MAX_SIZE = 2_000.0  # KB booked for a request, by the protocol
-KEY_DIGEST_SIZE = 16  # bytes: no two marks meet by chance, nor by a hostile caller's choice
-FIELD_PATTERNS = {  # of the fields, by the protocol: nothing that merely converts
+MAX_ARRIVAL_AHEAD = 1_000_000  # µs that an arrival may be ahead of our clock; it is the same machine's
+MAX_ARRIVAL_BEHIND = 10_000_000  # µs past its deadline that a request may be read, after the machine paused
+MAX_COST_HINT = 60_000.0  # ms of work that a client may state: ten times the longest wait for an answer
+MAX_SIZE = 2_000.0  # KB reserved for a request, by the protocol
+KEY_DIGEST_SIZE = 16  # bytes; long enough that digests collide neither by chance nor by a hostile client
+FIELD_PATTERNS = {  # by the protocol; stricter than what `int` and `float` accept
     b"i": re.compile(rb"[0-9a-fA-F]{16}"),
     b"s": re.compile(rb"[0-9]{1,15}"),
     b"f": re.compile(rb"[0-9]{1,9}"),
@@ -28,46 +28,48 @@
 
 
 class BadRequestError(Exception):
-    """An array that is none; its text says what is wrong."""
+    """An array is not a valid request; the text says why."""
 
 
 def parse_fields(text: bytes) -> dict[bytes, bytes]:
-    """Guards the decisions against figures that none means: each field once, in its form."""
+    """Split a request's fields; raises ValueError if a field is repeated or malformed."""
     pairs = [each.split(b"=", 1) for each in text.split(b",")]
     values = dict(pairs)
     if len(values) < len(pairs):
-        raise ValueError("a field comes twice")
+        raise ValueError("repeated field")
     for name, value in values.items():
         pattern = FIELD_PATTERNS.get(name)
         if pattern is not None and not pattern.fullmatch(value):
-            raise ValueError(f"{name!r} reads {value[:40]!r}")
+            raise ValueError(f"field {name!r} has invalid value {value[:40]!r}")
     return values
 
 
 def read_request(
     words: list[bytes], engine: RequestEngine, tenants: Container[bytes], reply: Callable[..., None]
 ) -> tuple[PendingRequest, bytes]:
-    """The request in hand, and its tenant. Raises BadRequestError with what is wrong.
+    """Parse a request; returns it and its tenant. Raises BadRequestError.
 
-    `tenants`: those that there are; false at a site without them.
+    `tenants`: the known tenants; false on a site without tenants.
     """
     if not 4 <= len(words) <= 5:
-        raise BadRequestError(f"{len(words)} words")
+        raise BadRequestError(f"request of {len(words)} words")
     body = words[4] if len(words) == 5 else b""
     request_class = engine.request_classes.get(words[2])
     if request_class is None or len(body) > MAX_BODY:
-        raise BadRequestError(f"tariff {words[2][:40]!r}, body of {len(body)} bytes")
+        raise BadRequestError(
+            f"unknown request class {words[2][:40]!r} or too long body of {len(body)} bytes"
+        )
     now = engine.clock()
     try:
         values = parse_fields(words[3])
         ident, stated_arrival, tenant = values[b"i"], int(values[b"s"]) * 1000, values.get(b"t", b"")
         arrived, size_kb, cost_ms = min(stated_arrival, now), float(values[b"m"]), float(values.get(b"h", 0))
         if tenants and tenant not in tenants:
-            raise ValueError("no such tenant")
+            raise ValueError("unknown tenant")
         if not now - MAX_ARRIVAL_BEHIND - request_class.deadline <= stated_arrival <= now + MAX_ARRIVAL_AHEAD:
-            raise ValueError("not of this time")
+            raise ValueError("arrival time too far from now")
         if not 0 < size_kb < MAX_SIZE or cost_ms > MAX_COST_HINT or ident in engine.pending_ids:
-            raise ValueError("a figure out of range, or an id in hand")
+            raise ValueError("number out of range, or id of a pending request")
         request = Request(
             request_class=request_class,
             arrived=arrived,
@@ -84,15 +86,16 @@
             if request_class.effect is Effect.KEYED
             else b""
         )
-    except (KeyError, ValueError) as wrong:
-        raise BadRequestError(f"fields {words[3][:120]!r}: {wrong!r}") from wrong
+    except (KeyError, ValueError) as error:
+        raise BadRequestError(f"fields {words[3][:120]!r}: {error!r}") from error
     return PendingRequest(request, ident, body, key, reply), tenant
 
 
 def digest_parts(*parts: bytes) -> bytes:
-    """Guards against the key of another: tries of one request share its tenant, class and body as well.
+    """A digest of tenant, request class and body, which all attempts of a request share.
 
-    Each part goes in with its length, so that no two lots of parts read alike.
+    Prevents the key of another client from matching. Each part is hashed with its length, so that different
+    parts never give the same input.
     """
     digest = blake2b(digest_size=KEY_DIGEST_SIZE)
     for part in parts:
--- a/lichencleat/node/resp.py
+++ b/lichencleat/node/resp.py
@@ -1,20 +1,22 @@
-"""Arrays of bulk strings, read in place from a buffer and written for gathered writes; no I/O."""
+"""Arrays of bulk strings: parsing in place, and encoding for gathered writes; no I/O."""
 
 from __future__ import annotations
 
 from lichencleat.node.framing import BrokenFramingError, Reader
 
-MAX_WORDS = 8  # in an array: half as many again as the longest message has
-MAX_WORD = 4_096  # bytes: twice a body, so that one a little too long can still be answered by its tag
-MAX_ARRAY = 8_192  # bytes of its words together: what a connection may keep in memory without an answer
-MAX_HEAD = 16  # bytes of a head: its sign and as many digits as any length in bounds
+MAX_WORDS = 8  # per array; the longest message has two thirds of that
+MAX_WORD = 4_096  # bytes: twice the longest body; one slightly too long is still answered under its tag
+MAX_ARRAY = 8_192  # bytes of all words: what a connection may hold in memory before the array is complete
+MAX_HEAD = 16  # bytes of a header: the sign and the digits of any valid length
 
 
 class ArrayReader(Reader[list[bytes]]):
+    """Parses arrays into lists of words."""
+
     def __init__(self) -> None:
         super().__init__()
         self.missing_words = self.bytes_left = (
-            0  # words that the array under way lacks, and bytes that they may have
+            0  # of the partial array: missing words, and the bytes that they may have
         )
         self.words: list[bytes] = []
 
@@ -28,7 +30,7 @@
                 return None
             self.missing_words = self.read_length(b"*", end, MAX_WORDS)
             if not self.missing_words:
-                raise BrokenFramingError("an empty array")
+                raise BrokenFramingError("empty array")
             self.position, self.bytes_left = end + 2, MAX_ARRAY
         while self.missing_words:
             end = self.find_line_end(MAX_HEAD)
@@ -52,7 +54,7 @@
             or not digits.isdigit()
             or int(digits) > max_length
         ):
-            raise BrokenFramingError(f"a head reads {bytes(self.buffer[self.position : end])!r}")
+            raise BrokenFramingError(f"invalid header {bytes(self.buffer[self.position : end])!r}")
         return int(digits)
 
 
--- a/lichencleat/node/slots.py
+++ b/lichencleat/node/slots.py
@@ -1,4 +1,4 @@
-"""Numbered slots: each thing in use has a small number, which goes to another once it was given back."""
+"""Numbered slots: each item in use has a small number, which is reused after its release."""
 
 from __future__ import annotations
 
@@ -9,11 +9,14 @@
 
 
 class Slots(Generic[Item]):
+    """Items by slot number; iterates over the items in use."""
+
     def __init__(self) -> None:
         self.items: list[Item | None] = []
         self.free: list[int] = []
 
     def acquire(self, item: Item) -> int:
+        """Add an item and return its number."""
         if self.free:
             number = self.free.pop()
             self.items[number] = item
@@ -22,13 +25,14 @@
         return len(self.items) - 1
 
     def release(self, number: int) -> None:
-        """Guards against two owners: a number that is not in use can't be given back."""
+        """Free a number; raises KeyError if it is not in use, as it may belong to another owner by then."""
         if self.get(number) is None:
             raise KeyError(number)
         self.items[number] = None
         self.free.append(number)
 
     def get(self, number: int) -> Item | None:
+        """The item with this number, or None."""
         return self.items[number] if 0 <= number < len(self.items) else None
 
     def __len__(self) -> int:
--- a/lichencleat/node/structured.py
+++ b/lichencleat/node/structured.py
@@ -1,4 +1,4 @@
-"""The node's report as structured lines, where the operators' file switches that on."""
+"""Counters and log lines in structured form, for nodes whose operators' file sets `log`."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StructuredReport(Report):
-    """What stands before the first colon of a note is its event, so that each kind has its bound a second."""
+    """Logs the text before a note's first colon as its event: each kind of note has its own rate limit."""
 
     def __init__(self, name: str, clock: Callable[[], int], form: str) -> None:
         super().__init__(name, clock)
@@ -31,7 +31,7 @@
         return self.log
 
     def summary(self) -> None:
-        """One line with all counters: none of them may fall to the bound on lines of a kind."""
+        """Log all counters in one line, so that the rate limit drops none of them."""
         self.log.info(
             "counters", **{name.replace(" ", "_"): self.counts[name] for name in sorted(self.counts)}
         )
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -1,8 +1,7 @@
-"""A node that is told the fleet's configuration: a subscriber of its zone's relays, and what is used of it.
+"""A node's subscription to the distributed configuration, from which it takes the list of tenants.
 
-Puts together what `config_distribution/` makes; decides nothing. Imported only where the operators' file
-names a
-distribution. What the node uses is which tenants there are.
+Connects the subscriber and the store of `config_distribution/` to the node. Imported only if the operators'
+file has a `distribution` section.
 """
 
 from __future__ import annotations
@@ -23,14 +22,14 @@
 if TYPE_CHECKING:
     from lichencleat.config_distribution.kept import Kept
 
-TENANT = "tenant"  # a record's kind; its name is what a request bears
+TENANT = "tenant"  # kind of the records whose names are the tenants
 SECOND = 1_000_000  # µs
 
 
 class Tenants:
-    """Which tenants there are: the settings' word until a version is in force, then the table's alone.
+    """The known tenants: those of the settings until a version is in force, then those of the table alone.
 
-    Stands where the settings' own list stood: a request of one that is not in it is refused.
+    Used in place of the settings' list: a request of an unknown tenant is refused.
     """
 
     def __init__(self, settings: frozenset[bytes]) -> None:
@@ -38,7 +37,7 @@
         self.table: Table | None = None
 
     def __bool__(self) -> bool:
-        """False: a site without tenants, where any request is taken."""
+        """False on a site without tenants, where every request is accepted."""
         return bool(self.settings) or (self.table is not None and self.table.version > 0)
 
     def __contains__(self, tenant: bytes) -> bool:
@@ -52,7 +51,7 @@
 
 
 class PrefixedLog:
-    """The node's events, with what they are of."""
+    """Logs events with the prefix `distribution:`."""
 
     def __init__(self, events: Any) -> None:
         self.events = events
@@ -65,7 +64,7 @@
 
 
 class DistributedConfig:
-    """Owns the links to relays and what is kept on the disk; given back in `stop`."""
+    """Owns the subscriber and the copy on disk, until `stop`."""
 
     def __init__(
         self,
@@ -77,8 +76,8 @@
         rng: random.Random,
         report: Any,
     ) -> None:
-        """`chosen`: as config.schema.DistributionConfig; `settings`: the tenants that the settings name;
-        `unix`: µs; `report`: as net.report.Report.
+        """`config`: a config.schema.DistributionConfig; `settings`: the tenants in the start settings;
+        `unix_time`: µs; `report`: a node.report.Report.
         """
         self.reactor, self.name, self.config, self.unix_time, self.rng = reactor, name, config, unix_time, rng
         self.report, self.log = report, PrefixedLog(report.events())
@@ -90,12 +89,11 @@
 
     @inlineCallbacks
     def start(self) -> Any:
-        """What is on the disk is in force once it is checked; where none is whole, nothing is."""
+        """Load the copy on disk, which is in force if it is intact, then subscribe."""
         table = Table()
         if self.config.directory is not None:
-            from lichencleat.config_distribution.kept import (
-                open_kept,  # off means not imported: memory counts
-            )
+            # imported only if it is on, to save memory
+            from lichencleat.config_distribution.kept import open_kept
 
             try:
                 self.store = yield open_kept(
@@ -107,8 +105,8 @@
                     tell=self.log_store_error,
                 )
                 table, self.mark, _ = yield self.store.load()
-            except (StoreError, OSError) as error:  # it goes on without: what it lacks comes from a relay
-                self.log_store_error(f"{error}; goes on without it")
+            except (StoreError, OSError) as error:  # a relay sends what is missing
+                self.log_store_error(f"{error}; continuing without the copy on disk")
                 store, self.store = self.store, None
                 if store is not None:
                     store.close()
@@ -117,11 +115,13 @@
         elif self.store is not None:
             self.store.close()
 
-    def log_store_error(self, name_: str) -> None:
+    def log_store_error(self, message: str) -> None:
+        """Count and log a message of the store."""
         self.report.count("distribution", "words of the disk")
-        self.log.warning("disk", says=name_)
+        self.log.warning("disk", says=message)
 
     def start_subscriber(self, table: Table) -> None:
+        """Subscribe to the relays, starting from a table."""
         copy = TableCopy(table, self.mark)
         if self.config.tenants:
             self.tenants.table = table
@@ -142,6 +142,7 @@
         self.subscriber.start()
 
     def on_batches_taken(self, batches: tuple[Batch, ...]) -> None:
+        """Store the batches that are in force now; without batches, store the whole table."""
         if self.store is None or self.subscriber is None:
             return
         table = self.subscriber.copy.table
@@ -151,14 +152,14 @@
             self.store.replaced(table)
 
     def on_version_known(self) -> None:
-        """The group's mark is known with the first version."""
+        """Store the mark of the group, which comes with the first version."""
         if self.subscriber is not None and self.subscriber.copy.mark != self.mark:
             self.mark = self.subscriber.copy.mark
             if self.store is not None:
                 self.store.mark(self.mark)
 
     def stop(self) -> Deferred[None]:
-        """Fires once the disk has what it was given."""
+        """Unsubscribe; fires once all is written to disk."""
         self.is_stopped = True
         self.update_counters()
         if self.subscriber is not None:
@@ -166,10 +167,12 @@
         return self.store.close() if self.store is not None else succeed(None)
 
     def update_counters(self) -> None:
+        """Copy the subscriber's counters to the report."""
         if self.subscriber is not None:
-            for name_, number in self.subscriber.counters().items():
-                self.report.counts[f"distribution {name_}"] = number
+            for counter, number in self.subscriber.counters().items():
+                self.report.counts[f"distribution {counter}"] = number
 
     def describe(self) -> str:
+        """The distribution part of the status line."""
         self.update_counters()
         return self.subscriber.beliefs() if self.subscriber is not None else "reads its disk"
--- a/lichencleat/router/door.py
+++ b/lichencleat/router/door.py
@@ -1,7 +1,6 @@
-"""A router between its callers and its nodes: reads requests as a node does, and carries out what `core`
-decides.
+"""The router's client side: reads requests as a node does, and carries out the decisions of `core`.
 
-What reads and answers callers is the node's own (`node/dispatchers.py`), with all its bounds.
+The listener and its limits are the node's (`node/dispatchers.py`).
 """
 
 from __future__ import annotations
@@ -21,16 +20,17 @@
 from lichencleat.router.links import NodeLinks, Told, Try
 from lichencleat.router.terms import Act, Came, Carried, Decision
 
-CAPACITY_PERIOD = 100_000  # µs between looks at what callers are to be told: as often as a node's
-ID_BITS = 64  # of a try's name, by the protocol
+CAPACITY_PERIOD = 100_000  # µs between updates of the advertised capacity; a node's period is the same
+ID_BITS = 64  # of an attempt's id, by the protocol
 
 
 class RouterConnection(Connection):
-    """A caller's connection to a router."""
+    """A client's connection to a router."""
 
     def handle_request(self, tag: int, words: list[bytes]) -> None:
+        """Pass a request to the router; raises BadRequestError."""
         if len(self.pending_requests) >= MAX_OPEN_REQUESTS:
-            raise BadRequestError("more open than a connection carries")
+            raise BadRequestError("too many open requests on the connection")
         pending, _ = read_request(
             words, self.listener.engine, self.listener.tenants, partial(self.answer, tag)
         )
@@ -39,14 +39,14 @@
 
 
 class RouterListener(DispatcherListener):
-    """Owns the callers' connections."""
+    """Accepts the clients' connections to a router."""
 
     def buildProtocol(self, address: Any) -> Connection | None:
         return RouterConnection(self) if super().buildProtocol(address) is not None else None
 
 
 class ForwardedRequest:
-    """A request in hand: what its caller sent, and its try under way."""
+    """A pending request: what its client sent, and its attempt in flight."""
 
     __slots__ = ("pending", "carried", "request_class", "fields", "attempt", "result")
 
@@ -55,19 +55,19 @@
     ) -> None:
         self.pending, self.carried, self.request_class, self.fields = pending, carried, request_class, fields
         self.attempt: Try | None = None
-        self.result = b""  # that came for it
+        self.result = b""  # of the last attempt
 
 
 def retry_fields(fields: bytes, ident: bytes) -> bytes:
-    """The fields of a further try: under a name of its own and marked as one; all else as it came."""
+    """The fields of a retry: with an id of its own and marked as a retry, otherwise unchanged."""
     kept = [each for each in fields.split(b",") if not each.startswith((b"i=", b"r="))]
     return b",".join([b"i=" + ident, *kept, b"r=1"])
 
 
 class RouterEngine:
-    """Owns the requests in hand and the links; each request is given back in `release_if_done`.
+    """Owns the pending requests and the links to nodes; only `release_if_done` removes a request.
 
-    To what reads callers it looks like `node.host.RequestEngine`.
+    The listener uses it in place of a `node.host.RequestEngine`.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         self.update_free_value()
 
     def set_nodes(self, addresses: dict[str, tuple[str, int]]) -> None:
-        """Where the nodes are now. One that is gone or has moved ends what is open there as it ends."""
+        """Set the nodes' addresses. Requests in flight to a removed or moved node end on their old links."""
         for name, address in addresses.items():
             known = self.nodes.get(name)
             if known is None or known.address != address:
@@ -109,12 +109,14 @@
 
     @staticmethod
     def retire_links(links: NodeLinks) -> None:
+        """Send no further requests on these links."""
         for link in list(links.links):
             links.distrust(link)
 
-    # -- callers -----------------------------------------------------------------------------------------
+    # -- clients -----------------------------------------------------------------------------------------
 
     def on_request_received(self, pending: PendingRequest, request_class: bytes, fields: bytes) -> None:
+        """Add a request, to be forwarded to a node."""
         request = pending.request
         self.report.count("router", "requests")
         carried = Carried(
@@ -134,6 +136,7 @@
         self.schedule_decisions()
 
     def on_caller_gone(self, pending: PendingRequest) -> None:
+        """Drop the request of a client that cancelled it or closed its connection."""
         forwarded = self.find_forwarded(pending)
         if pending.open and forwarded is not None:
             pending.open = False
@@ -143,7 +146,7 @@
             self.schedule_decisions()
 
     def abort_request(self, pending: PendingRequest) -> None:
-        """Guards the router against an error with one request: that one is given up, the others go on."""
+        """Fail a request after an internal error; other requests are not affected."""
         forwarded = self.find_forwarded(pending)
         self.answer(pending, Answer.FAILED)
         if forwarded is not None:
@@ -152,29 +155,33 @@
             self.schedule_decisions()
 
     def find_forwarded(self, pending: PendingRequest) -> ForwardedRequest | None:
+        """The forwarded request of a pending one, or None if it has ended."""
         forwarded = self.forwarded_requests.get(pending.request.number)
         return forwarded if forwarded is not None and forwarded.pending is pending else None
 
     def answer(
         self, pending: PendingRequest, answer: Answer, result: bytes = b"", span: int = 0, last: bool = False
     ) -> None:
+        """Answer the request unless it was answered before."""
         if pending.open:
             pending.open = False
             self.report.count("router", answer.value)
             pending.reply(answer, result, min(span, self.machine.max_retry_after_us), last)
 
     def update_free_value(self) -> None:
-        """What callers read in every answer, by what the nodes say."""
+        """Update the capacity that each answer advertises, from what the nodes advertise."""
         callers = sum(len(each.connections) for each in self.listeners)
         self.free_value = self.core.value(self.clock(), callers)
         self.deadlines.after(CAPACITY_PERIOD, self.update_free_value)
 
     def unanswered_count(self) -> int:
+        """The number of requests without an answer."""
         return sum(each.pending.open for each in self.forwarded_requests)
 
     # -- nodes -------------------------------------------------------------------------------------------
 
     def on_attempt_ended(self, forwarded: ForwardedRequest, attempt: Try, told: Told) -> None:
+        """Report the end of a request's current attempt to the router's core."""
         if forwarded.attempt is attempt:
             forwarded.attempt, forwarded.result = None, told.result
             self.core.came(self.clock(), forwarded.carried, told.came, told.span, told.last)
@@ -183,12 +190,13 @@
     # -- decisions ---------------------------------------------------------------------------------------
 
     def schedule_decisions(self) -> None:
-        """Decisions are pulled once for all that the reactor reads in one turn."""
+        """Run one round of decisions for all that the reactor reads in this turn."""
         if not self.decisions_scheduled:
             self.decisions_scheduled = True
             self.deadlines.after(0, self.run_decisions)
 
     def run_decisions(self) -> None:
+        """Pull and carry out all decisions; an error in one fails its request alone."""
         self.decisions_scheduled = False
         now = self.clock()
         while (decision := self.core.next_decision(now)) is not None:
@@ -211,6 +219,7 @@
                 self.release_if_done(forwarded)
 
     def execute(self, decision: Decision, forwarded: ForwardedRequest | None) -> None:
+        """Carry out one decision."""
         if decision.act is Act.WAKE:
             self.deadlines.cancel(self.wake_timer)
             self.wake_timer = self.deadlines.after(decision.span, self.schedule_decisions)
@@ -228,6 +237,7 @@
             self.answer(forwarded.pending, Answer.FAILED)
 
     def send(self, forwarded: ForwardedRequest, decision: Decision) -> None:
+        """Send an attempt to the node of the decision; every attempt but the first gets a new id."""
         fields = forwarded.fields
         if not decision.first:
             fields = retry_fields(fields, b"%016x" % self.rng.getrandbits(ID_BITS))
@@ -238,12 +248,11 @@
         forwarded.attempt = attempt
         links = self.nodes.get(decision.node)
         if links is None or not links.send(attempt):
-            self.deadlines.after(
-                0, self.on_attempt_ended, forwarded, attempt, Told(Came.UNSENT)
-            )  # after this round
+            # after this round of decisions
+            self.deadlines.after(0, self.on_attempt_ended, forwarded, attempt, Told(Came.UNSENT))
 
     def cancel_attempt(self, forwarded: ForwardedRequest, decision: Decision) -> None:
-        """Guards what comes after against a link that says nothing: no other try goes out on it."""
+        """Cancel the attempt in flight; if its link has been silent since, no other attempt is sent there."""
         attempt, forwarded.attempt = forwarded.attempt, None
         if attempt is not None and attempt.link is not None:
             if forwarded.pending.open and attempt.link.heard_at < attempt.sent_at:
@@ -251,7 +260,7 @@
             attempt.link.quit(attempt)
 
     def release_if_done(self, forwarded: ForwardedRequest) -> None:
-        """It has its answer, or nobody waits for one, and no try of it is under way."""
+        """Remove the request if it is answered or abandoned, and no attempt is in flight."""
         if (
             not forwarded.pending.open
             and forwarded.attempt is None
@@ -261,9 +270,11 @@
             self.forwarded_requests.release(forwarded.carried.number)
 
     def describe(self) -> str:
+        """The router's part of the status line."""
         links = sum(len(each.links) for each in self.nodes.values())
         return f"{self.core.beliefs()}, {links} links to {len(self.nodes)} nodes"
 
     def close(self) -> None:
+        """Close the links to all nodes."""
         for each in self.nodes.values():
             each.close()
--- a/tests/flows/test_node.py
+++ b/tests/flows/test_node.py
@@ -199,7 +199,7 @@
         with open(path, "a") as file:
             file.write("\nflowz: 1")
         program.process.send_signal(signal.SIGHUP)
-        read_until(program, "the one before stays in force")
+        read_until(program, "the old configuration stays in force")
         honour(program, caller, IDS[0])
         program.leave()
         assert caller.answer() == [b"0", b"goaway"]
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -34,7 +34,7 @@
     program.leave()
     code, counters, err = program.end()
     assert code == 0 and "Traceback" not in err and "error in" not in err
-    assert "node errors" not in counters and "left with 0 unanswered" in err
+    assert "node errors" not in counters and "drain ended with 0 unanswered requests" in err
     return counters
 
 
