--- a/tests/flows/test_node.py
+++ b/tests/flows/test_node.py
@@ -12,7 +12,7 @@
 import sys
 
 import pytest
-from standins import PATIENCE, Program, array, request
+from standins import TIMEOUT, Program, array, request
 
 IDS = [f"{n:016x}" for n in range(1, 200)]
 
@@ -39,7 +39,7 @@
     def end(self):
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
-        out, _ = self.process.communicate(timeout=PATIENCE)
+        out, _ = self.process.communicate(timeout=TIMEOUT)
         return json.loads(out)
 
 
--- a/tests/net_parts.py
+++ b/tests/net_parts.py
@@ -1,4 +1,4 @@
-"""What the tests of the node's parts share: a transport and a reactor in memory, arrays of callers."""
+"""Shared by the tests of the node's parts: a transport and a reactor in memory, arrays of clients."""
 
 from twisted.internet.task import Clock
 from twisted.internet.testing import StringTransport
@@ -10,7 +10,7 @@
 
 
 class Transport(StringTransport):
-    """As a TCP one, which also can be cut off, or ended on this side alone."""
+    """A string transport with the TCP transport's abort and half-close."""
 
     aborted = ended = False
 
@@ -25,7 +25,7 @@
 
 
 class Reactor(Clock):
-    """Twisted's clock, and connections that the test makes itself."""
+    """Twisted's clock, and attempts to connect that the test completes itself."""
 
     def __init__(self):
         super().__init__()
@@ -42,7 +42,7 @@
 
 
 class Machine(Reactor):
-    """A reactor whose listeners hear nobody."""
+    """A reactor whose listeners accept nothing."""
 
     def addReader(self, reader):
         pass
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -36,15 +36,15 @@
 
 
 @pytest.fixture
-def receipted():
+def keyed_class():
     return RequestClass(
         "save", Effect.KEYED, latency_objective=2 * SECOND, deadline=5 * SECOND, window=9 * SECOND
     )
 
 
 @pytest.fixture
-def engine(reactor, deadlines, report, request_class, receipted):
-    machine = NodeSpec(cores=2, memory_kb=10_000.0, request_classes=[request_class, receipted])
+def engine(reactor, deadlines, report, request_class, keyed_class):
+    machine = NodeSpec(cores=2, memory_kb=10_000.0, request_classes=[request_class, keyed_class])
     made = RequestEngine(
         machine,
         [],
@@ -92,9 +92,9 @@
 
 @pytest.fixture
 def run():
-    heard = []
-    made = Run(ID, lambda *what: heard.append(what), lambda *what: heard.append(what))
-    return made, heard
+    received = []
+    made = Run(ID, lambda *what: received.append(what), lambda *what: received.append(what))
+    return made, received
 
 
 @pytest.fixture
@@ -106,10 +106,10 @@
 def place(reactor, catalogue):
     def place(used_links=(), connected=True):
         known = len(catalogue.links)
-        call, heard = catalogue.fetch(ID, SECOND, b"x", list(used_links)), []
-        call.ended.addCallback(heard.append)
+        call, received = catalogue.fetch(ID, SECOND, b"x", list(used_links)), []
+        call.ended.addCallback(received.append)
         if connected and len(catalogue.links) > known:
             call.link.makeConnection(Transport())
-        return call, heard
+        return call, received
 
     return place
--- a/tests/node/test_ends.py
+++ b/tests/node/test_ends.py
@@ -1,4 +1,4 @@
-"""Parts of the real node, with a clock and transports in memory: how connections end."""
+"""Tests of how dispatchers' connections close, with a clock and transports in memory."""
 
 import pytest
 from net_parts import CHECK, ID, REQUEST, Transport
@@ -8,36 +8,36 @@
 from lichencleat.node.host import Answer
 
 
-def test_near_the_bound_the_oldest_that_said_nothing_ends_and_none_is_cut_off(connection, reactor):
+def test_near_the_limit_the_oldest_silent_connection_closes_and_accepting_pauses(connection, reactor):
     listener, listening = connection.listener, []
     listener.port = type("Port", (), {})()
     listener.port.pauseProducing = lambda: listening.append(False)
     listener.port.resumeProducing = lambda: listening.append(True)
-    listener.max_connections = 16  # two of them spare
+    listener.max_connections = 16  # two of them are spare
     reactor.advance(0.1)
     others = [listener.buildProtocol(None) for _ in range(13)]
     for each in others:
         each.makeConnection(Transport())
     reactor.advance(0)
-    assert not connection.transport.ended and not listening  # as many as there may be
+    assert not connection.transport.ended and not listening  # the limit is not reached yet
     others.append(listener.buildProtocol(None))
     others[-1].makeConnection(Transport())
     reactor.advance(0)
     assert connection.transport.ended and not connection.transport.aborted
-    assert not any(each.transport.ended for each in others)  # they may have written what was not read yet
-    assert listening == [False]  # with one spare place left, those that come wait for it
+    assert not any(each.transport.ended for each in others)  # they may have sent unread requests
+    assert listening == [False]  # with one spare connection left, accepting pauses
     connection.connectionLost()
     assert listening == [False, True]
 
 
-def test_what_came_before_the_end_is_read_before_it_and_puts_it_off(connection, reactor):
+def test_request_read_before_a_scheduled_close_postpones_it(connection, reactor):
     connection.schedule_close()
-    connection.dataReceived(REQUEST % ID)  # the reactor reads once between the two steps
+    connection.dataReceived(REQUEST % ID)  # the reactor reads once before the close
     reactor.advance(0)
     assert list(connection.pending_requests) == [7] and not connection.transport.ended
 
 
-def test_what_crosses_the_end_is_dropped_and_never_run(connection, reactor, engine):
+def test_request_that_crosses_the_half_close_is_dropped(connection, reactor, engine):
     connection.schedule_close()
     reactor.advance(0)
     assert connection.transport.ended
@@ -48,13 +48,13 @@
         and not connection.transport.value()
     )
     connection.writeConnectionLost()
-    assert not connection.transport.disconnecting  # the caller has its time to read and to end its side
+    assert not connection.transport.disconnecting  # the client has time to read and to close its side
     reactor.advance(1.1)
     reactor.advance(0)
     assert connection.transport.disconnecting and not connection.transport.aborted
 
 
-def test_a_caller_asked_to_go_whose_request_crossed_that_is_answered_and_then_ended(connection, reactor):
+def test_request_that_crosses_goaway_is_answered_before_the_close(connection, reactor):
     connection.dataReceived(CHECK)
     connection.send_goaway()
     connection.dataReceived(REQUEST % ID)
@@ -67,7 +67,7 @@
     assert connection.transport.ended
 
 
-def test_an_array_that_came_slowly_still_counts_until_its_connection_ends(connection, reactor):
+def test_array_completed_after_its_timeout_is_handled_while_connection_is_open(connection, reactor):
     connection.dataReceived(CHECK + (REQUEST % ID)[:40])
     reactor.advance(1.1)
     reactor.advance(0)
@@ -76,21 +76,21 @@
     assert list(connection.pending_requests) == [7]
 
 
-def test_an_abort_is_heard_on_a_connection_that_is_to_end(connection, reactor, engine):
+def test_abort_is_handled_after_goaway(connection, reactor, engine):
     connection.dataReceived(REQUEST % ID)
     connection.send_goaway()
     connection.dataReceived(b"*2\r\n$5\r\nABORT\r\n$1\r\n7\r\n")
     assert not connection.pending_requests and not engine.unanswered_count()
 
 
-def test_a_flood_on_a_connection_that_ends_is_not_read_for_ever(connection):
+def test_flood_on_a_closing_connection_pauses_reading(connection):
     connection.stop_reading("no array")
     for _ in range(20):
         connection.dataReceived(b"x" * 16_384)
     assert connection.transport.producerState == "paused"
 
 
-def test_a_caller_that_ended_its_side_is_gone_and_what_was_written_goes_out(connection, reactor, engine):
+def test_half_close_by_client_abandons_requests_and_flushes_answers(connection, reactor, engine):
     connection.dataReceived(CHECK + REQUEST % ID)
     connection.readConnectionLost()
     assert not connection.pending_requests and not engine.unanswered_count()
@@ -99,16 +99,14 @@
 
 
 @pytest.mark.parametrize("descriptors", [64, 96, 128, 512, 1024])
-def test_callers_may_take_half_of_the_descriptors_whatever_their_number(
-    engine, deadlines, report, descriptors
-):
+def test_clients_may_use_half_of_the_descriptors(engine, deadlines, report, descriptors):
     listener = DispatcherListener(engine, deadlines, report, descriptors)
     assert descriptors // 2 < listener.max_connections - listener.max_connections // CONNECTIONS_PER_SPARE
     assert listener.max_connections + max_catalogue_links(descriptors) + RESERVED_DESCRIPTORS <= descriptors
 
 
 @pytest.mark.parametrize("megabytes", [8, 64, 192])
-def test_callers_that_read_nothing_hold_a_part_of_the_memory_at_most(engine, deadlines, report, megabytes):
+def test_unread_answers_use_a_bounded_part_of_the_memory(engine, deadlines, report, megabytes):
     listener = DispatcherListener(engine, deadlines, report, 1024, memory=megabytes << 20)
     stuck = []
     for _ in range(200):
@@ -124,10 +122,10 @@
     extra = listener.buildProtocol(None)
     extra.makeConnection(Transport())
     extra.pauseProducing()
-    assert not held[0].transport.aborted  # it reads again, so it is none of them
+    assert not held[0].transport.aborted  # it reads again, so it is not stalled
 
 
-def test_an_array_under_way_puts_the_end_of_a_caller_asked_to_go_off_until_it_is_whole(connection, reactor):
+def test_incomplete_array_postpones_the_close_after_goaway(connection, reactor):
     connection.dataReceived(CHECK)
     connection.send_goaway()
     reactor.advance(0.2)
@@ -141,7 +139,7 @@
 
 
 @pytest.mark.parametrize("spoke", [False, True])
-def test_half_an_array_keeps_no_place_that_others_need(connection, reactor, spoke):
+def test_connection_with_incomplete_array_is_evicted(connection, reactor, spoke):
     connection.dataReceived((CHECK if spoke else b"") + (REQUEST % ID)[:40])
     reactor.advance(0.1)
     connection.listener.evict_one()
@@ -149,15 +147,15 @@
     assert connection.transport.ended
 
 
-def test_one_that_lingers_is_let_go_for_others_only_after_its_answers_went_out(connection, reactor):
+def test_lingering_connection_is_evicted_only_after_its_answers_were_sent(connection, reactor):
     connection.dataReceived(CHECK)
     connection.close()
     reactor.advance(0.1)
     connection.listener.evict_one()
-    assert not connection.transport.aborted  # its caller has not read yet what was written
+    assert not connection.transport.aborted  # its client has not read all answers yet
     connection.writeConnectionLost()
     connection.listener.evict_one()
-    assert not connection.transport.aborted  # what crosses may still come
+    assert not connection.transport.aborted  # requests that cross the half-close may still arrive
     reactor.advance(0.1)
     connection.listener.evict_one()
     assert connection.transport.aborted
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -1,4 +1,4 @@
-"""Which tenants there are where the table says so: before, during and after a change, and without a relay."""
+"""Tests of the tenants from the distributed configuration: around a change, and without a relay."""
 
 import json
 import os
@@ -26,23 +26,23 @@
 from lichencleat.store.errors import StoreError
 
 
-def words(*said):
-    return b"*%d\r\n" % len(said) + b"".join(b"$%d\r\n%s\r\n" % (len(each), each) for each in said)
+def encode_array(*fields):
+    return b"*%d\r\n" % len(fields) + b"".join(b"$%d\r\n%s\r\n" % (len(each), each) for each in fields)
 
 
-class Asking:
-    """Requests of tenants over one connection."""
+class RequestSender:
+    """Sends requests of tenants over one connection."""
 
     def __init__(self, connection, tenants):
         self.connection, self.tag = connection, 0
         connection.listener.tenants = tenants
 
     def ask(self, tenant, tariff=b"look", key=b""):
-        """Its tag, where it was taken in hand; None where it was refused."""
+        """Send a request; returns its tag if it was accepted, None if it was refused."""
         self.tag += 1
-        said = b"i=%016d,s=1000,f=1,m=9,p=0.5" % self.tag
-        said += (b",t=" + tenant if tenant else b"") + (b",k=" + key if key else b"")
-        self.connection.dataReceived(words(b"REQ", b"%d" % self.tag, tariff, said, b"x"))
+        fields = b"i=%016d,s=1000,f=1,m=9,p=0.5" % self.tag
+        fields += (b",t=" + tenant if tenant else b"") + (b",k=" + key if key else b"")
+        self.connection.dataReceived(encode_array(b"REQ", b"%d" % self.tag, tariff, fields, b"x"))
         self.connection.bad_arrays = 0
         return self.tag if self.tag in self.connection.pending_requests else None
 
@@ -57,42 +57,40 @@
 
 
 @pytest.fixture
-def asking(connection, reactor, table):
+def sender(connection, reactor, table):
     reactor.advance(1)
     tenants = Tenants(frozenset([b"old", b"acme"]))
     tenants.table = table
-    return Asking(connection, tenants)
+    return RequestSender(connection, tenants)
 
 
-def test_the_settings_hold_until_a_version_is_in_force_and_the_table_alone_from_then_on(asking, table):
-    assert asking.ask(b"old") and asking.ask(b"acme") and not asking.ask(b"new") and not asking.ask(b"")
+def test_tenants_of_settings_hold_until_a_table_version_is_in_force(sender, table):
+    assert sender.ask(b"old") and sender.ask(b"acme") and not sender.ask(b"new") and not sender.ask(b"")
     table.apply(4, put("acme", "new", "ünïcode"))
-    assert not asking.ask(b"old") and not asking.ask(b"") and not asking.ask(b"\xff\xfe")
-    assert asking.ask(b"acme") and asking.ask(b"new") and asking.ask("ünïcode".encode())
+    assert not sender.ask(b"old") and not sender.ask(b"") and not sender.ask(b"\xff\xfe")
+    assert sender.ask(b"acme") and sender.ask(b"new") and sender.ask("ünïcode".encode())
     table.apply(5, [Change("tenant", "acme", None)])
-    assert not asking.ask(b"acme") and asking.ask(b"new")
-    assert not asking.ask(b"n" * 400)
+    assert not sender.ask(b"acme") and sender.ask(b"new")
+    assert not sender.ask(b"n" * 400)
 
 
-def test_a_record_of_another_kind_is_no_tenant_and_a_table_without_any_refuses_all(asking, table):
+def test_table_without_tenant_records_refuses_all_requests(sender, table):
     table.apply(4, [Change("route", "acme", b"{}")])
-    assert not asking.ask(b"acme") and not asking.ask(b"old") and not asking.ask(b"")
+    assert not sender.ask(b"acme") and not sender.ask(b"old") and not sender.ask(b"")
 
 
-def test_without_tenants_in_the_settings_and_before_a_version_any_request_is_taken(
-    connection, reactor, table
-):
+def test_any_request_is_accepted_without_tenants_in_settings_and_table(connection, reactor, table):
     reactor.advance(1)
     tenants = Tenants(frozenset())
-    asking = Asking(connection, tenants)
-    assert asking.ask(b"") and asking.ask(b"any")
+    sender = RequestSender(connection, tenants)
+    assert sender.ask(b"") and sender.ask(b"any")
     tenants.table = table
-    assert asking.ask(b"")
+    assert sender.ask(b"")
     table.apply(1, put("acme"))
-    assert not asking.ask(b"") and asking.ask(b"acme")
+    assert not sender.ask(b"") and sender.ask(b"acme")
 
 
-def test_during_a_change_or_a_snapshot_the_version_before_holds_whole(asking, table):
+def test_old_version_is_in_force_until_a_change_or_snapshot_is_applied(sender, table):
     table.apply(4, put("acme", "leaves"))
     source = Table()
     source.apply(4, put("acme", "leaves"))
@@ -100,9 +98,9 @@
     copy = TableCopy(table)
 
     def seen():
-        taken = [bool(asking.ask(each)) for each in (b"acme", b"leaves", b"comes")]
-        asking.connection.pending_requests.clear()  # a connection carries so many at once
-        return taken
+        accepted = [bool(sender.ask(each)) for each in (b"acme", b"leaves", b"comes")]
+        sender.connection.pending_requests.clear()  # the number of open requests per connection is limited
+        return accepted
 
     copy.stage((batch,))
     while not copy.step():
@@ -117,23 +115,21 @@
     while wanted := copy.missing(8):
         copy.put(Pages(9, tuple((n, view.packed(n)) for n in wanted)))
         assert not copy.step() or not copy.missing(1)
-        assert seen() == [True, False, True] and not asking.ask(b"t7")
+        assert seen() == [True, False, True] and not sender.ask(b"t7")
     while not copy.step():
         assert seen() == [True, False, True]
     copy.take()
-    assert seen() == [False, False, True] and asking.ask(b"t7")
+    assert seen() == [False, False, True] and sender.ask(b"t7")
     assert isinstance(view.head(0), Digests)
 
 
-def test_what_is_in_hand_of_a_tenant_that_goes_is_answered_to_it_and_to_nobody_else(
-    asking, table, connection
-):
+def test_pending_request_of_a_removed_tenant_is_answered_to_that_tenant_alone(sender, table, connection):
     table.apply(4, put("acme", "other"))
     key = b"5c" * 16
-    mine = asking.ask(b"acme", b"save", key)
-    other = asking.ask(b"other", b"save", key)
+    mine = sender.ask(b"acme", b"save", key)
+    other = sender.ask(b"other", b"save", key)
     table.apply(5, [Change("tenant", "acme", None)])
-    assert not asking.ask(b"acme", b"save", key)
+    assert not sender.ask(b"acme", b"save", key)
     connection.transport.clear()
     connection.pending_requests[mine].reply(Answer.SERVED, b"of-acme", 0, False)
     assert (
@@ -141,7 +137,7 @@
     )
     assert other in connection.pending_requests and mine not in connection.pending_requests
     table.apply(6, put("acme"))
-    again = asking.ask(b"acme", b"save", key)
+    again = sender.ask(b"acme", b"save", key)
     assert connection.pending_requests[again].key != connection.pending_requests[other].key
 
 
@@ -149,49 +145,49 @@
 
 
 @pytest.fixture
-def whole_node(tmp_path):
-    """A node and the line that it told last."""
+def make_full_node(tmp_path):
+    """Makes nodes that keep their log lines in `log_lines`."""
 
-    def make(text):
-        told = {"name": "n1", "listen": "127.0.0.1:0", "vm": "127.0.0.1:1", "members": "127.0.0.1:1"}
+    def make_node(text):
+        settings_file = {"name": "n1", "listen": "127.0.0.1:0", "vm": "127.0.0.1:1", "members": "127.0.0.1:1"}
         settings = {**SETTINGS, "orgs": [{"name": "old"}]}
-        told |= {"seed": "5", "stop_ms": 3000, "limits": {"sockets": 256}, "settings": settings}
+        settings_file |= {"seed": "5", "stop_ms": 3000, "limits": {"sockets": 256}, "settings": settings}
         config = tmp_path / "config.json"
-        config.write_text(json.dumps(told))
+        config.write_text(json.dumps(settings_file))
         reactor = Machine()
         reactor.advance(1_000)
         chosen, _ = parse_node_config("f", text)
-        told = read_start_settings({"BALANCER_CONFIG": str(config)})
-        node = RealNode(reactor, lambda: int(reactor.seconds() * SECOND), told, chosen)
-        node.told_lines = []
-        node.report.write = node.told_lines.append
+        settings_file = read_start_settings({"BALANCER_CONFIG": str(config)})
+        node = RealNode(reactor, lambda: int(reactor.seconds() * SECOND), settings_file, chosen)
+        node.log_lines = []
+        node.report.write = node.log_lines.append
         node.start()
         node.engine.on_interpreter_ready(False)
         return node
 
-    return make
+    return make_node
 
 
-def test_a_changed_section_needs_a_restart_and_a_hangup_leaves_what_runs(whole_node):
-    node = whole_node(FILE)
+def test_changed_distribution_section_needs_a_restart(make_full_node):
+    node = make_full_node(FILE)
     subscriber = node.distributed.subscriber
     node.reload(node.settings, parse_node_config("f", FILE)[0])
-    assert "distribution" not in node.told_lines[-1]
+    assert "distribution" not in node.log_lines[-1]
     for text in (FILE.replace("zone: z", "zone: y"), ""):
         node.reload(node.settings, parse_node_config("f", text)[0])
-        assert "distribution changed, which needs a restart" in node.told_lines[-1]
+        assert "distribution changed, which needs a restart" in node.log_lines[-1]
     assert node.distributed.subscriber is subscriber and not subscriber.stopped
-    plain = whole_node("")
+    plain = make_full_node("")
     plain.reload(plain.settings, parse_node_config("f", FILE)[0])
-    assert "distribution changed, which needs a restart" in plain.told_lines[-1]
+    assert "distribution changed, which needs a restart" in plain.log_lines[-1]
     assert plain.distributed is None and plain.dispatchers.tenants == frozenset([b"old"])
 
 
-def test_a_node_follows_until_its_end_and_then_closes(whole_node):
-    node = whole_node(FILE)
+def test_node_stays_subscribed_until_it_has_drained(make_full_node):
+    node = make_full_node(FILE)
     assert node.dispatchers.tenants is node.distributed.tenants and b"old" in node.dispatchers.tenants
     node.reactor.advance(10.1)
-    assert any("distribution: version 0, age unknown, relay none" in line for line in node.told_lines)
+    assert any("distribution: version 0, age unknown, relay none" in line for line in node.log_lines)
     subscriber = node.distributed.subscriber
     node.leave()
     node.reactor.advance(0.1)
@@ -201,7 +197,7 @@
     assert node.ended.called and subscriber.stopped and not subscriber.ways
 
 
-def test_off_means_not_imported():
+def test_distribution_is_not_imported_if_it_is_off():
     text = "from lichencleat.config.loading import parse_node_config; import lichencleat.node.assembly, sys; "
     text += "assert parse_node_config('f', 'log: {form: json}')[0].log; print(*sys.modules)"
     ran = subprocess.run([sys.executable, "-c", text], capture_output=True, text=True)
@@ -209,7 +205,7 @@
     assert not [each for each in ran.stdout.split() if "distribution" in each or each == "xxhash"]
 
 
-def make(directory=None, tenants=True):
+def make_node(directory=None, tenants=True):
     reactor = MemoryReactorClock()
     chosen = SimpleNamespace(
         group="config", zone="north-a", sources=[["10.0.0.1:1"]], directory=directory, tenants=tenants
@@ -220,8 +216,8 @@
     return reactor, made, report
 
 
-def test_a_node_that_hears_of_no_relay_goes_on_and_says_so():
-    reactor, node, report = make()
+def test_node_continues_without_a_relay():
+    reactor, node, report = make_node()
     assert node.describe() == "reads its disk"
     node.start()
     for _ in range(100):
@@ -235,8 +231,8 @@
     assert not reactor.getDelayedCalls()
 
 
-def test_where_tenants_are_not_switched_on_the_table_says_nothing_about_them():
-    _, node, _ = make(tenants=False)
+def test_table_is_ignored_for_tenants_unless_configured():
+    _, node, _ = make_node(tenants=False)
     node.start()
     node.subscriber.copy.table.apply(3, put("new"))
     assert b"old" in node.tenants and b"new" not in node.tenants
@@ -244,7 +240,7 @@
 
 
 class Disk:
-    """As distribution.kept.Kept, in memory."""
+    """In place of config_distribution.kept.Kept, in memory."""
 
     def __init__(self, *loaded):
         self.loaded, self.calls = loaded, []
@@ -261,18 +257,18 @@
 
 
 @pytest.fixture
-def on_disk(monkeypatch):
-    def on_disk(opened):
+def make_with_disk(monkeypatch):
+    def make_with_disk(opened):
         monkeypatch.setattr(kept, "open_kept", lambda *args, **more: opened)
-        return make("somewhere")
+        return make_node("somewhere")
 
-    return on_disk
+    return make_with_disk
 
 
-def test_a_start_from_the_disk_is_in_force_at_once_and_what_is_taken_is_kept(on_disk, table):
+def test_table_on_disk_is_in_force_at_start_and_changes_are_stored(make_with_disk, table):
     table.apply(4, put("acme"))
     disk = Disk(table, b"mark-one", [])
-    _, node, _ = on_disk(succeed(disk))
+    _, node, _ = make_with_disk(succeed(disk))
     node.start()
     assert b"acme" in node.tenants and b"old" not in node.tenants
     assert node.subscriber.copy.mark == b"mark-one"
@@ -288,17 +284,17 @@
 
 
 @pytest.mark.parametrize("opened", [lambda: fail(StoreError("full")), lambda: succeed(Disk())])
-def test_a_disk_that_fails_is_told_and_the_node_goes_on_without(on_disk, opened):
-    _, node, report = on_disk(opened())
+def test_failed_disk_is_logged_and_node_continues_without(make_with_disk, opened):
+    _, node, report = make_with_disk(opened())
     node.start()
     assert report.counts["distribution words of the disk"] == 1
     assert node.subscriber is not None and node.store is None
     node.stop()
 
 
-def test_a_node_that_ends_while_its_disk_is_read_follows_nobody(on_disk, table):
+def test_node_stopped_while_its_disk_is_read_does_not_subscribe(make_with_disk, table):
     opened = Deferred()
-    reactor, node, _ = on_disk(opened)
+    reactor, node, _ = make_with_disk(opened)
     node.start()
     node.stop()
     disk = Disk(table, b"", [])
@@ -307,12 +303,12 @@
     assert node.subscriber is None and not reactor.getDelayedCalls()
 
 
-def test_a_missing_library_is_one_line_and_exit_2(tmp_path):
+def test_missing_library_is_reported_in_one_line_with_exit_code_2(tmp_path):
     (tmp_path / "xxhash.py").write_text("raise ModuleNotFoundError('none', name='xxhash')\n")
     config, chosen = tmp_path / "config.json", tmp_path / "chosen.yaml"
-    told = {"name": "n1", "listen": "127.0.0.1:0", "vm": "127.0.0.1:1", "members": "127.0.0.1:1"}
-    told["limits"] = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
-    config.write_text(json.dumps({**told, "seed": "a", "stop_ms": 3000, "settings": SETTINGS}))
+    settings_file = {"name": "n1", "listen": "127.0.0.1:0", "vm": "127.0.0.1:1", "members": "127.0.0.1:1"}
+    settings_file["limits"] = {"cores": 1.0, "memory_mb": 192, "sockets": 256}
+    config.write_text(json.dumps({**settings_file, "seed": "a", "stop_ms": 3000, "settings": SETTINGS}))
     chosen.write_text("distribution: {group: config, sources: [['127.0.0.1:1']]}\n")
     variables = {"BALANCER_CONFIG": str(config), "LICHENCLEAT_FILE": str(chosen), "PYTHONPATH": str(tmp_path)}
     ended = subprocess.run(
--- a/tests/node/test_timers_and_log.py
+++ b/tests/node/test_timers_and_log.py
@@ -1,4 +1,4 @@
-"""Parts of the real node, with a clock and transports in memory: timers, slots, log."""
+"""Tests of timers, slots, the log and garbage collection, with a clock in memory."""
 
 import gc
 import weakref
@@ -11,7 +11,7 @@
 from lichencleat.node.slots import Slots
 
 
-def test_a_slot_goes_to_the_next_and_is_given_back_once():
+def test_released_slot_is_reused_and_released_once():
     slots = Slots()
     first = slots.acquire("a")
     slots.release(first)
@@ -20,7 +20,7 @@
     assert slots.acquire("b") == first and list(slots) == ["b"] and len(slots) == 1
 
 
-def test_deadlines_fire_in_order_and_not_once_cancelled(reactor, deadlines):
+def test_timers_fire_in_order_unless_cancelled(reactor, deadlines):
     fired = []
     for span in (30, 10, 20):
         deadlines.after(span * 1000, fired.append, span)
@@ -30,23 +30,23 @@
     assert fired == [10, 20, 30]
 
 
-def test_after_a_pause_the_reactor_reads_before_what_is_late(reactor, deadlines):
+def test_after_a_pause_the_reactor_reads_before_late_timers_fire(reactor, deadlines):
     fired = []
     deadlines.after(10_000, fired.append, "late")
     reactor.rightNow += 1
     deadlines.fire()
-    assert not fired  # what the reactor does between these two is to read
+    assert not fired  # the reactor reads between these two calls
     deadlines.fire()
     assert fired == ["late"]
 
 
-def test_cancelled_deadlines_do_not_pile_up(deadlines):
+def test_cancelled_timers_do_not_accumulate(deadlines):
     for _ in range(1000):
         deadlines.cancel(deadlines.after(SECOND, print))
     assert len(deadlines.heap) < 200
 
 
-def test_an_error_in_a_timer_is_counted_and_the_others_fire(reactor, deadlines, report):
+def test_error_in_a_timer_is_counted_and_other_timers_fire(reactor, deadlines, report):
     fired = []
     deadlines.after(1000, lambda: 1 / 0)
     deadlines.after(1000, fired.append, 1)
@@ -63,7 +63,7 @@
     assert len(lines) == MAX_LINES + 1 and "+5 lines" in lines[-1]
 
 
-def test_what_is_closed_does_not_wait_for_the_collectors_own_moment(deadlines, reactor):
+def test_reference_cycles_are_collected_periodically(deadlines, reactor):
     class Closed:
         pass
 
--- a/tests/node/test_windows.py
+++ b/tests/node/test_windows.py
@@ -1,4 +1,8 @@
-"""A key's window, by drawn tries through the real host and decisions: `s` inside it and outside it."""
+"""Random attempts with few keys against the real request engine and admission controller.
+
+Guards against a key that runs twice within its window, and against unanswered or wrongly answered attempts.
+The stated arrival times (`s`) lie inside and outside of the window.
+"""
 
 import random
 
@@ -14,15 +18,15 @@
 from lichencleat.node.report import Report
 
 DEADLINE = 1_500_000  # µs
-SLACK = 50_000  # µs that every limit is longer on sockets, by the protocol
+SLACK = 50_000  # µs by which every limit is extended on sockets, by the protocol
 KEYS = (b"a" * 48, b"b" * 48)
 
 
-class World:
-    """One node's host; what was tried, run and answered."""
+class SimulatedNode:
+    """One node's request engine, with a record of attempts, runs and answers."""
 
     def __init__(self, window, rng):
-        self.reactor, self.rng, self.tries = Reactor(), rng, []
+        self.reactor, self.rng, self.attempts = Reactor(), rng, []
         self.reactor.advance(1_000)
         self.now = lambda: int(self.reactor.seconds() * SECOND)
         report = Report("n1", self.now)
@@ -42,47 +46,52 @@
         self.engine.node = AdmissionController(machine, rng)
         self.engine.schedule_decisions()
         self.report, self.interpreter = report, interpreter
-        self.begun = []  # tries, in the order in which their runs began
+        self.started = []  # attempts, in the order in which their runs started
         apply = interpreter.apply
         interpreter.apply = lambda run, *rest: (
-            self.begun.append(self.by_ident(run.ident)),
+            self.started.append(self.by_ident(run.ident)),
             apply(run, *rest),
         )
 
     def by_ident(self, ident):
-        return next(each for each in self.tries if each["ident"] == ident)
+        return next(each for each in self.attempts if each["ident"] == ident)
 
-    def arrives(self):
+    def send_request(self):
         now = self.now()
-        came = now - self.rng.choice([0, 0, 1, 20_000, 120_000])
-        tried = {"key": self.rng.choice(KEYS), "s": came, "ident": b"%016x" % len(self.tries), "answers": []}
-        request = Request(self.request_class, came, max(came + DEADLINE, now), size_kb=20.0)
-        tell = tried["answers"].append
-        reply = lambda answer, result, span, last: tell((answer, result, self.now()))  # noqa: E731
-        tried["pending"] = PendingRequest(request, tried["ident"], b"x", tried["key"], reply)
-        tried["left"] = False
-        self.tries.append(tried)
-        self.engine.on_request_received(tried["pending"])
-
-    def run_ends(self):
+        arrived = now - self.rng.choice([0, 0, 1, 20_000, 120_000])
+        attempt = {
+            "key": self.rng.choice(KEYS),
+            "s": arrived,
+            "ident": b"%016x" % len(self.attempts),
+            "answers": [],
+        }
+        request = Request(self.request_class, arrived, max(arrived + DEADLINE, now), size_kb=20.0)
+        record_answer = attempt["answers"].append
+        reply = lambda answer, result, span, last: record_answer((answer, result, self.now()))  # noqa: E731
+        attempt["pending"] = PendingRequest(request, attempt["ident"], b"x", attempt["key"], reply)
+        attempt["left"] = False
+        self.attempts.append(attempt)
+        self.engine.on_request_received(attempt["pending"])
+
+    def end_run(self):
         runs = list(self.interpreter.runs.values())
         if not runs:
             return
         run = self.rng.choice(runs)
         del self.interpreter.runs[run.ident]
         end = self.rng.choice([Outcome.COMPLETED] * 4 + [Outcome.FAILED, Outcome.UNREACHABLE])
-        if end is Outcome.UNREACHABLE:  # proved: it never ran
-            self.begun = [each for each in self.begun if each["ident"] != run.ident]
+        if end is Outcome.UNREACHABLE:  # provably never ran
+            self.started = [each for each in self.started if each["ident"] != run.ident]
         run.on_ended(end, 100_000, run.ident if end is Outcome.COMPLETED else b"")
 
-    def caller_leaves(self):
-        waiting = [each for each in self.tries if each["pending"].open]
+    def disconnect_caller(self):
+        waiting = [each for each in self.attempts if each["pending"].open]
         if waiting:
-            left = self.rng.choice(waiting)
-            left["left"] = True
-            self.engine.on_caller_gone(left["pending"])
+            gone = self.rng.choice(waiting)
+            gone["left"] = True
+            self.engine.on_caller_gone(gone["pending"])
 
-    def passes(self, span):
+    def advance(self, span):
         while span > 0:
             step = min(span, 10_000)
             self.reactor.advance(step / SECOND)
@@ -90,35 +99,39 @@
             span -= step
 
 
-def judge(world, window):
-    for at, ran in enumerate(world.begun):
-        for later in world.begun[at + 1 :]:
-            if later["key"] == ran["key"]:
-                assert not 0 <= later["s"] - ran["s"] <= window, "an effect twice in its window"
-    for tried in world.tries:
-        assert len(tried["answers"]) == (0 if tried["left"] else 1), "not one answer"
-        for answer, result, at in tried["answers"]:
-            assert at <= max(tried["s"] + DEADLINE, tried["pending"].request.arrived) + SLACK, "answered late"
-            ran = tried in world.begun
-            assert not (ran and answer is Answer.REJECTED), "what ran was turned away"
+def check_invariants(node, window):
+    for at, started_run in enumerate(node.started):
+        for later in node.started[at + 1 :]:
+            if later["key"] == started_run["key"]:
+                assert not 0 <= later["s"] - started_run["s"] <= window, "a key ran twice in its window"
+    for attempt in node.attempts:
+        assert len(attempt["answers"]) == (0 if attempt["left"] else 1), "not exactly one answer"
+        for answer, result, at in attempt["answers"]:
+            assert at <= max(attempt["s"] + DEADLINE, attempt["pending"].request.arrived) + SLACK, (
+                "answered late"
+            )
+            started_run = attempt in node.started
+            assert not (started_run and answer is Answer.REJECTED), "an attempt that ran was rejected"
             if answer is Answer.SERVED:
-                made = world.by_ident(result)
-                assert made["key"] == tried["key"] and made in world.begun, "served with what no run made"
-    assert not world.report.counts["node errors"]
+                made = node.by_ident(result)
+                assert made["key"] == attempt["key"] and made in node.started, (
+                    "served with a result of no run"
+                )
+    assert not node.report.counts["node errors"]
 
 
 @pytest.mark.parametrize("window", [100_000, 900_000, DEADLINE, 5_000_000])
-def test_no_drawn_tries_run_a_key_twice_in_its_window_or_go_unanswered(window):
+def test_random_attempts_run_a_key_once_per_window_and_are_all_answered(window):
     for seed in range(60):
         rng = random.Random(f"{window} {seed}")
-        world = World(window, rng)
+        node = SimulatedNode(window, rng)
         for _ in range(40):
-            rng.choice([world.arrives] * 4 + [world.run_ends] * 2 + [world.caller_leaves])()
-            world.passes(rng.choice([0, 0, 5_000, 60_000, 200_000, window // 2]))
+            rng.choice([node.send_request] * 4 + [node.end_run] * 2 + [node.disconnect_caller])()
+            node.advance(rng.choice([0, 0, 5_000, 60_000, 200_000, window // 2]))
         for _ in range(30):
-            world.run_ends()
-            world.passes(100_000)
-        judge(world, window)
-        assert not len(world.engine.pending_requests)
-        world.passes(window + 2 * DEADLINE + 12 * SECOND)
-        assert not world.engine.records.by_key
+            node.end_run()
+            node.advance(100_000)
+        check_invariants(node, window)
+        assert not len(node.engine.pending_requests)
+        node.advance(window + 2 * DEADLINE + 12 * SECOND)
+        assert not node.engine.records.by_key
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of what a real node talks to, on loopback sockets with free ports; each waits on events."""
+"""Stand-ins for the peers of a node, on loopback sockets with free ports, and the program under test."""
 
 import json
 import os
@@ -12,7 +12,7 @@
 from queue import Queue
 
 ROOT = Path(__file__).resolve().parent.parent
-PATIENCE = 20  # s: only a failing test waits so long
+TIMEOUT = 20  # s, the timeout of all waits; only a failing test reaches it
 SETTINGS = {
     "classes": [
         {"name": "look", "aim": 2.0, "deadline": 6.0, "effect": "free", "worth": 1.0},
@@ -37,10 +37,12 @@
 
 
 def listener():
+    """A listening socket on a free loopback port."""
     return socket.create_server(("127.0.0.1", 0))
 
 
-def where(sock):
+def address_of(sock):
+    """The address of a socket as host:port."""
     return "{}:{}".format(*sock.getsockname())
 
 
@@ -48,14 +50,14 @@
     """One accepted or opened connection, read as words and bodies."""
 
     def __init__(self, sock):
-        sock.settimeout(PATIENCE)
+        sock.settimeout(TIMEOUT)
         self.sock, self.file = sock, sock.makefile("rb")
 
     def send(self, data):
         self.sock.sendall(data)
 
     def line(self, counted=()):
-        """A line's words, and the body that follows where its first word is among the counted ones."""
+        """Read a line's words, and the body that follows if the first word is in `counted`."""
         words = self.file.readline().split()
         body = self.file.read(int(words[-1]) + 2)[:-2] if words and words[0] in counted else b""
         return words, body
@@ -76,7 +78,7 @@
 
 
 class Interpreter(threading.Thread):
-    """Accepts links, greets each, answers gauges, and hands every other command to the test."""
+    """Accepts links, greets each, answers gauges, and passes every other command to the test."""
 
     def __init__(self):
         super().__init__(daemon=True)
@@ -104,16 +106,16 @@
             if not words:
                 return
             if words[0] == b"TOP":
-                self.up.set()  # the program asks only once it has read the greeting
+                self.up.set()  # the program requests gauges only after it has read the greeting
                 peer.send(b"TOPS %s 0.2 1 0.1 3\r\n" % words[1])
             else:
                 self.commands.put((words, body))
 
     def next(self):
-        return self.commands.get(timeout=PATIENCE)
+        return self.commands.get(timeout=TIMEOUT)
 
     def notice(self, text, body=None):
-        """Numbers it and sends it, or keeps it for the next link."""
+        """Number a notice and send it; without a link, keep it for the next one."""
         kind, rest = text.split(b" ", 1)
         line = b"%s %d %s" % (kind, len(self.notices) + 1, rest)
         if body is not None:
@@ -128,7 +130,7 @@
 
 
 class Catalogue(threading.Thread):
-    """Hands calls to the test, which replies on the connection that they came on."""
+    """Passes calls to the test, which replies on the call's connection."""
 
     def __init__(self):
         super().__init__(daemon=True)
@@ -147,21 +149,21 @@
         while True:
             try:
                 words, body = peer.line((b"FETCH",))
-            except ConnectionResetError:  # the node gives a connection up where its reply can't be read
+            except ConnectionResetError:  # the node aborts a connection with an invalid reply
                 return
             if not words:
                 return
             self.calls.put((peer, words, body))
 
     def next(self):
-        return self.calls.get(timeout=PATIENCE)
+        return self.calls.get(timeout=TIMEOUT)
 
 
 class Program:
-    """The program, started as `run` in deploy/balancer.toml does, with a stand-in for each peer."""
+    """The program, started like `run` in deploy/balancer.toml, with a stand-in for each peer."""
 
     def __init__(self, folder, **changes):
-        peers = self.stand_in()
+        peers = self.start_stand_ins()
         with listener() as free:
             self.address = free.getsockname()
         told = {
@@ -186,42 +188,43 @@
         )
         self.tries = 0
 
-    def stand_in(self):
-        """A stand-in for each peer, and where it is."""
+    def start_stand_ins(self):
+        """Start a stand-in for each peer; returns their addresses by configuration key."""
         self.interpreter, self.catalogue = Interpreter(), Catalogue()
         self.members = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.members.bind(("127.0.0.1", 0))
-        self.members.settimeout(PATIENCE)
+        self.members.settimeout(TIMEOUT)
         return {
-            "vm": where(self.interpreter.listener),
-            "members": where(self.members),
-            "catalog": where(self.catalogue.listener),
+            "vm": address_of(self.interpreter.listener),
+            "members": address_of(self.members),
+            "catalog": address_of(self.catalogue.listener),
         }
 
     def move(self):
-        """New stand-ins, told by a new configuration; the new interpreter goes on with the notices."""
+        """Start new stand-ins and reload the configuration; the new interpreter continues the notices."""
         notices = self.interpreter.notices
-        self.told.update(self.stand_in())
+        self.told.update(self.start_stand_ins())
         self.interpreter.notices = notices
         self.config.write_text(json.dumps(self.told))
         self.process.send_signal(signal.SIGHUP)
 
     def dispatcher(self):
-        return Peer(socket.create_connection(self.address, PATIENCE))
+        return Peer(socket.create_connection(self.address, TIMEOUT))
 
     def ready(self):
-        """A connection; the program listens before its first report, and asks for gauges once it is up."""
+        """Wait until the program is up; returns a connection to it."""
+        # it listens before its first membership report, and requests gauges once it is up
         assert self.members.recv(100) == b"HB n1 UP"
-        assert self.interpreter.up.wait(PATIENCE) and self.interpreter.connects.get() == 0
+        assert self.interpreter.up.wait(TIMEOUT) and self.interpreter.connects.get() == 0
         return self.dispatcher()
 
     def leave(self):
         self.process.send_signal(signal.SIGTERM)
 
     def end(self):
-        """The exit code, and the counters that it printed."""
+        """Wait for the exit; returns the exit code, the printed counters and standard error."""
         try:
-            _, err = self.process.communicate(timeout=PATIENCE)
+            _, err = self.process.communicate(timeout=TIMEOUT)
         except subprocess.TimeoutExpired:
             self.process.kill()
             raise
@@ -245,8 +248,8 @@
     return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(each), each) for each in words)
 
 
-def request(tag, tariff, ident, body, **fields):
-    """A request as dispatchers write it, come to the machine just now."""
+def request(tag, request_class, ident, body, **fields):
+    """Encode a request as dispatchers do, with the current time as its arrival."""
     said = {"i": ident, "s": time.time_ns() // 1_000_000, "f": 1, "m": "24.5", "p": "0.5", **fields}
     text = ",".join(f"{name}={value}" for name, value in said.items())
-    return array(b"REQ", b"%d" % tag, tariff, text.encode(), body)
+    return array(b"REQ", b"%d" % tag, request_class, text.encode(), body)
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,7 +1,7 @@
-"""Unreadable, half, huge, repeated input from every peer: counted, no traceback, nobody else is struck."""
+"""Invalid, incomplete, huge and repeated input from every peer is counted and affects no other peer."""
 
 import pytest
-from standins import PATIENCE, Program, array, request
+from standins import TIMEOUT, Program, array, request
 
 A, B = "00000000000000a1", "00000000000000b2"
 CHECK = array(b"HEALTH", b"9", b"")
@@ -14,15 +14,15 @@
     started.close()
 
 
-def served(program, peer, ident, spoil=None):
-    """One request with a call, from its array to its answer, by all peers."""
+def check_served(program, peer, ident, corrupt_reply=None):
+    """Check that a request with a call is served, from its array to its answer."""
     peer.send(request(7, b"look", ident, b"x"))
     assert program.interpreter.next()[0][:2] == [b"APPLY", ident.encode()]
     program.interpreter.notice(b"AWAIT %s" % ident.encode(), b"ask")
     answering, words, _ = program.catalogue.next()
-    if spoil is not None:
-        answering.send(spoil)
-        answering, words, _ = program.catalogue.next()  # the call is made anew, on a connection of its own
+    if corrupt_reply is not None:
+        answering.send(corrupt_reply)
+        answering, words, _ = program.catalogue.next()  # the call is retried on another connection
     answering.send(b"%s DATA 2\r\nok\r\n" % words[1])
     assert program.interpreter.next() == ([b"RESOLVE", ident.encode(), b"2"], b"ok")
     program.interpreter.notice(b"VALUE %s PASS 5" % ident.encode(), b"made")
@@ -30,7 +30,7 @@
     assert answer[:2] == [b"7", b"200"] and answer[3] == b"made"
 
 
-def ended(program):
+def stop_and_check(program):
     program.leave()
     code, counters, err = program.end()
     assert code == 0 and "Traceback" not in err and "error in" not in err
@@ -39,7 +39,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         b"\x00" * 5_000,
         b"*0\r\n",
@@ -54,20 +54,20 @@
     ],
     ids=range(10),
 )
-def test_no_bad_caller_strikes_another(program, bad):
+def test_invalid_client_input_does_not_affect_other_clients(program, invalid):
     peer, caller = program.ready(), program.dispatcher()
-    caller.send(bad)
-    served(program, peer, A)
+    caller.send(invalid)
+    check_served(program, peer, A)
     other = program.dispatcher()
     other.send(CHECK)
     assert other.array()[1] == b"serving"
     for each in (peer, caller, other):
         each.close()
-    ended(program)
+    stop_and_check(program)
 
 
 @pytest.mark.parametrize(
-    ("bad", "renewed"),
+    ("invalid", "replaced"),
     [
         (b"\xff\xfe\x00\r\n", False),
         (b"\r\n\r\n", False),
@@ -83,20 +83,20 @@
     ],
     ids=range(11),
 )
-def test_what_the_interpreter_spoils_is_passed_over_or_its_link_renewed(program, bad, renewed):
+def test_invalid_interpreter_input_is_skipped_or_the_link_replaced(program, invalid, replaced):
     peer = program.ready()
-    program.interpreter.peer.send(bad)
-    if renewed:  # what is asked now is asked on the new link
-        assert program.interpreter.connects.get(timeout=PATIENCE) == 0
+    program.interpreter.peer.send(invalid)
+    if replaced:  # further commands use the new link
+        assert program.interpreter.connects.get(timeout=TIMEOUT) == 0
     peer.send(CHECK)
     assert peer.array()[1] == b"serving"
-    served(program, peer, A)
+    check_served(program, peer, A)
     peer.close()
-    ended(program)
+    stop_and_check(program)
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         b"\xff\xfe\r\n",
         b"x" * 3_000,
@@ -106,8 +106,8 @@
     ],
     ids=range(5),
 )
-def test_a_spoilt_reply_to_a_call_ends_that_call_alone_and_it_is_made_anew(program, bad):
+def test_corrupt_reply_ends_one_call_which_is_retried(program, invalid):
     peer = program.ready()
-    served(program, peer, A, spoil=bad)
+    check_served(program, peer, A, corrupt_reply=invalid)
     peer.close()
-    assert ended(program)["catalogue connections given up"] == 1
+    assert stop_and_check(program)["catalogue connections given up"] == 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Where things end, on real sockets: what crosses the end of a connection, a listener, the program."""
+"""Tests of input that arrives while a connection, the listener or the program closes, on real sockets."""
 
 import json
 import os
@@ -9,9 +9,9 @@
 import sys
 
 import pytest
-from standins import PATIENCE, ROOT, SETTINGS, Program, array, listener, request, where
+from standins import ROOT, SETTINGS, TIMEOUT, Program, address_of, array, listener, request
 
-A = "00000000000000a1"
+FIRST_ID = "00000000000000a1"
 CHECK = array(b"HEALTH", b"9", b"")
 
 
@@ -36,52 +36,52 @@
         each.close()
 
 
-def asked_to_go(started):
-    """A program, and a caller that it served and then, as that rested, asked to go."""
+def start_with_goaway(started):
+    """Start a program and a client that it served and, once the client was idle, sent a goaway."""
     program = started(settings=idle_after(0.2))
     peer = program.ready()
-    peer.send(request(7, b"look", A, b"x"))
+    peer.send(request(7, b"look", FIRST_ID, b"x"))
     program.interpreter.next()
-    program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"made")
+    program.interpreter.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"made")
     assert peer.array()[1] == b"200"
     assert peer.array() == [b"0", b"goaway"]
     return program, peer
 
 
-def halt(program):
-    """The program stands still until `go`: what is written meanwhile waits in the kernel."""
+def suspend(program):
+    """Stop the process until `resume`; input that is sent meanwhile waits in the kernel."""
     program.process.send_signal(signal.SIGSTOP)
     os.waitid(os.P_PID, program.process.pid, os.WSTOPPED | os.WNOWAIT)
 
 
-def go(program):
+def resume(program):
     program.process.send_signal(signal.SIGCONT)
 
 
-def test_answers_outlive_the_end_of_a_connection_that_cannot_be_read_any_more(started):
+def test_answers_arrive_before_close_after_broken_framing(started):
     program = started()
     peer = program.ready()
-    halt(program)
-    peer.send(CHECK + b"no array at all\r\n" + b"x" * 60_000)  # more than is read at once
-    go(program)
+    suspend(program)
+    peer.send(CHECK + b"no array at all\r\n" + b"x" * 60_000)  # more than one read takes
+    resume(program)
     assert peer.array()[:2] == [b"9", b"serving"]
     assert peer.array() is None
-    peer.send(b"x")  # after a reset this would fail
+    peer.send(b"x")  # would fail after a reset
 
 
-def test_work_in_hand_is_answered_on_a_connection_that_goes_on_sending_what_cannot_be_read(started):
+def test_pending_request_is_answered_despite_further_invalid_input(started):
     program = started()
     peer = program.ready()
-    peer.send(request(7, b"look", A, b"x"))
+    peer.send(request(7, b"look", FIRST_ID, b"x"))
     assert program.interpreter.next()[0][0] == b"APPLY"
     peer.send(b"?\r\n" * 10_000)
-    program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"made")
+    program.interpreter.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"made")
     assert peer.array()[:2] == [b"7", b"200"]
     assert peer.array() is None
 
 
-def test_a_request_that_crosses_goaway_before_the_end_is_served(started):
-    program, peer = asked_to_go(started)
+def test_request_that_crosses_goaway_is_served(started):
+    program, peer = start_with_goaway(started)
     peer.send(request(8, b"look", "00000000000000b2", b"y"))
     program.interpreter.next()
     program.interpreter.notice(b"VALUE 00000000000000b2 PASS 5", b"more")
@@ -89,9 +89,9 @@
     assert peer.array() is None
 
 
-def test_a_request_that_crosses_the_end_is_never_run_and_resets_nothing(started):
-    program, peer = asked_to_go(started)
-    assert peer.array() is None  # its side has ended
+def test_request_that_crosses_the_half_close_is_not_run_and_causes_no_reset(started):
+    program, peer = start_with_goaway(started)
+    assert peer.array() is None  # the program has closed its side
     peer.send(request(8, b"look", "00000000000000b2", b"y"))
     peer.sock.shutdown(socket.SHUT_WR)
     other = program.dispatcher()
@@ -105,24 +105,24 @@
     )
 
 
-def test_all_that_wait_to_be_accepted_at_the_stop_are_taken_in_and_answered(started):
+def test_connections_in_the_backlog_at_the_stop_are_accepted_and_answered(started):
     program = started(settings=grace_of(0.0))
     program.ready().close()
-    halt(program)
-    program.leave()  # it hears of it once it goes on
+    suspend(program)
+    program.leave()  # it handles the signal once it is resumed
     waiting = [program.dispatcher() for _ in range(200)]  # more than are accepted at once
     for each in waiting:
         each.send(CHECK)
-    go(program)
-    for each in waiting:  # the answer, and the wish that it goes, in either order; then the end
+    resume(program)
+    for each in waiting:  # the answer and the goaway, in either order, then the close
         goaway, answer = sorted(each.array()[:2] for _ in range(2))
-        assert goaway == [b"0", b"goaway"] and answer[0] == b"9"  # good or not
+        assert goaway == [b"0", b"goaway"] and answer[0] == b"9"  # serving or not
         assert each.array() is None
         each.close()
     assert program.end()[0] == 0
 
 
-def test_a_notice_before_there_is_a_listener_ends_the_program_as_one_that_owes_nothing(tmp_path):
+def test_sigterm_before_listening_exits_with_0(tmp_path):
     pipe = tmp_path / "config.json"
     os.mkfifo(pipe)
     process = subprocess.Popen(
@@ -132,21 +132,21 @@
         stderr=subprocess.PIPE,
         text=True,
     )
-    with open(pipe, "w"):  # opens once the program has come to read it, which it can't yet
+    with open(pipe, "w"):  # opens once the program tries to read it, and stays empty
         process.send_signal(signal.SIGTERM)
-        _, err = process.communicate(timeout=PATIENCE)
+        _, err = process.communicate(timeout=TIMEOUT)
     assert process.returncode == 0 and not err
 
 
-def test_a_notice_before_the_interpreter_is_up_leaves_nothing_unanswered(started):
-    with listener() as silent:  # its link is accepted, and it greets nobody
-        program = started(vm=where(silent))
+def test_sigterm_before_the_interpreter_is_up_leaves_no_request_unanswered(started):
+    with listener() as silent:  # it accepts the link and sends no greeting
+        program = started(vm=address_of(silent))
         assert program.members.recv(100) == b"HB n1 UP"
         peer = program.dispatcher()
         peer.send(CHECK)
         assert peer.array()[0] == b"9"
         program.leave()
-        peer.send(request(7, b"look", A, b"x"))
+        peer.send(request(7, b"look", FIRST_ID, b"x"))
         answers = [peer.array() for _ in range(2)]
         assert [each[:2] for each in answers if each[0] == b"7"] == [[b"7", b"500"]]
         assert peer.array() is None
@@ -155,46 +155,46 @@
     assert code == 0 and counters["host requests"] == 1
 
 
-def test_a_second_notice_and_one_in_the_middle_of_a_reload_change_nothing(started):
+def test_repeated_sigterm_and_sighup_while_draining_change_nothing(started):
     program = started()
     peer = program.ready()
-    peer.send(request(7, b"look", A, b"x"))
+    peer.send(request(7, b"look", FIRST_ID, b"x"))
     assert program.interpreter.next()[0][0] == b"APPLY"
-    halt(program)
+    suspend(program)
     program.told["stop_ms"] = 2500
     program.config.write_text(json.dumps(program.told))
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         program.process.send_signal(number)
-    go(program)
-    program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"made")
+    resume(program)
+    program.interpreter.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"made")
     assert peer.array()[:2] == [b"7", b"200"]
     peer.close()
     code, counters, err = program.end()
     assert code == 0 and err.count("told to leave") == 1 and "Traceback" not in err
 
 
-def test_idle_callers_at_the_bound_of_descriptors_keep_nobody_out(started):
+def test_idle_clients_at_the_descriptor_limit_do_not_block_others(started):
     program = started(limits={"cores": 1.0, "memory_mb": 96, "sockets": 64})
     resource.prlimit(program.process.pid, resource.RLIMIT_NOFILE, (64, 64))
     program.ready().close()
-    resting = []
-    for number in range(120):  # nobody of them ever leaves by itself
-        resting.append(program.dispatcher())
+    idle = []
+    for number in range(120):  # none of them closes by itself
+        idle.append(program.dispatcher())
         if number % 2:
-            resting[-1].send(CHECK)
+            idle[-1].send(CHECK)
     checker = program.dispatcher()
     checker.send(CHECK)
     assert checker.array()[1] == b"serving"
     caller = program.dispatcher()
-    caller.send(request(7, b"look", A, b"x"))
-    assert program.interpreter.next()[0][0] == b"APPLY"  # the link is what it was
-    program.interpreter.notice(b"AWAIT %s" % A.encode(), b"ask")
-    answering, words, _ = program.catalogue.next()  # and a call finds a descriptor
+    caller.send(request(7, b"look", FIRST_ID, b"x"))
+    assert program.interpreter.next()[0][0] == b"APPLY"  # the link to the interpreter still works
+    program.interpreter.notice(b"AWAIT %s" % FIRST_ID.encode(), b"ask")
+    answering, words, _ = program.catalogue.next()  # and a call gets a descriptor
     answering.send(b"%s DATA 2\r\nok\r\n" % words[1])
     assert program.interpreter.next()[0][0] == b"RESOLVE"
-    program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"made")
+    program.interpreter.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"made")
     assert caller.array()[:2] == [b"7", b"200"]
-    for each in (*resting, checker, caller):
+    for each in (*idle, checker, caller):
         each.close()
     program.leave()
     code, counters, err = program.end()
--- a/tests/test_parsers.py
+++ b/tests/test_parsers.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    "broken",
+    "invalid",
     [
         b"*0\r\n",
         b"*9\r\n",
@@ -37,12 +37,12 @@
         b"".join(resp.array(*[b"x" * 4_000] * 3)),
     ],
 )
-def test_an_array_out_of_bounds_is_broken_framing(arrays, broken):
+def test_invalid_array_is_broken_framing(arrays, invalid):
     with pytest.raises(BrokenFramingError):
-        list(arrays.feed(broken))
+        list(arrays.feed(invalid))
 
 
-def test_the_buffer_is_cut_though_an_array_is_always_under_way(arrays):
+def test_buffer_is_trimmed_though_an_array_is_always_incomplete(arrays):
     big = b"".join(resp.array(*[b"x" * 4_000] * 2))
     list(arrays.feed(big[:5]))
     for _ in range(10):
@@ -58,11 +58,11 @@
     assert [body for _, body in got] == [b"", b"\r\n\r\n", b""] * 2
 
 
-@pytest.mark.parametrize("broken", [b"x" * 2000, b"VALUE 1 x\r\n", b"VALUE 9999999\r\n", b"VALUE 1\r\nabc"])
-def test_a_line_out_of_bounds_is_broken_framing(reader, broken):
+@pytest.mark.parametrize("invalid", [b"x" * 2000, b"VALUE 1 x\r\n", b"VALUE 9999999\r\n", b"VALUE 1\r\nabc"])
+def test_invalid_line_is_broken_framing(reader, invalid):
     with pytest.raises(BrokenFramingError):
-        list(reader.feed(broken))
+        list(reader.feed(invalid))
 
 
-def test_a_body_is_written_with_its_length():
+def test_body_is_written_with_its_length():
     assert b"".join(lines.line_with_body(b"RESOLVE", b"a1", body=b"\r\n")) == b"RESOLVE a1 2\r\n\r\n\r\n"
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as `run` starts it, spoken to over sockets."""
+"""Tests of the program, started as in production, over sockets."""
 
 import os
 import shutil
@@ -10,7 +10,7 @@
 import tomllib
 
 import pytest
-from standins import PATIENCE, ROOT, Program, array, request
+from standins import ROOT, TIMEOUT, Program, array, request
 
 A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
@@ -30,14 +30,14 @@
     opened.close()
 
 
-def adds_up(counters):
+def is_balanced(counters):
     answered = sum(
         counters.get(f"host {how}", 0) for how in ("honoured", "deferred", "given up", "abandoned")
     )
     return counters["host requests"] == answered and not counters.get("node errors")
 
 
-def test_a_request_is_honoured_with_a_call_and_the_counters_add_up(program, peer):
+def test_request_with_a_call_is_served_and_counters_balance(program, peer):
     peer.send(request(7, b"look", A, b"what\r\n is"))
     assert program.interpreter.next() == ([b"APPLY", A.encode(), b"look", b"9"], b"what\r\n is")
     program.interpreter.notice(b"AWAIT " + A.encode(), b"a call\r\n")
@@ -52,12 +52,12 @@
     assert peer.array() == [b"0", b"goaway"]
     peer.close()
     code, counters, _ = program.end()
-    assert code == 0 and adds_up(counters)
+    assert code == 0 and is_balanced(counters)
     assert counters["host honoured"] == counters["dispatchers got requests"] == 1
     assert counters["catalogue sent FETCH"] == counters["interpreter got AWAIT"] == 1
 
 
-def test_repeats_of_a_receipted_request_share_its_one_run(program, peer):
+def test_repeats_of_a_keyed_request_share_one_run(program, peer):
     peer.send(request(1, b"save", A, b"x", k=KEY) + request(2, b"save", B, b"x", k=KEY))
     assert program.interpreter.next()[0][:2] == [b"APPLY", A.encode()]
     program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"saved")
@@ -70,24 +70,24 @@
     assert program.interpreter.commands.empty()
 
 
-def test_a_result_is_kept_for_a_repeat_though_its_own_caller_left(program, peer):
+def test_result_is_kept_for_a_repeat_after_its_caller_left(program, peer):
     peer.send(request(1, b"save", A, b"x", k=KEY))
     program.interpreter.next()
     peer.send(array(b"ABORT", b"1") + array(b"HEALTH", b"3", b""))
-    assert peer.array()[0] == b"3"  # so the abort was read
+    assert peer.array()[0] == b"3"  # so the abort was read before
     program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"saved")
     peer.send(request(2, b"save", B, b"x", k=KEY))
     assert peer.array()[:2] == [b"2", b"200"]
 
 
-def test_what_arrives_too_late_is_deferred_with_its_fields_and_its_tag_ends(program, peer):
+def test_request_past_its_deadline_is_rejected_with_fields(program, peer):
     peer.send(request(4, b"look", A, b"x", s=time.time_ns() // 1_000_000 - 7_000))
     tag, word, fields, _ = peer.array()
     assert (tag, word) == (b"4", b"503") and b"w=" in fields and b"v=" in fields
     assert program.interpreter.commands.empty()
 
 
-def test_an_abort_stops_the_run_and_is_owed_no_answer(program, peer):
+def test_abort_stops_the_run_without_an_answer(program, peer):
     peer.send(request(1, b"look", A, b"x"))
     program.interpreter.next()
     peer.send(array(b"ABORT", b"1"))
@@ -99,10 +99,10 @@
     assert peer.array() == [b"0", b"goaway"]
     peer.close()
     code, counters, _ = program.end()
-    assert code == 0 and adds_up(counters) and counters["host abandoned"] == 1
+    assert code == 0 and is_balanced(counters) and counters["host abandoned"] == 1
 
 
-def test_a_lost_connection_abandons_all_that_is_open_on_it(program, peer):
+def test_lost_connection_abandons_its_open_requests(program, peer):
     other = program.dispatcher()
     other.send(request(1, b"look", A, b"x"))
     program.interpreter.next()
@@ -112,19 +112,19 @@
     assert peer.array()[1] == b"serving"
 
 
-def test_a_lost_link_is_renewed_and_neither_a_notice_nor_a_run_is_lost_or_doubled(program, peer):
+def test_lost_link_is_replaced_without_losing_or_repeating_a_notice_or_run(program, peer):
     peer.send(request(1, b"save", A, b"x", k=KEY) + request(2, b"look", B, b"y"))
     program.interpreter.next(), program.interpreter.next()
     program.interpreter.cut()
     program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"saved")
     assert peer.array()[:2] == [b"1", b"200"]
-    assert program.interpreter.connects.get(timeout=PATIENCE) == 0
+    assert program.interpreter.connects.get(timeout=TIMEOUT) == 0
     assert program.interpreter.next() == ([b"APPLY", B.encode(), b"look", b"1"], b"y")
     program.interpreter.notice(b"VALUE %s PASS 5" % B.encode(), b"seen")
     assert peer.array()[:2] == [b"2", b"200"]
 
 
-def test_sigterm_under_work_answers_all_that_was_read_and_ends_before_the_stop(program, peer):
+def test_sigterm_with_pending_requests_answers_all_and_exits_in_time(program, peer):
     peer.send(request(1, b"save", A, b"x", k=KEY) + request(2, b"look", B, b"y"))
     program.interpreter.next(), program.interpreter.next()
     program.leave()
@@ -134,13 +134,13 @@
     program.interpreter.notice(b"VALUE %s PASS 5" % B.encode(), b"seen")
     assert peer.array()[:2] == [b"2", b"200"]
     last = sorted(peer.array()[:2] for _ in range(2))
-    assert last == [[b"0", b"goaway"], [b"1", b"500"]]  # the receipted run does not end before the stop
+    assert last == [[b"0", b"goaway"], [b"1", b"500"]]  # the keyed run does not end before the stop
     peer.close()
     code, counters, _ = program.end()
-    assert code == 0 and adds_up(counters) and counters["membership sent OUT"] == 1
+    assert code == 0 and is_balanced(counters) and counters["membership sent OUT"] == 1
 
 
-def test_counters_are_printed_on_a_signal(program, peer):
+def test_counters_are_printed_on_sigusr1(program, peer):
     peer.send(array(b"HEALTH", b"1", b""))
     peer.array()
     program.process.send_signal(signal.SIGUSR1)
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize(
-    "bad",
+    "invalid",
     [
         array(b"NONSENSE", b"9", b"x"),
         request(9, b"unheard-of", A, b"x"),
@@ -161,8 +161,8 @@
         array(b"REQ", b"9", b"look"),
     ],
 )
-def test_an_unusable_array_with_a_tag_is_answered_as_failed_and_the_connection_goes_on(program, peer, bad):
-    peer.send(bad + array(b"HEALTH", b"10", b""))
+def test_invalid_array_with_a_tag_fails_and_the_connection_continues(program, peer, invalid):
+    peer.send(invalid + array(b"HEALTH", b"10", b""))
     assert peer.array()[:2] == [b"9", b"500"]
     assert peer.array()[:2] == [b"10", b"serving"]
 
@@ -170,7 +170,7 @@
 @pytest.mark.parametrize(
     "broken", [b"GET / HTTP/1.1\r\n\r\n", b"*-1\r\n", b"*2\r\n$99999999\r\n", array(b"REQ"), b"x" * 100]
 )
-def test_broken_framing_ends_its_connection_after_its_answers_and_disturbs_no_other(program, peer, broken):
+def test_broken_framing_closes_its_connection_after_its_answers_and_no_other(program, peer, broken):
     other = program.dispatcher()
     other.send(request(1, b"look", A, b"x"))
     program.interpreter.next()
@@ -182,7 +182,7 @@
     assert other.array() is None
 
 
-def test_unknown_notices_are_passed_over(program, peer):
+def test_unknown_notices_are_skipped(program, peer):
     peer.send(request(1, b"look", A, b"x"))
     program.interpreter.next()
     program.interpreter.peer.send(b"NOVELTY 1 2\r\n\r\nVALUE x\r\nVALUE 1 %s ODD 5 0\r\n\r\n" % A.encode())
@@ -191,7 +191,7 @@
     assert program.catalogue.next()[2] == b"a call"
 
 
-def test_a_new_configuration_moves_all_that_goes_out_and_loses_nothing(program, peer):
+def test_new_addresses_take_effect_without_losing_requests(program, peer):
     peer.send(request(1, b"save", A, b"x", k=KEY) + request(2, b"look", B, b"y"))
     program.interpreter.next(), program.interpreter.next()
     old, old_catalogue, old_members = program.interpreter, program.catalogue, program.members
@@ -200,11 +200,10 @@
     program.move()
     assert program.members.recv(100) == b"HB n1 UP"
     new = program.interpreter
-    assert new.connects.get(timeout=PATIENCE) == 1
+    assert new.connects.get(timeout=TIMEOUT) == 1
     caller.send(b"%s DATA 2\r\nok\r\n" % A.encode())
-    commands = sorted(
-        new.next()[0][:2] for _ in range(2)
-    )  # the pure run once more, and the reply to the other
+    # the start of the idempotent run again, and the reply to the other run's call
+    commands = sorted(new.next()[0][:2] for _ in range(2))
     assert commands == [[b"APPLY", B.encode()], [b"RESOLVE", A.encode()]]
     new.notice(b"VALUE %s PASS 5" % A.encode(), b"saved")
     assert peer.array()[:2] == [b"1", b"200"]
@@ -214,7 +213,7 @@
         each.close()
 
 
-def test_a_wrong_configuration_under_work_is_told_and_the_old_one_stays(program, peer):
+def test_invalid_configuration_on_sighup_is_logged_and_the_old_one_stays(program, peer):
     program.config.write_text("{")
     program.process.send_signal(signal.SIGHUP)
     while "stays in force" not in program.process.stderr.readline():
@@ -227,14 +226,14 @@
     ("changes", "says"),
     [({"vm": "nowhere"}, "vm"), ({"settings": {}}, "settings"), ({"stop_ms": "x"}, "stop_ms")],
 )
-def test_a_bad_configuration_is_told_in_one_line(tmp_path, changes, says):
+def test_invalid_configuration_is_reported_in_one_line(tmp_path, changes, says):
     started = Program(tmp_path, **changes)
     code, _, err = started.end()
     started.close()
     assert code == 2 and len(err.splitlines()) == 1 and says in err
 
 
-def test_an_address_in_use_is_told_in_one_line(tmp_path):
+def test_address_in_use_is_reported_in_one_line(tmp_path):
     with socket.create_server(("127.0.0.1", 0)) as taken:
         started = Program(tmp_path, listen="{}:{}".format(*taken.getsockname()))
         code, _, err = started.end()
@@ -242,7 +241,7 @@
     assert code == 2 and len(err.splitlines()) == 1 and "listen" in err
 
 
-def test_the_build_leaves_bytecode_that_a_start_finds_and_that_follows_its_source(tmp_path):
+def test_build_leaves_bytecode_that_a_start_uses_and_that_follows_the_source(tmp_path):
     deployment = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())
     command = deployment["build"].rsplit("&&", 1)[1].strip()
     shutil.copytree(
@@ -251,11 +250,11 @@
     assert command.startswith(".venv/bin/python ")
     subprocess.run([sys.executable, *command.split()[1:]], cwd=tmp_path, check=True)
     start = [sys.executable, "-B", "-v", "-c", "import lichencleat.node.program"]
-    said = subprocess.run(start, cwd=tmp_path, capture_output=True, text=True, check=True).stderr
-    found = [line for line in said.splitlines() if " matches " in line and str(tmp_path) in line]
+    output = subprocess.run(start, cwd=tmp_path, capture_output=True, text=True, check=True).stderr
+    found = [line for line in output.splitlines() if " matches " in line and str(tmp_path) in line]
     assert any("node/program.py" in line for line in found)
     assert any("admission/controller.py" in line for line in found)
     changed = tmp_path / "lichencleat" / "node" / "program.py"
     changed.write_text(changed.read_text() + "\nprint('changed')\n")
-    os.utime(changed, (1, 1))  # whatever the time of the file says
+    os.utime(changed, (1, 1))  # regardless of the file's modification time
     assert subprocess.run(start, cwd=tmp_path, capture_output=True, text=True).stdout == "changed\n"
