--- a/lichencleat/node/catalogue.py
+++ b/lichencleat/node/catalogue.py
@@ -25,9 +25,8 @@
 MAX_LINKS = 48
 # One descriptor in so many is for a link, if that is fewer: clients may use half, and calls need not share.
 DESCRIPTORS_PER_LINK = 8
-REPLY_TIMEOUT = (
-    500_000  # µs for the rest of a partial reply; the proxy on the same machine sends it in one piece
-)
+# µs for the rest of a partial reply; the proxy on the same machine sends it in one piece
+REPLY_TIMEOUT = 500_000
 HEX = frozenset(b"0123456789abcdefABCDEF")
 ID_DIGITS = 16
 CALL_TIMEOUT_MARGIN = 50_000  # µs past a call's own timeout until a silent proxy is abandoned
@@ -100,6 +99,7 @@
             self.write(call)
 
     def write(self, call: Call) -> None:
+        """Send a call on this connection."""
         call.written = True
         span_ms = b"%d" % max(1, -(-call.span // 1000))
         self.transport.writeSequence(line_with_body(b"FETCH", call.ident, span_ms, body=call.body))
@@ -133,6 +133,7 @@
                 self.close()
 
     def close(self) -> None:
+        """Take no further calls and close."""
         self.catalogue.retire(self)
         if self.transport is not None:
             self.transport.loseConnection()
@@ -260,5 +261,6 @@
         return f"{sum(len(each.calls) for each in self.links)} calls on {len(self.links)} connections"
 
     def stop(self) -> None:
+        """Close all connections."""
         for link in list(self.links):
             link.close()
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -83,9 +83,8 @@
         self.last_traffic = 0
         self.checks_only = True
         self.bad_arrays = 0
-        self.array_timer: Deadline | None = (
-            None  # runs out unless the partial or first array is whole by then
-        )
+        # limits the time until the first array, or the rest of a partial one, has arrived
+        self.array_timer: Deadline | None = None
         self.array_timed_out = False  # the array was not whole in time; no new timer is set for it
         self.goaway_sent = False
         self.closing = False  # closes once no request is open
@@ -334,15 +333,18 @@
         return [] if value is None else [b"v=%.4f" % value]
 
     def send(self, tag: int, word: bytes, fields: list[bytes], body: bytes) -> None:
+        """Send the answer to an array."""
         self.last_traffic = self.listener.deadlines.now()
         self.write(array(b"%d" % tag, word, b",".join(fields), body))
 
     def write(self, parts: list[bytes]) -> None:
+        """Write bytes and meter them."""
         self.transport.writeSequence(parts)
         if self.flow is not None:
             self.listener.flows.sent(self.flow, sum(map(len, parts)), self.transport)
 
     def close_if_done(self) -> None:
+        """Close a connection that is marked for it, once no request is open."""
         if self.closing and not self.pending_requests:
             self.schedule_close()
 
@@ -375,6 +377,7 @@
     # --- idle connections -------------------------------------------------------------------------
 
     def restart_idle_timer(self) -> None:
+        """Set the idle timer by the current idle timeout; not after a goaway."""
         self.listener.deadlines.cancel(self.idle_timer)
         self.idle_timer = None
         if self.listener.idle_timeout and not self.goaway_sent:
@@ -450,6 +453,7 @@
         engine.listeners.append(self)
 
     def listen(self, reactor: Any, address: tuple[str, int]) -> None:
+        """Open the listening socket; raises CannotListenError."""
         self.port = ListeningPort(address[1], self, BACKLOG, address[0], reactor)
         self.port.startListening()
 
@@ -484,6 +488,7 @@
         return max(1, self.accept_limit() - len(self.connections))
 
     def set_accepting(self, accepting: bool) -> None:
+        """Pause or resume accepting connections."""
         if accepting is self.is_accepting or self.port is None:
             return
         self.is_accepting = accepting
@@ -552,6 +557,7 @@
         )
 
     def send_goaway(self) -> None:
+        """Ask all clients to close their connections."""
         for connection in self.connections:
             connection.send_goaway()
 
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -127,6 +127,7 @@
         return holder
 
     def start(self) -> None:
+        """Start the clients that the configuration enables."""
         for each in (self.quota_client, self.recovery_reporter, self.holder):
             if each is not None:
                 each.start()
@@ -138,6 +139,7 @@
         return self.holder.leave() if self.holder is not None else succeed(None)
 
     def stop(self) -> None:
+        """Stop the quota and recovery clients, and close all connections to the group."""
         for each in (self.quota_client, self.recovery_reporter):
             if each is not None:
                 each.stop()
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -70,9 +70,8 @@
         self, request: Request, ident: bytes, body: bytes, key: bytes, reply: Callable[..., None]
     ) -> None:
         self.request, self.ident, self.body, self.key = request, ident, body, key
-        self.reply = (
-            reply  # takes the Answer, the result, the retry delay (µs), and whether to retry nowhere else
-        )
+        # takes the Answer, the result, the retry delay (µs), and whether to retry nowhere else
+        self.reply = reply
         self.open = True  # not answered yet, and its caller is still there
         self.run: Run | None = None
         self.awaiting_storage = False  # its start or its outcome waits for a write to disk
@@ -233,9 +232,8 @@
             if outcome is not Outcome.UNREACHABLE:
                 self.keyed.intents.on_run_lost(pending)
         if outcome in (Outcome.ABORTED, Outcome.SUPERSEDED) and not (run and run.is_stopping):
-            self.node.on_caller_gone(
-                now, request
-            )  # a run that nobody stopped is aborted only once its caller is gone
+            # a run that was not stopped here is aborted only once its caller is gone
+            self.node.on_caller_gone(now, request)
         if outcome is Outcome.UNREACHABLE:
             request.started = None  # it provably never ran: a repeat of it may run
         self.node.on_run_completed(now, request, outcome, took)
@@ -467,6 +465,7 @@
         )
 
     def cancel_call(self, pending: PendingRequest) -> None:
+        """Cancel the call in flight, if there is one."""
         call, pending.call = pending.call, None
         if call is not None:
             call.ended.cancel()
@@ -514,10 +513,12 @@
         self.free_value = decision.capacity
 
     def set_idle_timeout(self, decision: Decision, pending: PendingRequest | None) -> None:
+        """Set the idle timeout of all listeners."""
         for listener in self.listeners:
             listener.set_idle_timeout(decision.duration_us)
 
     def set_timer(self, decision: Decision, pending: PendingRequest | None) -> None:
+        """Schedule the controller's next timer event."""
         self.deadlines.after(decision.duration_us, self.on_timer)
 
     def log_text(self, decision: Decision, pending: PendingRequest | None) -> None:
--- a/lichencleat/node/interpreter.py
+++ b/lichencleat/node/interpreter.py
@@ -158,16 +158,13 @@
         self.link: Link | None = None
         self.started: Deferred | None = Deferred()  # fires once with whether the interpreter is cold
         self.closed = False
-        self.on_interpreter_started: Callable[[int], None] = lambda age: (
-            None
-        )  # called with the µs since it started
-        self.early_outcomes: dict[bytes, tuple[Outcome, int, bytes]] | None = (
-            None  # outcomes of runs not adopted yet
-        )
+        # called with the µs since the interpreter started
+        self.on_interpreter_started: Callable[[int], None] = lambda age: None
+        # outcomes of runs not adopted yet
+        self.early_outcomes: dict[bytes, tuple[Outcome, int, bytes]] | None = None
         self.gauges_at = 0  # µs, when the last gauges were read
-        self.lost_at: int | None = (
-            None  # µs, when the first link broke since commands were last known to arrive
-        )
+        # µs, when the first link broke since commands were last known to arrive
+        self.lost_at: int | None = None
         self.connecting: ConnectionAttempt | None = None
         self.connect_timer: Deadline | None = None
         self.reconnect_timer: Deadline | None = None
@@ -180,6 +177,7 @@
         return self.started
 
     def connect(self) -> None:
+        """Start an attempt to connect, in place of any other."""
         if not self.closed:
             self.deadlines.cancel(self.reconnect_timer)
             self.deadlines.cancel(self.connect_timer)
@@ -233,6 +231,7 @@
                 self.connect()
 
     def stop(self) -> None:
+        """Close the link for good."""
         self.closed = True
         if self.link is not None:
             self.link.transport.loseConnection()
@@ -279,6 +278,7 @@
             self.write(self.link, command)
 
     def write(self, link: Link, command: list[bytes]) -> None:
+        """Count a command and send it on a link."""
         self.report.count("interpreter", "sent " + command[0].split(b" ", 1)[0].decode())
         link.transport.writeSequence(command)
 
--- a/lichencleat/node/membership.py
+++ b/lichencleat/node/membership.py
@@ -9,9 +9,8 @@
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.report import Report
 
-REPORT_PERIOD = (
-    200_000  # µs between reports; with a quarter lost, 14 in a row (3 s) are lost once in 200 million
-)
+# µs between reports; with a quarter lost, 14 in a row (3 s) are lost once in 200 million
+REPORT_PERIOD = 200_000
 
 
 class Membership(DatagramProtocol):
@@ -27,12 +26,14 @@
         self.sent_at = deadlines.now()
 
     def start(self, reactor: Any, interface: str) -> None:
+        """Open a UDP socket on an interface and start to report."""
         self.port = reactor.listenUDP(0, self, interface=interface)
 
     def startProtocol(self) -> None:
         self.send_periodically()
 
     def send_periodically(self) -> None:
+        """Report now, and again every `REPORT_PERIOD`."""
         self.next_report = self.deadlines.after(REPORT_PERIOD, self.send_periodically)
         self.send("UP")
 
@@ -57,12 +58,14 @@
         return f"reported {(self.deadlines.now() - self.sent_at) // 1000} ms ago"
 
     def stop(self) -> None:
+        """Close the socket."""
         self.deadlines.cancel(self.next_report)
         if self.port is not None:
             self.port, port = None, self.port
             port.stopListening()
 
     def send(self, state: str) -> None:
+        """Send one report; an error is logged."""
         try:
             self.transport.write(f"HB {self.name} {state}".encode(), self.service)
             self.sent_at = self.deadlines.now()
--- a/lichencleat/node/report.py
+++ b/lichencleat/node/report.py
@@ -22,6 +22,7 @@
         self.suppressed = 0
 
     def count(self, peer: str, what: str, amount: int = 1) -> None:
+        """Add to the counter named `peer` and `what`."""
         self.counts[f"{peer} {what}"] += amount
 
     def note(self, text: str) -> None:
@@ -42,6 +43,7 @@
 
     @staticmethod
     def format_trace() -> str:
+        """The current exception's traceback on one line."""
         return " | ".join(traceback.format_exc(limit=-3).split("\n"))
 
     def events(self) -> Events:
@@ -49,6 +51,7 @@
         return Events(self)
 
     def write(self, line: str) -> None:
+        """Print a line; it is counted as lost if standard error is closed or full."""
         try:
             print(line, file=sys.stderr, flush=True)
         except OSError:
--- a/lichencleat/node/resp.py
+++ b/lichencleat/node/resp.py
@@ -15,9 +15,8 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.missing_words = self.bytes_left = (
-            0  # of the partial array: missing words, and the bytes that they may have
-        )
+        # of the partial array: the number of missing words, and the bytes that they may have
+        self.missing_words = self.bytes_left = 0
         self.words: list[bytes] = []
 
     def has_partial_message(self) -> bool:
@@ -48,6 +47,7 @@
         return words
 
     def read_length(self, sign: bytes, end: int, max_length: int) -> int:
+        """Parse the header that ends at `end`: a sign and a number up to `max_length`."""
         digits = self.buffer[self.position + 1 : end]
         if (
             self.buffer[self.position : self.position + 1] != sign
--- a/tests/standins.py
+++ b/tests/standins.py
@@ -166,7 +166,7 @@
         peers = self.start_stand_ins()
         with listener() as free:
             self.address = free.getsockname()
-        told = {
+        configuration = {
             "name": "n1",
             "listen": "{}:{}".format(*self.address),
             "seed": "5",
@@ -174,11 +174,11 @@
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "settings": SETTINGS,
         }
-        told.update(peers)
-        told.update(changes)
-        self.told = told
+        configuration.update(peers)
+        configuration.update(changes)
+        self.configuration = configuration
         self.config = folder / "config.json"
-        self.config.write_text(json.dumps(told))
+        self.config.write_text(json.dumps(configuration))
         self.process = subprocess.Popen(
             [sys.executable, "-m", "lichencleat"],
             cwd=ROOT,
@@ -203,9 +203,9 @@
     def move(self):
         """Start new stand-ins and reload the configuration; the new interpreter continues the notices."""
         notices = self.interpreter.notices
-        self.told.update(self.start_stand_ins())
+        self.configuration.update(self.start_stand_ins())
         self.interpreter.notices = notices
-        self.config.write_text(json.dumps(self.told))
+        self.config.write_text(json.dumps(self.configuration))
         self.process.send_signal(signal.SIGHUP)
 
     def dispatcher(self):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -3,7 +3,7 @@
 import pytest
 from standins import TIMEOUT, Program, array, request
 
-A, B = "00000000000000a1", "00000000000000b2"
+FIRST_ID, SECOND_ID = "00000000000000a1", "00000000000000b2"
 CHECK = array(b"HEALTH", b"9", b"")
 
 
@@ -47,7 +47,7 @@
         b"*5\r\n$3\r\nREQ\r\n$1\r\n7\r\n$4\r\nlook\r\n$9",
         b"*8\r\n" + b"$4096\r\n%s\r\n" % (b"x" * 4_096) * 8,
         b"*2\r\n$3\r\nREQ\r\n$1\r\n7\r\n" * 50,
-        array(b"REQ", b"7", b"look", b"i=%s" % A.encode(), b"x") * 2,
+        array(b"REQ", b"7", b"look", b"i=%s" % FIRST_ID.encode(), b"x") * 2,
         array(b"ABORT", b"1") * 1_000,
         CHECK + CHECK[:-1],
         array(b"REQ", b"0", b"", b"", b""),
@@ -57,7 +57,7 @@
 def test_invalid_client_input_does_not_affect_other_clients(program, invalid):
     peer, caller = program.ready(), program.dispatcher()
     caller.send(invalid)
-    check_served(program, peer, A)
+    check_served(program, peer, FIRST_ID)
     other = program.dispatcher()
     other.send(CHECK)
     assert other.array()[1] == b"serving"
@@ -73,11 +73,11 @@
         (b"\r\n\r\n", False),
         (b"VALUE\r\n", False),
         (b"VALUE x y z\r\n", False),
-        (b"VALUE 99999999999999 %s PASS 5 1\r\nx\r\n" % A.encode(), False),
-        (b"AWAIT 1 %s 999999999999\r\n" % A.encode(), True),
+        (b"VALUE 99999999999999 %s PASS 5 1\r\nx\r\n" % FIRST_ID.encode(), False),
+        (b"AWAIT 1 %s 999999999999\r\n" % FIRST_ID.encode(), True),
         (b"x" * 3_000, True),
         (b"TOPS\r\nTOPS g1\r\nTOPS g1 nan nan\r\n", False),
-        (b"ERROR\r\nERROR APPLY\r\nERROR APPLY %s\r\n" % B.encode(), False),
+        (b"ERROR\r\nERROR APPLY\r\nERROR APPLY %s\r\n" % SECOND_ID.encode(), False),
         (b"BANNER LOADED 5\r\n", False),
         (b"BANNER\r\n", True),
     ],
@@ -90,7 +90,7 @@
         assert program.interpreter.connects.get(timeout=TIMEOUT) == 0
     peer.send(CHECK)
     assert peer.array()[1] == b"serving"
-    check_served(program, peer, A)
+    check_served(program, peer, FIRST_ID)
     peer.close()
     stop_and_check(program)
 
@@ -100,14 +100,14 @@
     [
         b"\xff\xfe\r\n",
         b"x" * 3_000,
-        b"%s DATA 99999999\r\n" % A.encode(),
-        b"%s ODD\r\n" % A.encode(),
-        b"%s DATA 2\r\nokay\r\n" % A.encode(),
+        b"%s DATA 99999999\r\n" % FIRST_ID.encode(),
+        b"%s ODD\r\n" % FIRST_ID.encode(),
+        b"%s DATA 2\r\nokay\r\n" % FIRST_ID.encode(),
     ],
     ids=range(5),
 )
 def test_corrupt_reply_ends_one_call_which_is_retried(program, invalid):
     peer = program.ready()
-    check_served(program, peer, A, corrupt_reply=invalid)
+    check_served(program, peer, FIRST_ID, corrupt_reply=invalid)
     peer.close()
     assert stop_and_check(program)["catalogue connections given up"] == 1
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -161,8 +161,8 @@
     peer.send(request(7, b"look", FIRST_ID, b"x"))
     assert program.interpreter.next()[0][0] == b"APPLY"
     suspend(program)
-    program.told["stop_ms"] = 2500
-    program.config.write_text(json.dumps(program.told))
+    program.configuration["stop_ms"] = 2500
+    program.config.write_text(json.dumps(program.configuration))
     for number in (signal.SIGHUP, signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
         program.process.send_signal(number)
     resume(program)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -12,7 +12,7 @@
 import pytest
 from standins import ROOT, TIMEOUT, Program, array, request
 
-A, B, C = "00000000000000a1", "00000000000000b2", "00000000000000c3"
+FIRST_ID, SECOND_ID, THIRD_ID = "00000000000000a1", "00000000000000b2", "00000000000000c3"
 KEY = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211"
 
 
@@ -38,14 +38,14 @@
 
 
 def test_request_with_a_call_is_served_and_counters_balance(program, peer):
-    peer.send(request(7, b"look", A, b"what\r\n is"))
-    assert program.interpreter.next() == ([b"APPLY", A.encode(), b"look", b"9"], b"what\r\n is")
-    program.interpreter.notice(b"AWAIT " + A.encode(), b"a call\r\n")
+    peer.send(request(7, b"look", FIRST_ID, b"what\r\n is"))
+    assert program.interpreter.next() == ([b"APPLY", FIRST_ID.encode(), b"look", b"9"], b"what\r\n is")
+    program.interpreter.notice(b"AWAIT " + FIRST_ID.encode(), b"a call\r\n")
     caller, words, body = program.catalogue.next()
-    assert words[:2] == [b"FETCH", A.encode()] and 0 < int(words[2]) <= 6000 and body == b"a call\r\n"
-    caller.send(b"%s DATA 5\r\nre\r\nx\r\n" % A.encode())
-    assert program.interpreter.next() == ([b"RESOLVE", A.encode(), b"5"], b"re\r\nx")
-    program.interpreter.notice(b"VALUE %s PASS 12" % A.encode(), b"done")
+    assert words[:2] == [b"FETCH", FIRST_ID.encode()] and 0 < int(words[2]) <= 6000 and body == b"a call\r\n"
+    caller.send(b"%s DATA 5\r\nre\r\nx\r\n" % FIRST_ID.encode())
+    assert program.interpreter.next() == ([b"RESOLVE", FIRST_ID.encode(), b"5"], b"re\r\nx")
+    program.interpreter.notice(b"VALUE %s PASS 12" % FIRST_ID.encode(), b"done")
     tag, word, fields, result = peer.array()
     assert (tag, word, result) == (b"7", b"200", b"done") and fields.startswith(b"v=")
     program.leave()
@@ -58,11 +58,11 @@
 
 
 def test_repeats_of_a_keyed_request_share_one_run(program, peer):
-    peer.send(request(1, b"save", A, b"x", k=KEY) + request(2, b"save", B, b"x", k=KEY))
-    assert program.interpreter.next()[0][:2] == [b"APPLY", A.encode()]
-    program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"saved")
+    peer.send(request(1, b"save", FIRST_ID, b"x", k=KEY) + request(2, b"save", SECOND_ID, b"x", k=KEY))
+    assert program.interpreter.next()[0][:2] == [b"APPLY", FIRST_ID.encode()]
+    program.interpreter.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"saved")
     answers = sorted(peer.array() for _ in range(2))
-    peer.send(request(3, b"save", C, b"x", k=KEY))
+    peer.send(request(3, b"save", THIRD_ID, b"x", k=KEY))
     answers.append(peer.array())
     assert [(each[0], each[1], each[3]) for each in answers] == [
         (tag, b"200", b"saved") for tag in (b"1", b"2", b"3")
@@ -71,28 +71,28 @@
 
 
 def test_result_is_kept_for_a_repeat_after_its_caller_left(program, peer):
-    peer.send(request(1, b"save", A, b"x", k=KEY))
+    peer.send(request(1, b"save", FIRST_ID, b"x", k=KEY))
     program.interpreter.next()
     peer.send(array(b"ABORT", b"1") + array(b"HEALTH", b"3", b""))
     assert peer.array()[0] == b"3"  # so the abort was read before
-    program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"saved")
-    peer.send(request(2, b"save", B, b"x", k=KEY))
+    program.interpreter.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"saved")
+    peer.send(request(2, b"save", SECOND_ID, b"x", k=KEY))
     assert peer.array()[:2] == [b"2", b"200"]
 
 
 def test_request_past_its_deadline_is_rejected_with_fields(program, peer):
-    peer.send(request(4, b"look", A, b"x", s=time.time_ns() // 1_000_000 - 7_000))
+    peer.send(request(4, b"look", FIRST_ID, b"x", s=time.time_ns() // 1_000_000 - 7_000))
     tag, word, fields, _ = peer.array()
     assert (tag, word) == (b"4", b"503") and b"w=" in fields and b"v=" in fields
     assert program.interpreter.commands.empty()
 
 
 def test_abort_stops_the_run_without_an_answer(program, peer):
-    peer.send(request(1, b"look", A, b"x"))
+    peer.send(request(1, b"look", FIRST_ID, b"x"))
     program.interpreter.next()
     peer.send(array(b"ABORT", b"1"))
-    assert program.interpreter.next()[0] == [b"BREAK", A.encode()]
-    program.interpreter.notice(b"VALUE %s KILLED 5" % A.encode(), b"")
+    assert program.interpreter.next()[0] == [b"BREAK", FIRST_ID.encode()]
+    program.interpreter.notice(b"VALUE %s KILLED 5" % FIRST_ID.encode(), b"")
     peer.send(array(b"HEALTH", b"2", b""))
     assert peer.array()[:2] == [b"2", b"serving"]
     program.leave()
@@ -104,34 +104,34 @@
 
 def test_lost_connection_abandons_its_open_requests(program, peer):
     other = program.dispatcher()
-    other.send(request(1, b"look", A, b"x"))
+    other.send(request(1, b"look", FIRST_ID, b"x"))
     program.interpreter.next()
     other.close()
-    assert program.interpreter.next()[0] == [b"BREAK", A.encode()]
+    assert program.interpreter.next()[0] == [b"BREAK", FIRST_ID.encode()]
     peer.send(array(b"HEALTH", b"1", b""))
     assert peer.array()[1] == b"serving"
 
 
 def test_lost_link_is_replaced_without_losing_or_repeating_a_notice_or_run(program, peer):
-    peer.send(request(1, b"save", A, b"x", k=KEY) + request(2, b"look", B, b"y"))
+    peer.send(request(1, b"save", FIRST_ID, b"x", k=KEY) + request(2, b"look", SECOND_ID, b"y"))
     program.interpreter.next(), program.interpreter.next()
     program.interpreter.cut()
-    program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"saved")
+    program.interpreter.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"saved")
     assert peer.array()[:2] == [b"1", b"200"]
     assert program.interpreter.connects.get(timeout=TIMEOUT) == 0
-    assert program.interpreter.next() == ([b"APPLY", B.encode(), b"look", b"1"], b"y")
-    program.interpreter.notice(b"VALUE %s PASS 5" % B.encode(), b"seen")
+    assert program.interpreter.next() == ([b"APPLY", SECOND_ID.encode(), b"look", b"1"], b"y")
+    program.interpreter.notice(b"VALUE %s PASS 5" % SECOND_ID.encode(), b"seen")
     assert peer.array()[:2] == [b"2", b"200"]
 
 
 def test_sigterm_with_pending_requests_answers_all_and_exits_in_time(program, peer):
-    peer.send(request(1, b"save", A, b"x", k=KEY) + request(2, b"look", B, b"y"))
+    peer.send(request(1, b"save", FIRST_ID, b"x", k=KEY) + request(2, b"look", SECOND_ID, b"y"))
     program.interpreter.next(), program.interpreter.next()
     program.leave()
     while program.members.recv(100) != b"HB n1 OUT":
         pass
     program.leave()
-    program.interpreter.notice(b"VALUE %s PASS 5" % B.encode(), b"seen")
+    program.interpreter.notice(b"VALUE %s PASS 5" % SECOND_ID.encode(), b"seen")
     assert peer.array()[:2] == [b"2", b"200"]
     last = sorted(peer.array()[:2] for _ in range(2))
     assert last == [[b"0", b"goaway"], [b"1", b"500"]]  # the keyed run does not end before the stop
@@ -152,12 +152,12 @@
     "invalid",
     [
         array(b"NONSENSE", b"9", b"x"),
-        request(9, b"unheard-of", A, b"x"),
+        request(9, b"unheard-of", FIRST_ID, b"x"),
         request(9, b"look", "short", b"x"),
-        request(9, b"look", A, b"x", m="nan"),
-        request(9, b"look", A, b"x", s="soon"),
-        request(9, b"save", A, b"x"),
-        request(9, b"look", A, b"x" * 2049),
+        request(9, b"look", FIRST_ID, b"x", m="nan"),
+        request(9, b"look", FIRST_ID, b"x", s="soon"),
+        request(9, b"save", FIRST_ID, b"x"),
+        request(9, b"look", FIRST_ID, b"x" * 2049),
         array(b"REQ", b"9", b"look"),
     ],
 )
@@ -172,43 +172,45 @@
 )
 def test_broken_framing_closes_its_connection_after_its_answers_and_no_other(program, peer, broken):
     other = program.dispatcher()
-    other.send(request(1, b"look", A, b"x"))
+    other.send(request(1, b"look", FIRST_ID, b"x"))
     program.interpreter.next()
     other.send(broken)
     peer.send(array(b"HEALTH", b"1", b""))
     assert peer.array()[1] == b"serving"
-    program.interpreter.notice(b"VALUE %s PASS 5" % A.encode(), b"seen")
+    program.interpreter.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"seen")
     assert other.array()[:2] == [b"1", b"200"]
     assert other.array() is None
 
 
 def test_unknown_notices_are_skipped(program, peer):
-    peer.send(request(1, b"look", A, b"x"))
+    peer.send(request(1, b"look", FIRST_ID, b"x"))
     program.interpreter.next()
-    program.interpreter.peer.send(b"NOVELTY 1 2\r\n\r\nVALUE x\r\nVALUE 1 %s ODD 5 0\r\n\r\n" % A.encode())
+    program.interpreter.peer.send(
+        b"NOVELTY 1 2\r\n\r\nVALUE x\r\nVALUE 1 %s ODD 5 0\r\n\r\n" % FIRST_ID.encode()
+    )
     program.interpreter.notices.append(b"")
-    program.interpreter.notice(b"AWAIT " + A.encode(), b"a call")
+    program.interpreter.notice(b"AWAIT " + FIRST_ID.encode(), b"a call")
     assert program.catalogue.next()[2] == b"a call"
 
 
 def test_new_addresses_take_effect_without_losing_requests(program, peer):
-    peer.send(request(1, b"save", A, b"x", k=KEY) + request(2, b"look", B, b"y"))
+    peer.send(request(1, b"save", FIRST_ID, b"x", k=KEY) + request(2, b"look", SECOND_ID, b"y"))
     program.interpreter.next(), program.interpreter.next()
     old, old_catalogue, old_members = program.interpreter, program.catalogue, program.members
-    old.notice(b"AWAIT " + A.encode(), b"a call")
+    old.notice(b"AWAIT " + FIRST_ID.encode(), b"a call")
     caller, _, _ = old_catalogue.next()
     program.move()
     assert program.members.recv(100) == b"HB n1 UP"
     new = program.interpreter
     assert new.connects.get(timeout=TIMEOUT) == 1
-    caller.send(b"%s DATA 2\r\nok\r\n" % A.encode())
+    caller.send(b"%s DATA 2\r\nok\r\n" % FIRST_ID.encode())
     # the start of the idempotent run again, and the reply to the other run's call
     commands = sorted(new.next()[0][:2] for _ in range(2))
-    assert commands == [[b"APPLY", B.encode()], [b"RESOLVE", A.encode()]]
-    new.notice(b"VALUE %s PASS 5" % A.encode(), b"saved")
+    assert commands == [[b"APPLY", SECOND_ID.encode()], [b"RESOLVE", FIRST_ID.encode()]]
+    new.notice(b"VALUE %s PASS 5" % FIRST_ID.encode(), b"saved")
     assert peer.array()[:2] == [b"1", b"200"]
-    new.notice(b"AWAIT " + B.encode(), b"a call")
-    assert program.catalogue.next()[1][1] == B.encode()
+    new.notice(b"AWAIT " + SECOND_ID.encode(), b"a call")
+    assert program.catalogue.next()[1][1] == SECOND_ID.encode()
     for each in (old.listener, old_catalogue.listener, old_members):
         each.close()
 
