--- a/lichencleat/idempotency/assembly.py
+++ b/lichencleat/idempotency/assembly.py
@@ -33,14 +33,16 @@
     """The part of the interpreter's connection that the service uses."""
 
     # By run id: outcome, run time (µs) and result of runs that ended before adoption; None: not recorded.
-    early: dict[bytes, tuple[Outcome, int, bytes]] | None
-    began: Callable[[int], None] | None  # called when the interpreter connects, with its age in µs
+    early_outcomes: dict[bytes, tuple[Outcome, int, bytes]] | None
+    on_interpreter_started: (
+        Callable[[int], None] | None
+    )  # called when the interpreter connects, with its age in µs
 
 
 class NodeParts(Protocol):
     """The parts of a node that the service uses."""
 
-    host: RequestEngine
+    engine: RequestEngine
     deadlines: Timers
     report: Report
     interpreter: Interpreter
@@ -51,9 +53,9 @@
 ) -> IdempotencyService:
     """Creates the service of a node; keyed requests wait until `start_service` has loaded the index."""
     index = RecordIndex(config.entries, round(config.disk_mb * MEGABYTE * LIVE_SHARE))
-    service = IdempotencyService(name, node.host, node.deadlines, node.report, clock, index)
-    node.interpreter.early = {}
-    node.interpreter.began = service.on_interpreter_started
+    service = IdempotencyService(name, node.engine, node.deadlines, node.report, clock, index)
+    node.interpreter.early_outcomes = {}
+    node.interpreter.on_interpreter_started = service.on_interpreter_started
     return service
 
 
--- a/lichencleat/idempotency/interfaces.py
+++ b/lichencleat/idempotency/interfaces.py
@@ -22,7 +22,7 @@
 class RequestEngine(Protocol):
     """The node's request engine, which continues requests after the disk has answered.
 
-    `node.host.Host` implements this interface.
+    `node.host.RequestEngine` implements this interface.
     """
 
     def submit_request(self, case: PendingRequest) -> None:
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -1,7 +1,7 @@
-"""A node among others that agree through voters: its seat in a pool, its part in a return, its jobs.
+"""A node's part in the fleet: its quota of calls, its recovery reports, and the jobs whose leases it holds.
 
-Puts together what `quotas/`, `recovery/` and `leases/` make; decides nothing. Imported only where the
-operators' file names a fleet.
+Connects the clients of `quotas/`, `recovery/` and `leases/` to the node. Imported only if the operators' file
+has a `fleet` section.
 """
 
 from __future__ import annotations
@@ -28,107 +28,127 @@
 SECOND = 1_000_000  # µs
 
 
-class Works:
-    """A `LeaseListener` that hands each job to those that know it."""
+class LeaseListenerGroup:
+    """A `LeaseListener` that passes each event to several listeners."""
 
-    def __init__(self, works: list[LeaseListener]) -> None:
-        self.works = works
+    def __init__(self, tasks: list[LeaseListener]) -> None:
+        self.tasks = tasks
 
     def on_lease_acquired(self, job: str, fencing_token: int) -> None:
-        for each in self.works:
+        for each in self.tasks:
             each.on_lease_acquired(job, fencing_token)
 
     def on_lease_lost(self, job: str, reason: str) -> None:
-        for each in self.works:
+        for each in self.tasks:
             each.on_lease_lost(job, reason)
 
 
 class FleetNode:
-    """Owns the clients and what talks through them; all are given back in `stop`."""
+    """Owns the group clients and the tasks that use them, until `stop`."""
 
     def __init__(
         self,
         reactor: Any,
         name: str,
-        chosen: FleetConfig,
-        host: Any,
+        config: FleetConfig,
+        engine: Any,
         keyed: Any,
-        unix: Callable[[], int],
+        unix_time: Callable[[], int],
         rng: random.Random,
         log: Any,
     ) -> None:
-        """`host`: as net.host.Host; `keyed`: as idempotency.service.IdempotencyService, or None."""
-        self.reactor, self.name, self.chosen, self.rng, self.log = reactor, name, chosen, rng, log
+        """`engine`: a node.host.RequestEngine; `keyed`: an idempotency.service.IdempotencyService or None."""
+        self.reactor, self.name, self.config, self.rng, self.log = reactor, name, config, rng, log
         self.clients: list[GroupClient] = []
-        self.seat = self.make_seat(host) if chosen.shares is not None else None
-        self.back = self.make_return(host, keyed, unix) if chosen.revive else None
-        self.holder = self.make_holder() if chosen.candidate else None
-
-    def client(self) -> GroupClient:
-        addresses = [parse_address(each) for each in self.chosen.members]
-        made = GroupClient(self.reactor, self.chosen.group, addresses, self.rng, self.name)
+        self.quota_client = self.make_quota_client(engine) if config.shares is not None else None
+        self.recovery_reporter = (
+            self.make_recovery_reporter(engine, keyed, unix_time) if config.revive else None
+        )
+        self.holder = self.make_lease_holder() if config.candidate else None
+
+    def add_client(self) -> GroupClient:
+        """Create a client of the coordination group."""
+        addresses = [parse_address(each) for each in self.config.members]
+        made = GroupClient(self.reactor, self.config.group, addresses, self.rng, self.name)
         self.clients.append(made)
         return made
 
     def now(self) -> int:
+        """µs of the reactor's monotonic clock."""
         return int(self.reactor.seconds() * SECOND)
 
-    def make_seat(self, host: Any) -> QuotaClient:
-        shares, life = self.chosen.shares, self.rng.getrandbits(48)
+    def make_quota_client(self, engine: Any) -> QuotaClient:
+        """Create the client that limits the engine's calls to this node's quota."""
+        shares, incarnation = self.config.shares, self.rng.getrandbits(48)
         assert shares is not None
         term = round(shares.term_s * SECOND)
-        grants = QuotaGrant(shares.pool, self.name, life, shares.floor, term, self.now())
-        seat = QuotaClient(self.reactor, self.client(), grants, host.calls_wanted, host.may_call, self.log)
-        host.call_span = seat.max_call_duration
-        return seat
-
-    def make_return(self, host: Any, keyed: Any, unix: Callable[[], int]) -> RecoveryReporter:
-        boot_records = BootRecordStore(self.chosen.group, unix)
-        life = self.rng.getrandbits(48)
-        gate = ReadinessGate(self.name, self.chosen.zone, life, False, 0, ClockCheck.PLAUSIBLE, self.now())
+        grants = QuotaGrant(shares.pool, self.name, incarnation, shares.floor, term, self.now())
+        quota_client = QuotaClient(
+            self.reactor, self.add_client(), grants, engine.call_demand, engine.set_call_quota, self.log
+        )
+        engine.limit_call_duration = quota_client.max_call_duration
+        return quota_client
+
+    def make_recovery_reporter(
+        self, engine: Any, keyed: Any, unix_time: Callable[[], int]
+    ) -> RecoveryReporter:
+        """Create the reporter that sets what the engine may serve after a restart."""
+        boot_records = BootRecordStore(self.config.group, unix_time)
+        incarnation = self.rng.getrandbits(48)
+        gate = ReadinessGate(
+            self.name, self.config.zone, incarnation, False, 0, ClockCheck.PLAUSIBLE, self.now()
+        )
         gate.has_records = keyed is not None
-        host.set_allowance(0.0, False)  # until there is a word, or a reason to go on without
-        proof = (lambda: keyed.index.is_loaded) if keyed is not None else (lambda: False)
-        back = RecoveryReporter(self.reactor, self.client(), host, gate, boot_records, proof, unix, self.log)
+        engine.set_allowance(0.0, False)  # until the planner replies, or the gate opens without a reply
+        is_index_loaded = (lambda: keyed.index.is_loaded) if keyed is not None else (lambda: False)
+        recovery_reporter = RecoveryReporter(
+            self.reactor, self.add_client(), engine, gate, boot_records, is_index_loaded, unix_time, self.log
+        )
         if keyed is not None:
-            keyed.on_opened += [boot_records.on_store_opened, back.service_times.on_store_opened]
-            keyed.heartbeat_records += [boot_records.to_entry, back.service_times.to_entry]
-        return back
-
-    def make_holder(self) -> LeaseClient:
-        works: list[Any] = []
-        if self.chosen.shares is not None:
-            works.append(AllocatorTask(self.reactor, self.client(), self.chosen.shares.pool, self.log))
-        if self.chosen.revive:
-            works.append(RolloutPlannerTask(self.reactor, self.client(), self.log))
-        zone = self.chosen.zone
-        holder = LeaseClient(self.reactor, self.client(), self.name, zone, Works(works), self.rng, self.log)
-        for each in works:
+            keyed.on_opened += [boot_records.on_store_opened, recovery_reporter.service_times.on_store_opened]
+            keyed.heartbeat_records += [boot_records.to_entry, recovery_reporter.service_times.to_entry]
+        return recovery_reporter
+
+    def make_lease_holder(self) -> LeaseClient:
+        """Create the client that competes for the leases of the fleet's jobs."""
+        tasks: list[Any] = []
+        if self.config.shares is not None:
+            tasks.append(AllocatorTask(self.reactor, self.add_client(), self.config.shares.pool, self.log))
+        if self.config.revive:
+            tasks.append(RolloutPlannerTask(self.reactor, self.add_client(), self.log))
+        zone = self.config.zone
+        holder = LeaseClient(
+            self.reactor, self.add_client(), self.name, zone, LeaseListenerGroup(tasks), self.rng, self.log
+        )
+        for each in tasks:
             each.lease_client = holder
-        # a node whose file names no part of it would own a job and do nothing
-        holder.leases.job_prefixes = [each.job for each in works] or ["none"]
+        # without tasks, request no lease: the node would hold a job and do nothing
+        holder.leases.job_prefixes = [each.job for each in tasks] or ["none"]
         return holder
 
     def start(self) -> None:
-        for each in (self.seat, self.back, self.holder):
+        """Start the clients that the configuration enables."""
+        for each in (self.quota_client, self.recovery_reporter, self.holder):
             if each is not None:
                 each.start()
 
     def leave(self) -> Deferred[None]:
-        """At a drain: its jobs go at once, the seat stays until the end, as calls may be under way."""
-        if self.back is not None:
-            self.back.leave()
+        """Release the leases when a drain starts; the quota stays to the end, as calls may be in flight."""
+        if self.recovery_reporter is not None:
+            self.recovery_reporter.leave()
         return self.holder.leave() if self.holder is not None else succeed(None)
 
     def stop(self) -> None:
-        for each in (self.seat, self.back):
+        """Stop the quota and recovery clients, and close all connections to the group."""
+        for each in (self.quota_client, self.recovery_reporter):
             if each is not None:
                 each.stop()
         for client in self.clients:
             client.close()
 
-    def beliefs(self) -> str:
-        said = [self.seat.describe()] if self.seat is not None else []
-        said += [self.back.describe()] if self.back is not None else []
+    def describe(self) -> str:
+        """The fleet part of the status line."""
+        parts = [self.quota_client.describe()] if self.quota_client is not None else []
+        parts += [self.recovery_reporter.describe()] if self.recovery_reporter is not None else []
         jobs = ", ".join(sorted(self.holder.leases.held_tokens)) if self.holder is not None else ""
-        return "; ".join(said + ([f"owns {jobs}"] if jobs else [])) or "alone"
+        return "; ".join(parts + ([f"owns {jobs}"] if jobs else [])) or "alone"
--- a/lichencleat/router/links.py
+++ b/lichencleat/router/links.py
@@ -136,7 +136,7 @@
             self.node.report.note(f"closing a connection to node {self.node.name}: broken framing: {error}")
             self.transport.abortConnection()
         except Exception:
-            self.node.report.trouble("handling an answer of a node")
+            self.node.report.log_exception("handling an answer of a node")
 
     def on_answer(self, words: list[bytes]) -> None:
         """Handle an answer or a goaway."""
--- a/lichencleat/router/program.py
+++ b/lichencleat/router/program.py
@@ -21,7 +21,7 @@
 from lichencleat.node.structured import StructuredReport
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.router.core import Router
-from lichencleat.router.door import Callers, RouterHost
+from lichencleat.router.door import RouterEngine, RouterListener
 from lichencleat.router.file import RouterConfig, RouterFile, parse_address, read_router
 from lichencleat.router.health_reporter import HealthReporter
 from lichencleat.router.links import MAX_CONNECTIONS
@@ -58,7 +58,7 @@
         )
         self.report = StructuredReport(config.name, self.clock, file.log.form)
         self.report.log = self.log
-        self.deadlines = Deadlines(reactor, self.report.trouble)
+        self.deadlines = Deadlines(reactor, self.report.log_exception)
         self.rng = random.Random(os.urandom(16))
         self.core = Router(
             config.zone,
@@ -70,7 +70,7 @@
             config.routers,
             node_spec.drain_grace_us,
         )
-        self.host = RouterHost(
+        self.host = RouterEngine(
             reactor,
             self.core,
             node_spec,
@@ -83,7 +83,7 @@
         upstream = min(
             config.descriptors // 2, MAX_CONNECTIONS * sum(len(z.nodes) for z in config.zones.values())
         )
-        self.callers = Callers(
+        self.callers = RouterListener(
             self.host,
             self.deadlines,
             self.report,
@@ -144,7 +144,7 @@
 
     def log_status(self) -> None:
         """Log the state in one line."""
-        self.report.note(f"status: {self.host.beliefs()}; {self.callers.beliefs()}")
+        self.report.note(f"status: {self.host.describe()}; {self.callers.describe()}")
 
     def reload(self) -> None:
         """Read the file again and apply its nodes and their addresses; other changes need a restart.
@@ -167,7 +167,7 @@
             unapplied.append("zones")
         else:
             self.core.nodes.set_members({name: list(each.nodes) for name, each in new.zones.items()})
-            self.host.members(addresses_of(new))
+            self.host.set_nodes(addresses_of(new))
             self.core.locality.zones = zones_of(new)
         late = f"{', '.join(unapplied)} changed, which needs a restart" if unapplied else ""
         self.log.info("configuration file reloaded", nodes=len(self.host.nodes), late=late)
@@ -180,10 +180,10 @@
             return
         now = self.clock()
         self.stop_at = now + int(self.config.stop_ms * 1_000)
-        self.log.info("draining", in_hand=self.host.owed())
-        self.host.healthy = False
+        self.log.info("draining", in_hand=self.host.unanswered_count())
+        self.host.is_serving = False
         self.core.start_draining(now, self.stop_at)
-        self.host.stir()
+        self.host.schedule_decisions()
         if self.health_reporter is not None:
             self.health_reporter.stop()
         if self.lease_client is not None:
@@ -194,11 +194,11 @@
     def poll_drain(self) -> None:
         """Send a goaway to the callers once all requests are answered, or when the time is up."""
         assert self.stop_at is not None
-        if self.host.owed() and self.clock() < self.stop_at - EXIT_MARGIN_US - LINGER_US:
+        if self.host.unanswered_count() and self.clock() < self.stop_at - EXIT_MARGIN_US - LINGER_US:
             self.deadlines.after(DRAIN_POLL_US, self.poll_drain)
             return
         self.callers.stop_listening()
-        self.callers.go_away()
+        self.callers.send_goaway()
         left = max(0, self.stop_at - EXIT_MARGIN_US - self.clock())
         self.deadlines.after(min(LINGER_US, left), self.poll_connections)
 
@@ -206,13 +206,13 @@
         """Stop once the callers have closed their connections; close these when the time is up."""
         assert self.stop_at is not None
         if (
-            self.host.owed() or len(self.callers.connections)
+            self.host.unanswered_count() or len(self.callers.connections)
         ) and self.clock() < self.stop_at - EXIT_MARGIN_US:
             self.deadlines.after(DRAIN_POLL_US, self.poll_connections)
             return
-        self.log.info("stopped", unanswered=self.host.owed())
+        self.log.info("stopped", unanswered=self.host.unanswered_count())
         if len(self.callers.connections):
-            self.callers.shut()
+            self.callers.close()
             self.deadlines.after(FLUSH_TIME_US, self.stop, EXIT_STOPPED)
         else:
             self.stop(EXIT_STOPPED)
--- a/tests/flows/test_node.py
+++ b/tests/flows/test_node.py
@@ -12,7 +12,7 @@
 import sys
 
 import pytest
-from standins import PATIENCE, Program, array, request
+from standins import TIMEOUT, Program, array, request
 
 IDS = [f"{n:016x}" for n in range(1, 200)]
 
@@ -39,7 +39,7 @@
     def end(self):
         if self.process.poll() is None:
             self.process.send_signal(signal.SIGTERM)
-        out, _ = self.process.communicate(timeout=PATIENCE)
+        out, _ = self.process.communicate(timeout=TIMEOUT)
         return json.loads(out)
 
 
@@ -199,7 +199,7 @@
         with open(path, "a") as file:
             file.write("\nflowz: 1")
         program.process.send_signal(signal.SIGHUP)
-        read_until(program, "the one before stays in force")
+        read_until(program, "the old configuration stays in force")
         honour(program, caller, IDS[0])
         program.leave()
         assert caller.answer() == [b"0", b"goaway"]
--- a/tests/router/test_links.py
+++ b/tests/router/test_links.py
@@ -14,7 +14,7 @@
 from lichencleat.node.report import Report
 from lichencleat.node.resp import ArrayReader, array
 from lichencleat.router.core import Router
-from lichencleat.router.door import Callers, RouterConnection, RouterHost, again
+from lichencleat.router.door import RouterConnection, RouterEngine, RouterListener, retry_fields
 from lichencleat.router.file import read_router
 from lichencleat.router.links import (
     CONNECT_TIMEOUT_US,
@@ -63,7 +63,7 @@
 
 @pytest.fixture
 def deadlines(reactor, report):
-    return Deadlines(reactor, report.trouble)
+    return Deadlines(reactor, report.log_exception)
 
 
 @pytest.fixture
@@ -219,12 +219,12 @@
         "a", {"a": Zone("", 0.0)}, {"a": ["n1", "n2"]}, CapacitySignal.PRIORITY_THRESHOLD, rng, clock()
     )
     addresses = {"n1": ("10.0.0.1", 1), "n2": ("10.0.0.2", 2)}
-    return RouterHost(reactor, core, node_spec, addresses, clock, deadlines, report, rng)
+    return RouterEngine(reactor, core, node_spec, addresses, clock, deadlines, report, rng)
 
 
 @pytest.fixture
 def caller(host, deadlines, report):
-    connection = RouterConnection(Callers(host, deadlines, report, 100))
+    connection = RouterConnection(RouterListener(host, deadlines, report, 100))
     connection.makeConnection(Transport())
     return connection
 
@@ -257,7 +257,7 @@
     connection.dataReceived(b"".join(array(b"1", b"200", b"v=0.25", b"\x00made\r\n")))
     run_pending_calls(reactor)
     assert arrays(caller.transport.value()) == [[b"7", b"200", b"", b"\x00made\r\n"]]
-    assert not host.idents and not len(host.hands) and not host.core.in_flight
+    assert not host.pending_ids and not len(host.forwarded_requests) and not host.core.in_flight
     reactor.advance(0.2)
     caller.transport.clear()
     caller.dataReceived(b"".join(array(b"HEALTH", b"8", b"")))
@@ -280,7 +280,7 @@
         and after[b"i"] != before[b"i"]
     )
     assert {**after, b"i": b""} == {**before, b"i": b""} and words[4] == b"body"
-    assert again(b"r=1,i=1,s=2", b"9") == b"i=9,s=2,r=1"
+    assert retry_fields(b"r=1,i=1,s=2", b"9") == b"i=9,s=2,r=1"
 
 
 def test_attempts_are_aborted_and_state_freed_when_a_caller_leaves_or_aborts(reactor, host, caller):
@@ -294,13 +294,13 @@
     run_pending_calls(reactor)
     sent = [words for connection in connections for words in arrays(connection.transport.value())]
     assert sum(words[0] == b"ABORT" for words in sent) == 2 and not caller.transport.value()
-    assert not host.idents and not len(host.hands) and not host.core.in_flight
+    assert not host.pending_ids and not len(host.forwarded_requests) and not host.core.in_flight
 
 
 def test_request_aborted_before_it_is_routed_is_not_sent(reactor, host, caller):
     caller.dataReceived(encode_request(reactor, 1)[0] + b"".join(array(b"ABORT", b"1")))
     run_pending_calls(reactor)
-    assert not reactor.tcpClients and not len(host.hands) and not host.idents
+    assert not reactor.tcpClients and not len(host.forwarded_requests) and not host.pending_ids
 
 
 def test_caller_of_a_silent_node_is_answered_in_time_and_the_connection_is_retired(reactor, host, caller):
@@ -312,7 +312,7 @@
     run_pending_calls(reactor)
     assert arrays(caller.transport.value()) == [[b"1", b"500", b"", b""]]
     assert arrays(connection.transport.value())[-1] == [b"ABORT", b"1"] and connection.is_retired
-    assert not len(host.hands)
+    assert not len(host.forwarded_requests)
 
 
 def test_new_requests_go_to_the_new_address_of_a_node_and_old_ones_finish_at_the_old_address(
@@ -322,7 +322,7 @@
     run_pending_calls(reactor)
     connection = connect(reactor)
     name = connection.node.name
-    host.members({"n1": ("10.0.0.8", 1), "n2": ("10.0.0.9", 2)})
+    host.set_nodes({"n1": ("10.0.0.8", 1), "n2": ("10.0.0.9", 2)})
     assert connection.is_retired and not connection.transport.disconnecting
     connection.dataReceived(b"".join(array(b"1", b"200", b"", b"x")))
     run_pending_calls(reactor)
@@ -335,7 +335,7 @@
     caller.dataReceived(encode_request(reactor, 1)[0])
     run_pending_calls(reactor)
     assert arrays(caller.transport.value())[0][:2] == [b"1", b"500"] and report.counts["node errors"] == 1
-    assert not len(host.hands) and not host.core.in_flight
+    assert not len(host.forwarded_requests) and not host.core.in_flight
 
 
 # -- the configuration file --------------------------------------------------------------------------------
