--- a/lichencleat/node/slots.py
+++ b/lichencleat/node/slots.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterator
 from typing import Generic, TypeVar
 
-Item = TypeVar("Thing")
+Item = TypeVar("Item")
 
 
 class Slots(Generic[Item]):
