--- a/benchmarks/capacity/returns.py
+++ b/benchmarks/capacity/returns.py
@@ -86,7 +86,7 @@
     batch = 200 if effort.quick else BATCH
     channel = Channel(Wire.IPFIX_UDP, Elements(), 1, 1_400, batch, SECOND)
     for number in range(batch):
-        channel.pressure.offer(record(number))
+        channel.queue.offer(record(number))
     messages = []
     while made := channel.next_messages(SECOND):
         messages += made
@@ -95,11 +95,11 @@
         lines.add("collector.bytes_s", rate, sum(map(len, some)))
         for _ in range(effort.runs(5)):
             taker = Collector(Elements())
-            session = taker.sender("one")
+            session = taker.get_session("one")
 
             def take(some: list[bytes] = some, taker: Collector = taker, session=session) -> None:
                 for each in some:
-                    taker.take(session.datagram(each))
+                    taker.add_records(session.decode_message(each))
 
             spent = took(take, 1)
             lines.add("collector.core", rate, spent / taker.sums.total.records * rate)
@@ -112,7 +112,7 @@
     lines.kind("collector.sender_us", "senders", "µs a message", "of one record each, from all in turn")
     for count in effort.sizes((32, 64, 128, 256), (2, 4, 6, 8)):
         channel = Channel(Wire.IPFIX_UDP, Elements(), 1, 1_400, 10, SECOND)
-        channel.pressure.offer(record(1))
+        channel.queue.offer(record(1))
         messages = list(channel.next_messages(SECOND))
         taker = Collector(Elements())
         names = [f"sender-{number}" for number in range(count)]
@@ -120,7 +120,7 @@
         def all_(taker: Collector = taker, names: list[str] = names, messages=messages) -> None:
             for name in names:
                 for each in messages:
-                    taker.take(taker.sender(name).datagram(each))
+                    taker.add_records(taker.get_session(name).decode_message(each))
 
         spent = [enough(all_, effort.seconds(0.2)) for _ in range(effort.runs(5))]
         for each in spent:
--- a/benchmarks/flows.py
+++ b/benchmarks/flows.py
@@ -27,7 +27,7 @@
 from lichencleat.flows.channel import Channel, Wire  # noqa: E402
 from lichencleat.flows.collector import Collector  # noqa: E402
 from lichencleat.flows.elements import Elements  # noqa: E402
-from lichencleat.flows.meter import Counts, End, Meter, Record  # noqa: E402
+from lichencleat.flows.meter import Counts, EndReason, Meter, Record  # noqa: E402
 
 REQUESTS = 4_000
 CONNECTIONS = 1_500
@@ -164,7 +164,7 @@
         1,
         SECOND,
         2 * SECOND,
-        End.ENDED,
+        EndReason.END_OF_FLOW,
         True,
         counts,
     )
@@ -175,7 +175,7 @@
     for wire in (Wire.IPFIX_UDP, Wire.NETFLOW9_UDP):
         channel = Channel(wire, Elements(), 1, 1_400, RECORDS, SECOND)
         for number in range(RECORDS):
-            channel.pressure.offer(record(number))
+            channel.queue.offer(record(number))
         begun, messages = time.perf_counter(), []
         while made := channel.next_messages(SECOND):
             messages += made
@@ -183,10 +183,10 @@
         rates = []
         for _ in range(pairs):
             taker = Collector(Elements())
-            session = taker.sender("one")
+            session = taker.get_session("one")
             begun = time.perf_counter()
             for each in messages:
-                taker.take(session.datagram(each))
+                taker.add_records(session.decode_message(each))
             rates.append(taker.sums.total.records / (time.perf_counter() - begun))
         rows.append(
             [
@@ -208,9 +208,9 @@
     before, meter, rng = resident(), Meter(60 * SECOND, 15 * SECOND), random.Random(1)
     flows = []
     for n in range(OPEN):
-        flow = meter.opened(n, (rng.randbytes(4), 40_000), (b"\x7f\0\0\x01", 8443))
-        meter.belongs(n, flow, f"tenant{n % 20}", "look", 1)
-        flow.received(n, 1_000 + n)
+        flow = meter.open_flow(n, (rng.randbytes(4), 40_000), (b"\x7f\0\0\x01", 8443))
+        meter.set_owner(n, flow, f"tenant{n % 20}", "look", 1)
+        flow.add_received(n, 1_000 + n)
         flows.append(flow)
     held = resident() - before
     begun = time.perf_counter()
--- a/lichencleat/cli/flows.py
+++ b/lichencleat/cli/flows.py
@@ -55,7 +55,7 @@
         [tenant or "(none)", *(asdict(each)[name] for name in HEAD[1:])]
         for tenant, each in tenants(collector)
     ]
-    troubles = collector.troubles()
+    troubles = collector.counters()
     if as_json:
         sums = [dict(zip(HEAD, row, strict=True)) for row in rows]
         exporters = [
--- a/lichencleat/flows/__init__.py
+++ b/lichencleat/flows/__init__.py
@@ -1,8 +1,10 @@
-"""Flow export: who sends what, as NetFlow v9 and IPFIX, made and read.
+"""Flow export: meters the node's connections and exports them as NetFlow v9 (RFC 3954) and IPFIX (RFC 7011).
 
-Its job: to tell ordinary collectors of the node's connections without slowing the node. So far it holds the
-wire: the elements (`elements.py`), an encoder each (`ipfix.py`, `netflow9.py`), and a decoder of both
-(`decode.py`), all without I/O. It promises that no count is cut to fewer bits than it has, and that no bytes
-whatever make the decoder raise or grow without bound. It does not meter or send anything yet: docs/flows.md,
-docs/ROADMAP.md.
+`meter.py` counts octets, packets and requests and makes flow records; `pressure.py` queues them;
+`layouts.py`, `ipfix.py` and `netflow9.py` encode them; `channel.py` decides which messages are due;
+`exporter.py` sends them; `assembly.py` puts these parts together for a node. `decode.py` and `collector.py`
+are the receiving side, for tests and trials. Only `assembly.py`, `exporter.py` and `collector.py` do I/O.
+
+No count is truncated to fewer bits than it has. No input makes the decoder raise or use unbounded memory.
+Serving never waits for a collector. See docs/flows.md.
 """
--- a/lichencleat/flows/collector.py
+++ b/lichencleat/flows/collector.py
@@ -1,8 +1,8 @@
-"""A small collector: listens for IPFIX and NetFlow v9, and adds up who sent what. For tests, trials, and a
-quick look.
+"""A small collector for tests, trials and a quick look: listens for IPFIX and NetFlow v9, and adds up traffic
+by tenant.
 
-It decides nothing and keeps no flows: sums by tenant, the exporters' own figures, and a counter for each
-trouble. Whatever a sender sends, it holds a bounded amount.
+The collector keeps no flows, only sums by tenant, the latest statistics of the exporters, and a counter for
+each kind of error. Memory is bounded, whatever a sender sends.
 """
 
 from __future__ import annotations
@@ -15,19 +15,19 @@
 from twisted.internet.protocol import DatagramProtocol, Factory, connectionDone
 from twisted.internet.protocol import Protocol as StreamProtocol
 
-from lichencleat.flows.decode import Read, Session, Stream
+from lichencleat.flows.decode import DataRecord, Session, Stream
 from lichencleat.flows.elements import Elements
 
-SENDERS_MOST = 256  # UDP senders known at once; the one longest silent is forgotten
-STREAMS_MOST = 256  # TCP connections at once; the next one is closed
-TENANTS_MOST = 4_096  # sums kept apart; what comes of others is one more
-READ_MOST = 65_536  # bytes read at once from a stream
-OTHERS = "(others)"
+SENDERS_MOST = 256  # UDP senders known at once; beyond this, the one silent longest is forgotten
+MAX_STREAMS = 256  # TCP connections at once; further ones are closed
+TENANTS_MOST = 4_096  # tenants with sums of their own; all others share one more sum
+READ_BUFFER_BYTES = 65_536  # most bytes read from a TCP connection at once
+OTHERS = "(others)"  # name of the sum that further tenants share
 
 
 @dataclass(slots=True)
 class Sum:
-    """What came of one tenant; `octets` and `packets` are both directions together."""
+    """Sums of one tenant's records. `octets` and `packets` count both directions together."""
 
     records: int = 0
     octets: int = 0
@@ -40,6 +40,7 @@
     folded: int = 0
 
     def add(self, values: dict[str, Any]) -> None:
+        """Add the values of a data record, by element name."""
         get = values.get
         self.records += 1
         self.octets += get("octetDeltaCount", 0) + get("reverseOctetDeltaCount", 0)
@@ -53,17 +54,20 @@
 
 
 class Sums:
+    """Sums of all records, by tenant and in total, and the latest statistics of the exporters."""
+
     def __init__(self) -> None:
         self.total = Sum()
         self.by_tenant: dict[str, Sum] = {}
-        # their own figures, the latest
+        # latest statistics of each exporter, by version and domain
         self.exporters: OrderedDict[tuple[int, int], dict[str, Any]] = OrderedDict()
 
-    def take(self, read: Read) -> None:
-        values = read.named()
-        if read.scopes:
-            self.exporters[read.version, read.domain] = values
-            self.exporters.move_to_end((read.version, read.domain))
+    def add(self, record: DataRecord) -> None:
+        """Add a data record. An options record replaces the statistics of its exporter."""
+        values = record.as_dict()
+        if record.scopes:
+            self.exporters[record.version, record.domain] = values
+            self.exporters.move_to_end((record.version, record.domain))
             if len(self.exporters) > SENDERS_MOST:
                 self.exporters.popitem(last=False)
             return
@@ -75,31 +79,37 @@
 
 
 class Collector:
-    """Owns its ports and sessions; `stop` gives all back."""
+    """Listens for exporters and adds up their records. `stop` closes all ports and connections."""
 
-    def __init__(self, elements: Elements, told: Callable[[Read], None] | None = None) -> None:
-        """`told` is handed every record as it comes."""
-        self.elements, self.told = elements, told
+    def __init__(self, elements: Elements, on_record: Callable[[DataRecord], None] | None = None) -> None:
+        """`on_record` is called with each record as it arrives."""
+        self.elements, self.on_record = elements, on_record
         self.sums = Sums()
         self.senders: OrderedDict[Any, Session] = OrderedDict()
-        self.streams: dict[Incoming, None] = {}
-        self.counts: Counter[str] = Counter()  # of sessions that are over
+        self.streams: dict[TcpReceiver, None] = {}
+        self.counts: Counter[str] = Counter()  # counters of closed sessions and of this collector
         self.ports: list[Any] = []
 
     def listen(self, reactor: Any, host: str, udp: int | None, tcp: int | None) -> None:
-        """Raises twisted.internet.error.CannotListenError."""
+        """Listen on the given ports; None: do not listen over that transport. Raises
+        twisted.internet.error.CannotListenError.
+        """
         if udp is not None:
-            self.ports.append(reactor.listenUDP(udp, Datagrams(self), interface=host, maxPacketSize=65_535))
+            self.ports.append(reactor.listenUDP(udp, UdpReceiver(self), interface=host, maxPacketSize=65_535))
         if tcp is not None:
-            self.ports.append(reactor.listenTCP(tcp, Streams(self), interface=host))
-
-    def take(self, reads: list[Read]) -> None:
-        for read in reads:
-            self.sums.take(read)
-            if self.told is not None:
-                self.told(read)
-
-    def sender(self, address: Any) -> Session:
+            self.ports.append(reactor.listenTCP(tcp, TcpReceiverFactory(self), interface=host))
+
+    def add_records(self, records: list[DataRecord]) -> None:
+        """Add decoded records to the sums."""
+        for record in records:
+            self.sums.add(record)
+            if self.on_record is not None:
+                self.on_record(record)
+
+    def get_session(self, address: Any) -> Session:
+        """Return the session of a UDP sender. If the sender is new and too many are known, the sender that
+        was silent longest is forgotten.
+        """
         session = self.senders.get(address)
         if session is None:
             if len(self.senders) >= SENDERS_MOST:
@@ -110,14 +120,15 @@
         self.senders.move_to_end(address)
         return session
 
-    def troubles(self) -> dict[str, int]:
-        """All counters of all sessions, those that are over included."""
+    def counters(self) -> dict[str, int]:
+        """Return the sums of all counters of all sessions, including closed ones."""
         together = Counter(self.counts)
         for session in (*self.senders.values(), *(each.session for each in self.streams)):
             together.update(session.counts)
         return dict(sorted(together.items()))
 
     def stop(self) -> None:
+        """Close all ports and connections."""
         ports, self.ports = self.ports, []
         for port in ports:
             port.stopListening()
@@ -125,28 +136,32 @@
             stream.transport.abortConnection()
 
 
-class Datagrams(DatagramProtocol):
+class UdpReceiver(DatagramProtocol):
+    """Receives datagrams of all UDP senders."""
+
     noisy = False
 
     def __init__(self, collector: Collector) -> None:
         self.collector = collector
 
     def datagramReceived(self, data: bytes, addr: Any) -> None:
-        self.collector.take(self.collector.sender(addr).datagram(data))
+        self.collector.add_records(self.collector.get_session(addr).decode_message(data))
+
 
+class TcpReceiver(StreamProtocol):
+    """One TCP connection of an exporter."""
 
-class Incoming(StreamProtocol):
     def __init__(self, collector: Collector) -> None:
         self.collector = collector
         self.session = Session(collector.elements)
         self.stream = Stream(self.session)
 
     def connectionMade(self) -> None:
-        self.transport.bufferSize = READ_MOST
+        self.transport.bufferSize = READ_BUFFER_BYTES
         self.collector.streams[self] = None
 
     def dataReceived(self, data: bytes) -> None:
-        self.collector.take(self.stream.feed(data))
+        self.collector.add_records(self.stream.feed(data))
         if self.stream.broken:
             self.transport.abortConnection()
 
@@ -157,14 +172,16 @@
         self.collector.streams.pop(self, None)
 
 
-class Streams(Factory):
+class TcpReceiverFactory(Factory):
+    """Accepts TCP connections, up to MAX_STREAMS at once."""
+
     noisy = False
 
     def __init__(self, collector: Collector) -> None:
         self.collector = collector
 
-    def buildProtocol(self, addr: Any) -> Incoming | None:
-        if len(self.collector.streams) >= STREAMS_MOST:
+    def buildProtocol(self, addr: Any) -> TcpReceiver | None:
+        if len(self.collector.streams) >= MAX_STREAMS:
             self.collector.counts["streams over the bound"] += 1
             return None
-        return Incoming(self.collector)
+        return TcpReceiver(self.collector)
--- a/lichencleat/flows/elements.py
+++ b/lichencleat/flows/elements.py
@@ -1,26 +1,32 @@
-"""Information elements (RFC 7012, the IANA registry) that are made or read here, and templates of them."""
+"""Information elements (RFC 7012 and the IANA registry) that are encoded or decoded here, and templates of
+them.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from enum import Enum, auto
 
-REVERSE = 29_305  # enterprise under which an element counts the other direction (RFC 5103, 6.1)
-VARIABLE = 65_535  # a field's length where each value says its own (RFC 7011, 7)
-LEAST_TEMPLATE = 256  # the first id that is a template's (RFC 7011, 3.4.1; RFC 3954, 5.2)
-EXAMPLE_ENTERPRISE = 32_473  # for documents and tests (RFC 5612), until the operator's file names one
+REVERSE_ENTERPRISE = 29_305  # enterprise number of elements that count the reverse direction (RFC 5103, 6.1)
+VARIABLE_LENGTH = 65_535  # field length that means: each value carries its own length (RFC 7011, 7)
+MIN_TEMPLATE_ID = 256  # lowest id that a template may have (RFC 7011, 3.4.1; RFC 3954, 5.2)
+EXAMPLE_ENTERPRISE = 32_473  # reserved for documentation (RFC 5612); the default if settings name no other
 
 
 class Kind(Enum):
+    """How the value of an information element is encoded."""
+
     UNSIGNED = auto()
-    ADDRESS = auto()  # bytes as they are on the wire: 4 or 16
+    ADDRESS = auto()  # IP address in network byte order: 4 or 16 bytes
     TEXT = auto()  # UTF-8
-    BYTES = auto()  # of an element that is not known here
+    BYTES = auto()  # value of an unknown element, not interpreted
 
 
 @dataclass(frozen=True, slots=True)
 class Element:
-    """`number` within `enterprise` (0: IANA's); `length` in bytes, VARIABLE where each value says its own."""
+    """An information element. `number` is its id within `enterprise` (0: IANA). `length` is in bytes, or
+    `VARIABLE_LENGTH` if each value carries its own length.
+    """
 
     name: str
     number: int
@@ -31,24 +37,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Field:
+    """A field of a template: an information element and its encoded length."""
+
     element: Element
-    length: int  # bytes on the wire, or VARIABLE
+    length: int  # bytes in an encoded record, or VARIABLE_LENGTH
 
 
 @dataclass(frozen=True, slots=True)
 class Template:
-    """`scopes`: how many of its first fields say what an option record is about; 0: of a flow record."""
+    """A template of data records. The first `scopes` fields are the scope of an options record (what the
+    record is about); a template of flow records has 0 scopes.
+    """
 
     number: int
     fields: tuple[Field, ...]
     scopes: int = 0
 
-    def least(self) -> int:
-        """Bytes of its shortest record."""
-        return sum(1 if each.length == VARIABLE else each.length for each in self.fields)
+    def min_record_bytes(self) -> int:
+        """Return the length of the shortest possible record of the template, in bytes."""
+        return sum(1 if each.length == VARIABLE_LENGTH else each.length for each in self.fields)
 
 
-IANA = [
+IANA_ELEMENTS = [
     Element("octetDeltaCount", 1, Kind.UNSIGNED, 8),
     Element("packetDeltaCount", 2, Kind.UNSIGNED, 8),
     Element("protocolIdentifier", 4, Kind.UNSIGNED, 1),
@@ -72,12 +82,12 @@
     Element("notSentFlowTotalCount", 166, Kind.UNSIGNED, 8),
     Element("notSentPacketTotalCount", 167, Kind.UNSIGNED, 8),
     Element("notSentOctetTotalCount", 168, Kind.UNSIGNED, 8),
-    Element("userName", 371, Kind.TEXT, VARIABLE),
+    Element("userName", 371, Kind.TEXT, VARIABLE_LENGTH),
 ]
-OURS = [  # name, number, kind, length; under the operator's enterprise number
-    ("tenant", 1, Kind.TEXT, VARIABLE),
+ENTERPRISE_ELEMENTS = [  # name, number, kind, length; defined under the operator's enterprise number
+    ("tenant", 1, Kind.TEXT, VARIABLE_LENGTH),
     ("dispatcher", 2, Kind.UNSIGNED, 4),
-    ("tariff", 3, Kind.TEXT, VARIABLE),
+    ("tariff", 3, Kind.TEXT, VARIABLE_LENGTH),
     ("inquiriesHonoured", 4, Kind.UNSIGNED, 8),
     ("inquiriesDeferred", 5, Kind.UNSIGNED, 8),
     ("inquiriesGivenUp", 6, Kind.UNSIGNED, 8),
@@ -88,37 +98,55 @@
     ("flowsFolded", 11, Kind.UNSIGNED, 8),
     ("inquiriesNotSent", 12, Kind.UNSIGNED, 8),
 ]
-BY_NAME = {each.name: each for each in IANA}
+BY_NAME = {each.name: each for each in IANA_ELEMENTS}
 REVERSIBLE = ("octetDeltaCount", "packetDeltaCount")
 
 
 class Elements:
-    """The elements known here, with those of an enterprise number; others are read as bytes."""
+    """The known information elements, including those of one enterprise number. Elements that are not known
+    are decoded as bytes.
+    """
 
     def __init__(self, enterprise: int = EXAMPLE_ENTERPRISE) -> None:
         self.enterprise = enterprise
-        own = [Element(name, number, kind, length, enterprise) for name, number, kind, length in OURS]
+        own = [
+            Element(name, number, kind, length, enterprise)
+            for name, number, kind, length in ENTERPRISE_ELEMENTS
+        ]
         back = [
-            Element("reverse" + name[0].upper() + name[1:], BY_NAME[name].number, Kind.UNSIGNED, 8, REVERSE)
+            Element(
+                "reverse" + name[0].upper() + name[1:],
+                BY_NAME[name].number,
+                Kind.UNSIGNED,
+                8,
+                REVERSE_ENTERPRISE,
+            )
             for name in REVERSIBLE
         ]
-        known = [*IANA, *own, *back]
+        known = [*IANA_ELEMENTS, *own, *back]
         self.by_name = {each.name: each for each in known}
         self.by_number = {(each.enterprise, each.number): each for each in known}
 
     def named(self, name: str) -> Element:
+        """Return the known element with a name. Raises KeyError if there is none."""
         return self.by_name[name]
 
     def numbered(self, enterprise: int, number: int) -> Element:
-        """The element, or one of bytes under a name made of its numbers."""
+        """Return the element with an enterprise and element number. For an unknown element, return one of
+        kind BYTES named after its numbers.
+        """
         found = self.by_number.get((enterprise, number))
-        return found or Element(f"{enterprise}/{number}", number, Kind.BYTES, VARIABLE, enterprise)
-
-    def template(self, number: int, names: list[str], scopes: int = 0, text: int = VARIABLE) -> Template:
-        """A template of these elements; `text`: bytes of a text where the wire knows no variable lengths."""
+        return found or Element(f"{enterprise}/{number}", number, Kind.BYTES, VARIABLE_LENGTH, enterprise)
+
+    def template(
+        self, number: int, names: list[str], scopes: int = 0, text: int = VARIABLE_LENGTH
+    ) -> Template:
+        """Return a template of the elements with the given names. `text` is the length of text fields in
+        bytes, for NetFlow v9, which has no variable lengths.
+        """
         fields = [self.named(each) for each in names]
         return Template(
             number,
-            tuple(Field(each, text if each.length == VARIABLE else each.length) for each in fields),
+            tuple(Field(each, text if each.length == VARIABLE_LENGTH else each.length) for each in fields),
             scopes,
         )
--- a/lichencleat/flows/layouts.py
+++ b/lichencleat/flows/layouts.py
@@ -1,5 +1,5 @@
-"""Which elements stand in which template, and records laid out for them; docs/flows.md has the tables. No
-I/O.
+"""Templates of the exported records, and the values of records in the order of their templates. docs/flows.md
+lists the templates. No I/O.
 """
 
 from __future__ import annotations
@@ -8,13 +8,13 @@
 from lichencleat.flows.ipfix import Row, Value
 from lichencleat.flows.meter import Counts, Record
 
-TCP = 6  # protocolIdentifier: all that is metered
-MS = 1_000  # µs
-FLOW4, FLOW6, TENANT, STATISTICS = 256, 257, 258, 259  # the templates' ids
-NAME_BYTES = 32  # of a tenant's name in NetFlow v9, which has no variable lengths
-NOWHERE = bytes(4)  # the address of an aggregate in NetFlow v9
+TCP_PROTOCOL = 6  # protocolIdentifier; only TCP is metered
+MS = 1_000  # µs in a millisecond
+FLOW_IPV4_ID, FLOW_IPV6_ID, TENANT_ID, STATISTICS_ID = 256, 257, 258, 259  # template ids
+NAME_BYTES = 32  # length of a tenant's name in NetFlow v9, which has no variable lengths
+NO_ADDRESS = bytes(4)  # source and destination of an aggregate in NetFlow v9
 
-REQUESTS = [
+REQUEST_ELEMENTS = [
     "inquiriesHonoured",
     "inquiriesDeferred",
     "inquiriesGivenUp",
@@ -22,34 +22,41 @@
     "heldMicroseconds",
     "runMicroseconds",
 ]
-COUNTS = ["octetDeltaCount", "packetDeltaCount", "reverseOctetDeltaCount", "reversePacketDeltaCount"]
-TIMES = ["flowStartMilliseconds", "flowEndMilliseconds", "flowEndReason"]
-ENDS = ["sourceTransportPort", "destinationTransportPort", "protocolIdentifier"]
+COUNT_ELEMENTS = ["octetDeltaCount", "packetDeltaCount", "reverseOctetDeltaCount", "reversePacketDeltaCount"]
+TIME_ELEMENTS = ["flowStartMilliseconds", "flowEndMilliseconds", "flowEndReason"]
+PORT_ELEMENTS = ["sourceTransportPort", "destinationTransportPort", "protocolIdentifier"]
 
 
-def requests(counts: Counts) -> list[Value]:
+def request_values(counts: Counts) -> list[Value]:
+    """Return the values of the elements in REQUEST_ELEMENTS."""
     return [counts.honoured, counts.deferred, counts.given_up, counts.abandoned, counts.held, counts.run]
 
 
-def octets(counts: Counts) -> list[Value]:
+def traffic_values(counts: Counts) -> list[Value]:
+    """Return the values of the elements in COUNT_ELEMENTS."""
     return [counts.octets_in, counts.packets_in, counts.octets_out, counts.packets_out]
 
 
-class Ipfix:
-    """A connection is one biflow (RFC 5103): forward is from the one who began it."""
+class IpfixLayout:
+    """Lays out records for IPFIX. A connection is one biflow (RFC 5103); the forward direction is from the
+    initiator.
+    """
 
     def __init__(self, elements: Elements) -> None:
         def flow(number: int, family: str) -> Template:
             addresses = [f"source{family}Address", f"destination{family}Address"]
-            own = ["tenant", "tariff", "dispatcher", *REQUESTS, "packetsEstimated"]
-            return elements.template(number, ["flowId", *addresses, *ENDS, *COUNTS, *TIMES, *own])
+            own = ["tenant", "tariff", "dispatcher", *REQUEST_ELEMENTS, "packetsEstimated"]
+            return elements.template(
+                number, ["flowId", *addresses, *PORT_ELEMENTS, *COUNT_ELEMENTS, *TIME_ELEMENTS, *own]
+            )
 
-        self.flow4, self.flow6 = flow(FLOW4, "IPv4"), flow(FLOW6, "IPv6")
+        self.flow4, self.flow6 = flow(FLOW_IPV4_ID, "IPv4"), flow(FLOW_IPV6_ID, "IPv6")
         self.tenant = elements.template(
-            TENANT, ["tenant", *COUNTS, *TIMES, *REQUESTS, "packetsEstimated", "flowsFolded"]
+            TENANT_ID,
+            ["tenant", *COUNT_ELEMENTS, *TIME_ELEMENTS, *REQUEST_ELEMENTS, "packetsEstimated", "flowsFolded"],
         )
         self.statistics = elements.template(
-            STATISTICS,
+            STATISTICS_ID,
             [
                 "observationDomainId",
                 "exportedMessageTotalCount",
@@ -65,44 +72,54 @@
         self.templates = [self.flow4, self.flow6, self.tenant, self.statistics]
 
     def rows(self, record: Record) -> list[Row]:
+        """Return the data record of a flow record or of an aggregate, with its template."""
         times: list[Value] = [record.began // MS, record.ended // MS, int(record.end)]
         counts = record.counts
         if record.folded:
             marks: list[Value] = [int(record.estimated), record.folded]
-            return [(self.tenant, [record.tenant, *octets(counts), *times, *requests(counts), *marks])]
+            return [
+                (
+                    self.tenant,
+                    [record.tenant, *traffic_values(counts), *times, *request_values(counts), *marks],
+                )
+            ]
         ends: list[Value] = [
             record.flow,
             record.source,
             record.target,
             record.source_port,
             record.target_port,
-            TCP,
+            TCP_PROTOCOL,
         ]
         own: list[Value] = [
             record.tenant,
             record.tariff,
             record.dispatcher,
-            *requests(counts),
+            *request_values(counts),
             int(record.estimated),
         ]
         template = self.flow4 if len(record.source) == 4 else self.flow6
-        return [(template, [*ends, *octets(counts), *times, *own])]
+        return [(template, [*ends, *traffic_values(counts), *times, *own])]
 
     def statistics_row(
         self, domain: int, messages: int, records: int, lost: int, counts: Counts, folded: int
     ) -> Row:
-        """`lost`: records that are known not to have arrived, `counts`: what was in them."""
+        """Return the data record of the exporter's statistics. `lost` is the number of records known not to
+        have arrived; `counts` is the sum of their counts.
+        """
         packets = counts.packets_in + counts.packets_out
         figures = [lost, packets, counts.octets(), counts.requests(), folded]
         return self.statistics, [domain, messages, records, *figures]
 
 
-class Netflow9:
-    """A connection is two records, one a direction; requests have no words here."""
+class Netflow9Layout:
+    """Lays out records for NetFlow v9. A connection is two records, one for each direction; requests cannot
+    be exported.
+    """
 
     def __init__(self, elements: Elements) -> None:
         def flow(number: int, family: str) -> Template:
-            names = [f"source{family}Address", f"destination{family}Address", *ENDS]
+            names = [f"source{family}Address", f"destination{family}Address", *PORT_ELEMENTS]
             names += [
                 "octetDeltaCount",
                 "packetDeltaCount",
@@ -112,24 +129,29 @@
             ]
             return elements.template(number, names, text=NAME_BYTES)
 
-        self.flow4, self.flow6 = flow(FLOW4, "IPv4"), flow(FLOW6, "IPv6")
+        self.flow4, self.flow6 = flow(FLOW_IPV4_ID, "IPv4"), flow(FLOW_IPV6_ID, "IPv6")
         self.statistics = elements.template(
-            STATISTICS,
+            STATISTICS_ID,
             ["observationDomainId", "exportedMessageTotalCount", "exportedFlowRecordTotalCount"],
             scopes=1,
         )
         self.templates = [self.flow4, self.flow6, self.statistics]
 
     def rows(self, record: Record, began_up: int, ended_up: int) -> list[Row]:
-        """`began_up`, `ended_up`: ms of the exporter's uptime."""
+        """Return the two data records of a flow record, one for each direction. `began_up` and `ended_up` are
+        in ms of the exporter's uptime.
+        """
         counts = record.counts
-        source, target = (record.source, record.target) if not record.folded else (NOWHERE, NOWHERE)
+        source, target = (record.source, record.target) if not record.folded else (NO_ADDRESS, NO_ADDRESS)
         template = self.flow4 if len(source) == 4 else self.flow6
         ways = [
             (source, target, record.source_port, record.target_port, counts.octets_in, counts.packets_in),
             (target, source, record.target_port, record.source_port, counts.octets_out, counts.packets_out),
         ]
         return [
-            (template, [one, other, port, its, TCP, octets, packets, began_up, ended_up, record.tenant])
+            (
+                template,
+                [one, other, port, its, TCP_PROTOCOL, octets, packets, began_up, ended_up, record.tenant],
+            )
             for one, other, port, its, octets, packets in ways
         ]
--- a/lichencleat/flows/meter.py
+++ b/lichencleat/flows/meter.py
@@ -1,9 +1,9 @@
-"""Meters connections: octets, packets and requests of each, made into records when they are due; no I/O, no
-clock.
+"""Meters connections: counts octets, packets and requests of each, and makes flow records when they are due.
+No I/O, and no clock of its own.
 
-Inputs only add to counters. The host asks for the records that are due until there is none. A record holds
-what came since the one before it, so that all records of a flow add up to its totals: no octet twice, none
-missing.
+Events only add to counters. The caller asks for due records until there are none. A record holds what was
+counted since the flow's previous record, so the records of a flow add up to its totals: no octet is counted
+twice and none is missing.
 """
 
 from __future__ import annotations
@@ -12,28 +12,31 @@
 from dataclasses import dataclass
 from enum import IntEnum
 
-# octets of a TCP segment on Ethernet with time stamps: what an estimate of packets divides by
-SEGMENT = 1_448
-SEVERAL = "(several)"  # the tariff of a record with requests of more than one
-TEXT_MOST = 64  # characters of a tenant's or tariff's name in a record
+# payload octets of a full TCP segment on Ethernet with timestamps; used to estimate packets from octets
+SEGMENT_OCTETS = 1_448
+SEVERAL_TARIFFS = "(several)"  # tariff of a record whose requests had more than one tariff
+MAX_NAME_CHARACTERS = 64  # characters kept of a tenant's or tariff's name in a record
 SECOND = 1_000_000  # µs
 
 
-class End(IntEnum):
-    """Why a record ends (RFC 5102, 5.11.3: flowEndReason)."""
+class EndReason(IntEnum):
+    """Why a flow record ends (RFC 5102, 5.11.3: flowEndReason)."""
 
     IDLE = 1
     ACTIVE = 2
-    ENDED = 3
-    FORCED = 4  # by a drain, or because the tenant changed
-    LACK = 5  # cut off for want of room
+    END_OF_FLOW = 3
+    FORCED = 4  # the meter was drained, or the tenant changed
+    LACK_OF_RESOURCES = 5  # the node closed the connection because resources ran short
 
 
 @dataclass(slots=True)
 class Counts:
-    """What is added up, of a flow's record, an aggregate or all."""
+    """Counters of a flow record, an aggregate of records, or all flows together. Requests are counted by
+    outcome: `honoured` (served), `deferred` (rejected), `given_up` (failed), `abandoned` (cancelled by the
+    client).
+    """
 
-    octets_in: int = 0  # from the one who began the connection
+    octets_in: int = 0  # sent by the connection's initiator
     octets_out: int = 0
     packets_in: int = 0
     packets_out: int = 0
@@ -41,10 +44,11 @@
     deferred: int = 0
     given_up: int = 0
     abandoned: int = 0
-    held: int = 0  # µs, of all requests together
-    run: int = 0
+    held: int = 0  # µs that requests waited before they ran, summed over all requests
+    run: int = 0  # µs that requests ran, summed over all requests
 
     def add(self, more: Counts) -> None:
+        """Add all counters of another instance to this one."""
         self.octets_in += more.octets_in
         self.octets_out += more.octets_out
         self.packets_in += more.packets_in
@@ -57,15 +61,19 @@
         self.run += more.run
 
     def octets(self) -> int:
+        """Return the octets of both directions."""
         return self.octets_in + self.octets_out
 
     def requests(self) -> int:
+        """Return the number of requests, whatever their outcome."""
         return self.honoured + self.deferred + self.given_up + self.abandoned
 
 
 @dataclass(slots=True)
 class Record:
-    """What one flow did since its last record; times in µs of Unix time. Addresses as bytes, 4 or 16."""
+    """What one flow did since its previous record. Times are in µs of Unix time; addresses are 4 or 16 bytes
+    in network byte order.
+    """
 
     flow: int
     source: bytes
@@ -73,18 +81,18 @@
     source_port: int
     target_port: int
     tenant: str
-    tariff: str  # of all its requests, or SEVERAL
+    tariff: str  # tariff of all requests in the record, or SEVERAL_TARIFFS
     dispatcher: int
     began: int
     ended: int
-    end: End
-    estimated: bool  # packets are worked out of octets
+    end: EndReason
+    estimated: bool  # packets are estimated, because the kernel reported no segment counts
     counts: Counts
-    folded: int = 0  # records that this one stands for: of an aggregate
+    folded: int = 0  # in an aggregate: number of records added to it; otherwise 0
 
 
 class Flow:
-    """One connection. Whoever serves it adds to it; `Meter.ended` gives it back."""
+    """One open connection and its counters since the last flow record. `Meter.end_flow` releases the flow."""
 
     __slots__ = (
         "number",
@@ -111,63 +119,68 @@
         self.target, self.target_port = target
         self.tenant = self.tariff = ""
         self.dispatcher = 0
-        self.since = self.last = now
+        self.since = self.last = now  # start of the next record; time of the last traffic
         self.counts = Counts()
-        self.reads = self.writes = 0  # since the last record
-        self.segments_in = self.segments_out = -1  # the kernel's, at the last record; -1: it tells none
+        self.reads = self.writes = 0  # calls of add_received and add_sent since the last record
+        self.segments_in = self.segments_out = -1  # last segment counts from the kernel; -1: none reported
         self.split: deque[Record] | None = None
 
-    def received(self, now: int, octets: int) -> None:
+    def add_received(self, now: int, octets: int) -> None:
+        """Count octets that the connection's initiator sent."""
         self.counts.octets_in += octets
         self.reads += 1
         self.last = now
 
-    def sent(self, now: int, octets: int) -> None:
+    def add_sent(self, now: int, octets: int) -> None:
+        """Count octets sent to the connection's initiator."""
         self.counts.octets_out += octets
         self.writes += 1
         self.last = now
 
 
 class Meter:
-    """Owns the open flows and the records not asked for yet; both are bounded by the connections that there
-    may be.
-    """
+    """Holds the open flows and the records not yet taken. Both are bounded by the number of connections."""
 
     def __init__(self, active: int, idle: int) -> None:
-        """`active`: µs after which an open flow's record is due; `idle`: µs without traffic after which it
-        is.
+        """`active` is the active timeout: µs after which a record of an open flow is due. `idle` is the idle
+        timeout: µs without traffic after which a record is due.
         """
         self.active, self.idle = active, idle
-        # µs between looks at one flow: by so much a record may be late
-        self.look = max(1, min(active, idle) // 4)
-        # open flows and when each is looked at, in that order
-        self.round: OrderedDict[Flow, int] = OrderedDict()
+        # µs between checks of one flow: a record may be late by up to this time
+        self.check_interval = max(1, min(active, idle) // 4)
+        # open flows and the time of the next check of each, earliest first
+        self.open_flows: OrderedDict[Flow, int] = OrderedDict()
         self.ready: deque[Record] = deque()
-        self.total = Counts()  # of all records made
-        self.numbers = 0
+        self.total = Counts()  # sum over all records made
+        self.last_flow_id = 0
 
-    def opened(self, now: int, source: tuple[bytes, int], target: tuple[bytes, int]) -> Flow:
-        self.numbers += 1
-        flow = Flow(self.numbers, source, target, now)
-        self.round[flow] = now + self.look
+    def open_flow(self, now: int, source: tuple[bytes, int], target: tuple[bytes, int]) -> Flow:
+        """Start metering a connection. `source` and `target` are pairs of address and port; `source`
+        initiated the connection.
+        """
+        self.last_flow_id += 1
+        flow = Flow(self.last_flow_id, source, target, now)
+        self.open_flows[flow] = now + self.check_interval
         return flow
 
-    def belongs(self, now: int, flow: Flow, tenant: str, tariff: str, dispatcher: int) -> None:
-        """Whose request, of which tariff, came on it. Where that changes, what the one before did is a record
-        of its own.
+    def set_owner(self, now: int, flow: Flow, tenant: str, tariff: str, dispatcher: int) -> None:
+        """Record the tenant, tariff and dispatcher of a request that arrived on the flow. When the tenant
+        changes, the counts of the previous tenant become a record of their own.
         """
-        tenant = tenant[:TEXT_MOST]
+        tenant = tenant[:MAX_NAME_CHARACTERS]
         if tenant != flow.tenant:
             if flow.tenant:
-                self.cut(now, flow, End.FORCED)
+                self.make_record(now, flow, EndReason.FORCED)
             flow.tenant = tenant
-        tariff = tariff[:TEXT_MOST]
+        tariff = tariff[:MAX_NAME_CHARACTERS]
         if tariff != flow.tariff:
-            flow.tariff = SEVERAL if flow.tariff else tariff
+            flow.tariff = SEVERAL_TARIFFS if flow.tariff else tariff
         flow.dispatcher = dispatcher
 
-    def segments(self, flow: Flow, received: int, sent: int) -> None:
-        """The kernel's own counts of segments since the connection began; told before a record is made."""
+    def add_segments(self, flow: Flow, received: int, sent: int) -> None:
+        """Record the kernel's counts of TCP segments since the start of the connection; call this before a
+        record of the flow is made.
+        """
         if flow.segments_in >= 0:
             flow.counts.packets_in += max(0, received - flow.segments_in)
             flow.counts.packets_out += max(0, sent - flow.segments_out)
@@ -176,26 +189,31 @@
             flow.counts.packets_out += sent
         flow.segments_in, flow.segments_out = received, sent
 
-    def ended(self, now: int, flow: Flow, end: End = End.ENDED) -> None:
-        """The connection is over: its last record, also of one that did nothing."""
-        if self.round.pop(flow, None) is not None:
-            self.cut(now, flow, end)
+    def end_flow(self, now: int, flow: Flow, end: EndReason = EndReason.END_OF_FLOW) -> None:
+        """Stop metering a connection that is closed, and make its last record, even if nothing was counted. A
+        second call for the same flow does nothing.
+        """
+        if self.open_flows.pop(flow, None) is not None:
+            self.make_record(now, flow, end)
 
     def drain(self, now: int) -> None:
-        """All that is open is told now; the flows stay open, and their ends are told when they come."""
-        for flow in self.round:
+        """Make a record of each open flow that has counts. The flows stay open and get a final record when
+        they end.
+        """
+        for flow in self.open_flows:
             if flow.counts.octets() or flow.counts.requests():
-                self.cut(now, flow, End.FORCED)
+                self.make_record(now, flow, EndReason.FORCED)
 
-    def cut(self, now: int, flow: Flow, end: End) -> None:
+    def make_record(self, now: int, flow: Flow, end: EndReason) -> None:
+        """Make a record of the flow's counts since its previous record, and reset the counts."""
         counts, flow.counts = flow.counts, Counts()
         estimated = flow.segments_in < 0
         if estimated:
-            counts.packets_in = max(flow.reads, -(-counts.octets_in // SEGMENT))
-            counts.packets_out = max(flow.writes, -(-counts.octets_out // SEGMENT))
+            counts.packets_in = max(flow.reads, -(-counts.octets_in // SEGMENT_OCTETS))
+            counts.packets_out = max(flow.writes, -(-counts.octets_out // SEGMENT_OCTETS))
         flow.reads = flow.writes = 0
         tariff, flow.tariff = flow.tariff, ""
-        # a clock that stepped back makes no record of the past
+        # if the clock stepped back, the record still ends no earlier than it began
         began, flow.since = flow.since, max(now, flow.since)
         self.total.add(counts)
         self.ready.append(
@@ -217,26 +235,30 @@
         )
 
     def next_record(self, now: int) -> Record | None:
-        """The next record that is due, or None. Looks at a flow once in `look` µs, so a call costs little."""
-        while not self.ready and self.round:
-            flow, due = next(iter(self.round.items()))
-            # one that lies further ahead is a clock's that stepped back
-            if due > now and due <= now + self.look:
+        """Return the next record that is due, or None. Each flow is checked once per `check_interval` µs,
+        which keeps a call cheap.
+        """
+        while not self.ready and self.open_flows:
+            flow, due = next(iter(self.open_flows.items()))
+            # a check time further ahead than check_interval means that the clock stepped back
+            if due > now and due <= now + self.check_interval:
                 return None
-            del self.round[flow]
-            self.round[flow] = now + self.look
+            del self.open_flows[flow]
+            self.open_flows[flow] = now + self.check_interval
             if flow.counts.octets() or flow.counts.requests():
                 if now - flow.since >= self.active:
-                    self.cut(now, flow, End.ACTIVE)
+                    self.make_record(now, flow, EndReason.ACTIVE)
                 elif now - flow.last >= self.idle:
-                    self.cut(now, flow, End.IDLE)
+                    self.make_record(now, flow, EndReason.IDLE)
             elif due > now:
                 return None
         return self.ready.popleft() if self.ready else None
 
     def open_counts(self) -> Counts:
-        """What open flows hold that is in no record yet: with `total`, all that was ever metered."""
+        """Return the counts of open flows that are in no record yet. Together with `total` they are all that
+        was ever metered.
+        """
         held = Counts()
-        for flow in self.round:
+        for flow in self.open_flows:
             held.add(flow.counts)
         return held
--- a/lichencleat/flows/pressure.py
+++ b/lichencleat/flows/pressure.py
@@ -1,56 +1,64 @@
-"""What waits for a collector, and what gives way when it does not come: bounded, and nothing is lost to the
-totals; no I/O.
+"""A bounded queue of flow records for one collector, which aggregates records when it is full. No I/O.
 
-When the queue is full a whole record is taken out of it, the least among the oldest, and folded into an
-aggregate of its tenant. Aggregates wait apart, are few, and go out as records of their own as soon as there
-is room: so what a collector adds up by tenant is right, whatever it missed of single flows.
+When the queue is full, one record is taken out and folded, that is, added to an aggregate of its tenant: the
+record with the fewest octets among the oldest. Aggregates are kept apart, are few, and are sent as records of
+their own as soon as the collector accepts data. The totals by tenant at the collector are therefore right,
+even if details of single flows are missing.
 """
 
 from __future__ import annotations
 
 from collections import OrderedDict, deque
 
-from lichencleat.flows.meter import Counts, End, Record
+from lichencleat.flows.meter import Counts, EndReason, Record
 
-OLDEST = 16  # records among which the least gives way: a look at all would cost more than a record
-TENANTS_MOST = 256  # aggregates; those of further tenants go into the one without a name, one more
+FOLD_CANDIDATES = 16  # oldest records compared when one is folded; comparing all would be too slow
+MAX_AGGREGATES = 256  # aggregates of named tenants; further tenants share one more, with an empty name
 
 
-class Pressure:
-    def __init__(self, most: int) -> None:
-        """`most`: records that wait."""
-        self.most = most
-        self.queue: deque[Record] = deque()
+class RecordQueue:
+    """A bounded queue of records for one collector, with aggregates by tenant of records that did not fit."""
+
+    def __init__(self, max_records: int) -> None:
+        """`max_records`: most records that are queued, aggregates not included."""
+        self.max_records = max_records
+        self.records: deque[Record] = deque()
         self.aggregates: OrderedDict[str, Record] = OrderedDict()
-        self.folded = 0  # records that gave way, since the start
-        self.folded_counts = Counts()  # what was in them
+        self.folded = 0  # records folded since the start
+        self.folded_counts = Counts()  # sum of the counts of folded records
 
     def __len__(self) -> int:
-        return len(self.queue) + len(self.aggregates)
+        return len(self.records) + len(self.aggregates)
 
     def offer(self, record: Record) -> None:
-        """Takes it in; at the bound another, or this one itself, gives way."""
-        self.queue.append(record)
-        if len(self.queue) > self.most:
-            at = min(range(min(OLDEST, len(self.queue))), key=lambda n: (self.weight(self.queue[n]), n))
-            least = self.queue[at]
-            del self.queue[at]
+        """Queue a record. If the queue is full, fold one of the oldest records or this record."""
+        self.records.append(record)
+        if len(self.records) > self.max_records:
+            at = min(
+                range(min(FOLD_CANDIDATES, len(self.records))),
+                key=lambda n: (self.weight(self.records[n]), n),
+            )
+            least = self.records[at]
+            del self.records[at]
             self.fold(least)
 
     @staticmethod
     def weight(record: Record) -> int:
-        """What is missed with it: an aggregate by tenant tells as much of a small flow."""
+        """Return the octets of a record. Records with few octets are folded first, as little detail is lost
+        with them.
+        """
         return record.counts.octets()
 
     def fold(self, record: Record) -> None:
-        """The record gives way: counted, and part of its tenant's aggregate from then on."""
+        """Count a record as folded and add it to its tenant's aggregate."""
         self.folded += 1
         self.folded_counts.add(record.counts)
         self.merge(record)
 
     def merge(self, record: Record) -> None:
+        """Add a record or an aggregate to the aggregate of its tenant."""
         tenant = record.tenant
-        if tenant not in self.aggregates and len(self.aggregates) >= TENANTS_MOST:
+        if tenant not in self.aggregates and len(self.aggregates) >= MAX_AGGREGATES:
             tenant = ""
         known = self.aggregates.get(tenant)
         if known is None:
@@ -66,7 +74,7 @@
                 0,
                 record.began,
                 record.ended,
-                End.LACK,
+                EndReason.LACK_OF_RESOURCES,
                 False,
                 Counts(),
             )
@@ -77,26 +85,24 @@
         known.folded += max(1, record.folded)
 
     def take(self, most: int) -> list[Record]:
-        """Up to so many records to send now, oldest first, aggregates before them; they are the taker's from
-        then on.
-        """
+        """Remove and return up to `most` records: aggregates first, then records, oldest first."""
         taken = [self.aggregates.popitem(last=False)[1] for _ in range(min(most, len(self.aggregates)))]
-        taken += [self.queue.popleft() for _ in range(min(most - len(taken), len(self.queue)))]
+        taken += [self.records.popleft() for _ in range(min(most - len(taken), len(self.records)))]
         return taken
 
-    def give_back(self, records: list[Record]) -> None:
-        """What was taken and could not be sent waits again, before all others."""
+    def requeue(self, records: list[Record]) -> None:
+        """Put records back that were taken but could not be sent, before all others."""
         for record in reversed(records):
             if record.folded:
                 self.merge(record)
             else:
-                self.queue.appendleft(record)
-        while len(self.queue) > self.most:
-            self.fold(self.queue.popleft())
+                self.records.appendleft(record)
+        while len(self.records) > self.max_records:
+            self.fold(self.records.popleft())
 
-    def held(self) -> Counts:
-        """All that waits, in records and aggregates."""
+    def queued_counts(self) -> Counts:
+        """Return the sum of the counts of all queued records and aggregates."""
         counts = Counts()
-        for each in (*self.queue, *self.aggregates.values()):
+        for each in (*self.records, *self.aggregates.values()):
             counts.add(each.counts)
         return counts
--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -61,11 +61,11 @@
         )
         self.flows: Any = None
         if chosen is not None and chosen.flows is not None:
-            from lichencleat.flows.assembly import Flows  # off means not imported: memory counts
+            from lichencleat.flows.assembly import FlowExport  # off means not imported: memory counts
 
-            self.flows = Flows(reactor, clock, self.deadlines, self.report, told.seed, chosen.flows)
+            self.flows = FlowExport(reactor, clock, self.deadlines, self.report, told.seed, chosen.flows)
             if chosen.flows.links:
-                self.interpreter.wrap = self.catalogue.wrap = self.flows.metered
+                self.interpreter.wrap = self.catalogue.wrap = self.flows.wrap_factory
         self.keyed: Any = None
         self.chosen = chosen
         if chosen is not None and chosen.keyed is not None:
@@ -146,7 +146,7 @@
         parts = [self.dispatchers, self.host, self.interpreter, self.catalogue, self.membership]
         beliefs = [each.beliefs() for each in parts]
         if self.flows is not None:
-            beliefs.append(f"flows: {self.flows.beliefs()}")
+            beliefs.append(f"flows: {self.flows.describe()}")
         if self.fleet is not None:
             beliefs.append(f"fleet: {self.fleet.beliefs()}")
         if self.keyed is not None:
@@ -245,6 +245,6 @@
     def over(self, _: Any = None) -> None:
         if not self.ended.called:
             if self.flows is not None:
-                self.flows.tell_totals()
+                self.flows.report_totals()
             self.report.summary()
             self.ended.callback(None)
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -84,7 +84,7 @@
         self.last_traffic = self.door.deadlines.now()
         self.door.strangers[self] = None
         if self.door.flows is not None:
-            self.flow = self.door.flows.opened(self.transport)
+            self.flow = self.door.flows.open_flow(self.transport)
         self.whole_by = self.door.deadlines.after(FIRST_WAIT, self.too_slow, "nothing whole came in time")
         self.watch_idle()
 
@@ -98,7 +98,7 @@
         self.closing = self.over = True
         self.caller_gone()
         if self.flow is not None:
-            self.door.flows.ended(self.flow, self.cut_off)
+            self.door.flows.end_flow(self.flow, self.cut_off)
         self.door.has_room()
 
     def caller_gone(self) -> None:
@@ -165,7 +165,7 @@
     def dataReceived(self, data: bytes) -> None:
         self.last_traffic = self.door.deadlines.now()
         if self.flow is not None:
-            self.door.flows.received(self.flow, len(data))
+            self.door.flows.add_received(self.flow, len(data))
         if self.deaf or self.over:
             self.drop(len(data))
             return
@@ -228,7 +228,7 @@
         case, tenant = read_request(words, self.door.host, self.door.tenants, partial(self.answer, tag))
         self.cases[tag] = case
         if self.flow is not None:
-            self.door.flows.belongs(self.flow, tenant, case.request.request_class.name, case.request.caller)
+            self.door.flows.set_owner(self.flow, tenant, case.request.request_class.name, case.request.caller)
         self.door.host.arrives(case)
 
     def refuse_all(self, why: str) -> None:
@@ -288,7 +288,7 @@
     def write(self, parts: list[bytes]) -> None:
         self.transport.writeSequence(parts)
         if self.flow is not None:
-            self.door.flows.sent(self.flow, sum(map(len, parts)), self.transport)
+            self.door.flows.add_sent(self.flow, sum(map(len, parts)), self.transport)
 
     def end_if_done(self) -> None:
         if self.closing and not self.cases:
--- a/tests/flows/test_export.py
+++ b/tests/flows/test_export.py
@@ -1,4 +1,4 @@
-"""From the meter to a collector: on a clock with stand-ins for the sockets, and on loopback."""
+"""Export from the meter to a collector: with a fake clock and fake sockets, and on loopback."""
 
 import json
 import random
@@ -11,12 +11,19 @@
 from twisted.internet.task import Clock
 
 from lichencleat.flows import exporter as module
-from lichencleat.flows.channel import STATISTICS_EACH, TEMPLATES_EACH, Channel, Wire
-from lichencleat.flows.collector import OTHERS, SENDERS_MOST, TENANTS_MOST, Collector, Incoming, Sums
-from lichencleat.flows.decode import Read, Session
+from lichencleat.flows.channel import STATISTICS_INTERVAL_US, TEMPLATE_INTERVAL_US, Channel, Wire
+from lichencleat.flows.collector import OTHERS, SENDERS_MOST, TENANTS_MOST, Collector, Sums, TcpReceiver
+from lichencleat.flows.decode import DataRecord, Session
 from lichencleat.flows.elements import Elements
-from lichencleat.flows.exporter import AGAIN_MOST, REFUSED_SPAN, SLOW_LONG, TICK, Exporter, Link
-from lichencleat.flows.meter import Counts, End, Meter, Record
+from lichencleat.flows.exporter import (
+    MAX_RETRY_DELAY_US,
+    REFUSED_PAUSE_US,
+    STALL_TIMEOUT_US,
+    TICK_US,
+    Exporter,
+    Link,
+)
+from lichencleat.flows.meter import Counts, EndReason, Meter, Record
 from lichencleat.node.deadlines import Deadlines
 from lichencleat.node.report import Report
 
@@ -38,7 +45,7 @@
 
 
 class Stream:
-    """A TCP transport that takes what it is given until it is told not to."""
+    """A fake TCP transport that records what is written."""
 
     def __init__(self):
         self.sent, self.ended, self.producer = [], "", None
@@ -80,7 +87,7 @@
         pass
 
     def accept(self):
-        """The collector takes the last connection."""
+        """Accept the last connection, as a collector does."""
         protocol = self.connects[-1][2].buildProtocol(None)
         protocol.transport = Stream()
         protocol.connectionMade()
@@ -137,29 +144,29 @@
 
 
 def flow(meter, now, octets=100, tenant="mainz1"):
-    one = meter.opened(now, THERE, HERE)
-    meter.belongs(now, one, tenant, "look", 3)
-    one.received(now, octets)
-    one.sent(now, 2 * octets)
+    one = meter.open_flow(now, THERE, HERE)
+    meter.set_owner(now, one, tenant, "look", 3)
+    one.add_received(now, octets)
+    one.add_sent(now, 2 * octets)
     one.counts.honoured += 1
-    meter.ended(now, one)
+    meter.end_flow(now, one)
 
 
 def read(messages):
     session, sums = Session(Elements()), Sums()
     for each in messages:
-        for record in session.datagram(each):
-            sums.take(record)
+        for record in session.decode_message(each):
+            sums.add(record)
     return sums, session.counts
 
 
 def ticks(reactor, count=1):
     for _ in range(count):
-        reactor.advance(TICK / SECOND)
+        reactor.advance(TICK_US / SECOND)
 
 
 @pytest.mark.parametrize("wire", [Wire.IPFIX_UDP, Wire.NETFLOW9_UDP])
-def test_over_udp_templates_come_first_and_again(reactor, clock, meter, exporter_of, wire):
+def test_templates_are_sent_first_and_periodically_over_udp(reactor, clock, meter, exporter_of, wire):
     exporter_of(wire)
     ((port, _),) = reactor.ports
     flow(meter, clock())
@@ -168,15 +175,15 @@
     assert "sets before their template" not in counts
     assert (sums.total.octets, sums.by_tenant["mainz1"].octets) == (300, 300)
     before = len(port.sent)
-    reactor.pump([1] * (TEMPLATES_EACH // SECOND + 1))
+    reactor.pump([1] * (TEMPLATE_INTERVAL_US // SECOND + 1))
     flow(meter, clock())
     ticks(reactor)
-    sums, counts = read(port.sent[before:])  # as a collector that was restarted sees it
+    sums, counts = read(port.sent[before:])  # what a restarted collector receives
     assert sums.total.octets == 300 and counts["sets without a template dropped"] == 0
-    assert sums.exporters  # its own figures came, too
+    assert sums.exporters  # statistics were sent, too
 
 
-def test_a_refusal_stops_sending_for_a_while_and_nothing_is_missing_after(
+def test_sending_pauses_after_a_refusal_and_the_totals_are_complete_afterwards(
     reactor, clock, meter, exporter_of, report
 ):
     exporter = exporter_of(Wire.IPFIX_UDP)
@@ -184,31 +191,33 @@
     ticks(reactor)
     protocol.connectionRefused()
     sent = len(port.sent)
-    for _ in range(80):  # 30 more than may wait
+    for _ in range(80):  # 30 more than may be queued
         flow(meter, clock())
     ticks(reactor, 2)
-    assert len(port.sent) == sent and not exporter.links[0].alive()
-    assert len(exporter.links[0].channel.pressure.queue) == 50
-    ticks(reactor, REFUSED_SPAN // TICK + 1)
+    assert len(port.sent) == sent and not exporter.links[0].is_alive()
+    assert len(exporter.links[0].channel.queue.records) == 50
+    ticks(reactor, REFUSED_PAUSE_US // TICK_US + 1)
     sums, _ = read(port.sent[sent:])
     assert sums.total.octets == 80 * 300 and sums.total.honoured == 80
     assert sums.total.folded == 30 and report.counts["flows refusals"] == 1
 
 
-def test_what_was_refused_is_told_as_lost_and_only_templates_try_again(reactor, clock, meter, exporter_of):
+def test_refused_records_are_reported_as_lost_and_only_templates_are_sent_as_probes(
+    reactor, clock, meter, exporter_of
+):
     exporter = exporter_of(Wire.IPFIX_UDP)
     ((port, protocol),) = reactor.ports
     ticks(reactor)
     flow(meter, clock())
     ticks(reactor)
     before = len(port.sent)
-    protocol.connectionRefused()  # of the record
+    protocol.connectionRefused()  # refuses the record
     for _ in range(5):
         flow(meter, clock())
-        ticks(reactor, REFUSED_SPAN // TICK)
-        protocol.connectionRefused()  # of the templates
+        ticks(reactor, REFUSED_PAUSE_US // TICK_US)
+        protocol.connectionRefused()  # refuses the templates
     assert read(port.sent[before:])[0].total.records == 0
-    ticks(reactor, REFUSED_SPAN // TICK + 2)
+    ticks(reactor, REFUSED_PAUSE_US // TICK_US + 2)
     exporter.flush(SECOND)
     sums, _ = read(port.sent[before:])
     (own,) = sums.exporters.values()
@@ -220,18 +229,18 @@
     )
 
 
-def test_a_udp_socket_that_the_reactor_closes_is_opened_again(reactor, clock, meter, exporter_of, report):
+def test_a_udp_socket_closed_by_the_reactor_is_reopened(reactor, clock, meter, exporter_of, report):
     exporter = exporter_of(Wire.IPFIX_UDP)
     ((_, protocol),) = reactor.ports
     protocol.stopProtocol()
     flow(meter, clock())
     ticks(reactor, 3)
-    assert not exporter.links[0].alive() and report.counts["node errors"] == 0
+    assert not exporter.links[0].is_alive() and report.counts["node errors"] == 0
     ticks(reactor, 20)
     assert len(reactor.ports) == 2 and read(reactor.ports[1][0].sent)[0].total.records == 1
 
 
-def test_a_tcp_collector_that_is_not_there_is_tried_again_ever_later(
+def test_connecting_to_an_absent_tcp_collector_is_retried_with_backoff(
     reactor, clock, meter, exporter_of, report
 ):
     exporter = exporter_of(Wire.IPFIX_TCP)
@@ -240,7 +249,7 @@
         reactor.connects[-1][2].clientConnectionFailed(reactor, None)
         reactor.advance(1)
     assert 5 < len(reactor.connects) < 25
-    assert exporter.links[0].span <= AGAIN_MOST
+    assert exporter.links[0].retry_delay <= MAX_RETRY_DELAY_US
     reactor.pump([1] * 31)
     stream = reactor.accept()
     ticks(reactor, 3)
@@ -248,18 +257,16 @@
     assert sums.total.octets == 200 * 300 and counts["records lost"] == 0
 
 
-def test_a_tcp_collector_that_takes_nothing_is_given_nothing_and_cut_off(
-    reactor, clock, meter, exporter_of, report
-):
+def test_a_stalled_tcp_connection_gets_no_data_and_is_aborted(reactor, clock, meter, exporter_of, report):
     exporter = exporter_of(Wire.IPFIX_TCP)
     stream = reactor.accept()
     stream.pauseProducing()
     for _ in range(1_000):
         flow(meter, clock())
     ticks(reactor, 10)
-    assert stream.transport.sent == [] and not exporter.links[0].alive()
-    assert len(exporter.links[0].channel.pressure.queue) == 50
-    reactor.pump([1] * (SLOW_LONG // SECOND + 1))
+    assert stream.transport.sent == [] and not exporter.links[0].is_alive()
+    assert len(exporter.links[0].channel.queue.records) == 50
+    reactor.pump([1] * (STALL_TIMEOUT_US // SECOND + 1))
     assert stream.transport.ended == "aborted"
     stream.connectionLost()
     reactor.pump([1] * 2)
@@ -269,17 +276,17 @@
     assert sums.total.octets == 1_000 * 300 and sums.total.folded == 950
 
 
-def test_one_that_goes_on_in_time_is_not_cut_off(reactor, exporter_of):
+def test_a_tcp_connection_that_resumes_in_time_is_not_aborted(reactor, exporter_of):
     exporter_of(Wire.IPFIX_TCP)
     stream = reactor.accept()
     stream.pauseProducing()
     reactor.advance(1)
     stream.resumeProducing()
-    reactor.pump([1] * (SLOW_LONG // SECOND + 5))
+    reactor.pump([1] * (STALL_TIMEOUT_US // SECOND + 5))
     assert stream.transport.ended == ""
 
 
-def test_sequences_and_templates_begin_anew_with_each_tcp_session(reactor, clock, meter, exporter_of):
+def test_each_tcp_session_restarts_sequence_numbers_and_templates(reactor, clock, meter, exporter_of):
     exporter_of(Wire.IPFIX_TCP)
     for _ in range(2):
         stream = reactor.accept()
@@ -293,7 +300,7 @@
         reactor.pump([1] * 3)
 
 
-def test_the_first_collector_that_lives_is_fed_alone(reactor, clock, meter, exporter_of):
+def test_only_the_first_live_collector_gets_records(reactor, clock, meter, exporter_of):
     exporter_of(Wire.IPFIX_TCP, Wire.IPFIX_UDP, to_all=False)
     ((port, _),) = reactor.ports
     flow(meter, clock())
@@ -306,7 +313,7 @@
     assert read(port.sent)[0].total.records == 1
 
 
-def test_all_collectors_are_fed_alike(reactor, clock, meter, exporter_of):
+def test_all_collectors_get_all_records(reactor, clock, meter, exporter_of):
     exporter_of(Wire.NETFLOW9_UDP, Wire.IPFIX_UDP)
     for _ in range(3):
         flow(meter, clock())
@@ -314,7 +321,7 @@
     assert [read(port.sent)[0].total.octets for port, _ in reactor.ports] == [900, 900]
 
 
-def test_a_drain_keeps_its_budget_with_a_dead_collector(reactor, clock, meter, exporter_of):
+def test_a_flush_keeps_its_budget_with_a_dead_collector(reactor, clock, meter, exporter_of):
     exporter = exporter_of(Wire.IPFIX_TCP, waiting=500)
     for _ in range(300):
         flow(meter, clock())
@@ -328,11 +335,11 @@
     assert over == [None, None]
 
 
-def test_a_drain_is_over_as_soon_as_all_is_told(reactor, clock, meter, exporter_of):
+def test_a_flush_ends_as_soon_as_all_records_are_sent(reactor, clock, meter, exporter_of):
     exporter = exporter_of(Wire.IPFIX_UDP)
     ((port, _),) = reactor.ports
-    still_open = meter.opened(clock(), THERE, HERE)
-    still_open.sent(clock(), 77)
+    still_open = meter.open_flow(clock(), THERE, HERE)
+    still_open.add_sent(clock(), 77)
     over = []
     exporter.flush(SECOND).addCallback(over.append)
     assert over == [None]
@@ -340,7 +347,7 @@
     assert sums.total.octets == 77 and sums.exporters
 
 
-def test_a_new_address_gets_what_waits(reactor, clock, meter, exporter_of):
+def test_queued_records_are_sent_to_a_new_address(reactor, clock, meter, exporter_of):
     exporter = exporter_of(Wire.IPFIX_TCP)
     flow(meter, clock())
     ticks(reactor)
@@ -351,7 +358,7 @@
     assert read(stream.transport.sent)[0].total.records == 1
 
 
-def test_no_room_for_a_datagram_is_counted_and_no_more(reactor, clock, meter, exporter_of, report):
+def test_a_datagram_that_cannot_be_written_is_only_counted(reactor, clock, meter, exporter_of, report):
     exporter_of(Wire.IPFIX_UDP)
     ((port, _),) = reactor.ports
     port.fails = True
@@ -360,74 +367,80 @@
     assert report.counts["flows messages lost"] > 0 and report.counts["node errors"] == 0
 
 
-def test_a_record_that_fits_no_message_is_left_out_alone(clock):
+def test_only_the_record_that_cannot_be_encoded_is_dropped(clock):
     channel = Channel(Wire.IPFIX_UDP, Elements(), 7, 600, 50, clock())
     for number in (1, 1 << 64, 2):
         nowhere = bytes(4)
         counts = Counts(octets_in=5)
-        channel.pressure.offer(
-            Record(number, nowhere, nowhere, 1, 2, "t", "", 0, 1, 2, End.ENDED, False, counts)
+        channel.queue.offer(
+            Record(number, nowhere, nowhere, 1, 2, "t", "", 0, 1, 2, EndReason.END_OF_FLOW, False, counts)
         )
     sums, _ = read(channel.next_messages(clock()))
-    assert sums.total.records == 2 and channel.unfit == 1
+    assert sums.total.records == 2 and channel.unencodable == 1
 
 
 @pytest.mark.parametrize("wire", [Wire.IPFIX_UDP, Wire.NETFLOW9_UDP])
-def test_connections_over_ipv6_have_a_template_of_their_own(clock, wire):
+def test_ipv6_connections_have_their_own_template(clock, wire):
     channel = Channel(wire, Elements(), 7, 1_400, 50, clock())
     ends = bytes(15) + b"\x01", bytes(15) + b"\x02"
     counts = Counts(octets_in=1 << 40, octets_out=3)
-    channel.pressure.offer(Record(1, *ends, 5, 6, "t", "look", 0, 1, 2, End.ENDED, False, counts))
+    channel.queue.offer(Record(1, *ends, 5, 6, "t", "look", 0, 1, 2, EndReason.END_OF_FLOW, False, counts))
     session = Session(Elements())
-    found = [each.named() for message in channel.next_messages(clock()) for each in session.datagram(message)]
+    found = [
+        each.as_dict()
+        for message in channel.next_messages(clock())
+        for each in session.decode_message(message)
+    ]
     assert found[0]["sourceIPv6Address"] == ends[0] and found[0]["octetDeltaCount"] == 1 << 40
 
 
-def test_half_a_message_on_a_stream_is_counted_when_it_ends():
+def test_an_incomplete_message_at_the_end_of_a_stream_is_counted():
     collector = Collector(Elements())
-    incoming = Incoming(collector)
+    incoming = TcpReceiver(collector)
     incoming.transport = Stream()
     incoming.connectionMade()
     incoming.dataReceived(b"\0\x0a\0\x40half")
     incoming.connectionLost()
-    assert collector.troubles() == {"messages cut off": 1} and not collector.streams
-    broken = Incoming(collector)
+    assert collector.counters() == {"messages cut off": 1} and not collector.streams
+    broken = TcpReceiver(collector)
     broken.transport = Stream()
     broken.connectionMade()
     broken.dataReceived(b"GET / HTTP/1.1\r\n")
-    assert broken.transport.ended == "aborted" and collector.troubles()["streams broken"] == 1
+    assert broken.transport.ended == "aborted" and collector.counters()["streams broken"] == 1
 
 
-def test_statistics_come_though_the_clock_steps_back(clock):
+def test_statistics_are_sent_after_the_clock_steps_back(clock):
     channel = Channel(Wire.IPFIX_UDP, Elements(), 7, 1_400, 50, clock())
     channel.next_messages(clock())
-    assert channel.next_messages(clock() + STATISTICS_EACH)
+    assert channel.next_messages(clock() + STATISTICS_INTERVAL_US)
     assert channel.next_messages(clock() - 3_600 * SECOND)
 
 
-def test_sums_are_bounded_and_nothing_is_missing_from_the_total():
+def test_sums_by_tenant_are_bounded_and_the_total_is_complete():
     sums, elements = Sums(), Elements()
     octets, user = elements.named("octetDeltaCount"), elements.named("userName")
     for n in range(TENANTS_MOST + 10):
-        sums.take(Read(9, 1, 256, 0, 0, 0, [(octets, 1), (user, f"t{n}")]))
+        sums.add(DataRecord(9, 1, 256, 0, 0, 0, [(octets, 1), (user, f"t{n}")]))
     assert sums.total.octets == TENANTS_MOST + 10 and sums.by_tenant[OTHERS].octets == 10
 
 
-def test_a_collector_forgets_the_sender_longest_silent():
+def test_the_collector_forgets_the_sender_silent_longest():
     collector = Collector(Elements())
     for n in range(SENDERS_MOST + 5):
-        collector.sender(("127.0.0.1", n)).datagram(b"x")
+        collector.get_session(("127.0.0.1", n)).decode_message(b"x")
     assert len(collector.senders) == SENDERS_MOST
-    assert collector.troubles()["a version that is neither 9 nor 10"] == SENDERS_MOST + 5
+    assert collector.counters()["a version that is neither 9 nor 10"] == SENDERS_MOST + 5
 
 
-def test_the_command_adds_up_what_comes_on_loopback():
+def test_the_collect_command_adds_up_records_on_loopback():
     command = [sys.executable, "-m", "lichencleat", "flows", "collect", "--udp", "0", "--tcp", "0", "--json"]
     channel = Channel(Wire.IPFIX_TCP, Elements(), 7, 1_400, 500, 5 * SECOND)
     for n in range(300):
         counts = Counts(octets_in=n, packets_out=1, deferred=1)
-        channel.pressure.offer(
-            Record(n, HERE[0], THERE[0], 1, 2, f"t{n % 3}", "look", 0, 1, 2, End.ENDED, False, counts)
+        channel.queue.offer(
+            Record(
+                n, HERE[0], THERE[0], 1, 2, f"t{n % 3}", "look", 0, 1, 2, EndReason.END_OF_FLOW, False, counts
+            )
         )
     with subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True) as collect:
         ports = [int(each) for each in re.findall(r" (\d+)(?:,|$)", collect.stderr.readline().strip())]
@@ -437,7 +450,7 @@
             while messages := channel.next_messages(6 * SECOND):
                 tcp.sendall(b"".join(messages))
             tcp.shutdown(socket.SHUT_WR)
-            assert tcp.recv(1) == b""  # it has read all
+            assert tcp.recv(1) == b""  # the collector has read everything
         collect.terminate()
         told = json.loads(collect.communicate()[0])
     assert {row["tenant"]: row["records"] for row in told["tenants"]} == {"t0": 100, "t1": 100, "t2": 100}
@@ -446,17 +459,17 @@
     assert told["counters"]["a version that is neither 9 nor 10"] == 1
 
 
-def test_nothing_to_listen_on_is_wrong_input():
+def test_collecting_without_a_port_is_a_usage_error():
     command = [sys.executable, "-m", "lichencleat", "flows", "collect"]
     wrong = subprocess.run(command, capture_output=True, text=True)
     assert wrong.returncode == 2 and wrong.stderr.count("\n") == 1 and "--udp" in wrong.stderr
 
 
-def test_the_spread_of_tries_is_by_chance_of_the_seed(reactor, clock, report, deadlines):
+def test_the_jitter_of_retries_depends_on_the_seed(reactor, clock, report, deadlines):
     spans = []
     for seed in (1, 1, 2):
         channel = Channel(Wire.IPFIX_TCP, Elements(), 7, 1_400, 50, clock())
         rng = random.Random(seed)
         link = Link(reactor, clock, deadlines, report, rng, "c", ("127.0.0.1", 1), channel)
-        spans.append([rng.randrange(link.span // module.SPREAD) for _ in range(4)])
+        spans.append([rng.randrange(link.retry_delay // module.JITTER_DIVISOR) for _ in range(4)])
     assert spans[0] == spans[1] != spans[2]
--- a/tests/flows/test_node.py
+++ b/tests/flows/test_node.py
@@ -1,5 +1,5 @@
-"""The program with flow export on, and a collector beside it: what callers sent and read is what the
-collector adds up.
+"""The program with flow export on and a collector beside it: the collector's sums equal what clients sent and
+received.
 """
 
 import json
@@ -18,7 +18,7 @@
 
 
 class Collect:
-    """`lichencleat flows collect` beside the program."""
+    """A process that runs `lichencleat flows collect`."""
 
     def __init__(self, udp="0", tcp="0"):
         command = [
@@ -74,7 +74,7 @@
 
 
 class Caller:
-    """A connection that counts its own octets."""
+    """A client connection that counts its own octets."""
 
     def __init__(self, peer):
         self.peer, self.sent, self.got, self.answers = peer, 0, 0, 0
@@ -97,7 +97,7 @@
 
 
 @pytest.mark.parametrize("wire", ["ipfix-udp", "ipfix-tcp", "netflow9-udp"])
-def test_a_collector_adds_up_what_callers_sent_and_read(tmp_path, started, collect, wire):
+def test_the_collectors_sums_equal_what_clients_sent_and_received(tmp_path, started, collect, wire):
     port = collect.tcp if wire == "ipfix-tcp" else collect.udp
     program = started(chosen(tmp_path, (port, wire), flush_s=0.5))
     callers = [Caller(program.ready())]
@@ -106,10 +106,10 @@
         for n in range(3):
             honour(program, caller, IDS[at * 10 + n])
     callers[1].peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-    callers[1].peer.close()  # a reset
+    callers[1].peer.close()  # resets the connection
     callers[2].send(request(9, b"look", IDS[150], b"never answered"))
     program.interpreter.next()
-    callers[2].peer.close()  # vanishes with a request in hand
+    callers[2].peer.close()  # disconnects while a request is in flight
     callers[3].send(array(b"HEALTH", b"5", b""))
     callers[3].answer()
     program.leave()
@@ -135,21 +135,19 @@
     assert not {"records lost", "packets lost"} & set(told["counters"])
 
 
-def test_a_collector_that_is_stopped_and_started_misses_nothing_but_what_is_told_as_lost(
-    tmp_path, started, collect
-):
+def test_a_restarted_collector_misses_only_records_reported_as_lost(tmp_path, started, collect):
     program = started(chosen(tmp_path, (collect.udp, "ipfix-udp"), flush_s=0.5, active_s=0.2, idle_s=0.2))
     caller = Caller(program.ready())
-    read_until(program, "takes records")
+    read_until(program, "accepts records")
     for n in range(10):
         honour(program, caller, IDS[n])
     first = collect.end()
     honour(program, caller, IDS[10])
-    read_until(program, "nobody listens there")
+    read_until(program, "refuses datagrams, nobody listens")
     for n in range(11, 40):
         honour(program, caller, IDS[n])
     second = Collect(udp=collect.udp)
-    read_until(program, "takes records")
+    read_until(program, "accepts records")
     honour(program, caller, IDS[50])
     program.leave()
     assert caller.answer() == [b"0", b"goaway"]
@@ -165,7 +163,7 @@
     assert honoured + own["inquiriesNotSent"] == counters["host honoured"] == 41
 
 
-def test_links_are_metered_where_the_file_says_so(tmp_path, started, collect):
+def test_connections_to_peers_are_metered_if_the_settings_say_so(tmp_path, started, collect):
     program = started(chosen(tmp_path, (collect.udp, "ipfix-udp"), links=True, flush_s=0.5))
     caller = Caller(program.ready())
     caller.send(request(1, b"look", IDS[0], b"x" * 100))
@@ -183,11 +181,13 @@
     told = collect.end()
     octets = sum(row["octets"] for row in told["tenants"])
     assert code == 0 and counters.get("node errors", 0) == 0
-    # a call and its reply cross two links each
+    # a call and its reply are each counted on two connections
     assert octets > caller.sent + caller.got + 2 * (1_000 + 2_000)
 
 
-def test_a_reload_moves_the_collector_and_a_wrong_file_changes_nothing(tmp_path, started, collect):
+def test_a_reload_changes_the_collectors_address_and_an_invalid_file_changes_nothing(
+    tmp_path, started, collect
+):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nobody:
         nobody.bind(("127.0.0.1", 0))
         path = chosen(tmp_path, (nobody.getsockname()[1], "ipfix-udp"), flush_s=0.5)
@@ -215,10 +215,10 @@
         assert line, f"the program ended without saying {words}"
 
 
-def test_a_dead_collector_holds_up_neither_serving_nor_the_stop(tmp_path, started):
+def test_a_dead_collector_delays_neither_requests_nor_shutdown(tmp_path, started):
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
-        port = listener.getsockname()[1]  # bound, but nobody listens
+        port = listener.getsockname()[1]  # the port is bound, but nobody listens
         program = started(chosen(tmp_path, (port, "ipfix-tcp"), (port, "ipfix-udp"), flush_s=60))
         caller = Caller(program.ready())
         for n in range(20):
@@ -231,7 +231,7 @@
     assert counters["flows links failed"] >= 1 and "Traceback" not in err
 
 
-def test_a_wrong_file_is_one_line_and_exit_2(tmp_path):
+def test_an_invalid_file_is_reported_in_one_line_with_exit_code_2(tmp_path):
     path = tmp_path / "chosen.yaml"
     path.write_text("flows:\n  colectors: []\n")
     config = tmp_path / "config.json"
