--- a/benchmarks/capacity/__main__.py
+++ b/benchmarks/capacity/__main__.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from benchmarks.capacity import Effort, Role, data_path, group, members, returns, state, taken
-from lichencleat.capacity.slopes import FORMAT, Line, Ran, Slopes, decode
+from lichencleat.capacity.slopes import FORMAT, Line, Run, Slopes, decode
 from lichencleat.cli import output
 
 ROOT = Path(__file__).resolve().parents[2]
@@ -57,13 +57,13 @@
     return os.sysconf("SC_PAGE_SIZE") * os.sysconf("SC_PHYS_PAGES") >> 20
 
 
-def measured(name: str, effort: Effort) -> tuple[Ran, list[Line]]:
+def measured(name: str, effort: Effort) -> tuple[Run, list[Line]]:
     role = ROLES[name]
     before, begun, of = os.getloadavg()[0], time.monotonic(), commit()
     lines = role.measure(effort)
     spent = round(time.monotonic() - begun, 1)
     after = os.getloadavg()[0]
-    return Ran(name, role.how, spent, round(before, 2), round(after, 2), effort.seed, of), lines
+    return Run(name, role.how, spent, round(before, 2), round(after, 2), effort.seed, of), lines
 
 
 def merged(path: Path, new: Slopes) -> Slopes:
@@ -91,7 +91,7 @@
         rows.append(
             [
                 each.name,
-                f"{each.points[0].size:g} to {each.largest():g} {each.size}",
+                f"{each.points[0].size:g} to {each.largest_size():g} {each.size}",
                 f"{each.points[0].value:.4g} to {each.points[-1].value:.4g} {each.unit}",
                 f"{fit.base:.4g} + {fit.slope:.4g} n",
                 exponent,
--- a/lichencleat/capacity/__init__.py
+++ b/lichencleat/capacity/__init__.py
@@ -1,1 +1,3 @@
-"""What a fleet of a given size costs, role by role, from slopes that were measured: docs/CAPACITY.md."""
+"""Computes what a fleet of a given size costs, role by role, from slopes measured by benchmarks:
+docs/CAPACITY.md.
+"""
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -1,11 +1,13 @@
-"""Figures of the code beyond which it turns away, forgets or ends, read where they stand; no I/O."""
+"""Limits in the code beyond which a part rejects, forgets or closes something, read from their constants. No
+I/O.
+"""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from lichencleat.capacity import sizes as of
-from lichencleat.capacity.needs import CONFIG, SOME
+from lichencleat.capacity import sizes
+from lichencleat.capacity.needs import FEW_MEMBERS, RELAY_TIERS
 from lichencleat.capacity.sizes import Size
 from lichencleat.config_distribution import terms as distribution
 from lichencleat.consensus import configuration as group
@@ -22,54 +24,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Bound:
+    """One limit of the code, or of the target, and the size that it must allow."""
+
     role: str
     what: str
-    name: str  # of the bound in the plan's output, or the target's word
-    bound: float | None  # None: the target's own
+    name: str  # name of the bound in the plan's output; for a bound of the target, the name of its field
+    bound: float | None  # None: the target's `node_sockets`
     size: Size
-    answer: str = ""  # what carries it at the target instead, where it does not hold
+    answer: str = ""  # mechanism that replaces it at the target if the bound is too small
 
 
 CANDIDATES = "a few nodes are candidates (`candidate: true`)"
 
 # fmt: off
 BOUNDS = (
-    Bound("node", "connections: each caller to each node", "node_sockets", None, of.callers),
-    Bound("node", "connections: a subset", "node_sockets", None, of.subset),
-    Bound("member", "members: each node", "members.table.MEMBERS_MOST",
-          member_table.MAX_MEMBERS, of.nodes, SOME),
-    Bound("voter", "members of a group: each node a learner", "quorum.group.MEMBERS_MOST",
-          group.MAX_MEMBERS, of.nodes,
-          CONFIG),
-    Bound("voter", "facts: routes and tenants", "quorum.facts.FACTS_MOST", facts.MAX_KEYS, of.records,
-          CONFIG),
+    Bound("node", "connections: each caller to each node", "node_sockets", None, sizes.callers),
+    Bound("node", "connections: a subset", "node_sockets", None, sizes.subset_connections),
+    Bound("member", "members: each node", "members.table.MEMBERS_MOST", member_table.MAX_MEMBERS, sizes.nodes,
+          FEW_MEMBERS),
+    Bound("voter", "members of a group: each node a learner", "quorum.group.MEMBERS_MOST", group.MAX_MEMBERS,
+          sizes.nodes, RELAY_TIERS),
+    Bound("voter", "facts: routes and tenants", "quorum.facts.FACTS_MOST", facts.MAX_KEYS, sizes.records,
+          RELAY_TIERS),
     Bound("voter", "connections: each node asks one group", "quorum.links.CONNECTIONS_MOST",
-          inbound.MAX_CONNECTIONS,
-          of.nodes),
+          inbound.MAX_CONNECTIONS, sizes.nodes),
     Bound("voter", "sessions: each node asks one group", "quorum.sessions.SESSIONS_MOST",
-          sessions.MAX_SESSIONS,
-          of.nodes),
+          sessions.MAX_SESSIONS, sizes.nodes),
     Bound("owner", "candidates: each node", "owners.terms.CANDIDATES_MOST", owners.MAX_CANDIDATES,
-          of.nodes, CANDIDATES),
+          sizes.nodes, CANDIDATES),
     Bound("owner", "candidates: each machine", "owners.terms.CANDIDATES_MOST", owners.MAX_CANDIDATES,
-          of.machines),
-    Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.MAX_NODES, of.seats),
-    Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", recovery.MAX_NODES, of.nodes),
-    Bound("zone judge", "zones", "zones.terms.ZONES_MOST", failover.MAX_ZONES, of.zones),
-    Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", failover.MAX_ROUTERS, of.routers),
+          sizes.machines),
+    Bound("dealer", "seats of a pool", "shares.terms.NODES_MOST", shares.MAX_NODES, sizes.seats),
+    Bound("planner", "nodes of a return", "revive.terms.NODES_MOST", recovery.MAX_NODES, sizes.nodes),
+    Bound("zone judge", "zones", "zones.terms.ZONES_MOST", failover.MAX_ZONES, sizes.zones),
+    Bound("zone judge", "routers that report", "zones.terms.SOURCES_MOST", failover.MAX_ROUTERS,
+          sizes.routers),
     Bound("collector", "senders: each node to one", "flows.collector.SENDERS_MOST", collector.SENDERS_MOST,
-          of.nodes),
+          sizes.nodes),
     Bound("collector", "tenants told apart", "flows.collector.TENANTS_MOST", collector.TENANTS_MOST,
-          of.tenants),
+          sizes.tenants),
     Bound("relay", "subscribers: a zone's nodes", "distribution.terms.SUBSCRIBERS_MOST",
-          distribution.SUBSCRIBERS_MOST,
-          of.zone_nodes),
-    Bound("relay", "records", "distribution.terms.RECORDS_MOST", distribution.RECORDS_MOST, of.records),
-    Bound("relay", "zones counted apart", "distribution.terms.ZONES_MOST", distribution.ZONES_MOST, of.zones),
+          distribution.SUBSCRIBERS_MOST, sizes.zone_nodes),
+    Bound("relay", "records", "distribution.terms.RECORDS_MOST", distribution.RECORDS_MOST, sizes.records),
+    Bound("relay", "zones counted apart", "distribution.terms.ZONES_MOST", distribution.ZONES_MOST,
+          sizes.zones),
 )
 # fmt: on
 
-SOURCES = {
+CURRENT_NAMES = {
     "distribution.terms.RECORDS_MOST": "config_distribution.terms.RECORDS_MOST",
     "distribution.terms.SUBSCRIBERS_MOST": "config_distribution.terms.SUBSCRIBERS_MOST",
     "distribution.terms.ZONES_MOST": "config_distribution.terms.ZONES_MOST",
@@ -86,4 +88,4 @@
     "zones.terms.SOURCES_MOST": "failover.messages.MAX_ROUTERS",
     "zones.terms.ZONES_MOST": "failover.messages.MAX_ZONES",
 }
-"""Where the constant of each name stands now: names are part of `capacity plan --json` and stay."""
+"""The constant that each name stands for. The names are part of `capacity plan --json` and do not change."""
--- a/lichencleat/capacity/events.py
+++ b/lichencleat/capacity/events.py
@@ -1,51 +1,63 @@
-"""What a loss and its return cost at the target: who asks whom, for how much, how long it takes; no I/O."""
+"""What a loss and a recovery cost at the target: which parts get requests, how many, and how long it takes.
+No I/O.
+"""
 
 from __future__ import annotations
 
 import msgspec
 
-from lichencleat.capacity.sizes import reports_waking
+from lichencleat.capacity.sizes import frequent_node_reports
 from lichencleat.capacity.slopes import Slopes
-from lichencleat.capacity.target import DAY, Target
+from lichencleat.capacity.target import DAY_S, Target
 from lichencleat.config_distribution.feed import FETCH_RATE
 from lichencleat.config_distribution.terms import WINDOW_BATCHES
 from lichencleat.recovery.messages import MAX_NODES
 
-CUT = 300.0  # s that a region is cut off
-LAST = "until the last one that starts or returns has what holds"
-MOST = "a change in force at 99 in 100 nodes"
-ALL = "a change in force at all that were there"
-SERVED = "until nine tenths are served, were all known"
-FETCHED = "of a relay's time for its snapshots, by its bound"
+REGION_CUT_S = 300.0  # how long a region is cut off
+BACK_ALL = "until the last one that starts or returns has what holds"
+IN_FORCE_P99 = "a change in force at 99 in 100 nodes"
+IN_FORCE_ALL = "a change in force at all that were there"
+RECOVERED = "until nine tenths are served, were all known"
+SNAPSHOT_FETCHES = "of a relay's time for its snapshots, by its bound"
 
 
 class Figure(msgspec.Struct, frozen=True):
+    """One value of an event, with its source."""
+
     what: str
     value: float | None  # None: not measured
     unit: str
-    basis: str  # the lines and the code's figures that it comes from
+    basis: str  # lines and constants from which the value is computed
 
 
 class Event(msgspec.Struct, frozen=True):
+    """One event and its figures."""
+
     name: str
-    nodes: float  # at once
+    nodes: float  # nodes affected at once
     figures: list[Figure]
 
 
-def events(slopes: Slopes, target: Target) -> list[Event]:
-    def simulated(line: str, what: str) -> Figure:
+def list_events(slopes: Slopes, target: Target) -> list[Event]:
+    """Return all events with their figures at the target."""
+
+    def simulated_figure(line: str, what: str) -> Figure:
         found = slopes.line(line)
-        return Figure(what, None if found is None else found.at(target.nodes), "s", f"{line} (fleet)")
+        return Figure(what, None if found is None else found.value_at(target.nodes), "s", f"{line} (fleet)")
 
-    def lost(event: str) -> list[Figure]:
-        """With and without what the nodes' disks keep."""
+    def loss_figures(event: str) -> list[Figure]:
+        """Return the figures of a loss, with and without the data on the nodes' disks."""
         return [
-            simulated(f"{event}_{disk}.{line}", f"{what}, {how}")
+            simulated_figure(f"{event}_{disk}.{line}", f"{what}, {how}")
             for disk, how in (("disk", "with a disk"), ("cold", "without one"))
-            for line, what in (("back_s", LAST), ("in_force_p99_s", MOST), ("in_force_all_s", ALL))
+            for line, what in (
+                ("back_s", BACK_ALL),
+                ("in_force_p99_s", IN_FORCE_P99),
+                ("in_force_all_s", IN_FORCE_ALL),
+            )
         ]
 
-    tree, each_s = target.tree, DAY / max(target.restarts_per_day, 1e-9)
+    tree, each_s = target.tree, DAY_S / max(target.restarts_per_day, 1e-9)
     relays = target.zones * tree.relays_a_zone
     zone, region = target.zone_nodes, -(-target.nodes // target.regions)
     return [
@@ -55,68 +67,87 @@
             [
                 Figure("one each", each_s, "s", "target"),
                 Figure("one each, of a zone's relay", each_s * relays, "s", "target, tree"),
-                simulated("replaced.back_s", f"{LAST}, without a disk"),
+                simulated_figure("replaced.back_s", f"{BACK_ALL}, without a disk"),
                 Figure(
-                    "bytes of its busiest second", peak(slopes, target), "MB", "replaced.node_peak_mb (fleet)"
+                    "bytes of its busiest second",
+                    peak_megabytes(slopes, target),
+                    "MB",
+                    "replaced.node_peak_mb (fleet)",
                 ),
-                simulated("replaced.in_force_p99_s", MOST),
-                simulated("replaced.in_force_all_s", ALL),
+                simulated_figure("replaced.in_force_p99_s", IN_FORCE_P99),
+                simulated_figure("replaced.in_force_all_s", IN_FORCE_ALL),
             ],
         ),
-        Event("a rack lost and back", target.rack, lost("rack")),
+        Event("a rack lost and back", target.rack, loss_figures("rack")),
         Event(
             "a zone lost and back",
             zone,
             [
                 Figure("of all requests, that other zones take", 1 / target.zones, "", "target"),
-                *lost("zone"),
-                snapshots(slopes, target, zone / tree.relays_a_zone),
+                *loss_figures("zone"),
+                snapshot_figure(slopes, target, zone / tree.relays_a_zone),
             ],
         ),
         Event(
             "a region cut off for five minutes and back",
             region,
             [
-                Figure("changes that each node lacks", target.changes_a_second * CUT, "", "target"),
+                Figure(
+                    "changes that each node lacks", target.changes_per_second * REGION_CUT_S, "", "target"
+                ),
                 Figure(
                     "changes that a relay keeps", WINDOW_BATCHES, "", "`distribution.terms.WINDOW_BATCHES`"
                 ),
-                simulated("region_cut.back_s", LAST),
-                simulated("region_cut.in_force_p99_s", MOST),
-                simulated("region_cut.in_force_all_s", ALL),
+                simulated_figure("region_cut.back_s", BACK_ALL),
+                simulated_figure("region_cut.in_force_p99_s", IN_FORCE_P99),
+                simulated_figure("region_cut.in_force_all_s", IN_FORCE_ALL),
             ],
         ),
         Event(
             "the whole fleet after a power loss",
             target.nodes,
             [
-                *lost("power"),
-                snapshots(slopes, target, target.nodes / relays),
-                Figure("reports a second to one group", reports_waking(target), "", "`revive.waking.OFTEN`"),
+                *loss_figures("power"),
+                snapshot_figure(slopes, target, target.nodes / relays),
+                Figure(
+                    "reports a second to one group",
+                    frequent_node_reports(target),
+                    "",
+                    "`revive.waking.OFTEN`",
+                ),
                 Figure("nodes that a return knows at most", MAX_NODES, "", "`revive.terms.NODES_MOST`"),
-                Figure(SERVED, at_nodes(slopes, target), "s", "fleet.to_90_s (return)"),
+                Figure(RECOVERED, recovery_time(slopes, target), "s", "fleet.to_90_s (return)"),
             ],
         ),
         Event(
             "a bad change taken back",
             target.nodes,
-            [simulated("taken_back.in_force_p99_s", MOST), simulated("taken_back.in_force_all_s", ALL)],
+            [
+                simulated_figure("taken_back.in_force_p99_s", IN_FORCE_P99),
+                simulated_figure("taken_back.in_force_all_s", IN_FORCE_ALL),
+            ],
         ),
     ]
 
 
-def peak(slopes: Slopes, target: Target) -> float | None:
+def peak_megabytes(slopes: Slopes, target: Target) -> float | None:
+    """Return the MB that a replaced node receives in its busiest second, or None if that was not measured."""
     line = slopes.line("replaced.node_peak_mb")
-    return None if line is None else line.at(target.nodes)
+    return None if line is None else line.value_at(target.nodes)
 
 
-def at_nodes(slopes: Slopes, target: Target) -> float | None:
+def recovery_time(slopes: Slopes, target: Target) -> float | None:
+    """Return the seconds until nine tenths of requests are served after a power loss, or None if that was not
+    measured.
+    """
     line = slopes.line("fleet.to_90_s")
-    return None if line is None else line.at(target.nodes)
+    return None if line is None else line.value_at(target.nodes)
 
 
-def snapshots(slopes: Slopes, target: Target, count: float) -> Figure:
-    """So many of one relay, one after another or side by side: the rate is for all of them."""
+def snapshot_figure(slopes: Slopes, target: Target, count: float) -> Figure:
+    """Return the time that one relay needs for `count` snapshots. The rate limit applies to all snapshots
+    together, so concurrency does not change the time.
+    """
     line = slopes.line("table.snapshot_mb")
-    value = None if line is None else count * line.at(target.records) / FETCH_RATE
-    return Figure(FETCHED, value, "s", "table.snapshot_mb (table), `distribution.feed.FETCH_RATE`")
+    value = None if line is None else count * line.value_at(target.records) / FETCH_RATE
+    return Figure(SNAPSHOT_FETCHES, value, "s", "table.snapshot_mb (table), `distribution.feed.FETCH_RATE`")
--- a/lichencleat/capacity/machines.py
+++ b/lichencleat/capacity/machines.py
@@ -1,10 +1,10 @@
-"""The machines that are set aside for control, dealt out: who runs what, and what is left when one has failed
-and a zone is lost with it; no I/O.
+"""Assigns control processes to the machines set aside for them, and computes what remains when a machine has
+failed and a zone is lost. No I/O.
 
-Each zone has a machine for relays, the others take voters and publishers, in as many regions as there are;
-what is left is spare. A zone's second relay stands in another zone of its region: neither a machine nor a
-zone takes both from nodes that remain. Those that lose both all the same ask the region's relays, then the
-voters.
+Each zone has a machine for relays. The other machines take voters and publishers, spread over the regions;
+machines without a process are spare. A zone's second relay runs in another zone of its region, so that
+neither the loss of a machine nor the loss of a zone takes both relays from nodes that remain. Nodes that lose
+both relays nevertheless use the region's relays, then the voters.
 """
 
 from __future__ import annotations
@@ -18,55 +18,64 @@
 
 @dataclass(slots=True)
 class Machine:
+    """A machine and the processes that run on it."""
+
     number: int
     zone: int
     region: int
-    runs: list[tuple[str, int]] = field(default_factory=list)  # what, and the zone or region that it is for
+    runs: list[tuple[str, int]] = field(default_factory=list)  # kind of process, and its zone or region
 
-    def spare(self) -> bool:
+    def is_spare(self) -> bool:
+        """Say whether no process runs on the machine."""
         return not self.runs
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """The worst of all cases of one machine failed and one zone lost."""
+class Coverage:
+    """What remains after a loss; in a worst case, each value is the worst of all cases."""
 
-    voters: int  # that stand
-    majority: bool
-    uncovered: int  # zones left without a relay of theirs: their nodes hang on the region's
-    regions_uncovered: int  # regions with zones left, without a relay of theirs
-    subscribers: int  # the most that hang on one relay, of a zone or a region, or on one voter
+    voters: int  # voters that run
+    majority: bool  # a majority of the voters runs
+    uncovered: int  # remaining zones without a relay; their nodes use the region's relays
+    regions_uncovered: int  # regions with remaining zones but without a region relay
+    subscribers: int  # most subscribers of one relay or voter
 
 
 @dataclass(frozen=True, slots=True)
-class Dealt:
+class Assignment:
+    """Processes assigned to machines, and what remains after losses."""
+
     machines: list[Machine]
-    short: int  # processes that found no place
-    whole: Left  # nothing lost
-    failed: Left  # the worst machine
-    both: Left  # the worst machine and zone together
+    short: int  # processes for which there was no machine
+    whole: Coverage  # without a loss
+    failed: Coverage  # after the worst failure of one machine
+    both: Coverage  # after the worst loss of one machine and one zone
 
-    def spares(self) -> int:
-        return sum(each.spare() for each in self.machines)
+    def count_spares(self) -> int:
+        """Return the number of spare machines."""
+        return sum(each.is_spare() for each in self.machines)
 
     def count(self, what: str) -> int:
+        """Return the number of processes of a kind."""
         return sum(kind == what for each in self.machines for kind, _ in each.runs)
 
 
 def region_of(target: Target, zone: int) -> int:
+    """Return the region of a zone."""
     return zone * target.regions // target.zones
 
 
-def in_turn(target: Target) -> list[int]:
-    """All zones: the first one of each region, then the second ones."""
+def zones_in_turn(target: Target) -> list[int]:
+    """Return all zones: the first zone of each region, then the second ones, and so on."""
     first: dict[int, int] = {}
     for zone in range(target.zones):
         first.setdefault(region_of(target, zone), zone)
     return sorted(range(target.zones), key=lambda zone: (zone - first[region_of(target, zone)], zone))
 
 
-def deal_out(target: Target) -> Dealt:
-    tree, turns = target.tree, in_turn(target)
+def assign_processes(target: Target) -> Assignment:
+    """Assign voters, publishers and relays to machines, and compute the coverage without and with losses."""
+    tree, turns = target.tree, zones_in_turn(target)
     zones = [
         at if at < target.zones else turns[(at - target.zones) % target.zones]
         for at in range(target.machines)
@@ -75,26 +84,34 @@
     short = 0
     for what, count in ((VOTER, tree.voters), (PUBLISHER, tree.publishers)):
         for _ in range(count):
-            short += not alone(machines, what, target.zones)
+            short += not place_alone(machines, what, target.zones)
     for region in range(target.regions):
         for _ in range(tree.relays_a_region):
-            short += not place(machines, REGION, region, -1, region, target)
+            short += not place_relay(machines, REGION, region, -1, region, target)
     for zone in range(target.zones):
         for at in range(tree.relays_a_zone):
             own = zone if at == 0 else -1
             region = region_of(target, zone)
-            short += not place(machines, ZONE, zone, own, region, target)
-    return Dealt(
+            short += not place_relay(machines, ZONE, zone, own, region, target)
+    return Assignment(
         machines,
         short,
-        left(target, machines, None, None),
-        worst([left(target, machines, each, None) for each in machines]),
-        worst([left(target, machines, each, zone) for each in machines for zone in range(target.zones)]),
+        coverage_after(target, machines, None, None),
+        worst_case([coverage_after(target, machines, each, None) for each in machines]),
+        worst_case(
+            [
+                coverage_after(target, machines, each, zone)
+                for each in machines
+                for zone in range(target.zones)
+            ]
+        ),
     )
 
 
-def alone(machines: list[Machine], what: str, zones: int) -> bool:
-    """On a machine of its own that is no zone's first, in a region that has the fewest of the kind."""
+def place_alone(machines: list[Machine], what: str, zones: int) -> bool:
+    """Place a voter or publisher on the machine with the fewest processes. Prefer machines that are not the
+    first of a zone, then regions that have the fewest of this kind. Return False if no machine is left.
+    """
     had = [each.region for each in machines if (what, 0) in each.runs]
     fit = [each for each in machines if (what, 0) not in each.runs]
     if not fit:
@@ -106,8 +123,10 @@
     return True
 
 
-def place(machines: list[Machine], what: str, of: int, zone: int, region: int, target: Target) -> bool:
-    """On the first machine of that zone, else of one of its region, where the fewest run."""
+def place_relay(machines: list[Machine], what: str, of: int, zone: int, region: int, target: Target) -> bool:
+    """Place a relay on a machine of the region. Prefer the first machines of zones, then the given zone, then
+    zones without such a relay, then machines with the fewest processes. Return False if no machine is left.
+    """
     runs, most, zones = (what, of), target.tree.processes_a_machine, target.zones
     taken = {each.zone for each in machines if runs in each.runs}
     fit = [
@@ -129,19 +148,24 @@
     return True
 
 
-def left(target: Target, machines: list[Machine], failed: Machine | None, lost: int | None) -> Left:
+def coverage_after(
+    target: Target, machines: list[Machine], failed: Machine | None, lost: int | None
+) -> Coverage:
+    """Return what remains when a machine has failed and a zone is lost; None: no machine or no zone."""
     stand = [each for each in machines if each is not failed and each.zone != lost]
     voters = sum((VOTER, 0) in each.runs for each in stand)
     relays = [sum((ZONE, zone) in each.runs for each in stand) for zone in range(target.zones)]
     up = [sum((REGION, region) in each.runs for each in stand) for region in range(target.regions)]
     there = [zone for zone in range(target.zones) if zone != lost]
-    below = [0] * target.regions  # what hangs on a region's relays: those of zones, and nodes without one
+    below = [
+        0
+    ] * target.regions  # subscribers of each region's relays: zone relays, and nodes of zones without one
     most = 0
     for zone in there:
         below[region_of(target, zone)] += relays[zone] or target.zone_nodes
         if relays[zone]:
             most = max(most, -(-target.zone_nodes // relays[zone]))
-    top = 0  # what hangs on the voters
+    top = 0  # subscribers of the voters
     regions = {region_of(target, zone) for zone in there}
     for region in regions:
         top += up[region] or below[region]
@@ -149,7 +173,7 @@
             most = max(most, -(-below[region] // up[region]))
     if voters:
         most = max(most, -(-top // voters))
-    return Left(
+    return Coverage(
         voters,
         2 * voters > target.tree.voters,
         sum(not relays[zone] for zone in there),
@@ -158,9 +182,9 @@
     )
 
 
-def worst(cases: list[Left]) -> Left:
-    """Each figure's worst."""
-    return Left(
+def worst_case(cases: list[Coverage]) -> Coverage:
+    """Return the worst of each value."""
+    return Coverage(
         min(each.voters for each in cases),
         all(each.majority for each in cases),
         max(each.uncovered for each in cases),
--- a/lichencleat/capacity/page.py
+++ b/lichencleat/capacity/page.py
@@ -1,6 +1,6 @@
-"""The tables of docs/CAPACITY.md, made from a plan; no I/O.
+"""The tables of docs/CAPACITY.md, made from a plan. No I/O.
 
-Each stands between two markers on the page; what is between them is replaced, the rest is left as it is.
+Each table is between two markers on the page. Only the text between the markers is replaced.
 """
 
 from __future__ import annotations
@@ -9,22 +9,22 @@
 import re
 from collections.abc import Sequence
 
-from lichencleat.capacity.glance import at_a_glance
-from lichencleat.capacity.machines import PUBLISHER, REGION, VOTER, ZONE, Left, region_of
+from lichencleat.capacity.glance import summarize_roles
+from lichencleat.capacity.machines import PUBLISHER, REGION, VOTER, ZONE, Coverage, region_of
 from lichencleat.capacity.plan import Plan, Row
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import Target
 
-MARKS = re.compile(r"(<!-- capacity: ([a-z ]+) -->\n).*?(<!-- end -->)", re.S)
-HOLDS = {True: "yes", False: "**no**", None: "-"}
+TABLE_MARKERS = re.compile(r"(<!-- capacity: ([a-z ]+) -->\n).*?(<!-- end -->)", re.S)
+HOLDS_TEXT = {True: "yes", False: "**no**", None: "-"}
 
 
-class WrongPageError(ValueError):
-    """A marker that no table belongs to, or a table without its marker."""
+class InvalidPageError(ValueError):
+    """The page has a marker without a table, or lacks the marker of a table."""
 
 
 def figure(value: float | None) -> str:
-    """Whole ones as they are, others with three figures that count."""
+    """Format a number: whole numbers with all digits, others with three significant digits."""
     if value is None:
         return "not measured"
     if value == round(value):
@@ -36,50 +36,52 @@
 
 
 def table(head: Sequence[str], rows: Sequence[Sequence[str]]) -> str:
+    """Return a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(each) + " |" for each in lines) + "\n"
 
 
 def tables(plan: Plan, slopes: Slopes, target: Target) -> dict[str, str]:
-    """By the name in the page's marker."""
+    """Return all tables by the names in the page's markers."""
     return {
-        "measured on": measured_on(slopes),
-        "target": of_target(target),
-        "glance": glance(slopes, target),
-        "roles": roles(plan),
-        "slopes": lines(slopes),
-        "extrapolated": extrapolated(plan),
-        "bounds": bounds(plan),
-        "control": control(plan),
-        "order": order(plan),
-        "events": events(plan),
-        "machines": machines(plan, target),
-        "losses": losses(plan),
+        "measured on": runs_table(slopes),
+        "target": target_table(target),
+        "glance": summary_table(slopes, target),
+        "roles": roles_table(plan),
+        "slopes": slopes_table(slopes),
+        "extrapolated": extrapolation_table(plan),
+        "bounds": bounds_table(plan),
+        "control": control_table(plan),
+        "order": failures_table(plan),
+        "events": events_table(plan),
+        "machines": machines_table(plan, target),
+        "losses": losses_table(plan),
     }
 
 
-def put_into(page: str, made: dict[str, str]) -> str:
-    """The page with its tables as they are now. Raises WrongPageError."""
+def insert_tables(page: str, made: dict[str, str]) -> str:
+    """Return the page with its tables replaced. Raises InvalidPageError."""
     seen: list[str] = []
 
     def put(found: re.Match[str]) -> str:
         name = found[2]
         if name not in made:
-            raise WrongPageError(f"no table {name!r}; there are {', '.join(made)}")
+            raise InvalidPageError(f"no table {name!r}; there are {', '.join(made)}")
         seen.append(name)
         return f"{found[1]}\n{made[name]}\n{found[3]}"
 
-    text = MARKS.sub(put, page)
+    text = TABLE_MARKERS.sub(put, page)
     missing = [name for name in made if name not in seen]
     if missing:
-        raise WrongPageError(f"no marker for {', '.join(missing)}")
+        raise InvalidPageError(f"no marker for {', '.join(missing)}")
     return text
 
 
-def glance(slopes: Slopes, target: Target) -> str:
+def summary_table(slopes: Slopes, target: Target) -> str:
+    """Return the table of one summary row for each role."""
     rows = [
         [each.role, each.state, *(figure(value) if value != "-" else "-" for value in each.figures())]
-        for each in at_a_glance(slopes, target)
+        for each in summarize_roles(slopes, target)
     ]
     return table(["role", "state", "messages/s", "bytes/s", "of a core", "MB"], rows)
 
@@ -87,7 +89,8 @@
 # -- tables ------------------------------------------------------------------------------------------------
 
 
-def measured_on(slopes: Slopes) -> str:
+def runs_table(slopes: Slopes) -> str:
+    """Return the table of measurements, with the machine on which they ran."""
     rows = [
         [
             each.name,
@@ -104,16 +107,20 @@
     return where + table(head, rows)
 
 
-def of_target(target: Target) -> str:
+def target_table(target: Target) -> str:
+    """Return the table of the target's numbers."""
     rows = [
         ["nodes", figure(target.nodes)],
         ["callers, in services", f"{figure(target.callers)}, {figure(target.services)}"],
-        ["requests a second, all; a node", f"{figure(target.requests_per_s)}; {figure(target.rate_a_node)}"],
+        [
+            "requests a second, all; a node",
+            f"{figure(target.requests_per_s)}; {figure(target.rate_per_node)}",
+        ],
         ["routes, tenants", f"{figure(target.routes)}, {figure(target.tenants)}"],
         ["regions, zones; nodes of a zone", f"{target.regions}, {target.zones}; {target.zone_nodes}"],
         [
             "changes a day, a second, in force within",
-            f"{figure(target.changes_per_day)}, {figure(target.changes_a_second)}, {target.in_force_s:g} s",
+            f"{figure(target.changes_per_day)}, {figure(target.changes_per_second)}, {target.in_force_s:g} s",
         ],
         [
             "a node's control: core, memory, bytes",
@@ -139,11 +146,13 @@
     return table(["what", "at the target"], rows)
 
 
-def valued(row: Row) -> str:
+def format_value(row: Row) -> str:
+    """Return the value of a row with its unit."""
     return figure(row.value) if row.value is None else f"{figure(row.value)} {row.unit}"
 
 
-def roles(plan: Plan) -> str:
+def roles_table(plan: Plan) -> str:
+    """Return the table of all figures with their budgets."""
     rows = []
     for each in plan.rows:
         budget = "none given" if each.budget is None else f"{figure(each.budget)} ({each.held_to})"
@@ -155,9 +164,9 @@
                 each.role,
                 each.figure,
                 size,
-                valued(each),
+                format_value(each),
                 budget,
-                HOLDS[each.holds],
+                HOLDS_TEXT[each.holds],
                 breaks,
                 name,
                 each.carried,
@@ -177,7 +186,8 @@
     return table(head, rows)
 
 
-def lines(slopes: Slopes) -> str:
+def slopes_table(slopes: Slopes) -> str:
+    """Return the table of the measured lines and their fits."""
     rows = []
     for each in slopes.lines:
         fit = each.fit()
@@ -186,7 +196,7 @@
         rows.append(
             [
                 name,
-                f"{figure(each.points[0].size)} to {figure(each.largest())} {each.size}",
+                f"{figure(each.points[0].size)} to {figure(each.largest_size())} {each.size}",
                 f"{figure(each.points[0].value)} to {figure(each.points[-1].value)} {each.unit}",
                 f"{figure(fit.base)} + {figure(fit.slope)} n",
                 "-" if fit.exponent is None else f"{fit.exponent:.2f}",
@@ -208,7 +218,8 @@
     return table(head, rows)
 
 
-def extrapolated(plan: Plan) -> str:
+def extrapolation_table(plan: Plan) -> str:
+    """Return the table of figures beyond the measured sizes."""
     rows = [
         [
             each.role,
@@ -224,24 +235,34 @@
     return table(["role", "figure", "target's size", "largest measured", "times", "how"], rows)
 
 
-def bounds(plan: Plan) -> str:
+def bounds_table(plan: Plan) -> str:
+    """Return the table of bounds."""
     rows = [
-        [each.role, each.what, f"`{each.name}`", figure(each.bound), figure(each.size), HOLDS[each.holds]]
+        [
+            each.role,
+            each.what,
+            f"`{each.name}`",
+            figure(each.bound),
+            figure(each.size),
+            HOLDS_TEXT[each.holds],
+        ]
         for each in plan.limits
     ]
     return table(["role", "what", "bound", "is", "at the target", "holds"], rows)
 
 
-def control(plan: Plan) -> str:
+def control_table(plan: Plan) -> str:
+    """Return the table of what one node spends on control."""
     rows = []
     for each in plan.control:
-        holds = HOLDS[None if each.value is None else each.value <= each.budget]
+        holds = HOLDS_TEXT[None if each.value is None else each.value <= each.budget]
         value = figure(None) if each.value is None else f"{figure(each.value)} {each.unit}"
         rows.append([each.kind, "; ".join(each.parts), value, figure(each.budget), holds])
     return table(["of a node", "parts", "together", "budget", "holds"], rows)
 
 
-def order(plan: Plan) -> str:
+def failures_table(plan: Plan) -> str:
+    """Return the table of what exceeds its budget or bound, in order."""
     rows = [
         [
             str(at),
@@ -258,7 +279,8 @@
     return table(head, rows)
 
 
-def events(plan: Plan) -> str:
+def events_table(plan: Plan) -> str:
+    """Return the table of events and their figures."""
     rows = []
     for each in plan.events:
         for at, one in enumerate(each.figures):
@@ -268,7 +290,8 @@
     return table(["event", "nodes", "figure", "value", "from"], rows)
 
 
-def machines(plan: Plan, target: Target) -> str:
+def machines_table(plan: Plan, target: Target) -> str:
+    """Return the table of processes on the machines of each region."""
     rows = []
     for region in range(target.regions):
         here = [each for each in plan.dealt.machines if each.region == region]
@@ -277,7 +300,7 @@
             str(sum(kind == what for each in here for kind, _ in each.runs))
             for what in (VOTER, PUBLISHER, REGION, ZONE)
         ]
-        spares = str(sum(each.spare() for each in here))
+        spares = str(sum(each.is_spare() for each in here))
         most = str(max((len(each.runs) for each in here), default=0))
         rows.append([f"r{region}", str(zones), str(len(here)), *kinds, spares, most])
     totals = [str(sum(int(each[at]) for each in rows)) for at in range(1, 8)]
@@ -286,15 +309,17 @@
     return table([*head, "spares", "processes on one, at most"], rows)
 
 
-def losses(plan: Plan) -> str:
-    def row(name: str, left: Left) -> list[str]:
+def losses_table(plan: Plan) -> str:
+    """Return the table of what remains after losses."""
+
+    def row(name: str, coverage: Coverage) -> list[str]:
         return [
             name,
-            str(left.voters),
-            HOLDS[left.majority],
-            str(left.uncovered),
-            str(left.regions_uncovered),
-            str(left.subscribers),
+            str(coverage.voters),
+            HOLDS_TEXT[coverage.majority],
+            str(coverage.uncovered),
+            str(coverage.regions_uncovered),
+            str(coverage.subscribers),
         ]
 
     rows = [
--- a/lichencleat/cli/capacity.py
+++ b/lichencleat/cli/capacity.py
@@ -30,7 +30,7 @@
         known, wanted = read_slopes(slopes), read_target(target)
     except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
-    made = plan.made(known, wanted)
+    made = plan.make_plan(known, wanted)
     if as_json:
         click.echo(msgspec.json.encode(made).decode())
     elif markdown:
@@ -44,9 +44,9 @@
 
 def put(into: Path, tables: dict[str, str]) -> None:
     try:
-        text = page.put_into(into.read_text(encoding="utf-8"), tables)
+        text = page.insert_tables(into.read_text(encoding="utf-8"), tables)
         into.write_text(text, encoding="utf-8")
-    except (OSError, UnicodeDecodeError, page.WrongPageError) as wrong:
+    except (OSError, UnicodeDecodeError, page.InvalidPageError) as wrong:
         raise output.WrongInput(f"{into}: {wrong}") from wrong
 
 
--- a/tests/capacity/test_benchmarks.py
+++ b/tests/capacity/test_benchmarks.py
@@ -1,4 +1,4 @@
-"""The measurements go through at small sizes and give a file of the right form; their figures say nothing."""
+"""The capacity benchmarks run at small sizes and write a valid file; the values themselves mean nothing."""
 
 import random
 import sys
@@ -25,7 +25,7 @@
     return decode(into.read_bytes())
 
 
-def test_every_line_has_four_sizes_and_its_run(tmp_path):
+def test_every_line_has_at_least_four_sizes_and_a_run(tmp_path):
     found = measured(tmp_path, *IN_PROCESS)
     assert found.quick and [each.name for each in found.runs] == IN_PROCESS
     for each in found.lines:
@@ -40,7 +40,7 @@
     assert [each.size for each in found.lines[0].points] == [10, 20, 30, 40]
 
 
-def test_another_run_leaves_what_the_file_has(tmp_path):
+def test_a_second_run_keeps_the_other_lines_of_the_file(tmp_path):
     first = measured(tmp_path, "owners", "group changes")
     second = measured(tmp_path, "owners")
     assert [each.name for each in second.runs] == [each.name for each in first.runs]
@@ -48,25 +48,25 @@
     assert list(ROLES).index("group changes") < list(ROLES).index("owners")
 
 
-def test_counted_figures_are_the_same_each_time():
+def test_counted_values_are_deterministic():
     one, other = (group.changes(Effort(quick=True)) for _ in range(2))
     assert one == other
     sizes = [each.value for each in one[0].points]
-    assert sizes == sorted(sizes) and sizes[0] > 8 * 40  # each member's name and address is in each entry
+    assert sizes == sorted(sizes) and sizes[0] > 8 * 40  # each entry has the name and address of each member
 
 
-def test_a_group_in_one_process_commits_what_it_is_told():
+def test_a_group_in_one_process_commits_all_writes():
     made = group.Together(learners=4, seed=1)
     for number in range(10):
         made.write(number)
-    for _ in range(9):  # a learner hears at each eighth beat what is committed
+    for _ in range(9):  # a learner learns the commit index at every eighth heartbeat
         made.beat()
     applied = {each.applied for each in made.states.values()}
     assert len(applied) == 1 and applied.pop() >= 10
     assert made.timed[True].calls and made.timed[False].calls
 
 
-def test_renewals_are_taken_by_the_pool():
+def test_the_pool_accepts_renewals():
     _, pools = state.dealt(16, random.Random(1))
     before = pools.pools[state.POOL].node_quotas["node-00003"].request_number
     seat = pools.pools[state.POOL].node_quotas["node-00003"]
@@ -84,7 +84,7 @@
     assert seat.request_number == before + 1
 
 
-def test_values_come_in_the_order_of_their_sizes():
+def test_points_are_ordered_by_size():
     lines = Lines("run")
     lines.kind("a", "things", "ms")
     for size, value in ((20, 2.0), (10, 1.0), (20, 4.0)):
@@ -93,7 +93,7 @@
     assert [(each.size, each.values) for each in made.points] == [(10, [1.0]), (20, [2.0, 4.0])]
 
 
-def test_another_machines_file_is_left_alone(tmp_path):
+def test_a_file_of_another_machine_or_effort_is_not_overwritten(tmp_path):
     into = tmp_path / "slopes.json"
     measured(tmp_path, "owners")
     into.write_bytes(into.read_bytes().replace(b'"quick": true', b'"quick": false'))
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -1,4 +1,6 @@
-"""docs/CAPACITY.md says what the committed slopes say, to the letter; the command, and its mistakes."""
+"""The tables of docs/CAPACITY.md equal those made from the committed slopes; the capacity command and its
+errors.
+"""
 
 import json
 from pathlib import Path
@@ -7,7 +9,7 @@
 from test_slopes import line, slopes
 
 from lichencleat.capacity import page
-from lichencleat.capacity.plan import made
+from lichencleat.capacity.plan import make_plan
 from lichencleat.capacity.target import read_slopes, read_target
 from lichencleat.cli.main import run
 
@@ -19,32 +21,32 @@
 
 def tables():
     slopes, target = read_slopes(str(SLOPES)), read_target(str(TARGET))
-    return page.tables(made(slopes, target), slopes, target)
+    return page.tables(make_plan(slopes, target), slopes, target)
 
 
-def test_the_page_stands_on_the_committed_slopes():
+def test_the_page_matches_the_committed_slopes():
     text = PAGE.read_text(encoding="utf-8")
-    assert page.put_into(text, tables()) == text
+    assert page.insert_tables(text, tables()) == text
 
 
-def test_the_committed_slopes_are_of_a_whole_run():
+def test_the_committed_slopes_are_not_from_a_quick_run():
     assert not read_slopes(str(SLOPES)).quick
 
 
-def test_another_figure_on_the_page_is_found():
+def test_a_changed_figure_on_the_page_is_detected():
     text = PAGE.read_text(encoding="utf-8")
     row = next(each for each in text.splitlines() if each.startswith("| voter | facts: routes and tenants"))
     spoilt = text.replace(row, row.replace("65,536", "65,537"))
     assert spoilt != text
-    assert page.put_into(spoilt, tables()) == text
+    assert page.insert_tables(spoilt, tables()) == text
 
 
-def test_a_table_without_its_marker_and_a_marker_without_its_table():
+def test_a_table_without_marker_or_a_marker_without_table_is_an_error():
     text = PAGE.read_text(encoding="utf-8")
-    with pytest.raises(page.WrongPageError, match="no marker for order"):
-        page.put_into(text.replace("<!-- capacity: order -->", ""), tables())
-    with pytest.raises(page.WrongPageError, match="no table 'ordre'"):
-        page.put_into(text.replace("<!-- capacity: order -->", "<!-- capacity: ordre -->"), tables())
+    with pytest.raises(page.InvalidPageError, match="no marker for order"):
+        page.insert_tables(text.replace("<!-- capacity: order -->", ""), tables())
+    with pytest.raises(page.InvalidPageError, match="no table 'ordre'"):
+        page.insert_tables(text.replace("<!-- capacity: order -->", "<!-- capacity: ordre -->"), tables())
 
 
 @pytest.mark.parametrize(
@@ -58,7 +60,7 @@
         (4_096.4, "4,100"),
     ],
 )
-def test_figures_on_the_page(value, said):
+def test_figures_are_formatted(value, said):
     assert page.figure(value) == said
 
 
@@ -83,7 +85,7 @@
     assert told["failing"] == sorted(told["failing"], key=lambda each: each["share"])
 
 
-def test_another_fleet_can_be_planned(tmp_path, capsys):
+def test_a_smaller_fleet_has_fewer_failures(tmp_path, capsys):
     small = tmp_path / "small.yaml"
     text = TARGET.read_text().replace("nodes: 3300", "nodes: 100").replace("callers: 130000", "callers: 500")
     text = text.replace("requests_per_s: 2200000", "requests_per_s: 66000")
@@ -105,7 +107,7 @@
         ("rack: 40", "rack: 0", "rack"),
     ],
 )
-def test_a_mistake_in_the_target_is_told_with_its_line(tmp_path, capsys, old, new, said):
+def test_an_invalid_target_is_reported_with_its_line(tmp_path, capsys, old, new, said):
     wrong = tmp_path / "wrong.yaml"
     text = TARGET.read_text()
     assert old in text
@@ -114,7 +116,7 @@
     assert said in capsys.readouterr().err
 
 
-def test_a_mistake_in_the_slopes_is_told(tmp_path, capsys):
+def test_invalid_slopes_are_reported(tmp_path, capsys):
     wrong = tmp_path / "slopes.json"
     assert run(["capacity", "plan", "--slopes", str(wrong), "--target", str(TARGET)]) == 2
     assert "No such file" in capsys.readouterr().err
@@ -123,7 +125,7 @@
     assert "no file of slopes" in capsys.readouterr().err
 
 
-def test_tables_are_put_into_a_page(tmp_path):
+def test_the_command_inserts_tables_into_a_page(tmp_path):
     copy = tmp_path / "page.md"
     text = PAGE.read_text(encoding="utf-8")
     copy.write_text(text.replace("**no**", "yes"), encoding="utf-8")
@@ -132,8 +134,8 @@
     assert copy.read_text(encoding="utf-8") == text
 
 
-def test_a_line_that_was_not_measured_is_said_so():
+def test_lines_that_were_not_measured_are_shown_as_such():
     target = read_target(str(TARGET))
     some = slopes(line((1, 1), (2, 2)))
-    shown = page.tables(made(some, target), some, target)
-    assert shown["roles"].count("not measured") == len(made(some, target).rows)
+    shown = page.tables(make_plan(some, target), some, target)
+    assert shown["roles"].count("not measured") == len(make_plan(some, target).rows)
