--- a/lichencleat/capacity/machines.py
+++ b/lichencleat/capacity/machines.py
@@ -157,9 +157,8 @@
     relays = [sum((ZONE, zone) in each.runs for each in stand) for zone in range(target.zones)]
     up = [sum((REGION, region) in each.runs for each in stand) for region in range(target.regions)]
     there = [zone for zone in range(target.zones) if zone != lost]
-    below = [
-        0
-    ] * target.regions  # subscribers of each region's relays: zone relays, and nodes of zones without one
+    # subscribers of each region's relays: zone relays, and nodes of zones without one
+    below = [0] * target.regions
     most = 0
     for zone in there:
         below[region_of(target, zone)] += relays[zone] or target.zone_nodes
--- a/lichencleat/capacity/slopes.py
+++ b/lichencleat/capacity/slopes.py
@@ -19,9 +19,8 @@
 MAX_LINES = 256  # lines of a file; usual files have about fifty
 MAX_POINTS = 64  # points of a line
 MAX_RUNS = 64  # runs of a point
-MAX_DEVIATION = (
-    0.2  # a larger deviation from the prediction, as a fraction of the larger value, is not straight
-)
+# a point ends the straight part if it is further from its prediction than this fraction of the larger value
+MAX_DEVIATION = 0.2
 MIN_POINTS = 2  # points needed to fit a line
 # if points fit no line and the last stretch is steeper than the slope before it by this factor, they bend
 # upwards
--- a/lichencleat/flows/exporter.py
+++ b/lichencleat/flows/exporter.py
@@ -35,17 +35,25 @@
 class Timers(Protocol):
     """The timers of node/deadlines.py."""
 
-    def after(self, span: int, call: Callable[..., None], *args: Any) -> Any: ...
+    def after(self, span: int, call: Callable[..., None], *args: Any) -> Any:
+        """Call `call` in `span` µs. Return a timer for `cancel`."""
+        ...
 
-    def cancel(self, timer: Any) -> None: ...
+    def cancel(self, timer: Any) -> None:
+        """Cancel a timer; None is ignored."""
+        ...
 
 
 class Report(Protocol):
     """Counters and log of the node."""
 
-    def count(self, peer: str, what: str, amount: int = 1) -> None: ...
+    def count(self, peer: str, what: str, amount: int = 1) -> None:
+        """Add to the counter `what` of a peer or subsystem."""
+        ...
 
-    def note(self, text: str) -> None: ...
+    def note(self, text: str) -> None:
+        """Write a line to the log."""
+        ...
 
 
 class Udp(DatagramProtocol):
--- a/lichencleat/flows/netflow9.py
+++ b/lichencleat/flows/netflow9.py
@@ -78,9 +78,8 @@
             (OPTION_TEMPLATES if each.scopes else TEMPLATES, encode_template(each)) for each in templates
         ]
         pieces += [(template.number, encode_record(template, values)) for template, values in rows]
-        groups: list[
-            list[tuple[int, bytearray, int]]
-        ] = []  # packets, each a list of sets: id, encoded records, their number
+        # packets, each a list of sets: id, encoded records, number of records
+        groups: list[list[tuple[int, bytearray, int]]] = []
         size = 0
         for number, data in pieces:
             if HEADER.size + SET_HEADER.size + len(data) + -len(data) % SET_ALIGNMENT > self.max_bytes:
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -36,9 +36,9 @@
 def test_a_changed_figure_on_the_page_is_detected():
     text = PAGE.read_text(encoding="utf-8")
     row = next(each for each in text.splitlines() if each.startswith("| voter | facts: routes and tenants"))
-    spoilt = text.replace(row, row.replace("65,536", "65,537"))
-    assert spoilt != text
-    assert page.insert_tables(spoilt, tables()) == text
+    changed = text.replace(row, row.replace("65,536", "65,537"))
+    assert changed != text
+    assert page.insert_tables(changed, tables()) == text
 
 
 def test_a_table_without_marker_or_a_marker_without_table_is_an_error():
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize(
-    "value, said",
+    "value, expected",
     [
         (None, "not measured"),
         (0.0, "0"),
@@ -60,8 +60,8 @@
         (4_096.4, "4,100"),
     ],
 )
-def test_figures_are_formatted(value, said):
-    assert page.figure(value) == said
+def test_figures_are_formatted(value, expected):
+    assert page.figure(value) == expected
 
 
 # -- the command -------------------------------------------------------------------------------------------
@@ -73,8 +73,8 @@
     shown = capsys.readouterr().out
     assert "What does not hold" in shown and "quorum.facts.FACTS_MOST" in shown
     assert run([*arguments, "--json"]) == 0
-    told = json.loads(capsys.readouterr().out)
-    assert {each["role"] for each in told["rows"]} >= {
+    plan = json.loads(capsys.readouterr().out)
+    assert {each["role"] for each in plan["rows"]} >= {
         "node",
         "member",
         "voter",
@@ -82,7 +82,7 @@
         "dealer",
         "planner",
     }
-    assert told["failing"] == sorted(told["failing"], key=lambda each: each["share"])
+    assert plan["failing"] == sorted(plan["failing"], key=lambda each: each["share"])
 
 
 def test_a_smaller_fleet_has_fewer_failures(tmp_path, capsys):
@@ -99,7 +99,7 @@
 
 
 @pytest.mark.parametrize(
-    "old, new, said",
+    "old, new, message",
     [
         ("nodes: 3300", "nodes: many", "line 2: nodes"),
         ("zones: 17", "zones: 5", "line 10: zones: 5 in 6 regions"),
@@ -107,13 +107,13 @@
         ("rack: 40", "rack: 0", "rack"),
     ],
 )
-def test_an_invalid_target_is_reported_with_its_line(tmp_path, capsys, old, new, said):
+def test_an_invalid_target_is_reported_with_its_line(tmp_path, capsys, old, new, message):
     wrong = tmp_path / "wrong.yaml"
     text = TARGET.read_text()
     assert old in text
     wrong.write_text(text.replace(old, new))
     assert run(["capacity", "plan", "--slopes", str(SLOPES), "--target", str(wrong)]) == 2
-    assert said in capsys.readouterr().err
+    assert message in capsys.readouterr().err
 
 
 def test_invalid_slopes_are_reported(tmp_path, capsys):
--- a/tests/capacity/test_slopes.py
+++ b/tests/capacity/test_slopes.py
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(
-    "wrong, said",
+    "wrong, message",
     [
         (lambda: slopes(line((1, 1))), "1 points"),
         (lambda: slopes(line((2, 1), (1, 2))), "do not grow"),
@@ -104,8 +104,8 @@
         (lambda: msgspec.structs.replace(slopes(), format=FORMAT + 1), "this program reads"),
     ],
 )
-def test_an_invalid_slopes_file_is_rejected(wrong, said):
-    with pytest.raises(InvalidSlopesError, match=said):
+def test_an_invalid_slopes_file_is_rejected(wrong, message):
+    with pytest.raises(InvalidSlopesError, match=message):
         decode(msgspec.json.encode(wrong()))
 
 
--- a/tests/flows/test_export.py
+++ b/tests/flows/test_export.py
@@ -143,16 +143,16 @@
     return make
 
 
-def flow(meter, now, octets=100, tenant="mainz1"):
-    one = meter.open_flow(now, THERE, HERE)
-    meter.set_owner(now, one, tenant, "look", 3)
-    one.add_received(now, octets)
-    one.add_sent(now, 2 * octets)
-    one.counts.honoured += 1
-    meter.end_flow(now, one)
+def add_flow(meter, now, octets=100, tenant="mainz1"):
+    flow = meter.open_flow(now, THERE, HERE)
+    meter.set_owner(now, flow, tenant, "look", 3)
+    flow.add_received(now, octets)
+    flow.add_sent(now, 2 * octets)
+    flow.counts.honoured += 1
+    meter.end_flow(now, flow)
 
 
-def read(messages):
+def decode(messages):
     session, sums = Session(Elements()), Sums()
     for each in messages:
         for record in session.decode_message(each):
@@ -169,16 +169,16 @@
 def test_templates_are_sent_first_and_periodically_over_udp(reactor, clock, meter, exporter_of, wire):
     exporter_of(wire)
     ((port, _),) = reactor.ports
-    flow(meter, clock())
+    add_flow(meter, clock())
     ticks(reactor)
-    sums, counts = read(port.sent)
+    sums, counts = decode(port.sent)
     assert "sets before their template" not in counts
     assert (sums.total.octets, sums.by_tenant["mainz1"].octets) == (300, 300)
     before = len(port.sent)
     reactor.pump([1] * (TEMPLATE_INTERVAL_US // SECOND + 1))
-    flow(meter, clock())
+    add_flow(meter, clock())
     ticks(reactor)
-    sums, counts = read(port.sent[before:])  # what a restarted collector receives
+    sums, counts = decode(port.sent[before:])  # what a restarted collector receives
     assert sums.total.octets == 300 and counts["sets without a template dropped"] == 0
     assert sums.exporters  # statistics were sent, too
 
@@ -192,12 +192,12 @@
     protocol.connectionRefused()
     sent = len(port.sent)
     for _ in range(80):  # 30 more than may be queued
-        flow(meter, clock())
+        add_flow(meter, clock())
     ticks(reactor, 2)
     assert len(port.sent) == sent and not exporter.links[0].is_alive()
     assert len(exporter.links[0].channel.queue.records) == 50
     ticks(reactor, REFUSED_PAUSE_US // TICK_US + 1)
-    sums, _ = read(port.sent[sent:])
+    sums, _ = decode(port.sent[sent:])
     assert sums.total.octets == 80 * 300 and sums.total.honoured == 80
     assert sums.total.folded == 30 and report.counts["flows refusals"] == 1
 
@@ -208,18 +208,18 @@
     exporter = exporter_of(Wire.IPFIX_UDP)
     ((port, protocol),) = reactor.ports
     ticks(reactor)
-    flow(meter, clock())
+    add_flow(meter, clock())
     ticks(reactor)
     before = len(port.sent)
     protocol.connectionRefused()  # refuses the record
     for _ in range(5):
-        flow(meter, clock())
+        add_flow(meter, clock())
         ticks(reactor, REFUSED_PAUSE_US // TICK_US)
         protocol.connectionRefused()  # refuses the templates
-    assert read(port.sent[before:])[0].total.records == 0
+    assert decode(port.sent[before:])[0].total.records == 0
     ticks(reactor, REFUSED_PAUSE_US // TICK_US + 2)
     exporter.flush(SECOND)
-    sums, _ = read(port.sent[before:])
+    sums, _ = decode(port.sent[before:])
     (own,) = sums.exporters.values()
     assert sums.total.octets == 5 * 300
     assert (own["notSentFlowTotalCount"], own["notSentOctetTotalCount"], own["inquiriesNotSent"]) == (
@@ -233,11 +233,11 @@
     exporter = exporter_of(Wire.IPFIX_UDP)
     ((_, protocol),) = reactor.ports
     protocol.stopProtocol()
-    flow(meter, clock())
+    add_flow(meter, clock())
     ticks(reactor, 3)
     assert not exporter.links[0].is_alive() and report.counts["node errors"] == 0
     ticks(reactor, 20)
-    assert len(reactor.ports) == 2 and read(reactor.ports[1][0].sent)[0].total.records == 1
+    assert len(reactor.ports) == 2 and decode(reactor.ports[1][0].sent)[0].total.records == 1
 
 
 def test_connecting_to_an_absent_tcp_collector_is_retried_with_backoff(
@@ -245,7 +245,7 @@
 ):
     exporter = exporter_of(Wire.IPFIX_TCP)
     for _ in range(200):
-        flow(meter, clock())
+        add_flow(meter, clock())
         reactor.connects[-1][2].clientConnectionFailed(reactor, None)
         reactor.advance(1)
     assert 5 < len(reactor.connects) < 25
@@ -253,7 +253,7 @@
     reactor.pump([1] * 31)
     stream = reactor.accept()
     ticks(reactor, 3)
-    sums, counts = read(stream.transport.sent)
+    sums, counts = decode(stream.transport.sent)
     assert sums.total.octets == 200 * 300 and counts["records lost"] == 0
 
 
@@ -262,7 +262,7 @@
     stream = reactor.accept()
     stream.pauseProducing()
     for _ in range(1_000):
-        flow(meter, clock())
+        add_flow(meter, clock())
     ticks(reactor, 10)
     assert stream.transport.sent == [] and not exporter.links[0].is_alive()
     assert len(exporter.links[0].channel.queue.records) == 50
@@ -272,7 +272,7 @@
     reactor.pump([1] * 2)
     again = reactor.accept()
     ticks(reactor, 3)
-    sums, _ = read(again.transport.sent)
+    sums, _ = decode(again.transport.sent)
     assert sums.total.octets == 1_000 * 300 and sums.total.folded == 950
 
 
@@ -291,9 +291,9 @@
     for _ in range(2):
         stream = reactor.accept()
         for _ in range(5):
-            flow(meter, clock())
+            add_flow(meter, clock())
         ticks(reactor, 2)
-        sums, counts = read(stream.transport.sent)
+        sums, counts = decode(stream.transport.sent)
         assert sums.total.records == 5 and counts["records lost"] == 0
         assert "sets before their template" not in counts
         stream.connectionLost()
@@ -303,28 +303,28 @@
 def test_only_the_first_live_collector_gets_records(reactor, clock, meter, exporter_of):
     exporter_of(Wire.IPFIX_TCP, Wire.IPFIX_UDP, to_all=False)
     ((port, _),) = reactor.ports
-    flow(meter, clock())
+    add_flow(meter, clock())
     ticks(reactor)
-    assert read(port.sent)[0].total.records == 1
+    assert decode(port.sent)[0].total.records == 1
     stream = reactor.accept()
-    flow(meter, clock())
+    add_flow(meter, clock())
     ticks(reactor)
-    assert read(stream.transport.sent)[0].total.records == 1
-    assert read(port.sent)[0].total.records == 1
+    assert decode(stream.transport.sent)[0].total.records == 1
+    assert decode(port.sent)[0].total.records == 1
 
 
 def test_all_collectors_get_all_records(reactor, clock, meter, exporter_of):
     exporter_of(Wire.NETFLOW9_UDP, Wire.IPFIX_UDP)
     for _ in range(3):
-        flow(meter, clock())
+        add_flow(meter, clock())
     ticks(reactor)
-    assert [read(port.sent)[0].total.octets for port, _ in reactor.ports] == [900, 900]
+    assert [decode(port.sent)[0].total.octets for port, _ in reactor.ports] == [900, 900]
 
 
 def test_a_flush_keeps_its_budget_with_a_dead_collector(reactor, clock, meter, exporter_of):
     exporter = exporter_of(Wire.IPFIX_TCP, waiting=500)
     for _ in range(300):
-        flow(meter, clock())
+        add_flow(meter, clock())
     over = []
     exporter.flush(SECOND).addCallback(over.append)
     reactor.pump([0.1] * 9)
@@ -343,26 +343,26 @@
     over = []
     exporter.flush(SECOND).addCallback(over.append)
     assert over == [None]
-    sums, _ = read(port.sent)
+    sums, _ = decode(port.sent)
     assert sums.total.octets == 77 and sums.exporters
 
 
 def test_queued_records_are_sent_to_a_new_address(reactor, clock, meter, exporter_of):
     exporter = exporter_of(Wire.IPFIX_TCP)
-    flow(meter, clock())
+    add_flow(meter, clock())
     ticks(reactor)
     exporter.links[0].move(("127.0.0.9", 99))
     assert reactor.connects[-1][:2] == ("127.0.0.9", 99)
     stream = reactor.accept()
     ticks(reactor)
-    assert read(stream.transport.sent)[0].total.records == 1
+    assert decode(stream.transport.sent)[0].total.records == 1
 
 
 def test_a_datagram_that_cannot_be_written_is_only_counted(reactor, clock, meter, exporter_of, report):
     exporter_of(Wire.IPFIX_UDP)
     ((port, _),) = reactor.ports
     port.fails = True
-    flow(meter, clock())
+    add_flow(meter, clock())
     ticks(reactor)
     assert report.counts["flows messages lost"] > 0 and report.counts["node errors"] == 0
 
@@ -375,7 +375,7 @@
         channel.queue.offer(
             Record(number, nowhere, nowhere, 1, 2, "t", "", 0, 1, 2, EndReason.END_OF_FLOW, False, counts)
         )
-    sums, _ = read(channel.next_messages(clock()))
+    sums, _ = decode(channel.next_messages(clock()))
     assert sums.total.records == 2 and channel.unencodable == 1
 
 
@@ -452,11 +452,11 @@
             tcp.shutdown(socket.SHUT_WR)
             assert tcp.recv(1) == b""  # the collector has read everything
         collect.terminate()
-        told = json.loads(collect.communicate()[0])
-    assert {row["tenant"]: row["records"] for row in told["tenants"]} == {"t0": 100, "t1": 100, "t2": 100}
-    assert sum(row["octets"] for row in told["tenants"]) == sum(range(300))
-    assert sum(row["deferred"] for row in told["tenants"]) == 300
-    assert told["counters"]["a version that is neither 9 nor 10"] == 1
+        totals = json.loads(collect.communicate()[0])
+    assert {row["tenant"]: row["records"] for row in totals["tenants"]} == {"t0": 100, "t1": 100, "t2": 100}
+    assert sum(row["octets"] for row in totals["tenants"]) == sum(range(300))
+    assert sum(row["deferred"] for row in totals["tenants"]) == 300
+    assert totals["counters"]["a version that is neither 9 nor 10"] == 1
 
 
 def test_collecting_without_a_port_is_a_usage_error():
--- a/tests/flows/test_meter.py
+++ b/tests/flows/test_meter.py
@@ -119,14 +119,14 @@
 
 
 def test_packets_come_from_the_kernel_or_are_estimated(meter):
-    told, guessed = meter.open_flow(0, THERE, HERE), meter.open_flow(0, THERE, HERE)
-    for flow in (told, guessed):
+    counted, estimated = meter.open_flow(0, THERE, HERE), meter.open_flow(0, THERE, HERE)
+    for flow in (counted, estimated):
         flow.add_received(1, 3 * SEGMENT_OCTETS + 1)
         flow.add_sent(1, 5)
         flow.add_sent(1, 5)
-    meter.add_segments(told, 9, 4)
-    meter.end_flow(2, told)
-    meter.end_flow(2, guessed)
+    meter.add_segments(counted, 9, 4)
+    meter.end_flow(2, counted)
+    meter.end_flow(2, estimated)
     one, two = due(meter, 3)
     assert (one.counts.packets_in, one.counts.packets_out, one.estimated) == (9, 4, False)
     assert (two.counts.packets_in, two.counts.packets_out, two.estimated) == (4, 2, True)
@@ -168,7 +168,7 @@
 def test_records_aggregates_and_open_flows_add_up_to_all_that_was_metered(happened, most, seed):
     meter, queue, rng = Meter(active=20 * SECOND, idle=5 * SECOND), RecordQueue(most), random.Random(seed)
     flows, now, metered, sent = [], 100 * SECOND, Counts(), Counts()
-    by_tenant, told = {}, {}
+    by_tenant, recorded = {}, {}
     for what, which, span in happened:
         now = max(0, now + span)
         flow = flows[which % len(flows)] if flows else None
@@ -197,7 +197,7 @@
             meter.drain(now)
         for record in due(meter, now):
             queue.offer(record)
-            told[record.tenant] = told.get(record.tenant, 0) + record.counts.octets()
+            recorded[record.tenant] = recorded.get(record.tenant, 0) + record.counts.octets()
         if rng.random() < 0.3:
             taken = queue.take(rng.randrange(1, 4))
             if rng.random() < 0.3:
@@ -211,7 +211,7 @@
             together.add(part)
         assert (together.octets_in, together.octets_out) == (metered.octets_in, metered.octets_out)
         assert together.honoured == metered.honoured
-        shown = dict(told)
+        shown = dict(recorded)
         for each in flows:
             shown[each.tenant] = shown.get(each.tenant, 0) + each.counts.octets()
         assert {tenant: octets for tenant, octets in shown.items() if tenant and octets} == by_tenant
--- a/tests/flows/test_node.py
+++ b/tests/flows/test_node.py
@@ -52,7 +52,7 @@
     started.process.communicate()
 
 
-def chosen(tmp_path, *collectors, **more):
+def write_settings(tmp_path, *collectors, **more):
     path = tmp_path / "chosen.yaml"
     flows = {"collectors": [{"address": f"127.0.0.1:{port}", "wire": wire} for port, wire in collectors]}
     path.write_text(json.dumps({"flows": flows | more}))  # JSON is YAML
@@ -89,7 +89,7 @@
         return words
 
 
-def honour(program, caller, ident):
+def serve_request(program, caller, ident):
     caller.send(request(1, b"look", ident, b"x" * 100))
     program.interpreter.next()
     program.interpreter.notice(b"VALUE %s PASS 5" % ident.encode(), b"y" * 300)
@@ -99,12 +99,12 @@
 @pytest.mark.parametrize("wire", ["ipfix-udp", "ipfix-tcp", "netflow9-udp"])
 def test_the_collectors_sums_equal_what_clients_sent_and_received(tmp_path, started, collect, wire):
     port = collect.tcp if wire == "ipfix-tcp" else collect.udp
-    program = started(chosen(tmp_path, (port, wire), flush_s=0.5))
+    program = started(write_settings(tmp_path, (port, wire), flush_s=0.5))
     callers = [Caller(program.ready())]
     callers += [Caller(program.dispatcher()) for _ in range(4)]
     for at, caller in enumerate(callers):
         for n in range(3):
-            honour(program, caller, IDS[at * 10 + n])
+            serve_request(program, caller, IDS[at * 10 + n])
     callers[1].peer.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     callers[1].peer.close()  # resets the connection
     callers[2].send(request(9, b"look", IDS[150], b"never answered"))
@@ -117,9 +117,9 @@
         assert caller.answer() == [b"0", b"goaway"]
         caller.peer.close()
     code, counters, _ = program.end()
-    told = collect.end()
+    totals = collect.end()
     total = {
-        name: sum(row[name] for row in told["tenants"]) for name in told["tenants"][0] if name != "tenant"
+        name: sum(row[name] for row in totals["tenants"]) for name in totals["tenants"][0] if name != "tenant"
     }
     assert code == 0 and counters.get("node errors", 0) == 0
     assert total["octets"] == sum(caller.sent + caller.got for caller in callers)
@@ -131,40 +131,44 @@
         assert total["honoured"] == counters["host honoured"] == 15
         assert total["abandoned"] == counters["host abandoned"] == 1
         assert total["records"] >= 5
-        assert told["exporters"][0]["notSentFlowTotalCount"] == 0
-    assert not {"records lost", "packets lost"} & set(told["counters"])
+        assert totals["exporters"][0]["notSentFlowTotalCount"] == 0
+    assert not {"records lost", "packets lost"} & set(totals["counters"])
 
 
 def test_a_restarted_collector_misses_only_records_reported_as_lost(tmp_path, started, collect):
-    program = started(chosen(tmp_path, (collect.udp, "ipfix-udp"), flush_s=0.5, active_s=0.2, idle_s=0.2))
+    program = started(
+        write_settings(tmp_path, (collect.udp, "ipfix-udp"), flush_s=0.5, active_s=0.2, idle_s=0.2)
+    )
     caller = Caller(program.ready())
     read_until(program, "accepts records")
     for n in range(10):
-        honour(program, caller, IDS[n])
+        serve_request(program, caller, IDS[n])
     first = collect.end()
-    honour(program, caller, IDS[10])
+    serve_request(program, caller, IDS[10])
     read_until(program, "refuses datagrams, nobody listens")
     for n in range(11, 40):
-        honour(program, caller, IDS[n])
+        serve_request(program, caller, IDS[n])
     second = Collect(udp=collect.udp)
     read_until(program, "accepts records")
-    honour(program, caller, IDS[50])
+    serve_request(program, caller, IDS[50])
     program.leave()
     assert caller.answer() == [b"0", b"goaway"]
     caller.peer.close()
     code, counters, _ = program.end()
-    told = [first, second.end()]
-    own = told[1]["exporters"][-1]
-    octets = sum(row["octets"] for each in told for row in each["tenants"]) + own["notSentOctetTotalCount"]
-    honoured = sum(row["honoured"] for each in told for row in each["tenants"])
-    packets = sum(row["packets"] for each in told for row in each["tenants"]) + own["notSentPacketTotalCount"]
+    totals = [first, second.end()]
+    own = totals[1]["exporters"][-1]
+    octets = sum(row["octets"] for each in totals for row in each["tenants"]) + own["notSentOctetTotalCount"]
+    honoured = sum(row["honoured"] for each in totals for row in each["tenants"])
+    packets = (
+        sum(row["packets"] for each in totals for row in each["tenants"]) + own["notSentPacketTotalCount"]
+    )
     assert code == 0 and octets == caller.sent + caller.got
     assert (octets, packets) == (counters["flows octets metered"], counters["flows packets metered"])
     assert honoured + own["inquiriesNotSent"] == counters["host honoured"] == 41
 
 
 def test_connections_to_peers_are_metered_if_the_settings_say_so(tmp_path, started, collect):
-    program = started(chosen(tmp_path, (collect.udp, "ipfix-udp"), links=True, flush_s=0.5))
+    program = started(write_settings(tmp_path, (collect.udp, "ipfix-udp"), links=True, flush_s=0.5))
     caller = Caller(program.ready())
     caller.send(request(1, b"look", IDS[0], b"x" * 100))
     program.interpreter.next()
@@ -178,8 +182,8 @@
     assert caller.answer() == [b"0", b"goaway"]
     caller.peer.close()
     code, counters, _ = program.end()
-    told = collect.end()
-    octets = sum(row["octets"] for row in told["tenants"])
+    totals = collect.end()
+    octets = sum(row["octets"] for row in totals["tenants"])
     assert code == 0 and counters.get("node errors", 0) == 0
     # a call and its reply are each counted on two connections
     assert octets > caller.sent + caller.got + 2 * (1_000 + 2_000)
@@ -190,24 +194,24 @@
 ):
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as nobody:
         nobody.bind(("127.0.0.1", 0))
-        path = chosen(tmp_path, (nobody.getsockname()[1], "ipfix-udp"), flush_s=0.5)
+        path = write_settings(tmp_path, (nobody.getsockname()[1], "ipfix-udp"), flush_s=0.5)
         program = started(path)
         caller = Caller(program.ready())
-        chosen(tmp_path, (collect.udp, "ipfix-udp"), flush_s=0.5)
+        write_settings(tmp_path, (collect.udp, "ipfix-udp"), flush_s=0.5)
         program.process.send_signal(signal.SIGHUP)
         read_until(program, "1 collectors moved")
         with open(path, "a") as file:
             file.write("\nflowz: 1")
         program.process.send_signal(signal.SIGHUP)
         read_until(program, "the one before stays in force")
-        honour(program, caller, IDS[0])
+        serve_request(program, caller, IDS[0])
         program.leave()
         assert caller.answer() == [b"0", b"goaway"]
         caller.peer.close()
         code, counters, _ = program.end()
-        told = collect.end()
+        totals = collect.end()
     assert code == 0 and counters["node configurations refused"] == 1 and counters.get("node errors", 0) == 0
-    assert sum(row["honoured"] for row in told["tenants"]) == 1
+    assert sum(row["honoured"] for row in totals["tenants"]) == 1
 
 
 def read_until(program, words):
@@ -219,10 +223,10 @@
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         port = listener.getsockname()[1]  # the port is bound, but nobody listens
-        program = started(chosen(tmp_path, (port, "ipfix-tcp"), (port, "ipfix-udp"), flush_s=60))
+        program = started(write_settings(tmp_path, (port, "ipfix-tcp"), (port, "ipfix-udp"), flush_s=60))
         caller = Caller(program.ready())
         for n in range(20):
-            honour(program, caller, IDS[n])
+            serve_request(program, caller, IDS[n])
         program.leave()
         assert caller.answer() == [b"0", b"goaway"]
         caller.peer.close()
