--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -70,13 +70,13 @@
         self.flows: Any = None
         if operator_config is not None and operator_config.flows is not None:
             # imported only if it is on, to save memory
-            from lichencleat.flows.assembly import Flows
+            from lichencleat.flows.assembly import FlowExport
 
-            self.flows = Flows(
+            self.flows = FlowExport(
                 reactor, clock, self.deadlines, self.report, settings.seed, operator_config.flows
             )
             if operator_config.flows.links:
-                self.interpreter.wrap = self.catalogue.wrap = self.flows.metered
+                self.interpreter.wrap = self.catalogue.wrap = self.flows.wrap_factory
         self.keyed: Any = None
         self.operator_config = operator_config
         if operator_config is not None and operator_config.keyed is not None:
@@ -161,7 +161,7 @@
         parts = [self.dispatchers, self.engine, self.interpreter, self.catalogue, self.membership]
         descriptions = [each.describe() for each in parts]
         if self.flows is not None:
-            descriptions.append(f"flows: {self.flows.beliefs()}")
+            descriptions.append(f"flows: {self.flows.describe()}")
         if self.fleet is not None:
             descriptions.append(f"fleet: {self.fleet.describe()}")
         if self.keyed is not None:
@@ -268,6 +268,6 @@
         """Write the counters and fire `ended`, once."""
         if not self.ended.called:
             if self.flows is not None:
-                self.flows.tell_totals()
+                self.flows.report_totals()
             self.report.summary()
             self.ended.callback(None)
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -106,7 +106,7 @@
         self.last_traffic = self.listener.deadlines.now()
         self.listener.without_array[self] = None
         if self.listener.flows is not None:
-            self.flow = self.listener.flows.opened(self.transport)
+            self.flow = self.listener.flows.open_flow(self.transport)
         self.array_timer = self.listener.deadlines.after(
             FIRST_ARRAY_TIMEOUT, self.on_array_timeout, "no complete array in time after connecting"
         )
@@ -122,7 +122,7 @@
         self.closing = self.write_closed = True
         self.abandon_all()
         if self.flow is not None:
-            self.listener.flows.ended(self.flow, self.was_aborted)
+            self.listener.flows.end_flow(self.flow, self.was_aborted)
         self.listener.resume_accepting()
 
     def abandon_all(self) -> None:
@@ -197,7 +197,7 @@
     def dataReceived(self, data: bytes) -> None:
         self.last_traffic = self.listener.deadlines.now()
         if self.flow is not None:
-            self.listener.flows.received(self.flow, len(data))
+            self.listener.flows.add_received(self.flow, len(data))
         if self.ignores_input or self.write_closed:
             self.drop_input(len(data))
             return
@@ -272,7 +272,7 @@
         )
         self.pending_requests[tag] = pending
         if self.flow is not None:
-            self.listener.flows.belongs(
+            self.listener.flows.set_owner(
                 self.flow, tenant, pending.request.request_class.name, pending.request.caller
             )
         self.listener.engine.on_request_received(pending)
@@ -341,7 +341,7 @@
         """Write bytes and meter them."""
         self.transport.writeSequence(parts)
         if self.flow is not None:
-            self.listener.flows.sent(self.flow, sum(map(len, parts)), self.transport)
+            self.listener.flows.add_sent(self.flow, sum(map(len, parts)), self.transport)
 
     def close_if_done(self) -> None:
         """Close a connection that is marked for it, once no request is open."""
