--- a/lichencleat/node/__init__.py
+++ b/lichencleat/node/__init__.py
@@ -1,1 +1,1 @@
-"""A node on sockets: drives the admission controller, which makes all decisions."""
+"""The process of one node: its sockets and timers, around the admission controller that decides."""
--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -18,17 +18,21 @@
 from lichencleat.node.report import Report
 from lichencleat.reactor import unix_time
 
-DRAIN_CHECK_PERIOD = 20_000  # µs between checks, while draining, whether all requests are answered
-STATUS_PERIOD = 10_000_000  # µs between status lines; more of them would make the log hard to read
-EXIT_MARGIN = 150_000  # µs before the stop time at which the program ends in any case
-FLUSH_MARGIN = 50_000  # µs before the stop time at which flow records are sent or dropped
-EXIT_CANNOT_START = 2  # exit code
-FINAL_WRITE_DELAY = 50_000  # µs to send the answers on connections that are closed at the end of the time
-GOAWAY_DELAY = 300_000  # µs after goaway for requests that cross it, and for the last answers
+DRAIN_CHECK_PERIOD = 20_000  # µs between checks of a drain for unanswered requests and open connections
+STATUS_PERIOD = 10_000_000  # µs between status lines; more frequent lines would make the log hard to read
+# µs between the moment at which a draining node stops waiting for requests and clients, and its stop time
+EXIT_MARGIN = 150_000
+# µs between the end of the final flush, when unwritten data is given up, and the stop time
+FLUSH_MARGIN = 50_000
+EXIT_CANNOT_START = 2  # exit code of a node that cannot start
+FINAL_WRITE_DELAY = 50_000  # µs to send the last answers on connections that clients have not closed in time
+# µs from the goaway to the closing of connections: time for requests sent before clients read the goaway,
+# and for the last answers
+GOAWAY_DELAY = 300_000
 
 
 class UnixClock:
-    """Unix time in µs that never goes back within the life of the process."""
+    """A clock that returns Unix time in µs and never goes back during the life of the process."""
 
     def __init__(self) -> None:
         self.last = 0
@@ -44,7 +48,7 @@
     def __init__(
         self, reactor: Any, clock: Any, settings: StartSettings, operator_config: Any = None
     ) -> None:
-        """`operator_config`: a config.schema.NodeConfig, if the node has an operators' file."""
+        """Build all parts. `operator_config`: a config.schema.NodeConfig; None without an operators' file."""
         self.reactor, self.clock, self.settings = reactor, clock, settings
         self.report = self.make_report(operator_config)
         self.deadlines = Deadlines(reactor, self.report.log_exception)
@@ -69,7 +73,7 @@
         )
         self.flows: Any = None
         if operator_config is not None and operator_config.flows is not None:
-            # imported only if it is on, to save memory
+            # imported only with a `flows` section, to save memory
             from lichencleat.flows.assembly import FlowExport
 
             self.flows = FlowExport(
@@ -80,14 +84,14 @@
         self.keyed: Any = None
         self.operator_config = operator_config
         if operator_config is not None and operator_config.keyed is not None:
-            # imported only if it is on, to save memory
+            # imported only with a `keyed` section, to save memory
             from lichencleat.idempotency.assembly import create_service
 
             self.keyed = self.engine.keyed = create_service(self, settings.name, operator_config.keyed, clock)
             self.engine.can_record = False
         self.fleet: Any = None
         if operator_config is not None and operator_config.fleet is not None:
-            # imported only if it is on, to save memory
+            # imported only with a `fleet` section, to save memory
             from lichencleat.node.fleet import FleetNode
 
             rng, events = Random(os.urandom(16)), self.report.events()
@@ -96,7 +100,7 @@
             )
         self.distributed: Any = None
         if operator_config is not None and operator_config.distribution is not None:
-            # imported only if it is on, to save memory
+            # imported only with a `distribution` section, to save memory
             from lichencleat.node.tenants import DistributedConfig
 
             rng, distribution_config = Random(os.urandom(16)), operator_config.distribution
@@ -113,20 +117,20 @@
             settings.memory or DEFAULT_MEMORY,
         )
         self.ended: Deferred = Deferred()
-        self.stop_at: int | None = None
+        self.stop_at: int | None = None  # µs of Unix time by which the process ends; None before a drain
         self.code = 0  # exit code of the process
 
     def make_report(self, operator_config: Any) -> Report:
-        """A plain report, or a structured one if the operators' file says so."""
+        """Return a plain-text report, or a structured one if the operators' file has a `log` section."""
         if operator_config is None or operator_config.log is None:
             return Report(self.settings.name, self.clock)
-        # imported only if it is on, to save memory
+        # imported only with a `log` section, to save memory
         from lichencleat.node.structured import StructuredReport
 
         return StructuredReport(self.settings.name, self.clock, operator_config.log.form)
 
     def start(self) -> None:
-        """Listen, connect to the interpreter, and start all other parts."""
+        """Listen for dispatchers, connect to the interpreter, and start all other parts."""
         self.dispatchers.listen(self.reactor, self.settings.listen)
         self.interpreter.start().addCallback(self.engine.on_interpreter_ready)
         self.membership.start(self.reactor, self.settings.listen[0])
@@ -144,19 +148,19 @@
             started.addErrback(self.on_start_failed)
 
     def on_start_failed(self, failure: Any) -> None:
-        """Log the error of the idempotency service and stop; no keyed request was started."""
+        """Log why the idempotency service could not start, and stop; no keyed request was started."""
         self.code = EXIT_CANNOT_START
         self.report.note(f"can't start: {failure.getErrorMessage()}")
         self.dispatchers.stop_listening()
         self.stop_parts()
 
     def on_distribution_failed(self, failure: Any) -> None:
-        """Log an internal error; the node continues with the configuration that it has."""
+        """Log an error of the configuration distribution; the node keeps its current configuration."""
         self.report.count("node", "errors")
         self.report.note(f"error in distribution: {failure.getErrorMessage()}")
 
     def log_status(self) -> None:
-        """Log the node's view of itself and its peers in one line, to compare with what the peers see."""
+        """Log one line with the state of each part, to compare with the logs of the node's peers."""
         self.deadlines.after(STATUS_PERIOD, self.log_status)
         parts = [self.dispatchers, self.engine, self.interpreter, self.catalogue, self.membership]
         descriptions = [each.describe() for each in parts]
@@ -171,7 +175,7 @@
         self.report.note("believes: " + "; ".join(descriptions))
 
     def reload(self, settings: StartSettings, operator_config: Any = None) -> None:
-        """Take over new addresses and the time to stop; log which other changes need a restart."""
+        """Apply changed addresses and the changed stop time; log which other changes need a restart."""
         moved_parts = {
             "interpreter": self.interpreter.set_address(settings.interpreter),
             "catalogue": self.catalogue.set_address(settings.catalogue),
@@ -202,11 +206,11 @@
 
     @staticmethod
     def distribution_of(operator_config: Any) -> Any:
-        """The `distribution` section of the operators' file, or None."""
+        """Return the `distribution` section of the operators' file, or None if there is none."""
         return operator_config.distribution if operator_config is not None else None
 
     def leave(self) -> None:
-        """Start to drain; further calls do nothing."""
+        """Start to drain the node; further calls do nothing."""
         if self.stop_at is None:
             now = self.clock()
             self.stop_at = now + self.settings.stop_after
@@ -219,7 +223,7 @@
             self.deadlines.after(min(self.settings.machine.drain_grace_us, latest), self.check_drained)
 
     def check_drained(self) -> None:
-        """Send goaway once all requests are answered or time is short; no new run starts after the grace."""
+        """Send goaway once all requests are answered, or when the stop time is near; poll until then."""
         if self.engine.unanswered_count() and self.clock() < self.stop_at - EXIT_MARGIN - GOAWAY_DELAY:
             self.deadlines.after(DRAIN_CHECK_PERIOD, self.check_drained)
         else:
@@ -229,7 +233,10 @@
             self.deadlines.after(min(GOAWAY_DELAY, time_left), self.close_connections)
 
     def close_connections(self) -> None:
-        """Stop once all clients have closed their connections, or close those after their answers in time."""
+        """Stop once all clients have closed their connections, or when the stop time is near.
+
+        Connections that are still open then are closed, with `FINAL_WRITE_DELAY` to send their last answers.
+        """
         has_open = self.engine.unanswered_count() or len(self.dispatchers.connections)
         if has_open and self.clock() < self.stop_at - EXIT_MARGIN:
             self.deadlines.after(DRAIN_CHECK_PERIOD, self.close_connections)
@@ -243,7 +250,7 @@
             self.stop_parts()
 
     def stop_parts(self) -> None:
-        """Stop all parts; those with unwritten data flush it within the time to the stop."""
+        """Stop all parts; parts with unwritten data flush this data before the stop time."""
         self.membership.stop()
         self.interpreter.stop()
         self.catalogue.stop()
@@ -256,16 +263,16 @@
             flushed.append(self.flows.flush(time_left))
         if self.keyed is not None:
             flushed.append(self.keyed.close())
-        if self.distributed is not None:  # pending requests needed its configuration until now
+        if self.distributed is not None:  # stopped only now: pending requests needed the list of tenants
             flushed.append(self.distributed.stop())
         if not flushed:
             self.on_flushed()
             return
-        self.deadlines.after(time_left, self.on_flushed)  # stop in time even if the flush does not finish
+        self.deadlines.after(time_left, self.on_flushed)  # stop in time even if a flush does not finish
         DeferredList(flushed, consumeErrors=True).addBoth(self.on_flushed)
 
     def on_flushed(self, _: Any = None) -> None:
-        """Write the counters and fire `ended`, once."""
+        """Write the counters and fire `ended`; further calls do nothing."""
         if not self.ended.called:
             if self.flows is not None:
                 self.flows.report_totals()
--- a/lichencleat/node/catalogue.py
+++ b/lichencleat/node/catalogue.py
@@ -1,7 +1,8 @@
-"""Calls to the dependency through its proxy; each has a Deferred that fires once with its outcome.
+"""Calls to the catalogue, the service on which runs depend, through its proxy.
 
-Each call has a connection to itself, so that a corrupt reply or a broken connection ends one call only. Once
-the number of connections reaches its limit, calls share them.
+The Deferred of a call fires once, with the outcome of the call. Each call has a connection of its own, so
+that a corrupt reply or a broken connection ends one call only. At the limit on the number of connections,
+calls share connections.
 """
 
 from __future__ import annotations
@@ -19,18 +20,21 @@
 from lichencleat.node.lines import LineReader, line, line_with_body
 from lichencleat.node.report import Report
 
-# µs until an idle connection is closed; later the proxy may drop it, and the next call on it would be lost
+# µs until an idle connection is closed; the proxy may drop a connection that is idle for longer, and the next
+# call on that connection would be lost
 IDLE_TIMEOUT = 500_000
-# connections, including busy ones: more concurrent calls than a machine with few cores makes
+# maximum number of connections to the proxy, above the concurrent calls of a machine with few cores
 MAX_LINKS = 48
-# One descriptor in so many is for a link, if that is fewer: clients may use half, and calls need not share.
+# The limit on connections is also at most the process's descriptors divided by this number. Clients may use
+# half of the descriptors, and calls still get a connection each.
 DESCRIPTORS_PER_LINK = 8
-# µs for the rest of a partial reply; the proxy on the same machine sends it in one piece
+# µs for the rest of a partial reply to arrive; the proxy, on the same machine, sends a reply in one piece
 REPLY_TIMEOUT = 500_000
 HEX = frozenset(b"0123456789abcdefABCDEF")
-ID_DIGITS = 16
-CALL_TIMEOUT_MARGIN = 50_000  # µs past a call's own timeout until a silent proxy is abandoned
-CONNECT_TIMEOUT = 2_000_000  # µs to connect to a proxy on the same machine
+ID_DIGITS = 16  # hexadecimal digits of a call's id
+# µs after a call's timeout, which the proxy enforces, until the call is cancelled because the proxy is silent
+CALL_TIMEOUT_MARGIN = 50_000
+CONNECT_TIMEOUT = 2_000_000  # µs; the proxy is on the same machine
 OUTCOMES = {
     b"DATA": Outcome.COMPLETED,
     b"LATER": Outcome.REJECTED,
@@ -41,26 +45,26 @@
 
 
 def max_catalogue_links(descriptors: int) -> int:
-    """The maximum number of connections for calls, out of `descriptors`; further calls share them."""
+    """Return the maximum number of connections to the proxy for a process with so many descriptors."""
     return max(1, min(MAX_LINKS, descriptors // DESCRIPTORS_PER_LINK))
 
 
 class Call:
-    """One call in flight; cancelling `ended` cancels the call."""
+    """A call in flight; cancelling the Deferred `ended` cancels the call."""
 
-    __slots__ = ("ident", "link", "span", "body", "ended", "timer", "written")
+    __slots__ = ("ident", "link", "timeout_us", "body", "ended", "timer", "written")
 
-    def __init__(self, ident: bytes, link: Link, span: int, body: bytes) -> None:
-        self.ident, self.link, self.span, self.body = ident, link, span, body
+    def __init__(self, ident: bytes, link: Link, timeout_us: int, body: bytes) -> None:
+        self.ident, self.link, self.timeout_us, self.body = ident, link, timeout_us, body
         self.ended: Deferred = Deferred(lambda _: link.cancel_call(self, Outcome.INTERRUPTED))
         self.timer: Deadline | None = None
         self.written = False
 
 
 def has_body(words: list[bytes]) -> bool:
-    """Whether the line of a reply is followed by a body; raises BrokenFramingError if it is no reply.
+    """Return whether a body follows the line of a reply. Raises BrokenFramingError if the line is no reply.
 
-    After a line that is no reply, nothing further on that connection can be trusted.
+    After such an error, no further input of the same connection can be parsed.
     """
     if len(words) >= 2 and len(words[0]) == ID_DIGITS and HEX.issuperset(words[0]):
         if words[1] == b"DATA" and len(words) == 3:
@@ -71,7 +75,7 @@
 
 
 class Link(Protocol):
-    """One connection and the calls on it; only `finish` removes a call."""
+    """A connection to the proxy and the calls on it; only `finish` removes a call."""
 
     def __init__(self, catalogue: Catalogue) -> None:
         self.catalogue = catalogue
@@ -89,11 +93,11 @@
         self.close_when_idle()
 
     def add_call(self, call: Call) -> None:
-        """Send a call here, once connected, and start its timeout."""
+        """Send a call on this connection, once it is connected, and start the timeout of the call."""
         self.catalogue.deadlines.cancel(self.idle_timer)
         self.calls[call.ident] = call
         call.timer = self.catalogue.deadlines.after(
-            call.span + CALL_TIMEOUT_MARGIN, self.cancel_call, call, Outcome.TIMED_OUT
+            call.timeout_us + CALL_TIMEOUT_MARGIN, self.cancel_call, call, Outcome.TIMED_OUT
         )
         if self.transport is not None:
             self.write(call)
@@ -101,29 +105,29 @@
     def write(self, call: Call) -> None:
         """Send a call on this connection."""
         call.written = True
-        span_ms = b"%d" % max(1, -(-call.span // 1000))
-        self.transport.writeSequence(line_with_body(b"FETCH", call.ident, span_ms, body=call.body))
+        timeout_ms = b"%d" % max(1, -(-call.timeout_us // 1000))
+        self.transport.writeSequence(line_with_body(b"FETCH", call.ident, timeout_ms, body=call.body))
         self.catalogue.report.count("catalogue", "sent FETCH")
 
     def cancel_call(self, call: Call, outcome: Outcome) -> None:
-        """Cancel a call, because its Deferred was cancelled or its timeout has passed without a reply."""
+        """Cancel a call whose Deferred was cancelled or which timed out; if it was sent, tell the proxy."""
         if self.calls.get(call.ident) is call:
             if call.written and self.transport is not None:
                 self.transport.writeSequence(line(b"QUIT", call.ident))
                 self.catalogue.report.count("catalogue", "sent QUIT")
             if outcome is Outcome.TIMED_OUT:
-                self.catalogue.retire(self)  # no reply in time: no further call is sent here
+                self.catalogue.retire(self)  # the proxy may be stuck: send no further calls here
             self.finish(call, outcome if call.written else Outcome.UNREACHABLE)
 
     def finish(self, call: Call, outcome: Outcome, reply: bytes = b"") -> None:
-        """Remove a call and fire its Deferred."""
+        """Remove a call and fire its Deferred with the outcome and the reply."""
         del self.calls[call.ident]
         self.catalogue.deadlines.cancel(call.timer)
         self.close_when_idle()
         call.ended.callback((outcome, reply))
 
     def close_when_idle(self) -> None:
-        """Without calls, close after the idle timeout, or at once if no further call is sent here."""
+        """Close a connection without calls: after the idle timeout, or at once if it is retired."""
         self.catalogue.deadlines.cancel(self.idle_timer)
         if not self.calls and self.transport is not None:
             if self in self.catalogue.links:
@@ -133,7 +137,7 @@
                 self.close()
 
     def close(self) -> None:
-        """Take no further calls and close."""
+        """Accept no further calls and close the connection."""
         self.catalogue.retire(self)
         if self.transport is not None:
             self.transport.loseConnection()
@@ -153,7 +157,7 @@
             self.catalogue.report.log_exception("a reply to a call")
 
     def abort(self, reason: str) -> None:
-        """Abort the connection; its calls end with the outcome that a lost connection proves."""
+        """Log the reason and abort the connection; calls on it end as if the connection were lost."""
         self.catalogue.report.count("catalogue", "connections given up")
         self.catalogue.report.note(f"catalogue: {reason}; the connection is aborted")
         transport = self.transport
@@ -175,7 +179,7 @@
         self.on_lost()
 
     def on_lost(self) -> None:
-        """End all calls: one that was never sent never ran; whether a sent call ran is unknown."""
+        """End all calls: unsent calls as UNREACHABLE, as they cannot have run; sent calls as INTERRUPTED."""
         self.catalogue.retire(self)
         self.transport = None
         self.catalogue.deadlines.cancel(self.idle_timer)
@@ -185,7 +189,7 @@
 
 
 class ConnectionAttempt(ClientFactory):
-    """One attempt to connect."""
+    """An attempt to connect a link."""
 
     noisy = False
 
@@ -213,14 +217,15 @@
         max_links: int = MAX_LINKS,
     ) -> None:
         self.reactor, self.address, self.max_links = reactor, address, max_links
-        self.wrap: Callable[[Any], Any] = lambda factory: factory  # meters the links if flow export is on
+        self.wrap: Callable[[Any], Any] = lambda factory: factory  # meters the links for flow export
         self.deadlines, self.report = deadlines, report
-        self.links: OrderedDict[Link, None] = OrderedDict()  # links for new calls, the last used at the end
+        self.links: OrderedDict[Link, None] = OrderedDict()  # links that accept calls, last used at the end
 
-    def fetch(self, ident: bytes, span: int, body: bytes, used_links: list[Link]) -> Call:
+    def fetch(self, ident: bytes, timeout_us: int, body: bytes, used_links: list[Link]) -> Call:
         """Send a call, but not on a connection that carried an earlier call of the same request.
 
-        Prevents a late or second reply to the earlier call from being taken for the reply to this one.
+        Calls of one request have the same id. On a shared connection, a late or second reply to the earlier
+        call would be taken for the reply to the new call.
         """
         candidates = [
             each for each in reversed(self.links) if each not in used_links and ident not in each.calls
@@ -235,7 +240,7 @@
                 *self.address, self.wrap(ConnectionAttempt(link)), timeout=None
             )
             link.connect_timer = self.deadlines.after(CONNECT_TIMEOUT, connector.stopConnecting)
-        call = Call(ident, link, span, body)
+        call = Call(ident, link, timeout_us, body)
         link.add_call(call)
         return call
 
@@ -257,10 +262,10 @@
         self.links.pop(link, None)
 
     def describe(self) -> str:
-        """The catalogue's part of the status line."""
+        """Return the catalogue's part of the status line."""
         return f"{sum(len(each.calls) for each in self.links)} calls on {len(self.links)} connections"
 
     def stop(self) -> None:
-        """Close all connections."""
+        """Close all connections that accept calls."""
         for link in list(self.links):
             link.close()
--- a/lichencleat/node/config.py
+++ b/lichencleat/node/config.py
@@ -1,4 +1,4 @@
-"""The settings that the platform gives a node at its start, validated; each error is one line."""
+"""Reads and validates the settings that the platform gives a node at its start; each error is one line."""
 
 from __future__ import annotations
 
@@ -26,16 +26,16 @@
     catalogue: tuple[str, int] | None  # None on the last tier, which makes no calls
     seed: str
     stop_after: int  # µs from the signal to stop until the process must have ended
-    descriptors: int
-    memory: int | None  # limit of the process in bytes; None if the platform gives none
+    descriptors: int  # maximum number of open file descriptors of the process
+    memory: int | None  # memory limit of the process in bytes; None if the platform sets no limit
     machine: NodeSpec
-    gauges: list[str | None]
+    gauges: list[str | None]  # field of ResourceUsage for each gauge of the interpreter, None if unknown
     tenants: frozenset[bytes]  # empty on a site without tenants
-    settings_checksum: int  # to detect changes in `settings`
+    settings_checksum: int  # CRC-32 of the file's `settings` section, to detect changes at a reload
 
 
 def read_start_settings(environment: Mapping[str, str]) -> StartSettings:
-    """Read the file that BALANCER_CONFIG names; raises InvalidInputError."""
+    """Read the file that BALANCER_CONFIG names. Raises InvalidInputError on a missing or invalid setting."""
     path = environment.get("BALANCER_CONFIG")
     if not path:
         raise InvalidInputError("BALANCER_CONFIG is not set")
@@ -67,7 +67,7 @@
 
 
 def read_field(document: dict, key: str, kind: Any) -> Any:
-    """The value of a key, checked for its type and, for numbers, its range."""
+    """Return the value of a key. Raises InvalidInputError if its type, or the range of a number, is wrong."""
     value = document.get(key)
     if (
         not isinstance(value, kind)
@@ -79,7 +79,7 @@
 
 
 def read_address(document: dict, key: str) -> tuple[str, int]:
-    """The host and port under a key."""
+    """Return the host and port under a key. Raises InvalidInputError if the value is not an address."""
     host, _, port = read_field(document, key, str).rpartition(":")
     if not host or not port.isdecimal() or len(port) > 5 or int(port) > MAX_PORT:
         raise InvalidInputError(f"BALANCER_CONFIG: {key!r} is not an address: {document[key]!r:.60}")
@@ -87,7 +87,7 @@
 
 
 def read_tenants(settings: dict) -> frozenset[bytes]:
-    """The names of the tenants; empty on a site without tenants."""
+    """Return the names of the tenants; the set is empty on a site without tenants."""
     try:
         return frozenset(each["name"].encode() for each in settings.get("orgs") or [])
     except (KeyError, TypeError, AttributeError) as error:
@@ -95,7 +95,7 @@
 
 
 def decode_settings(decode: Callable[[dict], Any], settings: dict) -> Any:
-    """Decode the settings; an error names the key that holds them."""
+    """Decode the `settings` section with a function; an error names the section."""
     try:
         return decode(settings)
     except InvalidInputError as error:
@@ -103,8 +103,11 @@
 
 
 def read_node_spec(settings: dict) -> NodeSpec:
-    """Decode the settings of the admission controller."""
-    made = decode_settings(decode_node_spec, settings)
-    if not made.request_classes or any(each.deadline <= 0 for each in made.request_classes):
+    """Decode the admission controller's settings.
+
+    Raises InvalidInputError if there are no request classes, or if a request class has no deadline.
+    """
+    node_spec = decode_settings(decode_node_spec, settings)
+    if not node_spec.request_classes or any(each.deadline <= 0 for each in node_spec.request_classes):
         raise InvalidInputError("BALANCER_CONFIG: 'settings': no request classes, or one without a deadline")
-    return made
+    return node_spec
--- a/lichencleat/node/deadlines.py
+++ b/lichencleat/node/deadlines.py
@@ -1,4 +1,4 @@
-"""All timers of the program: one heap, driven by a single callLater of the reactor."""
+"""The timers of the program, in one heap that a single callLater of the reactor drives."""
 
 from __future__ import annotations
 
@@ -6,12 +6,13 @@
 from collections.abc import Callable
 from typing import Any
 
-MAX_LATENESS = 20_000  # µs; a later timer means that the process was paused, and pending input is read first
-MAX_CANCELLED = 64  # cancelled timers in the heap before it is rebuilt; these are cancelled in a few seconds
+# µs: if a timer fires later than this, the process was paused, and pending input is read before timers fire
+MAX_LATENESS = 20_000
+MAX_CANCELLED = 64  # cancelled timers in the heap before it is rebuilt, as many as a few seconds bring
 
 
 class Deadline:
-    """One timer; `call` is None once it has fired or was cancelled."""
+    """A timer; `call` is None once the timer has fired or was cancelled."""
 
     __slots__ = ("call", "values")
 
@@ -31,19 +32,22 @@
         self.has_yielded = False
 
     def now(self) -> int:
-        """µs of the monotonic clock."""
+        """Return the time of the reactor's monotonic clock in µs."""
         return int(self.reactor.seconds() * 1_000_000)
 
-    def after(self, span: int, call: Callable, *values: Any) -> Deadline:
-        """Call `call` in `span` µs; 0 means after the reactor has read the input that is there now."""
+    def after(self, delay_us: int, call: Callable, *values: Any) -> Deadline:
+        """Call a function after a delay in µs and return the timer.
+
+        With a delay of 0, the reactor first reads the input that has already arrived.
+        """
         deadline = Deadline(call, values)
         self.serial += 1
-        heapq.heappush(self.heap, (self.now() + max(0, span), self.serial, deadline))
+        heapq.heappush(self.heap, (self.now() + max(0, delay_us), self.serial, deadline))
         self.schedule()
         return deadline
 
     def cancel(self, deadline: Deadline | None) -> None:
-        """Cancel a timer; does nothing for None and for a timer that has fired."""
+        """Cancel a timer; do nothing for None or for a timer that has fired."""
         if deadline is None or deadline.call is None:
             return
         deadline.call = None
@@ -68,8 +72,8 @@
     def fire(self) -> None:
         """Fire the timers that are due.
 
-        After a pause of the process, the reactor first reads once, so that input which arrived in time is not
-        treated as late.
+        After a pause of the process, the reactor first reads its sockets once, so that input which arrived in
+        time is handled before a timeout fires.
         """
         self.scheduled_call, now = None, self.now()
         if self.heap and now - self.heap[0][0] > MAX_LATENESS and not self.has_yielded:
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -1,4 +1,4 @@
-"""The listener for dispatchers: reads requests, writes answers, answers health checks, closes connections."""
+"""The listener for dispatchers, the clients of a node: requests, answers, health checks, connections."""
 
 from __future__ import annotations
 
@@ -21,56 +21,59 @@
 from lichencleat.node.resp import ArrayReader, array
 from lichencleat.node.slots import Slots
 
-# bytes per read: a flood on one connection then delays the others by a few ms at most
+# bytes read from a connection at a time, so that a flood on one connection delays the others by a few ms only
 MAX_READ = 16_384
-MAX_OPEN_REQUESTS = 32  # per connection, by the protocol
-# unusable arrays per connection; more are no accident, and each costs as much as a usable one
+MAX_OPEN_REQUESTS = 32  # requests without an answer on one connection; a limit of the protocol
+# unusable arrays after which a connection is closed, as each costs as much CPU time as a usable array
 MAX_BAD_ARRAYS = 4
-MAX_TAG_DIGITS = 18  # enough for any number of arrays on one connection
-# µs from connecting to the first whole array: half of the time that the protocol allows a silent client
+MAX_TAG_DIGITS = 18  # decimal digits of a tag, enough for any number of arrays on one connection
+# µs from connecting until the first array is complete: half of what the protocol allows a silent client
 FIRST_ARRAY_TIMEOUT = 1_500_000
-ARRAY_TIMEOUT = 1_000_000  # µs for the rest of a partial array; clients write an array in one piece
-BACKLOG = 1_024  # connections waiting to be accepted: after a restart all clients connect at once
-# descriptors for the process, the reactor, the listener and the links, which use 10; the others are for
-# further links or files
+ARRAY_TIMEOUT = 1_000_000  # µs for the rest of a partial array to arrive; clients write an array in one piece
+BACKLOG = 1_024  # connections that may wait to be accepted; after a restart all clients connect at once
+# descriptors that are not for clients' connections: the process, the reactor, the listener and the links to
+# other services use 10, and the rest is for further links or files
 RESERVED_DESCRIPTORS = 16
-# One in so many connections is kept free for connections that are closing, so that none has to be aborted.
+# The maximum number of connections divided by this number is kept free for connections that are closing, so
+# that none of these has to be aborted.
 CONNECTIONS_PER_SPARE = 8
-GOAWAY_FILL_SHARE = 0.75  # share of the connections in use from which idle ones get a goaway
-GOAWAY_MIN_IDLE = 1_000_000  # µs without traffic before that goaway; most clients send again sooner
-# µs without traffic before a connection is closed to free its descriptor; a client resends a request that
-# crosses the close
+GOAWAY_FILL_SHARE = 0.75  # from this fraction of the maximum number of connections on, idle ones get a goaway
+# µs without traffic after which a connection may get a goaway to free its descriptor; most clients send again
+# sooner
+GOAWAY_MIN_IDLE = 1_000_000
+# µs without traffic after which a connection may be closed to free its descriptor; a client whose request
+# crosses the close sends the request again
 EVICTION_MIN_IDLE = 60_000
-# µs between evictions while no connection is accepted: a third of EVICTION_MIN_IDLE
+# µs between evictions while accepting is paused: a third of EVICTION_MIN_IDLE
 EVICTION_PERIOD = 20_000
-# µs from our half-close to the client's; by then it has read all answers, or is gone
+# µs from the half-close of this side until the client closes its side; a client that takes longer is gone
 LINGER_TIMEOUT = 1_000_000
-# bytes read and dropped on a closing connection: more than 32 requests with their bodies
+# bytes that are read and dropped on a closing connection: more than 32 requests with their bodies
 MAX_DROPPED = 262_144
-MAX_RESULT = 4_096  # bytes, by the protocol
-# bytes of memory to assume without a limit in the settings: three times what an idle node uses
+MAX_RESULT = 4_096  # bytes of the result in an answer; a limit of the protocol
+# bytes that the process may use if the settings have no limit: three times what an idle node uses
 DEFAULT_MEMORY = 64 << 20
-# share of the memory for answers that clients leave unread; an idle node uses a third of the memory
+# fraction of the process's memory for answers that clients leave unread; an idle node uses a third
 UNREAD_MEMORY_SHARE = 1 / 8
-UNREAD_TIMEOUT = 10_000_000  # µs that a client may leave answers unread: longer than any request waits
-# µs from goaway to the close of an unused connection; requests that crossed the goaway have arrived by then
+UNREAD_TIMEOUT = 10_000_000  # µs for which a client may leave answers unread: longer than any request waits
+# µs from the goaway until an unused connection is closed; requests that were sent before the client read the
+# goaway have arrived by then
 GOAWAY_CLOSE_DELAY = 300_000
+# status code of each kind of answer
 STATUS_CODES = {Answer.SERVED: b"200", Answer.REJECTED: b"503", Answer.FAILED: b"500"}
 
 
 @implementer(IHalfCloseableProtocol)
 class Connection(Protocol):
-    """A client's connection, with its open requests by tag.
-
-    `answer` removes one open request, `abandon_all` removes all of them.
+    """A client's connection and its open requests by tag, which are not answered or abandoned yet.
 
     A connection closes in four steps:
 
-    1. It is marked (`closing`, `goaway_sent`).
-    2. Once no request is open, the reactor reads once more what has arrived by then.
-    3. If that opened no request, our side is half-closed after all answers (`write_closed`).
-    4. What the client still had in flight is read and dropped until it closes its side too, for
-       `LINGER_TIMEOUT` at most.
+    1. The connection is marked (`closing`, `goaway_sent`).
+    2. Once no request is open, the reactor reads once more the input that has arrived by then.
+    3. If that input opened no request, this side is half-closed after all answers (`write_closed`).
+    4. Input that the client sent before it saw the half-close is read and dropped until the client closes
+       its side too, for `LINGER_TIMEOUT` at most.
 
     Closing with unread bytes would reset the connection, and answers already written would be lost.
     """
@@ -79,22 +82,22 @@
         self.listener = listener
         self.reader = ArrayReader()
         self.pending_requests: dict[int, PendingRequest] = {}
-        self.number = -1
-        self.last_traffic = 0
-        self.checks_only = True
+        self.number = -1  # slot of this connection in the listener; -1 before it is connected
+        self.last_traffic = 0  # µs of the monotonic clock: when bytes were last received or an answer sent
+        self.checks_only = True  # the client has sent no request, at most health checks
         self.bad_arrays = 0
-        # limits the time until the first array, or the rest of a partial one, has arrived
+        # limits the time until the first array, or the rest of a partial array, has arrived
         self.array_timer: Deadline | None = None
-        self.array_timed_out = False  # the array was not whole in time; no new timer is set for it
+        self.array_timed_out = False  # the array was not complete in time; no new timer is set for it
         self.goaway_sent = False
-        self.closing = False  # closes once no request is open
+        self.closing = False  # the connection closes once no request is open
         self.ignores_input = False  # the framing is broken: further input is dropped
-        self.write_closed = False  # our side is half-closed: further input crossed that, and is dropped
-        self.write_closed_at: int | None = None  # when our half-close was sent (µs)
+        self.write_closed = False  # this side is half-closed: further input is dropped
+        self.write_closed_at: int | None = None  # µs of the monotonic clock: when the half-close was sent
         self.dropped_bytes = 0
         self.unread_timer: Deadline | None = None
         self.idle_timer: Deadline | None = None
-        self.flow: Any = None  # the meter of this connection if flow export is on
+        self.flow: Any = None  # flow record of this connection, with flow export
         self.was_aborted = False
 
     def connectionMade(self) -> None:
@@ -126,14 +129,14 @@
         self.listener.resume_accepting()
 
     def abandon_all(self) -> None:
-        """Abandon all open requests, as the connection is lost or half-closed by the client."""
+        """Abandon all open requests, because the connection is lost or the client has half-closed it."""
         pending_requests, self.pending_requests = self.pending_requests, {}
         for pending in pending_requests.values():
             self.listener.report.count("dispatchers", "lost with their connection")
             self.abandon(pending)
 
     def readConnectionLost(self) -> None:
-        """The client closed its side: abandon its requests, and close once all written answers are sent."""
+        """Abandon the requests of a client that closed its side, and close once written answers are sent."""
         if not self.write_closed:
             self.transport.unregisterProducer()
         self.closing = self.write_closed = True
@@ -143,12 +146,12 @@
         self.transport.loseConnection()
 
     def writeConnectionLost(self) -> None:
-        """All answers and our half-close are sent: wait for the client's close."""
+        """Wait for the client to close its side, now that all answers and the half-close are sent."""
         self.write_closed_at = self.listener.deadlines.now()
         self.listener.deadlines.cancel(self.unread_timer)
         self.unread_timer = self.listener.deadlines.after(LINGER_TIMEOUT, self.transport.loseConnection)
 
-    # --- a client that does not read answers -----------------------------------------------------
+    # --- clients that do not read answers --------------------------------------------------------
 
     def pauseProducing(self) -> None:
         """Stop reading from a client that does not read its answers, and abort it after `UNREAD_TIMEOUT`.
@@ -179,14 +182,14 @@
         self.transport.abortConnection()
 
     def abandon(self, pending: PendingRequest) -> None:
-        """Report that the client of a request has cancelled it or is gone."""
+        """Report to the engine that the client has cancelled a request or is gone."""
         if self.flow is not None:
             self.flow.counts.abandoned += 1
             self.add_times(pending.request)
         self.listener.engine.on_caller_gone(pending)
 
     def add_times(self, request: Request) -> None:
-        """Add the request's waiting time and run time to its flow."""
+        """Add the request's waiting time and run time to the connection's flow record."""
         now, counts = self.listener.engine.clock(), self.flow.counts
         started = now if request.started is None else min(request.started, now)
         counts.held += max(0, started - request.arrived)
@@ -221,7 +224,7 @@
             )
 
     def handle_array(self, words: list[bytes]) -> None:
-        """Handle one array; a bad one is answered under its tag, or closes the connection."""
+        """Handle one array; answer an invalid array as failed, or close the connection on an invalid tag."""
         report = self.listener.report
         tag = (
             int(words[1]) if len(words) > 1 and words[1].isdigit() and len(words[1]) <= MAX_TAG_DIGITS else 0
@@ -264,7 +267,7 @@
                 self.send(tag, STATUS_CODES[Answer.FAILED], self.status_fields(), b"")
 
     def handle_request(self, tag: int, words: list[bytes]) -> None:
-        """Pass a request to the engine; raises BadRequestError."""
+        """Pass a request to the engine. Raises BadRequestError if the request is invalid."""
         if len(self.pending_requests) >= MAX_OPEN_REQUESTS:
             raise BadRequestError("too many open requests on the connection")
         pending, tenant = read_request(
@@ -278,7 +281,7 @@
         self.listener.engine.on_request_received(pending)
 
     def stop_reading(self, reason: str) -> None:
-        """Drop all further input, and close once the open requests are answered."""
+        """Drop all further input, and close the connection once the open requests are answered."""
         if self.ignores_input:
             return
         self.listener.report.count("dispatchers", "broken framing")
@@ -287,9 +290,10 @@
         self.close_if_done()
 
     def on_array_timeout(self, reason: str) -> None:
-        """Close a connection whose array is incomplete, so that it does not occupy a descriptor.
+        """Close the connection, whose array was not complete in time, to free its descriptor.
 
-        If it has sent a whole array before, it gets a goaway; should the rest arrive, the array is handled.
+        A connection that has sent a complete array before gets a goaway instead; if the rest of the array
+        arrives after all, the array is handled.
         """
         self.array_timer, self.array_timed_out = None, True
         self.listener.report.count("dispatchers", "arrays too slow")
@@ -300,7 +304,7 @@
             self.send_goaway()
 
     def drop_input(self, size: int) -> None:
-        """Drop input on a closing connection; past `MAX_DROPPED` stop reading, as a flood costs CPU time."""
+        """Drop input of a closing connection; stop reading after `MAX_DROPPED` bytes, to save CPU time."""
         self.listener.report.count("dispatchers", "bytes dropped", size)
         self.dropped_bytes += size
         if self.dropped_bytes > MAX_DROPPED:
@@ -308,8 +312,12 @@
 
     # --- output -----------------------------------------------------------------------------------
 
-    def answer(self, tag: int, answer: Answer, result: bytes, span: int, last: bool) -> None:
-        """Send the answer to an open request; `span` (µs) and `last` tell how to retry a rejected one."""
+    def answer(self, tag: int, answer: Answer, result: bytes, retry_after_us: int, no_retry: bool) -> None:
+        """Send the answer to an open request.
+
+        For a rejected request, `retry_after_us` is the delay before a retry, 0 for none; `no_retry` asks the
+        client not to retry on another node.
+        """
         pending = self.pending_requests.pop(tag, None)
         if pending is None:
             return
@@ -321,14 +329,14 @@
             self.add_times(pending.request)
         fields = self.status_fields()
         if answer is Answer.REJECTED:
-            fields += [b"w=%d" % (span // 1000)] if span else []
-            fields += [b"l=1"] if last else []
+            fields += [b"w=%d" % (retry_after_us // 1000)] if retry_after_us else []
+            fields += [b"l=1"] if no_retry else []
         self.listener.report.count("dispatchers", "sent " + answer.value)
         self.send(tag, STATUS_CODES[answer], fields, result)
         self.close_if_done()
 
     def status_fields(self) -> list[bytes]:
-        """The fields of each answer: the advertised capacity, if there is one."""
+        """Return the fields that each answer carries: the advertised capacity, if there is one."""
         value = self.listener.engine.free_value
         return [] if value is None else [b"v=%.4f" % value]
 
@@ -338,22 +346,24 @@
         self.write(array(b"%d" % tag, word, b",".join(fields), body))
 
     def write(self, parts: list[bytes]) -> None:
-        """Write bytes and meter them."""
+        """Write bytes and add their number to the flow record."""
         self.transport.writeSequence(parts)
         if self.flow is not None:
             self.listener.flows.add_sent(self.flow, sum(map(len, parts)), self.transport)
 
     def close_if_done(self) -> None:
-        """Close a connection that is marked for it, once no request is open."""
+        """Close the connection if it is marked as closing and no request is open."""
         if self.closing and not self.pending_requests:
             self.schedule_close()
 
     def schedule_close(self) -> None:
-        """Close after the reactor has read the input that has arrived by now."""
+        """Close the connection after the reactor has read the input that has arrived by now."""
         self.listener.deadlines.after(0, self.close)
 
     def close(self, in_any_case: bool = False) -> None:
-        """Half-close our side, unless a request is open or, after a goaway, an array is partly read.
+        """Half-close this side, unless a request is open or, after a goaway, an array is partly read.
+
+        `in_any_case`: half-close even then.
 
         The producer is unregistered: a connection with a paused producer would not close.
         """
@@ -377,7 +387,7 @@
     # --- idle connections -------------------------------------------------------------------------
 
     def restart_idle_timer(self) -> None:
-        """Set the idle timer by the current idle timeout; not after a goaway."""
+        """Set the idle timer according to the current idle timeout, unless a goaway was sent."""
         self.listener.deadlines.cancel(self.idle_timer)
         self.idle_timer = None
         if self.listener.idle_timeout and not self.goaway_sent:
@@ -387,7 +397,7 @@
             )
 
     def on_idle(self) -> None:
-        """Send a goaway after the idle timeout; connections that only check health stay open."""
+        """Send a goaway after the idle timeout, but not if the client has sent only health checks."""
         idle_for = self.listener.deadlines.now() - self.last_traffic
         if idle_for < self.listener.idle_timeout or self.pending_requests or self.checks_only:
             self.idle_timer = self.listener.deadlines.after(
@@ -397,7 +407,7 @@
             self.send_goaway()
 
     def send_goaway(self) -> None:
-        """Ask the client to send no more requests here and to close; if it does not, close once unused."""
+        """Ask the client to send no more requests and to close; if it does not close, close once unused."""
         if not (self.goaway_sent or self.closing or self.write_closed):
             self.goaway_sent = True
             self.write(array(b"0", b"goaway"))
@@ -407,14 +417,14 @@
             self.idle_timer = self.listener.deadlines.after(GOAWAY_CLOSE_DELAY, self.close_unused)
 
     def close_unused(self) -> None:
-        """Close if no request is open, and try again later if new input prevented the close."""
+        """Close if no request is open; check again every `GOAWAY_CLOSE_DELAY` until the close."""
         self.idle_timer = self.listener.deadlines.after(GOAWAY_CLOSE_DELAY, self.close_unused)
         if not self.pending_requests:
             self.schedule_close()
 
 
 class ListeningPort(Port):
-    """Accepts no more connections at once than there are free descriptors; Twisted's own port accepts 100."""
+    """Accepts at most as many connections at once as descriptors are free; Twisted's own port accepts 100."""
 
     def doRead(self) -> None:
         self.numberAccepts = self.factory.max_accepts()
@@ -436,34 +446,38 @@
         flows: Any = None,
         memory: int = DEFAULT_MEMORY,
     ) -> None:
-        """`flows`: a flows.assembly.Flows to meter connections; `memory`: bytes that the process may use."""
+        """Set the limits.
+
+        `descriptors`: file descriptors that the process may use; `flows`: a flows.assembly.Flows that meters
+        connections, or None; `memory`: bytes that the process may use.
+        """
         self.engine, self.deadlines, self.report = engine, deadlines, report
         self.tenants = tenants
         self.flows = flows
         self.max_connections = max(1, descriptors - RESERVED_DESCRIPTORS - max_catalogue_links(descriptors))
         self.connections: Slots[Connection] = Slots()
-        self.stalled: dict[Connection, None] = {}  # clients that read no answers, the longest stalled first
+        self.stalled: dict[Connection, None] = {}  # clients that read no answers, longest stalled first
         self.max_stalled = max(
             1, int(memory * UNREAD_MEMORY_SHARE) // (MAX_READ + MAX_OPEN_REQUESTS * MAX_RESULT)
         )
-        self.without_array: dict[Connection, None] = {}  # that sent no whole array yet, oldest first
-        self.idle_timeout = engine.machine.idle_timeout_us  # µs, until a decision changes it
+        self.without_array: dict[Connection, None] = {}  # without a complete array yet, oldest first
+        self.idle_timeout = engine.machine.idle_timeout_us  # µs
         self.port: Any = None
         self.is_accepting = True
         engine.listeners.append(self)
 
     def listen(self, reactor: Any, address: tuple[str, int]) -> None:
-        """Open the listening socket; raises CannotListenError."""
+        """Open the listening socket. Raises CannotListenError if the address is not available."""
         self.port = ListeningPort(address[1], self, BACKLOG, address[0], reactor)
         self.port.startListening()
 
     def buildProtocol(self, addr: Any) -> Connection | None:
         """Accept a connection, and free descriptors when few are left.
 
-        With many connections open, the longest idle one gets a goaway, even if it only checks health. Near
-        the limit one is closed for each new one. With half of the spare connections left, accepting pauses;
-        waiting clients stay in the backlog. Cost: a client that is idle, or slow to send its first array, has
-        to reconnect; nothing that it sent goes unread.
+        With many connections open, the longest idle connection gets a goaway, even if the client only checks
+        health. Near the maximum, one connection is closed for each new one. With half of the spare
+        connections left, accepting pauses, and new clients wait in the backlog. Cost: a client that is idle,
+        or slow to send its first array, has to reconnect; all that such a client has sent is still read.
         """
         count, spare = len(self.connections), self.max_connections // CONNECTIONS_PER_SPARE
         if count >= GOAWAY_FILL_SHARE * self.max_connections and (
@@ -480,11 +494,11 @@
         return Connection(self)
 
     def accept_limit(self) -> int:
-        """The number of open connections at which accepting pauses."""
+        """Return the number of open connections at which accepting pauses."""
         return max(1, self.max_connections - self.max_connections // CONNECTIONS_PER_SPARE // 2)
 
     def max_accepts(self) -> int:
-        """The number of connections to accept at once; the reactor reads from them before it accepts more."""
+        """Return how many connections to accept before the reactor reads from the open ones again."""
         return max(1, self.accept_limit() - len(self.connections))
 
     def set_accepting(self, accepting: bool) -> None:
@@ -506,12 +520,15 @@
             self.deadlines.after(EVICTION_PERIOD, self.retry_accepting)
 
     def resume_accepting(self) -> None:
-        """Accept again if enough connections have closed."""
+        """Resume accepting if enough connections have closed."""
         if len(self.connections) < self.accept_limit():
             self.set_accepting(True)
 
     def evict_one(self) -> None:
-        """Close the oldest connection without a whole array or the longest idle one; abort lingering ones."""
+        """Close the oldest connection without a complete array, or else the longest idle one.
+
+        Connections that have waited for the client's close for `EVICTION_MIN_IDLE` are aborted.
+        """
         now = self.deadlines.now()
         for each in self.connections:
             if each.write_closed_at is not None and each.write_closed_at < now - EVICTION_MIN_IDLE:
@@ -525,30 +542,32 @@
             oldest.closing = True
             oldest.schedule_close()
 
-    def longest_idle(self, span: int, goaway_sent: bool) -> Connection | None:
-        """The connection longest without traffic, for more than `span` µs, that has no open request.
+    def longest_idle(self, min_idle_us: int, include_goaway_sent: bool) -> Connection | None:
+        """Return the connection without open requests that is idle longest, for `min_idle_us` at least.
+
+        Return None if no connection is idle for so long.
 
-        `goaway_sent`: include connections that got a goaway.
+        `include_goaway_sent`: consider connections that got a goaway, too.
         """
-        before = self.deadlines.now() - span
-        idle_connection = [
+        before = self.deadlines.now() - min_idle_us
+        idle_connections = [
             each
             for each in self.connections
             if each.last_traffic < before
             and not (each.pending_requests or each.closing or each.write_closed)
-            and (goaway_sent or not each.goaway_sent)
+            and (include_goaway_sent or not each.goaway_sent)
         ]
-        return min(idle_connection, key=lambda each: each.last_traffic, default=None)
+        return min(idle_connections, key=lambda each: each.last_traffic, default=None)
 
-    def set_idle_timeout(self, span: int) -> None:
-        """Set after how many µs without traffic a connection gets a goaway."""
-        self.idle_timeout = span
+    def set_idle_timeout(self, timeout_us: int) -> None:
+        """Set the time without traffic after which a connection gets a goaway."""
+        self.idle_timeout = timeout_us
         for connection in self.connections:
             if not connection.goaway_sent:
                 connection.restart_idle_timer()
 
     def describe(self) -> str:
-        """The listener's part of the status line."""
+        """Return the listener's part of the status line."""
         goaway_sent = sum(each.goaway_sent for each in self.connections)
         busy = sum(bool(each.pending_requests) for each in self.connections)
         return (
@@ -562,7 +581,7 @@
             connection.send_goaway()
 
     def on_stalled(self, connection: Connection) -> None:
-        """Abort the longest stalled connection if the unread answers of all could exceed their memory."""
+        """Record a client that reads no answers; abort the longest stalled one if memory could run out."""
         self.stalled[connection] = None
         if len(self.stalled) > self.max_stalled:
             next(iter(self.stalled)).abort("memory for others")
@@ -573,7 +592,7 @@
             connection.close(in_any_case=True)
 
     def stop_listening(self) -> None:
-        """Accept all connections in the backlog, in batches, then close the listening socket."""
+        """Accept all connections that wait in the backlog, then close the listening socket."""
         if self.port is not None:
             self.port, port = None, self.port
             before = -1
--- a/lichencleat/node/fleet.py
+++ b/lichencleat/node/fleet.py
@@ -1,7 +1,7 @@
 """A node's part in the fleet: its quota of calls, its recovery reports, and the jobs whose leases it holds.
 
-Connects the clients of `quotas/`, `recovery/` and `leases/` to the node. Imported only if the operators' file
-has a `fleet` section.
+Connects the clients of `quotas/`, `recovery/` and `leases/` to the node. To save memory, a node imports this
+module only if the operators' file has a `fleet` section.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 class LeaseListenerGroup:
-    """A `LeaseListener` that passes each event to several listeners."""
+    """A lease listener that passes each event to several lease listeners."""
 
     def __init__(self, tasks: list[LeaseListener]) -> None:
         self.tasks = tasks
@@ -44,7 +44,7 @@
 
 
 class FleetNode:
-    """Owns the group clients and the tasks that use them, until `stop`."""
+    """Owns the clients of the coordination group and the tasks that use these clients, until `stop`."""
 
     def __init__(
         self,
@@ -67,18 +67,18 @@
         self.holder = self.make_lease_holder() if config.candidate else None
 
     def add_client(self) -> GroupClient:
-        """Create a client of the coordination group."""
+        """Create a client of the coordination group, which `stop` closes."""
         addresses = [parse_address(each) for each in self.config.members]
-        made = GroupClient(self.reactor, self.config.group, addresses, self.rng, self.name)
-        self.clients.append(made)
-        return made
+        client = GroupClient(self.reactor, self.config.group, addresses, self.rng, self.name)
+        self.clients.append(client)
+        return client
 
     def now(self) -> int:
-        """µs of the reactor's monotonic clock."""
+        """Return the time of the reactor's monotonic clock in µs."""
         return int(self.reactor.seconds() * SECOND)
 
     def make_quota_client(self, engine: Any) -> QuotaClient:
-        """Create the client that limits the engine's calls to this node's quota."""
+        """Create the client that limits the engine's concurrent calls to this node's quota."""
         shares, incarnation = self.config.shares, self.rng.getrandbits(48)
         assert shares is not None
         term = round(shares.term_s * SECOND)
@@ -92,14 +92,14 @@
     def make_recovery_reporter(
         self, engine: Any, keyed: Any, unix_time: Callable[[], int]
     ) -> RecoveryReporter:
-        """Create the reporter that sets what the engine may serve after a restart."""
+        """Create the reporter that limits which requests the engine admits after a restart."""
         boot_records = BootRecordStore(self.config.group, unix_time)
         incarnation = self.rng.getrandbits(48)
         gate = ReadinessGate(
             self.name, self.config.zone, incarnation, False, 0, ClockCheck.PLAUSIBLE, self.now()
         )
         gate.has_records = keyed is not None
-        engine.set_allowance(0.0, False)  # until the planner replies, or the gate opens without a reply
+        engine.set_allowance(0.0, False)  # until the planner replies, or the readiness gate opens without it
         is_index_loaded = (lambda: keyed.index.is_loaded) if keyed is not None else (lambda: False)
         recovery_reporter = RecoveryReporter(
             self.reactor, self.add_client(), engine, gate, boot_records, is_index_loaded, unix_time, self.log
@@ -122,7 +122,7 @@
         )
         for each in tasks:
             each.lease_client = holder
-        # without tasks, request no lease: the node would hold a job and do nothing
+        # without tasks, compete for no lease: the node would hold the lease of a job that it cannot do
         holder.leases.job_prefixes = [each.job for each in tasks] or ["none"]
         return holder
 
@@ -133,7 +133,7 @@
                 each.start()
 
     def leave(self) -> Deferred[None]:
-        """Release the leases when a drain starts; the quota stays to the end, as calls may be in flight."""
+        """Release the leases when a drain starts; keep the quota until `stop`, as calls may be in flight."""
         if self.recovery_reporter is not None:
             self.recovery_reporter.leave()
         return self.holder.leave() if self.holder is not None else succeed(None)
@@ -147,7 +147,7 @@
             client.close()
 
     def describe(self) -> str:
-        """The fleet part of the status line."""
+        """Return the fleet part of the status line."""
         parts = [self.quota_client.describe()] if self.quota_client is not None else []
         parts += [self.recovery_reporter.describe()] if self.recovery_reporter is not None else []
         jobs = ", ".join(sorted(self.holder.leases.held_tokens)) if self.holder is not None else ""
--- a/lichencleat/node/framing.py
+++ b/lichencleat/node/framing.py
@@ -1,4 +1,4 @@
-"""The base of the parsers: a buffer that takes bytes split anywhere and is read in place by message."""
+"""Base class of the stream parsers: buffers bytes split at any point and yields whole messages."""
 
 from __future__ import annotations
 
@@ -7,23 +7,23 @@
 
 Message = TypeVar("Message")
 
-# consumed bytes before the buffer is trimmed: trimming is rare, and each connection holds little memory
+# consumed bytes at which the buffer is trimmed, so that trimming is rare and connections use little memory
 TRIM_THRESHOLD = 4_096
 
 
 class BrokenFramingError(Exception):
-    """The input is not valid, and nothing after it can be parsed."""
+    """The input is invalid, and no later input on the same stream can be parsed."""
 
 
 class Reader(Generic[Message]):
-    """Parses messages from a stream; subclasses define `next_message`."""
+    """Parses messages from a stream of bytes; subclasses define `next_message`."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
-        self.position = 0  # the bytes before it are consumed
+        self.position = 0  # index of the first byte of `buffer` that is not consumed
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Add bytes and yield the messages that are complete; raises BrokenFramingError."""
+        """Add bytes and yield each message that is complete. Raises BrokenFramingError on invalid input."""
         self.buffer += data
         while (message := self.next_message()) is not None:
             yield message
@@ -32,15 +32,18 @@
             self.position = 0
 
     def has_partial_message(self) -> bool:
-        """Whether the buffer holds the beginning of a message."""
+        """Return whether a message has begun but is not complete."""
         return self.position < len(self.buffer)
 
     def next_message(self) -> Message | None:
-        """The next message, or None if it is not complete yet."""
+        """Return the next message, or None if the message is not complete yet."""
         raise NotImplementedError
 
     def find_line_end(self, max_length: int) -> int | None:
-        """The end of the line at the current position, or None if it is not complete yet."""
+        """Return the index of the end of the current line, or None if the line is not complete yet.
+
+        Raises BrokenFramingError if the line has `max_length` bytes or more.
+        """
         end = self.buffer.find(b"\r\n", self.position, self.position + max_length)
         if end >= 0:
             return end
@@ -49,7 +52,10 @@
         return None
 
     def read_counted(self, start: int, length: int) -> bytes | None:
-        """Read `length` bytes and the line end after them; None if they are not complete yet."""
+        """Return `length` bytes and consume them with the line end after them; None if bytes are missing.
+
+        Raises BrokenFramingError if no line end follows.
+        """
         stop = start + length
         if len(self.buffer) < stop + 2:
             return None
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -1,8 +1,8 @@
 """Drives the admission controller: reports events to it, pulls its decisions and carries them out.
 
-This module knows no wire protocol. A listener (`dispatchers.py`, or one of another protocol beside it) passes
-each request as a `PendingRequest` with a callback for the answer; the interpreter and the catalogue report
-how runs and calls end.
+This module does not depend on a wire protocol. A listener such as `dispatchers.py` passes each request as a
+`PendingRequest` with a callback for the answer; the interpreter and the catalogue report how runs and calls
+end.
 """
 
 from __future__ import annotations
@@ -33,16 +33,16 @@
 from lichencleat.node.report import Report
 from lichencleat.node.slots import Slots
 
-# µs to wait for the gauges before a timer event: well below the timer's period, far above a usual reply time
+# µs for which a timer event waits for the gauges: well below the timer's period, far above a usual reply time
 GAUGES_TIMEOUT = 40_000
-# Number of recent calls that count for the load, and the load if all of them failed. Few calls, so that
-# failures are reported early.
+# The load of a node depends on this number of recent calls, and increases by FAILED_CALLS_LOAD if all of them
+# failed. The number is small, so that failures show early.
 LOAD_CALLS, FAILED_CALLS_LOAD = 16, 6.0
-ROUND_RETRY_DELAY = 50_000  # µs from a round of decisions that raised an error to the next
+ROUND_RETRY_DELAY = 50_000  # µs from a round of decisions that raised an error to the next round
 
 
 class Answer(Enum):
-    """How a request is answered; the values are names of counters."""
+    """The kinds of answers to a request; the values are names of counters."""
 
     SERVED = "honoured"
     REJECTED = "deferred"
@@ -70,26 +70,26 @@
         self, request: Request, ident: bytes, body: bytes, key: bytes, reply: Callable[..., None]
     ) -> None:
         self.request, self.ident, self.body, self.key = request, ident, body, key
-        # takes the Answer, the result, the retry delay (µs), and whether to retry nowhere else
+        # called with the Answer, the result, the delay before a retry (µs), and whether to retry nowhere else
         self.reply = reply
-        self.open = True  # not answered yet, and its caller is still there
+        self.open = True  # the request is not answered yet, and its caller still waits
         self.run: Run | None = None
-        self.awaiting_storage = False  # its start or its outcome waits for a write to disk
+        self.awaiting_storage = False  # the start or the outcome of the run waits for a write to disk
         self.call: Call | None = None
         self.call_body = b""
         self.used_links: list[Any] = []  # catalogue connections that carried a call of this request
 
 
 class ClientListener(Protocol):
-    """The part of a client-facing listener that the engine uses."""
+    """The methods of a listener for clients that the engine calls."""
 
-    def set_idle_timeout(self, span: int) -> None:
-        """Set after how many µs idle connections are asked to close."""
+    def set_idle_timeout(self, timeout_us: int) -> None:
+        """Set the time after which clients are asked to close idle connections."""
         ...
 
 
 class RequestEngine:
-    """Owns the pending requests and carries out the decisions on them; only `release` removes one."""
+    """Owns the pending requests and carries out the decisions on them; only `release` removes a request."""
 
     def __init__(
         self,
@@ -108,22 +108,24 @@
         self.request_classes = {each.name.encode(): each for each in machine.request_classes}
         self.records = IdempotencyRecords(deadlines)
         self.pending_requests: Slots[PendingRequest] = Slots()
-        self.pending_ids: set[bytes] = set()  # ids of the pending requests
-        self.node: AdmissionController | None = None
-        self.stop_at: int | None = None
-        self.drain_started_at = 0  # the drain grace counts from here
+        self.pending_ids: set[bytes] = set()
+        self.node: AdmissionController | None = None  # None until the interpreter is up
+        self.stop_at: int | None = None  # µs of Unix time by which the process ends; None before a drain
+        self.drain_started_at = 0  # µs of Unix time; the drain grace counts from this time
         self.decisions_scheduled = False
-        # repeats whose original had ended when they were coalesced; answered after the round of decisions
+        # repeats that were coalesced with a request that had ended; answered after the round of decisions
         self.finished_repeats: list[PendingRequest] = []
         self.is_serving = True
-        self.free_value: float | None = None
+        self.free_value: float | None = None  # advertised capacity; None: not advertised
         self.listeners: list[ClientListener] = []  # one for each client protocol
-        self.call_quota: int | None = None  # None: calls are not limited by a quota
-        # limits a call's duration (µs) to the end of the quota grant
-        self.limit_call_duration: Callable[[int], int] = lambda span: span
-        self.keyed: Any = None  # an idempotency.service.IdempotencyService, if records outlive a restart
-        self.can_record = self.may_record = True  # keyed requests are admitted only if both hold
-        self.admitted_share = 1.0
+        self.call_quota: int | None = None  # maximum number of concurrent calls; None: no quota
+        # returns a call's duration (µs), shortened to end with the quota grant
+        self.limit_call_duration: Callable[[int], int] = lambda duration_us: duration_us
+        self.keyed: Any = None  # an idempotency.service.IdempotencyService, if records survive a restart
+        # Keyed requests are admitted only if records can be stored (`can_record`) and the recovery after a
+        # restart allows keyed requests (`may_record`).
+        self.can_record = self.may_record = True
+        self.admitted_share = 1.0  # fraction of the requests that is admitted
         self.handlers = {
             Action.START: self.start_run,
             Action.ABORT: self.stop_run,
@@ -144,7 +146,7 @@
     # --- events ----------------------------------------------------------------------------------
 
     def on_interpreter_ready(self, cold: bool) -> None:
-        """Create the admission controller, now that the interpreter is up."""
+        """Create the admission controller, now that the interpreter is up, cold or warm."""
         self.machine.starts_cold = cold
         self.node = AdmissionController(self.machine, random.Random(self.seed))
         if self.call_quota is not None:
@@ -167,7 +169,7 @@
             self.submit_request(pending)
 
     def submit_request(self, pending: PendingRequest) -> None:
-        """Pass a request, whose key was looked up, to the admission controller."""
+        """Pass a request to the admission controller; the key of a keyed request was looked up before."""
         request = pending.request
         if pending.key and (originals := self.records.find_all(pending.key, request)):
             *request.other_originals, request.original = originals
@@ -178,7 +180,7 @@
         self.schedule_decisions()
 
     def fail_request(self, pending: PendingRequest) -> None:
-        """Answer that the request failed; the admission controller does not know it yet."""
+        """Answer that a request failed which the admission controller has not received."""
         self.answer(pending, Answer.FAILED)
         self.release(pending)
 
@@ -192,13 +194,13 @@
             self.schedule_decisions()
 
     def report_caller_gone(self, pending: PendingRequest) -> None:
-        """Tell the controller and the records that the caller is gone, and cancel the request's call."""
+        """Report to the controller and the records that the caller is gone, and cancel the request's call."""
         self.node.on_caller_gone(self.clock(), pending.request)
         self.records.remove_waiter(pending.request.original, pending)
         self.cancel_call(pending)
 
     def on_call_needed(self, pending: PendingRequest, body: bytes) -> None:
-        """Queue a call to the catalogue, for which the run waits."""
+        """Ask the controller for a call to the catalogue, for which the run waits."""
         pending.call_body = body
         self.node.on_call_needed(self.clock(), pending.request)
         self.schedule_decisions()
@@ -206,14 +208,17 @@
     def on_outcome_recorded(
         self, pending: PendingRequest, outcome: Outcome, took: int, result: bytes
     ) -> None:
-        """Answer with the outcome, which is now on disk or can't be stored."""
+        """End a request with the outcome of its run, which is now on disk or can't be stored."""
         pending.awaiting_storage = False
         self.on_run_ended(pending, outcome, took, result, True)
 
     def on_run_ended(
         self, pending: PendingRequest, outcome: Outcome, took: int, result: bytes, is_recorded: bool = False
     ) -> None:
-        """Store the outcome of a run if it must survive a restart, else end the request with it."""
+        """Store the outcome of a run if it must survive a restart, otherwise end the request with it.
+
+        `took`: duration of the run in µs; `is_recorded`: the outcome needs no storing any more.
+        """
         now, request, run = self.clock(), pending.request, pending.run
         pending.run = None
         self.cancel_call(pending)
@@ -235,7 +240,7 @@
             # a run that was not stopped here is aborted only once its caller is gone
             self.node.on_caller_gone(now, request)
         if outcome is Outcome.UNREACHABLE:
-            request.started = None  # it provably never ran: a repeat of it may run
+            request.started = None  # the run never started: a repeat of the request may run
         self.node.on_run_completed(now, request, outcome, took)
         succeeded = outcome is Outcome.COMPLETED
         if succeeded:
@@ -248,7 +253,7 @@
         self.schedule_decisions()
 
     def on_call_ended(self, pending: PendingRequest, call: Call, outcome: Outcome, reply: bytes) -> None:
-        """Pass a reply to the run, and the call's outcome to the controller."""
+        """Pass the reply of a call to the run, and the outcome of the call to the controller."""
         if pending.call is not call:
             return
         pending.call = None
@@ -266,7 +271,7 @@
             self.schedule_decisions()
 
     def call_demand(self) -> tuple[int, int]:
-        """The number of calls in flight, and that number plus the calls waiting for the quota."""
+        """Return the number of calls in flight, and that number plus the calls that wait to be sent."""
         out = sum(pending.call is not None for pending in self.pending_requests)
         waiting = sum(
             pending.request.state is RequestState.AWAITING_CALL for pending in self.pending_requests
@@ -274,7 +279,7 @@
         return out, out + waiting
 
     def start_draining(self, at: int) -> None:
-        """Start to drain; the process stops at time `at` (µs)."""
+        """Start to drain; the process ends by `at`, µs of Unix time."""
         if self.stop_at is None:
             self.stop_at, self.drain_started_at = at, self.clock()
             if self.node is not None:
@@ -282,7 +287,7 @@
                 self.schedule_decisions()
 
     def on_timer(self) -> None:
-        """Read the gauges, then run the timer event with fresh readings or none, never with old ones."""
+        """Read the gauges, then run the timer event with the readings; without any if they take too long."""
         gauge_request = self.interpreter.request_gauges()
         if gauge_request is None:
             self.on_gauges(None)
@@ -291,7 +296,7 @@
         gauge_request.addCallback(self.on_gauges, timer)
 
     def on_gauges(self, readings: list[float] | None, timer: Any = None) -> None:
-        """Run the controller's timer event with the readings, or without any."""
+        """Run the controller's timer event with the gauges' readings; None: no readings."""
         self.deadlines.cancel(timer)
         if readings is None:
             self.report.count("host", "wake-ups without gauges")
@@ -299,7 +304,7 @@
         self.schedule_decisions()
 
     def run_guarded(self, pending: PendingRequest, handler: Callable[..., None], *values: Any) -> None:
-        """Call `handler`; an error in it fails this request alone."""
+        """Call a handler of a request; an error in the handler fails this request alone."""
         try:
             handler(pending, *values)
         except Exception:
@@ -320,13 +325,13 @@
     # --- decisions --------------------------------------------------------------------------------
 
     def schedule_decisions(self) -> None:
-        """Run one round of decisions for all that the reactor reads in this turn."""
+        """Schedule one round of decisions for all the input that the reactor reads in this iteration."""
         if not self.decisions_scheduled:
             self.decisions_scheduled = True
             self.deadlines.after(0, self.run_decisions)
 
     def run_decisions(self) -> None:
-        """Pull and carry out all decisions; then answer the repeats of finished requests."""
+        """Pull and carry out all decisions, then answer the repeats of finished requests."""
         self.decisions_scheduled = False
         now = self.clock()
         self.report.count("host", "rounds")
@@ -343,7 +348,7 @@
             self.complete_repeat(pending, record.result if record else None)
 
     def execute(self, decision: Decision) -> None:
-        """Carry out one decision; an error in it fails its request alone."""
+        """Carry out one decision; an error fails the request of the decision alone."""
         pending = None
         try:
             if decision.request is not None and decision.action is not Action.DELETE_RECORD:
@@ -366,18 +371,18 @@
             self.schedule_decisions()
 
     def set_allowance(self, share: float, admit_keyed: bool) -> None:
-        """Set which share of the requests is admitted, and whether keyed ones are (`admit_keyed`)."""
+        """Set the fraction of requests that is admitted, and whether keyed requests are admitted at all."""
         self.admitted_share, self.may_record = share, admit_keyed
         if self.node is not None:
             self.node.set_admitted_share(self.clock(), share)
             self.set_recording_available(self.can_record)
 
     def ready(self) -> bool:
-        """Whether the interpreter is up and linked."""
+        """Return whether the interpreter is up and connected."""
         return self.node is not None and self.interpreter.link is not None
 
     def load(self) -> float:
-        """The load: 0 if idle, 0.5 at the running limit, 2 if unhealthy; failed recent calls add to it."""
+        """Return the load: 0 if idle, 0.5 at the running limit, 2 if unhealthy; plus failed recent calls."""
         node = self.node
         if node is None or not node.is_healthy:
             return 2.0
@@ -389,12 +394,12 @@
         )
 
     def speed(self) -> float:
-        """Runs per second and core by the recent service times; 1 without any."""
+        """Return the runs per second and core according to recent service times; 1 if there are none."""
         usual = self.node.service_times.usual() if self.node is not None else 0.0
         return 1_000_000 / usual if usual else 1.0
 
     def on_start_withdrawn(self, pending: PendingRequest) -> None:
-        """Report that the record was not stored and the run did not start; the controller decides again."""
+        """Handle a start that was withdrawn, as the record was not stored; the controller decides again."""
         pending.awaiting_storage = False
         if pending.request.state is not RequestState.ENDED:
             self.records.clear_expiry(pending.request)
@@ -403,20 +408,20 @@
         self.schedule_decisions()
 
     def on_run_abandoned(self, pending: PendingRequest) -> None:
-        """End a request whose run was abandoned before it started, and so provably never ran."""
+        """End a request whose run was abandoned before it started."""
         pending.awaiting_storage = False
         self.on_run_ended(pending, Outcome.UNREACHABLE, 0, b"")
 
     def adopt_run(self, ident: bytes, ended: Callable[[Outcome, int, bytes], None]) -> None:
-        """Subscribe to the end of a run that an earlier incarnation of this node started."""
+        """Have `ended` called at the end of a run that an earlier incarnation of this node started."""
         self.interpreter.adopt_run(ident, ended)
 
     def end_adoption(self) -> None:
-        """Drop the outcomes that were kept for runs to be adopted."""
+        """Drop the outcomes that were kept for runs still to be adopted."""
         self.interpreter.early_outcomes = None
 
     def start_run(self, decision: Decision, pending: PendingRequest) -> None:
-        """Start the run, for a keyed request after its intent is on disk."""
+        """Start the run; for a keyed request, first store the intent to run it on disk."""
         if self.keyed is not None and pending.key:
             pending.awaiting_storage = True
             self.keyed.intents.start_run(pending)
@@ -443,9 +448,14 @@
     def reject(self, decision: Decision, pending: PendingRequest) -> None:
         """Answer that the request was rejected, with the delay before a retry."""
         self.cancel_call(pending)
-        self.answer(pending, Answer.REJECTED, span=decision.duration_us, last=decision.no_retry_elsewhere)
+        self.answer(
+            pending,
+            Answer.REJECTED,
+            retry_after_us=decision.duration_us,
+            no_retry=decision.no_retry_elsewhere,
+        )
         for waiter in self.records.complete(pending.request, None) if self.keyed is not None else ():
-            self.complete_repeat(waiter, None)  # the run that they waited for never started
+            self.complete_repeat(waiter, None)  # the run that the repeats waited for never started
         self.release(pending)
 
     def answer_failed(self, decision: Decision, pending: PendingRequest) -> None:
@@ -457,8 +467,8 @@
 
     def place_call(self, decision: Decision, pending: PendingRequest) -> None:
         """Send the request's call to the catalogue."""
-        span = self.limit_call_duration(decision.duration_us)
-        pending.call = self.catalogue.fetch(pending.ident, span, pending.call_body, pending.used_links)
+        timeout_us = self.limit_call_duration(decision.duration_us)
+        pending.call = self.catalogue.fetch(pending.ident, timeout_us, pending.call_body, pending.used_links)
         pending.used_links.append(pending.call.link)
         pending.call.ended.addCallback(
             lambda ended, call: self.run_guarded(pending, self.on_call_ended, call, *ended), pending.call
@@ -471,7 +481,7 @@
             call.ended.cancel()
 
     def add_record(self, decision: Decision, pending: PendingRequest) -> None:
-        """Confirm the idempotency record of a request, and queue its intent for the disk."""
+        """Confirm the idempotency record of a request, and queue the intent to run it for a write to disk."""
         self.records.set_expiry(self.clock(), pending.key, pending.request, decision.duration_us)
         if self.keyed is not None and pending.key:
             self.keyed.intents.record_intent(pending, decision.duration_us)
@@ -483,9 +493,10 @@
             self.keyed.intents.delete_intent(decision.request)
 
     def coalesce(self, decision: Decision, pending: PendingRequest) -> None:
-        """Make a repeat wait for its original; if that has ended, answer after this round of decisions.
+        """Make a repeat wait for the outcome of its original request.
 
-        Events must not reach the controller during a round.
+        If the original has ended, the repeat is answered after this round of decisions, as no event may reach
+        the controller during a round.
         """
         original = pending.request.original
         if original is None and self.keyed is not None:
@@ -496,7 +507,7 @@
             self.finished_repeats.append(pending)
 
     def complete_repeat(self, pending: PendingRequest, result: bytes | None) -> None:
-        """Answer a repeat with the result of its original; None means that it failed."""
+        """Answer a repeat with the result of its original request; None: the original failed."""
         outcome = Outcome.FAILED if result is None else Outcome.COMPLETED
         self.node.on_run_completed(self.clock(), pending.request, outcome, 0)
         self.answer(pending, Answer.FAILED if result is None else Answer.SERVED, result or b"")
@@ -504,7 +515,7 @@
         self.schedule_decisions()
 
     def set_health(self, decision: Decision, pending: PendingRequest | None) -> None:
-        """Set the answer to health checks."""
+        """Set and log the answer to health checks."""
         self.is_serving = decision.is_healthy
         self.report.note("health " + ("on" if decision.is_healthy else "off"))
 
@@ -527,16 +538,25 @@
     # --- answers ----------------------------------------------------------------------------------
 
     def answer(
-        self, pending: PendingRequest, answer: Answer, result: bytes = b"", span: int = 0, last: bool = False
+        self,
+        pending: PendingRequest,
+        answer: Answer,
+        result: bytes = b"",
+        retry_after_us: int = 0,
+        no_retry: bool = False,
     ) -> None:
-        """Answer the request unless it was answered before; no other code sends an answer."""
+        """Answer the request unless it was answered before; all answers are sent here.
+
+        For a rejected request, `retry_after_us` is the delay before a retry, 0 for none; `no_retry` asks the
+        client not to retry on another node.
+        """
         if pending.open:
             pending.open = False
             self.report.count("host", answer.value)
-            pending.reply(answer, result, span, last)
+            pending.reply(answer, result, retry_after_us, no_retry)
 
     def release(self, pending: PendingRequest) -> None:
-        """Remove the request once it is answered, not running, and no write of it is pending."""
+        """Remove the request if it is answered or abandoned, does not run and awaits no write to disk."""
         if pending.open or pending.run is not None or pending.awaiting_storage or pending.request.number < 0:
             return
         self.records.discard_unconfirmed(pending.request)
@@ -545,7 +565,7 @@
         pending.request.number = -1
 
     def describe(self) -> str:
-        """The engine's part of the status line."""
+        """Return the engine's part of the status line."""
         states = Counter(each.request.state.value for each in self.pending_requests)
         held = ", ".join(f"{count} {name}" for name, count in sorted(states.items()))
         value = "none" if self.free_value is None else f"{self.free_value:.2f}"
@@ -556,5 +576,5 @@
         )
 
     def unanswered_count(self) -> int:
-        """The number of pending requests without an answer."""
+        """Return the number of pending requests without an answer."""
         return sum(pending.open for pending in self.pending_requests)
--- a/lichencleat/node/interpreter.py
+++ b/lichencleat/node/interpreter.py
@@ -1,4 +1,4 @@
-"""The link to the interpreter: runs by id, notices in order, gauges; it reconnects when the link breaks."""
+"""The link to the interpreter, which executes the runs: commands, numbered notices, gauges, reconnection."""
 
 from __future__ import annotations
 
@@ -14,18 +14,22 @@
 from lichencleat.node.lines import LineReader, line, line_with_body
 from lichencleat.node.report import Report
 
-RECONNECT_DELAY = 50_000  # µs after a failed attempt to connect; a lost link itself is replaced at once
-CONNECT_TIMEOUT = 1_000_000  # µs to connect on the same machine
-# µs; twice the time before a link breaks in which a command written to it may be lost
+# µs from a failed attempt to connect to the next attempt; the first attempt after a lost link is made at once
+RECONNECT_DELAY = 50_000
+CONNECT_TIMEOUT = 1_000_000  # µs; the interpreter is on the same machine
+# µs: a command that was written within this time before a link broke may be lost; twice the longest such time
 REPLY_LOSS_WINDOW = 100_000
-# outcomes of runs of an earlier incarnation, kept until they are adopted: as many as the interpreter reports
+# outcomes kept for runs of an earlier incarnation until these are adopted: as many as the interpreter reports
 MAX_EARLY_OUTCOMES = 4_000
-REPLACED_LINK_LIFETIME = 2_000_000  # µs; the interpreter closes a replaced link after 1.5 s
-# µs without gauges, which are requested ten times a second, before the link is replaced; that does no harm
+# µs until a replaced link is aborted; the interpreter closes such a link after 1.5 s
+REPLACED_LINK_LIFETIME = 2_000_000
+# µs without gauge readings after which the link is replaced, which does no harm even if the link works; the
+# gauges are requested ten times a second
 SILENCE_TIMEOUT = 2_000_000
-# notices that the interpreter keeps, by the protocol: a number further ahead is corrupt
+# notices that the interpreter keeps for a new link, by the protocol; a notice number further ahead is corrupt
 MAX_KEPT_NOTICES = 4_000
-MAX_DURATION = 31_536_000_000.0  # ms, one year: no run takes longer, and no interpreter is up for longer
+MAX_DURATION = 31_536_000_000.0  # ms, one year; no run takes longer and no interpreter is up for longer
+# states of the interpreter in its banner: cold, warm
 STATES = (b"EMPTY", b"LOADED")
 NOTICE_KINDS = (b"VALUE", b"AWAIT", b"TRACE", b"TOPS", b"BANNER", b"ERROR")
 OUTCOMES = {
@@ -34,21 +38,22 @@
     b"KILLED": Outcome.ABORTED,
     b"NOOP": Outcome.SUPERSEDED,
 }
+# number of words of each notice with a body; the last word is the length of the body
 BODY_NOTICE_LENGTHS = {
     b"VALUE": 6,
     b"AWAIT": 4,
-}  # notices with a body, and their number of words; the last word is its length
+}
 
 
 def parse_integer(word: bytes) -> int:
-    """Parse decimal digits; rejects other forms that `int` takes: signs, underscores, thousands of digits."""
+    """Return the value of up to 18 decimal digits. Raises ValueError on other forms that `int` accepts."""
     if not word.isdigit() or len(word) > 18:
         raise ValueError(f"not an integer: {word[:40]!r}")
     return int(word)
 
 
 def parse_number(word: bytes) -> float:
-    """Parse a number from 0 to `MAX_DURATION`; rejects `nan`, with which a run would never end."""
+    """Return a number from 0 to `MAX_DURATION`. Raises ValueError on others, also on `nan`."""
     value = float(word)
     if not 0 <= value <= MAX_DURATION:
         raise ValueError(f"not a number in range: {word[:40]!r}")
@@ -56,12 +61,12 @@
 
 
 def parse_microseconds(word: bytes) -> int:
-    """Parse milliseconds to µs."""
+    """Return a duration, given in milliseconds, in µs."""
     return int(parse_number(word) * 1000)
 
 
 class Run:
-    """One run: its callbacks, and the last command about it that no notice has confirmed."""
+    """A run at the interpreter: its callbacks, and its last command that no notice has confirmed."""
 
     __slots__ = (
         "ident",
@@ -83,15 +88,15 @@
     ) -> None:
         self.ident, self.on_call_needed, self.on_ended = ident, on_call_needed, on_ended
         self.command: list[bytes] = []
-        self.written = False
-        self.written_at = 0
+        self.written = False  # the last command was written to a link
+        self.written_at = 0  # µs of the monotonic clock: when the last command was written or queued
         self.is_idempotent = False
-        self.is_confirmed = False  # a notice has shown that it started
-        self.is_stopping = False
+        self.is_confirmed = False  # a notice has shown that the run started
+        self.is_stopping = False  # the run is to be stopped
 
 
 class Link(Protocol):
-    """One connection to the interpreter."""
+    """A connection to the interpreter."""
 
     def __init__(self, interpreter: Interpreter) -> None:
         self.interpreter = interpreter
@@ -99,8 +104,8 @@
             lambda words: len(words) == BODY_NOTICE_LENGTHS.get(words[0] if words else b"")
         )
         self.made_at = interpreter.deadlines.now()
-        self.greeted = False  # its banner arrived, which answers CONNECT
-        self.ready = False  # all notices that the previous link may have missed were read
+        self.greeted = False  # the banner has arrived, which answers CONNECT
+        self.ready = False  # all notices that the previous link missed are read: commands may be sent
         self.pending_gauges: dict[bytes, Deferred] = {}
 
     def connectionMade(self) -> None:
@@ -117,7 +122,10 @@
             self.transport.abortConnection()
 
     def ask_gauges(self, tag: bytes) -> Deferred:
-        """Fires with the readings, or with None if it is cancelled or the link is lost."""
+        """Request the gauges under a tag.
+
+        The Deferred fires with the readings, or with None if it is cancelled or the link is lost.
+        """
         reply = Deferred(lambda cancelled: self.pending_gauges.pop(tag, cancelled).callback(None))
         self.pending_gauges[tag] = reply
         self.transport.writeSequence(line(b"TOP", tag))
@@ -131,7 +139,7 @@
 
 
 class ConnectionAttempt(ClientFactory):
-    """One attempt to connect; a later attempt replaces it."""
+    """An attempt to connect to the interpreter; a later attempt replaces an earlier one."""
 
     noisy = False
 
@@ -147,23 +155,24 @@
 
 
 class Interpreter:
-    """The interpreter as the node sees it: sends commands about runs, and reports what its notices say."""
+    """Sends commands about runs to the interpreter, and passes its notices to the callbacks of the runs."""
 
     def __init__(self, reactor: Any, address: tuple[str, int], deadlines: Deadlines, report: Report) -> None:
         self.reactor, self.address = reactor, address
-        self.wrap: Callable[[Any], Any] = lambda factory: factory  # meters the links if flow export is on
+        self.wrap: Callable[[Any], Any] = lambda factory: factory  # meters the links for flow export
         self.deadlines, self.report = deadlines, report
         self.runs: dict[bytes, Run] = {}
         self.last_notice = self.gauge_requests = 0
         self.link: Link | None = None
-        self.started: Deferred | None = Deferred()  # fires once with whether the interpreter is cold
+        # fires once, with whether the interpreter is cold; then None
+        self.started: Deferred | None = Deferred()
         self.closed = False
         # called with the µs since the interpreter started
         self.on_interpreter_started: Callable[[int], None] = lambda age: None
-        # outcomes of runs not adopted yet
+        # outcomes of unknown runs by id, which may be adopted later; None: such outcomes are dropped
         self.early_outcomes: dict[bytes, tuple[Outcome, int, bytes]] | None = None
-        self.gauges_at = 0  # µs, when the last gauges were read
-        # µs, when the first link broke since commands were last known to arrive
+        self.gauges_at = 0  # µs of the monotonic clock: when the last gauge readings arrived
+        # µs of the monotonic clock: when a link first broke since lost commands were last sent again, or None
         self.lost_at: int | None = None
         self.connecting: ConnectionAttempt | None = None
         self.connect_timer: Deadline | None = None
@@ -172,12 +181,12 @@
     # --- the link ---------------------------------------------------------------------------------
 
     def start(self) -> Deferred:
-        """Connect; fires once the interpreter is up, with whether it is cold."""
+        """Connect; the returned Deferred fires once the interpreter is up, with whether it is cold."""
         self.connect()
         return self.started
 
     def connect(self) -> None:
-        """Start an attempt to connect, in place of any other."""
+        """Start an attempt to connect, which replaces any attempt in progress."""
         if not self.closed:
             self.deadlines.cancel(self.reconnect_timer)
             self.deadlines.cancel(self.connect_timer)
@@ -186,10 +195,10 @@
             self.connect_timer = self.deadlines.after(CONNECT_TIMEOUT, connector.stopConnecting)
 
     def on_connected(self) -> Link:
-        """Replace the link by a new one; nothing more is written to the old link.
+        """Replace the link by a new one and return the new link; no more is written to the old link.
 
-        The old link stays open for a while: closing it with unread notices would reset it, and the last
-        commands written to it would be lost.
+        The old link stays open for `REPLACED_LINK_LIFETIME`: closing it with unread notices would reset the
+        connection, and the last commands written to it would be lost.
         """
         self.deadlines.cancel(self.connect_timer)
         self.connecting = None
@@ -199,14 +208,14 @@
         return self.link
 
     def on_connect_failed(self) -> None:
-        """Retry after `RECONNECT_DELAY`."""
+        """Try to connect again after `RECONNECT_DELAY`."""
         self.deadlines.cancel(self.connect_timer)
         self.connecting = None
         self.report.count("interpreter", "connections failed")
         self.reconnect_timer = self.deadlines.after(RECONNECT_DELAY, self.connect)
 
     def set_address(self, address: tuple[str, int]) -> bool:
-        """Connect to a new address; that link replaces the open one and any attempt in progress.
+        """Connect to a new address; the new link replaces the open link and any attempt in progress.
 
         Returns whether the address changed.
         """
@@ -218,7 +227,7 @@
         return True
 
     def on_link_lost(self, link: Link) -> None:
-        """Reconnect at once, unless an attempt is in progress, so that no run waits longer than needed."""
+        """Reconnect at once, unless an attempt is already in progress."""
         if link is not self.link:
             return
         self.link = None
@@ -231,7 +240,7 @@
                 self.connect()
 
     def stop(self) -> None:
-        """Close the link for good."""
+        """Close the link and do not reconnect."""
         self.closed = True
         if self.link is not None:
             self.link.transport.loseConnection()
@@ -239,13 +248,13 @@
     # --- commands ---------------------------------------------------------------------------------
 
     def apply(self, run: Run, request_class: bytes, body: bytes, is_idempotent: bool) -> None:
-        """Start a run."""
+        """Send the command that starts a run."""
         self.runs[run.ident] = run
         run.is_idempotent = is_idempotent
         self.command(run, line_with_body(b"APPLY", run.ident, request_class, body=body))
 
     def adopt_run(self, ident: bytes, on_ended: Callable[[Outcome, int, bytes], None]) -> None:
-        """Subscribe to the end of a run that an earlier incarnation of this node started."""
+        """Have `on_ended` called at the end of a run that an earlier incarnation of this node started."""
         early_outcome = (self.early_outcomes or {}).pop(ident, None)
         if early_outcome is not None:
             on_ended(*early_outcome)
@@ -258,10 +267,11 @@
         self.command(run, line_with_body(b"RESOLVE", run.ident, body=reply))
 
     def stop_run(self, run: Run) -> None:
-        """Stop a run whose outcome nobody waits for.
+        """Stop a run that the node no longer needs.
 
-        If a run is to stop a second time, it is started first: its start may have been lost with a link, and
-        it would never end here. Starting does nothing if it runs; else a notice reports its end.
+        At a second call for a run that no notice has confirmed, the start command is sent again before the
+        stop: the first start may have been lost with a link, and no notice would ever report the end of the
+        run. A start command for an existing run does nothing.
         """
         if self.link is not None and self.link.ready:
             if run.is_stopping and run.command and not run.is_confirmed:
@@ -270,7 +280,7 @@
         run.is_stopping = True
 
     def command(self, run: Run, command: list[bytes]) -> None:
-        """Keep the last command about a run, and send it if the link is ready."""
+        """Store the last command of a run, and send the command if the link is ready."""
         run.command = command
         run.written = self.link is not None and self.link.ready
         run.written_at = self.deadlines.now()
@@ -283,13 +293,13 @@
         link.transport.writeSequence(command)
 
     def resend_commands(self, link: Link) -> None:
-        """Resend the commands that may be lost with the previous link, after all notices that it missed.
+        """Resend commands that may be lost with the previous link, once all notices that it missed are read.
 
-        Prevents an effect from happening twice: a command may have been carried out meanwhile, and its run
-        may have ended or wait for its next call. So only two kinds of commands are sent again: those that
-        were never written, and starts of idempotent runs, which do nothing if the run exists. An idempotent
-        run whose reply may be lost with the link is stopped, and reported as stopped: a second reply could
-        be taken for the reply to its next call. Cost: half of the stopped runs had received their reply.
+        A command that seems lost may have been carried out, and sending it again could repeat an effect.
+        Therefore only two kinds of commands are sent again: those that were never written, and starts of
+        idempotent runs, which do nothing if the run exists. An idempotent run is stopped if the reply to its
+        call may be lost with the link: a second reply could be taken for the reply to the run's next call.
+        Cost: half of the stopped runs had received their reply.
         """
         link.ready = True
         now, lost_at, self.lost_at = self.deadlines.now(), self.lost_at, None
@@ -311,9 +321,9 @@
                 self.write(link, line(b"BREAK", run.ident))
 
     def request_gauges(self) -> Deferred | None:
-        """Request the gauges; None without a ready link. A link that has been silent for too long is aborted.
+        """Request the gauges; return None without a ready link. Aborts a link that is silent for too long.
 
-        Fires with the readings, or with None if it is cancelled or the link is lost.
+        The Deferred fires with the readings, or with None if it is cancelled or the link is lost.
         """
         if self.link is None or self.started is not None:
             return None
@@ -327,7 +337,7 @@
         return self.link.ask_gauges(b"g%d" % self.gauge_requests)
 
     def describe(self) -> str:
-        """The interpreter's part of the status line."""
+        """Return the interpreter's part of the status line."""
         age = f"{(self.deadlines.now() - self.gauges_at) // 1000} ms ago" if self.gauges_at else "never"
         link = "lost" if self.link is None else "ready" if self.link.ready else "not ready"
         return f"{len(self.runs)} runs, link {link}, gauges {age}"
@@ -335,7 +345,7 @@
     # --- notices ----------------------------------------------------------------------------------
 
     def on_notice(self, link: Link, words: list[bytes], body: bytes) -> None:
-        """Handle one notice; a bad one is counted and skipped."""
+        """Handle one notice; an invalid notice is counted and skipped."""
         kind = words[0] if words else b""
         try:
             if link is not self.link:
@@ -370,10 +380,10 @@
             self.report.log_exception(f"the notice {kind[:16]!r}")
 
     def on_banner(self, link: Link, words: list[bytes]) -> None:
-        """Handle the answer to CONNECT; an unreadable one aborts the link, as no command is sent before it.
+        """Handle the banner, which answers CONNECT; commands are sent only after it.
 
-        A second banner on a link is ignored: that link has lost nothing, so no command is sent again, and the
-        interpreter's start time is known.
+        An unreadable banner aborts the link. A second banner on a link is ignored: the link has lost no
+        commands, and the interpreter's start time is known.
         """
         try:
             state, age = words[1], parse_microseconds(words[2])
@@ -396,14 +406,14 @@
             started.callback(state == b"EMPTY")
 
     def on_gauges(self, link: Link, tag: bytes, readings: list[float]) -> None:
-        """Pass gauge readings to whoever requested them."""
+        """Pass gauge readings to the request with the tag."""
         self.gauges_at = self.deadlines.now()
         reply = link.pending_gauges.pop(tag, None)
         if reply is not None:
             reply.callback(readings)
 
     def on_call_needed(self, ident: bytes, body: bytes) -> None:
-        """Report that a run waits for a call."""
+        """Report to a run's owner that the run waits for a call."""
         run = self.runs.get(ident)
         if run is None:
             self.report.count("interpreter", "notices of no run")
@@ -412,7 +422,7 @@
         run.on_call_needed(body)
 
     def on_run_ended(self, ident: bytes, end: bytes, took: int, result: bytes) -> None:
-        """Report the end of a run, or keep it for a run that is not adopted yet."""
+        """Report the end of a run to its owner; keep the outcome of an unknown run, for a later adoption."""
         if end not in OUTCOMES:
             raise ValueError(f"unknown outcome {end!r}")
         run = self.runs.pop(ident, None)
@@ -425,10 +435,10 @@
         run.on_ended(OUTCOMES[end], took, result)
 
     def on_error(self, words: list[bytes]) -> None:
-        """Handle a command that failed: a failed start or stop proves that the run does not exist.
+        """Handle an error notice; a failed start or stop shows that an unconfirmed run does not exist.
 
-        An error about a start has no number and may be lost with a link; the error about the stop then
-        follows.
+        Such a run ends as UNREACHABLE. Error notices have no number, so one about a start may be lost with a
+        link; the error about a later stop then ends the run.
         """
         self.report.note(f"interpreter: {b' '.join(words)[:80].decode('ascii', 'replace')}")
         run = self.runs.get(words[2]) if words[1] in (b"APPLY", b"BREAK") else None
--- a/lichencleat/node/lines.py
+++ b/lichencleat/node/lines.py
@@ -1,4 +1,4 @@
-"""Lines of words, some with a body of stated length: parsing, and encoding for gathered writes; no I/O."""
+"""Parses and encodes lines of words, some followed by a body of stated length; no I/O."""
 
 from __future__ import annotations
 
@@ -6,18 +6,21 @@
 
 from lichencleat.node.framing import BrokenFramingError, Reader
 
-MAX_LINE = 1_024  # bytes; the longest line has a few words and a remark
-MAX_LENGTH_DIGITS = 9  # decimal digits
-MAX_BODY = 65_536  # bytes: far above any body or result, yet small in memory for all connections
+MAX_LINE = 1_024  # bytes of a line; the longest valid line has a few words and a remark
+MAX_LENGTH_DIGITS = 9  # decimal digits of a body's length
+MAX_BODY = 65_536  # bytes: far above any valid body, and still little memory if every connection holds one
 
 
 class LineReader(Reader[tuple[list[bytes], bytes]]):
-    """Parses lines; `has_body` tells from a line's words whether the last one is the length of a body."""
+    """Parses lines into their words and bodies.
+
+    `has_body` returns, for the words of a line, whether a body follows; the last word is then its length.
+    """
 
     def __init__(self, has_body: Callable[[list[bytes]], bool]) -> None:
         super().__init__()
         self.has_body = has_body
-        self.words: list[bytes] | None = None  # of a line whose body is not complete yet
+        self.words: list[bytes] | None = None  # words of a line whose body is not complete yet
 
     def has_partial_message(self) -> bool:
         return self.words is not None or super().has_partial_message()
@@ -42,10 +45,10 @@
 
 
 def line(*words: bytes) -> list[bytes]:
-    """The pieces of a line, for one gathered write."""
+    """Return the pieces of a line, for one gathered write."""
     return [b" ".join(words), b"\r\n"]
 
 
 def line_with_body(*words: bytes, body: bytes) -> list[bytes]:
-    """The pieces of a line and its body, for one gathered write."""
+    """Return the pieces of a line and its body, for one gathered write."""
     return [b" ".join(words), b" %d\r\n" % len(body), body, b"\r\n"]
--- a/lichencleat/node/membership.py
+++ b/lichencleat/node/membership.py
@@ -1,4 +1,4 @@
-"""Reports to the membership service: periodic datagrams without a reply, while the node is to be listed."""
+"""Reports to the membership service, which lists a node while periodic datagrams arrive from it."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 from lichencleat.node.deadlines import Deadline, Deadlines
 from lichencleat.node.report import Report
 
-# µs between reports; with a quarter lost, 14 in a row (3 s) are lost once in 200 million
+# µs between reports; if a quarter of the datagrams is lost, 14 in a row (3 s) are lost once in 200 million
 REPORT_PERIOD = 200_000
 
 
 class Membership(DatagramProtocol):
-    """Reports the node as up until it leaves, then once as out."""
+    """Reports periodically that the node is up, and once that it is out when it leaves; expects no reply."""
 
     noisy = False
 
@@ -26,7 +26,7 @@
         self.sent_at = deadlines.now()
 
     def start(self, reactor: Any, interface: str) -> None:
-        """Open a UDP socket on an interface and start to report."""
+        """Open a UDP socket on a network interface and start to report."""
         self.port = reactor.listenUDP(0, self, interface=interface)
 
     def startProtocol(self) -> None:
@@ -38,7 +38,10 @@
         self.send("UP")
 
     def set_address(self, service: tuple[str, int]) -> bool:
-        """Report to a new address at once, unless the node is leaving; returns whether it changed."""
+        """Send reports to a new address, the first at once unless the node is leaving.
+
+        Returns whether the address changed.
+        """
         if service == self.service:
             return False
         self.service = service
@@ -48,13 +51,13 @@
         return True
 
     def leave(self) -> None:
-        """Report once that the node is out, then nothing more: any further report would keep it listed."""
+        """Report once that the node is out, and send no further reports, which would keep the node listed."""
         self.deadlines.cancel(self.next_report)
         if self.port is not None:
             self.send("OUT")
 
     def describe(self) -> str:
-        """The membership part of the status line."""
+        """Return the membership part of the status line."""
         return f"reported {(self.deadlines.now() - self.sent_at) // 1000} ms ago"
 
     def stop(self) -> None:
--- a/lichencleat/node/program.py
+++ b/lichencleat/node/program.py
@@ -19,13 +19,14 @@
 from lichencleat.node.report import Report
 from lichencleat.reactor import make_reactor
 
+# optional libraries, and the extra of this package that installs each
 EXTRAS = {"crc32c": "store", "sortedcontainers": "store", "structlog": "fleet", "xxhash": "fleet"}
-# µs between full garbage collections, which take 2 ms; closed connections are reference cycles
+# µs between full garbage collections of 2 ms each; they free closed connections, which are reference cycles
 COLLECTION_PERIOD = 10_000_000
 
 
 def log_reactor_errors(report: Report) -> None:
-    """Count and log errors that reach Twisted like all other errors."""
+    """Count errors that Twisted reports, and write them to the node's log."""
 
     def log(event: dict[str, Any]) -> None:
         failure = event.get("log_failure")
@@ -39,15 +40,15 @@
 
 
 def collect_periodically(deadlines: Deadlines) -> None:
-    """Collect garbage regularly; on its own the collector leaves some MB of cycles over a long day."""
+    """Collect garbage now and periodically; without this, some MB of reference cycles remain over a day."""
     gc.collect()
     deadlines.after(COLLECTION_PERIOD, collect_periodically, deadlines)
 
 
 def reload(node: RealNode) -> None:
-    """Read the configuration again; the old one stays in force if a file is missing or invalid."""
+    """Read both configuration files again; if one is missing or invalid, the old configuration stays."""
     try:
-        # read both before either takes effect
+        # read both files before either takes effect
         settings, operator_config = read_start_settings(os.environ), read_operator_config(os.environ)
         node.reload(settings, operator_config)
     except InvalidInputError as error:
@@ -56,7 +57,10 @@
 
 
 def read_operator_config(environment: Mapping[str, str]) -> Any:
-    """Read the operators' file; None without one, and its modules are then not imported, to save memory."""
+    """Return the contents of the operators' file, or None if LICHENCLEAT_FILE is not set.
+
+    Without the file, the modules that read it are not imported, which saves memory.
+    """
     path = environment.get("LICHENCLEAT_FILE")
     if not path:
         return None
@@ -74,7 +78,7 @@
 
 
 def main() -> int:
-    """Run a node until it ends; returns the exit code."""
+    """Run a node until it has stopped and return the exit code."""
     reactor = make_reactor()
     signal.signal(signal.SIGHUP, lambda *_: reactor.callFromThread(lambda: reload(node)))
     try:
@@ -89,7 +93,7 @@
     except InvalidInputError as error:
         print(f"lichencleat: {error}", file=sys.stderr)
         return 2
-    except ModuleNotFoundError as missing:  # a library of a part that the operators' file enables
+    except ModuleNotFoundError as missing:  # an optional library that a section of the operators' file needs
         if missing.name not in EXTRAS:
             raise
         extra = EXTRAS[missing.name]
@@ -102,6 +106,6 @@
         print(f"lichencleat: BALANCER_CONFIG: 'listen': {error}", file=sys.stderr)
         return 2
     collect_periodically(node.deadlines)
-    gc.freeze()  # objects that exist now stay alive: collections skip them
+    gc.freeze()  # collections skip the objects that exist now, which live as long as the process
     reactor.run(installSignalHandlers=False)
     return node.code
--- a/lichencleat/node/report.py
+++ b/lichencleat/node/report.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from typing import Any
 
-MAX_LINES = 20  # log lines per second: enough to see each kind of error, too few to use up a core
+MAX_LINES = 20  # maximum log lines per second: enough to see each kind of error, at a low CPU cost
 SECOND = 1_000_000  # µs
 
 
@@ -22,11 +22,11 @@
         self.suppressed = 0
 
     def count(self, peer: str, what: str, amount: int = 1) -> None:
-        """Add to the counter named `peer` and `what`."""
+        """Add an amount to the counter with the name `peer what`."""
         self.counts[f"{peer} {what}"] += amount
 
     def note(self, text: str) -> None:
-        """Log one line; above the rate limit it is only counted."""
+        """Log one line; a line above the rate limit is only counted."""
         now = self.clock()
         if len(self.recent_times) == MAX_LINES and now - self.recent_times[0] < SECOND:
             self.suppressed += 1
@@ -43,22 +43,22 @@
 
     @staticmethod
     def format_trace() -> str:
-        """The current exception's traceback on one line."""
+        """Return the traceback of the current exception as one line."""
         return " | ".join(traceback.format_exc(limit=-3).split("\n"))
 
     def events(self) -> Events:
-        """A logger for events with fields."""
+        """Return a logger for events with fields."""
         return Events(self)
 
     def write(self, line: str) -> None:
-        """Print a line; it is counted as lost if standard error is closed or full."""
+        """Print a line to standard error, or count it as lost if standard error is closed or full."""
         try:
             print(line, file=sys.stderr, flush=True)
         except OSError:
             self.count("node", "lines lost")
 
     def summary(self) -> None:
-        """Write all counters."""
+        """Write all counters, one a line."""
         for name in sorted(self.counts):
             self.write(f"{self.name} counter {name}: {self.counts[name]}")
 
--- a/lichencleat/node/requests.py
+++ b/lichencleat/node/requests.py
@@ -9,13 +9,16 @@
 from lichencleat.admission.types import Effect, Request
 from lichencleat.node.host import PendingRequest, RequestEngine
 
-MAX_BODY = 2_048  # bytes, by the protocol
-MAX_ARRIVAL_AHEAD = 1_000_000  # µs that an arrival may be ahead of our clock; it is the same machine's
-MAX_ARRIVAL_BEHIND = 10_000_000  # µs past its deadline that a request may be read, after the machine paused
-MAX_COST_HINT = 60_000.0  # ms of work that a client may state: ten times the longest wait for an answer
-MAX_SIZE = 2_000.0  # KB reserved for a request, by the protocol
-KEY_DIGEST_SIZE = 16  # bytes; long enough that digests collide neither by chance nor by a hostile client
-FIELD_PATTERNS = {  # by the protocol; stricter than what `int` and `float` accept
+MAX_BODY = 2_048  # bytes of a request's body; a limit of the protocol
+# µs by which a stated arrival time may be ahead of this process's clock; both clocks are the same machine's
+MAX_ARRIVAL_AHEAD = 1_000_000
+# µs after its deadline in which a request is still accepted, as the machine may have paused
+MAX_ARRIVAL_BEHIND = 10_000_000
+MAX_COST_HINT = 60_000.0  # ms of work that a client may state, ten times the longest wait for an answer
+MAX_SIZE = 2_000.0  # KB of memory that a request may reserve; a limit of the protocol
+KEY_DIGEST_SIZE = 16  # bytes; long enough that neither chance nor a hostile client makes digests collide
+# valid values of each field by the protocol, which is stricter than `int` and `float`
+FIELD_PATTERNS = {
     b"i": re.compile(rb"[0-9a-fA-F]{16}"),
     b"s": re.compile(rb"[0-9]{1,15}"),
     b"f": re.compile(rb"[0-9]{1,9}"),
@@ -28,11 +31,11 @@
 
 
 class BadRequestError(Exception):
-    """An array is not a valid request; the text says why."""
+    """An array is not a valid request; the message gives the reason."""
 
 
 def parse_fields(text: bytes) -> dict[bytes, bytes]:
-    """Split a request's fields; raises ValueError if a field is repeated or malformed."""
+    """Return a request's fields by name. Raises ValueError if a field is repeated or malformed."""
     pairs = [each.split(b"=", 1) for each in text.split(b",")]
     values = dict(pairs)
     if len(values) < len(pairs):
@@ -47,9 +50,10 @@
 def read_request(
     words: list[bytes], engine: RequestEngine, tenants: Container[bytes], reply: Callable[..., None]
 ) -> tuple[PendingRequest, bytes]:
-    """Parse a request; returns it and its tenant. Raises BadRequestError.
+    """Return the request that an array contains, and its tenant. Raises BadRequestError if it is invalid.
 
-    `tenants`: the known tenants; false on a site without tenants.
+    `tenants`: the known tenants; false on a site without tenants, where every tenant is accepted.
+    `reply`: called with the answer to the request.
     """
     if not 4 <= len(words) <= 5:
         raise BadRequestError(f"request of {len(words)} words")
@@ -92,10 +96,11 @@
 
 
 def digest_parts(*parts: bytes) -> bytes:
-    """A digest of tenant, request class and body, which all attempts of a request share.
+    """Return a digest of the tenant, request class and body, which are the same in all attempts of a request.
 
-    Prevents the key of another client from matching. Each part is hashed with its length, so that different
-    parts never give the same input.
+    Appended to the idempotency key, the digest keeps a request of another client with the same key from being
+    treated as a repeat. Each part is hashed with its length, so that different parts never give the same
+    input.
     """
     digest = blake2b(digest_size=KEY_DIGEST_SIZE)
     for part in parts:
--- a/lichencleat/node/resp.py
+++ b/lichencleat/node/resp.py
@@ -1,13 +1,15 @@
-"""Arrays of bulk strings: parsing in place, and encoding for gathered writes; no I/O."""
+"""Parses and encodes arrays of bulk strings, as in the Redis protocol (RESP); no I/O."""
 
 from __future__ import annotations
 
 from lichencleat.node.framing import BrokenFramingError, Reader
 
-MAX_WORDS = 8  # per array; the longest message has two thirds of that
-MAX_WORD = 4_096  # bytes: twice the longest body; one slightly too long is still answered under its tag
-MAX_ARRAY = 8_192  # bytes of all words: what a connection may hold in memory before the array is complete
-MAX_HEAD = 16  # bytes of a header: the sign and the digits of any valid length
+MAX_WORDS = 8  # maximum number of words of an array; the longest valid message has five
+# maximum bytes of a word, twice the longest valid body: a request with a body slightly too long can still be
+# parsed, and is answered under its tag
+MAX_WORD = 4_096
+MAX_ARRAY = 8_192  # maximum bytes of all words; bounds the memory that a partial array takes
+MAX_HEAD = 16  # maximum bytes of a header, enough for the sign and the digits of any valid length
 
 
 class ArrayReader(Reader[list[bytes]]):
@@ -15,7 +17,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        # of the partial array: the number of missing words, and the bytes that they may have
+        # the number of words that the partial array still lacks, and how many bytes these may have in total
         self.missing_words = self.bytes_left = 0
         self.words: list[bytes] = []
 
@@ -47,7 +49,10 @@
         return words
 
     def read_length(self, sign: bytes, end: int, max_length: int) -> int:
-        """Parse the header that ends at `end`: a sign and a number up to `max_length`."""
+        """Return the number in the header that ends at index `end`.
+
+        Raises BrokenFramingError unless the header is the sign and a number up to `max_length`.
+        """
         digits = self.buffer[self.position + 1 : end]
         if (
             self.buffer[self.position : self.position + 1] != sign
@@ -59,7 +64,7 @@
 
 
 def array(*words: bytes) -> list[bytes]:
-    """The pieces of an array, for one gathered write."""
+    """Return the pieces of an array, for one gathered write."""
     pieces = [b"*%d\r\n" % len(words)]
     for word in words:
         pieces += (b"$%d\r\n" % len(word), word, b"\r\n")
--- a/lichencleat/node/slots.py
+++ b/lichencleat/node/slots.py
@@ -9,7 +9,7 @@
 
 
 class Slots(Generic[Item]):
-    """Items by slot number; iterates over the items in use."""
+    """Holds items by slot number; iteration yields the items in use."""
 
     def __init__(self) -> None:
         self.items: list[Item | None] = []
@@ -25,14 +25,17 @@
         return len(self.items) - 1
 
     def release(self, number: int) -> None:
-        """Free a number; raises KeyError if it is not in use, as it may belong to another owner by then."""
+        """Free a number for reuse. Raises KeyError if the number is not in use.
+
+        A number must be released once only: after that it may belong to another item.
+        """
         if self.get(number) is None:
             raise KeyError(number)
         self.items[number] = None
         self.free.append(number)
 
     def get(self, number: int) -> Item | None:
-        """The item with this number, or None."""
+        """Return the item with a number, or None if the number is not in use."""
         return self.items[number] if 0 <= number < len(self.items) else None
 
     def __len__(self) -> int:
--- a/lichencleat/node/structured.py
+++ b/lichencleat/node/structured.py
@@ -1,4 +1,4 @@
-"""Counters and log lines in structured form, for nodes whose operators' file sets `log`."""
+"""Structured log output, for nodes whose operators' file has a `log` section."""
 
 from __future__ import annotations
 
@@ -11,7 +11,10 @@
 
 
 class StructuredReport(Report):
-    """Logs the text before a note's first colon as its event: each kind of note has its own rate limit."""
+    """Logs each note as an event: the text before the first colon is the event's name, the rest its detail.
+
+    The logger limits the rate of each event separately.
+    """
 
     def __init__(self, name: str, clock: Callable[[], int], form: str) -> None:
         super().__init__(name, clock)
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -1,7 +1,7 @@
 """A node's subscription to the distributed configuration, from which it takes the list of tenants.
 
-Connects the subscriber and the store of `config_distribution/` to the node. Imported only if the operators'
-file has a `distribution` section.
+Connects the subscriber and the store of `config_distribution/` to the node. To save memory, a node imports
+this module only if the operators' file has a `distribution` section.
 """
 
 from __future__ import annotations
@@ -22,14 +22,15 @@
 if TYPE_CHECKING:
     from lichencleat.config_distribution.kept import Kept
 
-TENANT = "tenant"  # kind of the records whose names are the tenants
+TENANT = "tenant"  # kind of the distributed records whose names are the tenants
 SECOND = 1_000_000  # µs
 
 
 class Tenants:
-    """The known tenants: those of the settings until a version is in force, then those of the table alone.
+    """The known tenants; a request of an unknown tenant is refused.
 
-    Used in place of the settings' list: a request of an unknown tenant is refused.
+    Until a version of the distributed configuration is known, these are the tenants of the start settings;
+    after that, only those of the distributed table.
     """
 
     def __init__(self, settings: frozenset[bytes]) -> None:
@@ -37,7 +38,7 @@
         self.table: Table | None = None
 
     def __bool__(self) -> bool:
-        """False on a site without tenants, where every request is accepted."""
+        """Return false on a site without tenants, where requests of every tenant are accepted."""
         return bool(self.settings) or (self.table is not None and self.table.version > 0)
 
     def __contains__(self, tenant: bytes) -> bool:
@@ -64,7 +65,7 @@
 
 
 class DistributedConfig:
-    """Owns the subscriber and the copy on disk, until `stop`."""
+    """Owns the subscriber and the copy of the configuration on disk, until `stop`."""
 
     def __init__(
         self,
@@ -76,23 +77,25 @@
         rng: random.Random,
         report: Any,
     ) -> None:
-        """`config`: a config.schema.DistributionConfig; `settings`: the tenants in the start settings;
-        `unix_time`: µs; `report`: a node.report.Report.
+        """Set up the tenants; `start` does the rest.
+
+        `config`: a config.schema.DistributionConfig; `settings`: the tenants in the start settings;
+        `unix_time`: returns µs; `report`: a node.report.Report.
         """
         self.reactor, self.name, self.config, self.unix_time, self.rng = reactor, name, config, unix_time, rng
         self.report, self.log = report, PrefixedLog(report.events())
         self.tenants = Tenants(settings)
         self.store: Kept | None = None
-        self.mark = b""
+        self.mark = b""  # mark of the group in the copy on disk; empty before it is known
         self.subscriber: Subscriber | None = None
         self.is_stopped = False
 
     @inlineCallbacks
     def start(self) -> Any:
-        """Load the copy on disk, which is in force if it is intact, then subscribe."""
+        """Load the copy on disk, which applies at once if it is intact, then subscribe to the relays."""
         table = Table()
         if self.config.directory is not None:
-            # imported only if it is on, to save memory
+            # imported only with a copy on disk, to save memory
             from lichencleat.config_distribution.kept import open_kept
 
             try:
@@ -105,7 +108,7 @@
                     tell=self.log_store_error,
                 )
                 table, self.mark, _ = yield self.store.load()
-            except (StoreError, OSError) as error:  # a relay sends what is missing
+            except (StoreError, OSError) as error:  # the relays then send the table
                 self.log_store_error(f"{error}; continuing without the copy on disk")
                 store, self.store = self.store, None
                 if store is not None:
@@ -116,12 +119,12 @@
             self.store.close()
 
     def log_store_error(self, message: str) -> None:
-        """Count and log a message of the store."""
+        """Count and log a message of the store on disk."""
         self.report.count("distribution", "words of the disk")
         self.log.warning("disk", says=message)
 
     def start_subscriber(self, table: Table) -> None:
-        """Subscribe to the relays, starting from a table."""
+        """Subscribe to the relays, starting from the version of a table."""
         copy = TableCopy(table, self.mark)
         if self.config.tenants:
             self.tenants.table = table
@@ -142,7 +145,7 @@
         self.subscriber.start()
 
     def on_batches_taken(self, batches: tuple[Batch, ...]) -> None:
-        """Store the batches that are in force now; without batches, store the whole table."""
+        """Store batches that were applied to the table; without batches, store the whole table."""
         if self.store is None or self.subscriber is None:
             return
         table = self.subscriber.copy.table
@@ -152,14 +155,14 @@
             self.store.replaced(table)
 
     def on_version_known(self) -> None:
-        """Store the mark of the group, which comes with the first version."""
+        """Store the mark of the group if it has changed; it arrives with the first version."""
         if self.subscriber is not None and self.subscriber.copy.mark != self.mark:
             self.mark = self.subscriber.copy.mark
             if self.store is not None:
                 self.store.mark(self.mark)
 
     def stop(self) -> Deferred[None]:
-        """Unsubscribe; fires once all is written to disk."""
+        """Unsubscribe; the returned Deferred fires once all changes are written to disk."""
         self.is_stopped = True
         self.update_counters()
         if self.subscriber is not None:
@@ -173,6 +176,6 @@
                 self.report.counts[f"distribution {counter}"] = number
 
     def describe(self) -> str:
-        """The distribution part of the status line."""
+        """Return the distribution part of the status line."""
         self.update_counters()
         return self.subscriber.beliefs() if self.subscriber is not None else "reads its disk"
