--- a/lichencleat/cli/__init__.py
+++ b/lichencleat/cli/__init__.py
@@ -1,7 +1,7 @@
-"""The command line: `lichencleat NOUN VERB`, one module a noun. It decides nothing; it reads, calls, and
-shows.
+"""The command line, `lichencleat NOUN VERB`, with one module per noun. The modules hold no decisions of the
+system: they read input, call other packages and print the results.
 
-Wrong input is one line on standard error (what, where, what to do) and exit 2, with nothing written; what was
-found to be wrong with the data is exit 1. Tables by default, `--json` beside them; progress on a terminal
-only.
+Wrong input is reported in one line on standard error (what is wrong, where, what to do) with exit code 2, and
+nothing is written. A fault in the data or a refused change has exit code 1. Output is a table by default and
+JSON with `--json`. Progress is shown only on a terminal.
 """
--- a/lichencleat/cli/config.py
+++ b/lichencleat/cli/config.py
@@ -1,4 +1,4 @@
-"""`lichencleat config`: the operators' file looked at before a node is told of it."""
+"""`lichencleat config`: check and show a node's configuration file before a node uses it."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @click.group("config", no_args_is_help=True)
 def group() -> None:
-    """The operators' file: check it, show what is in force."""
+    """A node's configuration file: check it, show the effective settings."""
 
 
 file = click.argument("file", metavar="FILE")
@@ -21,11 +21,11 @@
 @group.command()
 @file
 def check(file: str) -> None:
-    """Exit 0 if a node would take FILE; else one line with the place and what would be right, exit 2."""
+    """Check FILE. If a node would reject it, print the line and what is expected, and exit with code 2."""
     try:
         read_node_config(file)
-    except InvalidConfigError as wrong:
-        raise output.WrongInput(str(wrong)) from wrong
+    except InvalidConfigError as error:
+        raise output.WrongInput(str(error)) from error
     click.echo(f"{file}: good")
 
 
@@ -33,11 +33,11 @@
 @file
 @click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
 def show_values(file: str, as_json: bool) -> None:
-    """Every value in force, and whether it is FILE's or the default."""
+    """Show every effective setting, and whether its value is from a line of FILE or the default."""
     try:
         rows = list_settings(file)
-    except InvalidConfigError as wrong:
-        raise output.WrongInput(str(wrong)) from wrong
+    except InvalidConfigError as error:
+        raise output.WrongInput(str(error)) from error
     output.table(
         ["setting", "value", "from"], [[each.path, each.value, each.origin] for each in rows], as_json
     )
--- a/lichencleat/cli/main.py
+++ b/lichencleat/cli/main.py
@@ -1,6 +1,6 @@
-"""The command `lichencleat`: one noun for each subsystem.
+"""The command `lichencleat`, with one noun (group of commands) per subsystem.
 
-The module of a noun, and the libraries that it needs, are imported only when the noun is used.
+A noun's module and the libraries that the module needs are imported only when the noun is used.
 """
 
 from __future__ import annotations
@@ -14,35 +14,54 @@
 
 @dataclass(frozen=True, slots=True)
 class Noun:
-    """One group of commands."""
+    """A group of commands."""
 
     module: str
-    """Where the group stands, as its attribute `group`."""
+    """Name of the module that defines the click group, as its attribute `group`."""
     summary: str
-    """One line for `--help`, shown without an import of the module."""
+    """Description for `--help` in one line, available without importing the module."""
 
 
 NOUNS = {
-    "capacity": Noun("lichencleat.cli.capacity", "What a fleet costs, role by role, and what breaks first."),
-    "config": Noun("lichencleat.cli.config", "The operators' file: check it, show what is in force."),
+    "capacity": Noun(
+        "lichencleat.cli.capacity",
+        "The load on each role of a fleet of a given size, and which limits are exceeded first.",
+    ),
+    "config": Noun(
+        "lichencleat.cli.config", "A node's configuration file: check it, show the effective settings."
+    ),
     "consensus": Noun(
-        "lichencleat.cli.consensus", "Voters with a replicated log: found a group, run a member, change it."
+        "lichencleat.cli.consensus",
+        "Groups of voters with a replicated log: found a group, run members, change the membership.",
+    ),
+    "distribution": Noun(
+        "lichencleat.cli.distribution",
+        "The fleet's configuration: publish changes, run relays that deliver them to all nodes.",
+    ),
+    "failover": Noun(
+        "lichencleat.cli.failover", "Routing of requests between zones: status, overrides, drills, reasons."
+    ),
+    "fleet": Noun(
+        "lichencleat.cli.fleet",
+        "All nodes: the fraction of requests that each admits; recovery after a power loss.",
+    ),
+    "flows": Noun(
+        "lichencleat.cli.flows", "Flow export: a collector that adds up the traffic of each tenant."
     ),
-    "distribution": Noun("lichencleat.cli.distribution", "The fleet's configuration, carried to every node."),
-    "failover": Noun("lichencleat.cli.failover", "Which zone serves what: overrides, drills, reasons."),
-    "fleet": Noun("lichencleat.cli.fleet", "All nodes: how much each admits; recovery after a power loss."),
-    "flows": Noun("lichencleat.cli.flows", "Flow export: a collector that adds up who sent what."),
     "idempotency": Noun(
-        "lichencleat.cli.idempotency", "Idempotency records and results of a node that outlive its restarts."
+        "lichencleat.cli.idempotency",
+        "Idempotency records of a node, stored with the results: list, check, adopt a directory.",
+    ),
+    "leases": Noun("lichencleat.cli.leases", "Jobs of the fleet, each run by one lease holder at a time."),
+    "logs": Noun("lichencleat.cli.log", "Logs of several processes, merged by time."),
+    "membership": Noun(
+        "lichencleat.cli.membership", "Which processes are alive, as gossip among them shows."
     ),
-    "leases": Noun("lichencleat.cli.leases", "Jobs of the fleet, each with one lease holder at a time."),
-    "logs": Noun("lichencleat.cli.log", "Logs of many processes, in one order."),
-    "membership": Noun("lichencleat.cli.membership", "Which instances are alive, by gossip."),
-    "quotas": Noun("lichencleat.cli.quotas", "Capacity of a shared dependency, allocated to the nodes."),
+    "quotas": Noun("lichencleat.cli.quotas", "Capacity of shared dependencies, allocated to the nodes."),
     "router": Noun(
-        "lichencleat.cli.router", "Carries requests to nodes, in the own zone while that is safe."
+        "lichencleat.cli.router", "Sends requests to nodes, in its own zone while the zone is healthy."
     ),
-    "store": Noun("lichencleat.cli.store", "Records that survive power cuts: put, get, check, repair."),
+    "store": Noun("lichencleat.cli.store", "Durable key-value store: put, get, check, repair."),
 }
 
 FORMER_NOUNS = {
@@ -53,7 +72,7 @@
     "shares": "quotas",
     "zones": "failover",
 }
-"""Names of nouns before December 2026: hidden aliases that run the same code."""
+"""Current noun by former noun (before December 2026). Former nouns work as aliases that --help omits."""
 
 EXTRAS = {
     "yaml": "file",
@@ -64,18 +83,18 @@
     "structlog": "fleet",
     "xxhash": "fleet",
 }
-"""The extra of `pyproject.toml` that brings a missing module."""
+"""By name of an optional module: the extra of `pyproject.toml` that installs the module."""
 
 
 class NounGroup(click.Group):
-    """Resolves nouns by name and imports their modules on demand."""
+    """The root group, which imports the module of a noun when the noun is first used."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the current nouns; former ones are not listed."""
+        """Return the current nouns, sorted, without the former ones."""
         return sorted(NOUNS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the group of a current or former noun, or None."""
+        """Return the click group of a current or former noun, or None for an unknown noun."""
         noun = NOUNS.get(FORMER_NOUNS.get(cmd_name, cmd_name))
         if noun is None:
             return None
@@ -91,26 +110,26 @@
 @click.command(cls=NounGroup)
 @click.version_option(package_name="lichencleat")
 def lichencleat() -> None:
-    """Admission and scheduling for servers behind others' balancers.
+    """Admission control, scheduling and fleet coordination for servers behind load balancers.
 
-    Without a command it is the node that BALANCER_CONFIG describes.
+    Without a command, run the node that the environment variable BALANCER_CONFIG configures.
     """
 
 
 def run(arguments: list[str]) -> int:
-    """The command's exit code; whatever goes wrong is one line."""
+    """Run the command and return its exit code. Errors are printed in one line on standard error."""
     try:
         code = lichencleat.main(arguments, prog_name="lichencleat", standalone_mode=False)
-    except click.exceptions.NoArgsIsHelpError as asked:
-        click.echo(asked.format_message())
+    except click.exceptions.NoArgsIsHelpError as help_request:
+        click.echo(help_request.format_message())
         return 2
-    except click.ClickException as wrong:
-        place = f"{wrong.ctx.command_path}: " if isinstance(wrong, click.UsageError) and wrong.ctx else ""
-        click.echo(f"lichencleat: {place}{wrong.format_message()}", err=True)
-        return wrong.exit_code
+    except click.ClickException as error:
+        command = f"{error.ctx.command_path}: " if isinstance(error, click.UsageError) and error.ctx else ""
+        click.echo(f"lichencleat: {command}{error.format_message()}", err=True)
+        return error.exit_code
     except (click.Abort, KeyboardInterrupt):
         return 130
-    except BrokenPipeError:  # who read the output has seen enough
+    except BrokenPipeError:  # the reader closed standard output, as `head` does
         sys.stdout = None
         return 0
     except ModuleNotFoundError as missing:
@@ -119,4 +138,4 @@
             raise
         click.echo(f"lichencleat: needs {missing.name}: pip install 'lichencleat[{extra}]'", err=True)
         return 2
-    return code if isinstance(code, int) else 0  # what click.exceptions.Exit was raised with
+    return code if isinstance(code, int) else 0  # the code of click.exceptions.Exit
--- a/lichencleat/cli/membership.py
+++ b/lichencleat/cli/membership.py
@@ -1,4 +1,4 @@
-"""`lichencleat membership`: who is there, by gossip."""
+"""`lichencleat membership`: which processes are alive, as gossip among them shows."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 @click.group("membership", no_args_is_help=True)
 def group() -> None:
-    """Who is there, among many instances."""
+    """Which processes are alive, as gossip among them shows."""
 
 
 @group.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def run(file: str) -> None:
-    """Take part as FILE says until SIGTERM; each change is a line of the log."""
+    """Run the member that FILE configures until SIGTERM. Each change of the membership is logged."""
     try:
-        chosen = program.read_membership_config(file)
-    except InvalidConfigError as wrong:
-        raise output.WrongInput(str(wrong)) from wrong
-    raise click.exceptions.Exit(program.run(chosen))
+        config = program.read_membership_config(file)
+    except InvalidConfigError as error:
+        raise output.WrongInput(str(error)) from error
+    raise click.exceptions.Exit(program.run(config))
--- a/lichencleat/cli/router.py
+++ b/lichencleat/cli/router.py
@@ -1,4 +1,4 @@
-"""`lichencleat router`: the process that carries requests to the nodes of its zone, or another one."""
+"""`lichencleat router`: the process that sends requests to the nodes of its own zone or of another zone."""
 
 from __future__ import annotations
 
@@ -14,20 +14,21 @@
 
 @click.group("router", no_args_is_help=True)
 def group() -> None:
-    """Carries requests near while that is safe, by the newest order of zones."""
+    """Sends requests to nodes, in its own zone while the zone is healthy, by the newest routing plan."""
 
 
 def read(file: str) -> tuple[RouterFile, NodeSpec, frozenset[bytes]]:
+    """Read the router's file and the settings that the file names. Raises WrongInput if either is invalid."""
     try:
         return read_router(file)
-    except InvalidConfigError as wrong:
-        raise output.WrongInput(str(wrong)) from wrong
+    except InvalidConfigError as error:
+        raise output.WrongInput(str(error)) from error
 
 
 @group.command()
 @FILE
 def run(file: str) -> None:
-    """Run the router of FILE until SIGTERM; SIGHUP reads again which nodes there are."""
+    """Run the router that FILE configures until SIGTERM. SIGHUP reads the list of nodes again."""
     from lichencleat.router import program
 
     raise click.exceptions.Exit(program.run(file, *read(file)))
@@ -37,9 +38,9 @@
 @FILE
 @click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
 def check(file: str, as_json: bool) -> None:
-    """What FILE says, or what is wrong with it (exit code 2)."""
-    chosen, machine, _ = read(file)
-    router = chosen.router
+    """Check FILE and show its main settings. If FILE is invalid, print the error and exit with code 2."""
+    router_file, node_spec, _ = read(file)
+    router = router_file.router
     output.pairs(
         {
             "name": router.name,
@@ -47,7 +48,7 @@
             "listen": router.listen,
             "nodes": sum(len(each.nodes) for each in router.zones.values()),
             "zones": ", ".join(sorted(router.zones)),
-            "classes": ", ".join(each.name for each in machine.request_classes),
+            "classes": ", ".join(each.name for each in node_spec.request_classes),
             "group": router.group or "",
             "sends_elsewhere": router.group is not None and len(router.zones) > 1,
         },
--- a/tests/capacity/test_page.py
+++ b/tests/capacity/test_page.py
@@ -71,7 +71,7 @@
     arguments = ["capacity", "plan", "--slopes", str(SLOPES), "--target", str(TARGET)]
     assert run(arguments) == 0
     shown = capsys.readouterr().out
-    assert "What does not hold" in shown and "quorum.facts.FACTS_MOST" in shown
+    assert "Budgets and bounds that the target exceeds" in shown and "quorum.facts.FACTS_MOST" in shown
     assert run([*arguments, "--json"]) == 0
     plan = json.loads(capsys.readouterr().out)
     assert {each["role"] for each in plan["rows"]} >= {
