--- a/lichencleat/cli/consensus.py
+++ b/lichencleat/cli/consensus.py
@@ -1,4 +1,4 @@
-"""`lichencleat consensus`: a group of voters made, run, looked at and changed."""
+"""`lichencleat consensus`: create a group of voters, run its members, show and change the membership."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from lichencleat.transport.outcomes import RejectReason
 
 HEAD = ["name", "address", "zone", "votes", "role", "term", "applied", "last", "start", "seat"]
-PATIENCE = 10.0  # s for a command's question
-LOOK = 0.1  # s between looks whether a new member has caught up
+CLI_REQUEST_TIMEOUT_S = 10.0  # for each request that a command sends to the group
+POLL_INTERVAL_S = 0.1  # between requests that wait until a member has caught up or leads
 
 FILE = click.argument("file", type=click.Path(dir_okay=False))
 AS_JSON = click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
@@ -34,24 +34,25 @@
 
 @click.group("consensus", no_args_is_help=True)
 def group() -> None:
-    """A few voters that agree on small facts."""
+    """Groups of voters with a replicated log: found a group, run members, change the membership."""
 
 
-def chosen(path: str, member: bool = False) -> QuorumSettings:
+def read_group_settings(path: str, member: bool = False) -> QuorumSettings:
+    """Read the settings of a group, and with `member` also those of a member. Raises WrongInput."""
     try:
         return read_quorum_settings(path, member)
-    except InvalidConfigError as wrong:
-        raise output.WrongInput(str(wrong)) from wrong
+    except InvalidConfigError as error:
+        raise output.WrongInput(str(error)) from error
 
 
 @group.command()
 @FILE
 def found(file: str) -> None:
-    """Make a new group, with the member of FILE as its only voter."""
+    """Create a new group whose only voter is the member that FILE configures."""
     try:
-        identity = bootstrap_group(chosen(file, member=True), random.Random(os.urandom(16)))
-    except (BootstrapError, StoreError) as wrong:
-        raise output.WrongInput(f"quorum found: {wrong}") from wrong
+        identity = bootstrap_group(read_group_settings(file, member=True), random.Random(os.urandom(16)))
+    except (BootstrapError, StoreError) as error:
+        raise output.WrongInput(f"consensus found: {error}") from error
     output.pairs(
         {"group": identity.cluster_id.hex(), "member": identity.member_name, "seat": identity.member_id},
         False,
@@ -61,12 +62,12 @@
 @group.command()
 @FILE
 def run(file: str) -> None:
-    """Run the member of FILE until SIGTERM."""
-    raise click.exceptions.Exit(run_coordinator(chosen(file, member=True)))
+    """Run the member that FILE configures until SIGTERM."""
+    raise click.exceptions.Exit(run_coordinator(read_group_settings(file, member=True)))
 
 
-def on_reactor(main: Callable[[Any], Any]) -> None:
-    """Runs it to its end on a reactor of its own: a command may hold several conversations."""
+def run_on_reactor(main: Callable[[Any], Any]) -> None:
+    """Run `main` to its end on a new reactor. A reactor can run only once, and some commands run several."""
     reactor = EPollReactor()
 
     def begin() -> None:
@@ -79,77 +80,90 @@
         failed[0].raiseException()
 
 
-def talk(what: Callable[[Any, GroupClient], Any], quorum: QuorumSettings, *addresses: str) -> Any:
-    """Runs a conversation with the group on a reactor of its own; a group that fails is one line."""
-    told: list[Any] = []
+def run_with_client(
+    operation: Callable[[Any, GroupClient], Any], quorum: QuorumSettings, *addresses: str
+) -> Any:
+    """Run an operation with a client of the group, and return the operation's result.
+
+    The client connects to `addresses`, by default to the members in the settings. Raises WrongData if a
+    request fails.
+    """
+    results: list[Any] = []
 
     @inlineCallbacks
     def main(reactor: Any) -> Any:
-        places = [parse_address(each) for each in addresses or quorum.members]
-        client = GroupClient(reactor, quorum.group, places, random.Random(os.urandom(16)))
+        parsed_addresses = [parse_address(each) for each in addresses or quorum.members]
+        client = GroupClient(reactor, quorum.group, parsed_addresses, random.Random(os.urandom(16)))
         try:
-            told.append((yield what(reactor, client)))
-        except RequestFailedError as wrong:
-            told.append(wrong)
+            results.append((yield operation(reactor, client)))
+        except RequestFailedError as error:
+            results.append(error)
         finally:
             client.close()
 
-    on_reactor(main)
-    if not told:
-        raise click.ClickException("the conversation with the group broke off")
-    if isinstance(told[0], RequestFailedError):
-        raise output.WrongData(f"quorum: {told[0]} ({', '.join(addresses or quorum.members)})")
-    return told[0]
+    run_on_reactor(main)
+    if not results:
+        raise click.ClickException("the command was interrupted before the group answered; run it again")
+    if isinstance(results[0], RequestFailedError):
+        raise output.WrongData(f"consensus: {results[0]} (asked: {', '.join(addresses or quorum.members)})")
+    return results[0]
 
 
 @inlineCallbacks
-def ask_all(reactor: Any, quorum: QuorumSettings, addresses: list[str], what: str = "status") -> Any:
-    """What each member answers, or why it does not."""
-    found: dict[str, Any] = {}
+def call_members(
+    reactor: Any, quorum: QuorumSettings, addresses: list[str], operation: str = "status"
+) -> Any:
+    """Send a request to each address. Return by address the reply, or the reason why there is none."""
+    replies: dict[str, Any] = {}
     clients = {
         each: GroupClient(reactor, quorum.group, [parse_address(each)], random.Random(os.urandom(16)))
         for each in addresses
     }
-    asked = {each: client.call(what, None, 2.0) for each, client in clients.items()}
-    for address, answer in asked.items():
+    requests = {each: client.call(operation, None, 2.0) for each, client in clients.items()}
+    for address, request in requests.items():
         try:
-            found[address] = yield answer
-        except RequestFailedError as wrong:
-            found[address] = wrong.reason
+            replies[address] = yield request
+        except RequestFailedError as error:
+            replies[address] = error.reason
     for client in clients.values():
         client.close()
-    return found
+    return replies
+
 
+def read_statuses(quorum: QuorumSettings) -> tuple[dict[str, Any], dict[str, Any] | None]:
+    """Return by address each member's status (or why there is none), and the status of the leader.
 
-def look(quorum: QuorumSettings) -> tuple[dict[str, Any], dict[str, Any] | None]:
-    """What each member says, and the word of the one that leads in the newest term."""
-    told: list[dict[str, Any]] = []
+    The second value is None if no member leads. If several members claim to lead, the newest term counts.
+    """
+    results: list[dict[str, Any]] = []
 
     @inlineCallbacks
     def main(reactor: Any) -> Any:
-        found = yield ask_all(reactor, quorum, list(quorum.members))
-        known = {m["address"] for each in found.values() if isinstance(each, dict) for m in each["members"]}
-        found.update((yield ask_all(reactor, quorum, sorted(known - found.keys()))))
-        told.append(found)
+        replies = yield call_members(reactor, quorum, list(quorum.members))
+        known_addresses = {
+            m["address"] for each in replies.values() if isinstance(each, dict) for m in each["members"]
+        }
+        replies.update((yield call_members(reactor, quorum, sorted(known_addresses - replies.keys()))))
+        results.append(replies)
 
-    on_reactor(main)
-    found = told[0] if told else {}
-    leading = [each for each in found.values() if isinstance(each, dict) and each["role"] == "leader"]
-    return found, max(leading, key=lambda each: each["term"], default=None)
+    run_on_reactor(main)
+    replies = results[0] if results else {}
+    leaders = [each for each in replies.values() if isinstance(each, dict) and each["role"] == "leader"]
+    return replies, max(leaders, key=lambda each: each["term"], default=None)
 
 
 @group.command()
 @FILE
 @AS_JSON
 def status(file: str, as_json: bool) -> None:
-    """Who leads, and how far each member is. Exit code 1 where nobody leads."""
-    quorum = chosen(file)
-    found, leader = look(quorum)
+    """Show each member's role and how much of the log it has applied. Exit code 1 if no member leads."""
+    quorum = read_group_settings(file)
+    replies, leader = read_statuses(quorum)
     if as_json:
-        click.echo(json.dumps({"leader": leader and leader["member"], "members": found}))
+        click.echo(json.dumps({"leader": leader and leader["member"], "members": replies}))
     else:
         rows = []
-        for address, each in sorted(found.items()):
+        for address, each in sorted(replies.items()):
             if isinstance(each, dict):
                 listed = next((m for m in each["members"] if m["seat"] == each["seat"]), None)
                 votes = "no member" if listed is None else "yes" if listed["votes"] else "no"
@@ -159,17 +173,21 @@
                 rows.append(["", address, "", "", each, "", "", "", "", ""])
         output.table(HEAD, rows, False)
     if leader is None:
-        raise output.WrongData("quorum: nobody leads; see docs/operate-leases.md, 'A lost majority'")
+        raise output.WrongData(
+            "consensus: no member leads the group; see docs/operate-leases.md, 'A lost majority'"
+        )
 
 
 @group.command()
 @FILE
 @AS_JSON
 def members(file: str, as_json: bool) -> None:
-    """The group as its leader knows it."""
-    _, leader = look(chosen(file))
+    """Show the members of the group as the leader knows them."""
+    _, leader = read_statuses(read_group_settings(file))
     if leader is None:
-        raise output.WrongData("quorum: nobody leads; see docs/operate-leases.md, 'A lost majority'")
+        raise output.WrongData(
+            "consensus: no member leads the group; see docs/operate-leases.md, 'A lost majority'"
+        )
     head = ["name", "address", "zone", "votes", "has", "heard_ms", "seat"]
     rows = [[each[key] if each[key] is not None else "" for key in head] for each in leader["members"]]
     output.table(head, rows, as_json)
@@ -178,84 +196,103 @@
 @group.command()
 @FILE
 @click.argument("address")
-@click.option("--learner", is_flag=True, help="It follows and does not vote.")
-@click.option("--patience", default=60.0, show_default=True, help="Seconds for it to catch up.")
+@click.option("--learner", is_flag=True, help="Add the member as a learner, which does not vote.")
+@click.option(
+    "--patience", default=60.0, show_default=True, help="Seconds that the new member may take to catch up."
+)
 def add(file: str, address: str, learner: bool, patience: float) -> None:
-    """Take in the member that runs at ADDRESS: it follows first, and votes once it has caught up."""
-    quorum = chosen(file)
-    new = talk(lambda reactor, client: client.call("status", None, PATIENCE), quorum, address)
-    there = talk(lambda reactor, client: client.call("status", None, PATIENCE), quorum)
-    if new.get("parts", there.get("parts")) != there.get("parts", new.get("parts")):  # older ones say none
+    """Add the member that runs at ADDRESS: first as a learner, then as a voter once the log is replicated."""
+    quorum = read_group_settings(file)
+    new_status = run_with_client(
+        lambda reactor, client: client.call("status", None, CLI_REQUEST_TIMEOUT_S), quorum, address
+    )
+    group_status = run_with_client(
+        lambda reactor, client: client.call("status", None, CLI_REQUEST_TIMEOUT_S), quorum
+    )
+    # Older members do not report the parts of their replicated state.
+    if new_status.get("parts", group_status.get("parts")) != group_status.get(
+        "parts", new_status.get("parts")
+    ):
         raise output.WrongInput(
-            f"quorum: {address} decides on {', '.join(new['parts'])}, and the group on "
-            f"{', '.join(there['parts'])}; quorum.distribution is to be the same in the files of all"
+            f"consensus: {address} replicates {', '.join(new_status['parts'])}, but the group replicates "
+            f"{', '.join(group_status['parts'])}; set quorum.distribution to the same value in all files"
         )
     host, port = parse_address(address)
-    who = [new["seat"], new["member"], host, port, new["zone"]]
+    member = [new_status["seat"], new_status["member"], host, port, new_status["zone"]]
 
     @inlineCallbacks
-    def ask(reactor: Any, client: GroupClient) -> Any:
-        listed = new["members"] and any(m["seat"] == new["seat"] and m["votes"] for m in new["members"])
-        if not listed:
-            yield client.call("add", [*who, False], PATIENCE)
+    def add_member(reactor: Any, client: GroupClient) -> Any:
+        is_voter = new_status["members"] and any(
+            m["seat"] == new_status["seat"] and m["votes"] for m in new_status["members"]
+        )
+        if not is_voter:
+            yield client.call("add", [*member, False], CLI_REQUEST_TIMEOUT_S)
         if learner:
             return None
-        until = reactor.seconds() + patience
+        deadline = reactor.seconds() + patience
         while True:
             try:
-                yield client.call("add", [*who, True], PATIENCE)
+                yield client.call("add", [*member, True], CLI_REQUEST_TIMEOUT_S)
                 return None
-            except RequestFailedError as wrong:
-                if wrong.reason != RejectReason.LEARNER_BEHIND.value or reactor.seconds() > until:
+            except RequestFailedError as error:
+                if error.reason != RejectReason.LEARNER_BEHIND.value or reactor.seconds() > deadline:
                     raise
-            yield deferLater(reactor, LOOK, lambda: None)
+            yield deferLater(reactor, POLL_INTERVAL_S, lambda: None)
+
+    run_with_client(add_member, quorum)
+    click.echo(f"{new_status['member']} is in the group" + (" as a learner" if learner else " as a voter"))
 
-    talk(ask, quorum)
-    click.echo(f"{new['member']} is in the group" + (" and follows" if learner else " and votes"))
 
+def find_member_id(quorum: QuorumSettings, name: str) -> int:
+    """Return the id of the member with a name, address or id.
 
-def seat_of(quorum: QuorumSettings, name: str) -> int:
-    _, leader = look(quorum)
+    Raises WrongInput if there is no such member, WrongData if no member leads.
+    """
+    _, leader = read_statuses(quorum)
     if leader is None:
-        raise output.WrongData("quorum: nobody leads; nothing was changed")
+        raise output.WrongData(
+            "consensus: nothing was changed, as no member leads; see 'lichencleat consensus status FILE'"
+        )
     for each in leader["members"]:
         if name in (each["name"], each["address"], str(each["seat"])):
             return each["seat"]
-    known = ", ".join(each["name"] for each in leader["members"])
-    raise output.WrongInput(f"quorum: {name!r} is no member; there are {known}")
+    names = ", ".join(each["name"] for each in leader["members"])
+    raise output.WrongInput(f"consensus: {name!r} is not a member of the group; the members are {names}")
 
 
 @group.command()
 @FILE
 @click.argument("name")
 def remove(file: str, name: str) -> None:
-    """Take the member NAME out of the group; its directory is of no further use."""
-    quorum = chosen(file)
-    seat = seat_of(quorum, name)
-    talk(lambda reactor, client: client.call("remove", seat, PATIENCE), quorum)
-    click.echo(f"{name} is out of the group")
+    """Remove the member NAME from the group. The member's directory is of no further use."""
+    quorum = read_group_settings(file)
+    member_id = find_member_id(quorum, name)
+    run_with_client(lambda reactor, client: client.call("remove", member_id, CLI_REQUEST_TIMEOUT_S), quorum)
+    click.echo(f"{name} is removed from the group")
 
 
 @group.command()
 @FILE
 @click.argument("name")
 def transfer(file: str, name: str) -> None:
-    """Have the member NAME lead."""
-    quorum = chosen(file)
-    seat = seat_of(quorum, name)
+    """Transfer the leadership to the member NAME."""
+    quorum = read_group_settings(file)
+    member_id = find_member_id(quorum, name)
 
     @inlineCallbacks
-    def ask(reactor: Any, client: GroupClient) -> Any:
-        yield client.call("transfer", seat, PATIENCE)
+    def transfer_leadership(reactor: Any, client: GroupClient) -> Any:
+        yield client.call("transfer", member_id, CLI_REQUEST_TIMEOUT_S)
         for _ in range(50):
-            status = yield client.call("status", None, PATIENCE)
-            if status["leader"] == seat:
+            status = yield client.call("status", None, CLI_REQUEST_TIMEOUT_S)
+            if status["leader"] == member_id:
                 return True
-            yield deferLater(reactor, LOOK, lambda: None)
+            yield deferLater(reactor, POLL_INTERVAL_S, lambda: None)
         return False
 
-    if not talk(ask, quorum):
-        raise output.WrongData(f"quorum: {name} does not lead; the one before goes on")
+    if not run_with_client(transfer_leadership, quorum):
+        raise output.WrongData(
+            f"consensus: {name} did not become the leader; see 'lichencleat consensus status FILE'"
+        )
     click.echo(f"{name} leads")
 
 
@@ -264,24 +301,27 @@
 @click.argument("name")
 @AS_JSON
 def get(file: str, name: str, as_json: bool) -> None:
-    """The fact NAME. Exit code 1 where there is none."""
-    fact = talk(lambda reactor, client: client.read("facts", name, PATIENCE), chosen(file))
-    if fact is None:
-        raise output.WrongData(f"quorum: no fact {name!r}")
-    output.pairs({"value": fact[0].decode(errors="replace"), "revision": fact[1]}, as_json)
+    """Print the value and the revision of the key NAME. Exit code 1 if the key does not exist."""
+    entry = run_with_client(
+        lambda reactor, client: client.read("facts", name, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
+    )
+    if entry is None:
+        raise output.WrongData(f"consensus: there is no key {name!r}")
+    output.pairs({"value": entry[0].decode(errors="replace"), "revision": entry[1]}, as_json)
 
 
 @group.command("set")
 @FILE
 @click.argument("name")
 @click.argument("value")
-@click.option("--only-if", type=int, help="The revision that it must have; 0: it must not be there.")
+@click.option("--only-if", type=int, help="Revision that the key must have; 0: the key must not exist.")
 def put(file: str, name: str, value: str, only_if: int | None) -> None:
-    """Set the fact NAME to VALUE."""
-    wanted = ["set", name, value.encode(), only_if]
-    done, revision, why = talk(
-        lambda reactor, client: client.propose("facts", wanted, PATIENCE), chosen(file)
+    """Set the key NAME to VALUE, in the group's replicated key-value pairs."""
+    command = ["set", name, value.encode(), only_if]
+    accepted, revision, reason = run_with_client(
+        lambda reactor, client: client.propose("facts", command, CLI_REQUEST_TIMEOUT_S),
+        read_group_settings(file),
     )
-    if not done:
-        raise output.WrongData(f"quorum: {name!r} was not set: {why} ({revision})")
+    if not accepted:
+        raise output.WrongData(f"consensus: {name!r} was not set: {reason} (its revision is {revision})")
     click.echo(f"revision {revision}")
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -13,7 +13,13 @@
 from twisted.internet.defer import inlineCallbacks
 
 from lichencleat.cli import output, relays
-from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import (
+    AS_JSON,
+    CLI_REQUEST_TIMEOUT_S,
+    FILE,
+    read_group_settings,
+    run_with_client,
+)
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config_distribution.published import Summary, check_file, read_changes, split
 from lichencleat.config_distribution.source import (
@@ -48,8 +54,8 @@
 def read(path: str) -> Summary:
     try:
         return check_file(path)
-    except InvalidConfigError as wrong:
-        raise output.WrongInput(str(wrong)) from wrong
+    except InvalidConfigError as error:
+        raise output.WrongInput(str(error)) from error
 
 
 def none_of_it(file: str) -> output.WrongData:
@@ -94,7 +100,7 @@
     file: str, batch_file: str, only_if: int | None, in_batches: bool, skip: int, as_json: bool
 ) -> None:
     """Publish the changes of BATCHFILE. Exit code 1 where the group refuses, 2 for a wrong file."""
-    quorum = chosen(file)
+    quorum = read_group_settings(file)
     found = read(batch_file)
     if in_batches:
         if only_if is not None:
@@ -113,7 +119,9 @@
         raise output.WrongInput(f"{batch_file}: {why}")
     wanted = Publish(found.changes, only_if)
     answer = told(
-        file, talk(lambda reactor, client: client.propose(PART, wanted, PATIENCE), quorum), Published
+        file,
+        run_with_client(lambda reactor, client: client.propose(PART, wanted, CLI_REQUEST_TIMEOUT_S), quorum),
+        Published,
     )
     if not answer.done:
         raise output.WrongData(
@@ -148,7 +156,9 @@
     progress = Progress(found.records, min(skip, found.records))
     if not as_json:
         click.echo(f"{found.records:,} records in batches: each holds by itself, not all at once", err=True)
-    talk(lambda reactor, client: propose_all(client, batch_file, progress), chosen(file))
+    run_with_client(
+        lambda reactor, client: propose_all(client, batch_file, progress), read_group_settings(file)
+    )
     if sys.stderr.isatty():
         click.echo(err=True)
     if progress.why:
@@ -169,7 +179,7 @@
 def propose_all(client: GroupClient, batch_file: str, progress: Progress) -> Any:
     try:
         for batch in split(changes_of(batch_file, progress.done)):
-            answer = yield client.propose(PART, Publish(batch), PATIENCE)
+            answer = yield client.propose(PART, Publish(batch), CLI_REQUEST_TIMEOUT_S)
             if answer is None:
                 progress.why = "the group is not one for configuration"
                 return
@@ -182,8 +192,8 @@
             progress.changed += said.changed
             progress.done += len(batch)
             progress.show()
-    except (RequestFailedError, InvalidConfigError) as wrong:  # a file that was changed meanwhile
-        progress.why = str(wrong)
+    except (RequestFailedError, InvalidConfigError) as error:  # a file that was changed meanwhile
+        progress.why = str(error)
 
 
 def changes_of(batch_file: str, skip: int) -> Iterator[Change]:
@@ -212,7 +222,9 @@
 def show(file: str, kind: str, name: str, at: int | None, as_json: bool) -> None:
     """The record NAME of KIND, and the version at which it is that. Exit code 1 where there is none."""
     query = Find(kind, name, at or 0)
-    answer = talk(lambda reactor, client: client.read(PART, query, PATIENCE), chosen(file))
+    answer = run_with_client(
+        lambda reactor, client: client.read(PART, query, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
+    )
     found: Found = told(file, answer, Found)
     if not found.known:
         raise not_known(found, at or 0)
@@ -236,14 +248,14 @@
 @AS_JSON
 def diff(file: str, a: int, b: int, as_json: bool) -> None:
     """The records that are others at version B than at version A."""
-    quorum = chosen(file)
+    quorum = read_group_settings(file)
     changes: list[Changed] = []
 
     @inlineCallbacks
     def ask(reactor: Any, client: GroupClient) -> Any:
         query = Diff(min(a, b), max(a, b))
         while True:
-            answer = yield client.read(PART, query, PATIENCE)
+            answer = yield client.read(PART, query, CLI_REQUEST_TIMEOUT_S)
             found = answer and msgspec.convert(answer, Difference)
             if not found or not found.known:
                 return found
@@ -252,7 +264,7 @@
                 return found
             query = Diff(found.a, query.b, found.skip)
 
-    found = talk(ask, quorum)
+    found = run_with_client(ask, quorum)
     if not found:
         raise none_of_it(file)
     if not found.known:
--- a/lichencleat/cli/failover.py
+++ b/lichencleat/cli/failover.py
@@ -8,7 +8,13 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import (
+    AS_JSON,
+    CLI_REQUEST_TIMEOUT_S,
+    FILE,
+    read_group_settings,
+    run_with_client,
+)
 from lichencleat.failover.messages import (
     HISTORY_QUERY,
     JOB,
@@ -47,7 +53,10 @@
     """The voters' state of it, read at one moment."""
 
     def __init__(self, file: str) -> None:
-        told = talk(lambda reactor, client: client.read("zones", None, PATIENCE), chosen(file))
+        told = run_with_client(
+            lambda reactor, client: client.read("zones", None, CLI_REQUEST_TIMEOUT_S),
+            read_group_settings(file),
+        )
         if not told:
             raise output.WrongData("zones: these voters know of no zones; they are of an older version")
         self.zones = msgspec.convert(told["zones"], dict[str, Zone])
@@ -69,7 +78,9 @@
 
 
 def propose(file: str, part: str, what: Any) -> None:
-    told = talk(lambda reactor, client: client.propose(part, what, PATIENCE), chosen(file))
+    told = run_with_client(
+        lambda reactor, client: client.propose(part, what, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
+    )
     done = msgspec.convert(told, CommandReply)
     if not done.accepted:
         raise output.WrongData(f"zones: nothing was changed: {done.reason}")
@@ -96,7 +107,9 @@
             raise output.WrongInput(
                 f"zones define: --far {each}: write it as maribor=12.5, in ms up to 10,000"
             )
-    jobs = talk(lambda reactor, client: client.read("owners", None, PATIENCE), chosen(file))
+    jobs = run_with_client(
+        lambda reactor, client: client.read("owners", None, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
+    )
     if JOB not in msgspec.convert(jobs["jobs"], dict[str, Job]):
         propose(file, "owners", DefineJob(JOB))
     propose(file, "zones", DefineZone(zone, region, carries, ways))
@@ -141,7 +154,10 @@
 @AS_JSON
 def history(file: str, as_json: bool) -> None:
     """The orders before, the newest last."""
-    told = talk(lambda reactor, client: client.read("zones", HISTORY_QUERY, PATIENCE), chosen(file))
+    told = run_with_client(
+        lambda reactor, client: client.read("zones", HISTORY_QUERY, CLI_REQUEST_TIMEOUT_S),
+        read_group_settings(file),
+    )
     rows = [
         [
             each.version,
--- a/lichencleat/cli/fleet.py
+++ b/lichencleat/cli/fleet.py
@@ -9,7 +9,13 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import (
+    AS_JSON,
+    CLI_REQUEST_TIMEOUT_S,
+    FILE,
+    read_group_settings,
+    run_with_client,
+)
 from lichencleat.recovery.messages import (
     CommandReply,
     ForgetNode,
@@ -31,7 +37,9 @@
 
 
 def state(file: str) -> tuple[int, dict[str, NodeState], RolloutPlan | None]:
-    told = talk(lambda reactor, client: client.read("revive", None, PATIENCE), chosen(file))
+    told = run_with_client(
+        lambda reactor, client: client.read("revive", None, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
+    )
     if not told:
         raise output.WrongData("fleet: these voters know of no fleet; they are of an older version")
     nodes = msgspec.convert(told["nodes"], dict[str, NodeState])
@@ -39,7 +47,10 @@
 
 
 def propose(file: str, what: Any) -> None:
-    told = talk(lambda reactor, client: client.propose("revive", what, PATIENCE), chosen(file))
+    told = run_with_client(
+        lambda reactor, client: client.propose("revive", what, CLI_REQUEST_TIMEOUT_S),
+        read_group_settings(file),
+    )
     done = msgspec.convert(told, CommandReply)
     if not done.accepted:
         raise output.WrongData(f"fleet: nothing was changed: {done.reason}")
--- a/lichencleat/cli/leases.py
+++ b/lichencleat/cli/leases.py
@@ -8,7 +8,13 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import (
+    AS_JSON,
+    CLI_REQUEST_TIMEOUT_S,
+    FILE,
+    read_group_settings,
+    run_with_client,
+)
 from lichencleat.leases.messages import MAX_CRASHES, Candidate, CommandReply, DefineJob, DropJob, Job, MoveJob
 from lichencleat.leases.placement import choose_holder
 
@@ -19,7 +25,9 @@
 
 
 def state(file: str) -> tuple[dict[str, Job], dict[str, Candidate]]:
-    told = talk(lambda reactor, client: client.read("owners", None, PATIENCE), chosen(file))
+    told = run_with_client(
+        lambda reactor, client: client.read("owners", None, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
+    )
     return (
         msgspec.convert(told["jobs"], dict[str, Job]),
         msgspec.convert(told["candidates"], dict[str, Candidate]),
@@ -27,7 +35,10 @@
 
 
 def propose(file: str, what: Any) -> None:
-    told = talk(lambda reactor, client: client.propose("owners", what, PATIENCE), chosen(file))
+    told = run_with_client(
+        lambda reactor, client: client.propose("owners", what, CLI_REQUEST_TIMEOUT_S),
+        read_group_settings(file),
+    )
     done = msgspec.convert(told, CommandReply)
     if not done.accepted:
         raise output.WrongData(f"owners: nothing was changed: {done.reason}")
--- a/lichencleat/cli/quotas.py
+++ b/lichencleat/cli/quotas.py
@@ -8,7 +8,13 @@
 import msgspec
 
 from lichencleat.cli import output
-from lichencleat.cli.consensus import AS_JSON, FILE, PATIENCE, chosen, talk
+from lichencleat.cli.consensus import (
+    AS_JSON,
+    CLI_REQUEST_TIMEOUT_S,
+    FILE,
+    read_group_settings,
+    run_with_client,
+)
 from lichencleat.leases.messages import DefineJob, DropJob, Job
 from lichencleat.quotas.messages import CommandReply, DefinePool, DropPool, ForgetNode, Pool, allocator_job
 from lichencleat.quotas.quota_state import reserved_calls
@@ -23,7 +29,10 @@
 
 
 def ask(file: str, what: str, part: str, content: Any) -> Any:
-    return talk(lambda reactor, client: getattr(client, what)(part, content, PATIENCE), chosen(file))
+    return run_with_client(
+        lambda reactor, client: getattr(client, what)(part, content, CLI_REQUEST_TIMEOUT_S),
+        read_group_settings(file),
+    )
 
 
 def pools(file: str) -> dict[str, Pool]:
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -8,7 +8,7 @@
 import click
 
 from lichencleat.cli import output
-from lichencleat.cli.consensus import ask_all, on_reactor
+from lichencleat.cli.consensus import call_members, run_on_reactor
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config_distribution.counts import OLDEST, merged
 from lichencleat.config_distribution.terms import IN_FORCE, Count
@@ -28,8 +28,8 @@
 
     try:
         chosen = read_relay(file)
-    except InvalidConfigError as wrong:
-        raise output.WrongInput(str(wrong)) from wrong
+    except InvalidConfigError as error:
+        raise output.WrongInput(str(error)) from error
     raise click.exceptions.Exit(program.run(chosen))
 
 
@@ -41,15 +41,15 @@
     """Which version is in force where, by zone, as the voters of FILE know. Exit code 1: nobody answers."""
     try:
         quorum = read_quorum_settings(file)
-    except InvalidConfigError as wrong:
-        raise output.WrongInput(str(wrong)) from wrong
+    except InvalidConfigError as error:
+        raise output.WrongInput(str(error)) from error
     addresses = [at] if at else list(quorum.members)
     told: list[dict[str, Any]] = []
 
     def main(reactor: Any) -> Any:
-        return ask_all(reactor, quorum, addresses, IN_FORCE).addCallback(told.append)
+        return call_members(reactor, quorum, addresses, IN_FORCE).addCallback(told.append)
 
-    on_reactor(main)
+    run_on_reactor(main)
     found = told[0] if told else {}
     answered = {address: each for address, each in found.items() if isinstance(each, dict)}
     summed = in_force(answered)
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -151,12 +151,12 @@
 def run(tmp_path, monkeypatch):
     group = Group()
 
-    def talk(what, quorum, *addresses):
+    def run_with_client(what, quorum, *addresses):
         told = []
         what(None, run.group).addCallback(told.append)
         return told[0]
 
-    monkeypatch.setattr(commands, "talk", talk)
+    monkeypatch.setattr(commands, "run_with_client", run_with_client)
     file = tmp_path / "q.yaml"
     file.write_text("quorum: {group: g, members: ['127.0.0.1:1']}\n")
 
--- a/tests/config_distribution/test_status.py
+++ b/tests/config_distribution/test_status.py
@@ -37,7 +37,7 @@
     path.write_text(FILE)
 
     def run(found, *options):
-        monkeypatch.setattr(relays, "ask_all", lambda reactor, quorum, addresses, what: succeed(found))
+        monkeypatch.setattr(relays, "call_members", lambda reactor, quorum, addresses, what: succeed(found))
         return CliRunner().invoke(relays.status, [str(path), *options])
 
     return run
--- a/tests/fleet/test_publishing.py
+++ b/tests/fleet/test_publishing.py
@@ -91,7 +91,7 @@
     other.start()
     rig.until(other.status, "the fourth to answer")
     code, said = rig.command("quorum", "add", str(rig.voters["v1"].file), other.address)
-    assert code == 2 and "quorum.distribution is to be the same" in said
+    assert code == 2 and "set quorum.distribution to the same value" in said
     other.kill()
     changed = rig.voters["v2"]
     changed.kill()
