--- a/lichencleat/cli/failover.py
+++ b/lichencleat/cli/failover.py
@@ -1,4 +1,4 @@
-"""`lichencleat failover`: which zone serves what, an operator's word on it, and what that would do."""
+"""`lichencleat failover`: routing of requests between zones, and operators' overrides with a preview."""
 
 from __future__ import annotations
 
@@ -34,92 +34,109 @@
 
 SECOND = 1_000_000  # µs
 ZONE = click.argument("zone")
-DRY = click.option("--dry-run", is_flag=True, help="Only tell what it would do.")
-FOR = click.option(
-    "--for", "seconds", type=click.FloatRange(min=1, max=604_800), help="Seconds; then it ends."
+DRY_RUN = click.option("--dry-run", is_flag=True, help="Only print the effect; change nothing.")
+DURATION = click.option(
+    "--for",
+    "seconds",
+    type=click.FloatRange(min=1, max=604_800),
+    help="Seconds that the override lasts; default: no limit.",
 )
 
 
 @click.group("failover", no_args_is_help=True)
 def group() -> None:
-    """The order of zones: who serves, who takes guests, and why."""
+    """Routing of requests between zones: status, overrides, drills, reasons."""
 
 
-def words(role: ZoneRole) -> str:
+def role_text(role: ZoneRole) -> str:
+    """Return a role as it is printed in reports."""
     return role.label.replace("_", " ")
 
 
-class Seen:
-    """The voters' state of it, read at one moment."""
+class FailoverSnapshot:
+    """The replicated state of the zones and routers, read once."""
 
     def __init__(self, file: str) -> None:
-        told = run_with_client(
+        failover_state = run_with_client(
             lambda reactor, client: client.read("zones", None, CLI_REQUEST_TIMEOUT_S),
             read_group_settings(file),
         )
-        if not told:
-            raise output.WrongData("zones: these voters know of no zones; they are of an older version")
-        self.zones = msgspec.convert(told["zones"], dict[str, Zone])
-        self.plan = msgspec.convert(told["order"], RoutingPlan)
-        self.router_health = msgspec.convert(told["sources"], dict[str, RouterHealth])
-        self.overrides = msgspec.convert(told["wishes"], dict[str, ActiveOverride])
-
-    def named(self, zone: str) -> Zone:
+        if not failover_state:
+            raise output.WrongData("failover: the voters run an older version without zones; upgrade them")
+        self.zones = msgspec.convert(failover_state["zones"], dict[str, Zone])
+        self.plan = msgspec.convert(failover_state["order"], RoutingPlan)
+        self.router_health = msgspec.convert(failover_state["sources"], dict[str, RouterHealth])
+        self.overrides = msgspec.convert(failover_state["wishes"], dict[str, ActiveOverride])
+
+    def require_zone(self, zone: str) -> Zone:
+        """Return a zone. Raises WrongInput if the zone is not defined."""
         if zone not in self.zones:
-            there = ", ".join(sorted(self.zones)) or "none"
-            raise output.WrongInput(f"zones: {zone!r} is no zone; there are {there}")
+            defined = ", ".join(sorted(self.zones)) or "none"
+            raise output.WrongInput(f"failover: the zone {zone!r} is not defined; defined zones: {defined}")
         return self.zones[zone]
 
-    def routers(self, zone: str) -> list[str]:
+    def routers_in(self, zone: str) -> list[str]:
+        """Return the names of the routers in a zone, sorted."""
         return sorted(name for name, each in self.router_health.items() if each.zone == zone)
 
-    def offered(self, zone: str) -> float:
+    def offered_rate(self, zone: str) -> float:
+        """Return the requests per second that arrive at the routers of a zone."""
         return sum(each.offered for each in self.router_health.values() if each.zone == zone)
 
 
-def propose(file: str, part: str, what: Any) -> None:
-    told = run_with_client(
-        lambda reactor, client: client.propose(part, what, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
+def propose(file: str, part: str, command: Any) -> None:
+    """Have the group apply a command. Raises WrongData if the group rejects the command."""
+    reply = run_with_client(
+        lambda reactor, client: client.propose(part, command, CLI_REQUEST_TIMEOUT_S),
+        read_group_settings(file),
     )
-    done = msgspec.convert(told, CommandReply)
-    if not done.accepted:
-        raise output.WrongData(f"zones: nothing was changed: {done.reason}")
+    command_reply = msgspec.convert(reply, CommandReply)
+    if not command_reply.accepted:
+        raise output.WrongData(f"failover: the group rejected the change: {command_reply.reason}")
 
 
 @group.command()
 @FILE
 @ZONE
-@click.option("--region", default="", help="Zones of one region are near one another.")
+@click.option("--region", default="", help="Region of the zone; zones of a region are near each other.")
+@click.option(
+    "--carries",
+    type=click.FloatRange(min=0, min_open=True),
+    required=True,
+    help="Capacity in requests per second.",
+)
 @click.option(
-    "--carries", type=click.FloatRange(min=0, min_open=True), required=True, help="Requests a second."
+    "--far",
+    multiple=True,
+    metavar="ZONE=MS",
+    help="Round-trip time to another zone in ms; repeatable.",
 )
-@click.option("--far", multiple=True, metavar="ZONE=MS", help="The way there and back, in ms; once for each.")
 def define(file: str, zone: str, region: str, carries: float, far: tuple[str, ...]) -> None:
-    """Make ZONE known, or change what is known of it; the job `zones` as well, where there is none."""
-    ways = {}
+    """Define ZONE or change its settings. Also define the job `zones` if the job does not exist."""
+    round_trips = {}
     for each in far:
-        name, _, span = each.partition("=")
+        name, _, milliseconds = each.partition("=")
         try:
-            ways[name] = round(float(span) * 1_000)
+            round_trips[name] = round(float(milliseconds) * 1_000)
         except ValueError:
-            ways[name] = -1
-        if not name or not 0 <= ways[name] <= 10 * SECOND:
+            round_trips[name] = -1
+        if not name or not 0 <= round_trips[name] <= 10 * SECOND:
             raise output.WrongInput(
-                f"zones define: --far {each}: write it as maribor=12.5, in ms up to 10,000"
+                f"failover define: --far {each}: write ZONE=MS with at most 10,000 ms, such as maribor=12.5"
             )
-    jobs = run_with_client(
+    leases = run_with_client(
         lambda reactor, client: client.read("owners", None, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
     )
-    if JOB not in msgspec.convert(jobs["jobs"], dict[str, Job]):
+    if JOB not in msgspec.convert(leases["jobs"], dict[str, Job]):
         propose(file, "owners", DefineJob(JOB))
-    propose(file, "zones", DefineZone(zone, region, carries, ways))
+    propose(file, "zones", DefineZone(zone, region, carries, round_trips))
 
 
 @group.command()
 @FILE
 @ZONE
 def drop(file: str, zone: str) -> None:
-    """ZONE is no more."""
+    """Remove ZONE."""
     propose(file, "zones", DropZone(zone))
 
 
@@ -127,34 +144,42 @@
 @FILE
 @AS_JSON
 def status(file: str, as_json: bool) -> None:
-    """Each zone: what it is to do, what comes to it, what it carries, how many guests it may get."""
-    seen = Seen(file)
+    """List the zones with their roles and load.
+
+    Columns: role (duty), arriving requests per second (offered), known capacity (carries), requests per
+    second that other zones may send (guests), fraction of arrivals to reject (deferred), number of routers,
+    oldest routing plan that a router uses (oldest_order).
+    """
+    state = FailoverSnapshot(file)
     rows = [
         [
             name,
             each.region,
-            words(seen.plan.role(name)),
-            round(seen.offered(name), 1),
+            role_text(state.plan.role(name)),
+            round(state.offered_rate(name), 1),
             round(each.capacity, 1),
-            round(seen.plan.spillover.get(name, 0.0), 1),
-            round(seen.plan.shed.get(name, 0.0), 2),
-            len(seen.routers(name)),
-            min((seen.router_health[who].plan_version for who in seen.routers(name)), default=""),
+            round(state.plan.spillover.get(name, 0.0), 1),
+            round(state.plan.shed.get(name, 0.0), 2),
+            len(state.routers_in(name)),
+            min(
+                (state.router_health[router].plan_version for router in state.routers_in(name)),
+                default="",
+            ),
         ]
-        for name, each in sorted(seen.zones.items())
+        for name, each in sorted(state.zones.items())
     ]
     head = ["zone", "region", "duty", "offered", "carries", "guests", "deferred", "routers", "oldest_order"]
     output.table(head, rows, as_json)
     if not as_json:
-        click.echo(f"\norder {seen.plan.version}: {seen.plan.reason or 'none was given yet'}")
+        click.echo(f"\nrouting plan {state.plan.version}: {state.plan.reason or 'no plan was published yet'}")
 
 
 @group.command()
 @FILE
 @AS_JSON
 def history(file: str, as_json: bool) -> None:
-    """The orders before, the newest last."""
-    told = run_with_client(
+    """List the earlier routing plans, the newest last."""
+    plans = run_with_client(
         lambda reactor, client: client.read("zones", HISTORY_QUERY, CLI_REQUEST_TIMEOUT_S),
         read_group_settings(file),
     )
@@ -162,24 +187,27 @@
         [
             each.version,
             ", ".join(f"{zone} {ZoneRole(role).label}" for zone, role in sorted(each.roles.items())),
-            ", ".join(f"{zone} {room:g}" for zone, room in sorted(each.spillover.items())),
+            ", ".join(f"{zone} {rate:g}" for zone, rate in sorted(each.spillover.items())),
             each.reason,
         ]
-        for each in msgspec.convert(told or [], list[RoutingPlan])
+        for each in msgspec.convert(plans or [], list[RoutingPlan])
     ]
     output.table(["number", "duties", "guests", "why"], rows, as_json)
 
 
-def wishes(file: str, zone: str, role: ZoneRole, seconds: float | None, dry_run: bool) -> None:
-    """Tells what it would do, and then has it done."""
-    seen = Seen(file)
-    seen.named(zone)
-    plan = preview_override(seen.zones, seen.plan, seen.router_health, seen.overrides, zone, role)
-    moved = seen.offered(zone)
-    taken = sum(room for name, room in plan.spillover.items() if name != zone)
-    click.echo(f"{zone}: {words(role)}; {moved:.1f} requests a second come there")
+def override_role(file: str, zone: str, role: ZoneRole, seconds: float | None, dry_run: bool) -> None:
+    """Print the effect of an override, then set the override unless this is a dry run."""
+    state = FailoverSnapshot(file)
+    state.require_zone(zone)
+    plan = preview_override(state.zones, state.plan, state.router_health, state.overrides, zone, role)
+    arriving = state.offered_rate(zone)
+    spillover = sum(rate for name, rate in plan.spillover.items() if name != zone)
+    click.echo(f"{zone}: {role_text(role)}; {arriving:.1f} requests per second arrive there")
     if role in (ZoneRole.DRAINING, ZoneRole.FENCED):
-        click.echo(f"the others have room for {taken:.1f}; {plan.shed.get(zone, 0.0):.0%} would be deferred")
+        click.echo(
+            f"the other zones can take {spillover:.1f} requests per second; "
+            f"{plan.shed.get(zone, 0.0):.0%} of the arrivals would be rejected"
+        )
     if not dry_run:
         propose(file, "zones", OperatorOverride(zone, role, round((seconds or 0) * SECOND)))
 
@@ -187,39 +215,51 @@
 @group.command()
 @FILE
 @ZONE
-@FOR
-@DRY
+@DURATION
+@DRY_RUN
 def drain(file: str, zone: str, seconds: float | None, dry_run: bool) -> None:
-    """What comes in ZONE goes elsewhere, as far as others carry it; until `zones open`, or for a span."""
-    wishes(file, zone, ZoneRole.DRAINING, seconds, dry_run)
+    """Send requests that arrive in ZONE to other zones, as far as these have capacity.
+
+    The override lasts until `failover open`, or as long as --for says.
+    """
+    override_role(file, zone, ZoneRole.DRAINING, seconds, dry_run)
 
 
 @group.command()
 @FILE
 @ZONE
-@click.option("--for", "seconds", type=click.FloatRange(min=1, max=86_400), required=True, help="Seconds.")
-@DRY
+@click.option(
+    "--for",
+    "seconds",
+    type=click.FloatRange(min=1, max=86_400),
+    required=True,
+    help="Duration in seconds.",
+)
+@DRY_RUN
 def drill(file: str, zone: str, seconds: float, dry_run: bool) -> None:
-    """As drain, for a span that the owner counts: it ends though this terminal dies."""
-    wishes(file, zone, ZoneRole.DRAINING, seconds, dry_run)
+    """Drain ZONE for a limited time.
+
+    The fleet's failover controller ends the drill, also if this terminal is closed.
+    """
+    override_role(file, zone, ZoneRole.DRAINING, seconds, dry_run)
 
 
 @group.command()
 @FILE
 @ZONE
-@FOR
-@DRY
+@DURATION
+@DRY_RUN
 def fence(file: str, zone: str, seconds: float | None, dry_run: bool) -> None:
-    """Nothing at all goes to ZONE."""
-    wishes(file, zone, ZoneRole.FENCED, seconds, dry_run)
+    """Send no requests to ZONE."""
+    override_role(file, zone, ZoneRole.FENCED, seconds, dry_run)
 
 
 @group.command("open")
 @FILE
 @ZONE
 def open_zone(file: str, zone: str) -> None:
-    """Take back an operator's word on ZONE; what is seen of it counts again."""
-    Seen(file).named(zone)
+    """Remove the override of ZONE, so that the role of ZONE follows from its health again."""
+    FailoverSnapshot(file).require_zone(zone)
     propose(file, "zones", ClearOverride(zone))
 
 
@@ -227,20 +267,21 @@
 @FILE
 @ZONE
 def explain(file: str, zone: str) -> None:
-    """Why ZONE does what it does."""
-    seen = Seen(file)
-    each = seen.named(zone)
-    click.echo(f"{zone}: {words(seen.plan.role(zone))} by order {seen.plan.version}")
+    """Show the role of ZONE, and why ZONE has this role."""
+    state = FailoverSnapshot(file)
+    definition = state.require_zone(zone)
+    click.echo(f"{zone}: {role_text(state.plan.role(zone))} by routing plan {state.plan.version}")
     click.echo(
-        f"it is known to carry {each.capacity:.1f} requests a second; {seen.offered(zone):.1f} come there"
+        f"known capacity: {definition.capacity:.1f} requests per second; "
+        f"{state.offered_rate(zone):.1f} arrive"
     )
-    if zone in seen.overrides:
-        override = seen.overrides[zone]
-        until = f", for {override.duration / SECOND:g} s from when it was given" if override.duration else ""
-        click.echo(f"an operator's word: {ZoneRole(override.role).label}{until}")
-    routers = seen.routers(zone)
-    behind = [who for who in routers if seen.router_health[who].plan_version < seen.plan.version]
-    click.echo(f"routers: {', '.join(routers) or 'none is heard of'}")
-    if behind:
-        click.echo(f"these had an older order when they told last: {', '.join(behind)}")
-    click.echo(f"the order: {seen.plan.reason or 'none was given yet'}")
+    if zone in state.overrides:
+        override = state.overrides[zone]
+        until = f", for {override.duration / SECOND:g} s since it was set" if override.duration else ""
+        click.echo(f"operator's override: {ZoneRole(override.role).label}{until}")
+    routers = state.routers_in(zone)
+    outdated = [name for name in routers if state.router_health[name].plan_version < state.plan.version]
+    click.echo(f"routers: {', '.join(routers) or 'none has reported'}")
+    if outdated:
+        click.echo(f"routers whose last report was of an older routing plan: {', '.join(outdated)}")
+    click.echo(f"reason for the plan: {state.plan.reason or 'no plan was published yet'}")
--- a/lichencleat/cli/fleet.py
+++ b/lichencleat/cli/fleet.py
@@ -1,4 +1,4 @@
-"""`lichencleat fleet`: how far the fleet is open, its return after a power loss, an operator's word on it."""
+"""`lichencleat fleet`: the fraction of requests that each node admits, and recovery after a power loss."""
 
 from __future__ import annotations
 
@@ -27,41 +27,47 @@
 )
 from lichencleat.recovery.state import explain_share
 
-LIVE = 0.5  # s between two pictures of `plan --live`
+LIVE_INTERVAL_S = 0.5  # between two lines of `plan --live`
 NODE = click.argument("node")
 
 
 @click.group("fleet", no_args_is_help=True)
 def group() -> None:
-    """All nodes as the voters know them, and their return after a power loss."""
+    """All nodes: the fraction of requests that each admits; recovery after a power loss."""
 
 
-def state(file: str) -> tuple[int, dict[str, NodeState], RolloutPlan | None]:
-    told = run_with_client(
+def read_fleet(file: str) -> tuple[int, dict[str, NodeState], RolloutPlan | None]:
+    """Return the epoch, the nodes by name, and the plan of the recovery in progress, if there is one."""
+    fleet_state = run_with_client(
         lambda reactor, client: client.read("revive", None, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
     )
-    if not told:
-        raise output.WrongData("fleet: these voters know of no fleet; they are of an older version")
-    nodes = msgspec.convert(told["nodes"], dict[str, NodeState])
-    return told["epoch"], nodes, msgspec.convert(told["plan"], RolloutPlan | None)
+    if not fleet_state:
+        raise output.WrongData("fleet: the voters run an older version without fleet recovery; upgrade them")
+    nodes = msgspec.convert(fleet_state["nodes"], dict[str, NodeState])
+    return fleet_state["epoch"], nodes, msgspec.convert(fleet_state["plan"], RolloutPlan | None)
 
 
-def propose(file: str, what: Any) -> None:
-    told = run_with_client(
-        lambda reactor, client: client.propose("revive", what, CLI_REQUEST_TIMEOUT_S),
+def propose(file: str, command: Any) -> None:
+    """Have the group apply a command. Raises WrongData if the group rejects the command."""
+    reply = run_with_client(
+        lambda reactor, client: client.propose("revive", command, CLI_REQUEST_TIMEOUT_S),
         read_group_settings(file),
     )
-    done = msgspec.convert(told, CommandReply)
-    if not done.accepted:
-        raise output.WrongData(f"fleet: nothing was changed: {done.reason}")
+    command_reply = msgspec.convert(reply, CommandReply)
+    if not command_reply.accepted:
+        raise output.WrongData(f"fleet: the group rejected the change: {command_reply.reason}")
 
 
 @group.command()
 @FILE
 @AS_JSON
 def status(file: str, as_json: bool) -> None:
-    """Each node: open or shut, how far, and what it has to show."""
-    epoch, nodes, plan = state(file)
+    """List the nodes with the fraction of requests that each admits.
+
+    Columns: status (door), admitted fraction of the arrivals (share), whether the interpreter is ready,
+    whether the idempotency records are verified (proof), load (strain), rollout batch (wave).
+    """
+    epoch, nodes, plan = read_fleet(file)
     rows = [
         [
             name,
@@ -77,30 +83,31 @@
     ]
     output.table(["node", "zone", "door", "share", "ready", "proof", "strain", "wave"], rows, as_json)
     if not as_json:
-        click.echo(f"\nepoch {epoch}; {said(plan, nodes)}")
+        click.echo(f"\nepoch {epoch}; {describe_recovery(plan, nodes)}")
 
 
-def said(plan: RolloutPlan | None, nodes: dict[str, NodeState]) -> str:
-    away = sorted(name for name, each in nodes.items() if each.status == NodeStatus.GONE)
-    waits = f"; nothing is heard of {', '.join(away[:8])}{' ...' if len(away) > 8 else ''}" if away else ""
+def describe_recovery(plan: RolloutPlan | None, nodes: dict[str, NodeState]) -> str:
+    """Return whether a recovery is in progress and why it waits, and the nodes that do not report."""
+    silent = sorted(name for name, each in nodes.items() if each.status == NodeStatus.GONE)
+    note = f"; no reports from {', '.join(silent[:8])}{' ...' if len(silent) > 8 else ''}" if silent else ""
     if plan is None:
-        return f"no return is under way{waits}"
-    held = ", held by an operator" if plan.paused else ""
-    return f"a return is under way{held}: {plan.reason or 'about to begin'}{waits}"
+        return f"no recovery is in progress{note}"
+    paused = ", paused by an operator" if plan.paused else ""
+    return f"a recovery is in progress{paused}: {plan.reason or 'about to begin'}{note}"
 
 
 @group.command("plan")
 @FILE
 @AS_JSON
-@click.option("--live", is_flag=True, help="Goes on until the return is over; on a terminal, in place.")
+@click.option("--live", is_flag=True, help="Print a line at intervals until the recovery has ended.")
 def show_plan(file: str, as_json: bool, live: bool) -> None:
-    """The return under way: its stage, how many may be open, why."""
+    """Show the recovery in progress: the current batch, how many nodes may be open, and why."""
     while True:
-        epoch, nodes, plan = state(file)
-        open_ = sum(each.status == NodeStatus.OPEN for each in nodes.values())
+        epoch, nodes, plan = read_fleet(file)
+        open_count = sum(each.status == NodeStatus.OPEN for each in nodes.values())
         pairs: dict[str, Any] = {
             "epoch": epoch,
-            "open": open_,
+            "open": open_count,
             "known": len(nodes),
             "under_way": plan is not None,
         }
@@ -116,23 +123,23 @@
         if not live:
             output.pairs(pairs, as_json)
             return
-        click.echo(f"epoch {epoch}: {open_} of {len(nodes)} open; {said(plan, nodes)}")
+        click.echo(f"epoch {epoch}: {open_count} of {len(nodes)} open; {describe_recovery(plan, nodes)}")
         if plan is None:
             return
-        time.sleep(LIVE)
+        time.sleep(LIVE_INTERVAL_S)
 
 
 @group.command()
 @FILE
 def hold(file: str) -> None:
-    """The return stays as it is: no wave more, none taken back."""
+    """Pause the recovery: no further batch of nodes is opened, and no batch is shut again."""
     propose(file, PauseRollout(True))
 
 
 @group.command()
 @FILE
 def go(file: str) -> None:
-    """The return goes on."""
+    """Resume the recovery after `hold`."""
     propose(file, PauseRollout(False))
 
 
@@ -140,7 +147,7 @@
 @FILE
 @NODE
 def skip(file: str, node: str) -> None:
-    """Open NODE now, out of its turn; its own proofs still hold."""
+    """Open NODE now, ahead of its batch. The node's own checks still apply."""
     propose(file, SkipNode(node))
 
 
@@ -148,7 +155,7 @@
 @FILE
 @NODE
 def forget(file: str, node: str) -> None:
-    """NODE does not come back: nobody waits for it."""
+    """Remove NODE, which will not return, so that the recovery does not wait for NODE."""
     propose(file, ForgetNode(node))
 
 
@@ -156,18 +163,22 @@
 @FILE
 @NODE
 def explain(file: str, node: str) -> None:
-    """Why NODE is open as far as it is."""
-    epoch, nodes, plan = state(file)
+    """Show which fraction of requests NODE admits, and why."""
+    epoch, nodes, plan = read_fleet(file)
     if node not in nodes:
-        there = ", ".join(sorted(nodes)) or "none"
-        raise output.WrongInput(f"fleet: {node!r} was never heard of; there are {there}")
+        known = ", ".join(sorted(nodes)) or "none"
+        raise output.WrongInput(f"fleet: the node {node!r} is unknown; known nodes: {known}")
     each = nodes[node]
     status = NodeStatus(each.status).name.lower()
-    click.echo(f"{node}: epoch {epoch}, zone {each.zone or '-'}, {status} to {each.share:.2f}")
+    click.echo(
+        f"{node}: epoch {epoch}, zone {each.zone or '-'}, {status}, admits {each.share:.2f} of arrivals"
+    )
     if each.status == NodeStatus.GONE:
-        click.echo("nothing is heard of it: it is down, stopped or cut off from the voters")
+        click.echo("it sends no reports: it is down, stopped or cut off from the voters")
     if not each.ready:
-        click.echo("its interpreter is not up")
+        click.echo("its interpreter is not ready")
     if not each.records_verified:
-        click.echo("its receipts do not stand: what is receipted waits or is deferred")
-    click.echo(explain_share(each, plan) or "it serves all that comes")
+        click.echo(
+            "its idempotency records are not verified: requests with an idempotency key wait or are rejected"
+        )
+    click.echo(explain_share(each, plan) or "it admits all arrivals")
--- a/lichencleat/cli/leases.py
+++ b/lichencleat/cli/leases.py
@@ -1,4 +1,4 @@
-"""`lichencleat leases`: who owns which job of the fleet, and why."""
+"""`lichencleat leases`: the jobs of the fleet and the lease holder of each job."""
 
 from __future__ import annotations
 
@@ -21,35 +21,41 @@
 
 @click.group("leases", no_args_is_help=True)
 def group() -> None:
-    """Jobs of the fleet, each done by one process at a time."""
+    """Jobs of the fleet, each run by one lease holder at a time."""
 
 
-def state(file: str) -> tuple[dict[str, Job], dict[str, Candidate]]:
-    told = run_with_client(
+def read_leases(file: str) -> tuple[dict[str, Job], dict[str, Candidate]]:
+    """Return the jobs and the candidates by name, from the group that `file` names."""
+    leases = run_with_client(
         lambda reactor, client: client.read("owners", None, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
     )
     return (
-        msgspec.convert(told["jobs"], dict[str, Job]),
-        msgspec.convert(told["candidates"], dict[str, Candidate]),
+        msgspec.convert(leases["jobs"], dict[str, Job]),
+        msgspec.convert(leases["candidates"], dict[str, Candidate]),
     )
 
 
-def propose(file: str, what: Any) -> None:
-    told = run_with_client(
-        lambda reactor, client: client.propose("owners", what, CLI_REQUEST_TIMEOUT_S),
+def propose(file: str, command: Any) -> None:
+    """Have the group apply a command. Raises WrongData if the group rejects the command."""
+    reply = run_with_client(
+        lambda reactor, client: client.propose("owners", command, CLI_REQUEST_TIMEOUT_S),
         read_group_settings(file),
     )
-    done = msgspec.convert(told, CommandReply)
-    if not done.accepted:
-        raise output.WrongData(f"owners: nothing was changed: {done.reason}")
+    command_reply = msgspec.convert(reply, CommandReply)
+    if not command_reply.accepted:
+        raise output.WrongData(f"leases: the group rejected the change: {command_reply.reason}")
 
 
 @group.command("list")
 @FILE
 @AS_JSON
 def list_jobs(file: str, as_json: bool) -> None:
-    """Each job with its owner and token."""
-    jobs, candidates = state(file)
+    """List the jobs with their lease holders.
+
+    Columns: lease holder (owner), fencing token, preferred zone (near), next lease holder (goes_to), crashes,
+    state; the state `aside` means that the job is suspended after crashes.
+    """
+    jobs, candidates = read_leases(file)
     rows = [
         [
             name,
@@ -74,9 +80,9 @@
 @group.command()
 @FILE
 @click.argument("job")
-@click.option("--near", default="", help="The zone in which it is better done.")
+@click.option("--near", default="", help="Zone that the job should preferably run in.")
 def define(file: str, job: str, near: str) -> None:
-    """Make JOB known, or put one that was aside on again."""
+    """Define JOB, or resume JOB if it is suspended."""
     propose(file, DefineJob(job, near))
 
 
@@ -84,7 +90,7 @@
 @FILE
 @click.argument("job")
 def drop(file: str, job: str) -> None:
-    """Nobody does JOB any more; one made anew under its name goes on with greater tokens."""
+    """Remove JOB, so that no process runs it. Fencing tokens still increase if JOB is defined again."""
     propose(file, DropJob(job))
 
 
@@ -93,7 +99,7 @@
 @click.argument("job")
 @click.argument("candidate")
 def move(file: str, job: str, candidate: str) -> None:
-    """Have CANDIDATE own JOB; its owner lets go first."""
+    """Move the lease of JOB to CANDIDATE, after the current holder has released the lease."""
     propose(file, MoveJob(job, candidate))
 
 
@@ -101,46 +107,49 @@
 @FILE
 @click.argument("job")
 def explain(file: str, job: str) -> None:
-    """Why JOB is where it is."""
-    jobs, candidates = state(file)
+    """Show which candidate holds the lease of JOB, and why."""
+    jobs, candidates = read_leases(file)
     if job not in jobs:
-        raise output.WrongInput(f"owners: {job!r} is no job; there are {', '.join(sorted(jobs)) or 'none'}")
-    click.echo("\n".join(reasons(job, jobs, candidates)))
+        raise output.WrongInput(
+            f"leases: no job {job!r} is defined; defined jobs: {', '.join(sorted(jobs)) or 'none'}"
+        )
+    click.echo("\n".join(explain_holder(job, jobs, candidates)))
 
 
-def reasons(name: str, jobs: dict[str, Job], candidates: dict[str, Candidate]) -> list[str]:
+def explain_holder(name: str, jobs: dict[str, Job], candidates: dict[str, Candidate]) -> list[str]:
+    """Return lines that say which candidate holds a job's lease, and why."""
     job = jobs[name]
-    said = [
+    lines = [
         f"{name}: token {job.fencing_token}"
-        + (f", better in zone {job.preferred_zone}" if job.preferred_zone else "")
+        + (f", preferred zone {job.preferred_zone}" if job.preferred_zone else "")
     ]
     if job.suspended:
-        said.append(
-            f"it is aside: it crashed {job.crash_count} owners in a row "
-            f"({MAX_CRASHES} put it aside), the last"
+        lines.append(
+            f"the job is suspended: it crashed {job.crash_count} times on its holders "
+            f"({MAX_CRASHES} crashes suspend a job)"
         )
-        said.append(
-            f"one {job.last_crashed_holder}; look at its log there, "
-            f"then 'lichencleat owners define FILE {name}'"
+        lines.append(
+            f"the last crash was on {job.last_crashed_holder}: find the cause in the log there, "
+            f"then resume the job with 'lichencleat leases define FILE {name}'"
         )
     elif job.holder:
-        owner = candidates[job.holder]
-        where = (
-            "which is near"
-            if owner.zone == job.preferred_zone
-            else f"as no healthy candidate is in {job.preferred_zone}"
+        holder = candidates[job.holder]
+        zone_reason = (
+            "which is the preferred zone"
+            if holder.zone == job.preferred_zone
+            else f"because no healthy candidate is in {job.preferred_zone}"
         )
-        said.append(
-            f"{job.holder} owns it, in zone {owner.zone or '-'}"
-            + (f", {where}" if job.preferred_zone else "")
+        lines.append(
+            f"{job.holder} holds the lease, in zone {holder.zone or '-'}"
+            + (f", {zone_reason}" if job.preferred_zone else "")
         )
         if job.next_holder:
-            said.append(f"{job.holder} is asked to let go of it, and {job.next_holder} gets it then")
+            lines.append(f"{job.holder} is asked to release the lease; {job.next_holder} gets the lease next")
     else:
-        nobody = (
-            "nobody: there is no healthy candidate"
+        cause = (
+            "there is no healthy candidate"
             if not choose_holder(name, jobs, candidates)
-            else "about to be given"
+            else "a candidate is about to get the lease"
         )
-        said.append(f"it is {nobody}")
-    return said
+        lines.append(f"no process holds the lease: {cause}")
+    return lines
--- a/tests/fleet/revive.py
+++ b/tests/fleet/revive.py
@@ -104,7 +104,7 @@
             nodes, lost = rng.sample(everyone, 3), rng.sample(voters, 2)
         elif kind == "owner of the plan":
             said = fleet.command("owners", "explain", fleet.file, "revive")[1]
-            nodes, lost = [name for name in everyone if f"{name} owns it" in said], []
+            nodes, lost = [name for name in everyone if f"{name} holds the lease" in said], []
         ran.cuts.append(kind)
         time.sleep(rng.uniform(0, 0.6))
         fleet.cut(nodes, lost)
--- a/tests/fleet/shares_drawn.py
+++ b/tests/fleet/shares_drawn.py
@@ -98,7 +98,7 @@
         code, said = self.rig.command("owners", "explain", self.file, "shares/below")
         if code != 0:  # no majority answers
             return None
-        return next((name for name in self.nodes if f"{name} owns it" in said), None)
+        return next((name for name in self.nodes if f"{name} holds the lease" in said), None)
 
     def more(self, names, count: int = 20) -> None:
         before = {name: self.loads[name].honoured() for name in names}
--- a/tests/fleet/test_fleet_return.py
+++ b/tests/fleet/test_fleet_return.py
@@ -33,7 +33,7 @@
 
 def owner(fleet):
     said = fleet.command("owners", "explain", fleet.file, "revive")[1]
-    return next((name for name in fleet.nodes if f"{name} owns it" in said), None)
+    return next((name for name in fleet.nodes if f"{name} holds the lease" in said), None)
 
 
 def test_a_fleet_returns_by_plan_after_cuts_of_power_and_runs_nothing_twice(fleet):
@@ -53,8 +53,8 @@
     fleet.work()
     assert fleet.epoch() > epoch
     code, said = fleet.command("fleet", "explain", fleet.file, "n1")
-    assert code == 0 and "it serves all that comes" in said
-    assert "no return is under way" in fleet.command("fleet", "status", fleet.file)[1]
+    assert code == 0 and "it admits all arrivals" in said
+    assert "no recovery is in progress" in fleet.command("fleet", "status", fleet.file)[1]
     assert fleet.command("fleet", "explain", fleet.file, "n99")[0] == 2
     assert fleet.command("fleet", "hold", fleet.file)[0] == 1
     assert fleet.command("fleet", "forget", fleet.file, "n99")[0] == 1
--- a/tests/fleet/test_owners.py
+++ b/tests/fleet/test_owners.py
@@ -97,7 +97,7 @@
     assert code == 0, said
     rig.until(lambda: receiver.last["deal"].startswith(heir), "the heir to act")
     code, said = rig.command("owners", "explain", file, "deal")
-    assert code == 0 and f"{heir} owns it, in zone x, which is near" in said
+    assert code == 0 and f"{heir} holds the lease, in zone x, which is the preferred zone" in said
     code, said = rig.command("owners", "list", file, "--json")
     assert code == 0 and '"owner"' in said
     gone = receiver.last["deal"]
--- a/tests/fleet/test_router.py
+++ b/tests/fleet/test_router.py
@@ -76,10 +76,10 @@
         assert asked.answers[0][0] == b"200"
     assert ran_in(zones, [b"b%d" % number for number in range(20)]) == {"a"}
     code, said = zones.command("zones", "explain", zones.file, "a")
-    assert code == 0 and "a: serves by order" in said and "routers: a-r1" in said
+    assert code == 0 and "a: serves by routing plan" in said and "routers: a-r1" in said
     assert zones.command("zones", "explain", zones.file, "c")[0] == 2
     assert zones.command("zones", "define", zones.file, "d", "--carries", "5", "--far", "a=x")[0] == 2
-    assert "order " in zones.command("zones", "status", zones.file)[1]
+    assert "routing plan " in zones.command("zones", "status", zones.file)[1]
 
 
 def test_a_keyed_request_runs_once_however_often_it_comes_and_a_killed_node_ends_it(zones, rng):
@@ -138,7 +138,7 @@
     load = Load(zones, "a-r1")
     zones.until(lambda: load.well() > 20, "answers")
     code, said = zones.command("zones", "drain", zones.file, "a", "--dry-run")
-    assert code == 0 and "0% would be deferred" in said
+    assert code == 0 and "0% of the arrivals would be rejected" in said
     assert zones.status()["a"]["duty"] == "serves"
     near = zones.nodes["a-n1"].engine, zones.nodes["a-n2"].engine
     assert zones.command("zones", "drill", zones.file, "a", "--for", "3")[0] == 0
