--- a/lichencleat/cli/idempotency.py
+++ b/lichencleat/cli/idempotency.py
@@ -1,4 +1,4 @@
-"""`lichencleat idempotency`: what a stopped node's directory knows of its keyed requests."""
+"""`lichencleat idempotency`: the idempotency records in the directory of a stopped node."""
 
 from __future__ import annotations
 
@@ -35,36 +35,41 @@
 from lichencleat.store.errors import CannotOpenError, StoreError
 
 SECOND = 1_000_000  # µs
-LONGEST = 3600 * SECOND  # a window or a due time beyond it is no entry's
+MAX_WINDOW_US = 3600 * SECOND  # from a request's arrival to its deadline or the end of its window
 
 directory = click.argument("directory", metavar="DIR")
 as_json = click.option("--json", "as_json", is_flag=True, help="JSON instead of a table.")
 
 
 def now() -> int:
+    """Return the Unix time in µs."""
     return time.time_ns() // 1000
 
 
 @contextmanager
-def opened(path: str) -> Iterator[Engine]:
+def open_engine(path: str) -> Iterator[Engine]:
+    """Open the store of a node's directory. Store errors are reported as WrongInput or WrongData."""
     engine = None
     try:
         if not os.path.isdir(path):
             raise CannotOpenError(f"{path}: no such directory; name the one of the node's file")
         engine = Engine.open(RealDisk(path), now, random.Random(os.urandom(16)), StoreLimits(), False, path)
         if engine.get(OWNERSHIP_KEY) is None and not any(True for _ in engine.scan(b"")):
-            raise CannotOpenError(f"{path}: no node has used it yet")
+            raise CannotOpenError(
+                f"{path}: no node has used this directory yet; name the one of the node's file"
+            )
         yield engine
-    except CannotOpenError as wrong:
-        raise output.WrongInput(f"keyed: {wrong}") from wrong
-    except StoreError as wrong:
-        raise output.WrongData(f"keyed: {wrong}") from wrong
+    except CannotOpenError as error:
+        raise output.WrongInput(f"keyed: {error}") from error
+    except StoreError as error:
+        raise output.WrongData(f"keyed: {error}") from error
     finally:
         if engine is not None:
             engine.close()
 
 
-def entries(engine: Engine) -> Iterator[tuple[str, IdempotencyRecord | None]]:
+def read_records(engine: Engine) -> Iterator[tuple[str, IdempotencyRecord | None]]:
+    """Yield the digest of each key, in hexadecimal, and the key's record (None if it can't be decoded)."""
     for key, value in engine.scan(RECORD_PREFIX):
         try:
             yield key[1:].hex(), decode_record(value)
@@ -74,28 +79,32 @@
 
 @click.group("idempotency", no_args_is_help=True)
 def group() -> None:
-    """Receipts and results of one node that outlive its restarts."""
+    """Idempotency records of a node, stored with the results: list, check, adopt a directory."""
 
 
 @group.command("list")
 @directory
 @as_json
-@click.option("--open", "only_open", is_flag=True, help="Only intents without a result.")
+@click.option("--open", "only_open", is_flag=True, help="Only records of requests without a result.")
 def list_entries(directory: str, as_json: bool, only_open: bool) -> None:
-    """Each key's mark, state, and age and what was left of its window at the node's last sign of life."""
-    with opened(directory) as engine:
-        said = engine.get(HEARTBEAT_KEY)
-        seen = decode_heartbeat(said).node_time if said is not None else 0
+    """List the idempotency records.
+
+    Columns: digest of the key, state, request class (tariff), age and remaining window in seconds at the
+    node's last heartbeat, size of the result.
+    """
+    with open_engine(directory) as engine:
+        encoded = engine.get(HEARTBEAT_KEY)
+        last_alive = decode_heartbeat(encoded).node_time if encoded is not None else 0
         rows = [
             [
                 key,
                 RecordState(each.state).name.lower(),
                 each.request_class,
-                (seen - each.arrived) / SECOND,
-                (each.expires - seen) / SECOND,
+                (last_alive - each.arrived) / SECOND,
+                (each.expires - last_alive) / SECOND,
                 len(each.result),
             ]
-            for key, each in entries(engine)
+            for key, each in read_records(engine)
             if each is not None and (not only_open or each.state == RecordState.OPEN)
         ]
     output.table(["key", "state", "tariff", "age_s", "window_left_s", "result_bytes"], rows, as_json)
@@ -105,22 +114,24 @@
 @directory
 @as_json
 def show(directory: str, as_json: bool) -> None:
-    """Whose it is, its last sign of life, how many entries of each kind."""
-    with opened(directory) as engine:
-        said, seen = engine.get(OWNERSHIP_KEY), engine.get(HEARTBEAT_KEY)
-        whose = decode_ownership(said) if said is not None else Ownership(0, "", 0)
-        last = decode_heartbeat(seen) if seen is not None else Heartbeat(0, now())
-        known = [each for _, each in entries(engine) if each is not None]
+    """Show the node that owns the directory, the time since its last heartbeat, and counts of the records."""
+    with open_engine(directory) as engine:
+        encoded, encoded_heartbeat = engine.get(OWNERSHIP_KEY), engine.get(HEARTBEAT_KEY)
+        ownership = decode_ownership(encoded) if encoded is not None else Ownership(0, "", 0)
+        heartbeat = (
+            decode_heartbeat(encoded_heartbeat) if encoded_heartbeat is not None else Heartbeat(0, now())
+        )
+        records = [each for _, each in read_records(engine) if each is not None]
         stat = engine.stat()
     pairs = {
-        "node": whose.node,
-        "format": whose.format,
-        "last_sign_s_ago": round((now() - last.unix_time) / SECOND, 3),
-        "entries": len(known),
-        "without_result": sum(each.state == RecordState.OPEN for each in known),
-        "ran_to_nothing": sum(each.state == RecordState.FAILED for each in known),
-        "past_their_window": sum(each.expires + READ_DELAY_US < last.node_time for each in known),
-        "result_bytes": sum(len(each.result) for each in known),
+        "node": ownership.node,
+        "format": ownership.format,
+        "last_sign_s_ago": round((now() - heartbeat.unix_time) / SECOND, 3),
+        "entries": len(records),
+        "without_result": sum(each.state == RecordState.OPEN for each in records),
+        "ran_to_nothing": sum(each.state == RecordState.FAILED for each in records),
+        "past_their_window": sum(each.expires + READ_DELAY_US < heartbeat.node_time for each in records),
+        "result_bytes": sum(len(each.result) for each in records),
     }
     output.pairs(
         {**pairs, **{f"store_{name.replace(' ', '_')}": value for name, value in stat.items()}}, as_json
@@ -130,44 +141,52 @@
 @group.command()
 @directory
 def check(directory: str) -> None:
-    """What cannot be: entries unreadable, windows or due times that no node writes. Exit code 1 on any."""
-    found = []
-    with opened(directory) as engine:
-        said = engine.get(OWNERSHIP_KEY)
-        if said is None:
-            found.append("it says of no node")
-        elif decode_ownership(said).format != FORMAT_VERSION:
-            found.append(f"format {decode_ownership(said).format}, and this program's is {FORMAT_VERSION}")
+    """Check all records: whether they can be decoded, and whether their times are plausible.
+
+    Exit code 1 if a fault is found.
+    """
+    faults = []
+    with open_engine(directory) as engine:
+        encoded = engine.get(OWNERSHIP_KEY)
+        if encoded is None:
+            faults.append("the ownership record is missing")
+        elif decode_ownership(encoded).format != FORMAT_VERSION:
+            faults.append(
+                f"format {decode_ownership(encoded).format}, but this program uses format {FORMAT_VERSION}"
+            )
         count = 0
-        for key, each in entries(engine):
+        for key, each in read_records(engine):
             count += 1
             if each is None or each.state not in list(RecordState):
-                found.append(f"{key}: unreadable")
+                faults.append(f"{key}: unreadable record or unknown state")
             elif not (
-                0 <= each.expires - each.arrived <= LONGEST and 0 <= each.due - each.arrived <= LONGEST
+                0 <= each.expires - each.arrived <= MAX_WINDOW_US
+                and 0 <= each.due - each.arrived <= MAX_WINDOW_US
             ):
-                found.append(f"{key}: window or due time out of range")
+                faults.append(f"{key}: window or deadline out of range")
             elif each.result and each.state != RecordState.DONE:
-                found.append(f"{key}: a result of a run that made none")
-    for each in found:
+                faults.append(f"{key}: a result is stored, but the request did not complete")
+    for each in faults:
         click.echo(each)
-    click.echo(f"{count} entries, {len(found)} wrong")
-    raise click.exceptions.Exit(output.WRONG_DATA if found else 0)
+    click.echo(f"{count} entries, {len(faults)} wrong")
+    raise click.exceptions.Exit(output.WRONG_DATA if faults else 0)
 
 
 @group.command()
 @directory
 def adopt(directory: str) -> None:
-    """Take on a directory that was moved here whole.
+    """Adopt a directory that was moved here as a whole, so that a node may use it.
 
-    Wrong for an older copy: what ran since then would run again.
+    Do not adopt an older copy: requests that ran after the copy was made would run again.
     """
-    with opened(directory) as engine:
-        said = engine.get(OWNERSHIP_KEY)
-        if said is None:
-            raise output.WrongInput(f"keyed: {directory}: it says of no node, so nothing is to be taken on")
-        whose = msgspec.structs.replace(decode_ownership(said), directory_id=os.stat(directory).st_ino)
-        (wrong,) = engine.commit([Batch().put(OWNERSHIP_KEY, encode(whose))])
-        if wrong is not None:
-            raise wrong
-    click.echo(f"{directory}: taken on for the node {whose.node!r}")
+    with open_engine(directory) as engine:
+        encoded = engine.get(OWNERSHIP_KEY)
+        if encoded is None:
+            raise output.WrongInput(
+                f"keyed: {directory}: the ownership record is missing, so the directory can't be adopted"
+            )
+        ownership = msgspec.structs.replace(decode_ownership(encoded), directory_id=os.stat(directory).st_ino)
+        (error,) = engine.commit([Batch().put(OWNERSHIP_KEY, encode(ownership))])
+        if error is not None:
+            raise error
+    click.echo(f"{directory}: taken on for the node {ownership.node!r}")
