--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -1,4 +1,4 @@
-"""`lichencleat distribution run` and `status`: a relay, and where in the fleet which version is in force."""
+"""`lichencleat distribution run` and `status`: run a relay, show the configuration's version by zone."""
 
 from __future__ import annotations
 
@@ -22,47 +22,50 @@
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
 def run(file: str) -> None:
-    """Run the relay of FILE until SIGTERM."""
+    """Run the relay that FILE configures until SIGTERM."""
     from lichencleat.config_distribution import program
     from lichencleat.config_distribution.file import read_relay
 
     try:
-        chosen = read_relay(file)
+        relay_file = read_relay(file)
     except InvalidConfigError as error:
         raise output.WrongInput(str(error)) from error
-    raise click.exceptions.Exit(program.run(chosen))
+    raise click.exceptions.Exit(program.run(relay_file))
 
 
 @click.command()
 @click.argument("file", type=click.Path(dir_okay=False))
-@click.option("--at", help="ADDRESS of a relay (or voter) to ask instead of the voters.")
+@click.option("--at", help="Address of a relay or voter to ask instead of all voters.")
 @click.option("--json", "as_json", is_flag=True, help="JSON instead of tables.")
 def status(file: str, at: str | None, as_json: bool) -> None:
-    """Which version is in force where, by zone, as the voters of FILE know. Exit code 1: nobody answers."""
+    """Show which version of the configuration is in force in each zone.
+
+    FILE names the voters, which are asked unless --at is given. Exit code 1 if there is no answer.
+    """
     try:
         quorum = read_quorum_settings(file)
     except InvalidConfigError as error:
         raise output.WrongInput(str(error)) from error
     addresses = [at] if at else list(quorum.members)
-    told: list[dict[str, Any]] = []
+    results: list[dict[str, Any]] = []
 
     def main(reactor: Any) -> Any:
-        return call_members(reactor, quorum, addresses, IN_FORCE).addCallback(told.append)
+        return call_members(reactor, quorum, addresses, IN_FORCE).addCallback(results.append)
 
     run_on_reactor(main)
-    found = told[0] if told else {}
-    answered = {address: each for address, each in found.items() if isinstance(each, dict)}
-    summed = in_force(answered)
+    replies = results[0] if results else {}
+    answered = {address: each for address, each in replies.items() if isinstance(each, dict)}
+    summary = summarize_status(answered)
     if as_json:
-        click.echo(json.dumps({**summed, "members": found}))
+        click.echo(json.dumps({**summary, "members": replies}))
     else:
-        show(summed, found)
+        print_status(summary, replies)
     if not answered:
-        raise output.WrongData(f"distribution: nobody answers ({', '.join(addresses)})")
+        raise output.WrongData(f"distribution: no answer from {', '.join(addresses)}")
 
 
-def in_force(answered: dict[str, dict[str, Any]]) -> dict[str, Any]:
-    """The newest version that any voter has, and the zones' sums over all of them."""
+def summarize_status(answered: dict[str, dict[str, Any]]) -> dict[str, Any]:
+    """Return the newest version that any voter has, and the counts of nodes, added up over all voters."""
     counts = merged(
         Count(
             each["zone"],
@@ -94,27 +97,29 @@
 
 
 def seconds(us: int) -> float | str:
+    """Convert µs to seconds; a negative number means unknown."""
     return us / SECOND if us >= 0 else "unknown"
 
 
-def show(summed: dict[str, Any], found: dict[str, Any]) -> None:
-    version = summed["version"]
-    click.echo(f"version {version}, {summed['nodes']} nodes, {summed['late']} late\n")
+def print_status(summary: dict[str, Any], replies: dict[str, Any]) -> None:
+    """Print the counts by zone, the members that answered, and the members that did not answer."""
+    version = summary["version"]
+    click.echo(f"version {version}, {summary['nodes']} nodes, {summary['late']} late\n")
     rows = [
         [each["zone"], each["nodes"], each["lowest"], each["late"], seconds(each["oldest_us"]), each["by"]]
-        for each in summed["zones"]
+        for each in summary["zones"]
     ]
     output.table(ZONE_HEAD, rows, False)
     click.echo("")
-    rows, silent = [], []
-    for address, each in sorted(found.items()):
+    rows, unanswered = [], []
+    for address, each in sorted(replies.items()):
         if isinstance(each, dict):
-            late = sum(one["late"] for one in each["counts"])
+            late = sum(count["late"] for count in each["counts"])
             age = seconds(each["age_us"])
             row = [each["version"], each["digest"][:12], age, each["subscribers"], late]
             rows.append([each["name"], address, *row])
         else:
-            silent.append(f"{address} did not answer: {each}")
+            unanswered.append(f"{address} did not answer: {each}")
     output.table(ASKED_HEAD, rows, False)
-    for line in silent:
+    for line in unanswered:
         click.echo(line)
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -185,7 +185,7 @@
     code, said = run("show", "FILE", "tenant", "y")
     assert code == 1 and "no tenant 'y' at version 2" in said
     code, said = run("show", "FILE", "tenant", "y", "--at", "9")
-    assert code == 1 and "version 9 is not known; 0 to 2 are" in said
+    assert code == 1 and "version 9 is not available; versions 0 to 2 are" in said
     code, said = run("diff", "FILE", 1, 2, "--json")
     assert [list(each.values()) for each in json.loads(said)] == [
         ["tenant", "x", {"a": [None, True, "é"], "b": 1}, 2],
@@ -201,10 +201,10 @@
     wrong = lines(tmp_path / "2.jsonl", GOOD % "y", "{}\n")
     assert run("publish", "FILE", good)[0] == 0
     for words, told in (
-        ([good], "nothing was published: nothing would change (in force: 1)"),
+        ([good], "nothing was published: nothing would change (version in force: 1)"),
         (
             [lines(tmp_path / "3.jsonl", GOOD % "z"), "--only-if", 0],
-            "another version is in force (in force: 1)",
+            "another version is in force (version in force: 1)",
         ),
     ):
         code, said = run("publish", "FILE", *words)
@@ -217,13 +217,16 @@
     run.group = Group(part="facts")
     for words in (["publish", "FILE", good], ["show", "FILE", "tenant", "x"], ["diff", "FILE", 0, 1]):
         code, said = run(*words)
-        assert code == 1 and "is not one for configuration" in said
+        assert code == 1 and "does not distribute configuration" in said
 
 
 def test_a_large_file_goes_batch_by_batch_and_on_from_where_it_stopped(tmp_path, run):
     large = lines(tmp_path / "1.jsonl", *(GOOD % f"n{n}" for n in range(3 * BATCH_MOST)))
     code, said = run("publish", "FILE", large)
-    assert code == 2 and "With --in-batches it goes in 3, which hold each by itself" in said
+    assert (
+        code == 2
+        and "With --in-batches, the file is published in 3 batches that take effect one by one" in said
+    )
     run.group.fails_at = 3
     code, said = run("publish", "FILE", large, "--in-batches")
     assert code == 1 and "nobody answers; the request may take effect" in said
--- a/tests/config_distribution/test_status.py
+++ b/tests/config_distribution/test_status.py
@@ -80,7 +80,7 @@
 
 def test_where_nobody_answers_the_exit_code_is_1(status):
     ran = status({"10.0.0.3:1": SILENT})
-    assert ran.exit_code == 1 and "nobody answers (10.0.0.1:1, 10.0.0.2:1, 10.0.0.3:1)" in ran.output
+    assert ran.exit_code == 1 and "no answer from 10.0.0.1:1, 10.0.0.2:1, 10.0.0.3:1" in ran.output
 
 
 def test_a_wrong_file_is_one_line_with_its_place_and_exit_code_2(tmp_path):
