--- a/lichencleat/cli/consensus.py
+++ b/lichencleat/cli/consensus.py
@@ -156,7 +156,11 @@
 @FILE
 @AS_JSON
 def status(file: str, as_json: bool) -> None:
-    """Show each member's role and how much of the log it has applied. Exit code 1 if no member leads."""
+    """Show the role and the log position of each member. Exit code 1 if no member leads.
+
+    Columns: name, address, zone, whether the member votes, role, term, index of the last log entry that was
+    applied (applied), index of the last log entry (last), number of starts of the member (start), id (seat).
+    """
     quorum = read_group_settings(file)
     replies, leader = read_statuses(quorum)
     if as_json:
@@ -182,7 +186,11 @@
 @FILE
 @AS_JSON
 def members(file: str, as_json: bool) -> None:
-    """Show the members of the group as the leader knows them."""
+    """Show the members of the group as the leader knows them.
+
+    Columns: name, address, zone, whether the member votes, index of the last log entry that the member is
+    known to have (has), ms since the member's last response (heard_ms), id (seat).
+    """
     _, leader = read_statuses(read_group_settings(file))
     if leader is None:
         raise output.WrongData(
--- a/lichencleat/cli/failover.py
+++ b/lichencleat/cli/failover.py
@@ -49,7 +49,7 @@
 
 
 def role_text(role: ZoneRole) -> str:
-    """Return a role as it is printed in reports."""
+    """Return a role as it is printed in reports, with spaces in place of underscores."""
     return role.label.replace("_", " ")
 
 
@@ -178,7 +178,11 @@
 @FILE
 @AS_JSON
 def history(file: str, as_json: bool) -> None:
-    """List the earlier routing plans, the newest last."""
+    """List the earlier routing plans, the newest last.
+
+    Columns: version of the plan (number), roles of the zones (duties), requests per second that other zones
+    may send to each zone (guests), reason for the plan (why).
+    """
     plans = run_with_client(
         lambda reactor, client: client.read("zones", HISTORY_QUERY, CLI_REQUEST_TIMEOUT_S),
         read_group_settings(file),
