--- a/lichencleat/config_distribution/__init__.py
+++ b/lichencleat/config_distribution/__init__.py
@@ -1,13 +1,13 @@
-"""The fleet's configuration carried to every node: routes, tenants and the like, in numbered batches.
+"""Distributes the fleet's configuration to every node: routes, tenants and the like, in numbered batches.
 
-Promises: a batch is in force whole or not at all; a node's version never goes back within a life, whichever
-relay speaks; two processes that say the same version hold the same bytes; what is lost, late or spoilt is
-found by a digest. Not promised: that all nodes have a version at the same moment, nor news without any
-relay (a node then goes on with what it has and says how old it is).
+Guarantees: a batch is applied as a whole or not at all; a node's version never decreases within a
+life of its process, whichever relay it follows; two processes with the same version hold the same bytes;
+lost, late or corrupt data is detected by a digest. Not guaranteed: that all nodes have a version at the
+same moment, or that updates arrive without any relay (a node then keeps its version and reports its age).
 
-A group of voters numbers the batches (`source.py`), relays in tiers hand them down, each subscriber asks
-the one above it and is answered, so nothing waits for anybody who is slow. Decided without I/O: what a
-subscriber is sent next (`feed.py`), which relay is followed and what may be taken over (`follow.py`), what
-is counted up the tree (`counts.py`). Design: docs/config_distribution.md.
-Off unless the operators' file names it; off means not imported.
+A group of voters numbers the batches (`source.py`), tiers of relays pass them down, and each subscriber
+polls the process above it, so nothing waits for a slow subscriber. Decided without I/O: what a subscriber
+is sent next (`feed.py`), which relay is followed and what may be applied (`follow.py`), and the version
+counts that are added up the tree (`counts.py`). Design: docs/config_distribution.md.
+Disabled unless the operators' file names it; when disabled, the package is not imported.
 """
--- a/lichencleat/config_distribution/acts.py
+++ b/lichencleat/config_distribution/acts.py
@@ -1,4 +1,4 @@
-"""What a follower decides, for its host to carry out; no I/O."""
+"""The decisions of a follower, which its host carries out; no I/O."""
 
 from __future__ import annotations
 
@@ -10,16 +10,20 @@
 
 
 class Act(Enum):
-    OPEN = 1  # a link to `relay`
-    CLOSE = 2  # it is not wanted any more, also while it is being opened
-    ASK = 3  # `what` with `content`, at `relay`
-    STEP = 4  # call copy.step() in a later turn, then `stepped`
-    TAKEN = 5  # `batches` are in force; none: a snapshot is
-    TELL = 6  # a line for the log
+    """What the host has to do."""
+
+    OPEN = 1  # open a link to `relay`
+    CLOSE = 2  # close the link to `relay`, also while it is being opened
+    ASK = 3  # send the request `what` with `content` to `relay`
+    STEP = 4  # call copy.step() in a later turn of the reactor and report the result
+    TAKEN = 5  # `batches` were applied; empty: a snapshot was applied
+    TELL = 6  # log `text`
 
 
 @dataclass(frozen=True, slots=True)
 class Decision:
+    """One action for the host; the fields that an action doesn't need stay empty."""
+
     act: Act
     relay: str = ""
     what: str = ""
--- a/lichencleat/config_distribution/choice.py
+++ b/lichencleat/config_distribution/choice.py
@@ -1,7 +1,8 @@
-"""Which relay is tried next, and what speaks against each; no I/O.
+"""Relay selection: which relay is tried next, and which relays are excluded for now; no I/O.
 
-Each process draws an order of its own within each tier, once: so the load of a tier is even, and whoever left
-its first one comes back to it. What failed is tried again after a drawn span; it never is forgotten for good.
+Each process draws its own order within each tier once, so the load of a tier is even, and a process that
+leaves its first choice returns to it later. A relay that failed is tried again after a random delay; no relay
+is excluded for good.
 """
 
 from __future__ import annotations
@@ -12,36 +13,43 @@
 
 from lichencleat.config_distribution.terms import HOLD, RELAYS_MOST
 
-Span = tuple[int, int]  # µs: drawn between these
+Span = tuple[int, int]  # µs: lower and upper bound of a random delay
 
 
 @dataclass(frozen=True, slots=True)
 class Times:
-    """Spans in µs. Drawn ones are there so that many do not do the same at the same moment."""
-
-    hold: int = HOLD  # a node's question may be held so long where there is no news
-    relay_hold: int = 400_000  # a relay's: ages add up tier by tier, so they are asked for more often there
-    patience: int = 1_000_000  # on top of a hold, until a relay counts as silent
-    opening: int = 1_000_000  # for a link to be opened
-    overslept: int = 300_000  # a timer later than this: it was this process that slept, so it looks again
-    stale: int = 2_000_000  # age of a relay's word: over what two tiers' holds and ways add up to, twice
-    fresher: int = 1_000_000  # by which another one's word has to be younger to be worth a move
-    move: Span = (0, 500_000)  # before another one is opened: a lost relay's subscribers come spread
-    home: Span = (30_000_000, 90_000_000)  # until the first choice is looked at again
-    busy: Span = (1_000_000, 4_000_000)  # until one that has no turn for a snapshot is asked again
-    behind: int = 1_500_000  # that a relay may have less than its subscriber: some questions' time
-    again: int = 100_000  # before such a relay is asked again
-    failed: Span = (5_000_000, 15_000_000)  # that one that failed is left out, as long as there are others
-    wrong: Span = (30_000_000, 90_000_000)  # one of another group, or whose bytes or history were wrong
-    rest: Span = (500_000, 8_000_000)  # where all failed: doubled from one to the other, times 0.5 to 1.5
-    look: Span = (500_000, 30_000_000)  # between looks for a fresher one: doubled after each round of all
+    """Durations in µs.
+
+    Pairs are bounds of a random draw, so that many processes don't act at the same moment.
+    """
+
+    hold: int = HOLD  # how long a node's request may be held while there is no news
+    relay_hold: int = 400_000  # the same for a relay; shorter, because ages add up from tier to tier
+    patience: int = 1_000_000  # time for an answer on top of the hold, until a relay counts as silent
+    opening: int = 1_000_000  # time for a link to open
+    overslept: int = 300_000  # a timer this late means that this process was stopped: answers get more time
+    # age above which a fresher relay is sought: twice the holds and delays of two tiers
+    stale: int = 2_000_000
+    fresher: int = 1_000_000  # how much younger another relay's age must be to justify a move
+    move: Span = (0, 500_000)  # before another relay is opened: spreads the subscribers of a lost relay
+    home: Span = (30_000_000, 90_000_000)  # until the first choice is probed again
+    busy: Span = (1_000_000, 4_000_000)  # until a relay without a free snapshot slot is asked again
+    behind: int = 1_500_000  # how long a relay may lag behind its subscriber: several requests
+    again: int = 100_000  # before a relay that is behind is asked again
+    failed: Span = (5_000_000, 15_000_000)  # how long a failed relay is excluded, as long as there are others
+    # the same for a relay of another group, or with corrupt data or another history
+    wrong: Span = (30_000_000, 90_000_000)
+    # backoff where all relays failed: doubled from the first to the second, times 0.5 to 1.5
+    rest: Span = (500_000, 8_000_000)
+    # between probes for a fresher relay: doubled after each round of all relays
+    look: Span = (500_000, 30_000_000)
 
 
 class Choice:
-    """Owns the order of relays, those left out for now, and who holds another history."""
+    """Owns the order of the relays and the time until which each is excluded."""
 
     def __init__(self, tiers: Sequence[Sequence[str]], rng: random.Random, times: Times) -> None:
-        """`tiers`: nearest first. Of a relay that is named twice the nearer one counts."""
+        """`tiers`: nearest first. A relay that is named in two tiers belongs to the nearer one."""
         self.rng, self.times = rng, times
         self.tier: dict[str, int] = {}
         for number, tier in enumerate(tiers):
@@ -49,29 +57,34 @@
             rng.shuffle(drawn)
             for each in drawn[: RELAYS_MOST - len(self.tier)]:
                 self.tier[each] = number
-        self.order = list(self.tier)  # this process's own
-        self.out: dict[str, int] = {}  # left out until then, µs
+        self.order = list(self.tier)  # the order of this process
+        self.out: dict[str, int] = {}  # relay -> excluded until, µs
         self.rest = times.rest[0]
-        self.turn = 0  # of looks for a fresher one
+        self.turn = 0  # index of the next probe within the round
         self.span = times.look[0]
 
     def draw(self, span: Span) -> int:
+        """A random duration within the bounds, in µs."""
         return self.rng.randint(*span)
 
     def good(self, relay: str) -> None:
-        """It answered as it should."""
+        """Ends the relay's exclusion and resets the backoff, after a valid answer."""
         self.out.pop(relay, None)
         self.rest = self.times.rest[0]
 
     def bad(self, now: int, relay: str, span: Span) -> None:
+        """Excludes the relay for a random time."""
         self.out[relay] = max(self.out.get(relay, 0), now + self.draw(span))
 
     def fit(self, now: int, relays: Iterable[str]) -> list[str]:
-        """Those that are not left out, in order."""
+        """The relays that are not excluded, in the given order."""
         return [each for each in relays if self.out.get(each, 0) <= now]
 
     def next(self, now: int, past: str | None = None) -> tuple[str | None, int]:
-        """Which one to open, and after which span (µs). `past`: rather not this one. None: there is none."""
+        """The relay to open and the delay before that (µs).
+
+        `past`: the relay to avoid while there is another one. None: no relay is known.
+        """
         fit = self.fit(now, self.order)
         others = [each for each in fit if each != past] or fit
         if others:
@@ -83,29 +96,31 @@
         return min(self.order, key=lambda each: self.out.get(each, 0)), span
 
     def beside(self, now: int, relay: str) -> str | None:
-        """Another one of the same tier."""
+        """Another available relay of the same tier."""
         tier = self.tier.get(relay)
         same = [each for each in self.order if self.tier[each] == tier and each != relay]
         return next(iter(self.fit(now, same)), None)
 
     def better(self, now: int, relay: str) -> str | None:
-        """The first of those before it in the order."""
+        """The first available relay that precedes this one in the order."""
         return next(iter(self.fit(now, self.order[: self.order.index(relay)])), None)
 
     def first(self, relay: str) -> bool:
+        """Whether this relay is the first choice."""
         return not self.order or self.order[0] == relay
 
-    # -- a fresher one ---------------------------------------------------------------------------------
+    # -- probes for a fresher relay ----------------------------------------------------------------------
 
     def fresh(self) -> None:
-        """The one that is followed is: the next search begins quickly again."""
+        """Resets the probe interval, as the followed relay is fresh."""
         self.turn, self.span = 0, self.times.look[0]
 
     def look_span(self) -> int:
+        """A random delay before the next probe, in µs."""
         return self.rng.randint(self.span // 4, self.span)
 
     def looks(self, now: int, relay: str) -> str | None:
-        """The next one to be looked at instead; after a round of all of them looks get rarer."""
+        """The next relay to probe; the interval doubles after each round of all relays."""
         others = self.fit(now, [each for each in self.order if each != relay])
         if self.turn >= len(others):
             self.turn, self.span = 0, min(2 * self.span, self.times.look[1])
@@ -115,7 +130,7 @@
         return others[self.turn - 1]
 
     def several(self, relays: Iterable[str]) -> bool:
-        """Do they stand for more than one place? Two tiers; where there is only one tier, two relays."""
+        """Whether the relays are independent: from two tiers or, where there is only one tier, two relays."""
         named = [each for each in relays if each in self.tier]
         places = {self.tier[each] for each in named}
         one_tier = len(set(self.tier.values())) == 1
--- a/lichencleat/config_distribution/copy.py
+++ b/lichencleat/config_distribution/copy.py
@@ -1,6 +1,6 @@
-"""What a follower holds: a table, and what is staged beside it; no I/O.
+"""The copy of the table that a follower keeps, and the update staged for it; no I/O.
 
-A follower knows it by the methods of `Copy` alone, so that hollow followers may share one
+The follower uses the methods of `Copy` alone, so that hollow followers can share one table
 (`testkit/hollow.py`).
 """
 
@@ -14,48 +14,55 @@
 from lichencleat.config_distribution.table import Staging, Table
 from lichencleat.config_distribution.terms import Batch, Digests, Pages
 
-SPENT = 256  # pages let go of in one slice: some 100 µs
+SPENT = 256  # replaced pages freed in one slice: some 100 µs
 
 
 class Copy(Protocol):
+    """The table as a follower sees it."""
+
     version: int
     digest: bytes
-    mark: bytes  # of the group; b"": not known yet
+    mark: bytes  # the group's mark; b"": not known yet
 
     def stage(self, batches: Sequence[Batch]) -> None:
-        """Raises ChainError where they do not follow."""
+        """Stages batches. Raises ChainError if they don't follow the version in force."""
 
     def begin(self, head: Digests) -> None:
-        """A snapshot; one under way goes on with this one. What is wrong with it shows in `step`."""
+        """Starts a snapshot, or continues one with a newer head.
+
+        `step` reports what is wrong with the head.
+        """
 
     def missing(self, most: int) -> list[int]:
-        """Pages to ask for."""
+        """Numbers of at most `most` pages that are still to be fetched."""
 
     def put(self, pages: Pages) -> bool:
-        """False: of another snapshot, or not asked for. Whether they are whole shows in `step`."""
+        """Adds fetched pages; `step` checks them. False: of another snapshot, or not requested."""
 
     def step(self) -> bool:
-        """A slice, under 1 ms; True: ready to be taken. Raises SpoiltError, ChainError."""
+        """Processes one slice, under 1 ms. True: ready to be applied. Raises SpoiltError, ChainError."""
 
     def take(self) -> tuple[Batch, ...]:
-        """In force from now on; the batches taken, () for a snapshot. Raises ChainError."""
+        """Applies the staged update; returns its batches, () for a snapshot. Raises ChainError."""
 
     def drop(self) -> None:
-        """What was staged goes; pages of a snapshot stay, for one that goes on."""
+        """Discards the staged update; fetched pages of a snapshot stay for its continuation."""
 
 
 class TableCopy:
-    """Around a table of one's own."""
+    """A copy that owns its table."""
 
     def __init__(self, table: Table | None = None, mark: bytes = b"") -> None:
         self.table = Table() if table is None else table
         self.mark = mark
         self.staging: Staging | None = None
         self.rebuild: Rebuild | None = None
-        self.going = False  # the rebuild is under way, not only kept for its pages
-        self.wrong: Exception | None = None  # with the snapshot's head
-        self.waiting: dict[int, bytes] = {}  # pages by zlib that are not looked at yet: at most a table's
-        self.spent: list[bytes] = []  # pages from before a snapshot was taken, let go of bit by bit
+        self.going = False  # the snapshot is under way, not only kept for its pages
+        self.wrong: Exception | None = None  # the error in the snapshot's head
+        self.waiting: dict[
+            int, bytes
+        ] = {}  # number -> page by zlib that is not checked yet; at most a table's pages
+        self.spent: list[bytes] = []  # pages that a snapshot replaced; freed slice by slice
 
     @property
     def version(self) -> int:
@@ -66,6 +73,7 @@
         return self.table.digest
 
     def find(self, kind: str, name: str) -> bytes | None:
+        """The record's value, or None."""
         return self.table.find(kind, name)
 
     def stage(self, batches: Sequence[Batch]) -> None:
@@ -105,6 +113,7 @@
         return True
 
     def spend(self) -> None:
+        """Frees one slice of the replaced pages."""
         del self.spent[-SPENT:]
 
     def step(self) -> bool:
@@ -119,7 +128,7 @@
             return self.rebuild.step()
         number, data = self.waiting.popitem()
         if not self.rebuild.put(number, data):
-            raise SpoiltError(f"page {number} of {self.rebuild.version} is spoilt")
+            raise SpoiltError(f"page {number} of the snapshot of version {self.rebuild.version} is corrupt")
         return False
 
     def take(self) -> tuple[Batch, ...]:
@@ -129,7 +138,7 @@
             self.rebuild, self.waiting = None, {}  # pages of a snapshot that is not needed any more
             return staging.batches
         if self.rebuild is None or not self.going or self.waiting or self.wrong is not None:
-            raise ChainError("nothing is staged")
+            raise ChainError("no update is staged")
         self.rebuild.take()
         self.spent = self.rebuild.pages
         self.rebuild, self.going = None, False
--- a/lichencleat/config_distribution/counts.py
+++ b/lichencleat/config_distribution/counts.py
@@ -1,9 +1,10 @@
-"""How many nodes have which version, by zone, added up on the way up the tree; no I/O.
+"""Version counts: how many nodes of each zone have which version, added up along the relay tree; no I/O.
 
-Sums and extremes, no names but that of the relay at which the lowest hangs. A node counts itself once and its
-relay adds it to the others of its zone; a relay's word replaces its last one whole. A subscriber counts as
-long as its link stands and it was heard of within `COUNTED`: so one that moved without a goodbye is in two
-sums for that long at the most, and each tier above hears of it within a question's time (`HOLD`) more.
+Counts hold sums and extremes, and no names except that of the relay that serves the lowest version. A node
+counts itself once and its relay adds it to the others of its zone; each report of a relay replaces its last
+one as a whole. A subscriber counts while its link is open and its last request is no older than `COUNTED`.
+So a subscriber that moved without closing its link is in two sums for at most that long, and each tier above
+learns of the move within one request (`HOLD`).
 """
 
 from __future__ import annotations
@@ -12,19 +13,20 @@
 
 from lichencleat.config_distribution.terms import ZONES_MOST, Count
 
-NODES_MOST = 1 << 20  # that one word can tell of: far over any fleet, so that sums stay numbers of the wire
-NAME_MOST = 64  # characters of a zone or a relay
-COUNTED = 5_000_000  # µs after the last question: over any hold, patience, or wait for a turn at a snapshot
-OLDEST = 1 << 53  # µs, and "never heard": ages stop there, so that sums stay whole numbers for JSON
+NODES_MOST = 1 << 20  # per count; far above any fleet, so that sums fit the integers of the wire format
+NAME_MOST = 64  # characters of a zone's or relay's name
+# µs after the last request; longer than any hold, answer timeout or wait for a snapshot slot
+COUNTED = 5_000_000
+OLDEST = 1 << 53  # µs; upper bound of an age, and the age of a source never heard from; exact in JSON
 
 
 def aged(age: int, passed: int) -> int:
-    """An age after `passed` µs more."""
+    """The age `passed` µs later."""
     return min(OLDEST, age + max(0, passed))
 
 
 class Sum:
-    """What is known of one zone."""
+    """The accumulated counts of one zone."""
 
     __slots__ = ("nodes", "lowest", "oldest", "late", "by")
 
@@ -34,6 +36,7 @@
         self.by = ""
 
     def add(self, count: Count) -> None:
+        """Adds the count of one subscriber."""
         self.nodes += count.nodes
         self.late += count.late
         self.oldest = max(self.oldest, count.oldest)
@@ -42,7 +45,10 @@
 
 
 def merged(counts: Iterable[Count], most: int = ZONES_MOST) -> tuple[Count, ...]:
-    """One for each zone, in order of their names. Zones over the bound are told as one, under ""."""
+    """One count per zone, sorted by name.
+
+    Zones above the bound are merged into one count with the name "".
+    """
     sums: dict[str, Sum] = {}
     for each in counts:
         if each.nodes <= 0:
@@ -58,10 +64,11 @@
 
 
 def at_relay(counts: Iterable[Count], relay: str, version: int, needed: int, passed: int) -> Iterable[Count]:
-    """What a subscriber told, as its relay adds it up.
+    """A subscriber's counts, adjusted for the sum of its relay.
 
-    `version`: in force at the subscriber; `needed`: what this relay has had for LATE; `passed`: µs since it
-    was told. Below a relay that is itself late all are. Numbers that can't be are cut to what can.
+    `version`: applied by the subscriber; `needed`: the version that this relay has had for LATE; `passed`: µs
+    since the counts were sent. All nodes below a relay that is itself late are late. Numbers out of range are
+    clamped.
     """
     for each in counts:
         nodes = min(NODES_MOST, max(0, each.nodes))
--- a/lichencleat/config_distribution/errors.py
+++ b/lichencleat/config_distribution/errors.py
@@ -1,8 +1,8 @@
-"""What the table refuses; each message says what is wrong, in one line."""
+"""Errors of the table; each message states the cause in one line."""
 
 
 class TableError(Exception):
-    """Any refusal of the table; it is as it was before."""
+    """Base of all errors of the table; the table is unchanged when one is raised."""
 
 
 class ChainError(TableError):
@@ -10,8 +10,11 @@
 
 
 class SpoiltError(TableError):
-    """Bytes are not what their digest says, or can't be a table's."""
+    """Data does not match its digest, or can't be part of a table."""
 
 
 class UnfitError(TableError):
-    """Changes that break a bound: the same everywhere, as it follows from the table and them alone."""
+    """Changes exceed a bound.
+
+    Every member raises it alike, as it depends on the table and the changes alone.
+    """
--- a/lichencleat/config_distribution/looks.py
+++ b/lichencleat/config_distribution/looks.py
@@ -1,7 +1,7 @@
-"""When another relay is looked at while one is followed, and whether it is worth a move; no I/O.
+"""When another relay is probed while one is followed, and whether a move to it is justified; no I/O.
 
-A relay whose word is stale is kept until another one was asked and is fresher by a margin; looks for one get
-rarer with each round of all. So a place that is cut off as a whole stays where it is.
+A relay whose age is above the limit is followed until a probe finds one that is fresher by a margin; the
+probes get rarer with each round of all relays. So a site that is cut off as a whole stays with its relay.
 """
 
 from __future__ import annotations
@@ -15,29 +15,32 @@
 
 @dataclass(slots=True)
 class Probe:
+    """The probe of one relay: a link and one request over it."""
+
     relay: str
-    until: int  # µs
-    home: bool  # it is an earlier choice; else: perhaps a fresher one
-    asked: int = -1  # µs; -1: its link is not open yet
+    until: int  # µs: deadline of the current step
+    home: bool  # it is an earlier choice; else it may be fresher
+    asked: int = -1  # µs: when the request was sent; -1: its link is not open yet
     mark: bytes = b""
 
 
 class Looks:
-    """One at a time."""
+    """Owns the probe, one at a time, and the times of the next ones."""
 
     def __init__(self, choice: Choice, times: Times) -> None:
         self.choice, self.times = choice, times
         self.probe: Probe | None = None
-        self.look_at: int | None = None  # µs: for a fresher one
-        self.home_at: int | None = None  # µs: whether an earlier choice is back
+        self.look_at: int | None = None  # µs: next probe for a fresher relay
+        self.home_at: int | None = None  # µs: next probe of an earlier choice
 
     def follows(self, now: int, relay: str) -> None:
+        """Starts anew, as another relay is followed."""
         self.probe = self.look_at = self.home_at = None
         if not self.choice.first(relay):
             self.home_at = now + self.choice.draw(self.times.home)
 
     def heard(self, now: int, age: int) -> None:
-        """What the one that is followed says of its age: looks for a fresher one begin, or end."""
+        """Starts or ends the probes for a fresher relay, by the age that the followed one reports."""
         if age <= self.times.stale:
             self.look_at = None
             self.choice.fresh()
@@ -45,12 +48,13 @@
             self.look_at = now + self.choice.look_span()
 
     def deadline(self) -> int | None:
+        """µs: when the probe has to be looked at again; None: no probe is due."""
         if self.probe is not None:
             return self.probe.until
         return min((each for each in (self.look_at, self.home_at) if each is not None), default=None)
 
     def begins(self, now: int, relay: str, free: bool) -> str | None:
-        """The one to open, if the time has come; not while something is on its way (`free`)."""
+        """The relay to probe now, or None; a due probe is skipped while an update is under way (not `free`)."""
         if self.probe is not None:
             return None
         home = self.home_at is not None and now >= self.home_at
@@ -68,10 +72,14 @@
         return other
 
     def opened(self, now: int, probe: Probe, mark: bytes) -> None:
+        """The link of the probe is open and the request is sent."""
         probe.asked, probe.mark, probe.until = now, mark, now + self.times.patience
 
     def worth(self, now: int, probe: Probe, fed: Fed, version: int, age: int) -> bool:
-        """`version`, `age`: of what is in force here. It has to say itself that it is better."""
+        """Whether the probed relay's answer justifies a move.
+
+        `version`, `age`: in force here. The relay's version must not be lower.
+        """
         if fed.say not in (Say.NEWS, Say.SAME, Say.SNAPSHOT) or fed.version < version:
             return False
         if fed.version and not probe.mark:
--- a/lichencleat/config_distribution/pages.py
+++ b/lichencleat/config_distribution/pages.py
@@ -1,12 +1,12 @@
-"""A page: some hundred records in one object of bytes, found by bisection; no I/O.
+"""A page: some hundred records in one bytes object, found by bisection; no I/O.
 
-The layout, all numbers little-endian: how many records there are (4 bytes), the place of each (4 bytes, in
-order), where each ends (4 bytes), the records: length of the kind and of the name (1 byte each), kind, name,
-value. Records of the same place stand in the order of their bytes. So the same records make the same bytes,
-whatever came before them. A page without records has no bytes.
+Layout, all numbers little-endian: number of records (4 bytes), the hash position of each (4 bytes,
+ascending), the end offset of each (4 bytes), the records. A record is: length of the kind and of the name (1
+byte each), kind, name, value. Records of the same position are sorted by their bytes. So the same records
+make the same bytes, in whatever order they were written. A page without records has no bytes.
 
-Place and page come from different bits of one hash of kind and name. Two names of the same hash are told
-apart by their bytes, which are always compared whole.
+Page number and position are different bits of one hash of kind and name. Names with the same hash are
+distinguished by their bytes, which are always compared in full.
 """
 
 from __future__ import annotations
@@ -23,52 +23,56 @@
 from lichencleat.config_distribution.errors import SpoiltError
 from lichencleat.config_distribution.terms import DIGEST, PAGES
 
-PAGE_MOST = 128 << 10  # bytes of a page: four times the mean of a full table; what is inflated at once
-RECORD_HEAD = 2  # bytes: the two lengths
-PAGE_SHIFT = 64 - (PAGES - 1).bit_length()  # the hash's upper bits name the page
-PLACE_MASK = 0xFFFF_FFFF  # its lower ones the place within
+PAGE_MOST = 128 << 10  # bytes of a page, and of what is inflated at once; four times the mean of a full table
+RECORD_HEAD = 2  # bytes of the two lengths
+PAGE_SHIFT = 64 - (PAGES - 1).bit_length()  # the page number is the upper bits of the hash
+PLACE_MASK = 0xFFFF_FFFF  # the position within the page is the lower bits
 SUM_MASK = (1 << 8 * DIGEST) - 1
-LEVEL = 1  # of zlib: a fifth of the time of the usual level, for a tenth more bytes
+LEVEL = 1  # zlib level: a fifth of the default level's time for a tenth more bytes
 
-if sys.byteorder != "little":  # pages are read in place, and their bytes are the same everywhere
+if sys.byteorder != "little":  # pages are read in place and have the same bytes on every machine
     raise ImportError("lichencleat.config_distribution needs a little-endian machine")
 
 Put = tuple[int, bytes, bytes | None]
-"""A change within a page: place, key, the value or None."""
+"""A change within a page: position, key, and the value or None."""
 
 
 def key_of(kind: str, name: str) -> bytes:
-    """What a record begins with, and is known by. Raises ValueError where kind or name can't be one's."""
+    """The encoded kind and name that a record starts with. Raises ValueError if they can't be encoded."""
     kind_bytes, name_bytes = kind.encode(), name.encode()
     return bytes((len(kind_bytes), len(name_bytes))) + kind_bytes + name_bytes
 
 
 def hash_of(key: bytes) -> int:
+    """The hash that gives a key its page and position."""
     return xxh3_64_intdigest(key)
 
 
 def place_of(key: bytes) -> tuple[int, int]:
-    """Its page's number, and its place in it."""
+    """Page number and position of a key."""
     whole = hash_of(key)
     return whole >> PAGE_SHIFT, whole & PLACE_MASK
 
 
 def digest_of(number: int, page: bytes) -> int:
+    """The digest of a page; it covers the page number."""
     return xxh3_128_intdigest(page, number)
 
 
-EMPTY = [digest_of(number, b"") for number in range(PAGES)]  # of a table without records
+EMPTY = [digest_of(number, b"") for number in range(PAGES)]  # digests of the pages of an empty table
 
 
 def digest_bytes(total: int, version: int) -> bytes:
-    """Of a table: `total` is the sum of its pages' digests. The version counts, so that none is taken for
-    another's, also where a number was spoilt on its way.
+    """The digest of a table; `total` is the sum of its pages' digests.
+
+    It covers the version, so that a version number corrupted on its way is detected.
     """
     known = xxh3_128_intdigest(version.to_bytes(9, "little", signed=True), PAGES) if version else 0
     return (total + known & SUM_MASK).to_bytes(DIGEST, "little")
 
 
 def find(page: bytes, place: int, key: bytes) -> bytes | None:
+    """The value of the key's record, or None."""
     if not page:
         return None
     count = int.from_bytes(page[:4], "little")
@@ -83,11 +87,12 @@
 
 
 def count_of(page: bytes) -> int:
+    """How many records the page has."""
     return int.from_bytes(page[:4], "little")
 
 
 def unpacked(page: bytes) -> tuple[list[int], list[bytes]]:
-    """Places and records, in order."""
+    """Positions and records, in order."""
     if not page:
         return [], []
     count = int.from_bytes(page[:4], "little")
@@ -97,6 +102,7 @@
 
 
 def packed(places: list[int], records: list[bytes]) -> bytes:
+    """The page of these positions and records, which are in order."""
     if not records:
         return b""
     count = len(records)
@@ -105,7 +111,7 @@
 
 
 def rewritten(page: bytes, puts: Iterable[Put]) -> tuple[bytes, list[bytes | None]]:
-    """The page after these changes, and the value that each found."""
+    """The page after the changes, and the value that each change replaced."""
     places, records = unpacked(page)
     before: list[bytes | None] = []
     for place, key, value in puts:
@@ -133,49 +139,53 @@
 
 
 def fault(number: int, page: bytes) -> str:
-    """Why these bytes can't be that page, whatever their digest says; "" where they can. Some 100 µs."""
+    """Why the bytes can't be that page, whatever their digest is; "" if they can. Some 100 µs."""
     if not page:
         return ""
     if len(page) > PAGE_MOST:
-        return f"{len(page)} bytes, {PAGE_MOST} at the most"
+        return f"{len(page)} bytes, the maximum is {PAGE_MOST}"
     count = count_of(page)
     base = 4 + 8 * count
     if count == 0 or base > len(page):
-        return "its head is cut off"
+        return "its header is incomplete"
     heads = memoryview(page)[4:base].cast("I").tolist()
     begin, past = base, (-1, b"")
     for place, end in zip(heads[:count], heads[count:], strict=True):
         if not begin + RECORD_HEAD < end <= len(page):
-            return "a record's end is out of place"
+            return "a record's end offset is out of range"
         key = page[begin : begin + RECORD_HEAD + page[begin] + page[begin + 1]]
         if begin + len(key) > end or not page[begin] or not page[begin + 1]:
-            return "a record's name is cut off"
+            return "a record's name is incomplete"
         if place_of(key) != (number, place):
-            return "a record is on the wrong page or place"
+            return "a record is on the wrong page or at the wrong position"
         if (place, key) <= past:
             return "records are out of order"
         try:
             key[RECORD_HEAD : RECORD_HEAD + key[0]].decode()
             key[RECORD_HEAD + key[0] :].decode()
         except ValueError:
-            return "a record's name is no UTF-8"
+            return "a record's name is not UTF-8"
         begin, past = end, (place, key)
-    return "" if begin == len(page) else "bytes behind the last record"
+    return "" if begin == len(page) else "bytes after the last record"
 
 
 def deflated(page: bytes) -> bytes:
+    """The page by zlib."""
     return zlib.compress(page, LEVEL)
 
 
 def inflated(data: bytes) -> bytes:
-    """Raises SpoiltError where it is no page's, or more than one can have: no more than that is inflated."""
+    """The page of its zlib bytes.
+
+    Raises SpoiltError if it is invalid or above the bound, which limits inflation.
+    """
     stream = zlib.decompressobj()
     try:
         page = stream.decompress(data, PAGE_MOST + 1)
     except zlib.error as wrong:
-        raise SpoiltError(f"a page can't be inflated: {wrong}") from wrong
+        raise SpoiltError(f"cannot inflate a page: {wrong}") from wrong
     if len(page) > PAGE_MOST:
-        raise SpoiltError(f"a page has over {PAGE_MOST} bytes")
+        raise SpoiltError(f"a page has more than {PAGE_MOST} bytes")
     if not stream.eof or stream.unused_data:
-        raise SpoiltError("a page's bytes end too early or too late")
+        raise SpoiltError("the compressed data of a page is incomplete or has trailing bytes")
     return page
--- a/lichencleat/config_distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -1,11 +1,11 @@
-"""All records of a version in 4,096 packed pages, and the batches that move it on; no I/O.
+"""All records of a version in 4,096 packed pages, and the batches that lead to the next version; no I/O.
 
-Promises: the same records make the same bytes and the same digest, whatever the way to them; a batch is in
-the table whole or not at all; nothing of it is seen before `take`; the version never goes back. The digest is
-the sum of the pages' digests modulo 2**128, so a change costs the pages that it touches.
+Guarantees: the same records make the same bytes and the same digest, whatever batches led to them; a batch is
+applied as a whole or not at all; none of it is visible before `take`; the version never decreases. The digest
+is the sum of the pages' digests modulo 2**128, so a change costs only the pages that it touches.
 
-Memory: the bytes of kind, name and value, 10 more a record and some 50 more a page. Staged pages come on top
-until they are taken: those that the batches touch, or all that differ in a snapshot.
+Memory: the bytes of kind, name and value, 10 more per record and some 50 more per page. Staged pages add to
+that until they are applied: the pages that the batches touch, or all that differ in a snapshot.
 """
 
 from __future__ import annotations
@@ -31,15 +31,15 @@
     encode,
 )
 
-SLICE_BYTES = 96 << 10  # of pages rewritten in one slice, but one page at least: some 200 µs
-PAGE_COST = 4 << 10  # bytes that a page counts for beside its own: what a small one costs
-SLICE_CHANGES = 128  # changes looked at in one slice: some 200 µs
+SLICE_BYTES = 96 << 10  # bytes of the pages rewritten in one slice, at least one page: some 200 µs
+PAGE_COST = 4 << 10  # bytes added to each page's size in a slice: the fixed cost of a small page
+SLICE_CHANGES = 128  # changes assigned to pages in one slice: some 200 µs
 
 __all__ = ["ChainError", "Rebuild", "SpoiltError", "Staging", "Table", "UnfitError", "View"]
 
 
 def unfit_change(change: Change) -> str:
-    """Why no table takes it; "" where one may."""
+    """Why the change exceeds a bound; "" if it doesn't."""
     if not 0 < len(change.kind) <= KIND_MOST:
         return f"a kind has 1 to {KIND_MOST} characters"
     try:
@@ -55,7 +55,10 @@
 
 
 def unfit(changes: Sequence[Change]) -> str:
-    """Why no table takes them as a batch; "" where one may: the totals show only at the table."""
+    """Why the changes can't be a batch; "" if they can.
+
+    The table's totals are checked when they are applied.
+    """
     if not 0 < len(changes) <= BATCH_MOST:
         return f"a batch has 1 to {BATCH_MOST} changes, not {len(changes)}"
     for change in changes:
@@ -71,22 +74,23 @@
 
 
 class View:
-    """The table as it was at one version, for those who fetch it; it costs the pages changed since."""
+    """The table as it was at one version, for snapshots; it keeps the pages alive that changed since."""
 
     def __init__(self, table: Table) -> None:
         self.version, self.digest = table.version, table.digest
         self.records, self.bytes = table.records, table.bytes
         self.pages, self.page_digests = list(table.pages), list(table.page_digests)
-        self.shared = table.deflated  # by all views of the table: each page as the newest of them has it
-        self.own: dict[int, bytes] = {}  # number -> page by zlib, where it was asked for
+        # shared by all views of the table: each page as the newest view compressed it
+        self.shared = table.deflated
+        self.own: dict[int, bytes] = {}  # number -> page by zlib, if it was requested
 
     def head(self, age: int) -> Digests:
-        """`age`: µs, as told."""
+        """The snapshot's head; `age` in µs, as it is to be sent."""
         whole = b"".join(each.to_bytes(DIGEST, "little") for each in self.page_digests)
         return Digests(self.version, self.digest, whole, age)
 
     def packed(self, number: int) -> bytes:
-        """The page by zlib, made once: some 300 µs, then none. Raises IndexError."""
+        """The page by zlib, compressed once: some 300 µs the first time. Raises IndexError."""
         data = self.own.get(number)
         if data is not None:
             return data
@@ -100,7 +104,7 @@
 
 
 class Table:
-    """What is in force. One owner changes it, by `Staging`, `Rebuild` or `apply`."""
+    """The version in force. One owner changes it, by `Staging`, `Rebuild` or `apply`."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -109,43 +113,48 @@
         self.total = sum(self.page_digests) & pages.SUM_MASK
         self.records = 0
         self.bytes = 0
-        self.before: list[bytes | None] = []  # what the changes of the last `apply` found, in their order
+        self.before: list[bytes | None] = []  # values that the changes of the last `apply` replaced, in order
         self.deflated: dict[int, tuple[int, bytes, int]] = {}  # number -> digest, page by zlib, its version
 
     @property
     def digest(self) -> bytes:
+        """The digest of the whole table at its version."""
         return pages.digest_bytes(self.total, self.version)
 
     def find(self, kind: str, name: str) -> bytes | None:
-        """The value, or None; a few µs."""
+        """The record's value, or None; a few µs."""
         try:
             key = pages.key_of(kind, name)
-        except ValueError:  # no record has such a name
+        except ValueError:  # no record has a name that is not UTF-8 or is too long
             return None
         number, place = pages.place_of(key)
         return pages.find(self.pages[number], place, key)
 
     def items(self) -> Iterator[tuple[str, str, bytes]]:
-        """Kind, name and value of all records, page by page; of each page as it is when it is come to."""
+        """Kind, name and value of all records, page by page; each page as it is when it is reached."""
         for number in range(PAGES):
             yield from pages.entries(self.pages[number])
 
     def stage(self, batches: Sequence[Batch]) -> Staging:
-        """Raises ChainError where they do not follow the version in force, one another."""
+        """Batches to be applied.
+
+        Raises ChainError if they don't follow the version in force or one another.
+        """
         return Staging(self, batches)
 
     def rebuild(self, head: Digests) -> Rebuild:
-        """Towards that snapshot. Raises SpoiltError where it can't be one, ChainError where it is older."""
+        """Starts a snapshot. Raises SpoiltError if the head is inconsistent, ChainError if it is older."""
         return Rebuild(self, head)
 
     def view(self) -> View:
-        """Some 20 µs; it keeps the pages of this version alive."""
+        """A view of this version: some 20 µs; it keeps the version's pages alive."""
         return View(self)
 
     def apply(self, version: int, changes: Sequence[Change]) -> Batch:
-        """All at once, for the one who makes the batch. Raises UnfitError or ChainError: nothing changed.
+        """Applies the changes at once and returns them as a batch, for the source of batches.
 
-        Refusals depend on the table and the changes alone, so that each voter refuses the same.
+        Raises UnfitError or ChainError and changes nothing. Errors depend on the table and the changes alone,
+        so that every voter rejects the same batches.
         """
         wrong = unfit(changes)
         if wrong:
@@ -161,7 +170,7 @@
 
     @staticmethod
     def assembled(version: int, whole: list[bytes], digests: list[int], records: int) -> Table:
-        """Of pages that were looked through elsewhere; their digests and how many records they have."""
+        """A table of pages that were checked before, with their digests and total number of records."""
         table = Table()
         table.version, table.pages, table.page_digests = version, list(whole), list(digests)
         table.total = sum(digests) & pages.SUM_MASK
@@ -170,7 +179,7 @@
 
     @staticmethod
     def loaded(version: int, whole: Sequence[bytes]) -> Table:
-        """All at once. Raises SpoiltError where a page can't be one."""
+        """A table of unchecked pages. Raises SpoiltError if one of them is no valid page."""
         if len(whole) != PAGES:
             raise SpoiltError(f"a table has {PAGES} pages, not {len(whole)}")
         for number, page in enumerate(whole):
@@ -182,31 +191,34 @@
 
 
 class Staging:
-    """Batches beside the table. `step` until it gives True, then `take`; dropping it changes nothing."""
+    """Batches staged beside the table: `step` until it returns True, then `take`.
+
+    Dropping it changes nothing.
+    """
 
     def __init__(self, table: Table, batches: Sequence[Batch], checks: bool = True) -> None:
-        """Without `checks` the digests are not compared: for the one who makes the batch."""
+        """Without `checks` the digests are not compared: for the process that makes the batch."""
         self.table, self.batches, self.checks = table, tuple(batches), checks
         self.base = version = table.version
         for batch in self.batches:
             if batch.past != version or batch.version <= version:
                 raise ChainError(f"{batch.version} follows {batch.past}, not {version}")
             version = batch.version
-        self.version = version  # once it is taken
-        self.new: dict[int, bytes] = {}  # pages, by number
+        self.version = version  # the table's version after `take`
+        self.new: dict[int, bytes] = {}  # page number -> rewritten page
         self.digests: dict[int, int] = {}
         self.total, self.records, self.bytes = table.total, table.records, table.bytes
-        self.before: list[bytes | None] = []  # what the changes found, in their order
-        self.at = 0  # the batch under way
-        self.sorted = 0  # its changes that have their page
+        self.before: list[bytes | None] = []  # values that the changes replace, in their order
+        self.at = 0  # index of the batch under way
+        self.sorted = 0  # how many of its changes are assigned to their page
         self.by_page: dict[int, list[pages.Put]] = {}
-        self.order: dict[int, list[int]] = {}  # page -> where its changes stand in `before`
-        self.begins = 0  # where this batch's stand
+        self.order: dict[int, list[int]] = {}  # page number -> indexes of its changes in `before`
+        self.begins = 0  # index of the batch's first change in `before`
 
     def step(self) -> bool:
-        """One slice, some 200 µs; True once all is staged and each digest is right.
+        """Processes one slice, some 200 µs; True once all is staged and each digest matches.
 
-        Raises SpoiltError for another digest or a bound that is broken; without `checks` UnfitError.
+        Raises SpoiltError for a wrong digest or an exceeded bound; without `checks` UnfitError.
         """
         if self.at == len(self.batches):
             return True
@@ -222,6 +234,7 @@
         return self.at == len(self.batches)
 
     def sort(self, changes: Sequence[Change]) -> None:
+        """Assigns one slice of the changes to their pages."""
         begin = self.sorted
         for at, change in enumerate(changes[begin : begin + SLICE_CHANGES], begin):
             wrong = unfit_change(change) if self.checks else ""
@@ -235,7 +248,7 @@
         self.before += [None] * (self.sorted - begin)
 
     def write(self, number: int, puts: list[pages.Put]) -> int:
-        """Bytes looked through."""
+        """Rewrites one page and returns its size in bytes."""
         old = self.new[number] if number in self.new else self.table.pages[number]
         page, before = pages.rewritten(old, puts)
         for at, value in zip(self.order.pop(number), before, strict=True):
@@ -251,24 +264,26 @@
         return len(page)
 
     def end(self, batch: Batch) -> None:
+        """Checks the totals and the digest after a batch and moves on to the next one."""
         if self.records > RECORDS_MOST:
             self.refuse(f"there would be {self.records} records, {RECORDS_MOST} at the most")
         if self.bytes > TABLE_BYTES:
             self.refuse(f"the table would have {self.bytes} bytes, {TABLE_BYTES} at the most")
         if self.checks and pages.digest_bytes(self.total, batch.version) != batch.digest:
-            raise SpoiltError(f"version {batch.version}: its digest is another")
+            raise SpoiltError(f"version {batch.version}: the table's digest differs from the batch's")
         self.at += 1
         self.sorted, self.begins = 0, len(self.before)
 
     def refuse(self, why: str) -> None:
+        """Raises the error for an exceeded bound."""
         raise SpoiltError(why) if self.checks else UnfitError(why)
 
     def take(self) -> None:
-        """In force from now on, in one turn. Raises ChainError if the table has moved meanwhile."""
+        """Applies what is staged in one step. Raises ChainError if the table has changed meanwhile."""
         if self.at < len(self.batches):
             raise ChainError("not staged yet")
         if self.table.version != self.base:
-            raise ChainError(f"the table is at {self.table.version}, not at {self.base} any more")
+            raise ChainError(f"the table is at {self.table.version}, no longer at {self.base}")
         table = self.table
         for number, page in self.new.items():
             table.pages[number] = page
--- a/lichencleat/config_distribution/terms.py
+++ b/lichencleat/config_distribution/terms.py
@@ -1,7 +1,8 @@
-"""What the source, relays and subscribers tell one another, and the bounds of it all; no I/O.
+"""Messages among the source, relays and subscribers, and their bounds; no I/O.
 
-All of it travels as the content of `ClientRequest` and `ClientResponse` (`transport/frames.py`): a subscriber
-asks, the one above answers. A `follow` may be held back until there is news, `HOLD` at the most.
+They travel as the content of `ClientRequest` and `ClientResponse` (`transport/frames.py`): a subscriber asks
+and the process above it answers. The answer to a `follow` may be held until there is news, for at most
+`HOLD`.
 """
 
 from __future__ import annotations
@@ -10,108 +11,114 @@
 
 import msgspec
 
-PAGES = 4_096  # of a table: a page is rewritten by a change, sent in a snapshot, digested as a whole
+PAGES = 4_096  # pages of a table: a change rewrites one, a snapshot sends and digests whole pages
 DIGEST = 16  # bytes
 
 KIND_MOST = 16  # characters of a record's kind: "route", "tenant"
 NAME_MOST = 128  # bytes of a record's name, as UTF-8
 VALUE_MOST = 4_096  # bytes of a record's value
-BATCH_MOST = 512  # changes in a batch: what is staged beside the table while it is taken
-BATCH_BYTES = 128 << 10  # of these, encoded: one answer holds any batch
-RECORDS_MOST = 1_000_000  # in all: the target has 560,000
-TABLE_BYTES = 128 << 20  # of all pages
-FED_BYTES = 128 << 10  # bytes of batches or pages in one answer, unless one of them alone has more
-WINDOW_BATCHES = 8_192  # kept for those behind: four hours of a day with 47,000 changes
-WINDOW_BYTES = 16 << 20  # of these
-ZONES_MOST = 64  # told apart in counts; what is over is counted under ""
-RELAYS_MOST = 32  # addresses a subscriber may know
-SUBSCRIBERS_MOST = 512  # of one relay: some 100 µs of each a second
-VIEWS_MOST = 3  # snapshots of different versions that a relay keeps for those that fetch one
-
-HOLD = 1_000_000  # µs that an answer may be held back where there is no news
-# what a Request asks
+BATCH_MOST = 512  # changes in a batch; bounds what is staged beside the table
+BATCH_BYTES = 128 << 10  # bytes of a batch's changes, encoded: any batch fits one answer
+RECORDS_MOST = 1_000_000  # records of a table; the target has 560,000
+TABLE_BYTES = 128 << 20  # bytes of a table's pages
+FED_BYTES = 128 << 10  # bytes of batches or pages in one answer, unless a single one is larger
+WINDOW_BATCHES = 8_192  # batches kept for subscribers that lag: four hours of a day with 47,000 changes
+WINDOW_BYTES = 16 << 20  # bytes of the batches kept
+ZONES_MOST = 64  # zones with a count of their own; further ones are counted under ""
+RELAYS_MOST = 32  # addresses that a subscriber may be given
+SUBSCRIBERS_MOST = 512  # of one relay; each costs it some 100 µs a second
+VIEWS_MOST = 3  # versions of which a relay keeps a snapshot for subscribers that fetch one
+
+HOLD = 1_000_000  # µs that an answer may be held while there is no news
+# operations of a `ClientRequest`
 FOLLOW, DIGESTS, PAGES_OF, IN_FORCE, FIND = "follow", "digests", "pages", "in force", "find"
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
+    """Sets or removes one record."""
+
     kind: str
     name: str
-    value: bytes | None  # None: the record goes
+    value: bytes | None  # None: the record is removed
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True):
-    """Changes that hold whole or not at all. Each record is named at most once."""
+    """Changes that are applied as a whole or not at all. Each record is named at most once."""
 
-    version: int  # index of the log's entry that made it; not dense
-    past: int  # the version that it follows: taken on top of that one alone
-    digest: bytes  # of the whole table after it
+    version: int  # index of the log entry that made it; not dense
+    past: int  # the version that it follows; applied on top of that one alone
+    digest: bytes  # of the whole table after the batch
     changes: tuple[Change, ...]
 
 
 class Count(msgspec.Struct, frozen=True, array_like=True):
-    """Nodes of one zone, added up on the way up: sums and extremes, no names but that of one relay."""
+    """Counts of one zone's nodes, added up along the tree: sums and extremes, and the name of one relay."""
 
     zone: str
     nodes: int
-    lowest: int  # version in force at the node that is furthest behind
-    oldest: int  # µs: the highest age of any
+    lowest: int  # lowest version applied by any of the nodes
+    oldest: int  # µs: highest age of any of the nodes
     late: int  # nodes without a version that their relay has had for `LATE`
-    by: str  # name of the relay at which the lowest hangs
+    by: str  # name of the relay that serves the node with the lowest version
 
 
-LATE = 5_000_000  # µs
+LATE = 5_000_000  # µs until a node that lacks its relay's version counts as late
 
 
 class Follow(msgspec.Struct, frozen=True, array_like=True):
-    """What is newer than that? It also acknowledges: `version` is in force here, whole."""
+    """Asks for what is newer than `version`, and acknowledges that `version` is applied."""
 
-    version: int  # 0: nothing
+    version: int  # 0: the subscriber's table is empty
     digest: bytes
-    counts: tuple[Count, ...]  # of all below this subscriber, itself included where it is a node
-    hold: int = HOLD
+    counts: tuple[Count, ...]  # of all nodes below this subscriber, itself included if it is a node
+    hold: int = HOLD  # µs that the answer may be held while there is no news
 
 
 class Say(IntEnum):
+    """The outcome of a `Follow`."""
+
     NEWS = 1  # `batches` follow the subscriber's version, in order
-    SAME = 2  # there is nothing newer here
-    SNAPSHOT = 3  # too far behind for the window: ask for the digests
-    BEHIND = 4  # the one that was asked has less than the subscriber
-    OTHER = 5  # at that version its digest is another: one of the two is wrong
+    SAME = 2  # the answering process has nothing newer
+    SNAPSHOT = 3  # the subscriber is too far behind for the window: it has to request the digests
+    BEHIND = 4  # the answering process has less than the subscriber
+    OTHER = 5  # the digests differ at the subscriber's version: one of the two has corrupt data
 
 
 class Fed(msgspec.Struct, frozen=True, array_like=True):
-    say: int
-    version: int  # of the one that answers
+    """The answer to a `Follow`."""
+
+    say: int  # a `Say`
+    version: int  # of the answering process
     digest: bytes
     age: int  # µs since the source was known to have nothing newer than `version`
     batches: tuple[Batch, ...] = ()
 
 
 class Digests(msgspec.Struct, frozen=True, array_like=True):
-    """A snapshot's head: which pages it is made of."""
+    """A snapshot's head: version, digest and the digest of each page."""
 
     version: int
     digest: bytes
-    pages: bytes  # DIGEST bytes of each page, in order: `digest` is made of their sum and the version
+    pages: bytes  # DIGEST bytes of each page, in order; `digest` covers their sum and the version
     age: int
 
 
 class Wanted(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for pages of that version's snapshot."""
+    """Requests pages of that version's snapshot."""
 
     version: int
     numbers: tuple[int, ...]
 
 
 class Pages(msgspec.Struct, frozen=True, array_like=True):
-    """As many of the pages asked for as fit, from the first on; none where that snapshot is kept no more."""
+    """The first of the requested pages that fit; none if that snapshot is no longer kept."""
 
     version: int
-    pages: tuple[tuple[int, bytes], ...]  # number, and its bytes by zlib
+    pages: tuple[tuple[int, bytes], ...]  # each page's number, and its bytes by zlib
 
 
 class Wanting(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for one record, as it was at a version (0: now)."""
+    """Requests one record as it was at a version (0: now)."""
 
     kind: str
     name: str
--- a/lichencleat/config_distribution/window.py
+++ b/lichencleat/config_distribution/window.py
@@ -1,5 +1,6 @@
-"""The batches that a feeder keeps for those behind, the digest after each of them, and which version it had
-some time ago; no I/O. What is kept is bounded by count and by bytes, whoever lags and however far.
+"""The recent batches that a publisher keeps for subscribers that lag, the digest after each of them, and
+which version the publisher had some time ago; no I/O. Bounded by number and by bytes, however far a
+subscriber lags.
 """
 
 from __future__ import annotations
@@ -9,14 +10,15 @@
 
 from lichencleat.config_distribution.terms import FED_BYTES, LATE, WINDOW_BATCHES, WINDOW_BYTES, Batch
 
-BATCH_ROOM = 64  # bytes of a batch beside its changes, encoded: three numbers, a digest, the heads of arrays
-CHANGE_ROOM = 12  # bytes of a change beside its words: the heads of an array, two strings and bytes
-SLOT = 100_000  # µs: versions that came within it are one; what is late is told that much late at the most
-SLOTS_MOST = LATE // SLOT + 2  # kept of these: as many as one needs to look back by LATE
+BATCH_ROOM = 64  # bytes of an encoded batch without its changes: three numbers, a digest, array headers
+# bytes of an encoded change beside its strings: the headers of an array, two strings and bytes
+CHANGE_ROOM = 12
+SLOT = 100_000  # µs; versions within one slot count as one, so lateness shows at most that much later
+SLOTS_MOST = LATE // SLOT + 2  # slots kept: enough to look back by LATE
 
 
 def size_of(batch: Batch) -> int:
-    """Bytes of it, encoded: at most this."""
+    """Upper bound of the batch's encoded size in bytes."""
     room = BATCH_ROOM
     for kind, name, value in ((each.kind, each.name, each.value) for each in batch.changes):
         room += CHANGE_ROOM + len(kind.encode()) + len(name.encode()) + len(value or b"")
@@ -24,27 +26,33 @@
 
 
 class Window:
-    """The last batches in order, each following the one before. Starts at a version that is there."""
+    """The last batches in order, each following the one before, from a version that the table had."""
 
     def __init__(self, version: int, digest: bytes, most: int = WINDOW_BATCHES, room: int = WINDOW_BYTES):
-        """`most`: batches; `room`: bytes of them, encoded."""
+        """`most`: maximum number of batches; `room`: maximum of their encoded bytes."""
         self.most, self.room = most, room
         self.restart(version, digest)
 
     def restart(self, version: int, digest: bytes) -> None:
-        """A snapshot of that version replaced the table: nothing leads there from before."""
+        """Empties the window at this version: a snapshot replaced the table."""
         self.base, self.version, self.digest = version, version, digest
         self.batches: deque[Batch] = deque()
         self.sizes: deque[int] = deque()
         self.bytes = 0
-        self.digests: dict[int, bytes] = {version: digest}  # after each version that one can be fed from
+        # version -> digest after it, for each version with batches to follow
+        self.digests: dict[int, bytes] = {version: digest}
         self.places: dict[int, int] = {version: 0}  # version -> number of the batch that follows it
-        self.dropped = 0  # batches that were left behind: the number of the first one kept
+        self.dropped = 0  # batches dropped so far: the number of the first one kept
 
     def add(self, batch: Batch) -> None:
-        """Raises ValueError where it does not follow the newest."""
+        """Adds a batch and drops the oldest above the bounds.
+
+        Raises ValueError if it doesn't follow the newest.
+        """
         if batch.past != self.version or batch.version <= self.version:
-            raise ValueError(f"batch {batch.version} after {batch.past} does not follow {self.version}")
+            raise ValueError(
+                f"batch {batch.version} on top of {batch.past} does not follow version {self.version}"
+            )
         size = size_of(batch)
         self.batches.append(batch)
         self.sizes.append(size)
@@ -60,9 +68,9 @@
             self.base = gone.version
 
     def after(self, version: int, room: int = FED_BYTES) -> tuple[Batch, ...] | None:
-        """Those that follow it, in order, as many as fit into `room` bytes, one at least.
+        """The batches that follow the version, in order, as many as fit into `room` bytes, at least one.
 
-        None where that version can't be fed from here; empty where there is nothing newer.
+        None if the window doesn't reach back to that version; empty if there is nothing newer.
         """
         place = self.places.get(version)
         if place is None:
@@ -80,12 +88,14 @@
 
 
 class Had:
-    """Which version was there some time ago: what a node still lacks after that is late."""
+    """Which version was in force some time ago: a node that still lacks it after `LATE` is late."""
 
     def __init__(self, now: int, version: int) -> None:
-        self.slots: deque[list[int]] = deque([[now, now, version]])  # first moment, last moment, version
+        # per slot: first moment, last moment, version
+        self.slots: deque[list[int]] = deque([[now, now, version]])
 
     def note(self, now: int, version: int) -> None:
+        """Records that the version is in force now."""
         last = self.slots[-1]
         if now - last[0] < SLOT:
             last[1:] = [now, version]
@@ -95,12 +105,12 @@
             self.slots.popleft()
 
     def before(self, moment: int) -> int:
-        """The version that was surely there at that moment (µs); 0 where that is not known."""
+        """The version that was certainly in force at that moment (µs); 0 if it is not known."""
         while len(self.slots) > 1 and self.slots[1][1] <= moment:
             self.slots.popleft()
         first = self.slots[0]
         return first[2] if first[1] <= moment else 0
 
     def lookback(self, span: int, now: int) -> Sequence[int]:
-        """Versions that came within the last `span` µs."""
+        """Versions that came into force within the last `span` µs."""
         return [version for _, last, version in self.slots if last > now - span]
