--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -1,13 +1,14 @@
-"""What each subscriber is sent next, decided without I/O: at the voters and at every relay the same.
+"""What each subscriber is sent next, decided without I/O; the same at the voters and at every relay.
 
-Inputs only update what is known; the host then pulls decisions. A subscriber has one question open at most;
-nothing is kept for one that lags but that question. A `follow` waits for news, its hold at the most; all that
-waited at one version are answered with the same object, so that the host encodes it once. Who is too far
-behind fetches a snapshot, a bounded number at a time, from views that are kept while somebody fetches.
+Inputs only update the state; the host then pulls decisions. A subscriber has at most one open request, and a
+subscriber that lags costs no more state than that. A `follow` waits for news, at most for its hold. All
+requests that waited at one version get the same answer object, so that the host encodes it once. A subscriber
+that is too far behind fetches a snapshot, a bounded number of them at a time, from views that are kept while
+they are in use.
 
-All of it is told of the version that `grew` brought last: the table itself may be a turn of the host ahead.
-The age in an answer is what was known when it was made. News may have been made any time after the question
-was asked; "nothing newer" is said only when the hold is over. `follow.py` counts on both.
+Answers refer to the version of the last `grew`; the table itself may be one turn of the host ahead.
+The age in an answer is the age at the time it was made. News may have been made at any time after the
+request; "nothing newer" is answered only when the hold is over. `follow.py` relies on both.
 """
 
 from __future__ import annotations
@@ -44,20 +45,22 @@
 )
 from lichencleat.config_distribution.window import Had, Window
 
-BEHIND_HOLD = 250_000  # µs that one who has more than this relay waits for it to catch up, before it is told
-FETCHERS_MOST = 8  # snapshots fetched at once: some 20 MB each, so that each gets 2 MB/s of the budget below
-FETCH_RATE = 16  # bytes a µs (16 MB/s) of all snapshots: an eighth of a link of 1 Gb/s; news go beside it
-FETCH_BURST = 2 * FED_BYTES  # bytes ahead of that rate
-PIECE_PAGES = 16  # pages in an answer: not packed yet, some 0.3 ms of the relay's time each
-FETCH_IDLE = 3_000_000  # µs without a question from one that fetches: its turn goes to another
-VIEW_IDLE = 10_000_000  # µs that a view is kept after the last question about it
-VIEW_FRESH = 30_000_000  # µs that newcomers are given the same view: the window has what came since
-IDLE = 60_000_000  # µs without a question from one that followed: its link is taken for dead
-SMALL = FED_BYTES  # bytes of all batches that lead from nothing to now: then they are sent, else a snapshot
+BEHIND_HOLD = 250_000  # µs that a subscriber with more than this relay waits for it to catch up
+FETCHERS_MOST = 8  # snapshots fetched at once: some 20 MB each, so each gets 2 MB/s of the budget below
+FETCH_RATE = 16  # bytes a µs (16 MB/s) of all snapshots: an eighth of a 1 Gb/s link; news is not limited
+FETCH_BURST = 2 * FED_BYTES  # bytes that may be sent ahead of that rate
+PIECE_PAGES = 16  # pages in an answer; compressing them takes some 0.3 ms of the relay's time each
+FETCH_IDLE = 3_000_000  # µs without a request from a fetching subscriber, after which it loses its slot
+VIEW_IDLE = 10_000_000  # µs that a view is kept after the last request for it
+VIEW_FRESH = 30_000_000  # µs that new fetchers share a view: the window has the batches since then
+IDLE = 60_000_000  # µs without a request from a subscriber that followed, after which its link counts as dead
+SMALL = FED_BYTES  # bytes of all batches up to which an empty subscriber gets them instead of a snapshot
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
+    """The content of the answer to request `number` of subscriber `who`."""
+
     who: int
     number: int
     content: Any
@@ -65,14 +68,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Decline:
+    """The rejection of a request, with its reason."""
+
     who: int
     number: int
-    why: str  # "full", "busy": come again after a while; "nothing here", "unfit", "not kept"
+    why: str  # "full", "busy": to be retried after a while; "nothing here", "unfit", "not kept"
 
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Nothing was heard of a subscriber for `IDLE`: its link is to be closed. No question is open."""
+    """Nothing was received from a subscriber for `IDLE`: its link is to be closed. No request is open."""
 
     who: int
     number: int = -1
@@ -83,7 +88,7 @@
 
 
 class View(Protocol):
-    """A table as it was at one version."""
+    """The table as it was at one version."""
 
     version: int
 
@@ -93,6 +98,8 @@
 
 
 class Table(Protocol):
+    """The table as this module uses it."""
+
     version: int
     digest: bytes
 
@@ -103,42 +110,46 @@
 
 @dataclass(slots=True)
 class Held:
-    """The open question of one subscriber."""
+    """The open request of a subscriber."""
 
     number: int
     what: str
     content: Any
     asked: int  # µs
-    until: int  # µs: its hold is over
-    wake: int  # µs: looked at then, whatever comes
-    queued: int = -1  # the `wake` that waits for its moment
+    until: int  # µs: end of its hold
+    wake: int  # µs: the request is looked at then, even without news
+    queued: int = -1  # the `wake` that is in the heap
 
 
 @dataclass(slots=True)
 class Subscriber:
-    heard: int  # µs: its last question
+    """What is known of one subscriber."""
+
+    heard: int  # µs: its last request
     followed: bool = False
     version: int = 0
     counts: tuple[Count, ...] = ()
     held: Held | None = None
-    fetches: int | None = None  # version of the view
+    fetches: int | None = None  # version of the view that it fetches
 
 
 @dataclass(slots=True)
 class Kept:
-    """A view, and when it was opened and last asked for."""
+    """A view that is kept for its fetchers."""
 
     view: View
-    opened: int
-    used: int
-    age: int  # of what it shows, when it was opened
+    opened: int  # µs
+    used: int  # µs: the last request for it
+    age: int  # age of its version when it was opened
 
 
 class Feeder:
+    """Owns the subscribers and their open requests, the window of batches and the views."""
+
     def __init__(self, name: str, zone: str, table: Table, now: int, recent: Sequence[Batch] = ()) -> None:
         """`now`: µs on the monotonic clock, as in all calls. The table is replaced by its owner alone.
 
-        `recent`: batches in order that lead to what the table has, as a disk kept them; else they are let go.
+        `recent`: persisted batches in order; they are used if they lead to the table's version.
         """
         self.name, self.zone, self.table = name, zone, table
         self.counters: dict[str, int] = {}
@@ -147,24 +158,25 @@
             self.window.restart(recent[0].version, recent[0].digest)
             self.fills(recent[1:])
         self.had = Had(now, table.version)
-        self.word: tuple[int, int] | None = None  # when the age of what is here was told, and that age
+        self.word: tuple[int, int] | None = None  # when the age was reported, and that age
         self.subscribers: dict[int, Subscriber] = {}
-        self.out: deque[Decision] = deque()  # decided already; one a question
-        self.ready: deque[int] = deque()  # whose question is to be looked at
-        self.waits: list[tuple[int, int, int]] = []  # heap: until, who, number
+        self.out: deque[Decision] = deque()  # decisions made, at most one per request
+        self.ready: deque[int] = deque()  # subscribers whose request is to be looked at
+        self.waits: list[tuple[int, int, int]] = []  # heap: wake time, who, number
         self.views: list[Kept] = []  # oldest first
         self.fetchers: dict[int, None] = {}
-        self.credit, self.credit_at = FETCH_BURST, now  # bytes that may be sent of snapshots
-        self.shared: dict[tuple[int, int], tuple[int, Fed]] = {}  # say, version -> when it was made, answer
+        self.credit, self.credit_at = FETCH_BURST, now  # bytes of snapshots that may be sent
+        # outcome, version -> when the answer was made, answer
+        self.shared: dict[tuple[int, int], tuple[int, Fed]] = {}
         self.look_at = now + FETCH_IDLE
 
     def count(self, what: str) -> None:
         self.counters[what] = self.counters.get(what, 0) + 1
 
-    # -- what is known ---------------------------------------------------------------------------------
+    # -- inputs --------------------------------------------------------------------------------
 
     def grew(self, now: int, batches: tuple[Batch, ...]) -> None:
-        """The table took these; () where a snapshot replaced it: the window starts anew."""
+        """The table applied these batches; (): a snapshot replaced it, so the window is emptied."""
         if not batches:
             self.window.restart(self.table.version, self.table.digest)
         else:
@@ -175,24 +187,25 @@
         self.ready.extend(who for who, each in self.subscribers.items() if each.held is not None)
 
     def fills(self, batches: Sequence[Batch]) -> None:
+        """Adds the batches to the window."""
         try:
             for each in batches:
                 self.window.add(each)
-        except ValueError:  # they do not follow: who is behind fetches the pages that differ
+        except ValueError:  # the batches don't follow: subscribers that lag fetch the pages that differ
             self.count("windows begun anew")
             self.window.restart(self.table.version, self.table.digest)
 
     def known(self, now: int, age: int) -> None:
-        """µs since the source was known to have nothing newer than what is here."""
-        if self.table.version == self.window.version:  # else it is told of a version that is not served yet
+        """Sets the age: µs since the source was known to have nothing newer than the table."""
+        if self.table.version == self.window.version:  # else the age is that of a version not served yet
             self.word = (now, min(OLDEST, max(0, age)))
 
     def age(self, now: int) -> int:
-        """`OLDEST` where nothing was ever heard: not 0, whatever the table holds."""
+        """The current age; `OLDEST`, not 0, if the source was never heard from, whatever the table holds."""
         return OLDEST if self.word is None else aged(self.word[1], now - self.word[0])
 
     def joined(self, now: int, who: int) -> bool:
-        """False: there are as many as may be."""
+        """Adds a subscriber. False: the relay has the maximum number of subscribers."""
         if who not in self.subscribers and len(self.subscribers) >= SUBSCRIBERS_MOST:
             self.count("turned away: full")
             return False
@@ -200,11 +213,12 @@
         return True
 
     def left(self, now: int, who: int) -> None:
+        """Removes a subscriber whose link has ended."""
         self.subscribers.pop(who, None)
         self.fetchers.pop(who, None)
 
     def asked(self, now: int, who: int, number: int, what: str, content: Any) -> None:
-        """A question, its content decoded. One that is not understood is declined."""
+        """A request with decoded content. An invalid one is declined."""
         if what == IN_FORCE:
             self.out.append(Answer(who, number, self.in_force(now)))
             return
@@ -231,12 +245,14 @@
         self.ready.append(who)
 
     def decline(self, who: int, number: int, why: str) -> None:
+        """Declines a request that was never open."""
         self.count(f"declined: {why}")
         self.out.append(Decline(who, number, why))
 
     # -- decisions -------------------------------------------------------------------------------------
 
     def next_decision(self, now: int) -> Decision | None:
+        """The next decision for the host; None: nothing to do until `deadline` or the next input."""
         if self.out:
             return self.out.popleft()
         if now >= self.look_at:
@@ -255,17 +271,18 @@
             if sub.held.queued != sub.held.wake:
                 sub.held.queued = sub.held.wake
                 heapq.heappush(self.waits, (sub.held.wake, who, sub.held.number))
-            if len(self.waits) > 2 * len(self.subscribers) + 64:  # questions that were answered since
+            if len(self.waits) > 2 * len(self.subscribers) + 64:  # drops entries of requests answered since
                 self.waits = [each for each in self.waits if self.stands(each)]
                 heapq.heapify(self.waits)
         return self.out.popleft() if self.out else None
 
     def stands(self, wait: tuple[int, int, int]) -> bool:
+        """Whether the heap entry still belongs to an open request."""
         sub = self.subscribers.get(wait[1])
         return sub is not None and sub.held is not None and (sub.held.wake, sub.held.number) == wait[::2]
 
     def deadline(self) -> int | None:
-        """µs: when decisions are to be pulled again, whatever else happens."""
+        """µs: when decisions have to be pulled again even without input; None: never."""
         while self.waits and not self.stands(self.waits[0]):
             heapq.heappop(self.waits)
         moments = [self.waits[0][0]] if self.waits else []
@@ -274,7 +291,7 @@
         return min(moments, default=None)
 
     def decide(self, now: int, who: int, sub: Subscriber, held: Held) -> Decision | None:
-        """None: it goes on waiting, until `held.wake`."""
+        """The decision on an open request; None: it waits until `held.wake`."""
         if isinstance(held.content, Follow):
             fed = self.fed(now, held.content, held)
             return None if fed is None else Answer(who, held.number, fed)
@@ -285,9 +302,10 @@
     # -- news ------------------------------------------------------------------------------------------
 
     def fed(self, now: int, has: Follow, held: Held) -> Fed | None:
+        """The answer to a `follow`; None: it waits until `held.wake`."""
         say, since = self.say(has), held.asked
         if say == Say.SAME:
-            held.wake = since = held.until  # whoever hears it counts the age from then on
+            held.wake = since = held.until  # the subscriber counts the age from that moment
         elif say == Say.BEHIND:
             held.wake = since = min(held.until, held.asked + BEHIND_HOLD)
         if now < since:
@@ -303,7 +321,7 @@
         return fed
 
     def say(self, has: Follow) -> Say:
-        """What one is told that has this version; SAME also stands for "nothing yet"."""
+        """The outcome for a subscriber at that version; SAME also means "nothing yet"."""
         here = self.window.version
         if has.version > here:
             return Say.BEHIND
@@ -321,6 +339,7 @@
     # -- snapshots -------------------------------------------------------------------------------------
 
     def head(self, now: int, who: int, sub: Subscriber, held: Held) -> Decision:
+        """The answer to a request for a snapshot's digests."""
         if not self.window.version:
             return self.declined(who, held, "nothing here")
         if who not in self.fetchers and len(self.fetchers) >= FETCHERS_MOST:
@@ -332,11 +351,12 @@
         return Answer(who, held.number, kept.view.head(aged(kept.age, now - kept.opened)))
 
     def declined(self, who: int, held: Held, why: str) -> Decline:
+        """Declines an open request."""
         self.count(f"declined: {why}")
         return Decline(who, held.number, why)
 
     def open_view(self, now: int) -> Kept:
-        """The newest one that still leads to now, else a new one; the least wanted makes room for it."""
+        """The newest view that the window still continues, else a new one in place of the least used."""
         if self.views and now - self.views[-1].opened < VIEW_FRESH:
             self.views[-1].used = now
             return self.views[-1]
@@ -350,6 +370,7 @@
         return self.views[-1]
 
     def piece(self, now: int, who: int, sub: Subscriber, held: Held, wants: Wanted) -> Decision | None:
+        """The answer to a request for pages; None: it waits for the rate limit."""
         if not wants.numbers or not all(0 <= each < PAGES for each in wants.numbers):
             return self.declined(who, held, "unfit")
         kept = next((each for each in self.views if each.view.version == wants.version), None)
@@ -379,13 +400,14 @@
         return Answer(who, held.number, Pages(wants.version, tuple(pages)))
 
     def stop_fetching(self, who: int, sub: Subscriber) -> None:
+        """Frees the subscriber's snapshot slot."""
         self.fetchers.pop(who, None)
         sub.fetches = None
 
-    # -- now and then ----------------------------------------------------------------------------------
+    # -- cleanup ---------------------------------------------------------------------------------
 
     def look(self, now: int) -> None:
-        """Turns, views and links that nobody uses any more are given back."""
+        """Frees slots, views and links that are no longer used."""
         self.look_at = now + FETCH_IDLE // 2
         for who in list(self.fetchers):
             sub = self.subscribers[who]
@@ -402,20 +424,21 @@
                 self.count("dropped: idle")
                 self.out.append(Drop(who))
 
-    # -- what is told of it ----------------------------------------------------------------------------
+    # -- status ---------------------------------------------------------------------------
 
     def below(self, now: int) -> Iterator[Count]:
+        """Counts of all subscribers that were heard from recently."""
         needed = self.had.before(now - LATE)
         for sub in self.subscribers.values():
             if sub.counts and (sub.held is not None or now - sub.heard < COUNTED):
                 yield from at_relay(sub.counts, self.name, sub.version, needed, now - sub.heard)
 
     def counts(self, now: int) -> tuple[Count, ...]:
-        """Of all nodes below, by zone."""
+        """Counts of all nodes below, by zone."""
         return merged(self.below(now))
 
     def in_force(self, now: int) -> dict[str, Any]:
-        """What `status` shows; ages in µs, -1 where nothing was heard of the source yet."""
+        """The content for `status`; ages in µs, -1 if the source was never heard from."""
         age = self.age(now)
         return {
             "name": self.name,
@@ -442,7 +465,7 @@
         }
 
     def found(self, who: int, number: int, wants: Wanting) -> Decision:
-        """The record now, or as it was after a version that the window still tells of."""
+        """The answer with a record as it is now, or as it was at a version that the window covers."""
         value = self.table.find(wants.kind, wants.name)
         if not wants.at or wants.at >= self.table.version:
             return Answer(who, number, value)
@@ -459,4 +482,4 @@
             return Answer(who, number, value)
         if before:
             return Answer(who, number, before[-1][1])
-        return Decline(who, number, "not kept")  # changed since; what it was before is nowhere
+        return Decline(who, number, "not kept")  # changed since; its previous value is not in the window
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -1,17 +1,19 @@
-"""Which relay is followed, and what it is asked; no I/O. What may be taken over: `taking.py`.
-
-Inputs only update what is known; the host then pulls decisions. One question is open at a time, and the next
-one is asked only when what the last one brought is in force: so it acknowledges nothing else.
-
-Age: "nothing newer" is said when the hold is over, so the answer was made no earlier than that; news may have
-been made at any time after the question. From that moment the age counts, never from when it was heard: who
-was stopped with an answer in its buffer is as old as it is. What nobody has told yet is `OLDEST`.
-
-Two histories: a relay that says OTHER, or whose batch has another digest, is left, and either side may be the
-one that is wrong. Only where relays of several tiers say so (where there is one tier: two relays) is it this
-one, which is told loudly; it then fetches a snapshot, of a higher version than the one in force, so that
-nobody ever sees two contents under one version. Until there is such a version it goes on with what it has.
-Pages that a change touched differ in that snapshot, so a page that went wrong in memory is fetched whole.
+"""Which relay is followed and what it is asked; no I/O. What may be applied: `taking.py`.
+
+Inputs only update the state; the host then pulls decisions. One request is open at a time, and the next one
+is sent only when the update from the last one is applied, so a request acknowledges nothing else.
+
+Age: "nothing newer" is answered when the hold is over, so the answer was made no earlier than that; news may
+have been made at any time after the request. The age counts from that moment, not from when the answer was
+read: a process that was stopped with an answer in its receive buffer doesn't take the answer for a recent
+one. An age that is not known yet is `OLDEST`.
+
+Diverging histories: a relay that answers OTHER, or whose batch has another digest, is left; either side may
+be the one that is wrong. Only if relays of several tiers disagree with this process (with one tier: two
+relays), its own copy is in doubt, which is logged in capital letters. It then fetches a snapshot of a higher
+version than the one in force, so that nobody ever sees two contents under one version, and keeps its copy
+until there is one. Pages that a change touched differ in that snapshot, so a page corrupted in memory is
+fetched as a whole.
 """
 
 from __future__ import annotations
@@ -44,24 +46,26 @@
 
 __all__ = ["Act", "Decision", "Follower", "Times"]
 
-HEADS_MOST = 8  # snapshots in a row that the relay gave up while they were fetched, before it is left
-BUSY_MOST = 4  # times told to come again for a snapshot, before another relay of the tier is asked
-IDLE = 60_000_000  # µs between looks where nothing is waited for
-TEXT = 200  # characters of a line that is told
+HEADS_MOST = 8  # snapshots in a row that the relay dropped during the fetch, before it is left
+BUSY_MOST = 4  # times in a row that a snapshot is declined, before another relay of the tier is asked
+IDLE = 60_000_000  # µs between wake-ups when nothing is pending
+TEXT = 200  # characters of a log line
 
 
 @dataclass(slots=True)
 class Question:
-    """The open one."""
+    """The open request."""
 
     what: str
-    at: int  # µs when it was asked
-    until: int  # µs: then its relay counts as silent
+    at: int  # µs: when it was sent
+    until: int  # µs: its relay counts as silent after that
     hold: int = 0
-    slept: bool = False  # it was given more time, as this process overslept
+    slept: bool = False  # its deadline was extended, as this process was stopped
 
 
 class Follower:
+    """Decides which relay a node or relay follows, what it asks and which updates it applies."""
+
     def __init__(
         self,
         tiers: Sequence[Sequence[str]],
@@ -78,22 +82,23 @@
         self.choice = Choice(tiers, rng, self.times)
         self.looks = Looks(self.choice, self.times)
         self.taking = Taking(copy)
-        self.relay: str | None = None  # that is followed: its link is open
-        self.mark = b""  # told by it
-        self.below: tuple[Count, ...] = ()  # of all that hangs on this one
-        self.out: deque[Decision] = deque()  # a few for each input
-        self.opening: tuple[str, int] | None = None  # and until when
-        self.rest_until: int | None = None  # then `upcoming` is opened
+        self.relay: str | None = None  # the relay that is followed: its link is open
+        self.mark = b""  # the group's mark, as that relay reported it
+        self.below: tuple[Count, ...] = ()  # counts of all nodes below this process
+        self.out: deque[Decision] = deque()  # a few per input
+        # the relay whose link is being opened, and the deadline for it
+        self.opening: tuple[str, int] | None = None
+        self.rest_until: int | None = None  # µs: `upcoming` is opened then
         self.upcoming: str | None = None
         self.question: Question | None = None
-        self.pause_until: int | None = None  # then the relay is asked again
-        self.stepping = False  # the host owes a `stepped`
-        self.heads = self.busy = 0  # in a row
+        self.pause_until: int | None = None  # µs: the relay is asked again then
+        self.stepping = False  # the host has to call `stepped`
+        self.heads = self.busy = 0  # counted in a row
         self.behind_since: int | None = None
-        self.known_at: int | None = None  # the source had nothing newer than what is in force, µs
+        self.known_at: int | None = None  # µs: the source had nothing newer than the version in force then
         self.others: set[str] = set()  # relays with another history
-        self.spoilts: set[str] = set()  # relays whose batch had another digest here
-        self.anew = False  # a snapshot is wanted, whatever digests say
+        self.spoilts: set[str] = set()  # relays whose batch led to another digest here
+        self.anew = False  # the own copy is in doubt: a snapshot is needed even if the digests match
         self.seen = now
         self.counters: dict[str, int] = {}
         self.plan(now)
@@ -105,24 +110,27 @@
         self.out.append(Decision(act, relay, what, content))
 
     def tell(self, text: str) -> None:
+        """Logs a line."""
         self.out.append(Decision(Act.TELL, text=text[:TEXT]))
 
-    # -- what is known ---------------------------------------------------------------------------------
+    # -- state --------------------------------------------------------------------------------
 
     def age(self, now: int) -> int:
-        """µs since the source was known to have nothing newer; `OLDEST` where that never was."""
+        """µs since the source was known to have nothing newer; `OLDEST` if it never was."""
         return OLDEST if self.known_at is None else aged(0, now - self.known_at)
 
     def knows(self, moment: int | None) -> None:
+        """Moves the start of the age forward."""
         if moment is not None and (self.known_at is None or moment > self.known_at):
             self.known_at = moment
 
     def next_decision(self, now: int) -> Decision | None:
+        """The next decision for the host, or None."""
         self.seen = now
         return self.out.popleft() if self.out else None
 
     def deadline(self) -> int:
-        """µs: when `wakes` is to be called at the latest."""
+        """µs: `wakes` has to be called at that time at the latest."""
         moments = [self.rest_until, self.pause_until]
         if self.opening is not None:
             moments.append(self.opening[1])
@@ -133,17 +141,17 @@
         return min((each for each in moments if each is not None), default=self.seen + IDLE)
 
     def wakes(self, now: int) -> None:
-        """Whatever was to happen by now."""
+        """Handles all deadlines that have passed."""
         if self.rest_until is not None and now >= self.rest_until:
             self.opens(now)
         if self.opening is not None and now >= self.opening[1]:
-            self.fails(now, self.opening[0], "its link does not open", self.times.failed)
+            self.fails(now, self.opening[0], "its link was not opened in time", self.times.failed)
         question = self.question
         if question is not None and now >= question.until:
             if now - question.until > self.times.overslept and not question.slept:
                 question.until, question.slept = now + self.times.patience, True
             elif self.relay is not None:
-                self.fails(now, self.relay, "it is silent", self.times.failed)
+                self.fails(now, self.relay, "it did not answer in time", self.times.failed)
         if self.pause_until is not None and now >= self.pause_until:
             self.ask(now)
         probe = self.looks.probe
@@ -157,11 +165,12 @@
     # -- links -----------------------------------------------------------------------------------------
 
     def plan(self, now: int) -> None:
-        """Another relay, after a drawn span."""
+        """Schedules the opening of another relay after a random delay."""
         self.upcoming, span = self.choice.next(now, self.relay)
         self.rest_until = now + span
 
     def opens(self, now: int) -> None:
+        """Opens the scheduled relay."""
         self.rest_until = None
         if self.upcoming is None:
             self.plan(now)
@@ -170,7 +179,7 @@
         self.decide(Act.OPEN, self.upcoming)
 
     def opened(self, now: int, relay: str, mark: bytes) -> None:
-        """`mark`: of its group; b"" where it does not know it yet."""
+        """The link to a relay is open. `mark`: of its group; b"" if the relay doesn't know it yet."""
         probe = self.looks.probe
         if probe is not None and relay == probe.relay and probe.asked < 0:
             if self.foreign(now, relay, mark):
@@ -185,15 +194,16 @@
             self.decide(Act.CLOSE, relay)
 
     def foreign(self, now: int, relay: str, mark: bytes) -> bool:
-        """Is it of another group? Then it is left out and told."""
+        """Whether the relay belongs to another group; it is then excluded, which is logged."""
         if not mark or not self.copy.mark or mark == self.copy.mark:
             return False
         self.count("of another group")
         self.choice.bad(now, relay, self.times.wrong)
-        self.tell(f"{relay} is of another group and not followed")
+        self.tell(f"relay {relay} belongs to another group and is not followed")
         return True
 
     def follows(self, now: int, relay: str, mark: bytes) -> None:
+        """Follows the relay, whose link is open."""
         self.relay, self.mark = relay, mark
         self.question = self.pause_until = self.behind_since = None
         self.busy = self.heads = 0
@@ -203,7 +213,7 @@
             self.ask(now)
 
     def lost(self, now: int, relay: str, why: str) -> None:
-        """Its link has ended, or did not open."""
+        """The relay's link has ended, or could not be opened."""
         probe = self.looks.probe
         if probe is not None and relay == probe.relay:
             self.probe_fails(now, probe, closed=True)
@@ -211,13 +221,14 @@
             self.fails(now, relay, why, self.times.failed, closed=True)
 
     def fails(self, now: int, relay: str, why: str, span: Span, closed: bool = False) -> None:
-        """It is left out for a while, and another one is opened."""
+        """Excludes the relay for a while and moves on to another one."""
         self.choice.bad(now, relay, span)
         self.leaves(now, relay, why, closed)
 
     def leaves(self, now: int, relay: str, why: str, closed: bool = False) -> None:
+        """Closes the relay's link and schedules another relay."""
         self.count("left")
-        self.tell(f"leaves {relay}: {why}")
+        self.tell(f"leaving relay {relay}: {why}")
         if not closed:
             self.decide(Act.CLOSE, relay)
         if self.looks.probe is not None:
@@ -230,12 +241,12 @@
     # -- questions -------------------------------------------------------------------------------------
 
     def ask(self, now: int) -> None:
-        """What is newer than what is in force?"""
+        """Asks the relay for what is newer than the version in force."""
         relay, self.pause_until = self.relay, None
         if relay is None or self.question is not None:
             return
-        if self.foreign(now, relay, self.mark):  # its link was opened before the mark was known here
-            self.leaves(now, relay, "it is of another group")
+        if self.foreign(now, relay, self.mark):  # the link was opened before the copy had a mark
+            self.leaves(now, relay, "it belongs to another group")
             return
         hold = self.times.hold if self.is_node else self.times.relay_hold
         counts = self.below
@@ -244,13 +255,17 @@
         self.puts(now, FOLLOW, Follow(self.copy.version, self.copy.digest, counts, hold), min(hold, HOLD))
 
     def puts(self, now: int, what: str, content: Any, hold: int = 0) -> None:
+        """Sends a request, with the deadline for its answer."""
         assert self.relay is not None
         patience = self.times.patience + (hold if what == FOLLOW else HOLD)
         self.question = Question(what, now, now + patience, hold)
         self.decide(Act.ASK, self.relay, what, content)
 
     def told(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
-        """An answer; None: declined, `why` where that is known. What fits no question counts for nothing."""
+        """An answer from a relay. `content` None: declined, `why` if known.
+
+        Without a request it is ignored.
+        """
         probe = self.looks.probe
         if probe is not None and relay == probe.relay:
             if what == FOLLOW and probe.asked >= 0:
@@ -269,31 +284,34 @@
         elif what == PAGES_OF and isinstance(content, Pages):
             self.piece(now, relay, content)
         else:
-            self.unfit(now, relay, "an answer of another kind")
+            self.unfit(now, relay, "its answer does not match the request")
 
     def declined(self, now: int, relay: str, what: str, why: str) -> None:
+        """Leaves a relay that declines, or waits for a slot where only the snapshot is declined."""
         self.count("declined")
         if what == FOLLOW or why in ("nothing here", "unfit"):
-            self.fails(now, relay, why or "it declines", self.times.failed)
+            self.fails(now, relay, why or "it declined the request", self.times.failed)
             return
         self.busy += 1
         self.taking.halt()
         other = self.choice.beside(now, relay) if self.busy >= BUSY_MOST else None
         if other is not None:
-            self.leaves(now, relay, "it has no turn for a snapshot")
+            self.leaves(now, relay, "it has no free slot for a snapshot")
             self.upcoming = other
         else:
             self.pause_until = now + self.choice.draw(self.times.busy)
 
     def unfit(self, now: int, relay: str, why: str) -> None:
+        """Leaves the relay after an invalid answer."""
         self.count("unfit answers")
         self.fails(now, relay, why, self.times.wrong)
 
     # -- news ------------------------------------------------------------------------------------------
 
     def fed(self, now: int, relay: str, question: Question, fed: Fed) -> None:
+        """Handles the answer to a `follow`."""
         if fed.version and not self.mark:
-            self.leaves(now, relay, "its group was not known when its link was opened")
+            self.leaves(now, relay, "it did not report its group when the link was opened")
         elif fed.say == Say.BEHIND:
             self.behind(now, relay, fed)
         elif fed.say == Say.OTHER:
@@ -307,11 +325,12 @@
         elif fed.say == Say.NEWS:
             self.news(now, relay, question, fed)
         else:
-            self.unfit(now, relay, "an answer that is none")
+            self.unfit(now, relay, "its answer has an unknown outcome")
 
     def same(self, now: int, relay: str, question: Question, fed: Fed) -> None:
+        """The relay has nothing newer."""
         if fed.version != self.copy.version or (fed.version and fed.digest != self.copy.digest):
-            self.unfit(now, relay, "it says the same of another version or digest")
+            self.unfit(now, relay, "it reported no news for another version or digest")
             return
         self.behind_since = None
         self.choice.good(relay)
@@ -324,9 +343,11 @@
         if held and question.hold:
             self.ask(now)
         else:
-            self.pause_until = now + self.times.again  # whatever it does, it is not asked without end
+            # limits the rate of requests to a relay that doesn't hold them
+            self.pause_until = now + self.times.again
 
     def news(self, now: int, relay: str, question: Question, fed: Fed) -> None:
+        """Stages the batches of the answer."""
         self.behind_since = None
         self.looks.heard(now, fed.age)
         known = question.at - max(0, fed.age) if fed.age < OLDEST else None
@@ -337,48 +358,55 @@
             self.step()
 
     def behind(self, now: int, relay: str, fed: Fed) -> None:
-        """It may be catching up: it is given some time."""
+        """The relay has less than this process. It may be catching up, so it gets some time."""
         if fed.version >= self.copy.version:
-            self.unfit(now, relay, "it says that it has less, and has not")
+            self.unfit(now, relay, "it reported a lower version, but its version is not lower")
             return
         if self.behind_since is None:
             self.behind_since = now
         if now - self.behind_since >= self.times.behind:
             self.count("relays behind")
-            self.fails(now, relay, f"it has {fed.version}, less than {self.copy.version}", self.times.failed)
+            self.fails(
+                now, relay, f"its version {fed.version} is lower than {self.copy.version}", self.times.failed
+            )
             return
         self.pause_until = now + self.times.again
 
     def other(self, now: int, relay: str) -> None:
+        """The relay has another digest at the version in force."""
         if self.anew:
             self.puts(now, DIGESTS, None)
             return
         self.another_history(now, relay)
-        self.leaves(now, relay, "another history")
+        self.leaves(now, relay, "its history differs")
         self.doubts()
 
     def another_history(self, now: int, relay: str) -> None:
+        """Records that the relay's history differs, and excludes it."""
         self.count("another history")
-        self.tell(f"{relay} has another history at version {self.copy.version}")
+        self.tell(f"relay {relay} has another history at version {self.copy.version}")
         self.others.add(relay)
         self.choice.bad(now, relay, self.times.wrong)
 
     def doubts(self) -> None:
-        """Do several places say that it is this one that is wrong?"""
+        """Puts the own copy in doubt if independent relays disagree with it."""
         if not self.anew and (self.choice.several(self.others) or self.choice.several(self.spoilts)):
             self.anew = True
             self.count("own history given up")
             named = ", ".join(sorted(self.others | self.spoilts))
-            self.tell(f"OWN COPY IN DOUBT at version {self.copy.version}, by {named}: wants a snapshot")
+            self.tell(
+                f"OWN COPY IN DOUBT at version {self.copy.version}, differs at {named}: needs a snapshot"
+            )
 
     # -- snapshots -------------------------------------------------------------------------------------
 
     def begins(self, now: int, relay: str, question: Question, head: Digests) -> None:
+        """Starts the snapshot whose head was received."""
         if head.version <= self.copy.version and self.anew:
             self.pause_until = now + self.choice.draw(self.times.busy)
             return
         known = question.at - max(0, head.age) if head.age < OLDEST else None
-        wrong = self.taking.begin(head, relay, self.mark, known) if self.mark else "of no known group"
+        wrong = self.taking.begin(head, relay, self.mark, known) if self.mark else "its group is not known"
         if wrong:
             self.unfit(now, relay, wrong)
             return
@@ -387,20 +415,22 @@
         self.asks_pages(now)
 
     def asks_pages(self, now: int) -> None:
+        """Requests the next pages of the snapshot."""
         if self.relay is not None and self.question is None:
             wanted = self.taking.pages()
             if wanted is not None:
                 self.puts(now, PAGES_OF, wanted)
 
     def piece(self, now: int, relay: str, pages: Pages) -> None:
+        """Handles pages of the snapshot."""
         if not pages.pages and self.taking.head is not None:
-            self.heads += 1  # that snapshot is kept no more: a newer one, and what is here stays
+            self.heads += 1  # the relay dropped that snapshot: a newer one is requested, fetched pages stay
             if self.heads > HEADS_MOST:
-                self.fails(now, relay, "it gives up its snapshots", self.times.failed)
+                self.fails(now, relay, "it dropped its snapshots during the fetch", self.times.failed)
             else:
                 self.puts(now, DIGESTS, None)
         elif not self.taking.asked_for(pages):
-            self.unfit(now, relay, "pages that were not asked for")
+            self.unfit(now, relay, "it sent pages that were not requested")
         elif not self.taking.put(pages):
             self.spoilt(now, relay)
         else:
@@ -411,12 +441,13 @@
     # -- staging ---------------------------------------------------------------------------------------
 
     def step(self) -> None:
+        """Has the host process the next slice."""
         if not self.stepping:
             self.stepping = True
             self.decide(Act.STEP)
 
     def stepped(self, now: int, ready: bool | None) -> None:
-        """What copy.step() gave; None: what was staged is spoilt."""
+        """The result of copy.step(); None: what was staged is corrupt."""
         self.stepping = False
         taking = self.taking
         if not taking.what:
@@ -434,30 +465,32 @@
                 self.step()
 
     def spoilt(self, now: int, relay: str) -> None:
+        """Discards corrupt data and notes the relay that sent it."""
         self.count("spoilt")
-        self.tell(f"{self.taking.what} from {relay} do not fit their digest: not taken")
+        self.tell(f"{self.taking.what} from relay {relay} does not match its digest and is not applied")
         if self.taking.what == "batches":
             self.spoilts.add(relay)
             self.doubts()
         self.drops(now, relay)
 
     def drops(self, now: int, relay: str) -> None:
-        """What is staged goes, and so does who sent it."""
+        """Discards what is staged and leaves the relay that sent it."""
         self.taking.drop()
         self.choice.bad(now, relay, self.times.wrong)
         if relay == self.relay:
-            self.leaves(now, relay, "what it sent was not taken")
+            self.leaves(now, relay, "its data was not applied")
         else:
             self.ask(now)
 
     def takes(self, now: int) -> None:
+        """Applies what is staged."""
         taking = self.taking
         snapshot, known = taking.what == "snapshot", taking.knows
         try:
             batches = taking.take()
         except TableError as wrong:
             self.count("not taken")
-            self.tell(f"not taken: {wrong}")
+            self.tell(f"the staged update was not applied: {wrong}")
             self.drops(now, taking.by)
             return
         self.count("snapshots" if snapshot else "batches")
@@ -469,18 +502,21 @@
         self.choice.good(taking.by)
         self.ask(now)
 
-    # -- other relays ----------------------------------------------------------------------------------
+    # -- probes of other relays --------------------------------------------------------------------------
 
     def probe_ends(self, probe: Probe, closed: bool = False) -> None:
+        """Ends the probe."""
         if not closed:
             self.decide(Act.CLOSE, probe.relay)
         self.looks.probe = None
 
     def probe_fails(self, now: int, probe: Probe, closed: bool = False) -> None:
+        """Ends the probe and excludes its relay for a while."""
         self.choice.bad(now, probe.relay, self.times.failed)
         self.probe_ends(probe, closed)
 
     def probe_told(self, now: int, probe: Probe, fed: Any) -> None:
+        """Handles the answer to the probe: moves to its relay if that is justified."""
         if not isinstance(fed, Fed):
             self.probe_fails(now, probe)
             return
@@ -492,7 +528,7 @@
             self.probe_ends(probe)
             return
         self.count("home again" if probe.home else "moved to a fresher one")
-        self.tell(f"moves from {self.relay} to {probe.relay}")
+        self.tell(f"moving from relay {self.relay} to relay {probe.relay}")
         self.decide(Act.CLOSE, self.relay or "")
         self.choice.good(probe.relay)
         self.follows(now, probe.relay, probe.mark)
--- a/tests/config_distribution/test_follow.py
+++ b/tests/config_distribution/test_follow.py
@@ -43,14 +43,18 @@
     node = Node()
     node.passes(TIMES.move[1] + TIMES.opening)
     first = node.opened[0][1]
-    assert first not in node.open and f"leaves {first}: its link does not open" in node.told
+    assert first not in node.open and f"leaving relay {first}: its link was not opened in time" in node.told
     node.passes(TIMES.move[1])
     second = node.follows()
     assert {first, second} == set(HOME)
     node.passes(HOLD + TIMES.patience - 1)
     assert node.it.relay == second
     node.passes(1)
-    assert node.it.relay is None and not node.open and f"leaves {second}: it is silent" in node.told
+    assert (
+        node.it.relay is None
+        and not node.open
+        and f"leaving relay {second}: it did not answer in time" in node.told
+    )
 
 
 def test_a_timer_that_is_late_means_that_this_one_slept():
--- a/tests/config_distribution/test_follow_taking.py
+++ b/tests/config_distribution/test_follow_taking.py
@@ -61,7 +61,7 @@
     node.hears(fed(Say.NEWS, 4, 0, [batch(3, 4, b"wrong")]))
     node.steps()
     assert (node.table.version, node.it.relay, node.it.counters["spoilt"]) == (3, None, 1)
-    assert any("do not fit their digest" in each for each in node.told)
+    assert any("does not match its digest" in each for each in node.told)
     node.follows()
     assert node.it.relay != relay
     node.hears(news(3, 4))
