--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -1,8 +1,7 @@
-"""Files of changes to publish: JSON Lines, one record a line, or YAML for a few; mistakes told with their
-place.
+"""Files of changes to publish: JSON Lines with one record a line, or YAML for a few; errors name the line.
 
-A file is gone through to its end before anything of it is used. Values are kept as JSON in one form (keys
-sorted, no spaces), so that the same value is the same bytes whoever wrote it down.
+A file is checked to its end before any of it is used. Values are stored as JSON in a canonical form (keys
+sorted, no spaces), so that the same value has the same bytes whoever wrote it.
 """
 
 from __future__ import annotations
@@ -39,7 +38,7 @@
 
 
 class Record(Struct, forbid_unknown_fields=True, frozen=True):
-    """One as it is to be: with a value, or gone."""
+    """A record as it is to be: with a value, or removed."""
 
     kind: Annotated[str, Meta(min_length=1, max_length=KIND_MOST)]
     name: Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
@@ -58,19 +57,19 @@
 
 
 class TwiceError(ValueError):
-    """A key that stands twice in one object."""
+    """A duplicate key in one object."""
 
 
 @dataclass(slots=True)
 class Summary:
-    """What a file holds."""
+    """The content of a file in figures."""
 
     set: int = 0  # records with a value
-    gone: int = 0
+    gone: int = 0  # records to be removed
     bytes: int = 0  # of all changes, encoded
-    batches: int = 0  # as many as it takes
+    batches: int = 0  # the number of batches needed
     kinds: Counter[str] = field(default_factory=Counter)
-    changes: tuple[Change, ...] = ()  # of the first batch: all, where there is one
+    changes: tuple[Change, ...] = ()  # of the first batch; all changes if there is only one batch
 
     @property
     def records(self) -> int:
@@ -78,7 +77,7 @@
 
 
 def check_file(path: str) -> Summary:
-    """All of it. Raises InvalidConfigError, one line, for the first mistake."""
+    """Checks the whole file. Raises InvalidConfigError, one line, for the first error."""
     summary = Summary()
 
     def counted() -> Iterator[Change]:
@@ -92,7 +91,7 @@
                 )
             if len(seen) >= RECORDS_MOST:
                 raise InvalidConfigError(
-                    f"{path}, line {line}: more than {RECORDS_MOST} records; no table has more"
+                    f"{path}, line {line}: more than {RECORDS_MOST} records, which is the maximum of a table"
                 )
             seen[key] = line
             summary.kinds[change.kind] += 1
@@ -106,12 +105,12 @@
         if summary.batches == 1:
             summary.changes = batch
     if not summary.batches:
-        raise InvalidConfigError(f"{path}: no records; write one a line")
+        raise InvalidConfigError(f"{path}: no records; write one record per line")
     return summary
 
 
 def split(changes: Iterable[Change]) -> Iterator[tuple[Change, ...]]:
-    """Batches of as many as fit, in order."""
+    """Batches of as many changes as fit, in order."""
     batch: list[Change] = []
     size = HEAD
     for change in changes:
@@ -126,7 +125,7 @@
 
 
 def read_changes(path: str) -> Iterator[tuple[int, Change]]:
-    """Line, from 1, and change. Raises InvalidConfigError where the file is wrong."""
+    """Line number, from 1, and change. Raises InvalidConfigError if the file is invalid."""
     return read_lines(path) if path.endswith(LINES) else read_yaml(path)
 
 
@@ -134,6 +133,7 @@
 
 
 def read_lines(path: str) -> Iterator[tuple[int, Change]]:
+    """The changes of a JSON Lines file."""
     number = 0
     try:
         with open(path, "rb") as file:
@@ -141,15 +141,16 @@
                 number += 1
                 if len(line) > LINE_MOST:
                     raise InvalidConfigError(
-                        f"{path}, line {number}: longer than {LINE_MOST} bytes; no record is"
+                        f"{path}, line {number}: longer than {LINE_MOST} bytes, the maximum of a record"
                     )
                 if line.strip():
                     yield number, of_line(path, number, line)
     except OSError as wrong:
-        raise InvalidConfigError(f"{path}: {wrong.strerror}; name a file that can be read") from wrong
+        raise InvalidConfigError(f"{path}: {wrong.strerror}; name a readable file") from wrong
 
 
 def of_line(path: str, number: int, line: bytes) -> Change:
+    """The change of one line."""
     place = f"{path}, line {number}"
     try:
         record = decode_line(line)
@@ -158,20 +159,20 @@
         raise InvalidConfigError(f"{place}: {wrong}") from wrong
     except msgspec.ValidationError as wrong:
         raise InvalidConfigError(f"{place}: {said(str(wrong))}") from wrong
-    except (msgspec.DecodeError, ValueError, RecursionError) as wrong:  # what is no JSON, or no UTF-8
-        raise InvalidConfigError(f"{place}: not JSON: {wrong}; write one record a line") from wrong
+    except (msgspec.DecodeError, ValueError, RecursionError) as wrong:  # invalid JSON or UTF-8
+        raise InvalidConfigError(f"{place}: not JSON: {wrong}; write one record per line") from wrong
     return change_of(place, "", record)
 
 
 def once(pairs: list[tuple[str, Any]]) -> None:
-    """JSON takes the last of two equal keys in silence: here that is a mistake."""
+    """Rejects duplicate keys, of which JSON decoders silently take the last."""
     if len({key for key, _ in pairs}) < len(pairs):
         key = next(key for key, count in Counter(key for key, _ in pairs).items() if count > 1)
-        raise TwiceError(f"{key!r} stands twice; leave one out")
+        raise TwiceError(f"duplicate key {key!r}; remove one")
 
 
 def said(wrong: str) -> str:
-    """msgspec's words, the place first."""
+    """msgspec's message with the place first."""
     what, _, where = wrong.partition(" - at `")
     where = where.rstrip("`").removeprefix("$").lstrip(".")
     return f"{where or 'the record'}: {what}"
@@ -181,6 +182,7 @@
 
 
 def read_yaml(path: str) -> Iterator[tuple[int, Change]]:
+    """The changes of a YAML file."""
     chosen, place = parse_config(path, read_config_text(path), RecordsFile)
     for at, record in enumerate(chosen.records):
         where = f"$.records[{at}]"
@@ -195,12 +197,14 @@
 
 
 def line_of(place: YamlDocument, where: str, line: int) -> int:
+    """The line of the record's value, or else `line`."""
     return place.line_of(f"{where}.value") or line
 
 
 def no_json(value: Any, room: list[int]) -> str:
-    """Why JSON can't say it; "" where it can. `room`: how many parts it may have at the most, as YAML may
-    name one part again and again.
+    """Why the value has no JSON form; "" if it has one.
+
+    `room`: how many parts it may have, as YAML can refer to one part many times.
     """
     room[0] -= 1
     if room[0] < 0:
@@ -208,27 +212,28 @@
     if isinstance(value, dict):
         wrong = next((key for key in value if not isinstance(key, str)), None)
         if wrong is not None:
-            return f"the key {wrong!r} is no text; put it in quotes"
+            return f"the key {wrong!r} is not a string; put it in quotes"
         return next(filter(None, (no_json(each, room) for each in value.values())), "")
     if isinstance(value, list):
         return next(filter(None, (no_json(each, room) for each in value)), "")
     if isinstance(value, float) and not math.isfinite(value):
-        return f"{value} is no number of JSON"
+        return f"{value} is not a JSON number"
     if value is None or isinstance(value, str | int | float):
         return ""
-    return f"{value!r} is a {type(value).__name__}, which JSON has not; put it in quotes"
+    return f"{value!r} is a {type(value).__name__}, which JSON does not have; put it in quotes"
 
 
-# -- both --------------------------------------------------------------------------------------------------
+# -- both formats ----------------------------------------------------------------------------------------
 
 
 def change_of(place: str, where: str, record: Record) -> Change:
+    """The change that a record describes."""
     if record.gone == (record.value is not UNSET):
-        raise InvalidConfigError(f"{place}: {where}value: give a value, or 'gone: true', and not both")
+        raise InvalidConfigError(f"{place}: {where}value: give a value or 'gone: true', not both")
     try:
         value = None if record.gone else encode_value(record.value)
     except (OverflowError, ValueError, RecursionError) as wrong:
-        raise InvalidConfigError(f"{place}: {where}value: {wrong}; write it as a text") from wrong
+        raise InvalidConfigError(f"{place}: {where}value: {wrong}; write it as a string") from wrong
     change = Change(record.kind, record.name, value)
     wrong = unfit_change(change)
     if wrong:
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -1,12 +1,12 @@
-"""The source of configuration: a part of a group's state that makes each accepted entry one batch; no I/O.
+"""The source of configuration: a part of a group's state that turns each accepted entry into a batch; no I/O.
 
-A batch's version is the index of its entry. What is refused changes nothing, and is refused alike at each
-member: that hangs on the table and the command alone. The last batches stay with the values they replaced, so
-that a record is known as it was at any version since, and members come back from a dump with them.
+A batch's version is the index of its entry. A rejected command changes nothing, and every member rejects the
+same ones, as that depends on the table and the command alone. The last batches are kept with the values that
+they replaced, so that a record is known at every version since then; a member's dump includes them.
 
-A dump at 560,000 records must not keep a leader's word from its followers: it is a copy of bytes. Pages are
-compressed a few at each entry, lowest number first; one that is not yet at a dump goes as it is. Which are
-hangs on the entries alone, and is kept over a dump.
+A dump at 560,000 records must not delay a leader's heartbeats, so it only copies bytes. Pages are compressed
+a few at each entry, lowest number first; a page not compressed yet at a dump is included as it is. Which
+pages those are depends on the entries alone, and the dump records it.
 """
 
 from __future__ import annotations
@@ -35,49 +35,53 @@
 )
 from lichencleat.decode_errors import UNDECODABLE
 
-PACKED_EACH = 16  # pages compressed at an entry, some 300 µs each: small batches leave none that waits
-PAST_MOST = BATCH_BYTES + BATCH_MOST * (VALUE_MOST + 16)  # bytes of a kept batch, values replaced included
+PACKED_EACH = 16  # pages compressed per entry, some 300 µs each: keeps up with small batches
+PAST_MOST = BATCH_BYTES + BATCH_MOST * (VALUE_MOST + 16)  # bytes of a kept batch with the values it replaced
 DIFF_MOST = 4_096  # changes in one answer: some ms
-DIFF_BYTES = 512 << 10  # of their names and values: half of a frame
-SMALL = 1_024  # bytes of a kept batch that are not worth compressing
-RECORD_EXTRA = 16  # bytes of a record in an answer beside its words
+DIFF_BYTES = 512 << 10  # bytes of their names and values: half of a frame
+SMALL = 1_024  # bytes of a kept batch up to which it is not compressed
+RECORD_EXTRA = 16  # bytes of a record in an answer beside its strings
 
 
 class Publish(msgspec.Struct, frozen=True, array_like=True, tag_field="do", tag="publish"):
-    """The part's one command."""
+    """The only command of this part."""
 
     changes: tuple[Change, ...]
-    only_if: int | None = None  # the version that must be in force; 0: nothing yet
+    only_if: int | None = None  # the version that must be in force; 0: the table must be empty
 
 
 class Published(msgspec.Struct, frozen=True, array_like=True):
-    """The answer: whether it was done, and the version in force now."""
+    """The answer to `Publish`: whether it was done, and the version in force now."""
 
     done: bool
     version: int
-    changed: int = 0  # records; those of the command that were as it says already do not count
+    changed: int = 0  # records; changes to a value that the record has already don't count
     why: str = ""
 
 
 class Find(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="find"):
+    """Asks for a record."""
+
     kind: str
     name: str
-    at: int = 0  # 0: now
+    at: int = 0  # the version; 0: the one in force
 
 
 class Found(msgspec.Struct, frozen=True, array_like=True):
+    """The answer to `Find`."""
+
     version: int  # in force
-    since: int  # the lowest version of which is known what a record was
+    since: int  # lowest version at which records are known
     known: bool
-    value: bytes | None = None  # None: there is no such record
+    value: bytes | None = None  # None = None | None: there is no such record
 
 
 class Diff(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="diff"):
-    """Asks what was changed after version `a`, up to version `b`: as much as fits in one answer."""
+    """Asks for the changes after version `a` up to version `b`: as many as fit in one answer."""
 
     a: int
     b: int
-    skip: int = 0  # changes of the first batch after `a` that were told already
+    skip: int = 0  # changes of the first batch after `a` that were sent already
 
 
 Changed = tuple[str, str, bytes | None, bytes | None]
@@ -85,19 +89,23 @@
 
 
 class Difference(msgspec.Struct, frozen=True, array_like=True):
+    """The answer to `Diff`."""
+
     version: int
     since: int
     known: bool
-    changes: tuple[Changed, ...] = ()  # in order; a record may be named again and again
-    a: int = 0  # where the next answer begins; `b`: there is no more
+    changes: tuple[Changed, ...] = ()  # in order; a record may occur several times
+    a: int = 0  # where the next request continues; `b`: the answer is complete
     skip: int = 0
 
 
 class Stands(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="stands"):
-    """Asks what is in force."""
+    """Asks for the state of the table."""
 
 
 class Standing(msgspec.Struct, frozen=True, array_like=True):
+    """The answer to `Stands`."""
+
     version: int
     since: int
     digest: bytes
@@ -112,21 +120,23 @@
 
 
 class Past(NamedTuple):
-    """A batch that is kept, with the value that each of its changes replaced."""
+    """A kept batch, with the value that each of its changes replaced."""
 
     batch: Batch
     replaced: Replaced
-    dumped: bytes  # both, as a dump has them
+    dumped: bytes  # both, as stored in a dump
     size: int  # bytes of both, encoded
 
 
 class Dumped(msgspec.Struct, array_like=True):
+    """The dump of the source."""
+
     version: int
     digest: bytes
-    pages: list[bytes]  # each by zlib, or as it is
-    plain: list[int]  # numbers of those as they are
-    since: tuple[int, bytes]  # version and digest that the first of the kept batches follows
-    window: list[tuple[bool, bytes]]  # by zlib?
+    pages: list[bytes]  # each by zlib, or uncompressed
+    plain: list[int]  # numbers of the uncompressed pages
+    since: tuple[int, bytes]  # version and digest before the first kept batch
+    window: list[tuple[bool, bytes]]  # whether it is compressed, and the batch with the replaced values
 
 
 decode_dumped = msgspec.msgpack.Decoder(Dumped).decode
@@ -135,19 +145,22 @@
 
 
 class Source:
+    """The table of a group, its kept batches and its compressed pages."""
+
     def __init__(self, window_batches: int = WINDOW_BATCHES, window_bytes: int = WINDOW_BYTES) -> None:
-        """The bounds of what is kept of the past, values that were replaced included."""
+        """The bounds of the kept batches, replaced values included."""
         self.window_batches, self.window_bytes = window_batches, window_bytes
         self.table = Table()
         self.window: deque[Past] = deque()
         self.size = 0  # bytes of the window
         self.since: tuple[int, bytes] = (0, self.table.digest)
-        self.packed: list[bytes] = [b""] * len(self.table.pages)  # as a dump has them
-        self.plain: set[int] = set()  # pages not compressed since they changed
+        self.packed: list[bytes] = [b""] * len(self.table.pages)  # pages as a dump stores them
+        self.plain: set[int] = set()  # pages not compressed since their last change
 
     # -- commands --------------------------------------------------------------------------------------
 
     def apply(self, index: int, command: msgspec.Raw) -> Published:
+        """Applies a `Publish` command as the entry `index`."""
         try:
             wanted = decode_publish(command)
         except UNDECODABLE:
@@ -172,10 +185,11 @@
         return Published(True, index, len(changes))
 
     def refused(self, why: str) -> Published:
+        """The answer to a rejected command."""
         return Published(False, self.table.version, 0, why)
 
     def keep(self, before: tuple[int, bytes], batch: Batch, replaced: Replaced) -> None:
-        """`before`: version and digest that the batch follows."""
+        """Keeps a batch. `before`: version and digest that it follows."""
         if not self.window:
             self.since = before
         self.add(encode((batch, replaced)), batch, replaced)
@@ -185,19 +199,21 @@
             self.since = (past.batch.version, past.batch.digest)
 
     def add(self, data: bytes, batch: Batch, replaced: Replaced) -> None:
+        """Adds an encoded batch to the window."""
         dumped = zlib.compress(data, LEVEL) if len(data) > SMALL else data
         self.window.append(Past(batch, replaced, dumped, len(data)))
         self.size += len(data)
 
     def pack(self) -> None:
-        """Some of the pages that wait to be compressed are."""
+        """Compresses some of the changed pages."""
         for number in heapq.nsmallest(PACKED_EACH, self.plain):
             self.plain.remove(number)
             self.packed[number] = zlib.compress(self.table.pages[number], LEVEL)
 
-    # -- questions -------------------------------------------------------------------------------------
+    # -- queries ------------------------------------------------------------------------------------
 
     def read(self, query: Any) -> Any:
+        """Answers a query; None: it is invalid."""
         try:
             wanted = msgspec.convert(query, Query)
         except msgspec.ValidationError:
@@ -210,9 +226,11 @@
         return Standing(table.version, self.since[0], table.digest, table.records, table.bytes)
 
     def knows(self, version: int) -> bool:
+        """Whether records are known at that version."""
         return self.since[0] <= version <= self.table.version
 
     def found(self, wanted: Find) -> Found:
+        """The record as it was at the version."""
         version = self.table.version
         at = wanted.at or version
         if not self.knows(at):
@@ -225,11 +243,11 @@
         return Found(version, self.since[0], True, self.table.find(*key))
 
     def after(self, version: int) -> Iterator[Past]:
-        """What is kept of the batches above that version, oldest first."""
+        """The kept batches above the version, oldest first."""
         return (each for each in self.window if each.batch.version > version)
 
     def difference(self, wanted: Diff) -> Difference:
-        """Some ms at the most: a leader's followers wait for its word meanwhile."""
+        """The changes between two versions; some ms at most, as a leader's heartbeats wait meanwhile."""
         version, since = self.table.version, self.since[0]
         if not (self.knows(wanted.a) and self.knows(wanted.b)):
             return Difference(version, since, False)
@@ -251,6 +269,7 @@
     # -- dumps -----------------------------------------------------------------------------------------
 
     def dump(self) -> Dumped:
+        """The state for a group's snapshot."""
         pages, plain = list(self.packed), sorted(self.plain)
         for number in plain:
             pages[number] = self.table.pages[number]
@@ -258,16 +277,20 @@
         return Dumped(self.table.version, self.table.digest, pages, plain, self.since, window)
 
     def load(self, dumped: msgspec.Raw) -> None:
-        """Raises msgspec.MsgspecError where it is none of these, or not whole."""
+        """Restores a dump. Raises msgspec.MsgspecError if it is invalid or incomplete."""
         found = decode_dumped(dumped)
         plain = set(found.plain)
         pages = [each if at in plain else inflated(each) for at, each in enumerate(found.pages)]
         try:
             self.table = Table.loaded(found.version, pages)
         except TableError as wrong:
-            raise msgspec.ValidationError(f"the table of version {found.version}: {wrong}") from wrong
+            raise msgspec.ValidationError(
+                f"the dumped table of version {found.version} is invalid: {wrong}"
+            ) from wrong
         if self.table.digest != found.digest:
-            raise msgspec.ValidationError(f"the table of version {found.version} has another digest")
+            raise msgspec.ValidationError(
+                f"the digest of the dumped table of version {found.version} does not match"
+            )
         self.packed, self.plain = found.pages, plain
         self.since, self.window, self.size = found.since, deque(), 0
         for deflated, data in found.window:
@@ -276,7 +299,7 @@
 
 
 def net(changes: Iterable[Changed]) -> list[Changed]:
-    """What all of them together have changed, by kind and name."""
+    """The total effect of the changes, sorted by kind and name."""
     old: dict[tuple[str, str], bytes | None] = {}
     new: dict[tuple[str, str], bytes | None] = {}
     for kind, name, before, after in changes:
@@ -286,14 +309,14 @@
 
 
 def inflated(data: bytes, most: int = PAGE_MOST) -> bytes:
-    """Raises msgspec.ValidationError."""
+    """The data without compression. Raises msgspec.ValidationError."""
     if not data:
         return b""
     made = zlib.decompressobj()
     try:
         whole = made.decompress(data, most + 1)
     except zlib.error as wrong:
-        raise msgspec.ValidationError(f"can't be inflated: {wrong}") from wrong
+        raise msgspec.ValidationError(f"cannot inflate dumped data: {wrong}") from wrong
     if not made.eof or len(whole) > most:
-        raise msgspec.ValidationError("is cut off, or larger than it may be")
+        raise msgspec.ValidationError("dumped data is incomplete or above its maximum size")
     return whole
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize(
     ("said", "told"),
     [
-        ('{"kind":"tenant","name":"a"}', "line 2: value: give a value, or 'gone: true', and not both"),
+        ('{"kind":"tenant","name":"a"}', "line 2: value: give a value or 'gone: true', not both"),
         ('{"kind":"tenant","name":"a","value":1,"gone":true}', "line 2: value: give a value"),
         ('{"kind":"tenant","value":1}', "line 2: the record: Object missing required field `name`"),
         ('{"kind":"tenant","name":7,"value":1}', "line 2: name: Expected `str`, got `int`"),
@@ -56,8 +56,8 @@
         ('{"kind":"tenant","name":"a","value":', "line 2: not JSON: Input data was truncated; write one"),
         ('{"kind":"tenant","name":"a","value":NaN}', "line 2: not JSON:"),
         ('{"kind":"tenant","name":"a","value":1e999}', "line 2: value: Number out of range"),
-        ('{"kind":"tenant","name":"a","value":{"k":1,"k":2}}', "line 2: 'k' stands twice; leave one out"),
-        ('{"kind":"tenant","name":"a","value":1,"name":"b"}', "line 2: 'name' stands twice"),
+        ('{"kind":"tenant","name":"a","value":{"k":1,"k":2}}', "line 2: duplicate key 'k'; remove one"),
+        ('{"kind":"tenant","name":"a","value":1,"name":"b"}', "line 2: duplicate key 'name'"),
         (b'{"kind":"tenant","name":"\xff","value":1}', "line 2: not JSON: "),
         ('{"kind":"tenant","name":"%s","value":1}' % ("é" * 65), "a name has 1 to 128 bytes"),
         ('{"kind":"tenant","name":"a","value":"%s"}' % ("v" * 4_095), "a value has at most 4096 bytes"),
@@ -85,8 +85,11 @@
             "- kind: tenant\n  name: b\n  value: 2026-01-02",
             "line 5: records[1].value: datetime.date(2026, 1, 2)",
         ),
-        ("- kind: tenant\n  name: b\n  value: {x: [.nan]}", "line 5: records[1].value: nan is no number"),
-        ("- kind: tenant\n  name: b\n  value: {1: x}", "line 5: records[1].value: the key 1 is no text"),
+        (
+            "- kind: tenant\n  name: b\n  value: {x: [.nan]}",
+            "line 5: records[1].value: nan is not a JSON number",
+        ),
+        ("- kind: tenant\n  name: b\n  value: {1: x}", "line 5: records[1].value: the key 1 is not a string"),
         (
             "- kind: tenant\n  name: b\n  value: [&a [x, x, x, x, x, x, x, x], &b [*a, *a, *a, *a, *a], "
             "&c [*b, *b, *b, *b, *b, *b, *b, *b, *b, *b], &d [*c, *c, *c, *c, *c, *c, *c, *c]]",
