--- a/lichencleat/config_distribution/file.py
+++ b/lichencleat/config_distribution/file.py
@@ -1,4 +1,4 @@
-"""The file of a relay: YAML, its form, its defaults, and mistakes told with their place."""
+"""A relay's YAML file: its schema and defaults; errors name the line."""
 
 from __future__ import annotations
 
@@ -12,13 +12,15 @@
 
 
 class RelayChoice(Struct, forbid_unknown_fields=True, frozen=True):
-    group: Name  # of the voters for configuration; the same at all that hang on them
-    name: Name  # of this relay: `status` names it
+    """The settings of a relay."""
+
+    group: Name  # of the configuration's voters; the same at all processes below them
+    name: Name  # of this relay, shown by `status`
     listen: Address
     sources: RelayTiers  # nearest first
     zone: str = ""
-    directory: str | None = None  # its last version is kept there; absent: a start fetches all anew
-    disk: Literal["real", "held back"] = "real"  # held back: for tests, a kill loses what was not flushed
+    directory: str | None = None  # the last version is persisted there; absent: a start fetches everything
+    disk: Literal["real", "held back"] = "real"  # "held back": for tests, a kill loses unflushed data
     log: LogConfig = LogConfig()
 
 
@@ -29,7 +31,7 @@
 
 
 def read_relay(path: str) -> RelayChoice:
-    """Raises InvalidConfigError."""
+    """Reads the file and checks it. Raises InvalidConfigError."""
     chosen, place = parse_config(path, read_config_text(path), RelayFile)
     relay: RelayChoice = chosen.distribution
     check_address(path, place, "distribution.listen", relay.listen, "192.0.2.7:7931")
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -1,20 +1,21 @@
-"""The last version on a disk, by the project's store: a start asks only for what is newer.
+"""Persists the last version on a disk, in the project's store, so that a start fetches only what is newer.
 
-Kept are the pages, by zlib, and a head that names version, digest and the group's mark; beside them the
-newest batches, which a relay feeds those from that are a little behind. A change writes the pages that it
-touches and the head in one commit, so there is always one whole version. A snapshot that does not fit one
-commit is written beside the old one: each page has two slots, and the head says which one counts.
+The disk holds the pages, by zlib, and a head with version, digest and the group's mark, and also the newest
+batches, which a relay sends to subscribers that lag a little. A change writes the pages that it touches and
+the head in one commit, so there is always one complete version. A snapshot that doesn't fit one commit is
+written beside the old version: each page has two slots, and the head says which one is valid.
 
-What survives a cut: the version of the last commit that was confirmed, whole. The disk is behind the table by
-what is on its way to it; while it is slow, what waits is written in one go, as it is by then, so nothing
-queues up. Nothing rests on it: a node without its disk, or with an older one, asks for what it lacks.
+After a power cut the version of the last confirmed commit is there, complete. The disk lags the table by the
+write under way; while the disk is slow, all later changes are written at once in their latest state, so no
+queue builds up. Nothing depends on the disk: a node without it, or with an older version, fetches what it
+lacks.
 
-What is torn, spoilt, or belongs to another group is found at the start (each page's digest, their sum, the
-chain of batches) and not used: the table is then empty, `trouble` says why, and the next version is written
-over it.
+Torn or corrupt data, or data of another group, is detected at the start (each page's digest, their sum, the
+chain of batches) and not used: the table is then empty, `trouble` has the reason, and the next version
+overwrites it.
 
-Reading, compression and writing are done in the store's threads, in calls so short that they hold the
-interpreter's lock for no more than a millisecond; what was read is looked through in slices.
+Reading, compression and writing run in the store's threads, in calls that hold the interpreter's lock for at
+most a millisecond; loaded pages are checked in slices.
 """
 
 from __future__ import annotations
@@ -41,15 +42,16 @@
 from lichencleat.store.store import Store, open_store
 
 FORMAT = 1
-RECENT_MOST = 1_024  # batches kept beside the pages: half an hour of changes, for those a little behind
-RECENT_BYTES = 1 << 20  # of these, and of those on their way there
-PIECE_BYTES = 128 << 10  # of pages packed in one call of a thread, and of a snapshot in one commit
-PIECE_PAGES = 8  # of these: the thread that writes holds the interpreter for some 80 µs each
-ONE_BYTES = 256 << 10  # of pages that are written in one commit; more goes beside the old ones
-READ_PAGES = 8  # read in one call of a thread: some 300 µs
-LOOK_PAGES = 2  # looked through in one slice: some 300 µs
-AGAIN = 10.0  # s until it is tried again after a failure
-STORE = StoreLimits(  # a full table of values that can't be packed, twice, with cleaning's share
+# batches kept beside the pages for subscribers that lag a little: half an hour of changes
+RECENT_MOST = 1_024
+RECENT_BYTES = 1 << 20  # bytes of these, and of those to be written
+PIECE_BYTES = 128 << 10  # bytes of pages compressed in one call of a thread, and of a snapshot in one commit
+PIECE_PAGES = 8  # pages of these; compressing one holds the interpreter's lock for some 80 µs
+ONE_BYTES = 256 << 10  # bytes of pages that one commit writes in place; more are written beside the old ones
+READ_PAGES = 8  # pages read in one call of a thread: some 300 µs
+LOOK_PAGES = 2  # pages checked in one slice: some 300 µs
+AGAIN = 10.0  # s until a write is retried after a failure
+STORE = StoreLimits(  # a full table of incompressible values, twice, with reserve for compaction
     segment_bytes=4 << 20,
     max_disk_bytes=512 << 20,
     max_entries=16_384,
@@ -61,43 +63,47 @@
 
 
 class Head(msgspec.Struct, frozen=True, array_like=True):
+    """The stored description of the version on the disk."""
+
     format: int
-    group: str  # "": not told
+    group: str  # "": not known
     mark: bytes
     version: int
     digest: bytes
-    slots: bytes  # a bit a page: the slot that counts
-    first: int  # number of the oldest batch beside them
-    next: int  # and of the one to come
+    slots: bytes  # one bit per page: its valid slot
+    first: int  # number of the oldest batch stored
+    next: int  # number of the next batch to be stored
 
 
 decode_head = msgspec.msgpack.Decoder(Head).decode
 
 
 def slot_of(slots: bytes | bytearray, number: int) -> int:
+    """The page's valid slot, 0 or 1."""
     return slots[number >> 3] >> (number & 7) & 1
 
 
 def page_key(number: int, slot: int) -> bytes:
+    """The store's key of a page's slot."""
     return PAGE + number.to_bytes(2, "big") + bytes((slot,))
 
 
 def batch_key(number: int) -> bytes:
-    """They go round: a newer one is written over one that is not needed any more."""
+    """The store's key of a batch; keys repeat, so a new batch overwrites one that is no longer needed."""
     return BATCH + (number % RECENT_MOST).to_bytes(2, "big")
 
 
 @dataclass(slots=True)
 class Plan:
-    """What a write has to do."""
+    """The work of one write."""
 
-    pieces: list[list[int]]  # numbers of pages that differ
-    slots: bytes  # as they are afterwards
-    beside: bool  # they are written into the slots that do not count
+    pieces: list[list[int]]  # page numbers that differ, grouped
+    slots: bytes  # valid slots after the write
+    beside: bool  # the pages are written into the slots that are not valid
 
 
 def plan(view: View, digests: Sequence[int], slots: bytes) -> Plan:
-    """In a thread: 4,096 pages are compared with what is on the disk."""
+    """Compares 4,096 pages with those on the disk; runs in a thread."""
     numbers = differing(view.page_digests, digests)
     if sum(len(view.pages[number]) for number in numbers) <= ONE_BYTES:
         return Plan(pieces(view, numbers, PIECE_BYTES), slots, False)
@@ -108,7 +114,7 @@
 
 
 def pack(view: View, numbers: Sequence[int]) -> list[tuple[int, bytes]]:
-    """In a thread."""
+    """The stored form of the pages: digest and zlib bytes; runs in a thread."""
     packed = []
     for number in numbers:
         digest = view.page_digests[number].to_bytes(DIGEST, "little")
@@ -117,13 +123,13 @@
 
 
 def unpack(number: int, data: bytes | None) -> tuple[bytes, int]:
-    """The page, and its digest. Raises SpoiltError."""
+    """The page and its digest, from its stored form. Raises SpoiltError."""
     if data is None:
         return b"", pages.EMPTY[number]
     page = pages.inflated(data[DIGEST:])
     digest = pages.digest_of(number, page)
     if digest.to_bytes(DIGEST, "little") != data[:DIGEST]:
-        raise SpoiltError(f"page {number}: its digest is another")
+        raise SpoiltError(f"page {number}: the digest does not match")
     wrong = pages.fault(number, page)
     if wrong:
         raise SpoiltError(f"page {number}: {wrong}")
@@ -131,7 +137,7 @@
 
 
 def pieces(view: View, numbers: Sequence[int], most: int) -> list[list[int]]:
-    """Of at most so many bytes, or one page; and of so many pages."""
+    """Groups of at most `most` bytes, or one page, and of at most `PIECE_PAGES` pages."""
     made: list[list[int]] = []
     room = 0
     for number in numbers:
@@ -145,7 +151,7 @@
 
 
 def chained(batches: Sequence[bytes], version: int, digest: bytes) -> list[Batch]:
-    """Those at the end that lead to that version, one after another."""
+    """The batches at the end that lead to that version one after another."""
     found: list[Batch] = []
     for data in reversed(batches):
         try:
@@ -160,45 +166,48 @@
 
 
 class Kept:
-    """Owns the store. `load` first; then `wrote`, `replaced` and `mark` say what is to be kept."""
+    """Owns the store. `load` comes first; `wrote`, `replaced` and `mark` then say what is to be persisted."""
 
     def __init__(self, reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> None:
         self.reactor, self.store, self.group, self.tell = reactor, store, group, tell
-        self.trouble = ""  # why what was there is not used, or what the disk failed with last
+        self.trouble = ""  # why the stored version was not used, or the disk's last error
         self.counts = {"writes": 0, "writes failed": 0, "pages written": 0, "bytes written": 0}
-        self.table: Table | None = None  # what is to be kept
+        self.table: Table | None = None  # the table to be persisted
         self.group_mark = b""
-        self.version = 0  # of the disk
-        self.digests = list(pages.EMPTY)  # of the pages on the disk; -1: not known
+        self.version = 0  # on the disk
+        self.digests = list(pages.EMPTY)  # of the pages on the disk; -1: unknown
         self.slots = bytes(PAGES // 8)
-        self.recent: deque[int] = deque()  # bytes of each batch on the disk
-        self.next = 0  # number of the next one
-        self.pending: deque[bytes] = deque()  # on their way there
-        self.anew = False  # those on the disk lead nowhere any more
-        self.fresh = False  # something was told since the last write began
+        self.recent: deque[int] = deque()  # size in bytes of each batch on the disk
+        self.next = 0  # number of the next batch
+        self.pending: deque[bytes] = deque()  # encoded batches to be written
+        self.anew = False  # the batches on the disk don't lead to the table's version
+        self.fresh = False  # there are changes since the last write began
         self.writing = False
         self.failing = False
         self.timer: Any = None
         self.closing: Deferred[None] | None = None
-        self.told: list[Deferred[None]] = []  # who waits for the write under way
+        self.told: list[Deferred[None]] = []  # fired at the end of the write under way
 
     # -- loading ---------------------------------------------------------------------------------------
 
     @inlineCallbacks
     def load(self) -> Any:
-        """The table, the group's mark, the batches that led to it. An empty one where `trouble` says why."""
+        """The table, the group's mark and the batches that led to it; an empty table if `trouble` has a
+        reason.
+        """
         try:
             return (yield from self.read())
         except (SpoiltError, CorruptDataError, msgspec.DecodeError) as wrong:
-            self.trouble = f"what was kept is spoilt and not used: {wrong}"
+            self.trouble = f"the stored version is corrupt and not used: {wrong}"
             self.tell(self.trouble)
             self.digests, self.anew = [-1] * PAGES, True
             return Table(), b"", []
 
     def read(self) -> Any:
+        """Reads and checks the stored version."""
         head = decode_head((yield self.store.submit_read(self.store.engine.get, HEAD)))
         if len(head.slots) != PAGES // 8 or not 0 <= head.next - head.first <= RECENT_MOST:
-            raise SpoiltError("its head can't be one")
+            raise SpoiltError("its head is invalid")
         self.slots, self.next = head.slots, head.next
         data = yield self.store.submit_read(self.read_batches, range(head.first, head.next))
         self.recent.extend(map(len, data))
@@ -216,12 +225,12 @@
                 records += pages.count_of(page)
         table = Table.assembled(head.version, whole, digests, records)
         if table.digest != head.digest:
-            raise SpoiltError(f"the pages are not those of version {head.version}")
+            raise SpoiltError(f"the stored pages are not those of version {head.version}")
         self.table, self.group_mark, self.version, self.digests = table, head.mark, head.version, digests
         return table, head.mark, chained(data, head.version, head.digest)
 
     def read_batches(self, numbers: Sequence[int]) -> list[bytes]:
-        """In a thread; b"" for one that can't be read."""
+        """Runs in a thread; b"" for a batch that can't be read."""
         found: list[bytes] = []
         for number in numbers:
             try:
@@ -231,20 +240,20 @@
         return found
 
     def read_pages(self, numbers: Sequence[int]) -> list[bytes | None]:
-        """In a thread."""
+        """Runs in a thread."""
         get = self.store.engine.get
         return [get(page_key(number, slot_of(self.slots, number))) for number in numbers]
 
     def turn(self) -> Deferred[None]:
-        """Others have their turn first."""
+        """Fires in a later turn of the reactor."""
         turn: Deferred[None] = Deferred()
         self.reactor.callLater(0, turn.callback, None)
         return turn
 
-    # -- what is to be kept ----------------------------------------------------------------------------
+    # -- changes ---------------------------------------------------------------------------
 
     def wrote(self, table: Table, batches: Sequence[Batch]) -> None:
-        """The table took these batches."""
+        """The table applied these batches."""
         self.table = table
         for each in batches:
             self.pending.append(encode(each))
@@ -252,19 +261,19 @@
         self.stir()
 
     def replaced(self, table: Table) -> None:
-        """The table took a snapshot."""
+        """The table applied a snapshot."""
         self.table, self.anew = table, True
         self.pending.clear()
         self.stir()
 
     def mark(self, mark: bytes) -> None:
-        """The group's, from now on."""
+        """Sets the group's mark."""
         if mark != self.group_mark:
             self.group_mark = mark
             self.stir()
 
     def shorten(self) -> None:
-        """What is on its way stays within its bound: the oldest go."""
+        """Drops the oldest batches above the bounds."""
         size = sum(map(len, self.pending))
         while self.pending and (len(self.pending) > RECENT_MOST or size > RECENT_BYTES):
             size -= len(self.pending.popleft())
@@ -272,18 +281,20 @@
     # -- writing ---------------------------------------------------------------------------------------
 
     def stir(self) -> None:
+        """Starts a write, unless one is under way, due or impossible."""
         self.fresh = True
         if not self.writing and self.timer is None and self.closing is None:
             self.write()
 
     def write(self) -> Deferred[None]:
+        """Writes all changes; fires when it has ended, also after a failure."""
         self.fresh, self.writing = False, True
         pending, anew = list(self.pending), self.anew
         self.pending.clear()
         self.anew = False
 
         def failed(why: Failure) -> None:
-            if not self.anew:  # no snapshot meanwhile
+            if not self.anew:  # no snapshot was applied meanwhile
                 self.pending.extendleft(reversed(pending))
                 self.shorten()
             self.anew = self.anew or anew
@@ -292,6 +303,7 @@
         return self.write_all(pending, anew).addCallbacks(self.written, failed)
 
     def written(self, _: Any) -> None:
+        """Ends a successful write and starts the next one if there are changes."""
         self.writing = False
         if self.table is not None:
             self.trouble = ""
@@ -303,15 +315,17 @@
         self.tell_all()
 
     def tell_all(self) -> None:
+        """Fires what waits for the end of the write."""
         told, self.told = self.told, []
         for each in told:
             each.callback(None)
 
     def failed(self, why: Failure) -> None:
+        """Reports the failure once and schedules a retry."""
         self.writing, self.fresh = False, True
         self.counts["writes failed"] += 1
         said = why.getErrorMessage() if why.check(StoreError) else f"{why.type.__name__}: {why.value}"
-        self.trouble = f"the version in force is not kept: {said}"
+        self.trouble = f"the version in force is not kept on the disk: {said}"
         if not self.failing:
             self.tell(self.trouble)
         self.failing = True
@@ -325,8 +339,8 @@
 
     @inlineCallbacks
     def write_all(self, pending: list[bytes], anew: bool) -> Any:
-        """Whatever differs from the disk, as it is now."""
-        if self.table is None:  # the mark alone is known: it goes with the first table
+        """Writes whatever differs from the disk, in its latest state."""
+        if self.table is None:  # only the mark is known: it is written with the first table
             return
         view, past = self.table.view(), self.slots
         planned = yield self.store.submit_read(plan, view, self.digests, past)
@@ -347,7 +361,7 @@
             yield from self.sweep(planned.pieces, past)
 
     def head(self, view: View, slots: bytes, number: int, batches: int) -> bytes:
-        """`number`: of the next batch; before it stand so many `batches`."""
+        """The encoded head. `number`: of the next batch; `batches`: how many are stored before it."""
         return encode(
             Head(
                 FORMAT,
@@ -362,7 +376,7 @@
         )
 
     def sweep(self, numbers: Sequence[Sequence[int]], slots: bytes) -> Any:
-        """The pages from before go. Where that fails, a later snapshot is written over them."""
+        """Deletes the replaced pages. After a failure a later snapshot overwrites them."""
         for piece in numbers:
             batch = stored.Batch()
             for number in piece:
@@ -373,10 +387,10 @@
                 return
 
     def log(self, batch: stored.Batch, pending: list[bytes], anew: bool) -> deque[int]:
-        """The newest batches go to the disk, older ones from it; bytes of each that is there then."""
+        """Adds new batches to the write and deletes old ones; returns the size of each that is then stored."""
         recent = self.recent.copy()
         size = sum(recent)
-        for number, data in enumerate([*pending, b""], self.next):  # b"": the bounds hold behind the last one
+        for number, data in enumerate([*pending, b""], self.next):  # b"": enforces the bounds at the end
             full = len(recent) >= RECENT_MOST and data
             while recent and (anew or full or size + len(data) > RECENT_BYTES):
                 batch.delete(batch_key(number - len(recent)))
@@ -394,10 +408,10 @@
         self.counts["bytes written"] += batch.bytes
         return self.store.commit(batch)
 
-    # -- ending ----------------------------------------------------------------------------------------
+    # -- shutdown ---------------------------------------------------------------------------------------
 
     def close(self) -> Deferred[None]:
-        """What was told is written, where the disk works. Fires when the directory is given back."""
+        """Writes pending changes if the disk works. Fires when the store is closed."""
         if self.closing is None:
             self.closing = Deferred()
             if self.timer is not None:
@@ -421,27 +435,32 @@
 
 
 def check_ours(store: Store, group: str) -> bool:
-    """In a thread: is there anything yet? Raises UnfitError where it is not ours."""
+    """Whether there is stored data, in a thread. Raises CannotOpenError if it is not this program's."""
     said = store.engine.get(HEAD)
     if said is None:
         if store.stat()["entries"]:
-            raise CannotOpenError("it holds something else than a configuration; name another directory")
+            raise CannotOpenError("the directory holds something else than a configuration; name another one")
         return False
     try:
         head = decode_head(said)
     except msgspec.DecodeError as wrong:
         raise CannotOpenError(
-            "it holds something else than a configuration; name another directory"
+            "the directory holds something else than a configuration; name another one"
         ) from wrong
     if head.format != FORMAT:
-        raise CannotOpenError(f"it has format {head.format}, and this program's is {FORMAT}; empty it")
+        raise CannotOpenError(
+            f"the directory has format {head.format}, and this program needs format {FORMAT}; empty it"
+        )
     if group and head.group and head.group != group:
-        raise CannotOpenError(f"it belongs to the group {head.group!r}, and this is {group!r}; name its own")
+        raise CannotOpenError(
+            f"the directory belongs to group {head.group!r}, not to {group!r}; name another one"
+        )
     return True
 
 
 @inlineCallbacks
 def made_kept(reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> Any:
+    """The persistence of an opened store; writes the first head into an empty one."""
     kept = Kept(reactor, store, group, tell)
     try:
         if not (yield store.submit_read(check_ours, store, group)):
@@ -461,10 +480,10 @@
     group: str = "",
     tell: Callable[[str], None] = lambda text: None,
 ) -> Deferred[Kept]:
-    """Made where it is missing. Fails with a StoreError: in use, damaged, full, somebody else's.
+    """Opens the directory, or creates it. Fails with a StoreError: in use, damaged, full, of another program.
 
-    `clock`: µs of Unix time; `tell` is given a line where the disk's state changes; `group`: its name, where
-    a directory of another one is to be told from this one's.
+    `clock`: µs of Unix time; `tell` gets a line when the disk's state changes; `group`: its name, to detect
+    the directory of another group.
     """
     opened = open_store(reactor, directory, clock, rng, STORE, disk=disk)
     return opened.addCallback(lambda store: made_kept(reactor, store, group, tell))
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -1,4 +1,4 @@
-"""`lichencleat distribution run`: one relay from its file, with its disk, signals and exit code."""
+"""`lichencleat distribution run`: runs one relay from its file, with its disk, signals and exit code."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
 
-STOP_MOST = 5.0  # s for the disk to take what it was given, once told to leave
+STOP_MOST = 5.0  # s for the disk to write pending changes during a shutdown
 
 
 class Running:
-    """Brings a relay up on the reactor, and down at a signal."""
+    """Starts a relay on the reactor, and stops it on a signal."""
 
     def __init__(self, reactor: Any, chosen: RelayChoice) -> None:
         self.reactor, self.chosen = reactor, chosen
@@ -41,22 +41,24 @@
 
     @inlineCallbacks
     def start(self) -> Any:
+        """Loads the stored version and starts the relay."""
         chosen, kept = self.chosen, None
         table, mark, recent = Table(), b"", []
         if chosen.directory is not None:
             from lichencleat.config_distribution.kept import (
-                open_kept,  # off means not imported: memory counts
+                open_kept,  # imported only if needed, to save memory
             )
 
             try:
-                # the real disk is opened by the store's own thread: it may block
+                # the real disk is opened by the store's own thread, as that may block
                 disk = None if chosen.disk == "real" else open_disk(chosen.disk, chosen.directory)
                 kept = yield open_kept(
                     self.reactor, chosen.directory, unix_time, self.rng, disk, chosen.group, self.disk_says
                 )
                 table, mark, recent = yield kept.load()
-            except (StoreError, OSError) as wrong:  # it goes on without: what it lacks comes from above
-                self.disk_says(f"{wrong}; goes on without it")
+            # the relay works without the disk: it fetches what it lacks
+            except (StoreError, OSError) as wrong:
+                self.disk_says(f"{wrong}; the relay runs without it")
                 if kept is not None:
                     kept.close()
                 kept = None
@@ -75,22 +77,25 @@
         self.relay.start()
 
     def disk_says(self, what: str) -> None:
+        """Logs a change of the disk's state."""
         self.log.warning("disk", says=what)
 
     def request_stop(self) -> None:
+        """Starts the shutdown; further calls have no effect."""
         if self.stopping:
             return
         self.stopping = True
-        self.reactor.callLater(STOP_MOST, self.stop, EXIT_STOPPED)  # guards the end, whatever the disk does
+        self.reactor.callLater(STOP_MOST, self.stop, EXIT_STOPPED)  # ends the process even if the disk hangs
         if self.relay is not None:
             self.relay.stop().addBoth(lambda _: self.stop(EXIT_STOPPED))
 
     def stop(self, code: int, reason: str = "") -> None:
+        """Logs the end and stops the reactor."""
         if self.stopped:
             return
         self.stopped, self.exit_code = True, code
         if reason:
-            self.log.warning("can't start", reason=reason)
+            self.log.warning("cannot start", reason=reason)
         else:
             counters = self.relay.counters() if self.relay is not None else {}
             self.log.info("stopped", code=code, **{name.replace(" ", "_"): n for name, n in counters.items()})
@@ -98,6 +103,6 @@
 
 
 def run(chosen: RelayChoice) -> int:
-    """The exit code: 0 told to leave, 2 could not start."""
+    """Runs the relay. Returns the exit code: 0 after a stop signal, 2 if it could not start."""
     reactor = make_reactor()
     return run_daemon(reactor, Running(reactor, chosen))
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -1,7 +1,7 @@
-"""One relay: a `Subscriber` above and a `Serving` below round one table, and its last version on a disk.
+"""A relay process: a `Subscriber` above and a `Serving` below one table, and its last version on a disk.
 
-It serves what it has only once that is checked, and tells how old it is: after a start that is unknown, and
-told as older than any relay may be, until one above has answered. Who hangs on it goes elsewhere until then.
+It serves its version as soon as that is checked, with its age. After a start the age is unknown, which counts
+as older than any limit, until a process above has answered; subscribers prefer other relays until then.
 """
 
 from __future__ import annotations
@@ -34,15 +34,15 @@
 from lichencleat.transport.inbound import InboundConnection, Listener
 
 if TYPE_CHECKING:
-    from lichencleat.config_distribution.kept import Kept  # off means not imported: memory counts
+    from lichencleat.config_distribution.kept import Kept  # imported only if needed, to save memory
 
-COUNT = 200_000  # µs between sums of what is below: they are told once a second
-SWEEP = 5.0  # s between looks for links whose caller has not said who it is
+COUNT = 200_000  # µs between sums of the counts below; they are sent once a second
+SWEEP = 5.0  # s between checks for links without a greeting
 SECOND = 1_000_000  # µs
 
 
 class RelayProcess:
-    """Owns the door, the links above, the timers and the disk; given back in `stop`."""
+    """Owns the listener, the links above, the timers and the disk; `stop` releases them."""
 
     def __init__(
         self,
@@ -55,12 +55,12 @@
         recent: Sequence[Batch] = (),
         kept: Kept | None = None,
     ) -> None:
-        """`table`, `mark`, `recent`: as they were kept. Raises CannotListenError."""
+        """`table`, `mark`, `recent`: from the disk. Raises CannotListenError."""
         self.reactor, self.chosen, self.log, self.kept = reactor, chosen, log, kept
         self.table, self.mark, self.kept_mark = table, mark, mark
         self.copy = TableCopy(table, mark)
         self.counts: dict[str, int] = {}
-        self.silent: set[InboundConnection] = set()  # links without a greeting at the last look
+        self.silent: set[InboundConnection] = set()  # links without a greeting at the last check
         self.counted_at = 0
         self.stopped = False
         now = self.now()
@@ -85,13 +85,15 @@
         self.sweeping = reactor.callLater(SWEEP, self.sweep)
 
     def now(self) -> int:
+        """µs on the monotonic clock."""
         return int(self.reactor.seconds() * SECOND)
 
     def start(self) -> None:
+        """Opens the first link above."""
         self.subscriber.start()
 
     def stop(self) -> Deferred[None]:
-        """Asks and answers no more; fires once the disk has what it was given."""
+        """Stops asking and answering; fires once the disk has the pending changes."""
         if self.stopped:
             return succeed(None)
         self.stopped = True
@@ -101,21 +103,23 @@
         self.door.close()
         return self.kept.close() if self.kept is not None else succeed(None)
 
-    # -- from above ------------------------------------------------------------------------------------
+    # -- events from above -----------------------------------------------------------------------------------
 
     def before(self) -> None:
-        """Before anything is asked above: what is below, as of now."""
+        """Updates the counts of what is below, before a request is sent above."""
         now = self.now()
         if now - self.counted_at >= COUNT:
             self.counted_at = now
             self.follower.below = self.feeder.counts(now)
 
     def heard(self) -> None:
+        """An answer from above changed the age, or told the group's mark."""
         now = self.now()
         self.feeder.known(now, self.follower.age(now))
         self.learns()
 
     def taken(self, batches: tuple[Batch, ...]) -> None:
+        """The table applied these batches; (): a snapshot."""
         now = self.now()
         self.learns()
         self.feeder.grew(now, batches)
@@ -126,7 +130,7 @@
             else:
                 self.kept.replaced(self.table)
         self.log.info(
-            "takes" if batches else "takes a snapshot",
+            "applied batches" if batches else "applied a snapshot",
             version=self.table.version,
             batches=len(batches),
             records=self.table.records,
@@ -134,8 +138,10 @@
         self.serving.stir()
 
     def learns(self) -> None:
-        """Which group it is: that of what it has, before that the one above's. Who was greeted without it is
-        greeted again, so that a first start has nobody come twice; who was told another one has to come anew.
+        """Adopts the group's mark: that of its table, or before that of the relay above.
+
+        Links accepted without a mark get a second greeting, so that nobody has to reconnect at a first start;
+        links that were given another mark are closed.
         """
         if self.copy.mark != self.kept_mark:
             self.kept_mark = self.copy.mark
@@ -144,7 +150,7 @@
         past, self.mark = self.mark, self.copy.mark or self.follower.mark or self.mark
         if past == self.mark:
             return
-        self.log.info("joins", mark=self.mark.hex())
+        self.log.info("joined the group", mark=self.mark.hex())
         for link in [each for each in self.door.connections if each.is_accepted]:
             if past:
                 link.transport.loseConnection()
@@ -152,11 +158,13 @@
                 link.send(self.word(GreetingResult.ACCEPTED))
 
     def word(self, welcome: GreetingResult) -> GreetingResponse:
+        """The response to a greeting."""
         return GreetingResponse(welcome, self.mark, 0, self.chosen.name, Incarnation(0, 0))
 
-    # -- the door's owner ------------------------------------------------------------------------------
+    # -- events of the listener -----------------------------------------------------------------------------
 
     def on_greeting(self, link: InboundConnection, greeting: Greeting) -> None:
+        """Accepts links of its own group and closes others."""
         mine = (
             greeting.format_version == FORMAT_VERSION
             and greeting.cluster_name == self.chosen.group
@@ -168,10 +176,13 @@
         link.send(self.word(GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER))
         if not mine:
             self.count("turned away")
-            self.log.warning("turns away", who=greeting.caller_name, group=greeting.cluster_name)
+            self.log.warning(
+                "rejected a link of another group", who=greeting.caller_name, group=greeting.cluster_name
+            )
             link.transport.loseConnection()
 
     def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
+        """Passes requests for the distribution on and declines others."""
         if self.serving.wants(request.operation):
             self.serving.asked(link, request)
         else:
@@ -179,6 +190,7 @@
             link.reply(ClientResponse(request.number, False, encode_raw("unfit")))
 
     def on_disconnected(self, link: InboundConnection, member_id: int) -> None:
+        """Forgets the link."""
         self.silent.discard(link)
         self.serving.hung_up(link)
 
@@ -186,10 +198,11 @@
         self.counts[what] = self.counts.get(what, 0) + 1
 
     def on_peer_message(self, message: object) -> None:
+        """Counts a frame that no relay expects."""
         self.count("frames out of place")
 
     def sweep(self) -> None:
-        """Ends links whose caller has said nothing since the last look: the door's places are few."""
+        """Closes links without a greeting since the last check, as the listener's places are few."""
         for link in self.silent:
             self.count("silent callers")
             link.transport.abortConnection()
@@ -197,7 +210,7 @@
         self.sweeping = self.reactor.callLater(SWEEP, self.sweep)
 
     def counters(self) -> dict[str, int]:
-        """All that this process counts, of its door, what it answers and what it asks."""
+        """All counters of this process: of its listener, of the answers below and of the requests above."""
         told = dict(self.counts)
         for part in (self.feeder.counters, self.serving.counts, self.subscriber.counters()):
             for what, number in part.items():
@@ -205,5 +218,5 @@
         return told
 
     def also(self) -> dict[str, Any]:
-        """For `status`, beside the feeder's word."""
+        """What `status` shows beside the publisher's state."""
         return {"above": self.follower.relay or "", "counters": dict(sorted(self.counters().items()))}
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -1,8 +1,9 @@
-"""The host round a `Feeder`: what subscribers ask is read off their links, and what it decides is written.
+"""The host of a `Feeder`: reads requests of subscribers from their links and writes the answers.
 
-For relays and voters alike. For each turn of the reactor all that was read is handed over, then decisions
-are pulled once; an answer that goes to many is encoded once. A subscriber has one question open at most, so
-one answer at most waits to be written to it; one that does not read it is dropped after a while, counted.
+For relays and voters alike. In each turn of the reactor all requests that were read are passed on, then
+decisions are pulled once; an answer to many subscribers is encoded once. A subscriber has at most one open
+request, so at most one answer waits to be written to it; a subscriber that doesn't read it is dropped after a
+while and counted.
 """
 
 from __future__ import annotations
@@ -29,9 +30,9 @@
 from lichencleat.log.interfaces import EventLogger
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
 
-ANSWERS_TURN = 64  # written in one turn of the reactor: what was read meanwhile is not kept waiting for all
-UNREAD = 10_000_000  # µs that an answer may wait to be read: at 13 KB a second the largest one is through
-LOOK = 1_000_000  # µs between looks at the links with an answer that was not taken
+ANSWERS_TURN = 64  # answers written in one turn of the reactor, so that new requests don't wait for all
+UNREAD = 10_000_000  # µs that an answer may remain unread; at 13 KB a second the largest one gets through
+LOOK = 1_000_000  # µs between checks of the links with an unread answer
 SECOND = 1_000_000  # µs
 
 DECODE: dict[str, Callable[[bytes], Any]] = {
@@ -39,12 +40,12 @@
     PAGES_OF: decode_wanted,
     FIND: decode_wanting,
 }
-SUBSCRIBES = frozenset([FOLLOW, DIGESTS, PAGES_OF])  # who asks one of these counts as a subscriber
+SUBSCRIBES = frozenset([FOLLOW, DIGESTS, PAGES_OF])  # operations that make the link count as a subscriber
 KNOWN = SUBSCRIBES | {IN_FORCE, FIND}
 
 
 class Link(Protocol):
-    """What a question came over, as quorum.links.Called."""
+    """The link of a request, as quorum.links.Called."""
 
     transport: Any
 
@@ -54,19 +55,19 @@
 
 
 class Asker:
-    """One link that has asked."""
+    """A link that has sent a request."""
 
     __slots__ = ("link", "number", "joined", "unread_since")
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.number: int | None = None  # of its open question
+        self.number: int | None = None  # of its open request
         self.joined = False  # the feeder counts it among its subscribers
-        self.unread_since: int | None = None  # an answer waits to be written since then
+        self.unread_since: int | None = None  # µs: an answer has waited to be written since then
 
 
 class Serving:
-    """Owns the timers and what is known of each link that asked; given back in `close`."""
+    """Owns the timers and the state of each link that sent a request; `close` releases them."""
 
     def __init__(
         self,
@@ -77,30 +78,32 @@
         also: Callable[[], dict[str, Any]] = dict,
         turn: int = ANSWERS_TURN,
     ) -> None:
-        """`now`: µs on the monotonic clock; `also`: what `status` is told beside the feeder's word; `turn`:
-        answers in one turn.
+        """`now`: µs on the monotonic clock; `also`: further content for `status`; `turn`: answers in one
+        turn.
         """
         self.reactor, self.feeder, self.now, self.log = reactor, feeder, now, log
         self.also, self.turn = also, turn
         self.askers: dict[int, Asker] = {}
         self.numbers: dict[Link, int] = {}
-        self.last = 0  # number given to a link
+        self.last = 0  # the last number given to a link
         self.stirred = self.closed = False
         self.timer: Any = None  # for the feeder's deadline
-        self.looking: Any = None  # while an answer waits to be read
+        self.looking: Any = None  # while an answer waits to be written
         self.counts: dict[str, int] = {}
-        self.encoded: dict[int, tuple[Any, msgspec.Raw]] = {}  # of this pull: the content, by its id
+        # id of a content -> content, encoded; of this pull
+        self.encoded: dict[int, tuple[Any, msgspec.Raw]] = {}
 
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    # -- what happened ---------------------------------------------------------------------------------
+    # -- events --------------------------------------------------------------------------------
 
     def wants(self, what: str) -> bool:
-        """Is it a question for the distribution?"""
+        """Whether the operation belongs to the distribution."""
         return what in KNOWN
 
     def asked(self, link: Link, request: ClientRequest) -> None:
+        """A request from a link."""
         if self.closed:
             return
         who = self.numbers.get(link)
@@ -110,7 +113,7 @@
             self.askers[who] = Asker(link)
         asker = self.askers[who]
         if asker.number is not None or link.unsent_bytes():
-            # its last answer is still open, or not read: what waits for it stays at one answer
+            # its last answer is open or unread: at most one answer may wait for a subscriber
             self.count("asked again before the answer")
             link.transport.abortConnection()
             return
@@ -131,6 +134,7 @@
         self.stir()
 
     def hung_up(self, link: Link) -> None:
+        """The link has ended."""
         who = self.numbers.pop(link, None)
         if who is None:
             return
@@ -141,7 +145,7 @@
                 self.stir()
 
     def stir(self) -> None:
-        """The feeder knows something new: decisions are pulled in the next turn, once."""
+        """Has decisions pulled in the next turn, once, after new input to the feeder."""
         if not self.stirred and not self.closed:
             self.stirred = True
             self.reactor.callLater(0, self.pull)
@@ -149,6 +153,7 @@
     # -- decisions -------------------------------------------------------------------------------------
 
     def pull(self) -> None:
+        """Pulls the feeder's decisions and writes the answers."""
         self.stirred = False
         if self.closed:
             return
@@ -162,29 +167,33 @@
                     if asker is not None:
                         asker.link.transport.abortConnection()
                 elif asker is None or asker.number != decision.number:
-                    continue  # it has hung up meanwhile
+                    continue  # the link has ended or its request was answered meanwhile
                 elif isinstance(decision, Answer):
                     content = decision.content
                     told = {**content, **self.also()} if isinstance(content, dict) else content
                     self.answer(asker, True, self.encode_once(told))
                 else:
                     self.answer(asker, False, encode_raw(decision.why))
-        except Exception:  # guards a voter: it leads and confirms whatever becomes of those that follow
+        except Exception:  # a voter has to keep leading and confirming whatever happens to subscribers
             self.count("errors")
-            self.log.warning("error", trace=traceback.format_exc(limit=-3).replace("\n", " | "))
+            self.log.warning(
+                "cannot answer subscribers", trace=traceback.format_exc(limit=-3).replace("\n", " | ")
+            )
         self.encoded.clear()
         if not left:
             self.stir()
         self.arm()
 
     def encode_once(self, content: Any) -> msgspec.Raw:
+        """The encoded content, from the same pull if it was encoded before."""
         known = self.encoded.get(id(content))
         if known is None:
-            # with the content itself, so that its id is nobody else's as long as this stands
+            # keeps the content alive, so that its id is not reused
             known = self.encoded[id(content)] = (content, msgspec.Raw(encode(content)))
         return known[1]
 
     def answer(self, asker: Asker, done: bool, content: msgspec.Raw) -> None:
+        """Writes the answer to the link's open request."""
         number, asker.number = asker.number, None
         assert number is not None
         asker.link.reply(ClientResponse(number, done, content))
@@ -194,7 +203,7 @@
                 self.looking = self.reactor.callLater(LOOK / SECOND, self.look)
 
     def look(self) -> None:
-        """Drops who does not read: what waits for it is memory of this process."""
+        """Drops subscribers that don't read, as their answers occupy this process's memory."""
         self.looking = None
         now, some = self.now(), False
         for asker in list(self.askers.values()):
@@ -212,6 +221,7 @@
             self.looking = self.reactor.callLater(LOOK / SECOND, self.look)
 
     def arm(self) -> None:
+        """Sets the timer for the feeder's deadline."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         deadline = self.feeder.deadline()
@@ -224,7 +234,7 @@
         self.pull()
 
     def close(self) -> None:
-        """Nothing is answered from here on; the links are their door's."""
+        """Stops answering; the links belong to the listener."""
         self.closed = True
         for timer in (self.timer, self.looking):
             if timer is not None and timer.active():
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -1,7 +1,8 @@
-"""The host round a `Follower`: opens links to relays, asks, and has what came staged in slices and taken.
+"""The host of a `Follower`: opens links to relays, sends requests, and has updates staged in slices and
+applied.
 
-One slice a turn of the reactor, so that a node's callers wait for none. An answer that can't be decoded ends
-the link that it came over, counted.
+One slice per turn of the reactor, so that a node's clients don't wait for all of it. An answer that can't be
+decoded ends its link and is counted.
 """
 
 from __future__ import annotations
@@ -42,8 +43,8 @@
 )
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
-CALL = 1.5  # s for a connection to open; the follower's patience is shorter, and counts until it is greeted
-AGAIN = 0.1  # s until decisions are pulled again after one that failed
+CALL = 1.5  # s for a connection to open; the follower's own limit is shorter and includes the greeting
+AGAIN = 0.1  # s until decisions are pulled again after an error
 SECOND = 1_000_000  # µs
 
 DECODE: dict[str, Callable[[bytes], Any]] = {
@@ -75,27 +76,28 @@
         elif isinstance(frame, ClientResponse) and self.way.link is self:
             self.way.replied(frame)
         elif frame is None:
-            self.way.end("a frame that can't be read", "frames that can't be read")
+            self.way.end("its frame could not be decoded", "frames that can't be read")
         else:
-            self.way.end("a frame out of place", "frames out of place")
+            self.way.end("it sent an unexpected frame", "frames out of place")
 
     def connectionLost(self, reason: Any = None) -> None:
         self.way.end("the connection ended")
 
 
 class Way(ClientFactory):
-    """One try at one relay, from its opening to its end; a later one is another Way. It has no timer: the
-    follower gives up who opens no link or says nothing.
+    """One attempt at one relay, from opening the link to its end.
+
+    It has no timer: the follower gives up relays that don't open the link or don't answer.
     """
 
     noisy = False
 
     def __init__(self, host: Subscriber, relay: str) -> None:
         self.host, self.relay = host, relay
-        self.link: Upward | None = None  # greeted and welcome
-        self.mark = b""  # of its group, as it said
-        self.number = 0  # of the last question
-        self.what = ""  # of the open question
+        self.link: Upward | None = None  # once the relay has accepted the greeting
+        self.mark = b""  # the group's mark, as the relay reported it
+        self.number = 0  # of the last request
+        self.what = ""  # of the open request
         self.ended = False
         where, port = parse_address(relay)
         self.connector = host.reactor.connectTCP(where, port, self, timeout=CALL)
@@ -104,35 +106,38 @@
         return Upward(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.end("no connection")
+        self.end("the connection could not be opened")
 
     def greeted(self, link: Upward, answer: GreetingResponse) -> None:
+        """The relay has answered the greeting."""
         if answer.result != GreetingResult.ACCEPTED:
-            self.end("is of another group", "turned away")
+            self.end("it belongs to another group", "turned away")
             return
         self.link, self.mark = link, answer.cluster_id
         self.host.opened(self)
 
     def learned(self, answer: GreetingResponse) -> None:
-        """It did not know its group when it was called, and does now."""
+        """The relay didn't know its group's mark when the link was opened, and now does."""
         if (
             answer.result != GreetingResult.ACCEPTED
             or (self.host.copy.mark or answer.cluster_id) != answer.cluster_id
         ):
-            self.end("is of another group", "turned away")
+            self.end("it belongs to another group", "turned away")
             return
         self.mark = answer.cluster_id
         self.host.learned(self)
 
     def ask(self, what: str, content: Any) -> None:
+        """Sends a request."""
         assert self.link is not None
         self.number += 1
         self.what = what
         self.link.send(ClientRequest(self.number, what, encode_raw(content)))
 
     def replied(self, reply: ClientResponse) -> None:
+        """The relay has answered a request."""
         if reply.number != self.number or not self.what:
-            self.end("an answer to no question", "frames out of place")
+            self.end("it sent an answer without a request", "frames out of place")
             return
         what, self.what = self.what, ""
         content, why = None, ""
@@ -142,12 +147,12 @@
             else:
                 why = decode_why(reply.content)
         except UNDECODABLE:
-            self.end("an answer that can't be read", "answers that can't be read")
+            self.end("its answer could not be decoded", "answers that can't be read")
             return
         self.host.told(self, what, content, why)
 
     def end(self, why: str, counted: str = "") -> None:
-        """Of itself, the other end or the network: told once."""
+        """Ends the attempt and reports that once to the host."""
         if self.ended:
             return
         if counted:
@@ -156,7 +161,7 @@
         self.host.lost(self, why)
 
     def drop(self) -> None:
-        """Without a word: the follower wants it no more."""
+        """Closes the link without a report: the follower has decided it."""
         self.ended = True
         if self.link is not None:
             self.link.transport.abortConnection()
@@ -165,7 +170,7 @@
 
 
 class Subscriber:
-    """Owns the links to relays and the timers; given back in `stop`."""
+    """Owns the links to relays and the timers; `stop` releases them."""
 
     def __init__(
         self,
@@ -181,10 +186,11 @@
         on_told: Callable[[], None] = lambda: None,
         before: Callable[[], None] = lambda: None,
     ) -> None:
-        """`group`: its name; `who` calls, for the relays' logs; `now`: µs on the monotonic clock.
+        """`group`: its name; `who`: this process's name in the relays' logs; `now`: µs on the monotonic
+        clock.
 
-        Called after something was taken: `on_taken`, with the batches, or none for a snapshot; after each
-        answer: `on_told`; before decisions are pulled: `before`, for what is below to be told.
+        Callbacks: `on_taken` after an update was applied, with its batches, () for a snapshot; `on_told`
+        after each answer; `before` before decisions are pulled, to update the counts below.
         """
         self.reactor, self.group, self.who, self.rng, self.log = reactor, group, who, rng, log
         self.follower, self.copy = follower, copy
@@ -200,10 +206,12 @@
         self.counts[what] = self.counts.get(what, 0) + 1
 
     def start(self) -> None:
+        """Starts to follow a relay."""
         self.begun = True
         self.stir()
 
     def stop(self) -> None:
+        """Closes all links and timers."""
         self.stopped = True
         for timer in (self.timer, self.stepping):
             if timer is not None and timer.active():
@@ -213,25 +221,29 @@
             way.drop()
         self.ways.clear()
 
-    # -- what happened ---------------------------------------------------------------------------------
+    # -- events --------------------------------------------------------------------------------
 
     def opened(self, way: Way) -> None:
+        """The attempt's link is open and accepted."""
         if self.ways.get(way.relay) is way:
             self.follower.opened(self.now(), way.relay, way.mark)
             self.stir()
 
     def learned(self, way: Way) -> None:
+        """The followed relay has reported its group's mark."""
         if self.ways.get(way.relay) is way and self.follower.relay == way.relay:
             self.follower.mark = way.mark
             self.on_told()
 
     def told(self, way: Way, what: str, content: Any, why: str) -> None:
+        """The attempt's relay has answered."""
         if self.ways.get(way.relay) is way:
             self.follower.told(self.now(), way.relay, what, content, why)
             self.on_told()
             self.stir()
 
     def lost(self, way: Way, why: str) -> None:
+        """The attempt has ended."""
         if self.ways.get(way.relay) is way:
             del self.ways[way.relay]
             self.follower.lost(self.now(), way.relay, why)
@@ -243,20 +255,21 @@
         self.stir()
 
     def step(self) -> None:
-        """One slice of what is staged."""
+        """Processes one slice of the staged update."""
         self.stepping = None
         try:
             ready: bool | None = self.copy.step()
         except TableError as wrong:
-            self.log.warning("spoilt", why=str(wrong), relay=self.follower.relay or "")
+            self.log.warning("received corrupt data", why=str(wrong), relay=self.follower.relay or "")
             ready = None
-        except Exception:  # guards the node: whatever was staged is not taken
+        except Exception:  # the node keeps running; the staged update is discarded
             self.trouble()
             ready = None
         self.follower.stepped(self.now(), ready)
-        self.pull()  # in this turn: what was taken is told before anything else is read
+        self.pull()  # in this turn: an applied update is reported before anything else is read
 
     def stir(self) -> None:
+        """Has decisions pulled in the next turn, once."""
         if self.begun and not self.stirred and not self.stopped:
             self.stirred = True
             self.reactor.callLater(0, self.pull)
@@ -264,6 +277,7 @@
     # -- decisions -------------------------------------------------------------------------------------
 
     def pull(self) -> None:
+        """Pulls the follower's decisions and carries them out."""
         self.stirred = False
         if self.stopped:
             return
@@ -271,7 +285,7 @@
             self.before()
             while not self.stopped and (decision := self.follower.next_decision(self.now())) is not None:
                 self.carry_out(decision)
-        except Exception:  # guards the node: it goes on with what it has
+        except Exception:  # the node keeps its version
             self.trouble()
             self.arm(AGAIN)
             return
@@ -279,15 +293,21 @@
             self.arm(max(0, self.follower.deadline() - self.now()) / SECOND)
 
     def trouble(self) -> None:
+        """Counts and logs an unexpected error."""
         self.count("errors")
-        self.log.warning("error", trace=traceback.format_exc(limit=-3).replace("\n", " | "))
+        self.log.warning(
+            "unexpected error while following a relay",
+            trace=traceback.format_exc(limit=-3).replace("\n", " | "),
+        )
 
     def arm(self, span: float) -> None:
+        """Sets the timer for the next pull; `span` in seconds."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = self.reactor.callLater(span, self.wake)
 
     def carry_out(self, decision: Decision) -> None:
+        """Carries out one decision of the follower."""
         act = decision.act
         if act is Act.OPEN:
             self.drop(decision.relay)
@@ -307,17 +327,19 @@
             self.log.info(decision.text)
 
     def drop(self, relay: str) -> None:
+        """Ends the attempt at that relay, if there is one."""
         way = self.ways.pop(relay, None)
         if way is not None:
             way.drop()
 
-    # -- what it believes ------------------------------------------------------------------------------
+    # -- state -----------------------------------------------------------------------------
 
     def beliefs(self) -> str:
+        """Version, age and relay in one line."""
         age = self.follower.age(self.now())
         said = f"{age / SECOND:.1f} s" if age < OLDEST else "unknown"
         return f"version {self.copy.version}, age {said}, relay {self.follower.relay or 'none'}"
 
     def counters(self) -> dict[str, int]:
-        """All that was counted, of links and of what came over them."""
+        """All counters, of the links and of the updates."""
         return {**self.follower.counters, **self.counts}
--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -1,10 +1,10 @@
-"""A voter as what subscribers hang on: it answers from what it has applied, leader or follower.
+"""A voter as a source for subscribers: it answers from the entries that it has applied, leader or follower.
 
-What is applied is committed, so nothing that is answered is ever taken back. The age of it is counted from
-the last moment at which this voter knew that it had all that was committed: a leader asks a majority whether
-it still leads, some times a second, and counts from before it asked; a follower counts from a word of the
-leader's whose commit it has applied by now. That word may come from a leader which has just lost its majority
-and does not know yet: for an election's time at the most.
+Applied entries are committed, so no answer is ever revoked. The age counts from the last moment at which this
+voter knew that it had all committed entries: a leader confirms its leadership with a majority several times a
+second, and the age counts from before that; at a follower it counts from a message of the leader whose commit
+is applied by now. That message may come from a leader that has just lost its majority and doesn't know it
+yet, for at most an election timeout.
 """
 
 from __future__ import annotations
@@ -20,25 +20,27 @@
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
 from lichencleat.transport.inbound import InboundConnection
 
-PART = "distribution"  # of the group's state
-PROVE = 0.1  # s between a leader's questions whether it still leads: one word more to each voter
-SILENCE = 1_000_000  # µs without a word, which even a learner hears twice a second: this process was stopped
-DOUBT = 400_000  # µs after that in which words may be old ones, out of a socket's buffer: it is read by then
+PART = "distribution"  # the name of this part of the group's state
+PROVE = 0.1  # s between a leader's confirmations of its leadership: one more message to each voter
+# µs without a message, of which even a learner gets two a second: this process was stopped
+SILENCE = 1_000_000
+DOUBT = 400_000  # µs after that in which messages may be old ones from the receive buffer, which is then read
 NOT_YET = "nothing here"
 SECOND = 1_000_000  # µs
 
 
 class Fresh:
-    """Since when a member knows that it has all that is committed; no I/O."""
+    """Since when a member knows that it has all committed entries; no I/O."""
 
     def __init__(self) -> None:
         self.at: int | None = None  # µs: the last such moment
-        self.heard: int | None = None  # µs: the last word
-        self.doubt = 0  # µs: until then words are not counted
-        self.waiting: tuple[int, int] | None = None  # when a word came whose commit is not applied, and that
+        self.heard: int | None = None  # µs: the last message
+        self.doubt = 0  # µs: messages before it are ignored
+        # when a message arrived whose commit is not applied yet, and that commit
+        self.waiting: tuple[int, int] | None = None
 
     def word(self, now: int, commit: int, applied: int) -> None:
-        """The leader's. After a pause many come at once, and nothing tells which of them is of now."""
+        """A message of the leader. After a pause many arrive at once, and none shows when it was sent."""
         if self.heard is None or now - self.heard > SILENCE:
             self.doubt, self.waiting = now + DOUBT, None
         self.heard = now
@@ -50,17 +52,18 @@
             self.waiting = (now, commit)
 
     def applied(self, index: int) -> None:
+        """The member has applied the entries up to `index`."""
         if self.waiting is not None and self.waiting[1] <= index:
             self.at, self.waiting = self.waiting[0], None
 
     def proved(self, asked: int) -> None:
-        """It led at some moment after `asked`, and has applied all that was committed then."""
+        """The member led at some moment after `asked`, and has applied all entries committed by then."""
         self.at = asked if self.at is None else max(self.at, asked)
         self.waiting = None
 
 
 class Voting:
-    """Hangs on `consensus.process.MemberProcess`, which calls all of this; `close` gives everything back."""
+    """Publishes a voter's table. `consensus.process.MemberProcess` calls it; `close` releases everything."""
 
     def __init__(
         self,
@@ -70,13 +73,13 @@
         log: Any,
         host: Callable[..., Any] = Serving,
     ) -> None:
-        """`host`: carries a feeder's decisions to the links, as `serving.Serving`."""
+        """`host`: carries out a feeder's decisions, as `serving.Serving`."""
         self.reactor, self.name, self.zone, self.log, self.host = reactor, name, zone, log, host
         self.fresh = Fresh()
         self.member: MemberView | None = None
-        self.source: Source | None = None  # of the state that was seen last
-        self.version = 0  # that the feeder knows
-        self.index = 0  # applied
+        self.source: Source | None = None  # the source in the last state seen
+        self.version = 0  # the feeder's version
+        self.index = 0  # of the last entry applied
         self.feeder: Feeder | None = None
         self.serving: Any = None
         self.timer: Any = None
@@ -86,12 +89,14 @@
         self.member = member
 
     def now(self) -> int:
+        """µs on the monotonic clock."""
         assert self.member is not None
         return self.member.now()
 
-    # -- what the member has ---------------------------------------------------------------------------
+    # -- events of the member --------------------------------------------------------------------------
 
     def on_applied(self, state: StateMachine) -> None:
+        """The member has applied entries, or loaded a snapshot."""
         self.index = state.applied
         self.fresh.applied(state.applied)
         source = state.states[PART]
@@ -103,7 +108,7 @@
         self.tell_age()
 
     def takes(self, source: Source) -> None:
-        """Another state: at the start, or a snapshot's."""
+        """Uses another state object: at the start, or after a snapshot."""
         now, table = self.now(), source.table
         self.source, self.version = source, table.version
         if self.feeder is None:
@@ -112,12 +117,13 @@
             self.prove()
         self.feeder.table = table
         kept = tuple(each.batch for each in source.window)
-        if kept:  # a start feeds from what the dump brought along
+        if kept:  # subscribers can be sent the batches that the dump includes
             self.feeder.window.restart(*source.since)
         self.feeder.grew(now, kept)
         self.serving.stir()
 
     def grows(self, source: Source) -> None:
+        """Passes new batches to the feeder."""
         new = []
         for past in reversed(source.window):
             if past.batch.version <= self.version:
@@ -129,16 +135,18 @@
         self.serving.stir()
 
     def on_leader_commit(self, commit: int) -> None:
+        """A message of the leader with its commit index has arrived."""
         self.fresh.word(self.now(), commit, self.index)
         self.tell_age()
 
     def tell_age(self) -> None:
+        """Passes the age to the feeder."""
         if self.feeder is not None and self.fresh.at is not None:
             now = self.now()
             self.feeder.known(now, now - self.fresh.at)
 
     def prove(self) -> None:
-        """Whether it leads is the group's to say: who does not is told so at once."""
+        """Confirms the leadership, again and again; at a member that doesn't lead that fails at once."""
         asked = self.now()
 
         def told(done: bool) -> None:
@@ -152,22 +160,26 @@
         if not self.ended and self.member is not None:
             self.member.confirm_leadership(told)
 
-    # -- what is asked ---------------------------------------------------------------------------------
+    # -- requests --------------------------------------------------------------------------------
 
     def handles(self, what: str) -> bool:
+        """Whether the operation belongs to the distribution."""
         return what in KNOWN
 
     def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
-        if self.serving is None:  # it does not take part yet: what it holds may be put back from a copy
+        # the member doesn't take part yet: its state may still be restored from a copy
+        if self.serving is None:
             link.reply(ClientResponse(request.number, False, encode_raw(NOT_YET)))
         else:
             self.serving.asked(link, request)
 
     def on_disconnected(self, link: InboundConnection) -> None:
+        """Forgets the link."""
         if self.serving is not None:
             self.serving.hung_up(link)
 
     def close(self) -> None:
+        """Stops the timer and the answers."""
         self.ended = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
--- a/tests/config_distribution/test_kept.py
+++ b/tests/config_distribution/test_kept.py
@@ -308,7 +308,7 @@
     after = Life(FaultyDisk(disk.image()))
     loaded, mark, recent = after.load()
     assert same(loaded, Table()) and (mark, recent) == (b"", [])
-    assert "spoilt" in after.kept.trouble and len(after.lines) == 1
+    assert "corrupt" in after.kept.trouble and len(after.lines) == 1
     other = Table()
     step(other, 9, 30)
     after.kept.replaced(other)  # and it is written over
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -265,7 +265,7 @@
     node.copy.step = step
     assert place.net.run(200, lambda: node.copy.version == 3)
     assert node.counters()["spoilt"] == 2 and node.counts["errors"] == 1
-    assert "spoilt" in place.log.events
+    assert "received corrupt data" in place.log.events
 
 
 def test_what_stops_gives_back_its_links_and_timers(place):
