--- a/benchmarks/distribution_table.py
+++ b/benchmarks/distribution_table.py
@@ -28,8 +28,8 @@
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
-    PAGES,
-    RECORDS_MOST,
+    MAX_RECORDS,
+    PAGE_COUNT,
     Batch,
     Change,
     Digests,
@@ -67,7 +67,7 @@
     for number in rng.sample(range(count), size):
         change = record(rng, number, count)
         if number % 10 == 0:
-            new = rng.random() < 0.5 and table.records + size <= RECORDS_MOST
+            new = rng.random() < 0.5 and table.records + size <= MAX_RECORDS
             change = Change("tenant", f"new-{rng.getrandbits(40)}", change.value) if new else change
             change = change if new else Change(change.kind, change.name, None)
         changes.append(change)
@@ -77,18 +77,18 @@
 def make(count: int, directory: Path) -> dict[str, float]:
     """Writes the head, the packed pages and some batches on top; keeps the table in a store, too."""
     rng = random.Random(count)
-    puts: list[list[pages.Put]] = [[] for _ in range(PAGES)]
+    puts: list[list[pages.PageChange]] = [[] for _ in range(PAGE_COUNT)]
     for number in range(count):
         change = record(rng, number, count)
-        key = pages.key_of(change.kind, change.name)
-        page, place = pages.place_of(key)
+        key = pages.encode_key(change.kind, change.name)
+        page, place = pages.locate_key(key)
         puts[page].append((place, key, change.value))
-    whole = [pages.rewritten(b"", each)[0] for each in puts]
+    whole = [pages.rewrite_page(b"", each)[0] for each in puts]
     del puts
     table = Table.loaded(1, whole)
     view = table.view()
     began = time.perf_counter()
-    packed = [view.packed(number) for number in range(PAGES)]
+    packed = [view.packed(number) for number in range(PAGE_COUNT)]
     took = time.perf_counter() - began
     (directory / "head").write_bytes(encode(view.head(0)))
     with open(directory / "pages", "wb") as file:
--- a/lichencleat/capacity/bounds.py
+++ b/lichencleat/capacity/bounds.py
@@ -62,17 +62,17 @@
     Bound("collector", "tenants told apart", "flows.collector.TENANTS_MOST", collector.TENANTS_MOST,
           of.tenants),
     Bound("relay", "subscribers: a zone's nodes", "distribution.terms.SUBSCRIBERS_MOST",
-          distribution.SUBSCRIBERS_MOST,
+          distribution.MAX_SUBSCRIBERS,
           of.zone_nodes),
-    Bound("relay", "records", "distribution.terms.RECORDS_MOST", distribution.RECORDS_MOST, of.records),
-    Bound("relay", "zones counted apart", "distribution.terms.ZONES_MOST", distribution.ZONES_MOST, of.zones),
+    Bound("relay", "records", "distribution.terms.RECORDS_MOST", distribution.MAX_RECORDS, of.records),
+    Bound("relay", "zones counted apart", "distribution.terms.ZONES_MOST", distribution.MAX_ZONES, of.zones),
 )
 # fmt: on
 
 SOURCES = {
-    "distribution.terms.RECORDS_MOST": "config_distribution.terms.RECORDS_MOST",
-    "distribution.terms.SUBSCRIBERS_MOST": "config_distribution.terms.SUBSCRIBERS_MOST",
-    "distribution.terms.ZONES_MOST": "config_distribution.terms.ZONES_MOST",
+    "distribution.terms.RECORDS_MOST": "config_distribution.terms.MAX_RECORDS",
+    "distribution.terms.SUBSCRIBERS_MOST": "config_distribution.terms.MAX_SUBSCRIBERS",
+    "distribution.terms.ZONES_MOST": "config_distribution.terms.MAX_ZONES",
     "flows.collector.SENDERS_MOST": "flows.collector.SENDERS_MOST",
     "flows.collector.TENANTS_MOST": "flows.collector.TENANTS_MOST",
     "members.table.MEMBERS_MOST": "membership.member_table.MAX_MEMBERS",
--- a/lichencleat/capacity/events.py
+++ b/lichencleat/capacity/events.py
@@ -8,7 +8,7 @@
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import DAY, Target
 from lichencleat.config_distribution.feed import FETCH_RATE
-from lichencleat.config_distribution.terms import WINDOW_BATCHES
+from lichencleat.config_distribution.terms import MAX_WINDOW_BATCHES
 from lichencleat.recovery.messages import MAX_NODES
 
 CUT = 300.0  # s that a region is cut off
@@ -79,7 +79,10 @@
             [
                 Figure("changes that each node lacks", target.changes_a_second * CUT, "", "target"),
                 Figure(
-                    "changes that a relay keeps", WINDOW_BATCHES, "", "`distribution.terms.WINDOW_BATCHES`"
+                    "changes that a relay keeps",
+                    MAX_WINDOW_BATCHES,
+                    "",
+                    "`distribution.terms.WINDOW_BATCHES`",
                 ),
                 simulated("region_cut.back_s", LAST),
                 simulated("region_cut.in_force_p99_s", MOST),
--- a/lichencleat/capacity/glance.py
+++ b/lichencleat/capacity/glance.py
@@ -12,7 +12,7 @@
 from lichencleat.capacity.sizes import SECOND
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import Target
-from lichencleat.config_distribution.terms import HOLD
+from lichencleat.config_distribution.terms import MAX_HOLD_US
 from lichencleat.leases import messages as owners
 from lichencleat.quotas import messages as shares
 
@@ -47,7 +47,7 @@
         return None if found is None else found.at(size)
 
     changes, nodes, records = target.changes_a_second, target.nodes, target.records
-    asked = SECOND / HOLD + changes  # questions a second of one subscriber
+    asked = SECOND / MAX_HOLD_US + changes  # questions a second of one subscriber
     each = at("subscriber.bytes_s", changes)
     zone = nodes / target.zones / target.tree.relays_a_zone
     relays = target.zones * target.tree.relays_a_zone / target.regions / target.tree.relays_a_region
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -26,7 +26,7 @@
     Published,
     net,
 )
-from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change
+from lichencleat.config_distribution.terms import MAX_BATCH_BYTES, MAX_BATCH_CHANGES, Change
 from lichencleat.transport.errors import RequestFailedError
 from lichencleat.transport.group_client import GroupClient
 
@@ -106,8 +106,9 @@
             "--skip needs --in-batches"
             if skip
             else (
-                f"{found.records} records, {found.bytes} bytes; one batch has at most {BATCH_MOST} and "
-                f"{BATCH_BYTES}. With --in-batches it goes in {found.batches}, which hold each by itself"
+                f"{found.records} records, {found.bytes} bytes; one batch has at most {MAX_BATCH_CHANGES} "
+                f"and {MAX_BATCH_BYTES}. With --in-batches it goes in {found.batches}, which hold each "
+                "by itself"
             )
         )
         raise output.WrongInput(f"{batch_file}: {why}")
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -10,7 +10,7 @@
 from lichencleat.cli import output
 from lichencleat.cli.consensus import ask_all, on_reactor
 from lichencleat.config.errors import InvalidConfigError
-from lichencleat.config_distribution.counts import OLDEST, merged
+from lichencleat.config_distribution.counts import MAX_AGE_US, merge_counts
 from lichencleat.config_distribution.terms import IN_FORCE, Count
 from lichencleat.coordinator.settings import read_quorum_settings
 
@@ -63,12 +63,12 @@
 
 def in_force(answered: dict[str, dict[str, Any]]) -> dict[str, Any]:
     """The newest version that any voter has, and the zones' sums over all of them."""
-    counts = merged(
+    counts = merge_counts(
         Count(
             each["zone"],
             each["nodes"],
             each["lowest"],
-            each["oldest_us"] if each["oldest_us"] >= 0 else OLDEST,
+            each["oldest_us"] if each["oldest_us"] >= 0 else MAX_AGE_US,
             each["late"],
             each["by"],
         )
@@ -85,7 +85,7 @@
                 "nodes": each.nodes,
                 "lowest": each.lowest,
                 "late": each.late,
-                "oldest_us": each.oldest if each.oldest < OLDEST else -1,
+                "oldest_us": each.oldest if each.oldest < MAX_AGE_US else -1,
                 "by": each.by,
             }
             for each in counts
--- a/lichencleat/config_distribution/choice.py
+++ b/lichencleat/config_distribution/choice.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 
-from lichencleat.config_distribution.terms import HOLD, RELAYS_MOST
+from lichencleat.config_distribution.terms import MAX_HOLD_US, MAX_RELAYS
 
 Span = tuple[int, int]  # µs: lower and upper bound of a random delay
 
@@ -23,7 +23,7 @@
     Pairs are bounds of a random draw, so that many processes don't act at the same moment.
     """
 
-    hold: int = HOLD  # how long a node's request may be held while there is no news
+    hold: int = MAX_HOLD_US  # how long a node's request may be held while there is no news
     relay_hold: int = 400_000  # the same for a relay; shorter, because ages add up from tier to tier
     patience: int = 1_000_000  # time for an answer on top of the hold, until a relay counts as silent
     opening: int = 1_000_000  # time for a link to open
@@ -55,7 +55,7 @@
         for number, tier in enumerate(tiers):
             drawn = [each for each in dict.fromkeys(tier) if each not in self.tier]
             rng.shuffle(drawn)
-            for each in drawn[: RELAYS_MOST - len(self.tier)]:
+            for each in drawn[: MAX_RELAYS - len(self.tier)]:
                 self.tier[each] = number
         self.order = list(self.tier)  # the order of this process
         self.out: dict[str, int] = {}  # relay -> excluded until, µs
--- a/lichencleat/config_distribution/copy.py
+++ b/lichencleat/config_distribution/copy.py
@@ -9,12 +9,12 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from lichencleat.config_distribution.errors import ChainError, SpoiltError
-from lichencleat.config_distribution.rebuild import Rebuild
+from lichencleat.config_distribution.errors import ChainError, CorruptTableError
+from lichencleat.config_distribution.rebuild import SnapshotStaging
 from lichencleat.config_distribution.table import Staging, Table
 from lichencleat.config_distribution.terms import Batch, Digests, Pages
 
-SPENT = 256  # replaced pages freed in one slice: some 100 µs
+PAGES_FREED_PER_SLICE = 256  # replaced pages freed in one slice: some 100 µs
 
 
 class Copy(Protocol):
@@ -40,7 +40,10 @@
         """Adds fetched pages; `step` checks them. False: of another snapshot, or not requested."""
 
     def step(self) -> bool:
-        """Processes one slice, under 1 ms. True: ready to be applied. Raises SpoiltError, ChainError."""
+        """Processes one slice, under 1 ms. True: ready to be applied.
+
+        Raises CorruptTableError, ChainError.
+        """
 
     def take(self) -> tuple[Batch, ...]:
         """Applies the staged update; returns its batches, () for a snapshot. Raises ChainError."""
@@ -56,7 +59,7 @@
         self.table = Table() if table is None else table
         self.mark = mark
         self.staging: Staging | None = None
-        self.rebuild: Rebuild | None = None
+        self.rebuild: SnapshotStaging | None = None
         self.going = False  # the snapshot is under way, not only kept for its pages
         self.wrong: Exception | None = None  # the error in the snapshot's head
         self.waiting: dict[
@@ -94,7 +97,7 @@
                     for number, data in self.waiting.items()
                     if old[number] == new[number] and self.rebuild.wants(number)
                 }
-        except (SpoiltError, ChainError) as wrong:
+        except (CorruptTableError, ChainError) as wrong:
             self.wrong = wrong
 
     def missing(self, most: int) -> list[int]:
@@ -114,7 +117,7 @@
 
     def spend(self) -> None:
         """Frees one slice of the replaced pages."""
-        del self.spent[-SPENT:]
+        del self.spent[-PAGES_FREED_PER_SLICE:]
 
     def step(self) -> bool:
         self.spend()
@@ -128,7 +131,9 @@
             return self.rebuild.step()
         number, data = self.waiting.popitem()
         if not self.rebuild.put(number, data):
-            raise SpoiltError(f"page {number} of the snapshot of version {self.rebuild.version} is corrupt")
+            raise CorruptTableError(
+                f"page {number} of the snapshot of version {self.rebuild.version} is corrupt"
+            )
         return False
 
     def take(self) -> tuple[Batch, ...]:
--- a/lichencleat/config_distribution/counts.py
+++ b/lichencleat/config_distribution/counts.py
@@ -2,30 +2,30 @@
 
 Counts hold sums and extremes, and no names except that of the relay that serves the lowest version. A node
 counts itself once and its relay adds it to the others of its zone; each report of a relay replaces its last
-one as a whole. A subscriber counts while its link is open and its last request is no older than `COUNTED`.
-So a subscriber that moved without closing its link is in two sums for at most that long, and each tier above
-learns of the move within one request (`HOLD`).
+one as a whole. A subscriber counts while its link is open and its last request is no older than
+`COUNT_EXPIRY_US`. So a subscriber that moved without closing its link is in two sums for at most that long,
+and each tier above learns of the move within one request (`MAX_HOLD_US`).
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-from lichencleat.config_distribution.terms import ZONES_MOST, Count
+from lichencleat.config_distribution.terms import MAX_ZONES, Count
 
-NODES_MOST = 1 << 20  # per count; far above any fleet, so that sums fit the integers of the wire format
-NAME_MOST = 64  # characters of a zone's or relay's name
+MAX_NODES = 1 << 20  # per count; far above any fleet, so that sums fit the integers of the wire format
+MAX_NAME_CHARS = 64  # characters of a zone's or relay's name
 # µs after the last request; longer than any hold, answer timeout or wait for a snapshot slot
-COUNTED = 5_000_000
-OLDEST = 1 << 53  # µs; upper bound of an age, and the age of a source never heard from; exact in JSON
+COUNT_EXPIRY_US = 5_000_000
+MAX_AGE_US = 1 << 53  # µs; upper bound of an age, and the age of a source never heard from; exact in JSON
 
 
-def aged(age: int, passed: int) -> int:
+def age_after(age: int, passed: int) -> int:
     """The age `passed` µs later."""
-    return min(OLDEST, age + max(0, passed))
+    return min(MAX_AGE_US, age + max(0, passed))
 
 
-class Sum:
+class ZoneSum:
     """The accumulated counts of one zone."""
 
     __slots__ = ("nodes", "lowest", "oldest", "late", "by")
@@ -44,18 +44,18 @@
             self.lowest, self.by = count.lowest, count.by
 
 
-def merged(counts: Iterable[Count], most: int = ZONES_MOST) -> tuple[Count, ...]:
+def merge_counts(counts: Iterable[Count], most: int = MAX_ZONES) -> tuple[Count, ...]:
     """One count per zone, sorted by name.
 
     Zones above the bound are merged into one count with the name "".
     """
-    sums: dict[str, Sum] = {}
+    sums: dict[str, ZoneSum] = {}
     for each in counts:
         if each.nodes <= 0:
             continue
         zone = each.zone if each.zone in sums or len(sums) < most else ""
         if zone not in sums:
-            sums[zone] = Sum()
+            sums[zone] = ZoneSum()
         sums[zone].add(each)
     return tuple(
         Count(zone, found.nodes, found.lowest or 0, found.oldest, found.late, found.by)
@@ -63,18 +63,22 @@
     )
 
 
-def at_relay(counts: Iterable[Count], relay: str, version: int, needed: int, passed: int) -> Iterable[Count]:
+def adjust_counts(
+    counts: Iterable[Count], relay: str, version: int, needed: int, passed: int
+) -> Iterable[Count]:
     """A subscriber's counts, adjusted for the sum of its relay.
 
-    `version`: applied by the subscriber; `needed`: the version that this relay has had for LATE; `passed`: µs
-    since the counts were sent. All nodes below a relay that is itself late are late. Numbers out of range are
-    clamped.
+    `version`: applied by the subscriber; `needed`: the version that this relay has had for LATE_AFTER_US;
+    `passed`: µs since the counts were sent. All nodes below a relay that is itself late are late. Numbers out
+    of range are clamped.
     """
     for each in counts:
-        nodes = min(NODES_MOST, max(0, each.nodes))
+        nodes = min(MAX_NODES, max(0, each.nodes))
         late = min(nodes, max(0, each.late))
         if version < needed or (not each.by and each.lowest < needed):
             late = nodes
-        oldest = aged(max(0, each.oldest), passed)
-        lowest = min(OLDEST, max(0, each.lowest))
-        yield Count(each.zone[:NAME_MOST], nodes, lowest, oldest, late, (each.by or relay)[:NAME_MOST])
+        oldest = age_after(max(0, each.oldest), passed)
+        lowest = min(MAX_AGE_US, max(0, each.lowest))
+        yield Count(
+            each.zone[:MAX_NAME_CHARS], nodes, lowest, oldest, late, (each.by or relay)[:MAX_NAME_CHARS]
+        )
--- a/lichencleat/config_distribution/errors.py
+++ b/lichencleat/config_distribution/errors.py
@@ -9,11 +9,11 @@
     """The version does not follow the one in force."""
 
 
-class SpoiltError(TableError):
+class CorruptTableError(TableError):
     """Data does not match its digest, or can't be part of a table."""
 
 
-class UnfitError(TableError):
+class InvalidBatchError(TableError):
     """Changes exceed a bound.
 
     Every member raises it alike, as it depends on the table and the changes alone.
--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -19,20 +19,26 @@
 from dataclasses import dataclass
 from typing import Any, Protocol
 
-from lichencleat.config_distribution.counts import COUNTED, OLDEST, aged, at_relay, merged
+from lichencleat.config_distribution.counts import (
+    COUNT_EXPIRY_US,
+    MAX_AGE_US,
+    adjust_counts,
+    age_after,
+    merge_counts,
+)
 from lichencleat.config_distribution.terms import (
     DIGESTS,
-    FED_BYTES,
     FIND,
     FOLLOW,
-    HOLD,
     IN_FORCE,
-    LATE,
-    PAGES,
+    LATE_AFTER_US,
+    MAX_ANSWER_BYTES,
+    MAX_HOLD_US,
+    MAX_SUBSCRIBERS,
+    MAX_VIEWS,
+    MAX_ZONES,
+    PAGE_COUNT,
     PAGES_OF,
-    SUBSCRIBERS_MOST,
-    VIEWS_MOST,
-    ZONES_MOST,
     Batch,
     Count,
     Digests,
@@ -43,18 +49,19 @@
     Wanted,
     Wanting,
 )
-from lichencleat.config_distribution.window import Had, Window
+from lichencleat.config_distribution.window import VersionHistory, Window
 
 BEHIND_HOLD = 250_000  # µs that a subscriber with more than this relay waits for it to catch up
 FETCHERS_MOST = 8  # snapshots fetched at once: some 20 MB each, so each gets 2 MB/s of the budget below
 FETCH_RATE = 16  # bytes a µs (16 MB/s) of all snapshots: an eighth of a 1 Gb/s link; news is not limited
-FETCH_BURST = 2 * FED_BYTES  # bytes that may be sent ahead of that rate
+FETCH_BURST = 2 * MAX_ANSWER_BYTES  # bytes that may be sent ahead of that rate
 PIECE_PAGES = 16  # pages in an answer; compressing them takes some 0.3 ms of the relay's time each
 FETCH_IDLE = 3_000_000  # µs without a request from a fetching subscriber, after which it loses its slot
 VIEW_IDLE = 10_000_000  # µs that a view is kept after the last request for it
 VIEW_FRESH = 30_000_000  # µs that new fetchers share a view: the window has the batches since then
 IDLE = 60_000_000  # µs without a request from a subscriber that followed, after which its link counts as dead
-SMALL = FED_BYTES  # bytes of all batches up to which an empty subscriber gets them instead of a snapshot
+# bytes of all batches up to which an empty subscriber gets them instead of a snapshot
+SMALL = MAX_ANSWER_BYTES
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,7 +164,7 @@
         if recent and (recent[-1].version, recent[-1].digest) == (table.version, table.digest):
             self.window.restart(recent[0].version, recent[0].digest)
             self.fills(recent[1:])
-        self.had = Had(now, table.version)
+        self.had = VersionHistory(now, table.version)
         self.word: tuple[int, int] | None = None  # when the age was reported, and that age
         self.subscribers: dict[int, Subscriber] = {}
         self.out: deque[Decision] = deque()  # decisions made, at most one per request
@@ -198,15 +205,15 @@
     def known(self, now: int, age: int) -> None:
         """Sets the age: µs since the source was known to have nothing newer than the table."""
         if self.table.version == self.window.version:  # else the age is that of a version not served yet
-            self.word = (now, min(OLDEST, max(0, age)))
+            self.word = (now, min(MAX_AGE_US, max(0, age)))
 
     def age(self, now: int) -> int:
-        """The current age; `OLDEST`, not 0, if the source was never heard from, whatever the table holds."""
-        return OLDEST if self.word is None else aged(self.word[1], now - self.word[0])
+        """The current age; `MAX_AGE_US`, not 0, if the source was never heard from."""
+        return MAX_AGE_US if self.word is None else age_after(self.word[1], now - self.word[0])
 
     def joined(self, now: int, who: int) -> bool:
         """Adds a subscriber. False: the relay has the maximum number of subscribers."""
-        if who not in self.subscribers and len(self.subscribers) >= SUBSCRIBERS_MOST:
+        if who not in self.subscribers and len(self.subscribers) >= MAX_SUBSCRIBERS:
             self.count("turned away: full")
             return False
         self.subscribers[who] = Subscriber(now)
@@ -238,9 +245,9 @@
             return
         sub.heard = until = now
         if isinstance(content, Follow):
-            sub.followed, sub.version, sub.counts = True, content.version, content.counts[: ZONES_MOST + 1]
+            sub.followed, sub.version, sub.counts = True, content.version, content.counts[: MAX_ZONES + 1]
             self.stop_fetching(who, sub)
-            until = now + min(max(0, content.hold), HOLD)
+            until = now + min(max(0, content.hold), MAX_HOLD_US)
         sub.held = Held(number, what, content, now, until, until)
         self.ready.append(who)
 
@@ -314,7 +321,7 @@
         if fed is None or made < since:
             batches = self.window.after(has.version) if say == Say.NEWS else None
             fed = Fed(say, self.window.version, self.window.digest, self.age(now), batches or ())
-            if len(self.shared) >= SUBSCRIBERS_MOST:
+            if len(self.shared) >= MAX_SUBSCRIBERS:
                 self.shared.clear()
             self.shared[say, has.version] = (now, fed)
         self.count(f"said: {say.name}")
@@ -348,7 +355,7 @@
         self.fetchers[who] = None
         sub.fetches = kept.view.version
         self.count("snapshots begun")
-        return Answer(who, held.number, kept.view.head(aged(kept.age, now - kept.opened)))
+        return Answer(who, held.number, kept.view.head(age_after(kept.age, now - kept.opened)))
 
     def declined(self, who: int, held: Held, why: str) -> Decline:
         """Declines an open request."""
@@ -362,7 +369,7 @@
             return self.views[-1]
         if self.views and self.views[-1].view.version == self.table.version:
             self.views.pop()
-        if len(self.views) >= VIEWS_MOST:
+        if len(self.views) >= MAX_VIEWS:
             wanted = [each.fetches for each in self.subscribers.values()]
             self.views.remove(min(self.views, key=lambda each: wanted.count(each.view.version)))
             self.count("views given up")
@@ -371,7 +378,7 @@
 
     def piece(self, now: int, who: int, sub: Subscriber, held: Held, wants: Wanted) -> Decision | None:
         """The answer to a request for pages; None: it waits for the rate limit."""
-        if not wants.numbers or not all(0 <= each < PAGES for each in wants.numbers):
+        if not wants.numbers or not all(0 <= each < PAGE_COUNT for each in wants.numbers):
             return self.declined(who, held, "unfit")
         kept = next((each for each in self.views if each.view.version == wants.version), None)
         if kept is None:
@@ -388,7 +395,7 @@
             held.wake = now - self.credit // FETCH_RATE
             return None
         kept.used = now
-        pages, room = [], FED_BYTES
+        pages, room = [], MAX_ANSWER_BYTES
         for number in wants.numbers[:PIECE_PAGES]:
             packed = kept.view.packed(number)
             room -= len(packed)
@@ -428,14 +435,14 @@
 
     def below(self, now: int) -> Iterator[Count]:
         """Counts of all subscribers that were heard from recently."""
-        needed = self.had.before(now - LATE)
+        needed = self.had.before(now - LATE_AFTER_US)
         for sub in self.subscribers.values():
-            if sub.counts and (sub.held is not None or now - sub.heard < COUNTED):
-                yield from at_relay(sub.counts, self.name, sub.version, needed, now - sub.heard)
+            if sub.counts and (sub.held is not None or now - sub.heard < COUNT_EXPIRY_US):
+                yield from adjust_counts(sub.counts, self.name, sub.version, needed, now - sub.heard)
 
     def counts(self, now: int) -> tuple[Count, ...]:
         """Counts of all nodes below, by zone."""
-        return merged(self.below(now))
+        return merge_counts(self.below(now))
 
     def in_force(self, now: int) -> dict[str, Any]:
         """The content for `status`; ages in µs, -1 if the source was never heard from."""
@@ -445,7 +452,7 @@
             "zone": self.zone,
             "version": self.window.version,
             "digest": self.window.digest.hex(),
-            "age_us": age if age < OLDEST else -1,
+            "age_us": age if age < MAX_AGE_US else -1,
             "subscribers": len(self.subscribers),
             "fetching": len(self.fetchers),
             "views": len(self.views),
@@ -455,7 +462,7 @@
                     "zone": each.zone,
                     "nodes": each.nodes,
                     "lowest": each.lowest,
-                    "oldest_us": each.oldest if each.oldest < OLDEST else -1,
+                    "oldest_us": each.oldest if each.oldest < MAX_AGE_US else -1,
                     "late": each.late,
                     "by": each.by,
                 }
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -6,7 +6,7 @@
 Age: "nothing newer" is answered when the hold is over, so the answer was made no earlier than that; news may
 have been made at any time after the request. The age counts from that moment, not from when the answer was
 read: a process that was stopped with an answer in its receive buffer doesn't take the answer for a recent
-one. An age that is not known yet is `OLDEST`.
+one. An age that is not known yet is `MAX_AGE_US`.
 
 Diverging histories: a relay that answers OTHER, or whose batch has another digest, is left; either side may
 be the one that is wrong. Only if relays of several tiers disagree with this process (with one tier: two
@@ -27,14 +27,14 @@
 from lichencleat.config_distribution.acts import Act, Decision
 from lichencleat.config_distribution.choice import Choice, Span, Times
 from lichencleat.config_distribution.copy import Copy
-from lichencleat.config_distribution.counts import OLDEST, aged
+from lichencleat.config_distribution.counts import MAX_AGE_US, age_after
 from lichencleat.config_distribution.errors import TableError
 from lichencleat.config_distribution.looks import Looks, Probe
 from lichencleat.config_distribution.taking import Taking
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
-    HOLD,
+    MAX_HOLD_US,
     PAGES_OF,
     Count,
     Digests,
@@ -116,8 +116,8 @@
     # -- state --------------------------------------------------------------------------------
 
     def age(self, now: int) -> int:
-        """µs since the source was known to have nothing newer; `OLDEST` if it never was."""
-        return OLDEST if self.known_at is None else aged(0, now - self.known_at)
+        """µs since the source was known to have nothing newer; `MAX_AGE_US` if it never was."""
+        return MAX_AGE_US if self.known_at is None else age_after(0, now - self.known_at)
 
     def knows(self, moment: int | None) -> None:
         """Moves the start of the age forward."""
@@ -252,12 +252,14 @@
         counts = self.below
         if self.is_node:
             counts = (Count(self.zone, 1, self.copy.version, self.age(now), 0, ""), *counts)
-        self.puts(now, FOLLOW, Follow(self.copy.version, self.copy.digest, counts, hold), min(hold, HOLD))
+        self.puts(
+            now, FOLLOW, Follow(self.copy.version, self.copy.digest, counts, hold), min(hold, MAX_HOLD_US)
+        )
 
     def puts(self, now: int, what: str, content: Any, hold: int = 0) -> None:
         """Sends a request, with the deadline for its answer."""
         assert self.relay is not None
-        patience = self.times.patience + (hold if what == FOLLOW else HOLD)
+        patience = self.times.patience + (hold if what == FOLLOW else MAX_HOLD_US)
         self.question = Question(what, now, now + patience, hold)
         self.decide(Act.ASK, self.relay, what, content)
 
@@ -338,7 +340,7 @@
         self.others.clear()
         self.anew = self.anew and bool(self.spoilts)
         held = now >= question.at + question.hold
-        if fed.age < OLDEST:
+        if fed.age < MAX_AGE_US:
             self.knows(question.at + (question.hold if held else 0) - max(0, fed.age))
         if held and question.hold:
             self.ask(now)
@@ -350,7 +352,7 @@
         """Stages the batches of the answer."""
         self.behind_since = None
         self.looks.heard(now, fed.age)
-        known = question.at - max(0, fed.age) if fed.age < OLDEST else None
+        known = question.at - max(0, fed.age) if fed.age < MAX_AGE_US else None
         wrong = self.taking.stage(fed, relay, self.mark, known)
         if wrong:
             self.unfit(now, relay, wrong)
@@ -405,7 +407,7 @@
         if head.version <= self.copy.version and self.anew:
             self.pause_until = now + self.choice.draw(self.times.busy)
             return
-        known = question.at - max(0, head.age) if head.age < OLDEST else None
+        known = question.at - max(0, head.age) if head.age < MAX_AGE_US else None
         wrong = self.taking.begin(head, relay, self.mark, known) if self.mark else "its group is not known"
         if wrong:
             self.unfit(now, relay, wrong)
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -31,10 +31,10 @@
 from twisted.python.failure import Failure
 
 from lichencleat.config_distribution import pages
-from lichencleat.config_distribution.errors import SpoiltError
-from lichencleat.config_distribution.rebuild import differing
+from lichencleat.config_distribution.errors import CorruptTableError
+from lichencleat.config_distribution.rebuild import find_differing_pages
 from lichencleat.config_distribution.table import Table, View
-from lichencleat.config_distribution.terms import DIGEST, PAGES, Batch, decode_batch, encode
+from lichencleat.config_distribution.terms import DIGEST_BYTES, PAGE_COUNT, Batch, decode_batch, encode
 from lichencleat.store import batch as stored
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.disk import Disk
@@ -104,7 +104,7 @@
 
 def plan(view: View, digests: Sequence[int], slots: bytes) -> Plan:
     """Compares 4,096 pages with those on the disk; runs in a thread."""
-    numbers = differing(view.page_digests, digests)
+    numbers = find_differing_pages(view.page_digests, digests)
     if sum(len(view.pages[number]) for number in numbers) <= ONE_BYTES:
         return Plan(pieces(view, numbers, PIECE_BYTES), slots, False)
     turned = bytearray(slots)
@@ -117,22 +117,22 @@
     """The stored form of the pages: digest and zlib bytes; runs in a thread."""
     packed = []
     for number in numbers:
-        digest = view.page_digests[number].to_bytes(DIGEST, "little")
-        packed.append((number, digest + pages.deflated(view.pages[number])))
+        digest = view.page_digests[number].to_bytes(DIGEST_BYTES, "little")
+        packed.append((number, digest + pages.deflate_page(view.pages[number])))
     return packed
 
 
 def unpack(number: int, data: bytes | None) -> tuple[bytes, int]:
-    """The page and its digest, from its stored form. Raises SpoiltError."""
+    """The page and its digest, from its stored form. Raises CorruptTableError."""
     if data is None:
-        return b"", pages.EMPTY[number]
-    page = pages.inflated(data[DIGEST:])
-    digest = pages.digest_of(number, page)
-    if digest.to_bytes(DIGEST, "little") != data[:DIGEST]:
-        raise SpoiltError(f"page {number}: the digest does not match")
-    wrong = pages.fault(number, page)
+        return b"", pages.EMPTY_PAGE_DIGESTS[number]
+    page = pages.inflate_page(data[DIGEST_BYTES:])
+    digest = pages.page_digest(number, page)
+    if digest.to_bytes(DIGEST_BYTES, "little") != data[:DIGEST_BYTES]:
+        raise CorruptTableError(f"page {number}: the digest does not match")
+    wrong = pages.find_page_fault(number, page)
     if wrong:
-        raise SpoiltError(f"page {number}: {wrong}")
+        raise CorruptTableError(f"page {number}: {wrong}")
     return page, digest
 
 
@@ -175,8 +175,8 @@
         self.table: Table | None = None  # the table to be persisted
         self.group_mark = b""
         self.version = 0  # on the disk
-        self.digests = list(pages.EMPTY)  # of the pages on the disk; -1: unknown
-        self.slots = bytes(PAGES // 8)
+        self.digests = list(pages.EMPTY_PAGE_DIGESTS)  # of the pages on the disk; -1: unknown
+        self.slots = bytes(PAGE_COUNT // 8)
         self.recent: deque[int] = deque()  # size in bytes of each batch on the disk
         self.next = 0  # number of the next batch
         self.pending: deque[bytes] = deque()  # encoded batches to be written
@@ -197,24 +197,24 @@
         """
         try:
             return (yield from self.read())
-        except (SpoiltError, CorruptDataError, msgspec.DecodeError) as wrong:
+        except (CorruptTableError, CorruptDataError, msgspec.DecodeError) as wrong:
             self.trouble = f"the stored version is corrupt and not used: {wrong}"
             self.tell(self.trouble)
-            self.digests, self.anew = [-1] * PAGES, True
+            self.digests, self.anew = [-1] * PAGE_COUNT, True
             return Table(), b"", []
 
     def read(self) -> Any:
         """Reads and checks the stored version."""
         head = decode_head((yield self.store.submit_read(self.store.engine.get, HEAD)))
-        if len(head.slots) != PAGES // 8 or not 0 <= head.next - head.first <= RECENT_MOST:
-            raise SpoiltError("its head is invalid")
+        if len(head.slots) != PAGE_COUNT // 8 or not 0 <= head.next - head.first <= RECENT_MOST:
+            raise CorruptTableError("its head is invalid")
         self.slots, self.next = head.slots, head.next
         data = yield self.store.submit_read(self.read_batches, range(head.first, head.next))
         self.recent.extend(map(len, data))
         whole: list[bytes] = []
         digests: list[int] = []
         records = 0
-        for begin in range(0, PAGES, READ_PAGES):
+        for begin in range(0, PAGE_COUNT, READ_PAGES):
             raw = yield self.store.submit_read(self.read_pages, range(begin, begin + READ_PAGES))
             for number, each in enumerate(raw, begin):
                 if number % LOOK_PAGES == 0:
@@ -222,10 +222,10 @@
                 page, digest = unpack(number, each)
                 whole.append(page)
                 digests.append(digest)
-                records += pages.count_of(page)
+                records += pages.record_count(page)
         table = Table.assembled(head.version, whole, digests, records)
         if table.digest != head.digest:
-            raise SpoiltError(f"the stored pages are not those of version {head.version}")
+            raise CorruptTableError(f"the stored pages are not those of version {head.version}")
         self.table, self.group_mark, self.version, self.digests = table, head.mark, head.version, digests
         return table, head.mark, chained(data, head.version, head.digest)
 
@@ -387,7 +387,7 @@
                 return
 
     def log(self, batch: stored.Batch, pending: list[bytes], anew: bool) -> deque[int]:
-        """Adds new batches to the write and deletes old ones; returns the size of each that is then stored."""
+        """Adds new batches to the write and deletes old ones; returns the stored batches' sizes."""
         recent = self.recent.copy()
         size = sum(recent)
         for number, data in enumerate([*pending, b""], self.next):  # b"": enforces the bounds at the end
--- a/lichencleat/config_distribution/looks.py
+++ b/lichencleat/config_distribution/looks.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 from lichencleat.config_distribution.choice import Choice, Times
-from lichencleat.config_distribution.counts import aged
+from lichencleat.config_distribution.counts import age_after
 from lichencleat.config_distribution.terms import Fed, Say
 
 
@@ -54,7 +54,7 @@
         return min((each for each in (self.look_at, self.home_at) if each is not None), default=None)
 
     def begins(self, now: int, relay: str, free: bool) -> str | None:
-        """The relay to probe now, or None; a due probe is skipped while an update is under way (not `free`)."""
+        """The relay to probe now, or None. `free`: no update is under way; else the probe is skipped."""
         if self.probe is not None:
             return None
         home = self.home_at is not None and now >= self.home_at
@@ -84,7 +84,7 @@
             return False
         if fed.version and not probe.mark:
             return False
-        its = aged(max(0, fed.age), now - probe.asked)
+        its = age_after(max(0, fed.age), now - probe.asked)
         if probe.home:
             return its <= max(self.times.stale, age)
         return its + self.times.fresher < age
--- a/lichencleat/config_distribution/pages.py
+++ b/lichencleat/config_distribution/pages.py
@@ -20,58 +20,60 @@
 
 from xxhash import xxh3_64_intdigest, xxh3_128_intdigest
 
-from lichencleat.config_distribution.errors import SpoiltError
-from lichencleat.config_distribution.terms import DIGEST, PAGES
+from lichencleat.config_distribution.errors import CorruptTableError
+from lichencleat.config_distribution.terms import DIGEST_BYTES, PAGE_COUNT
 
-PAGE_MOST = 128 << 10  # bytes of a page, and of what is inflated at once; four times the mean of a full table
-RECORD_HEAD = 2  # bytes of the two lengths
-PAGE_SHIFT = 64 - (PAGES - 1).bit_length()  # the page number is the upper bits of the hash
-PLACE_MASK = 0xFFFF_FFFF  # the position within the page is the lower bits
-SUM_MASK = (1 << 8 * DIGEST) - 1
-LEVEL = 1  # zlib level: a fifth of the default level's time for a tenth more bytes
+# bytes of a page, and of what is inflated at once; four times the mean of a full table
+MAX_PAGE_BYTES = 128 << 10
+RECORD_HEADER_BYTES = 2  # bytes of the two lengths
+PAGE_SHIFT = 64 - (PAGE_COUNT - 1).bit_length()  # the page number is the upper bits of the hash
+POSITION_MASK = 0xFFFF_FFFF  # the position within the page is the lower bits
+SUM_MASK = (1 << 8 * DIGEST_BYTES) - 1
+ZLIB_LEVEL = 1  # zlib level: a fifth of the default level's time for a tenth more bytes
 
 if sys.byteorder != "little":  # pages are read in place and have the same bytes on every machine
     raise ImportError("lichencleat.config_distribution needs a little-endian machine")
 
-Put = tuple[int, bytes, bytes | None]
+PageChange = tuple[int, bytes, bytes | None]
 """A change within a page: position, key, and the value or None."""
 
 
-def key_of(kind: str, name: str) -> bytes:
+def encode_key(kind: str, name: str) -> bytes:
     """The encoded kind and name that a record starts with. Raises ValueError if they can't be encoded."""
     kind_bytes, name_bytes = kind.encode(), name.encode()
     return bytes((len(kind_bytes), len(name_bytes))) + kind_bytes + name_bytes
 
 
-def hash_of(key: bytes) -> int:
+def hash_key(key: bytes) -> int:
     """The hash that gives a key its page and position."""
     return xxh3_64_intdigest(key)
 
 
-def place_of(key: bytes) -> tuple[int, int]:
+def locate_key(key: bytes) -> tuple[int, int]:
     """Page number and position of a key."""
-    whole = hash_of(key)
-    return whole >> PAGE_SHIFT, whole & PLACE_MASK
+    whole = hash_key(key)
+    return whole >> PAGE_SHIFT, whole & POSITION_MASK
 
 
-def digest_of(number: int, page: bytes) -> int:
+def page_digest(number: int, page: bytes) -> int:
     """The digest of a page; it covers the page number."""
     return xxh3_128_intdigest(page, number)
 
 
-EMPTY = [digest_of(number, b"") for number in range(PAGES)]  # digests of the pages of an empty table
+# digests of the pages of an empty table
+EMPTY_PAGE_DIGESTS = [page_digest(number, b"") for number in range(PAGE_COUNT)]
 
 
-def digest_bytes(total: int, version: int) -> bytes:
+def table_digest(total: int, version: int) -> bytes:
     """The digest of a table; `total` is the sum of its pages' digests.
 
     It covers the version, so that a version number corrupted on its way is detected.
     """
-    known = xxh3_128_intdigest(version.to_bytes(9, "little", signed=True), PAGES) if version else 0
-    return (total + known & SUM_MASK).to_bytes(DIGEST, "little")
+    known = xxh3_128_intdigest(version.to_bytes(9, "little", signed=True), PAGE_COUNT) if version else 0
+    return (total + known & SUM_MASK).to_bytes(DIGEST_BYTES, "little")
 
 
-def find(page: bytes, place: int, key: bytes) -> bytes | None:
+def find_value(page: bytes, place: int, key: bytes) -> bytes | None:
     """The value of the key's record, or None."""
     if not page:
         return None
@@ -86,12 +88,12 @@
     return None
 
 
-def count_of(page: bytes) -> int:
+def record_count(page: bytes) -> int:
     """How many records the page has."""
     return int.from_bytes(page[:4], "little")
 
 
-def unpacked(page: bytes) -> tuple[list[int], list[bytes]]:
+def unpack_records(page: bytes) -> tuple[list[int], list[bytes]]:
     """Positions and records, in order."""
     if not page:
         return [], []
@@ -101,7 +103,7 @@
     return heads[:count], [page[a:b] for a, b in pairwise([4 + 8 * count, *ends])]
 
 
-def packed(places: list[int], records: list[bytes]) -> bytes:
+def pack_records(places: list[int], records: list[bytes]) -> bytes:
     """The page of these positions and records, which are in order."""
     if not records:
         return b""
@@ -110,9 +112,9 @@
     return b"".join((count.to_bytes(4, "little"), array("I", places), ends[1:], *records))
 
 
-def rewritten(page: bytes, puts: Iterable[Put]) -> tuple[bytes, list[bytes | None]]:
+def rewrite_page(page: bytes, puts: Iterable[PageChange]) -> tuple[bytes, list[bytes | None]]:
     """The page after the changes, and the value that each change replaced."""
-    places, records = unpacked(page)
+    places, records = unpack_records(page)
     before: list[bytes | None] = []
     for place, key, value in puts:
         at = bisect_left(places, place)
@@ -127,65 +129,65 @@
         elif value is not None:
             places.insert(at, place)
             records.insert(at, key + value)
-    return packed(places, records), before
+    return pack_records(places, records), before
 
 
-def entries(page: bytes) -> Iterator[tuple[str, str, bytes]]:
+def iterate_records(page: bytes) -> Iterator[tuple[str, str, bytes]]:
     """Kind, name and value of each record."""
-    for record in unpacked(page)[1]:
-        middle = RECORD_HEAD + record[0]
+    for record in unpack_records(page)[1]:
+        middle = RECORD_HEADER_BYTES + record[0]
         end = middle + record[1]
-        yield record[RECORD_HEAD:middle].decode(), record[middle:end].decode(), record[end:]
+        yield record[RECORD_HEADER_BYTES:middle].decode(), record[middle:end].decode(), record[end:]
 
 
-def fault(number: int, page: bytes) -> str:
+def find_page_fault(number: int, page: bytes) -> str:
     """Why the bytes can't be that page, whatever their digest is; "" if they can. Some 100 µs."""
     if not page:
         return ""
-    if len(page) > PAGE_MOST:
-        return f"{len(page)} bytes, the maximum is {PAGE_MOST}"
-    count = count_of(page)
+    if len(page) > MAX_PAGE_BYTES:
+        return f"{len(page)} bytes, the maximum is {MAX_PAGE_BYTES}"
+    count = record_count(page)
     base = 4 + 8 * count
     if count == 0 or base > len(page):
         return "its header is incomplete"
     heads = memoryview(page)[4:base].cast("I").tolist()
     begin, past = base, (-1, b"")
     for place, end in zip(heads[:count], heads[count:], strict=True):
-        if not begin + RECORD_HEAD < end <= len(page):
+        if not begin + RECORD_HEADER_BYTES < end <= len(page):
             return "a record's end offset is out of range"
-        key = page[begin : begin + RECORD_HEAD + page[begin] + page[begin + 1]]
+        key = page[begin : begin + RECORD_HEADER_BYTES + page[begin] + page[begin + 1]]
         if begin + len(key) > end or not page[begin] or not page[begin + 1]:
             return "a record's name is incomplete"
-        if place_of(key) != (number, place):
+        if locate_key(key) != (number, place):
             return "a record is on the wrong page or at the wrong position"
         if (place, key) <= past:
             return "records are out of order"
         try:
-            key[RECORD_HEAD : RECORD_HEAD + key[0]].decode()
-            key[RECORD_HEAD + key[0] :].decode()
+            key[RECORD_HEADER_BYTES : RECORD_HEADER_BYTES + key[0]].decode()
+            key[RECORD_HEADER_BYTES + key[0] :].decode()
         except ValueError:
             return "a record's name is not UTF-8"
         begin, past = end, (place, key)
     return "" if begin == len(page) else "bytes after the last record"
 
 
-def deflated(page: bytes) -> bytes:
+def deflate_page(page: bytes) -> bytes:
     """The page by zlib."""
-    return zlib.compress(page, LEVEL)
+    return zlib.compress(page, ZLIB_LEVEL)
 
 
-def inflated(data: bytes) -> bytes:
+def inflate_page(data: bytes) -> bytes:
     """The page of its zlib bytes.
 
-    Raises SpoiltError if it is invalid or above the bound, which limits inflation.
+    Raises CorruptTableError if it is invalid or above the bound, which limits inflation.
     """
     stream = zlib.decompressobj()
     try:
-        page = stream.decompress(data, PAGE_MOST + 1)
+        page = stream.decompress(data, MAX_PAGE_BYTES + 1)
     except zlib.error as wrong:
-        raise SpoiltError(f"cannot inflate a page: {wrong}") from wrong
-    if len(page) > PAGE_MOST:
-        raise SpoiltError(f"a page has more than {PAGE_MOST} bytes")
+        raise CorruptTableError(f"cannot inflate a page: {wrong}") from wrong
+    if len(page) > MAX_PAGE_BYTES:
+        raise CorruptTableError(f"a page has more than {MAX_PAGE_BYTES} bytes")
     if not stream.eof or stream.unused_data:
-        raise SpoiltError("the compressed data of a page is incomplete or has trailing bytes")
+        raise CorruptTableError("the compressed data of a page is incomplete or has trailing bytes")
     return page
--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -19,29 +19,30 @@
 from lichencleat.config.document import YamlDocument
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config.loading import parse_config, read_config_text
-from lichencleat.config_distribution.pages import key_of
-from lichencleat.config_distribution.table import unfit_change
+from lichencleat.config_distribution.pages import encode_key
+from lichencleat.config_distribution.table import find_change_fault
 from lichencleat.config_distribution.terms import (
-    BATCH_BYTES,
-    BATCH_MOST,
-    KIND_MOST,
-    NAME_MOST,
-    RECORDS_MOST,
-    VALUE_MOST,
+    MAX_BATCH_BYTES,
+    MAX_BATCH_CHANGES,
+    MAX_KIND_CHARS,
+    MAX_NAME_BYTES,
+    MAX_RECORDS,
+    MAX_VALUE_BYTES,
     Change,
     encode,
 )
 
 LINES = ".jsonl"
-LINE_MOST = 64 << 10  # bytes of a line: a value of `VALUE_MOST` with each character escaped, and its name
+# bytes of a line: a value of `MAX_VALUE_BYTES` with each character escaped, and its name
+LINE_MOST = 64 << 10
 HEAD = 8  # bytes of a batch beside its changes
 
 
 class Record(Struct, forbid_unknown_fields=True, frozen=True):
     """A record as it is to be: with a value, or removed."""
 
-    kind: Annotated[str, Meta(min_length=1, max_length=KIND_MOST)]
-    name: Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
+    kind: Annotated[str, Meta(min_length=1, max_length=MAX_KIND_CHARS)]
+    name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
     value: Any = UNSET
     gone: bool = False
 
@@ -83,15 +84,15 @@
     def counted() -> Iterator[Change]:
         seen: dict[bytes, int] = {}
         for line, change in read_changes(path):
-            key = key_of(change.kind, change.name)
+            key = encode_key(change.kind, change.name)
             if key in seen:
                 raise InvalidConfigError(
                     f"{path}, line {line}: {change.kind} {change.name!r} stands in line {seen[key]} already; "
                     "leave one of them out"
                 )
-            if len(seen) >= RECORDS_MOST:
+            if len(seen) >= MAX_RECORDS:
                 raise InvalidConfigError(
-                    f"{path}, line {line}: more than {RECORDS_MOST} records, which is the maximum of a table"
+                    f"{path}, line {line}: more than {MAX_RECORDS} records, which is the maximum of a table"
                 )
             seen[key] = line
             summary.kinds[change.kind] += 1
@@ -115,7 +116,7 @@
     size = HEAD
     for change in changes:
         its = len(encode(change))
-        if batch and (len(batch) >= BATCH_MOST or size + its > BATCH_BYTES):
+        if batch and (len(batch) >= MAX_BATCH_CHANGES or size + its > MAX_BATCH_BYTES):
             yield tuple(batch)
             batch, size = [], HEAD
         batch.append(change)
@@ -188,7 +189,7 @@
         where = f"$.records[{at}]"
         line = place.line_of(where) or 1
         if record.value is not UNSET:
-            wrong = no_json(record.value, [VALUE_MOST])
+            wrong = no_json(record.value, [MAX_VALUE_BYTES])
             if wrong:
                 raise InvalidConfigError(
                     f"{path}, line {line_of(place, where, line)}: records[{at}].value: {wrong}"
@@ -208,7 +209,7 @@
     """
     room[0] -= 1
     if room[0] < 0:
-        return f"a value has at most {VALUE_MOST} bytes"
+        return f"a value has at most {MAX_VALUE_BYTES} bytes"
     if isinstance(value, dict):
         wrong = next((key for key in value if not isinstance(key, str)), None)
         if wrong is not None:
@@ -235,7 +236,7 @@
     except (OverflowError, ValueError, RecursionError) as wrong:
         raise InvalidConfigError(f"{place}: {where}value: {wrong}; write it as a string") from wrong
     change = Change(record.kind, record.name, value)
-    wrong = unfit_change(change)
+    wrong = find_change_fault(change)
     if wrong:
-        raise InvalidConfigError(f"{place}: {record.kind} {record.name[:NAME_MOST]!r}: {wrong}")
+        raise InvalidConfigError(f"{place}: {record.kind} {record.name[:MAX_NAME_BYTES]!r}: {wrong}")
     return change
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -21,14 +21,14 @@
 import msgspec
 
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.pages import LEVEL, PAGE_MOST, key_of, place_of
-from lichencleat.config_distribution.table import Table, unfit
+from lichencleat.config_distribution.pages import MAX_PAGE_BYTES, ZLIB_LEVEL, encode_key, locate_key
+from lichencleat.config_distribution.table import Table, find_batch_fault
 from lichencleat.config_distribution.terms import (
-    BATCH_BYTES,
-    BATCH_MOST,
-    VALUE_MOST,
-    WINDOW_BATCHES,
-    WINDOW_BYTES,
+    MAX_BATCH_BYTES,
+    MAX_BATCH_CHANGES,
+    MAX_VALUE_BYTES,
+    MAX_WINDOW_BATCHES,
+    MAX_WINDOW_BYTES,
     Batch,
     Change,
     encode,
@@ -36,7 +36,8 @@
 from lichencleat.decode_errors import UNDECODABLE
 
 PACKED_EACH = 16  # pages compressed per entry, some 300 µs each: keeps up with small batches
-PAST_MOST = BATCH_BYTES + BATCH_MOST * (VALUE_MOST + 16)  # bytes of a kept batch with the values it replaced
+# bytes of a kept batch with the values it replaced
+PAST_MOST = MAX_BATCH_BYTES + MAX_BATCH_CHANGES * (MAX_VALUE_BYTES + 16)
 DIFF_MOST = 4_096  # changes in one answer: some ms
 DIFF_BYTES = 512 << 10  # bytes of their names and values: half of a frame
 SMALL = 1_024  # bytes of a kept batch up to which it is not compressed
@@ -147,7 +148,9 @@
 class Source:
     """The table of a group, its kept batches and its compressed pages."""
 
-    def __init__(self, window_batches: int = WINDOW_BATCHES, window_bytes: int = WINDOW_BYTES) -> None:
+    def __init__(
+        self, window_batches: int = MAX_WINDOW_BATCHES, window_bytes: int = MAX_WINDOW_BYTES
+    ) -> None:
         """The bounds of the kept batches, replaced values included."""
         self.window_batches, self.window_bytes = window_batches, window_bytes
         self.table = Table()
@@ -167,7 +170,7 @@
             return self.refused("no command")
         if wanted.only_if is not None and wanted.only_if != self.table.version:
             return self.refused("another version is in force")
-        why = unfit(wanted.changes)
+        why = find_batch_fault(wanted.changes)
         if why:
             return self.refused(why)
         find = self.table.find
@@ -180,7 +183,7 @@
         except TableError as wrong:
             return self.refused(str(wrong))
         self.keep(before, batch, tuple(self.table.before))
-        self.plain |= {place_of(key_of(each.kind, each.name))[0] for each in changes}
+        self.plain |= {locate_key(encode_key(each.kind, each.name))[0] for each in changes}
         self.pack()
         return Published(True, index, len(changes))
 
@@ -200,7 +203,7 @@
 
     def add(self, data: bytes, batch: Batch, replaced: Replaced) -> None:
         """Adds an encoded batch to the window."""
-        dumped = zlib.compress(data, LEVEL) if len(data) > SMALL else data
+        dumped = zlib.compress(data, ZLIB_LEVEL) if len(data) > SMALL else data
         self.window.append(Past(batch, replaced, dumped, len(data)))
         self.size += len(data)
 
@@ -208,7 +211,7 @@
         """Compresses some of the changed pages."""
         for number in heapq.nsmallest(PACKED_EACH, self.plain):
             self.plain.remove(number)
-            self.packed[number] = zlib.compress(self.table.pages[number], LEVEL)
+            self.packed[number] = zlib.compress(self.table.pages[number], ZLIB_LEVEL)
 
     # -- queries ------------------------------------------------------------------------------------
 
@@ -308,7 +311,7 @@
     return [(*key, old[key], new[key]) for key in sorted(old) if old[key] != new[key]]
 
 
-def inflated(data: bytes, most: int = PAGE_MOST) -> bytes:
+def inflated(data: bytes, most: int = MAX_PAGE_BYTES) -> bytes:
     """The data without compression. Raises msgspec.ValidationError."""
     if not data:
         return b""
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -18,7 +18,7 @@
 from lichencleat.config.addresses import parse_address
 from lichencleat.config_distribution.acts import Act, Decision
 from lichencleat.config_distribution.copy import Copy
-from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.counts import MAX_AGE_US
 from lichencleat.config_distribution.errors import TableError
 from lichencleat.config_distribution.follow import Follower
 from lichencleat.config_distribution.terms import (
@@ -337,7 +337,7 @@
     def beliefs(self) -> str:
         """Version, age and relay in one line."""
         age = self.follower.age(self.now())
-        said = f"{age / SECOND:.1f} s" if age < OLDEST else "unknown"
+        said = f"{age / SECOND:.1f} s" if age < MAX_AGE_US else "unknown"
         return f"version {self.copy.version}, age {said}, relay {self.follower.relay or 'none'}"
 
     def counters(self) -> dict[str, int]:
--- a/lichencleat/config_distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -13,63 +13,71 @@
 from collections.abc import Iterator, Sequence
 
 from lichencleat.config_distribution import pages
-from lichencleat.config_distribution.errors import ChainError, SpoiltError, UnfitError
-from lichencleat.config_distribution.rebuild import Rebuild
+from lichencleat.config_distribution.errors import ChainError, CorruptTableError, InvalidBatchError
+from lichencleat.config_distribution.rebuild import SnapshotStaging
 from lichencleat.config_distribution.terms import (
-    BATCH_BYTES,
-    BATCH_MOST,
-    DIGEST,
-    KIND_MOST,
-    NAME_MOST,
-    PAGES,
-    RECORDS_MOST,
-    TABLE_BYTES,
-    VALUE_MOST,
+    DIGEST_BYTES,
+    MAX_BATCH_BYTES,
+    MAX_BATCH_CHANGES,
+    MAX_KIND_CHARS,
+    MAX_NAME_BYTES,
+    MAX_RECORDS,
+    MAX_TABLE_BYTES,
+    MAX_VALUE_BYTES,
+    PAGE_COUNT,
     Batch,
     Change,
     Digests,
     encode,
 )
 
-SLICE_BYTES = 96 << 10  # bytes of the pages rewritten in one slice, at least one page: some 200 µs
-PAGE_COST = 4 << 10  # bytes added to each page's size in a slice: the fixed cost of a small page
-SLICE_CHANGES = 128  # changes assigned to pages in one slice: some 200 µs
+MAX_SLICE_BYTES = 96 << 10  # bytes of the pages rewritten in one slice, at least one page: some 200 µs
+PAGE_OVERHEAD_BYTES = 4 << 10  # bytes added to each page's size in a slice: the fixed cost of a small page
+MAX_SLICE_CHANGES = 128  # changes assigned to pages in one slice: some 200 µs
 
-__all__ = ["ChainError", "Rebuild", "SpoiltError", "Staging", "Table", "UnfitError", "View"]
+__all__ = [
+    "ChainError",
+    "SnapshotStaging",
+    "CorruptTableError",
+    "Staging",
+    "Table",
+    "InvalidBatchError",
+    "View",
+]
 
 
-def unfit_change(change: Change) -> str:
+def find_change_fault(change: Change) -> str:
     """Why the change exceeds a bound; "" if it doesn't."""
-    if not 0 < len(change.kind) <= KIND_MOST:
-        return f"a kind has 1 to {KIND_MOST} characters"
+    if not 0 < len(change.kind) <= MAX_KIND_CHARS:
+        return f"a kind has 1 to {MAX_KIND_CHARS} characters"
     try:
         change.kind.encode()
         name = change.name.encode()
     except ValueError:
         return "kind and name have to be UTF-8"
-    if not 0 < len(name) <= NAME_MOST:
-        return f"a name has 1 to {NAME_MOST} bytes"
-    if change.value is not None and len(change.value) > VALUE_MOST:
-        return f"a value has at most {VALUE_MOST} bytes, not {len(change.value)}"
+    if not 0 < len(name) <= MAX_NAME_BYTES:
+        return f"a name has 1 to {MAX_NAME_BYTES} bytes"
+    if change.value is not None and len(change.value) > MAX_VALUE_BYTES:
+        return f"a value has at most {MAX_VALUE_BYTES} bytes, not {len(change.value)}"
     return ""
 
 
-def unfit(changes: Sequence[Change]) -> str:
+def find_batch_fault(changes: Sequence[Change]) -> str:
     """Why the changes can't be a batch; "" if they can.
 
     The table's totals are checked when they are applied.
     """
-    if not 0 < len(changes) <= BATCH_MOST:
-        return f"a batch has 1 to {BATCH_MOST} changes, not {len(changes)}"
+    if not 0 < len(changes) <= MAX_BATCH_CHANGES:
+        return f"a batch has 1 to {MAX_BATCH_CHANGES} changes, not {len(changes)}"
     for change in changes:
-        wrong = unfit_change(change)
+        wrong = find_change_fault(change)
         if wrong:
-            return f"{change.kind[:KIND_MOST]!r} {change.name[:NAME_MOST]!r}: {wrong}"
+            return f"{change.kind[:MAX_KIND_CHARS]!r} {change.name[:MAX_NAME_BYTES]!r}: {wrong}"
     if len({(change.kind, change.name) for change in changes}) < len(changes):
         return "a batch names each record at most once"
     size = len(encode(tuple(changes)))
-    if size > BATCH_BYTES:
-        return f"a batch has at most {BATCH_BYTES} bytes, not {size}"
+    if size > MAX_BATCH_BYTES:
+        return f"a batch has at most {MAX_BATCH_BYTES} bytes, not {size}"
     return ""
 
 
@@ -86,7 +94,7 @@
 
     def head(self, age: int) -> Digests:
         """The snapshot's head; `age` in µs, as it is to be sent."""
-        whole = b"".join(each.to_bytes(DIGEST, "little") for each in self.page_digests)
+        whole = b"".join(each.to_bytes(DIGEST_BYTES, "little") for each in self.page_digests)
         return Digests(self.version, self.digest, whole, age)
 
     def packed(self, number: int) -> bytes:
@@ -96,7 +104,9 @@
             return data
         digest = self.page_digests[number]
         known = self.shared.get(number)
-        data = known[1] if known is not None and known[0] == digest else pages.deflated(self.pages[number])
+        data = (
+            known[1] if known is not None and known[0] == digest else pages.deflate_page(self.pages[number])
+        )
         if known is None or known[2] < self.version:
             self.shared[number] = digest, data, self.version
         self.own[number] = data
@@ -104,12 +114,12 @@
 
 
 class Table:
-    """The version in force. One owner changes it, by `Staging`, `Rebuild` or `apply`."""
+    """The version in force. One owner changes it, by `Staging`, `SnapshotStaging` or `apply`."""
 
     def __init__(self) -> None:
         self.version = 0
-        self.pages = [b""] * PAGES
-        self.page_digests = list(pages.EMPTY)
+        self.pages = [b""] * PAGE_COUNT
+        self.page_digests = list(pages.EMPTY_PAGE_DIGESTS)
         self.total = sum(self.page_digests) & pages.SUM_MASK
         self.records = 0
         self.bytes = 0
@@ -119,21 +129,21 @@
     @property
     def digest(self) -> bytes:
         """The digest of the whole table at its version."""
-        return pages.digest_bytes(self.total, self.version)
+        return pages.table_digest(self.total, self.version)
 
     def find(self, kind: str, name: str) -> bytes | None:
         """The record's value, or None; a few µs."""
         try:
-            key = pages.key_of(kind, name)
+            key = pages.encode_key(kind, name)
         except ValueError:  # no record has a name that is not UTF-8 or is too long
             return None
-        number, place = pages.place_of(key)
-        return pages.find(self.pages[number], place, key)
+        number, place = pages.locate_key(key)
+        return pages.find_value(self.pages[number], place, key)
 
     def items(self) -> Iterator[tuple[str, str, bytes]]:
         """Kind, name and value of all records, page by page; each page as it is when it is reached."""
-        for number in range(PAGES):
-            yield from pages.entries(self.pages[number])
+        for number in range(PAGE_COUNT):
+            yield from pages.iterate_records(self.pages[number])
 
     def stage(self, batches: Sequence[Batch]) -> Staging:
         """Batches to be applied.
@@ -142,9 +152,12 @@
         """
         return Staging(self, batches)
 
-    def rebuild(self, head: Digests) -> Rebuild:
-        """Starts a snapshot. Raises SpoiltError if the head is inconsistent, ChainError if it is older."""
-        return Rebuild(self, head)
+    def rebuild(self, head: Digests) -> SnapshotStaging:
+        """Starts a snapshot.
+
+        Raises CorruptTableError if the head is inconsistent, ChainError if it is older.
+        """
+        return SnapshotStaging(self, head)
 
     def view(self) -> View:
         """A view of this version: some 20 µs; it keeps the version's pages alive."""
@@ -153,12 +166,12 @@
     def apply(self, version: int, changes: Sequence[Change]) -> Batch:
         """Applies the changes at once and returns them as a batch, for the source of batches.
 
-        Raises UnfitError or ChainError and changes nothing. Errors depend on the table and the changes alone,
-        so that every voter rejects the same batches.
+        Raises InvalidBatchError or ChainError and changes nothing. Errors depend on the table and the changes
+        alone, so that every voter rejects the same batches.
         """
-        wrong = unfit(changes)
+        wrong = find_batch_fault(changes)
         if wrong:
-            raise UnfitError(wrong)
+            raise InvalidBatchError(wrong)
         batch = Batch(version, self.version, b"", tuple(changes))
         staging = Staging(self, (batch,), checks=False)
         while not staging.step():
@@ -179,15 +192,15 @@
 
     @staticmethod
     def loaded(version: int, whole: Sequence[bytes]) -> Table:
-        """A table of unchecked pages. Raises SpoiltError if one of them is no valid page."""
-        if len(whole) != PAGES:
-            raise SpoiltError(f"a table has {PAGES} pages, not {len(whole)}")
+        """A table of unchecked pages. Raises CorruptTableError if one of them is no valid page."""
+        if len(whole) != PAGE_COUNT:
+            raise CorruptTableError(f"a table has {PAGE_COUNT} pages, not {len(whole)}")
         for number, page in enumerate(whole):
-            wrong = pages.fault(number, page)
+            wrong = pages.find_page_fault(number, page)
             if wrong:
-                raise SpoiltError(f"page {number}: {wrong}")
-        digests = [pages.digest_of(number, page) for number, page in enumerate(whole)]
-        return Table.assembled(version, list(whole), digests, sum(map(pages.count_of, whole)))
+                raise CorruptTableError(f"page {number}: {wrong}")
+        digests = [pages.page_digest(number, page) for number, page in enumerate(whole)]
+        return Table.assembled(version, list(whole), digests, sum(map(pages.record_count, whole)))
 
 
 class Staging:
@@ -211,14 +224,14 @@
         self.before: list[bytes | None] = []  # values that the changes replace, in their order
         self.at = 0  # index of the batch under way
         self.sorted = 0  # how many of its changes are assigned to their page
-        self.by_page: dict[int, list[pages.Put]] = {}
+        self.by_page: dict[int, list[pages.PageChange]] = {}
         self.order: dict[int, list[int]] = {}  # page number -> indexes of its changes in `before`
         self.begins = 0  # index of the batch's first change in `before`
 
     def step(self) -> bool:
         """Processes one slice, some 200 µs; True once all is staged and each digest matches.
 
-        Raises SpoiltError for a wrong digest or an exceeded bound; without `checks` UnfitError.
+        Raises CorruptTableError for a wrong digest or an exceeded bound; without `checks` InvalidBatchError.
         """
         if self.at == len(self.batches):
             return True
@@ -226,9 +239,9 @@
         if self.sorted < len(batch.changes):
             self.sort(batch.changes)
             return False
-        room = SLICE_BYTES
+        room = MAX_SLICE_BYTES
         while self.by_page and room > 0:
-            room -= PAGE_COST + self.write(*self.by_page.popitem())
+            room -= PAGE_OVERHEAD_BYTES + self.write(*self.by_page.popitem())
         if not self.by_page:
             self.end(batch)
         return self.at == len(self.batches)
@@ -236,47 +249,47 @@
     def sort(self, changes: Sequence[Change]) -> None:
         """Assigns one slice of the changes to their pages."""
         begin = self.sorted
-        for at, change in enumerate(changes[begin : begin + SLICE_CHANGES], begin):
-            wrong = unfit_change(change) if self.checks else ""
+        for at, change in enumerate(changes[begin : begin + MAX_SLICE_CHANGES], begin):
+            wrong = find_change_fault(change) if self.checks else ""
             if wrong:
-                raise SpoiltError(wrong)
-            key = pages.key_of(change.kind, change.name)
-            number, place = pages.place_of(key)
+                raise CorruptTableError(wrong)
+            key = pages.encode_key(change.kind, change.name)
+            number, place = pages.locate_key(key)
             self.by_page.setdefault(number, []).append((place, key, change.value))
             self.order.setdefault(number, []).append(self.begins + at)
-        self.sorted = min(begin + SLICE_CHANGES, len(changes))
+        self.sorted = min(begin + MAX_SLICE_CHANGES, len(changes))
         self.before += [None] * (self.sorted - begin)
 
-    def write(self, number: int, puts: list[pages.Put]) -> int:
+    def write(self, number: int, puts: list[pages.PageChange]) -> int:
         """Rewrites one page and returns its size in bytes."""
         old = self.new[number] if number in self.new else self.table.pages[number]
-        page, before = pages.rewritten(old, puts)
+        page, before = pages.rewrite_page(old, puts)
         for at, value in zip(self.order.pop(number), before, strict=True):
             self.before[at] = value
-        if len(page) > pages.PAGE_MOST:
-            self.refuse(f"page {number} would have {len(page)} bytes, {pages.PAGE_MOST} at the most")
-        digest = pages.digest_of(number, page)
+        if len(page) > pages.MAX_PAGE_BYTES:
+            self.refuse(f"page {number} would have {len(page)} bytes, {pages.MAX_PAGE_BYTES} at the most")
+        digest = pages.page_digest(number, page)
         past = self.digests[number] if number in self.digests else self.table.page_digests[number]
         self.total += digest - past
-        self.records += pages.count_of(page) - pages.count_of(old)
+        self.records += pages.record_count(page) - pages.record_count(old)
         self.bytes += len(page) - len(old)
         self.new[number], self.digests[number] = page, digest
         return len(page)
 
     def end(self, batch: Batch) -> None:
         """Checks the totals and the digest after a batch and moves on to the next one."""
-        if self.records > RECORDS_MOST:
-            self.refuse(f"there would be {self.records} records, {RECORDS_MOST} at the most")
-        if self.bytes > TABLE_BYTES:
-            self.refuse(f"the table would have {self.bytes} bytes, {TABLE_BYTES} at the most")
-        if self.checks and pages.digest_bytes(self.total, batch.version) != batch.digest:
-            raise SpoiltError(f"version {batch.version}: the table's digest differs from the batch's")
+        if self.records > MAX_RECORDS:
+            self.refuse(f"there would be {self.records} records, {MAX_RECORDS} at the most")
+        if self.bytes > MAX_TABLE_BYTES:
+            self.refuse(f"the table would have {self.bytes} bytes, {MAX_TABLE_BYTES} at the most")
+        if self.checks and pages.table_digest(self.total, batch.version) != batch.digest:
+            raise CorruptTableError(f"version {batch.version}: the table's digest differs from the batch's")
         self.at += 1
         self.sorted, self.begins = 0, len(self.before)
 
     def refuse(self, why: str) -> None:
         """Raises the error for an exceeded bound."""
-        raise SpoiltError(why) if self.checks else UnfitError(why)
+        raise CorruptTableError(why) if self.checks else InvalidBatchError(why)
 
     def take(self) -> None:
         """Applies what is staged in one step. Raises ChainError if the table has changed meanwhile."""
--- a/lichencleat/config_distribution/terms.py
+++ b/lichencleat/config_distribution/terms.py
@@ -2,7 +2,7 @@
 
 They travel as the content of `ClientRequest` and `ClientResponse` (`transport/frames.py`): a subscriber asks
 and the process above it answers. The answer to a `follow` may be held until there is news, for at most
-`HOLD`.
+`MAX_HOLD_US`.
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 
 import msgspec
 
-PAGES = 4_096  # pages of a table: a change rewrites one, a snapshot sends and digests whole pages
-DIGEST = 16  # bytes
-
-KIND_MOST = 16  # characters of a record's kind: "route", "tenant"
-NAME_MOST = 128  # bytes of a record's name, as UTF-8
-VALUE_MOST = 4_096  # bytes of a record's value
-BATCH_MOST = 512  # changes in a batch; bounds what is staged beside the table
-BATCH_BYTES = 128 << 10  # bytes of a batch's changes, encoded: any batch fits one answer
-RECORDS_MOST = 1_000_000  # records of a table; the target has 560,000
-TABLE_BYTES = 128 << 20  # bytes of a table's pages
-FED_BYTES = 128 << 10  # bytes of batches or pages in one answer, unless a single one is larger
-WINDOW_BATCHES = 8_192  # batches kept for subscribers that lag: four hours of a day with 47,000 changes
-WINDOW_BYTES = 16 << 20  # bytes of the batches kept
-ZONES_MOST = 64  # zones with a count of their own; further ones are counted under ""
-RELAYS_MOST = 32  # addresses that a subscriber may be given
-SUBSCRIBERS_MOST = 512  # of one relay; each costs it some 100 µs a second
-VIEWS_MOST = 3  # versions of which a relay keeps a snapshot for subscribers that fetch one
-
-HOLD = 1_000_000  # µs that an answer may be held while there is no news
+PAGE_COUNT = 4_096  # pages of a table: a change rewrites one, a snapshot sends and digests whole pages
+DIGEST_BYTES = 16  # bytes
+
+MAX_KIND_CHARS = 16  # characters of a record's kind: "route", "tenant"
+MAX_NAME_BYTES = 128  # bytes of a record's name, as UTF-8
+MAX_VALUE_BYTES = 4_096  # bytes of a record's value
+MAX_BATCH_CHANGES = 512  # changes in a batch; bounds what is staged beside the table
+MAX_BATCH_BYTES = 128 << 10  # bytes of a batch's changes, encoded: any batch fits one answer
+MAX_RECORDS = 1_000_000  # records of a table; the target has 560,000
+MAX_TABLE_BYTES = 128 << 20  # bytes of a table's pages
+MAX_ANSWER_BYTES = 128 << 10  # bytes of batches or pages in one answer, unless a single one is larger
+MAX_WINDOW_BATCHES = 8_192  # batches kept for subscribers that lag: four hours of a day with 47,000 changes
+MAX_WINDOW_BYTES = 16 << 20  # bytes of the batches kept
+MAX_ZONES = 64  # zones with a count of their own; further ones are counted under ""
+MAX_RELAYS = 32  # addresses that a subscriber may be given
+MAX_SUBSCRIBERS = 512  # of one relay; each costs it some 100 µs a second
+MAX_VIEWS = 3  # versions of which a relay keeps a snapshot for subscribers that fetch one
+
+MAX_HOLD_US = 1_000_000  # µs that an answer may be held while there is no news
 # operations of a `ClientRequest`
 FOLLOW, DIGESTS, PAGES_OF, IN_FORCE, FIND = "follow", "digests", "pages", "in force", "find"
 
@@ -58,11 +58,11 @@
     nodes: int
     lowest: int  # lowest version applied by any of the nodes
     oldest: int  # µs: highest age of any of the nodes
-    late: int  # nodes without a version that their relay has had for `LATE`
+    late: int  # nodes without a version that their relay has had for `LATE_AFTER_US`
     by: str  # name of the relay that serves the node with the lowest version
 
 
-LATE = 5_000_000  # µs until a node that lacks its relay's version counts as late
+LATE_AFTER_US = 5_000_000  # µs until a node that lacks its relay's version counts as late
 
 
 class Follow(msgspec.Struct, frozen=True, array_like=True):
@@ -71,7 +71,7 @@
     version: int  # 0: the subscriber's table is empty
     digest: bytes
     counts: tuple[Count, ...]  # of all nodes below this subscriber, itself included if it is a node
-    hold: int = HOLD  # µs that the answer may be held while there is no news
+    hold: int = MAX_HOLD_US  # µs that the answer may be held while there is no news
 
 
 class Say(IntEnum):
@@ -99,7 +99,7 @@
 
     version: int
     digest: bytes
-    pages: bytes  # DIGEST bytes of each page, in order; `digest` covers their sum and the version
+    pages: bytes  # DIGEST_BYTES bytes of each page, in order; `digest` covers their sum and the version
     age: int
 
 
--- a/lichencleat/config_distribution/window.py
+++ b/lichencleat/config_distribution/window.py
@@ -8,27 +8,36 @@
 from collections import deque
 from collections.abc import Sequence
 
-from lichencleat.config_distribution.terms import FED_BYTES, LATE, WINDOW_BATCHES, WINDOW_BYTES, Batch
-
-BATCH_ROOM = 64  # bytes of an encoded batch without its changes: three numbers, a digest, array headers
+from lichencleat.config_distribution.terms import (
+    LATE_AFTER_US,
+    MAX_ANSWER_BYTES,
+    MAX_WINDOW_BATCHES,
+    MAX_WINDOW_BYTES,
+    Batch,
+)
+
+# bytes of an encoded batch without its changes: three numbers, a digest, array headers
+BATCH_OVERHEAD_BYTES = 64
 # bytes of an encoded change beside its strings: the headers of an array, two strings and bytes
-CHANGE_ROOM = 12
-SLOT = 100_000  # µs; versions within one slot count as one, so lateness shows at most that much later
-SLOTS_MOST = LATE // SLOT + 2  # slots kept: enough to look back by LATE
+CHANGE_OVERHEAD_BYTES = 12
+SLOT_US = 100_000  # µs; versions within one slot count as one, so lateness shows at most that much later
+MAX_SLOTS = LATE_AFTER_US // SLOT_US + 2  # slots kept: enough to look back by LATE_AFTER_US
 
 
-def size_of(batch: Batch) -> int:
+def max_encoded_size(batch: Batch) -> int:
     """Upper bound of the batch's encoded size in bytes."""
-    room = BATCH_ROOM
+    room = BATCH_OVERHEAD_BYTES
     for kind, name, value in ((each.kind, each.name, each.value) for each in batch.changes):
-        room += CHANGE_ROOM + len(kind.encode()) + len(name.encode()) + len(value or b"")
+        room += CHANGE_OVERHEAD_BYTES + len(kind.encode()) + len(name.encode()) + len(value or b"")
     return room
 
 
 class Window:
     """The last batches in order, each following the one before, from a version that the table had."""
 
-    def __init__(self, version: int, digest: bytes, most: int = WINDOW_BATCHES, room: int = WINDOW_BYTES):
+    def __init__(
+        self, version: int, digest: bytes, most: int = MAX_WINDOW_BATCHES, room: int = MAX_WINDOW_BYTES
+    ):
         """`most`: maximum number of batches; `room`: maximum of their encoded bytes."""
         self.most, self.room = most, room
         self.restart(version, digest)
@@ -53,7 +62,7 @@
             raise ValueError(
                 f"batch {batch.version} on top of {batch.past} does not follow version {self.version}"
             )
-        size = size_of(batch)
+        size = max_encoded_size(batch)
         self.batches.append(batch)
         self.sizes.append(size)
         self.bytes += size
@@ -67,7 +76,7 @@
             del self.digests[gone.past], self.places[gone.past]
             self.base = gone.version
 
-    def after(self, version: int, room: int = FED_BYTES) -> tuple[Batch, ...] | None:
+    def after(self, version: int, room: int = MAX_ANSWER_BYTES) -> tuple[Batch, ...] | None:
         """The batches that follow the version, in order, as many as fit into `room` bytes, at least one.
 
         None if the window doesn't reach back to that version; empty if there is nothing newer.
@@ -87,8 +96,8 @@
         return len(self.batches)
 
 
-class Had:
-    """Which version was in force some time ago: a node that still lacks it after `LATE` is late."""
+class VersionHistory:
+    """Which version was in force some time ago: a node that still lacks it after `LATE_AFTER_US` is late."""
 
     def __init__(self, now: int, version: int) -> None:
         # per slot: first moment, last moment, version
@@ -97,11 +106,11 @@
     def note(self, now: int, version: int) -> None:
         """Records that the version is in force now."""
         last = self.slots[-1]
-        if now - last[0] < SLOT:
+        if now - last[0] < SLOT_US:
             last[1:] = [now, version]
         else:
             self.slots.append([now, now, version])
-        while len(self.slots) > SLOTS_MOST:
+        while len(self.slots) > MAX_SLOTS:
             self.slots.popleft()
 
     def before(self, moment: int) -> int:
--- a/lichencleat/testkit/cluster/mistakes.py
+++ b/lichencleat/testkit/cluster/mistakes.py
@@ -12,10 +12,10 @@
 
 from lichencleat.config_distribution import kept as keeping
 from lichencleat.config_distribution.kept import Kept, page_key, slot_of, unpack
-from lichencleat.config_distribution.pages import EMPTY, digest_bytes
+from lichencleat.config_distribution.pages import EMPTY_PAGE_DIGESTS, table_digest
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Staging, Table
-from lichencleat.config_distribution.terms import PAGES, Batch, Digests
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Digests
 from lichencleat.testkit.cluster.watcher import WatchedCopy
 
 LATER = 0.05  # s from one turn to the other, or from the word to the deed
@@ -162,10 +162,10 @@
 def trusted(kept: Kept, head: Any) -> Any:
     """As if the head's digest were that of whatever pages are there."""
     total = 0
-    for number in range(PAGES):
+    for number in range(PAGE_COUNT):
         data = kept.store.engine.get(page_key(number, slot_of(head.slots, number)))
-        total += EMPTY[number] if data is None else unpack(number, data)[1]
-    return msgspec.structs.replace(head, digest=digest_bytes(total, head.version))
+        total += EMPTY_PAGE_DIGESTS[number] if data is None else unpack(number, data)[1]
+    return msgspec.structs.replace(head, digest=table_digest(total, head.version))
 
 
 def load(kept: Kept, mistake: str) -> Any:
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -25,7 +25,7 @@
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.follow import Follower
 from lichencleat.config_distribution.kept import open_kept
-from lichencleat.config_distribution.pages import digest_bytes, digest_of
+from lichencleat.config_distribution.pages import page_digest, table_digest
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch, Digests, Pages
@@ -165,8 +165,8 @@
         if seen == self.last and not why:
             return
         self.last = seen
-        total = sum(digest_of(number, page) for number, page in enumerate(table.pages))
-        digest = digest_bytes(total, table.version)
+        total = sum(page_digest(number, page) for number, page in enumerate(table.pages))
+        digest = table_digest(total, table.version)
         line = {
             "at": moment(),
             "life": os.getpid(),
--- a/lichencleat/testkit/hollow.py
+++ b/lichencleat/testkit/hollow.py
@@ -18,10 +18,17 @@
 from typing import TypeVar
 
 from lichencleat.config_distribution import pages
-from lichencleat.config_distribution.errors import ChainError, SpoiltError, TableError
-from lichencleat.config_distribution.rebuild import differing, digests_of
+from lichencleat.config_distribution.errors import ChainError, CorruptTableError, TableError
+from lichencleat.config_distribution.rebuild import decode_page_digests, find_differing_pages
 from lichencleat.config_distribution.table import Staging, Table
-from lichencleat.config_distribution.terms import PAGES, RECORDS_MOST, TABLE_BYTES, Batch, Digests, Pages
+from lichencleat.config_distribution.terms import (
+    MAX_RECORDS,
+    MAX_TABLE_BYTES,
+    PAGE_COUNT,
+    Batch,
+    Digests,
+    Pages,
+)
 
 TABLES_MOST = 64  # versions that are found again; an older one lives on as long as a follower has it
 WORKS_MOST = 64  # batches under way or applied that are found again
@@ -60,7 +67,7 @@
 
     def __init__(self, head: Digests) -> None:
         """Raises SpoiltError where it can't be one."""
-        self.version, self.digest, self.digests = head.version, head.digest, digests_of(head)
+        self.version, self.digest, self.digests = head.version, head.digest, decode_page_digests(head)
         self.pages: dict[int, bytes] = {}
         self.packed: dict[int, bytes] = {}  # as they came
 
@@ -68,11 +75,11 @@
         if self.packed.get(number) == packed:
             return True
         try:
-            page = pages.inflated(packed)
-        except SpoiltError:
+            page = pages.inflate_page(packed)
+        except CorruptTableError:
             return False
         digest = self.digests[number]
-        if pages.digest_of(number, page) != digest or pages.fault(number, page):
+        if pages.page_digest(number, page) != digest or pages.find_page_fault(number, page):
             return False
         self.pages[number], self.packed[number] = shared.page(number, digest, page), packed
         return True
@@ -81,11 +88,11 @@
         """The whole, where all that differs from `base` was fetched. Raises SpoiltError at a bound."""
         table = shared.tables.get((self.version, self.digest))
         if table is None:
-            whole = [self.pages.get(number, base.pages[number]) for number in range(PAGES)]
-            records = sum(map(pages.count_of, whole))
+            whole = [self.pages.get(number, base.pages[number]) for number in range(PAGE_COUNT)]
+            records = sum(map(pages.record_count, whole))
             table = Table.assembled(self.version, whole, self.digests, records)
-            if records > RECORDS_MOST or table.bytes > TABLE_BYTES:
-                raise SpoiltError(f"a snapshot of {records} records, {table.bytes} bytes")
+            if records > MAX_RECORDS or table.bytes > MAX_TABLE_BYTES:
+                raise CorruptTableError(f"a snapshot of {records} records, {table.bytes} bytes")
         return shared.known(table)
 
 
@@ -183,10 +190,10 @@
         except TableError as wrong:
             self.wrong = wrong
             return
-        fetched, self.fetched = self.fetched, bytearray(PAGES)
-        told, self.spoilt, self.wanted = self.spoilt, [], bytearray(PAGES)
+        fetched, self.fetched = self.fetched, bytearray(PAGE_COUNT)
+        told, self.spoilt, self.wanted = self.spoilt, [], bytearray(PAGE_COUNT)
         digests = self.snapshot.digests
-        for number in differing(digests, table.page_digests):
+        for number in find_differing_pages(digests, table.page_digests):
             if past is not None and fetched[number] and past.digests[number] == digests[number]:
                 self.fetched[number] = 1
                 if past is not self.snapshot:
@@ -211,7 +218,7 @@
         snapshot = self.snapshot
         if snapshot is None or not self.going or pages.version != snapshot.version:
             return False
-        if any(not 0 <= number < PAGES or not self.wanted[number] for number, _ in pages.pages):
+        if any(not 0 <= number < PAGE_COUNT or not self.wanted[number] for number, _ in pages.pages):
             return False
         for number, packed in pages.pages:
             self.wanted[number] = 0
@@ -234,7 +241,7 @@
         if self.spoilt:
             number = self.spoilt.pop()
             self.wanted[number] = 1
-            raise SpoiltError(f"page {number} of {self.snapshot.version} is spoilt")
+            raise CorruptTableError(f"page {number} of {self.snapshot.version} is spoilt")
         if 1 in self.wanted:
             return False
         self.ready = self.snapshot.table(self.table, self.shared)
--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -20,7 +20,7 @@
 
 import click
 
-from lichencleat.config_distribution.counts import OLDEST, merged
+from lichencleat.config_distribution.counts import MAX_AGE_US, merge_counts
 from lichencleat.config_distribution.feed import Feeder
 from lichencleat.config_distribution.follow import Follower
 from lichencleat.testkit.simulation.distribution_events import EVENTS, WARM, Scene
@@ -140,7 +140,9 @@
         fleet, now = self.fleet, self.fleet.world.clockwork.now
         up = [voter.host.feeder for voter in fleet.source.voters if voter.up]
         newest = fleet.judge.versions[-1]
-        sums = {each.zone: each for each in merged(count for feeder in up for count in feeder.counts(now))}
+        sums = {
+            each.zone: each for each in merge_counts(count for feeder in up for count in feeder.counts(now))
+        }
         moved = Counter(site.zone for site in fleet.nodes if site.host.opened_at > now - MOVED)
         for zone, nodes in Counter(site.zone for site in fleet.nodes if site.up).items():
             found = sums.get(zone)
@@ -187,7 +189,7 @@
 def ages_of(fleet: Fleet) -> dict[str, int]:
     now = fleet.world.clockwork.now
     ages = sorted(site.host.follower.age(now) for site in fleet.nodes if site.up and not site.paused)
-    known = [age for age in ages if age < OLDEST]
+    known = [age for age in ages if age < MAX_AGE_US]
     return {
         "p50": known[len(known) // 2] // 1_000 if known else -1,
         "all": known[-1] // 1_000 if known else -1,
--- a/lichencleat/testkit/simulation/distribution_events.py
+++ b/lichencleat/testkit/simulation/distribution_events.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-from lichencleat.config_distribution.terms import BATCH_MOST, Change
+from lichencleat.config_distribution.terms import MAX_BATCH_CHANGES, Change
 from lichencleat.testkit.simulation.distribution_fleet import Fleet
 from lichencleat.testkit.simulation.distribution_table import drawn_changes
 from lichencleat.testkit.simulation.distribution_world import SECOND, Site
@@ -217,7 +217,7 @@
 def taken_back(scene: Scene) -> None:
     """A bad change of as many records as fit a batch, and 20 s later the batch that takes it back."""
     fleet = scene.fleet
-    changes = drawn_changes(scene.rng, scene.records, min(BATCH_MOST, scene.records // 2))
+    changes = drawn_changes(scene.rng, scene.records, min(MAX_BATCH_CHANGES, scene.records // 2))
 
     def back() -> None:
         judge, before = fleet.judge, bad[0]
--- a/lichencleat/testkit/simulation/distribution_table.py
+++ b/lichencleat/testkit/simulation/distribution_table.py
@@ -14,7 +14,7 @@
 
 from lichencleat.config_distribution import pages
 from lichencleat.config_distribution.table import Table, View
-from lichencleat.config_distribution.terms import PAGES, Batch, Change, Digests, Pages
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, Digests, Pages
 from lichencleat.testkit import hollow
 
 ROUTES = 200 / 560  # of all records; the others are tenants
@@ -54,7 +54,7 @@
     def items(self) -> Iterator[tuple[str, str, bytes]]:
         for page in self.table.pages:
             if page:
-                yield from pages.entries(page)
+                yield from pages.iterate_records(page)
 
     def whole(self) -> Any:
         return self.table
@@ -98,16 +98,16 @@
 
 def drawn_table(rng: random.Random, records: int) -> Table:
     """A whole table at version 1."""
-    found: list[list[tuple[int, bytes]]] = [[] for _ in range(PAGES)]
+    found: list[list[tuple[int, bytes]]] = [[] for _ in range(PAGE_COUNT)]
     for number in range(records):
         kind, called = name(number, records)
-        key = pages.key_of(kind, called)
-        page, place = pages.place_of(key)
+        key = pages.encode_key(kind, called)
+        page, place = pages.locate_key(key)
         found[page].append((place, key + value(rng, kind)))
     whole = []
     for each in found:
         each.sort()
-        whole.append(pages.packed([place for place, _ in each], [record for _, record in each]))
+        whole.append(pages.pack_records([place for place, _ in each], [record for _, record in each]))
     return Table.loaded(1, whole)
 
 
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -21,8 +21,8 @@
 import msgspec
 
 from lichencleat.config_distribution.acts import Act
-from lichencleat.config_distribution.counts import OLDEST
-from lichencleat.config_distribution.errors import SpoiltError
+from lichencleat.config_distribution.counts import MAX_AGE_US
+from lichencleat.config_distribution.errors import CorruptTableError
 from lichencleat.config_distribution.feed import Answer, Feeder
 from lichencleat.config_distribution.follow import Follower, Times
 from lichencleat.config_distribution.terms import Batch, Change, Digests, Fed, Follow, Pages, Say
@@ -304,7 +304,7 @@
         process.stepping = False
         try:
             ready: bool | None = process.table.step()
-        except SpoiltError:
+        except CorruptTableError:
             ready = None
         assert process.follower is not None
         process.follower.stepped(self.now, ready)
@@ -443,7 +443,7 @@
     def judge_age(self, name: str, version: int, age: int) -> None:
         """At the moment that an age speaks of, nothing newer was published."""
         newer = self.published.get(version + 1)
-        if age < OLDEST and newer is not None and self.now - age > newer:
+        if age < MAX_AGE_US and newer is not None and self.now - age > newer:
             self.says(f"{name} says {age} µs of version {version}, {self.now - newer} µs after the next one")
 
 
--- a/lichencleat/testkit/tiny_table.py
+++ b/lichencleat/testkit/tiny_table.py
@@ -5,7 +5,7 @@
 from collections.abc import Sequence
 from hashlib import blake2b
 
-from lichencleat.config_distribution.errors import ChainError, SpoiltError
+from lichencleat.config_distribution.errors import ChainError, CorruptTableError
 from lichencleat.config_distribution.terms import Batch, Change, Digests, Pages
 
 NAMES = ("a", "b", "c")  # of the records, each on a page of its own; a and b only change together
@@ -114,7 +114,7 @@
             return False  # what was staged may have been dropped since it was asked for
         wanted = self.head.digest if self.going and self.head else self.batches[-1].digest
         if digest_of(self.staged()) != wanted:
-            raise SpoiltError("another digest")
+            raise CorruptTableError("another digest")
         return True
 
     def take(self) -> tuple[Batch, ...]:
--- a/tests/config_distribution/test_copy.py
+++ b/tests/config_distribution/test_copy.py
@@ -4,9 +4,9 @@
 
 from lichencleat.config_distribution import pages
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.errors import ChainError, SpoiltError
+from lichencleat.config_distribution.errors import ChainError, CorruptTableError
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import PAGES, Batch, Change, Digests, Pages
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, Digests, Pages
 
 
 def change(name: str, value: bytes | None) -> Change:
@@ -60,7 +60,7 @@
     source, copy = source_of(500), TableCopy(source_of(500))
     good = source.apply(9, [change("acme-1", b"new")])
     copy.stage([Batch(9, 1, good.digest, (change("acme-1", b"neu"),))])
-    with pytest.raises(SpoiltError):
+    with pytest.raises(CorruptTableError):
         ready(copy)
     copy.drop()
     assert not copy.step()
@@ -79,7 +79,7 @@
     copy.begin(view.head(0))
     while numbers := copy.missing(100):
         assert copy.put(piece(view, numbers))
-        assert set(copy.missing(PAGES)).isdisjoint(numbers)
+        assert set(copy.missing(PAGE_COUNT)).isdisjoint(numbers)
     ready(copy)
     assert (copy.version, copy.find("tenant", "acme-1999"), copy.table.pages) == (1, None, old)
     assert copy.take() == ()
@@ -101,21 +101,21 @@
     whole = fetched(copy, view, 300)
     bad, unseen = copy.missing(2)
     assert copy.put(Pages(view.version, ((unseen, view.packed(unseen)), (bad, b"nonsense"))))
-    with pytest.raises(SpoiltError, match=f"page {bad}"):
+    with pytest.raises(CorruptTableError, match=f"page {bad}"):
         ready(copy)
     copy.drop()
     assert copy.missing(9) == [] and not copy.step()
     stale = copy.rebuild.missing(9)[-1]  # comes, is not looked at yet, and is another in the next snapshot
     copy.waiting[stale] = view.packed(stale)
-    name = next(pages.entries(source.pages[stale]))[1]
+    name = next(pages.iterate_records(source.pages[stale]))[1]
     source.apply(5000, [change("acme-1", b"new"), change(name, b"new")])
     later = source.view()
     copy.begin(later.head(0))
-    missing = copy.missing(PAGES)
-    touched = pages.place_of(pages.key_of("tenant", "acme-1"))[0]
+    missing = copy.missing(PAGE_COUNT)
+    touched = pages.locate_key(pages.encode_key("tenant", "acme-1"))[0]
     assert {bad, stale} <= set(missing) and unseen not in missing
     assert set(missing) & set(whole) <= {touched}
-    fetched(copy, later, PAGES)
+    fetched(copy, later, PAGE_COUNT)
     ready(copy)
     copy.take()
     assert (copy.version, copy.digest) == (5000, source.digest)
@@ -128,7 +128,7 @@
     copy.begin(view.head(0))
     number = copy.missing(1)[0]
     assert not copy.put(Pages(2, ((number, view.packed(number)),)))
-    empty = next(at for at in range(PAGES) if not source.pages[at])
+    empty = next(at for at in range(PAGE_COUNT) if not source.pages[at])
     assert not copy.put(Pages(1, ((empty, view.packed(empty)),)))
     assert copy.missing(1) == [number]
     copy.drop()
@@ -142,13 +142,13 @@
     whole = fetched(copy, view, 50)
     copy.begin(Digests(7, b"x" * 16, view.head(0).pages, 0))
     assert copy.missing(9) == []
-    with pytest.raises(SpoiltError):
+    with pytest.raises(CorruptTableError):
         copy.step()
     with pytest.raises(ChainError):
         copy.take()
     copy.drop()
     copy.begin(view.head(0))
-    assert not set(whole) & set(copy.missing(PAGES))
+    assert not set(whole) & set(copy.missing(PAGE_COUNT))
     ahead = TableCopy(source_of(1000))
     ahead.begin(view.head(0))
     with pytest.raises(ChainError):  # older than what is in force
--- a/tests/config_distribution/test_counts.py
+++ b/tests/config_distribution/test_counts.py
@@ -5,10 +5,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lichencleat.config_distribution.counts import COUNTED, NAME_MOST, NODES_MOST, OLDEST, at_relay, merged
+from lichencleat.config_distribution.counts import (
+    COUNT_EXPIRY_US,
+    MAX_AGE_US,
+    MAX_NAME_CHARS,
+    MAX_NODES,
+    adjust_counts,
+    merge_counts,
+)
 from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.terms import FOLLOW, HOLD, LATE, ZONES_MOST, Count, Follow, encode
-from lichencleat.config_distribution.window import SLOT, SLOTS_MOST, Had
+from lichencleat.config_distribution.terms import (
+    FOLLOW,
+    LATE_AFTER_US,
+    MAX_HOLD_US,
+    MAX_ZONES,
+    Count,
+    Follow,
+    encode,
+)
+from lichencleat.config_distribution.window import MAX_SLOTS, SLOT_US, VersionHistory
 from lichencleat.testkit.tiny_table import Tiny
 
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=80)
@@ -35,7 +50,7 @@
     return Feeder(name, "z1", Tiny(version), now)
 
 
-def says(it, now, who, version, counts, hold=HOLD):
+def says(it, now, who, version, counts, hold=MAX_HOLD_US):
     if who not in it.subscribers:
         assert it.joined(now, who)
     it.asked(now, who, 1, FOLLOW, Follow(version, it.window.digests.get(version, b""), tuple(counts), hold))
@@ -47,12 +62,12 @@
 @FIXED
 def test_sums_and_extremes_do_not_depend_on_the_way_up(counts, rng):
     """In any order, and by way of any relays: the same."""
-    whole = merged(counts)
+    whole = merge_counts(counts)
     shuffled = list(counts)
     rng.shuffle(shuffled)
     cut = rng.randrange(len(counts) + 1)
-    assert merged(shuffled) == whole
-    assert merged([*merged(shuffled[:cut]), *merged(shuffled[cut:])]) == whole
+    assert merge_counts(shuffled) == whole
+    assert merge_counts([*merge_counts(shuffled[:cut]), *merge_counts(shuffled[cut:])]) == whole
     assert sum(each.nodes for each in whole) == sum(each.nodes for each in counts)
     there = [each for each in counts if each.nodes]
     assert [each.zone for each in whole] == sorted({each.zone for each in there})
@@ -64,44 +79,47 @@
 
 
 def test_zones_over_the_bound_are_one():
-    many = [Count(f"z{number:03}", 2, number + 1, 0, 0, "r") for number in range(ZONES_MOST + 9)]
-    told = merged(many)
-    assert len(told) == ZONES_MOST + 1 and sum(each.nodes for each in told) == 2 * len(many)
-    assert told[0].zone == "" and told[0].nodes == 18 and told[0].lowest == ZONES_MOST + 1
+    many = [Count(f"z{number:03}", 2, number + 1, 0, 0, "r") for number in range(MAX_ZONES + 9)]
+    told = merge_counts(many)
+    assert len(told) == MAX_ZONES + 1 and sum(each.nodes for each in told) == 2 * len(many)
+    assert told[0].zone == "" and told[0].nodes == 18 and told[0].lowest == MAX_ZONES + 1
 
 
 def test_a_relay_names_itself_at_its_own_nodes_and_says_which_are_late():
-    told = list(at_relay([node("z1", 4), node("z1", 5)], "r1", 5, 5, 7))
+    told = list(adjust_counts([node("z1", 4), node("z1", 5)], "r1", 5, 5, 7))
     assert [(each.by, each.late, each.oldest) for each in told] == [("r1", 1, 7), ("r1", 0, 7)]
     below = [Count("z1", 9, 3, 5, 2, "r9")]
-    assert list(at_relay(below, "r1", 5, 5, 0)) == below  # as that relay said
-    assert next(iter(at_relay(below, "r1", 4, 5, 0))).late == 9  # it is late itself
+    assert list(adjust_counts(below, "r1", 5, 5, 0)) == below  # as that relay said
+    assert next(iter(adjust_counts(below, "r1", 4, 5, 0))).late == 9  # it is late itself
 
 
 def test_numbers_that_can_not_be_are_cut_and_still_fit_the_wire():
     bad = Count("z" * 999, 1 << 63, -5, 1 << 62, 1 << 63, "r" * 999)
-    told = merged(at_relay([bad] * 65, "r1", 5, 0, 1 << 62))
-    assert told[0].nodes == 65 * NODES_MOST and told[0].late == told[0].nodes
-    assert (told[0].lowest, told[0].oldest) == (0, OLDEST)
-    assert len(told[0].zone) == len(told[0].by) == NAME_MOST and encode(told)
-    assert merged([Count("z1", -3, 1, 0, 0, "r")]) == ()
+    told = merge_counts(adjust_counts([bad] * 65, "r1", 5, 0, 1 << 62))
+    assert told[0].nodes == 65 * MAX_NODES and told[0].late == told[0].nodes
+    assert (told[0].lowest, told[0].oldest) == (0, MAX_AGE_US)
+    assert len(told[0].zone) == len(told[0].by) == MAX_NAME_CHARS and encode(told)
+    assert merge_counts([Count("z1", -3, 1, 0, 0, "r")]) == ()
 
 
 def test_one_that_moved_is_in_two_sums_for_a_bounded_time():
     one, other = feeder(name="r1"), feeder(name="r2")
     says(one, 0, 1, 9, [node("z1", 9)], hold=0)  # answered at once; its link is never closed
     says(other, 10, 1, 9, [node("z1", 9)])
-    both = [sum(each.nodes for each in (*one.counts(now), *other.counts(now))) for now in (10, COUNTED - 1)]
+    both = [
+        sum(each.nodes for each in (*one.counts(now), *other.counts(now)))
+        for now in (10, COUNT_EXPIRY_US - 1)
+    ]
     assert both == [2, 2]
-    assert [one.counts(COUNTED), other.counts(COUNTED)[0].nodes] == [(), 1]
-    other.left(COUNTED, 1)
-    assert other.counts(COUNTED) == ()
+    assert [one.counts(COUNT_EXPIRY_US), other.counts(COUNT_EXPIRY_US)[0].nodes] == [(), 1]
+    other.left(COUNT_EXPIRY_US, 1)
+    assert other.counts(COUNT_EXPIRY_US) == ()
 
 
 def test_one_whose_question_is_held_counts_however_long():
     it = feeder()
     says(it, 0, 1, 9, [node("z1", 9, 5)])
-    assert it.counts(2 * COUNTED) == (Count("z1", 1, 9, 5 + 2 * COUNTED, 0, "r1"),)
+    assert it.counts(2 * COUNT_EXPIRY_US) == (Count("z1", 1, 9, 5 + 2 * COUNT_EXPIRY_US, 0, "r1"),)
 
 
 @given(st.integers(0, 1 << 30))
@@ -120,12 +138,12 @@
         else:
             it.left(now, who)
             there.pop(who, None)
-        wanted = sum(nodes for since, nodes in there.values() if now - since < COUNTED)
+        wanted = sum(nodes for since, nodes in there.values() if now - since < COUNT_EXPIRY_US)
         assert sum(each.nodes for each in it.counts(now)) == wanted
 
 
 def test_late_is_who_lacks_what_the_relay_has_had_for_long_enough():
-    it, due = feeder(3), SECOND + LATE
+    it, due = feeder(3), SECOND + LATE_AFTER_US
     it.table.__init__(4)
     it.grew(SECOND, ())
     for now in (due - SECOND, due - 1, due):
@@ -138,13 +156,13 @@
 @given(st.lists(st.integers(1, 400_000), min_size=1, max_size=200))
 @FIXED
 def test_what_was_had_is_never_told_too_early_nor_by_more_than_a_slot_too_late(spans):
-    had, now, came = Had(0, 0), 0, [(0, 0)]
+    had, now, came = VersionHistory(0, 0), 0, [(0, 0)]
     for version, span in enumerate(spans, 1):
         now += span
         had.note(now, version)
         came.append((now, version))
-        moment = now - LATE
+        moment = now - LATE_AFTER_US
         told = had.before(moment)
         assert told <= max((each for at, each in came if at <= moment), default=0)
-        assert told >= max((each for at, each in came if at <= moment - SLOT), default=0)
-        assert len(had.slots) <= SLOTS_MOST
+        assert told >= max((each for at, each in came if at <= moment - SLOT_US), default=0)
+        assert len(had.slots) <= MAX_SLOTS
--- a/tests/config_distribution/test_feed.py
+++ b/tests/config_distribution/test_feed.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from lichencleat.config_distribution import feed
-from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.counts import MAX_AGE_US
 from lichencleat.config_distribution.feed import (
     BEHIND_HOLD,
     FETCH_BURST,
@@ -26,15 +26,15 @@
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
     DIGESTS,
-    FED_BYTES,
     FIND,
     FOLLOW,
-    HOLD,
     IN_FORCE,
-    PAGES,
+    MAX_ANSWER_BYTES,
+    MAX_HOLD_US,
+    MAX_SUBSCRIBERS,
+    MAX_VIEWS,
+    PAGE_COUNT,
     PAGES_OF,
-    SUBSCRIBERS_MOST,
-    VIEWS_MOST,
     Batch,
     Change,
     Follow,
@@ -43,7 +43,7 @@
     Wanting,
     encode,
 )
-from lichencleat.config_distribution.window import Window, size_of
+from lichencleat.config_distribution.window import Window, max_encoded_size
 
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=80)
 
@@ -69,7 +69,7 @@
         self.feeder.asked(self.now, who, self.number, what, content)
         return self.pulled()
 
-    def follows(self, who, version, digest=b"", hold=HOLD):
+    def follows(self, who, version, digest=b"", hold=MAX_HOLD_US):
         known = self.feeder.window.digests.get(version, b"")
         return self.asks(who, FOLLOW, Follow(version, digest or known, (), hold))
 
@@ -102,18 +102,18 @@
     fed = answers[0].content
     assert (fed.say, fed.version, fed.digest, fed.batches) == (Say.NEWS, 7, batch.digest, (batch,))
     assert relay.follows(3, 3)[0].content.batches == (batch,)
-    assert relay.passes(10 * HOLD) == []  # nothing is open
+    assert relay.passes(10 * MAX_HOLD_US) == []  # nothing is open
 
 
 def test_a_hold_is_what_was_asked_for_and_capped_and_nothing_newer_is_never_said_earlier():
     relay = Relay()
     relay.publish(3)
-    assert relay.follows(1, 3, hold=9 * HOLD) == relay.follows(2, 3, hold=300) == []
+    assert relay.follows(1, 3, hold=9 * MAX_HOLD_US) == relay.follows(2, 3, hold=300) == []
     assert relay.feeder.deadline() == 300 and relay.passes(299) == []
     assert [each.who for each in relay.passes(1)] == [2]
-    assert relay.passes(HOLD - 301) == []
+    assert relay.passes(MAX_HOLD_US - 301) == []
     (answer,) = relay.passes(1)
-    assert (answer.who, answer.content.say, answer.content.age) == (1, Say.SAME, HOLD)
+    assert (answer.who, answer.content.say, answer.content.age) == (1, Say.SAME, MAX_HOLD_US)
     assert said(relay.follows(1, 3, hold=-5)) == Say.SAME
 
 
@@ -141,7 +141,7 @@
         assert (answer.content.say, answer.content.version) == (Say.BEHIND, 3)
     elif then == "same":  # not before its whole hold: it counts on that
         relay.feeder.window.add(Batch(7, 3, b"7" * 16, ()))
-        assert relay.passes(HOLD - BEHIND_HOLD) == []
+        assert relay.passes(MAX_HOLD_US - BEHIND_HOLD) == []
         assert said(relay.passes(1)) == Say.SAME
     else:
         relay.feeder.window.add(Batch(7, 3, b"7" * 16, ()))
@@ -166,18 +166,18 @@
     assert said(relay.follows(1, 0)) == Say.NEWS
     for version in range(2, 50):
         relay.publish(version, 2_000)
-    assert relay.feeder.window.bytes > FED_BYTES and said(relay.follows(1, 0)) == Say.SNAPSHOT
+    assert relay.feeder.window.bytes > MAX_ANSWER_BYTES and said(relay.follows(1, 0)) == Say.SNAPSHOT
     (answer,) = relay.follows(1, 1)
-    assert len(encode(answer.content)) <= FED_BYTES + 200 and len(answer.content.batches) < 40
+    assert len(encode(answer.content)) <= MAX_ANSWER_BYTES + 200 and len(answer.content.batches) < 40
 
 
 def test_an_empty_relay_says_that_it_has_nothing():
     relay = Relay()
-    assert relay.follows(1, 0) == [] and said(relay.passes(HOLD)) == Say.SAME
+    assert relay.follows(1, 0) == [] and said(relay.passes(MAX_HOLD_US)) == Say.SAME
     assert relay.follows(1, 4, b"4" * 16) == [] and said(relay.passes(BEHIND_HOLD)) == Say.BEHIND
     assert said(relay.asks(1, DIGESTS)) == "nothing here"
     fresh = Feeder("r", "z", Table(), 5)
-    assert fresh.age(9) == OLDEST and fresh.in_force(9)["age_us"] == -1  # nobody told it anything
+    assert fresh.age(9) == MAX_AGE_US and fresh.in_force(9)["age_us"] == -1  # nobody told it anything
 
 
 def test_it_answers_from_what_it_was_told_while_the_table_is_a_turn_ahead():
@@ -202,12 +202,12 @@
     assert relay.feeder.counters["declined: unfit"] == 7
     assert relay.asks(1, IN_FORCE)[0].content["version"] == 0  # answered beside it
     relay.feeder.left(0, 1)
-    assert relay.passes(HOLD) == []
+    assert relay.passes(MAX_HOLD_US) == []
 
 
 def test_subscribers_are_bounded_and_one_that_fell_silent_is_dropped():
     relay = Relay()
-    for who in range(SUBSCRIBERS_MOST):
+    for who in range(MAX_SUBSCRIBERS):
         assert relay.feeder.joined(0, who)
     assert not relay.feeder.joined(0, -1) and relay.feeder.joined(0, 3)
     assert said(relay.follows(3, 0, hold=0)) == Say.SAME
@@ -228,7 +228,7 @@
         window.add(batch)
         kept = list(window.batches)
         assert kept == batches[len(batches) - len(kept) :]
-        assert len(kept) <= most and sum(map(size_of, kept)) == window.bytes <= room
+        assert len(kept) <= most and sum(map(max_encoded_size, kept)) == window.bytes <= room
         assert len(kept) == most or len(kept) == len(batches) or window.bytes + 200 > room
         assert set(window.digests) == set(window.places) == {window.base, *(each.version for each in kept)}
         for past in range(version + 2):
@@ -236,12 +236,12 @@
             later = [each for each in kept if each.version > past]
             if past == window.base or any(each.version == past for each in kept):
                 assert list(told) == later[: len(told)] and bool(told) == bool(later)
-                assert len(told) < 2 or sum(map(size_of, told)) <= 200
+                assert len(told) < 2 or sum(map(max_encoded_size, told)) <= 200
             else:
                 assert told is None
     with pytest.raises(ValueError, match="does not follow"):
         window.add(Batch(version + 9, version + 1, b"", ()))
-    assert all(len(encode(each)) <= size_of(each) for each in batches)
+    assert all(len(encode(each)) <= max_encoded_size(each) for each in batches)
 
 
 def test_what_a_disk_kept_fills_the_window_where_it_leads_to_what_is_there():
@@ -288,7 +288,7 @@
     assert answer.content.pages == tuple((number, view.packed(number)) for number in range(PIECE_PAGES))
     assert head.version == 2 and head.digest == view.digest
     assert [each.version for each in relay.follows(1, 2)[0].content.batches] == [3]
-    for wrong in ((), (PAGES,), (-1,)):
+    for wrong in ((), (PAGE_COUNT,), (-1,)):
         assert said(relay.asks(1, PAGES_OF, Wanted(2, wrong))) == "unfit"
     assert relay.asks(1, PAGES_OF, Wanted(9, (1,)))[0].content.pages == ()
 
@@ -296,7 +296,7 @@
 def test_views_are_reused_while_fresh_and_kept_up_to_the_bound():
     relay = filled((1, 2, 3))
     heads = []
-    for who in range(VIEWS_MOST + 1):
+    for who in range(MAX_VIEWS + 1):
         heads.append(relay.asks(who, DIGESTS)[0].content)
         relay.now += 1
         same = relay.asks(100 + who, DIGESTS)[0].content
@@ -311,7 +311,7 @@
 
 def test_the_view_that_fewest_want_makes_room():
     relay = filled((1, 2, 3), window=99)
-    for who in range(VIEWS_MOST):
+    for who in range(MAX_VIEWS):
         for one in range(1 + (who != 1)):
             relay.asks(10 * who + one, DIGESTS)
         relay.publish(10 + who)
@@ -343,7 +343,7 @@
     version, asked, bytes_sent, open_ones = relay.table.version, 0, 0, set()
     for _ in range(400):
         for who in set(range(FETCHERS_MOST)) - open_ones:
-            numbers = tuple((asked + at) % PAGES for at in range(8))
+            numbers = tuple((asked + at) % PAGE_COUNT for at in range(8))
             asked += 8
             open_ones.add(who)
             answers = relay.asks(who, PAGES_OF, Wanted(version, numbers))
@@ -353,7 +353,7 @@
         for each in relay.passes(1_000):
             open_ones.discard(each.who)
             bytes_sent += sum(len(page) for _, page in each.content.pages)
-    at_most = FETCH_BURST + FED_BYTES + FETCH_RATE * relay.now
+    at_most = FETCH_BURST + MAX_ANSWER_BYTES + FETCH_RATE * relay.now
     assert 0.8 * FETCH_RATE * relay.now < bytes_sent <= at_most
 
 
@@ -409,14 +409,14 @@
             past = rng.choice([0, *relay.feeder.window.digests, version + 1])
             what = rng.choice(["follow", "follow", DIGESTS, PAGES_OF])
             if what == "follow":
-                answered(relay.follows(who, past, hold=rng.choice([0, 1_000, HOLD])))
+                answered(relay.follows(who, past, hold=rng.choice([0, 1_000, MAX_HOLD_US])))
             else:
                 answered(relay.asks(who, what, Wanted(version, (1, 2)) if what == PAGES_OF else None))
         else:
-            answered(relay.passes(rng.randrange(HOLD // 3)))
+            answered(relay.passes(rng.randrange(MAX_HOLD_US // 3)))
         it = relay.feeder
-        assert all(relay.now - at < HOLD for _, at in open_ones.values())
+        assert all(relay.now - at < MAX_HOLD_US for _, at in open_ones.values())
         assert sum(each.held is not None for each in it.subscribers.values()) == len(open_ones)
-        assert len(it.waits) <= 2 * len(it.subscribers) + 64 and len(it.views) <= VIEWS_MOST
-        assert not it.out and not it.ready and len(it.shared) <= SUBSCRIBERS_MOST
+        assert len(it.waits) <= 2 * len(it.subscribers) + 64 and len(it.views) <= MAX_VIEWS
+        assert not it.out and not it.ready and len(it.shared) <= MAX_SUBSCRIBERS
         assert set(it.fetchers) <= set(it.subscribers) and len(it.fetchers) <= feed.FETCHERS_MOST
--- a/tests/config_distribution/test_follow.py
+++ b/tests/config_distribution/test_follow.py
@@ -7,12 +7,12 @@
 from config_distribution.following import HOME, NEXT, SECOND, TIMES, Node, fed, following, news
 
 from lichencleat.config_distribution.choice import Choice
-from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.counts import MAX_AGE_US
 from lichencleat.config_distribution.follow import BUSY_MOST
 from lichencleat.config_distribution.terms import (
     DIGESTS,
-    HOLD,
-    RELAYS_MOST,
+    MAX_HOLD_US,
+    MAX_RELAYS,
     Say,
 )
 from lichencleat.testkit.tiny_table import MARK
@@ -47,7 +47,7 @@
     node.passes(TIMES.move[1])
     second = node.follows()
     assert {first, second} == set(HOME)
-    node.passes(HOLD + TIMES.patience - 1)
+    node.passes(MAX_HOLD_US + TIMES.patience - 1)
     assert node.it.relay == second
     node.passes(1)
     assert (
@@ -61,7 +61,7 @@
     """Its answer may lie in the buffer: it is read before the relay is left."""
     node = following()
     relay = node.it.relay
-    node.now += HOLD + TIMES.patience + TIMES.overslept + 1
+    node.now += MAX_HOLD_US + TIMES.patience + TIMES.overslept + 1
     node.it.wakes(node.now)
     node.stir()
     assert node.it.relay == relay
@@ -106,14 +106,14 @@
     """Its relay says that there is nothing newer, time after time, until it opens another link."""
     until, opened = node.now + span, len(node.opened)
     while node.now < until and len(node.opened) == opened:
-        node.passes(node.it.question.at + HOLD - node.now)
+        node.passes(node.it.question.at + MAX_HOLD_US - node.now)
         node.hears(fed(Say.SAME, node.table.version))
     assert len(node.opened) > opened
 
 
 def test_relays_are_bounded_and_one_that_is_named_twice_counts_once():
     many = Choice([["a", "a", "b"], ["b", *map(str, range(99))]], random.Random(1), TIMES)
-    assert len(many.order) == len(set(many.order)) == RELAYS_MOST and many.tier["b"] == 0
+    assert len(many.order) == len(set(many.order)) == MAX_RELAYS and many.tier["b"] == 0
     node = Node(tiers=())
     node.passes(600 * SECOND)
     assert node.opened == []
@@ -149,7 +149,7 @@
 def test_one_without_a_mark_is_followed_and_nothing_of_it_is_taken():
     node = Node()
     relay = node.follows(mark=b"")
-    node.hears(fed(Say.SAME, 0, OLDEST, digest=b"other nothing"))
+    node.hears(fed(Say.SAME, 0, MAX_AGE_US, digest=b"other nothing"))
     assert node.it.relay == relay
     node.passes(TIMES.again)
     node.hears(news(0, 3))
@@ -194,13 +194,13 @@
     node = following()
     relay, since = node.it.relay, node.now
     while node.now < since + 600 * SECOND:
-        node.passes(min(node.it.deadline(), node.it.question.at + HOLD) - node.now)
+        node.passes(min(node.it.deadline(), node.it.question.at + MAX_HOLD_US) - node.now)
         probe = node.it.looks.probe
         if probe is not None and probe.asked < 0:
             node.it.opened(node.now, probe.relay, MARK)
             node.stir()
             node.hears(fed(Say.SAME, 3, node.now - since + 300_000), relay=probe.relay)
-        if node.now >= node.it.question.at + HOLD:
+        if node.now >= node.it.question.at + MAX_HOLD_US:
             node.hears(fed(Say.SAME, 3, node.now - since))
         assert node.it.relay == relay
     looks = [at - since for at, _ in node.opened[1:]]
@@ -212,7 +212,7 @@
 def test_it_moves_to_a_fresher_one_by_a_margin_alone(younger, moves):
     node = following()
     relay, age = node.it.relay, 10 * SECOND
-    node.passes(HOLD)
+    node.passes(MAX_HOLD_US)
     node.hears(fed(Say.SAME, 3, age))
     node.passes(node.it.looks.look_at - node.now)
     probe = node.it.looks.probe.relay
--- a/tests/config_distribution/test_follow_taking.py
+++ b/tests/config_distribution/test_follow_taking.py
@@ -4,13 +4,13 @@
 from config_distribution.following import SECOND, TIMES, Node, batch, fed, following, head, news, pages
 
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.counts import MAX_AGE_US
 from lichencleat.config_distribution.follow import HEADS_MOST
-from lichencleat.config_distribution.pages import key_of, place_of
+from lichencleat.config_distribution.pages import encode_key, locate_key
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
     DIGESTS,
-    HOLD,
+    MAX_HOLD_US,
     PAGES_OF,
     Change,
     Count,
@@ -139,7 +139,7 @@
     node.follows()
     assert not other_said(node) and node.it.relay is None
     node.follows()
-    node.passes(HOLD)
+    node.passes(MAX_HOLD_US)
     node.hears(fed(Say.SAME, 3))  # the next tier agrees
     node.lost()
     node.follows()
@@ -167,8 +167,8 @@
 
 def test_a_page_that_went_wrong_in_memory_is_mended_by_a_snapshot():
     """A batch on that page has another digest here, whichever relay it is from."""
-    page = place_of(key_of("t", "here"))[0]
-    beside = next(name for name in map(str, range(99_999)) if place_of(key_of("t", name))[0] == page)
+    page = locate_key(encode_key("t", "here"))[0]
+    beside = next(name for name in map(str, range(99_999)) if locate_key(encode_key("t", name))[0] == page)
     source, copy = Table(), TableCopy(mark=MARK)
     first = source.apply(3, (Change("t", "here", b"right"),))
     copy.table.apply(3, first.changes)
@@ -198,7 +198,7 @@
 def test_the_age_counts_from_when_an_answer_can_have_been_made_not_from_when_it_was_heard():
     node = following()
     asked = node.now
-    assert node.it.age(node.now) == OLDEST
+    assert node.it.age(node.now) == MAX_AGE_US
     node.now += 9 * SECOND  # it was stopped with the answer in its buffer
     node.hears(fed(Say.SAME, 3, 200))
     assert node.it.age(node.now) == 8 * SECOND + 200
@@ -211,25 +211,25 @@
 
 def test_an_answer_before_its_hold_is_over_counts_from_the_question_and_is_not_asked_again_at_once():
     node = following()
-    node.now += HOLD // 4
+    node.now += MAX_HOLD_US // 4
     node.hears(fed(Say.SAME, 3))
-    assert node.it.age(node.now) == HOLD // 4
+    assert node.it.age(node.now) == MAX_HOLD_US // 4
     assert node.it.deadline() == node.now + TIMES.again
 
 
 def test_the_age_is_not_touched_by_what_knows_less():
     node = following()
-    node.passes(HOLD)
+    node.passes(MAX_HOLD_US)
     node.hears(fed(Say.SAME, 3))
     known = node.it.known_at
-    for answer in (fed(Say.SAME, 3, 50 * SECOND), fed(Say.SAME, 3, OLDEST), fed(Say.BEHIND, 2)):
-        node.passes(HOLD)
+    for answer in (fed(Say.SAME, 3, 50 * SECOND), fed(Say.SAME, 3, MAX_AGE_US), fed(Say.BEHIND, 2)):
+        node.passes(MAX_HOLD_US)
         node.hears(answer)
         assert node.it.known_at == known
     node = following()
     node.hears(fed(Say.NEWS, 9, 0, [batch(3, 4)]))  # there is more than that
     node.steps()
-    assert node.it.age(node.now) == OLDEST
+    assert node.it.age(node.now) == MAX_AGE_US
 
 
 def test_a_relay_asks_with_a_shorter_hold_and_tells_of_all_below():
--- a/tests/config_distribution/test_hollow.py
+++ b/tests/config_distribution/test_hollow.py
@@ -6,9 +6,9 @@
 
 from lichencleat.config_distribution import pages
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.errors import ChainError, SpoiltError, TableError
+from lichencleat.config_distribution.errors import ChainError, CorruptTableError, TableError
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import PAGES, Batch, Change, Digests, Pages
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, Digests, Pages
 from lichencleat.testkit.hollow import Shared, SharedCopy
 
 NAMES = [f"t{number}" for number in range(40)]
@@ -78,8 +78,8 @@
             own.begin(head)
             hollow.begin(head)
             for _ in range(rng.randrange(40)):
-                numbers = sorted(own.missing(PAGES))
-                assert numbers == sorted(hollow.missing(PAGES))
+                numbers = sorted(own.missing(PAGE_COUNT))
+                assert numbers == sorted(hollow.missing(PAGE_COUNT))
                 assert len(own.missing(4)) == len(hollow.missing(4)) == len(numbers[:4])
                 numbers = numbers[:4]
                 sent = [(number, view.packed(number)) for number in numbers]
@@ -95,7 +95,7 @@
         if rng.random() < 0.9:
             ready, same = goes_on(own), goes_on(hollow)
             assert ready == same
-            counts["wrong"] += ready in (SpoiltError, ChainError)
+            counts["wrong"] += ready in (CorruptTableError, ChainError)
         if rng.random() < 0.8:
             taken = told(own.take)
             assert taken == told(hollow.take)
@@ -117,12 +117,12 @@
     assert shared.applied == 4
     assert all(each.table is copies[0].table for each in copies)
     calls = []
-    once = pages.inflated
-    monkeypatch.setattr(pages, "inflated", lambda data: calls.append(data) or once(data))
+    once = pages.inflate_page
+    monkeypatch.setattr(pages, "inflate_page", lambda data: calls.append(data) or once(data))
     view = source.views[8]
     for copy in copies:
         copy.begin(view.head(0))
-        numbers = copy.missing(PAGES)
+        numbers = copy.missing(PAGE_COUNT)
         assert copy.put(
             Pages(view.version, tuple((number, bytes(view.packed(number))) for number in numbers))
         )
@@ -157,7 +157,7 @@
         while not first.step():
             pass
         second.stage((wrong,))
-        with pytest.raises(SpoiltError):
+        with pytest.raises(CorruptTableError):
             while not second.step():
                 pass
         first.take()
--- a/tests/config_distribution/test_kept.py
+++ b/tests/config_distribution/test_kept.py
@@ -12,7 +12,7 @@
 from lichencleat.config_distribution import pages
 from lichencleat.config_distribution.kept import Kept, made_kept, open_kept, page_key
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import PAGES, Batch, Change
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change
 from lichencleat.store.batch import Batch as Stored
 from lichencleat.store.capacity import StoreLimits
 from lichencleat.store.engine import Engine
@@ -116,7 +116,7 @@
     monkeypatch.setattr(module, "unpack", counted)
     monkeypatch.setattr(Kept, "turn", lambda kept: looked.append(0) or turn(kept))
     assert same(life.load()[0], table)
-    assert sum(looked) == PAGES and max(looked) == module.LOOK_PAGES == 2
+    assert sum(looked) == PAGE_COUNT and max(looked) == module.LOOK_PAGES == 2
 
 
 def test_what_was_written_is_there_at_the_next_start():
@@ -284,20 +284,20 @@
 
 def spoil_page(life, table, page):
     """As one that goes wrong in memory on its way to the disk, with a digest that fits it or not."""
-    number = next(at for at in range(PAGES) if table.pages[at])
+    number = next(at for at in range(PAGE_COUNT) if table.pages[at])
     return number, Stored().put(page_key(number, 0), page(number, table.pages[number]))
 
 
 @pytest.mark.parametrize(
     "page",
     [
-        lambda number, page: bytes(16) + pages.deflated(page),  # another digest
-        lambda number, page: pages.digest_of(number, page).to_bytes(16, "little") + b"torn",
+        lambda number, page: bytes(16) + pages.deflate_page(page),  # another digest
+        lambda number, page: pages.page_digest(number, page).to_bytes(16, "little") + b"torn",
         lambda number, page: b"",
         lambda number, page: (
-            pages.digest_of(number, page[:-1]).to_bytes(16, "little") + pages.deflated(page[:-1])
+            pages.page_digest(number, page[:-1]).to_bytes(16, "little") + pages.deflate_page(page[:-1])
         ),
-        lambda number, page: pages.digest_of(number, b"").to_bytes(16, "little") + pages.deflated(b""),
+        lambda number, page: pages.page_digest(number, b"").to_bytes(16, "little") + pages.deflate_page(b""),
     ],
 )
 def test_a_spoilt_page_is_found_and_nothing_of_it_used(page):
@@ -320,7 +320,7 @@
     """As where a bit flips behind what the store's checkpoint covers: reading tells."""
     disk = FaultyDisk()
     table, _ = written(disk)
-    number = next(at for at in range(PAGES) if table.pages[at])
+    number = next(at for at in range(PAGE_COUNT) if table.pages[at])
     for lost, left in [(module.batch_key(1), [3, 4, 5]), (page_key(number, 0), None)]:
         life = Life(FaultyDisk(disk.image()))
         get = life.store.engine.get
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -12,7 +12,7 @@
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config_distribution.published import LINE_MOST, check_file, read_changes, split
 from lichencleat.config_distribution.source import Source
-from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change, encode
+from lichencleat.config_distribution.terms import MAX_BATCH_BYTES, MAX_BATCH_CHANGES, Change, encode
 from lichencleat.transport.errors import RequestFailedError
 
 GOOD = '{"kind":"tenant","name":"%s","value":{"b":1,"a":[null,true,"é"]}}\n'
@@ -116,12 +116,12 @@
 
 
 def test_large_ones_are_split_by_count_and_by_bytes():
-    small = [Change("tenant", f"n{n}", b"v") for n in range(2 * BATCH_MOST + 3)]
-    assert [len(each) for each in split(small)] == [BATCH_MOST, BATCH_MOST, 3]
+    small = [Change("tenant", f"n{n}", b"v") for n in range(2 * MAX_BATCH_CHANGES + 3)]
+    assert [len(each) for each in split(small)] == [MAX_BATCH_CHANGES, MAX_BATCH_CHANGES, 3]
     large = [Change("tenant", f"n{n}", bytes(4_000)) for n in range(100)]
     made = list(split(large))
     assert [change for each in made for change in each] == large
-    assert all(len(encode(each)) <= BATCH_BYTES for each in made) and len(made) == 4
+    assert all(len(encode(each)) <= MAX_BATCH_BYTES for each in made) and len(made) == 4
     assert list(split([])) == []
 
 
@@ -224,15 +224,17 @@
 
 
 def test_a_large_file_goes_batch_by_batch_and_on_from_where_it_stopped(tmp_path, run):
-    large = lines(tmp_path / "1.jsonl", *(GOOD % f"n{n}" for n in range(3 * BATCH_MOST)))
+    large = lines(tmp_path / "1.jsonl", *(GOOD % f"n{n}" for n in range(3 * MAX_BATCH_CHANGES)))
     code, said = run("publish", "FILE", large)
     assert code == 2 and "With --in-batches it goes in 3, which hold each by itself" in said
     run.group.fails_at = 3
     code, said = run("publish", "FILE", large, "--in-batches")
     assert code == 1 and "nobody answers; the request may take effect" in said
-    assert f"--skip {2 * BATCH_MOST}" in said and run.group.source.table.records == 2 * BATCH_MOST
-    code, said = run("publish", "FILE", large, "--in-batches", "--skip", 2 * BATCH_MOST, "--json")
+    assert (
+        f"--skip {2 * MAX_BATCH_CHANGES}" in said and run.group.source.table.records == 2 * MAX_BATCH_CHANGES
+    )
+    code, said = run("publish", "FILE", large, "--in-batches", "--skip", 2 * MAX_BATCH_CHANGES, "--json")
     assert code == 0 and json.loads(said)["batches"] == 1
-    assert run.group.source.table.records == 3 * BATCH_MOST
+    assert run.group.source.table.records == 3 * MAX_BATCH_CHANGES
     code, said = run("publish", "FILE", large, "--in-batches", "--json")
     assert (code, json.loads(said)["changed"], json.loads(said)["batches"]) == (0, 0, 0)  # all there already
--- a/tests/config_distribution/test_relay_file.py
+++ b/tests/config_distribution/test_relay_file.py
@@ -8,7 +8,7 @@
 from lichencleat.config.loading import read_node_config
 from lichencleat.config.schema import MAX_RELAY_ADDRESSES
 from lichencleat.config_distribution.file import read_relay
-from lichencleat.config_distribution.terms import RELAYS_MOST
+from lichencleat.config_distribution.terms import MAX_RELAYS
 from lichencleat.coordinator.settings import read_quorum_settings
 
 EXAMPLES = Path(__file__).parents[2] / "deploy" / "relays"
@@ -49,7 +49,7 @@
 def test_a_node_s_section_is_read_and_its_mistakes_are_told(file):
     chosen = read_node_config(f"{EXAMPLES}/node.yaml").distribution
     assert (chosen.zone, chosen.tenants, chosen.directory) == ("north-a", True, None)
-    assert read_node_config(file("")).distribution is None and MAX_RELAY_ADDRESSES == RELAYS_MOST
+    assert read_node_config(file("")).distribution is None and MAX_RELAY_ADDRESSES == MAX_RELAYS
     for text, told in (
         (
             "distribution: {group: g, sources: [[1.1.1.1:7, 1.1.1.1:7]]}",
--- a/tests/config_distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -13,8 +13,8 @@
     FIND,
     FOLLOW,
     IN_FORCE,
+    MAX_SUBSCRIBERS,
     PAGES_OF,
-    SUBSCRIBERS_MOST,
     Change,
     Follow,
     Say,
@@ -191,7 +191,7 @@
 
 def test_one_subscriber_too_many_is_told_so_and_a_command_is_still_answered():
     host = Host()
-    links = [Link() for _ in range(SUBSCRIBERS_MOST + 1)]
+    links = [Link() for _ in range(MAX_SUBSCRIBERS + 1)]
     for each in links:
         host.follow(each, 0, host.table.digest)
     host.clock.advance(0)
--- a/tests/config_distribution/test_source.py
+++ b/tests/config_distribution/test_source.py
@@ -8,7 +8,15 @@
 
 from lichencleat.config_distribution import source as sources
 from lichencleat.config_distribution.source import Diff, Find, Publish, Published, Source, Stands
-from lichencleat.config_distribution.terms import BATCH_MOST, FIND, FOLLOW, IN_FORCE, Change, Follow, Say
+from lichencleat.config_distribution.terms import (
+    FIND,
+    FOLLOW,
+    IN_FORCE,
+    MAX_BATCH_CHANGES,
+    Change,
+    Follow,
+    Say,
+)
 from lichencleat.config_distribution.voting import DOUBT, SILENCE, Fresh, Voting
 from lichencleat.consensus.extension import GuardedExtension
 from lichencleat.consensus.messages import Configuration, Entry, EntryType, Member, Snapshot
@@ -86,7 +94,7 @@
         ([("tenant", "", b"1")], "a name has 1 to"),
         ([("tenant", "é" * 65, b"1")], "a name has 1 to"),
         ([("tenant", "b", bytes(5_000))], "a value has at most"),
-        ([("tenant", f"n{n}", b"1") for n in range(BATCH_MOST + 1)], "a batch has 1 to"),
+        ([("tenant", f"n{n}", b"1") for n in range(MAX_BATCH_CHANGES + 1)], "a batch has 1 to"),
         ([("tenant", f"n{n}", bytes(4_000)) for n in range(40)], "a batch has at most"),
     ],
 )
@@ -105,7 +113,7 @@
     assert "another version" in publish(source, 2, ("tenant", "a", b"2"), only_if=0).why
     for none in (b"\x01", encode(["publish", "x"]), encode(["drop", []])):
         assert source.apply(3, msgspec.Raw(none)) == Published(False, 1, 0, "no command")
-    monkeypatch.setattr("lichencleat.config_distribution.table.RECORDS_MOST", 1)
+    monkeypatch.setattr("lichencleat.config_distribution.table.MAX_RECORDS", 1)
     assert "records" in publish(source, 4, ("tenant", "b", b"1")).why
     assert found(source, "a") == b"1" and found(source, "b") is None
     assert source.read(["none"]) is None
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -8,7 +8,7 @@
 from twisted.test.iosim import FakeTransport, connect
 
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.errors import SpoiltError
+from lichencleat.config_distribution.errors import CorruptTableError
 from lichencleat.config_distribution.file import RelayChoice
 from lichencleat.config_distribution.follow import Follower
 from lichencleat.config_distribution.relay import SWEEP, RelayProcess
@@ -255,7 +255,7 @@
     top = place.source(7901)
     place.publish(top, 3, "acme")
     node = place.node([7901])
-    wrong, right = [SpoiltError("digest"), ZeroDivisionError()], node.copy.step
+    wrong, right = [CorruptTableError("digest"), ZeroDivisionError()], node.copy.step
 
     def step():
         if wrong:
--- a/tests/config_distribution/test_table.py
+++ b/tests/config_distribution/test_table.py
@@ -9,14 +9,14 @@
 
 from lichencleat.config_distribution import pages
 from lichencleat.config_distribution import table as module
-from lichencleat.config_distribution.errors import ChainError, SpoiltError, UnfitError
+from lichencleat.config_distribution.errors import ChainError, CorruptTableError, InvalidBatchError
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
-    BATCH_MOST,
-    DIGEST,
-    NAME_MOST,
-    PAGES,
-    VALUE_MOST,
+    DIGEST_BYTES,
+    MAX_BATCH_CHANGES,
+    MAX_NAME_BYTES,
+    MAX_VALUE_BYTES,
+    PAGE_COUNT,
     Batch,
     Change,
     Digests,
@@ -24,7 +24,7 @@
 
 steady = settings(derandomize=True, deadline=None, database=None, max_examples=40)
 NAMES = [f"t{number}" for number in range(9)]
-HASH = pages.hash_of
+HASH = pages.hash_key
 SAME = {"all on one place": lambda key: 7 << 52 | 5, "few places": lambda key: (HASH(key) & 3) << 52 | 1}
 
 
@@ -39,8 +39,8 @@
 
 def filled(count: int, version: int = 1) -> Table:
     table = Table()
-    for at in range(0, count, BATCH_MOST):
-        names = range(at, min(count, at + BATCH_MOST))
+    for at in range(0, count, MAX_BATCH_CHANGES):
+        names = range(at, min(count, at + MAX_BATCH_CHANGES))
         table.apply(version, [change(f"acme-{each}", b"value %d" % each) for each in names])
         version += 1
     return table
@@ -49,7 +49,7 @@
 def copied(source: Table, target: Table) -> None:
     view = source.view()
     rebuild = target.rebuild(view.head(0))
-    for number in rebuild.missing(PAGES):
+    for number in rebuild.missing(PAGE_COUNT):
         assert rebuild.put(number, view.packed(number))
     ended(rebuild)
     rebuild.take()
@@ -70,7 +70,7 @@
 
 
 def test_kind_and_name_are_told_apart_where_they_run_into_one_another(monkeypatch):
-    monkeypatch.setattr(pages, "hash_of", SAME["all on one place"])
+    monkeypatch.setattr(pages, "hash_key", SAME["all on one place"])
     table = Table()
     table.apply(1, [Change("ab", "c", b"1"), Change("a", "bc", b"2"), Change("abc", "d", b"")])
     assert [table.find(*each) for each in [("ab", "c"), ("a", "bc"), ("abc", "d"), ("abcd", "")]] == [
@@ -97,7 +97,7 @@
 def test_each_name_is_answered_with_its_own_value_and_no_other(hashes, monkeypatch):
     """At every slice of batches and snapshots: the whole state before, then the whole state after."""
     if hashes in SAME:
-        monkeypatch.setattr(pages, "hash_of", SAME[hashes])
+        monkeypatch.setattr(pages, "hash_key", SAME[hashes])
 
     def agree(table, model):
         for kind in ("tenant", "route", "t"):
@@ -146,7 +146,7 @@
 @pytest.mark.parametrize("hashes", ["as they are", *SAME])
 def test_same_records_make_the_same_bytes_whatever_the_way(hashes, monkeypatch):
     if hashes in SAME:
-        monkeypatch.setattr(pages, "hash_of", SAME[hashes])
+        monkeypatch.setattr(pages, "hash_key", SAME[hashes])
     records = [change(name, b"%d" % at, kind) for at, name in enumerate(NAMES) for kind in ("a", "b")]
     rng = random.Random(3)
     tables = []
@@ -184,17 +184,17 @@
     more = source.apply(10, [change("acme-1", None)])
     for wrong in [
         Batch(9, 2, good.digest, good.changes[:-1]),
-        Batch(9, 2, bytes(DIGEST), good.changes),
+        Batch(9, 2, bytes(DIGEST_BYTES), good.changes),
         Batch(9, 2, good.digest, (*good.changes, change("new", b"x"))),
     ]:
         before, pages_before = table.digest, list(table.pages)
-        with pytest.raises(SpoiltError):
+        with pytest.raises(CorruptTableError):
             ended(table.stage([wrong, more]))
         assert (table.digest, table.pages, table.version) == (before, pages_before, 2)
-    with pytest.raises(SpoiltError):  # a version that nobody made, with the right content
+    with pytest.raises(CorruptTableError):  # a version that nobody made, with the right content
         ended(table.stage([Batch(8, 2, good.digest, good.changes)]))
     second = table.stage([good, Batch(10, 9, good.digest, more.changes)])
-    with pytest.raises(SpoiltError):  # the second one's
+    with pytest.raises(CorruptTableError):  # the second one's
         ended(second)
     assert table.version == 2 and table.find("tenant", "acme-3") == b"value 3"
 
@@ -212,7 +212,7 @@
     first.take()
     with pytest.raises(ChainError):
         again.take()
-    for number in snapshot.missing(PAGES):
+    for number in snapshot.missing(PAGE_COUNT):
         assert snapshot.put(number, source.view().packed(number))
     assert snapshot.step()
     with pytest.raises(ChainError):
@@ -224,47 +224,47 @@
     ("changes", "why"),
     [
         ([], "1 to 512"),
-        ([change(f"n{at}", b"") for at in range(BATCH_MOST + 1)], "1 to 512"),
+        ([change(f"n{at}", b"") for at in range(MAX_BATCH_CHANGES + 1)], "1 to 512"),
         ([change("x", b"1"), change("x", None)], "at most once"),
         ([change("", b"1")], "name"),
-        ([change("n" * (NAME_MOST + 1), b"1")], "name"),
-        ([change("\xe9" * (NAME_MOST // 2 + 1), b"1")], "name"),
+        ([change("n" * (MAX_NAME_BYTES + 1), b"1")], "name"),
+        ([change("\xe9" * (MAX_NAME_BYTES // 2 + 1), b"1")], "name"),
         ([change("\ud800", b"1")], "UTF-8"),
         ([change("x", b"1", "")], "kind"),
         ([change("x", b"1", "k" * 17)], "kind"),
-        ([change("x", bytes(VALUE_MOST + 1))], "value"),
-        ([change(f"n{at}", bytes(VALUE_MOST)) for at in range(40)], "bytes"),
+        ([change("x", bytes(MAX_VALUE_BYTES + 1))], "value"),
+        ([change(f"n{at}", bytes(MAX_VALUE_BYTES)) for at in range(40)], "bytes"),
     ],
 )
 def test_changes_that_break_a_bound_are_refused_and_change_nothing(changes, why):
     table = filled(5)
     before = list(table.pages)
-    with pytest.raises(UnfitError, match=why):
+    with pytest.raises(InvalidBatchError, match=why):
         table.apply(2, changes)
     assert (table.version, table.pages, table.records) == (1, before, 5)
     if changes:  # nor does a follower take them, whatever digest comes along
-        with pytest.raises(SpoiltError):
-            ended(table.stage([Batch(2, 1, bytes(DIGEST), tuple(changes))]))
+        with pytest.raises(CorruptTableError):
+            ended(table.stage([Batch(2, 1, bytes(DIGEST_BYTES), tuple(changes))]))
 
 
 def test_totals_are_bounded_for_voters_and_followers(monkeypatch):
     source, table = filled(9), filled(9)
     batch = source.apply(2, [change("x", b"1")])
     for where, bound, value in [
-        ("table", "RECORDS_MOST", 9),
-        ("table", "TABLE_BYTES", table.bytes + 10),
-        ("pages", "PAGE_MOST", 20),
+        ("table", "MAX_RECORDS", 9),
+        ("table", "MAX_TABLE_BYTES", table.bytes + 10),
+        ("pages", "MAX_PAGE_BYTES", 20),
     ]:
         with monkeypatch.context() as patch:
             patch.setattr(f"lichencleat.config_distribution.{where}.{bound}", value)
-            with pytest.raises(UnfitError, match="at the most"):
+            with pytest.raises(InvalidBatchError, match="at the most"):
                 table.apply(2, batch.changes)
-            with pytest.raises(SpoiltError):
+            with pytest.raises(CorruptTableError):
                 ended(table.stage([batch]))
         assert (table.version, table.records) == (1, 9)
     with monkeypatch.context() as patch:
-        patch.setattr("lichencleat.config_distribution.rebuild.RECORDS_MOST", 9)
-        with pytest.raises(SpoiltError):
+        patch.setattr("lichencleat.config_distribution.rebuild.MAX_RECORDS", 9)
+        with pytest.raises(CorruptTableError):
             copied(source, table)
     assert table.apply(2, batch.changes) == batch
 
@@ -273,9 +273,9 @@
     source, table = filled(3000), filled(3000)
     changes = [change(f"acme-{at}", b"new") for at in range(20)]
     source.apply(source.version + 1, changes)
-    touched = {pages.place_of(pages.key_of("tenant", each.name))[0] for each in changes}
+    touched = {pages.locate_key(pages.encode_key("tenant", each.name))[0] for each in changes}
     rebuild = table.rebuild(source.view().head(0))
-    assert set(rebuild.missing(PAGES)) == touched
+    assert set(rebuild.missing(PAGE_COUNT)) == touched
     assert rebuild.missing(3) == sorted(touched)[:3]
     with pytest.raises(ChainError):
         rebuild.take()
@@ -318,18 +318,18 @@
             return bytes(most)
 
     monkeypatch.setattr(pages.zlib, "decompressobj", Stream)
-    with pytest.raises(SpoiltError):
-        pages.inflated(b"")
-    assert asked == [pages.PAGE_MOST + 1]
+    with pytest.raises(CorruptTableError):
+        pages.inflate_page(b"")
+    assert asked == [pages.MAX_PAGE_BYTES + 1]
 
 
 def test_a_page_that_can_not_be_one_is_refused_with_its_own_digest():
     """As a relay would send it whose table was spoilt before the digests were made."""
-    number = pages.place_of(pages.key_of("tenant", "acme-7"))[0]
+    number = pages.locate_key(pages.encode_key("tenant", "acme-7"))[0]
     table = Table()
     table.apply(1, [change("acme-7", b"one"), *(change(f"acme-{at}", b"two") for at in range(100, 400))])
-    key = pages.key_of("tenant", "acme-7")
-    place = pages.place_of(key)[1]
+    key = pages.encode_key("tenant", "acme-7")
+    place = pages.locate_key(key)[1]
     whole = table.pages[number]
     strange = [
         whole[:3],
@@ -338,26 +338,26 @@
         whole[:-1],
         bytes(8),
         b"\xff\xff\xff\xff" + whole[4:],
-        pages.packed([place + 1], [key + b"one"]),
-        pages.packed([place, place], [key + b"one", key + b"one"]),
-        pages.packed([place], [b"\x06\xf0tenant"]),
-        pages.packed([place], [b""]),
-        pages.packed([place], [b"\x00\x00xx"]),
-        pages.packed(*map(list, zip((place, key + b"one"), (place, key + b""), strict=True))),
+        pages.pack_records([place + 1], [key + b"one"]),
+        pages.pack_records([place, place], [key + b"one", key + b"one"]),
+        pages.pack_records([place], [b"\x06\xf0tenant"]),
+        pages.pack_records([place], [b""]),
+        pages.pack_records([place], [b"\x00\x00xx"]),
+        pages.pack_records(*map(list, zip((place, key + b"one"), (place, key + b""), strict=True))),
     ]
-    assert pages.fault(number, whole) == ""
+    assert pages.find_page_fault(number, whole) == ""
     for page in strange:
-        assert pages.fault(number, page), page
-        digests = list(pages.EMPTY)
-        digests[number] = pages.digest_of(number, page)
+        assert pages.find_page_fault(number, page), page
+        digests = list(pages.EMPTY_PAGE_DIGESTS)
+        digests[number] = pages.page_digest(number, page)
         told = b"".join(each.to_bytes(16, "little") for each in digests)
-        head = Digests(5, pages.digest_bytes(sum(digests), 5), told, 0)
+        head = Digests(5, pages.table_digest(sum(digests), 5), told, 0)
         rebuild = Table().rebuild(head)
         assert rebuild.missing(9) == [number]
         assert not rebuild.put(number, zlib.compress(page))
-        with pytest.raises(SpoiltError):
-            Table.loaded(1, [page if each == number else b"" for each in range(PAGES)])
-    assert pages.fault(number ^ 1, whole)
+        with pytest.raises(CorruptTableError):
+            Table.loaded(1, [page if each == number else b"" for each in range(PAGE_COUNT)])
+    assert pages.find_page_fault(number ^ 1, whole)
 
 
 def test_a_head_that_does_not_add_up_or_is_older_is_refused():
@@ -372,7 +372,7 @@
         Digests(head.version + (1 << 40), head.digest, head.pages, 0),  # a version beyond all that there are
         Digests(9, head.digest, head.pages, 0),
     ]:
-        with pytest.raises(SpoiltError):
+        with pytest.raises(CorruptTableError):
             table.rebuild(wrong)
     with pytest.raises(ChainError):
         table.rebuild(head)  # an older version
@@ -392,8 +392,8 @@
     later = source.view()
     again = rebuild.onto(later.head(0))
     changed = {number for number in fetched if first.pages[number] != later.pages[number]}
-    assert changed and changed == set(fetched) & set(again.missing(PAGES))
-    for number in again.missing(PAGES):
+    assert changed and changed == set(fetched) & set(again.missing(PAGE_COUNT))
+    for number in again.missing(PAGE_COUNT):
         assert again.put(number, later.packed(number))
     ended(again)
     again.take()
@@ -405,13 +405,13 @@
     source.apply(5, [change("acme-1", b"wrong"), change("new", b"one")])
     bad = source.view()
     rebuild = table.rebuild(bad.head(0))
-    for number in rebuild.missing(PAGES):
+    for number in rebuild.missing(PAGE_COUNT):
         assert rebuild.put(number, bad.packed(number))
     source.apply(6, [change("acme-1", b"value 1"), change("new", None), change("newer", b"one")])
     later = source.view()
     again = rebuild.onto(later.head(0))
-    differ = [number for number in range(PAGES) if later.pages[number] != table.pages[number]]
-    assert again.missing(PAGES) == differ  # the ones taken back are the table's own
+    differ = [number for number in range(PAGE_COUNT) if later.pages[number] != table.pages[number]]
+    assert again.missing(PAGE_COUNT) == differ  # the ones taken back are the table's own
     for number in differ:
         assert again.put(number, later.packed(number))
     ended(again)
@@ -427,13 +427,13 @@
 def test_a_view_stays_as_it_was_and_each_page_is_deflated_once(monkeypatch):
     source = filled(2000)
     old = source.view()
-    number = next(at for at in range(PAGES) if source.pages[at])
-    name = next(pages.entries(source.pages[number]))[1]
+    number = next(at for at in range(PAGE_COUNT) if source.pages[at])
+    name = next(pages.iterate_records(source.pages[number]))[1]
     source.apply(source.version + 1, [change(name, b"new")])
     new = source.view()
     calls = []
-    once = pages.deflated
-    monkeypatch.setattr(pages, "deflated", lambda page: calls.append(page) or once(page))
+    once = pages.deflate_page
+    monkeypatch.setattr(pages, "deflate_page", lambda page: calls.append(page) or once(page))
     for _ in range(3):
         assert zlib.decompress(old.packed(number)) == old.pages[number]
         assert zlib.decompress(new.packed(number)) == new.pages[number] != old.pages[number]
@@ -451,17 +451,17 @@
     changes = [change(f"n{at}", bytes([at % 251]) * 20 * names) for at in range(4 * size)]
     batches = [source.apply(source.version + 1, changes[at : at + size]) for at in range(0, 4 * size, size)]
     slices: list[list[int]] = []
-    once = pages.rewritten
+    once = pages.rewrite_page
 
     def counted(page, puts):
         made = once(page, puts)
         slices[-1].append(len(made[0]))
         return made
 
-    monkeypatch.setattr(pages, "rewritten", counted)
-    monkeypatch.setattr(module, "SLICE_BYTES", 2_000)
-    monkeypatch.setattr(module, "PAGE_COST", 100)
-    monkeypatch.setattr(module, "SLICE_CHANGES", 7)
+    monkeypatch.setattr(pages, "rewrite_page", counted)
+    monkeypatch.setattr(module, "MAX_SLICE_BYTES", 2_000)
+    monkeypatch.setattr(module, "PAGE_OVERHEAD_BYTES", 100)
+    monkeypatch.setattr(module, "MAX_SLICE_CHANGES", 7)
     staging = table.stage(batches)
     ready = False
     while not ready:
