--- a/benchmarks/distribution_table.py
+++ b/benchmarks/distribution_table.py
@@ -32,10 +32,10 @@
     PAGE_COUNT,
     Batch,
     Change,
-    Digests,
-    Pages,
+    PagesAnswer,
+    SnapshotHead,
     decode_batch,
-    decode_digests,
+    decode_snapshot_head,
     encode,
 )
 
@@ -145,13 +145,13 @@
         }
 
 
-def fetch(copy: TableCopy, head: Digests, directory: Path, slices: Slices) -> None:
+def fetch(copy: TableCopy, head: SnapshotHead, directory: Path, slices: Slices) -> None:
     """From nothing, as a follower does it: some pages, a slice for each, and so on."""
     source = enumerate(pieces(directory / "pages"))
     slices.run(copy.begin, head)
     while numbers := slices.run(copy.missing, WANT):
         some = tuple(take(source, numbers))
-        slices.run(copy.put, Pages(head.version, some))
+        slices.run(copy.put, PagesAnswer(head.version, some))
         for _ in some:
             slices.run(copy.step)
     while not slices.run(copy.step):
@@ -170,7 +170,7 @@
 
 def use(count: int, directory: Path) -> dict[str, float]:
     """A node's table in this process: what it takes to have, to change, to search."""
-    head = decode_digests((directory / "head").read_bytes())
+    head = decode_snapshot_head((directory / "head").read_bytes())
     gc.collect()
     before = memory("VmRSS")
     copy, slices = TableCopy(), Slices()
@@ -239,7 +239,7 @@
     from twisted.internet.defer import Deferred, inlineCallbacks
     from twisted.internet.task import LoopingCall
 
-    from lichencleat.config_distribution.kept import open_kept
+    from lichencleat.config_distribution.kept import open_persisted_table
     from lichencleat.reactor import make_reactor, unix_time
 
     reactor = make_reactor()
@@ -261,7 +261,7 @@
         last[0] = 0.0
 
     def opened() -> Any:
-        return open_kept(reactor, str(directory / "kept"), unix_time, random.Random(1))
+        return open_persisted_table(reactor, str(directory / "kept"), unix_time, random.Random(1))
 
     def written(kept: Any) -> int:
         return kept.store.stat()["bytes written"]
@@ -269,7 +269,7 @@
     @inlineCallbacks
     def write() -> Any:
         copy = TableCopy()
-        fetch(copy, decode_digests((directory / "head").read_bytes()), directory, Slices())
+        fetch(copy, decode_snapshot_head((directory / "head").read_bytes()), directory, Slices())
         kept = yield opened()
         yield kept.load()
         looking.start(LOOK)
@@ -283,7 +283,7 @@
 
     @inlineCallbacks
     def load() -> Any:
-        head = decode_digests((directory / "head").read_bytes())
+        head = decode_snapshot_head((directory / "head").read_bytes())
         gc.collect()
         looking.start(LOOK)
         began, before = time.perf_counter(), memory("VmRSS")
--- a/lichencleat/capacity/events.py
+++ b/lichencleat/capacity/events.py
@@ -7,7 +7,7 @@
 from lichencleat.capacity.sizes import reports_waking
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import DAY, Target
-from lichencleat.config_distribution.feed import FETCH_RATE
+from lichencleat.config_distribution.feed import FETCH_BYTES_PER_US
 from lichencleat.config_distribution.terms import MAX_WINDOW_BATCHES
 from lichencleat.recovery.messages import MAX_NODES
 
@@ -121,5 +121,5 @@
 def snapshots(slopes: Slopes, target: Target, count: float) -> Figure:
     """So many of one relay, one after another or side by side: the rate is for all of them."""
     line = slopes.line("table.snapshot_mb")
-    value = None if line is None else count * line.at(target.records) / FETCH_RATE
+    value = None if line is None else count * line.at(target.records) / FETCH_BYTES_PER_US
     return Figure(FETCHED, value, "s", "table.snapshot_mb (table), `distribution.feed.FETCH_RATE`")
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -17,14 +17,14 @@
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config_distribution.published import Summary, check_file, read_changes, split
 from lichencleat.config_distribution.source import (
-    Changed,
-    Diff,
-    Difference,
-    Find,
-    Found,
-    Publish,
-    Published,
-    net,
+    DiffQuery,
+    DiffResult,
+    FindQuery,
+    FindResult,
+    PublishCommand,
+    PublishResult,
+    RecordDifference,
+    net_changes,
 )
 from lichencleat.config_distribution.terms import MAX_BATCH_BYTES, MAX_BATCH_CHANGES, Change
 from lichencleat.transport.errors import RequestFailedError
@@ -112,9 +112,9 @@
             )
         )
         raise output.WrongInput(f"{batch_file}: {why}")
-    wanted = Publish(found.changes, only_if)
+    wanted = PublishCommand(found.changes, only_if)
     answer = told(
-        file, talk(lambda reactor, client: client.propose(PART, wanted, PATIENCE), quorum), Published
+        file, talk(lambda reactor, client: client.propose(PART, wanted, PATIENCE), quorum), PublishResult
     )
     if not answer.done:
         raise output.WrongData(
@@ -170,11 +170,11 @@
 def propose_all(client: GroupClient, batch_file: str, progress: Progress) -> Any:
     try:
         for batch in split(changes_of(batch_file, progress.done)):
-            answer = yield client.propose(PART, Publish(batch), PATIENCE)
+            answer = yield client.propose(PART, PublishCommand(batch), PATIENCE)
             if answer is None:
                 progress.why = "the group is not one for configuration"
                 return
-            said = msgspec.convert(answer, Published)
+            said = msgspec.convert(answer, PublishResult)
             if not said.done and said.why != UNCHANGED:
                 progress.why = f"refused: {said.why}"
                 return
@@ -212,9 +212,9 @@
 @AS_JSON
 def show(file: str, kind: str, name: str, at: int | None, as_json: bool) -> None:
     """The record NAME of KIND, and the version at which it is that. Exit code 1 where there is none."""
-    query = Find(kind, name, at or 0)
+    query = FindQuery(kind, name, at or 0)
     answer = talk(lambda reactor, client: client.read(PART, query, PATIENCE), chosen(file))
-    found: Found = told(file, answer, Found)
+    found: FindResult = told(file, answer, FindResult)
     if not found.known:
         raise not_known(found, at or 0)
     if found.value is None:
@@ -224,7 +224,7 @@
     output.pairs({"value": shown, "version": at or found.version, "in_force": found.version}, as_json)
 
 
-def not_known(found: Found | Difference, version: int) -> output.WrongData:
+def not_known(found: FindResult | DiffResult, version: int) -> output.WrongData:
     return output.WrongData(
         f"distribution: version {version} is not known; {found.since} to {found.version} are"
     )
@@ -238,27 +238,27 @@
 def diff(file: str, a: int, b: int, as_json: bool) -> None:
     """The records that are others at version B than at version A."""
     quorum = chosen(file)
-    changes: list[Changed] = []
+    changes: list[RecordDifference] = []
 
     @inlineCallbacks
     def ask(reactor: Any, client: GroupClient) -> Any:
-        query = Diff(min(a, b), max(a, b))
+        query = DiffQuery(min(a, b), max(a, b))
         while True:
             answer = yield client.read(PART, query, PATIENCE)
-            found = answer and msgspec.convert(answer, Difference)
+            found = answer and msgspec.convert(answer, DiffResult)
             if not found or not found.known:
                 return found
             changes.extend(found.changes)
             if found.a == query.b:
                 return found
-            query = Diff(found.a, query.b, found.skip)
+            query = DiffQuery(found.a, query.b, found.skip)
 
     found = talk(ask, quorum)
     if not found:
         raise none_of_it(file)
     if not found.known:
         raise not_known(found, next(each for each in (a, b) if not found.since <= each <= found.version))
-    rows = net(changes)
+    rows = net_changes(changes)
     if a > b:
         rows = [(kind, name, new, old) for kind, name, old, new in rows]
     if as_json:
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -24,10 +24,10 @@
 def run(file: str) -> None:
     """Run the relay of FILE until SIGTERM."""
     from lichencleat.config_distribution import program
-    from lichencleat.config_distribution.file import read_relay
+    from lichencleat.config_distribution.file import read_relay_file
 
     try:
-        chosen = read_relay(file)
+        chosen = read_relay_file(file)
     except InvalidConfigError as wrong:
         raise output.WrongInput(str(wrong)) from wrong
     raise click.exceptions.Exit(program.run(chosen))
--- a/lichencleat/config_distribution/acts.py
+++ b/lichencleat/config_distribution/acts.py
@@ -9,7 +9,7 @@
 from lichencleat.config_distribution.terms import Batch
 
 
-class Act(Enum):
+class Action(Enum):
     """What the host has to do."""
 
     OPEN = 1  # open a link to `relay`
@@ -24,7 +24,7 @@
 class Decision:
     """One action for the host; the fields that an action doesn't need stay empty."""
 
-    act: Act
+    act: Action
     relay: str = ""
     what: str = ""
     content: Any = None
--- a/lichencleat/config_distribution/choice.py
+++ b/lichencleat/config_distribution/choice.py
@@ -13,11 +13,11 @@
 
 from lichencleat.config_distribution.terms import MAX_HOLD_US, MAX_RELAYS
 
-Span = tuple[int, int]  # µs: lower and upper bound of a random delay
+DelayRange = tuple[int, int]  # µs: lower and upper bound of a random delay
 
 
 @dataclass(frozen=True, slots=True)
-class Times:
+class Timing:
     """Durations in µs.
 
     Pairs are bounds of a random draw, so that many processes don't act at the same moment.
@@ -31,24 +31,25 @@
     # age above which a fresher relay is sought: twice the holds and delays of two tiers
     stale: int = 2_000_000
     fresher: int = 1_000_000  # how much younger another relay's age must be to justify a move
-    move: Span = (0, 500_000)  # before another relay is opened: spreads the subscribers of a lost relay
-    home: Span = (30_000_000, 90_000_000)  # until the first choice is probed again
-    busy: Span = (1_000_000, 4_000_000)  # until a relay without a free snapshot slot is asked again
+    move: DelayRange = (0, 500_000)  # before another relay is opened: spreads the subscribers of a lost relay
+    home: DelayRange = (30_000_000, 90_000_000)  # until the first choice is probed again
+    busy: DelayRange = (1_000_000, 4_000_000)  # until a relay without a free snapshot slot is asked again
     behind: int = 1_500_000  # how long a relay may lag behind its subscriber: several requests
     again: int = 100_000  # before a relay that is behind is asked again
-    failed: Span = (5_000_000, 15_000_000)  # how long a failed relay is excluded, as long as there are others
+    # how long a failed relay is excluded, as long as there are others
+    failed: DelayRange = (5_000_000, 15_000_000)
     # the same for a relay of another group, or with corrupt data or another history
-    wrong: Span = (30_000_000, 90_000_000)
+    wrong: DelayRange = (30_000_000, 90_000_000)
     # backoff where all relays failed: doubled from the first to the second, times 0.5 to 1.5
-    rest: Span = (500_000, 8_000_000)
+    rest: DelayRange = (500_000, 8_000_000)
     # between probes for a fresher relay: doubled after each round of all relays
-    look: Span = (500_000, 30_000_000)
+    look: DelayRange = (500_000, 30_000_000)
 
 
-class Choice:
+class RelaySelector:
     """Owns the order of the relays and the time until which each is excluded."""
 
-    def __init__(self, tiers: Sequence[Sequence[str]], rng: random.Random, times: Times) -> None:
+    def __init__(self, tiers: Sequence[Sequence[str]], rng: random.Random, times: Timing) -> None:
         """`tiers`: nearest first. A relay that is named in two tiers belongs to the nearer one."""
         self.rng, self.times = rng, times
         self.tier: dict[str, int] = {}
@@ -63,7 +64,7 @@
         self.turn = 0  # index of the next probe within the round
         self.span = times.look[0]
 
-    def draw(self, span: Span) -> int:
+    def draw(self, span: DelayRange) -> int:
         """A random duration within the bounds, in µs."""
         return self.rng.randint(*span)
 
@@ -72,7 +73,7 @@
         self.out.pop(relay, None)
         self.rest = self.times.rest[0]
 
-    def bad(self, now: int, relay: str, span: Span) -> None:
+    def bad(self, now: int, relay: str, span: DelayRange) -> None:
         """Excludes the relay for a random time."""
         self.out[relay] = max(self.out.get(relay, 0), now + self.draw(span))
 
--- a/lichencleat/config_distribution/copy.py
+++ b/lichencleat/config_distribution/copy.py
@@ -12,7 +12,7 @@
 from lichencleat.config_distribution.errors import ChainError, CorruptTableError
 from lichencleat.config_distribution.rebuild import SnapshotStaging
 from lichencleat.config_distribution.table import Staging, Table
-from lichencleat.config_distribution.terms import Batch, Digests, Pages
+from lichencleat.config_distribution.terms import Batch, PagesAnswer, SnapshotHead
 
 PAGES_FREED_PER_SLICE = 256  # replaced pages freed in one slice: some 100 µs
 
@@ -27,7 +27,7 @@
     def stage(self, batches: Sequence[Batch]) -> None:
         """Stages batches. Raises ChainError if they don't follow the version in force."""
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         """Starts a snapshot, or continues one with a newer head.
 
         `step` reports what is wrong with the head.
@@ -36,7 +36,7 @@
     def missing(self, most: int) -> list[int]:
         """Numbers of at most `most` pages that are still to be fetched."""
 
-    def put(self, pages: Pages) -> bool:
+    def put(self, pages: PagesAnswer) -> bool:
         """Adds fetched pages; `step` checks them. False: of another snapshot, or not requested."""
 
     def step(self) -> bool:
@@ -84,7 +84,7 @@
         self.spend()
         self.staging = self.table.stage(batches)
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         self.staging, self.wrong, self.going = None, None, True
         try:
             if self.rebuild is None:
@@ -107,7 +107,7 @@
             :most
         ]
 
-    def put(self, pages: Pages) -> bool:
+    def put(self, pages: PagesAnswer) -> bool:
         if self.rebuild is None or not self.going or pages.version != self.rebuild.version:
             return False
         if not all(self.rebuild.wants(number) for number, _ in pages.pages):
--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -41,27 +41,29 @@
     PAGES_OF,
     Batch,
     Count,
-    Digests,
-    Fed,
-    Follow,
-    Pages,
-    Say,
-    Wanted,
-    Wanting,
+    FollowAnswer,
+    FollowOutcome,
+    FollowRequest,
+    PagesAnswer,
+    PagesRequest,
+    RecordRequest,
+    SnapshotHead,
 )
 from lichencleat.config_distribution.window import VersionHistory, Window
 
-BEHIND_HOLD = 250_000  # µs that a subscriber with more than this relay waits for it to catch up
-FETCHERS_MOST = 8  # snapshots fetched at once: some 20 MB each, so each gets 2 MB/s of the budget below
-FETCH_RATE = 16  # bytes a µs (16 MB/s) of all snapshots: an eighth of a 1 Gb/s link; news is not limited
-FETCH_BURST = 2 * MAX_ANSWER_BYTES  # bytes that may be sent ahead of that rate
-PIECE_PAGES = 16  # pages in an answer; compressing them takes some 0.3 ms of the relay's time each
-FETCH_IDLE = 3_000_000  # µs without a request from a fetching subscriber, after which it loses its slot
-VIEW_IDLE = 10_000_000  # µs that a view is kept after the last request for it
-VIEW_FRESH = 30_000_000  # µs that new fetchers share a view: the window has the batches since then
-IDLE = 60_000_000  # µs without a request from a subscriber that followed, after which its link counts as dead
+BEHIND_HOLD_US = 250_000  # µs that a subscriber with more than this relay waits for it to catch up
+MAX_FETCHERS = 8  # snapshots fetched at once: some 20 MB each, so each gets 2 MB/s of the budget below
+# bytes a µs (16 MB/s) of all snapshots: an eighth of a 1 Gb/s link; news is not limited
+FETCH_BYTES_PER_US = 16
+FETCH_BURST_BYTES = 2 * MAX_ANSWER_BYTES  # bytes that may be sent ahead of that rate
+MAX_PAGES_PER_ANSWER = 16  # pages in an answer; compressing them takes some 0.3 ms of the relay's time each
+FETCH_IDLE_US = 3_000_000  # µs without a request from a fetching subscriber, after which it loses its slot
+VIEW_IDLE_US = 10_000_000  # µs that a view is kept after the last request for it
+VIEW_SHARED_US = 30_000_000  # µs that new fetchers share a view: the window has the batches since then
+# µs without a request from a subscriber that followed, after which its link counts as dead
+SUBSCRIBER_IDLE_US = 60_000_000
 # bytes of all batches up to which an empty subscriber gets them instead of a snapshot
-SMALL = MAX_ANSWER_BYTES
+MAX_INITIAL_BATCH_BYTES = MAX_ANSWER_BYTES
 
 
 @dataclass(frozen=True, slots=True)
@@ -84,7 +86,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Nothing was received from a subscriber for `IDLE`: its link is to be closed. No request is open."""
+    """Nothing was received from a subscriber for `SUBSCRIBER_IDLE_US`: its link is to be closed.
+
+    No request is open.
+    """
 
     who: int
     number: int = -1
@@ -99,7 +104,7 @@
 
     version: int
 
-    def head(self, age: int) -> Digests: ...
+    def head(self, age: int) -> SnapshotHead: ...
 
     def packed(self, number: int) -> bytes: ...
 
@@ -116,7 +121,7 @@
 
 
 @dataclass(slots=True)
-class Held:
+class OpenRequest:
     """The open request of a subscriber."""
 
     number: int
@@ -129,19 +134,19 @@
 
 
 @dataclass(slots=True)
-class Subscriber:
+class SubscriberState:
     """What is known of one subscriber."""
 
     heard: int  # µs: its last request
     followed: bool = False
     version: int = 0
     counts: tuple[Count, ...] = ()
-    held: Held | None = None
+    held: OpenRequest | None = None
     fetches: int | None = None  # version of the view that it fetches
 
 
 @dataclass(slots=True)
-class Kept:
+class SharedView:
     """A view that is kept for its fetchers."""
 
     view: View
@@ -150,7 +155,7 @@
     age: int  # age of its version when it was opened
 
 
-class Feeder:
+class Publisher:
     """Owns the subscribers and their open requests, the window of batches and the views."""
 
     def __init__(self, name: str, zone: str, table: Table, now: int, recent: Sequence[Batch] = ()) -> None:
@@ -166,16 +171,16 @@
             self.fills(recent[1:])
         self.had = VersionHistory(now, table.version)
         self.word: tuple[int, int] | None = None  # when the age was reported, and that age
-        self.subscribers: dict[int, Subscriber] = {}
+        self.subscribers: dict[int, SubscriberState] = {}
         self.out: deque[Decision] = deque()  # decisions made, at most one per request
         self.ready: deque[int] = deque()  # subscribers whose request is to be looked at
         self.waits: list[tuple[int, int, int]] = []  # heap: wake time, who, number
-        self.views: list[Kept] = []  # oldest first
+        self.views: list[SharedView] = []  # oldest first
         self.fetchers: dict[int, None] = {}
-        self.credit, self.credit_at = FETCH_BURST, now  # bytes of snapshots that may be sent
+        self.credit, self.credit_at = FETCH_BURST_BYTES, now  # bytes of snapshots that may be sent
         # outcome, version -> when the answer was made, answer
-        self.shared: dict[tuple[int, int], tuple[int, Fed]] = {}
-        self.look_at = now + FETCH_IDLE
+        self.shared: dict[tuple[int, int], tuple[int, FollowAnswer]] = {}
+        self.look_at = now + FETCH_IDLE_US
 
     def count(self, what: str) -> None:
         self.counters[what] = self.counters.get(what, 0) + 1
@@ -216,7 +221,7 @@
         if who not in self.subscribers and len(self.subscribers) >= MAX_SUBSCRIBERS:
             self.count("turned away: full")
             return False
-        self.subscribers[who] = Subscriber(now)
+        self.subscribers[who] = SubscriberState(now)
         return True
 
     def left(self, now: int, who: int) -> None:
@@ -229,10 +234,10 @@
         if what == IN_FORCE:
             self.out.append(Answer(who, number, self.in_force(now)))
             return
-        if what == FIND and isinstance(content, Wanting):
+        if what == FIND and isinstance(content, RecordRequest):
             self.out.append(self.found(who, number, content))
             return
-        fits = {FOLLOW: Follow, DIGESTS: type(None), PAGES_OF: Wanted}.get(what)
+        fits = {FOLLOW: FollowRequest, DIGESTS: type(None), PAGES_OF: PagesRequest}.get(what)
         if fits is None or not isinstance(content, fits):
             self.decline(who, number, "unfit")
             return
@@ -244,11 +249,11 @@
             self.decline(who, number, "unfit")
             return
         sub.heard = until = now
-        if isinstance(content, Follow):
+        if isinstance(content, FollowRequest):
             sub.followed, sub.version, sub.counts = True, content.version, content.counts[: MAX_ZONES + 1]
             self.stop_fetching(who, sub)
             until = now + min(max(0, content.hold), MAX_HOLD_US)
-        sub.held = Held(number, what, content, now, until, until)
+        sub.held = OpenRequest(number, what, content, now, until, until)
         self.ready.append(who)
 
     def decline(self, who: int, number: int, why: str) -> None:
@@ -297,59 +302,59 @@
             moments.append(self.look_at)
         return min(moments, default=None)
 
-    def decide(self, now: int, who: int, sub: Subscriber, held: Held) -> Decision | None:
+    def decide(self, now: int, who: int, sub: SubscriberState, held: OpenRequest) -> Decision | None:
         """The decision on an open request; None: it waits until `held.wake`."""
-        if isinstance(held.content, Follow):
+        if isinstance(held.content, FollowRequest):
             fed = self.fed(now, held.content, held)
             return None if fed is None else Answer(who, held.number, fed)
-        if isinstance(held.content, Wanted):
+        if isinstance(held.content, PagesRequest):
             return self.piece(now, who, sub, held, held.content)
         return self.head(now, who, sub, held)
 
     # -- news ------------------------------------------------------------------------------------------
 
-    def fed(self, now: int, has: Follow, held: Held) -> Fed | None:
+    def fed(self, now: int, has: FollowRequest, held: OpenRequest) -> FollowAnswer | None:
         """The answer to a `follow`; None: it waits until `held.wake`."""
         say, since = self.say(has), held.asked
-        if say == Say.SAME:
+        if say == FollowOutcome.SAME:
             held.wake = since = held.until  # the subscriber counts the age from that moment
-        elif say == Say.BEHIND:
-            held.wake = since = min(held.until, held.asked + BEHIND_HOLD)
+        elif say == FollowOutcome.BEHIND:
+            held.wake = since = min(held.until, held.asked + BEHIND_HOLD_US)
         if now < since:
             return None
         made, fed = self.shared.get((say, has.version), (-1, None))
         if fed is None or made < since:
-            batches = self.window.after(has.version) if say == Say.NEWS else None
-            fed = Fed(say, self.window.version, self.window.digest, self.age(now), batches or ())
+            batches = self.window.after(has.version) if say == FollowOutcome.NEWS else None
+            fed = FollowAnswer(say, self.window.version, self.window.digest, self.age(now), batches or ())
             if len(self.shared) >= MAX_SUBSCRIBERS:
                 self.shared.clear()
             self.shared[say, has.version] = (now, fed)
         self.count(f"said: {say.name}")
         return fed
 
-    def say(self, has: Follow) -> Say:
+    def say(self, has: FollowRequest) -> FollowOutcome:
         """The outcome for a subscriber at that version; SAME also means "nothing yet"."""
         here = self.window.version
         if has.version > here:
-            return Say.BEHIND
+            return FollowOutcome.BEHIND
         known = self.window.digests.get(has.version)
         if known is not None and has.version and known != has.digest:
-            return Say.OTHER
+            return FollowOutcome.OTHER
         if has.version == here:
-            return Say.SAME
+            return FollowOutcome.SAME
         if known is None:
-            return Say.OTHER if has.version > self.window.base else Say.SNAPSHOT
-        if not has.version and self.window.bytes > SMALL:
-            return Say.SNAPSHOT
-        return Say.NEWS
+            return FollowOutcome.OTHER if has.version > self.window.base else FollowOutcome.SNAPSHOT
+        if not has.version and self.window.bytes > MAX_INITIAL_BATCH_BYTES:
+            return FollowOutcome.SNAPSHOT
+        return FollowOutcome.NEWS
 
     # -- snapshots -------------------------------------------------------------------------------------
 
-    def head(self, now: int, who: int, sub: Subscriber, held: Held) -> Decision:
+    def head(self, now: int, who: int, sub: SubscriberState, held: OpenRequest) -> Decision:
         """The answer to a request for a snapshot's digests."""
         if not self.window.version:
             return self.declined(who, held, "nothing here")
-        if who not in self.fetchers and len(self.fetchers) >= FETCHERS_MOST:
+        if who not in self.fetchers and len(self.fetchers) >= MAX_FETCHERS:
             return self.declined(who, held, "busy")
         kept = self.open_view(now)
         self.fetchers[who] = None
@@ -357,14 +362,14 @@
         self.count("snapshots begun")
         return Answer(who, held.number, kept.view.head(age_after(kept.age, now - kept.opened)))
 
-    def declined(self, who: int, held: Held, why: str) -> Decline:
+    def declined(self, who: int, held: OpenRequest, why: str) -> Decline:
         """Declines an open request."""
         self.count(f"declined: {why}")
         return Decline(who, held.number, why)
 
-    def open_view(self, now: int) -> Kept:
+    def open_view(self, now: int) -> SharedView:
         """The newest view that the window still continues, else a new one in place of the least used."""
-        if self.views and now - self.views[-1].opened < VIEW_FRESH:
+        if self.views and now - self.views[-1].opened < VIEW_SHARED_US:
             self.views[-1].used = now
             return self.views[-1]
         if self.views and self.views[-1].view.version == self.table.version:
@@ -373,30 +378,32 @@
             wanted = [each.fetches for each in self.subscribers.values()]
             self.views.remove(min(self.views, key=lambda each: wanted.count(each.view.version)))
             self.count("views given up")
-        self.views.append(Kept(self.table.view(), now, now, self.age(now)))
+        self.views.append(SharedView(self.table.view(), now, now, self.age(now)))
         return self.views[-1]
 
-    def piece(self, now: int, who: int, sub: Subscriber, held: Held, wants: Wanted) -> Decision | None:
+    def piece(
+        self, now: int, who: int, sub: SubscriberState, held: OpenRequest, wants: PagesRequest
+    ) -> Decision | None:
         """The answer to a request for pages; None: it waits for the rate limit."""
         if not wants.numbers or not all(0 <= each < PAGE_COUNT for each in wants.numbers):
             return self.declined(who, held, "unfit")
         kept = next((each for each in self.views if each.view.version == wants.version), None)
         if kept is None:
             self.stop_fetching(who, sub)
-            return Answer(who, held.number, Pages(wants.version, ()))
+            return Answer(who, held.number, PagesAnswer(wants.version, ()))
         if who not in self.fetchers:
-            if len(self.fetchers) >= FETCHERS_MOST:
+            if len(self.fetchers) >= MAX_FETCHERS:
                 return self.declined(who, held, "busy")
             self.fetchers[who] = None
             sub.fetches = wants.version
-        self.credit = min(FETCH_BURST, self.credit + FETCH_RATE * (now - self.credit_at))
+        self.credit = min(FETCH_BURST_BYTES, self.credit + FETCH_BYTES_PER_US * (now - self.credit_at))
         self.credit_at = now
         if self.credit < 0:
-            held.wake = now - self.credit // FETCH_RATE
+            held.wake = now - self.credit // FETCH_BYTES_PER_US
             return None
         kept.used = now
         pages, room = [], MAX_ANSWER_BYTES
-        for number in wants.numbers[:PIECE_PAGES]:
+        for number in wants.numbers[:MAX_PAGES_PER_ANSWER]:
             packed = kept.view.packed(number)
             room -= len(packed)
             if pages and room < 0:
@@ -404,9 +411,9 @@
             pages.append((number, packed))
             self.credit -= len(packed)
         self.count("pieces")
-        return Answer(who, held.number, Pages(wants.version, tuple(pages)))
+        return Answer(who, held.number, PagesAnswer(wants.version, tuple(pages)))
 
-    def stop_fetching(self, who: int, sub: Subscriber) -> None:
+    def stop_fetching(self, who: int, sub: SubscriberState) -> None:
         """Frees the subscriber's snapshot slot."""
         self.fetchers.pop(who, None)
         sub.fetches = None
@@ -415,18 +422,18 @@
 
     def look(self, now: int) -> None:
         """Frees slots, views and links that are no longer used."""
-        self.look_at = now + FETCH_IDLE // 2
+        self.look_at = now + FETCH_IDLE_US // 2
         for who in list(self.fetchers):
             sub = self.subscribers[who]
-            if sub.held is None and now - sub.heard >= FETCH_IDLE:
+            if sub.held is None and now - sub.heard >= FETCH_IDLE_US:
                 self.stop_fetching(who, sub)
                 self.count("turns taken back")
         wanted = {each.fetches for each in self.subscribers.values()}
         self.views = [
-            each for each in self.views if each.view.version in wanted or now - each.used < VIEW_IDLE
+            each for each in self.views if each.view.version in wanted or now - each.used < VIEW_IDLE_US
         ]
         for who, sub in list(self.subscribers.items()):
-            if sub.followed and sub.held is None and now - sub.heard >= IDLE:
+            if sub.followed and sub.held is None and now - sub.heard >= SUBSCRIBER_IDLE_US:
                 self.left(now, who)
                 self.count("dropped: idle")
                 self.out.append(Drop(who))
@@ -471,7 +478,7 @@
             "counters": dict(sorted(self.counters.items())),
         }
 
-    def found(self, who: int, number: int, wants: Wanting) -> Decision:
+    def found(self, who: int, number: int, wants: RecordRequest) -> Decision:
         """The answer with a record as it is now, or as it was at a version that the window covers."""
         value = self.table.find(wants.kind, wants.name)
         if not wants.at or wants.at >= self.table.version:
--- a/lichencleat/config_distribution/file.py
+++ b/lichencleat/config_distribution/file.py
@@ -11,7 +11,7 @@
 from lichencleat.config.validation import check_address, check_relay_tiers
 
 
-class RelayChoice(Struct, forbid_unknown_fields=True, frozen=True):
+class RelaySettings(Struct, forbid_unknown_fields=True, frozen=True):
     """The settings of a relay."""
 
     group: Name  # of the configuration's voters; the same at all processes below them
@@ -27,13 +27,13 @@
 class RelayFile(Struct, forbid_unknown_fields=True, frozen=True):
     """The whole file."""
 
-    distribution: RelayChoice
+    distribution: RelaySettings
 
 
-def read_relay(path: str) -> RelayChoice:
+def read_relay_file(path: str) -> RelaySettings:
     """Reads the file and checks it. Raises InvalidConfigError."""
     chosen, place = parse_config(path, read_config_text(path), RelayFile)
-    relay: RelayChoice = chosen.distribution
+    relay: RelaySettings = chosen.distribution
     check_address(path, place, "distribution.listen", relay.listen, "192.0.2.7:7931")
     check_relay_tiers(path, place, relay.sources, relay.listen)
     return relay
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -24,36 +24,36 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.config_distribution.acts import Act, Decision
-from lichencleat.config_distribution.choice import Choice, Span, Times
+from lichencleat.config_distribution.acts import Action, Decision
+from lichencleat.config_distribution.choice import DelayRange, RelaySelector, Timing
 from lichencleat.config_distribution.copy import Copy
 from lichencleat.config_distribution.counts import MAX_AGE_US, age_after
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.looks import Looks, Probe
-from lichencleat.config_distribution.taking import Taking
+from lichencleat.config_distribution.looks import Probe, RelayProber
+from lichencleat.config_distribution.taking import PendingUpdate
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
     MAX_HOLD_US,
     PAGES_OF,
     Count,
-    Digests,
-    Fed,
-    Follow,
-    Pages,
-    Say,
+    FollowAnswer,
+    FollowOutcome,
+    FollowRequest,
+    PagesAnswer,
+    SnapshotHead,
 )
 
-__all__ = ["Act", "Decision", "Follower", "Times"]
+__all__ = ["Action", "Decision", "RelayFollower", "Timing"]
 
-HEADS_MOST = 8  # snapshots in a row that the relay dropped during the fetch, before it is left
-BUSY_MOST = 4  # times in a row that a snapshot is declined, before another relay of the tier is asked
-IDLE = 60_000_000  # µs between wake-ups when nothing is pending
-TEXT = 200  # characters of a log line
+MAX_DROPPED_SNAPSHOTS = 8  # snapshots in a row that the relay dropped during the fetch, before it is left
+MAX_BUSY_ANSWERS = 4  # times in a row that a snapshot is declined, before another relay of the tier is asked
+IDLE_WAKE_US = 60_000_000  # µs between wake-ups when nothing is pending
+MAX_LOG_CHARS = 200  # characters of a log line
 
 
 @dataclass(slots=True)
-class Question:
+class SentRequest:
     """The open request."""
 
     what: str
@@ -63,7 +63,7 @@
     slept: bool = False  # its deadline was extended, as this process was stopped
 
 
-class Follower:
+class RelayFollower:
     """Decides which relay a node or relay follows, what it asks and which updates it applies."""
 
     def __init__(
@@ -74,14 +74,14 @@
         now: int,
         is_node: bool,
         zone: str,
-        times: Times | None = None,
+        times: Timing | None = None,
     ) -> None:
         """`tiers`: addresses, nearest first; `now`: µs on the monotonic clock, as in all calls."""
         self.copy, self.is_node, self.zone = copy, is_node, zone
-        self.times = times or Times()
-        self.choice = Choice(tiers, rng, self.times)
-        self.looks = Looks(self.choice, self.times)
-        self.taking = Taking(copy)
+        self.times = times or Timing()
+        self.choice = RelaySelector(tiers, rng, self.times)
+        self.looks = RelayProber(self.choice, self.times)
+        self.taking = PendingUpdate(copy)
         self.relay: str | None = None  # the relay that is followed: its link is open
         self.mark = b""  # the group's mark, as that relay reported it
         self.below: tuple[Count, ...] = ()  # counts of all nodes below this process
@@ -90,7 +90,7 @@
         self.opening: tuple[str, int] | None = None
         self.rest_until: int | None = None  # µs: `upcoming` is opened then
         self.upcoming: str | None = None
-        self.question: Question | None = None
+        self.question: SentRequest | None = None
         self.pause_until: int | None = None  # µs: the relay is asked again then
         self.stepping = False  # the host has to call `stepped`
         self.heads = self.busy = 0  # counted in a row
@@ -106,12 +106,12 @@
     def count(self, what: str) -> None:
         self.counters[what] = self.counters.get(what, 0) + 1
 
-    def decide(self, act: Act, relay: str = "", what: str = "", content: Any = None) -> None:
+    def decide(self, act: Action, relay: str = "", what: str = "", content: Any = None) -> None:
         self.out.append(Decision(act, relay, what, content))
 
     def tell(self, text: str) -> None:
         """Logs a line."""
-        self.out.append(Decision(Act.TELL, text=text[:TEXT]))
+        self.out.append(Decision(Action.TELL, text=text[:MAX_LOG_CHARS]))
 
     # -- state --------------------------------------------------------------------------------
 
@@ -138,7 +138,7 @@
             moments.append(self.question.until)
         if self.relay is not None:
             moments.append(self.looks.deadline())
-        return min((each for each in moments if each is not None), default=self.seen + IDLE)
+        return min((each for each in moments if each is not None), default=self.seen + IDLE_WAKE_US)
 
     def wakes(self, now: int) -> None:
         """Handles all deadlines that have passed."""
@@ -160,7 +160,7 @@
         if self.relay is not None:
             other = self.looks.begins(now, self.relay, not self.taking.what)
             if other is not None:
-                self.decide(Act.OPEN, other)
+                self.decide(Action.OPEN, other)
 
     # -- links -----------------------------------------------------------------------------------------
 
@@ -176,7 +176,7 @@
             self.plan(now)
             return
         self.opening = (self.upcoming, now + self.times.opening)
-        self.decide(Act.OPEN, self.upcoming)
+        self.decide(Action.OPEN, self.upcoming)
 
     def opened(self, now: int, relay: str, mark: bytes) -> None:
         """The link to a relay is open. `mark`: of its group; b"" if the relay doesn't know it yet."""
@@ -186,12 +186,12 @@
                 self.probe_ends(probe)
                 return
             self.looks.opened(now, probe, mark)
-            self.decide(Act.ASK, relay, FOLLOW, Follow(self.copy.version, self.copy.digest, (), 0))
+            self.decide(Action.ASK, relay, FOLLOW, FollowRequest(self.copy.version, self.copy.digest, (), 0))
         elif self.opening is not None and relay == self.opening[0]:
             self.opening = None
             self.follows(now, relay, mark)
         else:
-            self.decide(Act.CLOSE, relay)
+            self.decide(Action.CLOSE, relay)
 
     def foreign(self, now: int, relay: str, mark: bytes) -> bool:
         """Whether the relay belongs to another group; it is then excluded, which is logged."""
@@ -220,7 +220,7 @@
         elif relay == self.relay or (self.opening is not None and relay == self.opening[0]):
             self.fails(now, relay, why, self.times.failed, closed=True)
 
-    def fails(self, now: int, relay: str, why: str, span: Span, closed: bool = False) -> None:
+    def fails(self, now: int, relay: str, why: str, span: DelayRange, closed: bool = False) -> None:
         """Excludes the relay for a while and moves on to another one."""
         self.choice.bad(now, relay, span)
         self.leaves(now, relay, why, closed)
@@ -230,7 +230,7 @@
         self.count("left")
         self.tell(f"leaving relay {relay}: {why}")
         if not closed:
-            self.decide(Act.CLOSE, relay)
+            self.decide(Action.CLOSE, relay)
         if self.looks.probe is not None:
             self.probe_ends(self.looks.probe)
         self.opening = self.question = self.pause_until = None
@@ -253,15 +253,18 @@
         if self.is_node:
             counts = (Count(self.zone, 1, self.copy.version, self.age(now), 0, ""), *counts)
         self.puts(
-            now, FOLLOW, Follow(self.copy.version, self.copy.digest, counts, hold), min(hold, MAX_HOLD_US)
+            now,
+            FOLLOW,
+            FollowRequest(self.copy.version, self.copy.digest, counts, hold),
+            min(hold, MAX_HOLD_US),
         )
 
     def puts(self, now: int, what: str, content: Any, hold: int = 0) -> None:
         """Sends a request, with the deadline for its answer."""
         assert self.relay is not None
         patience = self.times.patience + (hold if what == FOLLOW else MAX_HOLD_US)
-        self.question = Question(what, now, now + patience, hold)
-        self.decide(Act.ASK, self.relay, what, content)
+        self.question = SentRequest(what, now, now + patience, hold)
+        self.decide(Action.ASK, self.relay, what, content)
 
     def told(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
         """An answer from a relay. `content` None: declined, `why` if known.
@@ -279,11 +282,11 @@
         self.question = None
         if content is None:
             self.declined(now, relay, what, why)
-        elif what == FOLLOW and isinstance(content, Fed):
+        elif what == FOLLOW and isinstance(content, FollowAnswer):
             self.fed(now, relay, question, content)
-        elif what == DIGESTS and isinstance(content, Digests):
+        elif what == DIGESTS and isinstance(content, SnapshotHead):
             self.begins(now, relay, question, content)
-        elif what == PAGES_OF and isinstance(content, Pages):
+        elif what == PAGES_OF and isinstance(content, PagesAnswer):
             self.piece(now, relay, content)
         else:
             self.unfit(now, relay, "its answer does not match the request")
@@ -296,7 +299,7 @@
             return
         self.busy += 1
         self.taking.halt()
-        other = self.choice.beside(now, relay) if self.busy >= BUSY_MOST else None
+        other = self.choice.beside(now, relay) if self.busy >= MAX_BUSY_ANSWERS else None
         if other is not None:
             self.leaves(now, relay, "it has no free slot for a snapshot")
             self.upcoming = other
@@ -310,26 +313,26 @@
 
     # -- news ------------------------------------------------------------------------------------------
 
-    def fed(self, now: int, relay: str, question: Question, fed: Fed) -> None:
+    def fed(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
         """Handles the answer to a `follow`."""
         if fed.version and not self.mark:
             self.leaves(now, relay, "it did not report its group when the link was opened")
-        elif fed.say == Say.BEHIND:
+        elif fed.say == FollowOutcome.BEHIND:
             self.behind(now, relay, fed)
-        elif fed.say == Say.OTHER:
+        elif fed.say == FollowOutcome.OTHER:
             self.other(now, relay)
-        elif fed.say == Say.SAME:
+        elif fed.say == FollowOutcome.SAME:
             self.same(now, relay, question, fed)
-        elif fed.say == Say.SNAPSHOT or (fed.say == Say.NEWS and self.anew):
+        elif fed.say == FollowOutcome.SNAPSHOT or (fed.say == FollowOutcome.NEWS and self.anew):
             self.behind_since = None
             self.looks.heard(now, fed.age)
             self.puts(now, DIGESTS, None)
-        elif fed.say == Say.NEWS:
+        elif fed.say == FollowOutcome.NEWS:
             self.news(now, relay, question, fed)
         else:
             self.unfit(now, relay, "its answer has an unknown outcome")
 
-    def same(self, now: int, relay: str, question: Question, fed: Fed) -> None:
+    def same(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
         """The relay has nothing newer."""
         if fed.version != self.copy.version or (fed.version and fed.digest != self.copy.digest):
             self.unfit(now, relay, "it reported no news for another version or digest")
@@ -348,7 +351,7 @@
             # limits the rate of requests to a relay that doesn't hold them
             self.pause_until = now + self.times.again
 
-    def news(self, now: int, relay: str, question: Question, fed: Fed) -> None:
+    def news(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
         """Stages the batches of the answer."""
         self.behind_since = None
         self.looks.heard(now, fed.age)
@@ -359,7 +362,7 @@
         else:
             self.step()
 
-    def behind(self, now: int, relay: str, fed: Fed) -> None:
+    def behind(self, now: int, relay: str, fed: FollowAnswer) -> None:
         """The relay has less than this process. It may be catching up, so it gets some time."""
         if fed.version >= self.copy.version:
             self.unfit(now, relay, "it reported a lower version, but its version is not lower")
@@ -402,7 +405,7 @@
 
     # -- snapshots -------------------------------------------------------------------------------------
 
-    def begins(self, now: int, relay: str, question: Question, head: Digests) -> None:
+    def begins(self, now: int, relay: str, question: SentRequest, head: SnapshotHead) -> None:
         """Starts the snapshot whose head was received."""
         if head.version <= self.copy.version and self.anew:
             self.pause_until = now + self.choice.draw(self.times.busy)
@@ -423,11 +426,11 @@
             if wanted is not None:
                 self.puts(now, PAGES_OF, wanted)
 
-    def piece(self, now: int, relay: str, pages: Pages) -> None:
+    def piece(self, now: int, relay: str, pages: PagesAnswer) -> None:
         """Handles pages of the snapshot."""
         if not pages.pages and self.taking.head is not None:
             self.heads += 1  # the relay dropped that snapshot: a newer one is requested, fetched pages stay
-            if self.heads > HEADS_MOST:
+            if self.heads > MAX_DROPPED_SNAPSHOTS:
                 self.fails(now, relay, "it dropped its snapshots during the fetch", self.times.failed)
             else:
                 self.puts(now, DIGESTS, None)
@@ -446,7 +449,7 @@
         """Has the host process the next slice."""
         if not self.stepping:
             self.stepping = True
-            self.decide(Act.STEP)
+            self.decide(Action.STEP)
 
     def stepped(self, now: int, ready: bool | None) -> None:
         """The result of copy.step(); None: what was staged is corrupt."""
@@ -500,7 +503,7 @@
         self.others.clear()
         self.spoilts.clear()
         self.knows(known)
-        self.out.append(Decision(Act.TAKEN, batches=batches))
+        self.out.append(Decision(Action.TAKEN, batches=batches))
         self.choice.good(taking.by)
         self.ask(now)
 
@@ -509,7 +512,7 @@
     def probe_ends(self, probe: Probe, closed: bool = False) -> None:
         """Ends the probe."""
         if not closed:
-            self.decide(Act.CLOSE, probe.relay)
+            self.decide(Action.CLOSE, probe.relay)
         self.looks.probe = None
 
     def probe_fails(self, now: int, probe: Probe, closed: bool = False) -> None:
@@ -519,10 +522,10 @@
 
     def probe_told(self, now: int, probe: Probe, fed: Any) -> None:
         """Handles the answer to the probe: moves to its relay if that is justified."""
-        if not isinstance(fed, Fed):
+        if not isinstance(fed, FollowAnswer):
             self.probe_fails(now, probe)
             return
-        if fed.say == Say.OTHER and probe.mark and not self.foreign(now, probe.relay, probe.mark):
+        if fed.say == FollowOutcome.OTHER and probe.mark and not self.foreign(now, probe.relay, probe.mark):
             self.another_history(now, probe.relay)
             self.doubts()
         worth = self.looks.worth(now, probe, fed, self.copy.version, self.age(now))
@@ -531,6 +534,6 @@
             return
         self.count("home again" if probe.home else "moved to a fresher one")
         self.tell(f"moving from relay {self.relay} to relay {probe.relay}")
-        self.decide(Act.CLOSE, self.relay or "")
+        self.decide(Action.CLOSE, self.relay or "")
         self.choice.good(probe.relay)
         self.follows(now, probe.relay, probe.mark)
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -43,15 +43,17 @@
 
 FORMAT = 1
 # batches kept beside the pages for subscribers that lag a little: half an hour of changes
-RECENT_MOST = 1_024
-RECENT_BYTES = 1 << 20  # bytes of these, and of those to be written
-PIECE_BYTES = 128 << 10  # bytes of pages compressed in one call of a thread, and of a snapshot in one commit
-PIECE_PAGES = 8  # pages of these; compressing one holds the interpreter's lock for some 80 µs
-ONE_BYTES = 256 << 10  # bytes of pages that one commit writes in place; more are written beside the old ones
-READ_PAGES = 8  # pages read in one call of a thread: some 300 µs
-LOOK_PAGES = 2  # pages checked in one slice: some 300 µs
-AGAIN = 10.0  # s until a write is retried after a failure
-STORE = StoreLimits(  # a full table of incompressible values, twice, with reserve for compaction
+MAX_RECENT_BATCHES = 1_024
+MAX_RECENT_BYTES = 1 << 20  # bytes of these, and of those to be written
+# bytes of pages compressed in one call of a thread, and of a snapshot in one commit
+MAX_CHUNK_BYTES = 128 << 10
+MAX_CHUNK_PAGES = 8  # pages of these; compressing one holds the interpreter's lock for some 80 µs
+# bytes of pages that one commit writes in place; more are written beside the old ones
+MAX_IN_PLACE_BYTES = 256 << 10
+PAGES_PER_READ = 8  # pages read in one call of a thread: some 300 µs
+PAGES_PER_CHECK = 2  # pages checked in one slice: some 300 µs
+RETRY_DELAY_S = 10.0  # s until a write is retried after a failure
+STORE_LIMITS = StoreLimits(  # a full table of incompressible values, twice, with reserve for compaction
     segment_bytes=4 << 20,
     max_disk_bytes=512 << 20,
     max_entries=16_384,
@@ -59,10 +61,10 @@
     max_undo_entries=16_384,
 )
 
-HEAD, PAGE, BATCH = b"head", b"p", b"b"
+HEAD_KEY, PAGE_KEY_PREFIX, BATCH_KEY_PREFIX = b"head", b"p", b"b"
 
 
-class Head(msgspec.Struct, frozen=True, array_like=True):
+class StoredHead(msgspec.Struct, frozen=True, array_like=True):
     """The stored description of the version on the disk."""
 
     format: int
@@ -75,7 +77,7 @@
     next: int  # number of the next batch to be stored
 
 
-decode_head = msgspec.msgpack.Decoder(Head).decode
+decode_head = msgspec.msgpack.Decoder(StoredHead).decode
 
 
 def slot_of(slots: bytes | bytearray, number: int) -> int:
@@ -85,16 +87,16 @@
 
 def page_key(number: int, slot: int) -> bytes:
     """The store's key of a page's slot."""
-    return PAGE + number.to_bytes(2, "big") + bytes((slot,))
+    return PAGE_KEY_PREFIX + number.to_bytes(2, "big") + bytes((slot,))
 
 
 def batch_key(number: int) -> bytes:
     """The store's key of a batch; keys repeat, so a new batch overwrites one that is no longer needed."""
-    return BATCH + (number % RECENT_MOST).to_bytes(2, "big")
+    return BATCH_KEY_PREFIX + (number % MAX_RECENT_BATCHES).to_bytes(2, "big")
 
 
 @dataclass(slots=True)
-class Plan:
+class WritePlan:
     """The work of one write."""
 
     pieces: list[list[int]]  # page numbers that differ, grouped
@@ -102,18 +104,18 @@
     beside: bool  # the pages are written into the slots that are not valid
 
 
-def plan(view: View, digests: Sequence[int], slots: bytes) -> Plan:
+def plan_write(view: View, digests: Sequence[int], slots: bytes) -> WritePlan:
     """Compares 4,096 pages with those on the disk; runs in a thread."""
     numbers = find_differing_pages(view.page_digests, digests)
-    if sum(len(view.pages[number]) for number in numbers) <= ONE_BYTES:
-        return Plan(pieces(view, numbers, PIECE_BYTES), slots, False)
+    if sum(len(view.pages[number]) for number in numbers) <= MAX_IN_PLACE_BYTES:
+        return WritePlan(split_into_chunks(view, numbers, MAX_CHUNK_BYTES), slots, False)
     turned = bytearray(slots)
     for number in numbers:
         turned[number >> 3] ^= 1 << (number & 7)
-    return Plan(pieces(view, numbers, PIECE_BYTES), bytes(turned), True)
+    return WritePlan(split_into_chunks(view, numbers, MAX_CHUNK_BYTES), bytes(turned), True)
 
 
-def pack(view: View, numbers: Sequence[int]) -> list[tuple[int, bytes]]:
+def pack_pages(view: View, numbers: Sequence[int]) -> list[tuple[int, bytes]]:
     """The stored form of the pages: digest and zlib bytes; runs in a thread."""
     packed = []
     for number in numbers:
@@ -122,7 +124,7 @@
     return packed
 
 
-def unpack(number: int, data: bytes | None) -> tuple[bytes, int]:
+def unpack_page(number: int, data: bytes | None) -> tuple[bytes, int]:
     """The page and its digest, from its stored form. Raises CorruptTableError."""
     if data is None:
         return b"", pages.EMPTY_PAGE_DIGESTS[number]
@@ -136,13 +138,13 @@
     return page, digest
 
 
-def pieces(view: View, numbers: Sequence[int], most: int) -> list[list[int]]:
-    """Groups of at most `most` bytes, or one page, and of at most `PIECE_PAGES` pages."""
+def split_into_chunks(view: View, numbers: Sequence[int], most: int) -> list[list[int]]:
+    """Groups of at most `most` bytes, or one page, and of at most `MAX_CHUNK_PAGES` pages."""
     made: list[list[int]] = []
     room = 0
     for number in numbers:
         size = len(view.pages[number])
-        if not made or size > room or len(made[-1]) >= PIECE_PAGES:
+        if not made or size > room or len(made[-1]) >= MAX_CHUNK_PAGES:
             made.append([])
             room = most
         made[-1].append(number)
@@ -150,7 +152,7 @@
     return made
 
 
-def chained(batches: Sequence[bytes], version: int, digest: bytes) -> list[Batch]:
+def find_batch_chain(batches: Sequence[bytes], version: int, digest: bytes) -> list[Batch]:
     """The batches at the end that lead to that version one after another."""
     found: list[Batch] = []
     for data in reversed(batches):
@@ -165,7 +167,7 @@
     return found[::-1]
 
 
-class Kept:
+class PersistedTable:
     """Owns the store. `load` comes first; `wrote`, `replaced` and `mark` then say what is to be persisted."""
 
     def __init__(self, reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> None:
@@ -205,8 +207,8 @@
 
     def read(self) -> Any:
         """Reads and checks the stored version."""
-        head = decode_head((yield self.store.submit_read(self.store.engine.get, HEAD)))
-        if len(head.slots) != PAGE_COUNT // 8 or not 0 <= head.next - head.first <= RECENT_MOST:
+        head = decode_head((yield self.store.submit_read(self.store.engine.get, HEAD_KEY)))
+        if len(head.slots) != PAGE_COUNT // 8 or not 0 <= head.next - head.first <= MAX_RECENT_BATCHES:
             raise CorruptTableError("its head is invalid")
         self.slots, self.next = head.slots, head.next
         data = yield self.store.submit_read(self.read_batches, range(head.first, head.next))
@@ -214,12 +216,12 @@
         whole: list[bytes] = []
         digests: list[int] = []
         records = 0
-        for begin in range(0, PAGE_COUNT, READ_PAGES):
-            raw = yield self.store.submit_read(self.read_pages, range(begin, begin + READ_PAGES))
+        for begin in range(0, PAGE_COUNT, PAGES_PER_READ):
+            raw = yield self.store.submit_read(self.read_pages, range(begin, begin + PAGES_PER_READ))
             for number, each in enumerate(raw, begin):
-                if number % LOOK_PAGES == 0:
+                if number % PAGES_PER_CHECK == 0:
                     yield self.turn()
-                page, digest = unpack(number, each)
+                page, digest = unpack_page(number, each)
                 whole.append(page)
                 digests.append(digest)
                 records += pages.record_count(page)
@@ -227,7 +229,7 @@
         if table.digest != head.digest:
             raise CorruptTableError(f"the stored pages are not those of version {head.version}")
         self.table, self.group_mark, self.version, self.digests = table, head.mark, head.version, digests
-        return table, head.mark, chained(data, head.version, head.digest)
+        return table, head.mark, find_batch_chain(data, head.version, head.digest)
 
     def read_batches(self, numbers: Sequence[int]) -> list[bytes]:
         """Runs in a thread; b"" for a batch that can't be read."""
@@ -275,7 +277,7 @@
     def shorten(self) -> None:
         """Drops the oldest batches above the bounds."""
         size = sum(map(len, self.pending))
-        while self.pending and (len(self.pending) > RECENT_MOST or size > RECENT_BYTES):
+        while self.pending and (len(self.pending) > MAX_RECENT_BATCHES or size > MAX_RECENT_BYTES):
             size -= len(self.pending.popleft())
 
     # -- writing ---------------------------------------------------------------------------------------
@@ -330,7 +332,7 @@
             self.tell(self.trouble)
         self.failing = True
         if self.closing is None:
-            self.timer = self.reactor.callLater(AGAIN, self.tries_again)
+            self.timer = self.reactor.callLater(RETRY_DELAY_S, self.tries_again)
         self.tell_all()
 
     def tries_again(self) -> None:
@@ -343,16 +345,16 @@
         if self.table is None:  # only the mark is known: it is written with the first table
             return
         view, past = self.table.view(), self.slots
-        planned = yield self.store.submit_read(plan, view, self.digests, past)
+        planned = yield self.store.submit_read(plan_write, view, self.digests, past)
         last = stored.Batch()
         for piece in planned.pieces:
             batch = stored.Batch() if planned.beside else last
-            for number, data in (yield self.store.submit_read(pack, view, piece)):
+            for number, data in (yield self.store.submit_read(pack_pages, view, piece)):
                 batch.put(page_key(number, slot_of(planned.slots, number)), data)
             if planned.beside:
                 yield self.commit(batch)
         recent = self.log(last, pending, anew)
-        last.put(HEAD, self.head(view, planned.slots, self.next + len(pending), len(recent)))
+        last.put(HEAD_KEY, self.head(view, planned.slots, self.next + len(pending), len(recent)))
         yield self.commit(last)
         self.version, self.digests, self.slots = view.version, view.page_digests, planned.slots
         self.next, self.recent = self.next + len(pending), recent
@@ -363,7 +365,7 @@
     def head(self, view: View, slots: bytes, number: int, batches: int) -> bytes:
         """The encoded head. `number`: of the next batch; `batches`: how many are stored before it."""
         return encode(
-            Head(
+            StoredHead(
                 FORMAT,
                 self.group,
                 self.group_mark,
@@ -391,8 +393,8 @@
         recent = self.recent.copy()
         size = sum(recent)
         for number, data in enumerate([*pending, b""], self.next):  # b"": enforces the bounds at the end
-            full = len(recent) >= RECENT_MOST and data
-            while recent and (anew or full or size + len(data) > RECENT_BYTES):
+            full = len(recent) >= MAX_RECENT_BATCHES and data
+            while recent and (anew or full or size + len(data) > MAX_RECENT_BYTES):
                 batch.delete(batch_key(number - len(recent)))
                 size -= recent.popleft()
                 full = False
@@ -434,9 +436,9 @@
         self.closing.callback(None)
 
 
-def check_ours(store: Store, group: str) -> bool:
+def check_owner(store: Store, group: str) -> bool:
     """Whether there is stored data, in a thread. Raises CannotOpenError if it is not this program's."""
-    said = store.engine.get(HEAD)
+    said = store.engine.get(HEAD_KEY)
     if said is None:
         if store.stat()["entries"]:
             raise CannotOpenError("the directory holds something else than a configuration; name another one")
@@ -459,19 +461,19 @@
 
 
 @inlineCallbacks
-def made_kept(reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> Any:
+def make_persisted_table(reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> Any:
     """The persistence of an opened store; writes the first head into an empty one."""
-    kept = Kept(reactor, store, group, tell)
+    kept = PersistedTable(reactor, store, group, tell)
     try:
-        if not (yield store.submit_read(check_ours, store, group)):
-            yield kept.commit(stored.Batch().put(HEAD, kept.head(Table().view(), kept.slots, 0, 0)))
+        if not (yield store.submit_read(check_owner, store, group)):
+            yield kept.commit(stored.Batch().put(HEAD_KEY, kept.head(Table().view(), kept.slots, 0, 0)))
     except BaseException:
         yield store.close()
         raise
     return kept
 
 
-def open_kept(
+def open_persisted_table(
     reactor: Any,
     directory: str,
     clock: Callable[[], int],
@@ -479,11 +481,11 @@
     disk: Disk | None = None,
     group: str = "",
     tell: Callable[[str], None] = lambda text: None,
-) -> Deferred[Kept]:
+) -> Deferred[PersistedTable]:
     """Opens the directory, or creates it. Fails with a StoreError: in use, damaged, full, of another program.
 
     `clock`: µs of Unix time; `tell` gets a line when the disk's state changes; `group`: its name, to detect
     the directory of another group.
     """
-    opened = open_store(reactor, directory, clock, rng, STORE, disk=disk)
-    return opened.addCallback(lambda store: made_kept(reactor, store, group, tell))
+    opened = open_store(reactor, directory, clock, rng, STORE_LIMITS, disk=disk)
+    return opened.addCallback(lambda store: make_persisted_table(reactor, store, group, tell))
--- a/lichencleat/config_distribution/looks.py
+++ b/lichencleat/config_distribution/looks.py
@@ -8,9 +8,9 @@
 
 from dataclasses import dataclass
 
-from lichencleat.config_distribution.choice import Choice, Times
+from lichencleat.config_distribution.choice import RelaySelector, Timing
 from lichencleat.config_distribution.counts import age_after
-from lichencleat.config_distribution.terms import Fed, Say
+from lichencleat.config_distribution.terms import FollowAnswer, FollowOutcome
 
 
 @dataclass(slots=True)
@@ -24,10 +24,10 @@
     mark: bytes = b""
 
 
-class Looks:
+class RelayProber:
     """Owns the probe, one at a time, and the times of the next ones."""
 
-    def __init__(self, choice: Choice, times: Times) -> None:
+    def __init__(self, choice: RelaySelector, times: Timing) -> None:
         self.choice, self.times = choice, times
         self.probe: Probe | None = None
         self.look_at: int | None = None  # µs: next probe for a fresher relay
@@ -75,12 +75,15 @@
         """The link of the probe is open and the request is sent."""
         probe.asked, probe.mark, probe.until = now, mark, now + self.times.patience
 
-    def worth(self, now: int, probe: Probe, fed: Fed, version: int, age: int) -> bool:
+    def worth(self, now: int, probe: Probe, fed: FollowAnswer, version: int, age: int) -> bool:
         """Whether the probed relay's answer justifies a move.
 
         `version`, `age`: in force here. The relay's version must not be lower.
         """
-        if fed.say not in (Say.NEWS, Say.SAME, Say.SNAPSHOT) or fed.version < version:
+        if (
+            fed.say not in (FollowOutcome.NEWS, FollowOutcome.SAME, FollowOutcome.SNAPSHOT)
+            or fed.version < version
+        ):
             return False
         if fed.version and not probe.mark:
             return False
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -9,7 +9,7 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.error import CannotListenError
 
-from lichencleat.config_distribution.file import RelayChoice
+from lichencleat.config_distribution.file import RelaySettings
 from lichencleat.config_distribution.relay import RelayProcess
 from lichencleat.config_distribution.table import Table
 from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
@@ -18,13 +18,13 @@
 from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
 
-STOP_MOST = 5.0  # s for the disk to write pending changes during a shutdown
+STOP_TIMEOUT_S = 5.0  # s for the disk to write pending changes during a shutdown
 
 
-class Running:
+class RelayProgram:
     """Starts a relay on the reactor, and stops it on a signal."""
 
-    def __init__(self, reactor: Any, chosen: RelayChoice) -> None:
+    def __init__(self, reactor: Any, chosen: RelaySettings) -> None:
         self.reactor, self.chosen = reactor, chosen
         self.rng = random.Random(os.urandom(16))
         self.exit_code = EXIT_STOPPED
@@ -46,13 +46,13 @@
         table, mark, recent = Table(), b"", []
         if chosen.directory is not None:
             from lichencleat.config_distribution.kept import (
-                open_kept,  # imported only if needed, to save memory
+                open_persisted_table,  # imported only if needed, to save memory
             )
 
             try:
                 # the real disk is opened by the store's own thread, as that may block
                 disk = None if chosen.disk == "real" else open_disk(chosen.disk, chosen.directory)
-                kept = yield open_kept(
+                kept = yield open_persisted_table(
                     self.reactor, chosen.directory, unix_time, self.rng, disk, chosen.group, self.disk_says
                 )
                 table, mark, recent = yield kept.load()
@@ -85,7 +85,8 @@
         if self.stopping:
             return
         self.stopping = True
-        self.reactor.callLater(STOP_MOST, self.stop, EXIT_STOPPED)  # ends the process even if the disk hangs
+        # ends the process even if the disk hangs
+        self.reactor.callLater(STOP_TIMEOUT_S, self.stop, EXIT_STOPPED)
         if self.relay is not None:
             self.relay.stop().addBoth(lambda _: self.stop(EXIT_STOPPED))
 
@@ -102,7 +103,7 @@
         self.reactor.callLater(0, self.reactor.stop)
 
 
-def run(chosen: RelayChoice) -> int:
+def run(chosen: RelaySettings) -> int:
     """Runs the relay. Returns the exit code: 0 after a stop signal, 2 if it could not start."""
     reactor = make_reactor()
-    return run_daemon(reactor, Running(reactor, chosen))
+    return run_daemon(reactor, RelayProgram(reactor, chosen))
--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -32,10 +32,10 @@
     encode,
 )
 
-LINES = ".jsonl"
+JSON_LINES_SUFFIX = ".jsonl"
 # bytes of a line: a value of `MAX_VALUE_BYTES` with each character escaped, and its name
-LINE_MOST = 64 << 10
-HEAD = 8  # bytes of a batch beside its changes
+MAX_LINE_BYTES = 64 << 10
+BATCH_HEADER_BYTES = 8  # bytes of a batch beside its changes
 
 
 class Record(Struct, forbid_unknown_fields=True, frozen=True):
@@ -57,7 +57,7 @@
 encode_value = msgspec.json.Encoder(order="sorted").encode
 
 
-class TwiceError(ValueError):
+class DuplicateKeyError(ValueError):
     """A duplicate key in one object."""
 
 
@@ -113,12 +113,12 @@
 def split(changes: Iterable[Change]) -> Iterator[tuple[Change, ...]]:
     """Batches of as many changes as fit, in order."""
     batch: list[Change] = []
-    size = HEAD
+    size = BATCH_HEADER_BYTES
     for change in changes:
         its = len(encode(change))
         if batch and (len(batch) >= MAX_BATCH_CHANGES or size + its > MAX_BATCH_BYTES):
             yield tuple(batch)
-            batch, size = [], HEAD
+            batch, size = [], BATCH_HEADER_BYTES
         batch.append(change)
         size += its
     if batch:
@@ -127,7 +127,7 @@
 
 def read_changes(path: str) -> Iterator[tuple[int, Change]]:
     """Line number, from 1, and change. Raises InvalidConfigError if the file is invalid."""
-    return read_lines(path) if path.endswith(LINES) else read_yaml(path)
+    return read_lines(path) if path.endswith(JSON_LINES_SUFFIX) else read_yaml(path)
 
 
 # -- JSON Lines --------------------------------------------------------------------------------------------
@@ -138,41 +138,41 @@
     number = 0
     try:
         with open(path, "rb") as file:
-            while line := file.readline(LINE_MOST + 1):
+            while line := file.readline(MAX_LINE_BYTES + 1):
                 number += 1
-                if len(line) > LINE_MOST:
+                if len(line) > MAX_LINE_BYTES:
                     raise InvalidConfigError(
-                        f"{path}, line {number}: longer than {LINE_MOST} bytes, the maximum of a record"
+                        f"{path}, line {number}: longer than {MAX_LINE_BYTES} bytes, the maximum of a record"
                     )
                 if line.strip():
-                    yield number, of_line(path, number, line)
+                    yield number, parse_line(path, number, line)
     except OSError as wrong:
         raise InvalidConfigError(f"{path}: {wrong.strerror}; name a readable file") from wrong
 
 
-def of_line(path: str, number: int, line: bytes) -> Change:
+def parse_line(path: str, number: int, line: bytes) -> Change:
     """The change of one line."""
     place = f"{path}, line {number}"
     try:
         record = decode_line(line)
-        json.loads(line, object_pairs_hook=once)
-    except TwiceError as wrong:
+        json.loads(line, object_pairs_hook=reject_duplicate_keys)
+    except DuplicateKeyError as wrong:
         raise InvalidConfigError(f"{place}: {wrong}") from wrong
     except msgspec.ValidationError as wrong:
-        raise InvalidConfigError(f"{place}: {said(str(wrong))}") from wrong
+        raise InvalidConfigError(f"{place}: {format_validation_error(str(wrong))}") from wrong
     except (msgspec.DecodeError, ValueError, RecursionError) as wrong:  # invalid JSON or UTF-8
         raise InvalidConfigError(f"{place}: not JSON: {wrong}; write one record per line") from wrong
-    return change_of(place, "", record)
+    return make_change(place, "", record)
 
 
-def once(pairs: list[tuple[str, Any]]) -> None:
+def reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> None:
     """Rejects duplicate keys, of which JSON decoders silently take the last."""
     if len({key for key, _ in pairs}) < len(pairs):
         key = next(key for key, count in Counter(key for key, _ in pairs).items() if count > 1)
-        raise TwiceError(f"duplicate key {key!r}; remove one")
+        raise DuplicateKeyError(f"duplicate key {key!r}; remove one")
 
 
-def said(wrong: str) -> str:
+def format_validation_error(wrong: str) -> str:
     """msgspec's message with the place first."""
     what, _, where = wrong.partition(" - at `")
     where = where.rstrip("`").removeprefix("$").lstrip(".")
@@ -189,20 +189,20 @@
         where = f"$.records[{at}]"
         line = place.line_of(where) or 1
         if record.value is not UNSET:
-            wrong = no_json(record.value, [MAX_VALUE_BYTES])
+            wrong = find_json_fault(record.value, [MAX_VALUE_BYTES])
             if wrong:
                 raise InvalidConfigError(
-                    f"{path}, line {line_of(place, where, line)}: records[{at}].value: {wrong}"
+                    f"{path}, line {value_line(place, where, line)}: records[{at}].value: {wrong}"
                 )
-        yield line, change_of(f"{path}, line {line}", f"records[{at}].", record)
+        yield line, make_change(f"{path}, line {line}", f"records[{at}].", record)
 
 
-def line_of(place: YamlDocument, where: str, line: int) -> int:
+def value_line(place: YamlDocument, where: str, line: int) -> int:
     """The line of the record's value, or else `line`."""
     return place.line_of(f"{where}.value") or line
 
 
-def no_json(value: Any, room: list[int]) -> str:
+def find_json_fault(value: Any, room: list[int]) -> str:
     """Why the value has no JSON form; "" if it has one.
 
     `room`: how many parts it may have, as YAML can refer to one part many times.
@@ -214,9 +214,9 @@
         wrong = next((key for key in value if not isinstance(key, str)), None)
         if wrong is not None:
             return f"the key {wrong!r} is not a string; put it in quotes"
-        return next(filter(None, (no_json(each, room) for each in value.values())), "")
+        return next(filter(None, (find_json_fault(each, room) for each in value.values())), "")
     if isinstance(value, list):
-        return next(filter(None, (no_json(each, room) for each in value)), "")
+        return next(filter(None, (find_json_fault(each, room) for each in value)), "")
     if isinstance(value, float) and not math.isfinite(value):
         return f"{value} is not a JSON number"
     if value is None or isinstance(value, str | int | float):
@@ -227,7 +227,7 @@
 # -- both formats ----------------------------------------------------------------------------------------
 
 
-def change_of(place: str, where: str, record: Record) -> Change:
+def make_change(place: str, where: str, record: Record) -> Change:
     """The change that a record describes."""
     if record.gone == (record.value is not UNSET):
         raise InvalidConfigError(f"{place}: {where}value: give a value or 'gone: true', not both")
--- a/lichencleat/config_distribution/rebuild.py
+++ b/lichencleat/config_distribution/rebuild.py
@@ -19,7 +19,7 @@
     MAX_RECORDS,
     MAX_TABLE_BYTES,
     PAGE_COUNT,
-    Digests,
+    SnapshotHead,
 )
 
 if TYPE_CHECKING:
@@ -28,7 +28,7 @@
 PAGE_DIGESTS_FORMAT = struct.Struct(f"{DIGEST_BYTES}s" * PAGE_COUNT)
 
 
-def decode_page_digests(head: Digests) -> list[int]:
+def decode_page_digests(head: SnapshotHead) -> list[int]:
     """The digest of each page. Raises CorruptTableError if they don't match the head's digest."""
     if len(head.pages) != PAGE_COUNT * DIGEST_BYTES:
         raise CorruptTableError(
@@ -52,7 +52,7 @@
     Dropping it changes nothing.
     """
 
-    def __init__(self, table: Table, head: Digests, past: SnapshotStaging | None = None) -> None:
+    def __init__(self, table: Table, head: SnapshotHead, past: SnapshotStaging | None = None) -> None:
         """`past`: a snapshot of the same version of the table to continue. Some 500 µs: 4,096 digests.
 
         Raises CorruptTableError, or ChainError if the snapshot is older than the version in force, or differs
@@ -150,7 +150,7 @@
         table.page_digests, table.total = self.digests, self.total
         table.records, table.bytes, table.version = self.records, self.bytes, self.version
 
-    def onto(self, head: Digests) -> SnapshotStaging:
+    def onto(self, head: SnapshotHead) -> SnapshotStaging:
         """Continues with another snapshot: fetched pages stay if their digest matches.
 
         Raises as the constructor does, and then this one is unchanged, as it is if the table has changed.
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -1,4 +1,5 @@
-"""A relay process: a `Subscriber` above and a `Serving` below one table, and its last version on a disk.
+"""A relay process: a `Subscriber` above and a `PublisherHost` below one table, and its last version on a
+disk.
 
 It serves its version as soon as that is checked, with its age. After a start the age is unknown, which counts
 as older than any limit, until a process above has answered; subscribers prefer other relays until then.
@@ -14,10 +15,10 @@
 
 from lichencleat.config.addresses import parse_address
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.file import RelayChoice
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.serving import Serving
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.file import RelaySettings
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.serving import PublisherHost
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
@@ -34,10 +35,10 @@
 from lichencleat.transport.inbound import InboundConnection, Listener
 
 if TYPE_CHECKING:
-    from lichencleat.config_distribution.kept import Kept  # imported only if needed, to save memory
+    from lichencleat.config_distribution.kept import PersistedTable  # imported only if needed, to save memory
 
-COUNT = 200_000  # µs between sums of the counts below; they are sent once a second
-SWEEP = 5.0  # s between checks for links without a greeting
+COUNT_INTERVAL_US = 200_000  # µs between sums of the counts below; they are sent once a second
+SWEEP_INTERVAL_S = 5.0  # s between checks for links without a greeting
 SECOND = 1_000_000  # µs
 
 
@@ -47,13 +48,13 @@
     def __init__(
         self,
         reactor: Any,
-        chosen: RelayChoice,
+        chosen: RelaySettings,
         log: EventLogger,
         rng: random.Random,
         table: Table,
         mark: bytes = b"",
         recent: Sequence[Batch] = (),
-        kept: Kept | None = None,
+        kept: PersistedTable | None = None,
     ) -> None:
         """`table`, `mark`, `recent`: from the disk. Raises CannotListenError."""
         self.reactor, self.chosen, self.log, self.kept = reactor, chosen, log, kept
@@ -64,10 +65,10 @@
         self.counted_at = 0
         self.stopped = False
         now = self.now()
-        self.feeder = Feeder(chosen.name, chosen.zone, table, now, recent)
-        self.serving = Serving(reactor, self.feeder, self.now, log, self.also)
+        self.feeder = Publisher(chosen.name, chosen.zone, table, now, recent)
+        self.serving = PublisherHost(reactor, self.feeder, self.now, log, self.also)
         tiers = tuple(map(tuple, chosen.sources))
-        self.follower = Follower(tiers, self.copy, rng, now, False, chosen.zone)
+        self.follower = RelayFollower(tiers, self.copy, rng, now, False, chosen.zone)
         self.subscriber = Subscriber(
             reactor,
             chosen.group,
@@ -82,7 +83,7 @@
             self.before,
         )
         self.door = Listener(reactor, self, *parse_address(chosen.listen))
-        self.sweeping = reactor.callLater(SWEEP, self.sweep)
+        self.sweeping = reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
 
     def now(self) -> int:
         """µs on the monotonic clock."""
@@ -108,7 +109,7 @@
     def before(self) -> None:
         """Updates the counts of what is below, before a request is sent above."""
         now = self.now()
-        if now - self.counted_at >= COUNT:
+        if now - self.counted_at >= COUNT_INTERVAL_US:
             self.counted_at = now
             self.follower.below = self.feeder.counts(now)
 
@@ -207,7 +208,7 @@
             self.count("silent callers")
             link.transport.abortConnection()
         self.silent = {each for each in self.door.connections if each.greeting is None}
-        self.sweeping = self.reactor.callLater(SWEEP, self.sweep)
+        self.sweeping = self.reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
 
     def counters(self) -> dict[str, int]:
         """All counters of this process: of its listener, of the answers below and of the requests above."""
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -1,4 +1,4 @@
-"""The host of a `Feeder`: reads requests of subscribers from their links and writes the answers.
+"""The host of a `Publisher`: reads requests of subscribers from their links and writes the answers.
 
 For relays and voters alike. In each turn of the reactor all requests that were read are passed on, then
 decisions are pulled once; an answer to many subscribers is encoded once. A subscriber has at most one open
@@ -14,34 +14,37 @@
 
 import msgspec
 
-from lichencleat.config_distribution.feed import Answer, Drop, Feeder
+from lichencleat.config_distribution.feed import Answer, Drop, Publisher
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FIND,
     FOLLOW,
     IN_FORCE,
     PAGES_OF,
-    decode_follow,
-    decode_wanted,
-    decode_wanting,
+    decode_follow_request,
+    decode_pages_request,
+    decode_record_request,
     encode,
 )
 from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.log.interfaces import EventLogger
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
 
-ANSWERS_TURN = 64  # answers written in one turn of the reactor, so that new requests don't wait for all
-UNREAD = 10_000_000  # µs that an answer may remain unread; at 13 KB a second the largest one gets through
-LOOK = 1_000_000  # µs between checks of the links with an unread answer
+# answers written in one turn of the reactor, so that new requests don't wait for all
+MAX_ANSWERS_PER_TURN = 64
+# µs that an answer may remain unread; at 13 KB a second the largest one gets through
+UNREAD_TIMEOUT_US = 10_000_000
+UNREAD_CHECK_INTERVAL_US = 1_000_000  # µs between checks of the links with an unread answer
 SECOND = 1_000_000  # µs
 
-DECODE: dict[str, Callable[[bytes], Any]] = {
-    FOLLOW: decode_follow,
-    PAGES_OF: decode_wanted,
-    FIND: decode_wanting,
+REQUEST_DECODERS: dict[str, Callable[[bytes], Any]] = {
+    FOLLOW: decode_follow_request,
+    PAGES_OF: decode_pages_request,
+    FIND: decode_record_request,
 }
-SUBSCRIBES = frozenset([FOLLOW, DIGESTS, PAGES_OF])  # operations that make the link count as a subscriber
-KNOWN = SUBSCRIBES | {IN_FORCE, FIND}
+# operations that make the link count as a subscriber
+SUBSCRIBER_OPERATIONS = frozenset([FOLLOW, DIGESTS, PAGES_OF])
+OPERATIONS = SUBSCRIBER_OPERATIONS | {IN_FORCE, FIND}
 
 
 class Link(Protocol):
@@ -54,7 +57,7 @@
     def unsent_bytes(self) -> int: ...
 
 
-class Asker:
+class LinkState:
     """A link that has sent a request."""
 
     __slots__ = ("link", "number", "joined", "unread_since")
@@ -66,24 +69,24 @@
         self.unread_since: int | None = None  # µs: an answer has waited to be written since then
 
 
-class Serving:
+class PublisherHost:
     """Owns the timers and the state of each link that sent a request; `close` releases them."""
 
     def __init__(
         self,
         reactor: Any,
-        feeder: Feeder,
+        feeder: Publisher,
         now: Callable[[], int],
         log: EventLogger,
         also: Callable[[], dict[str, Any]] = dict,
-        turn: int = ANSWERS_TURN,
+        turn: int = MAX_ANSWERS_PER_TURN,
     ) -> None:
         """`now`: µs on the monotonic clock; `also`: further content for `status`; `turn`: answers in one
         turn.
         """
         self.reactor, self.feeder, self.now, self.log = reactor, feeder, now, log
         self.also, self.turn = also, turn
-        self.askers: dict[int, Asker] = {}
+        self.askers: dict[int, LinkState] = {}
         self.numbers: dict[Link, int] = {}
         self.last = 0  # the last number given to a link
         self.stirred = self.closed = False
@@ -100,7 +103,7 @@
 
     def wants(self, what: str) -> bool:
         """Whether the operation belongs to the distribution."""
-        return what in KNOWN
+        return what in OPERATIONS
 
     def asked(self, link: Link, request: ClientRequest) -> None:
         """A request from a link."""
@@ -110,7 +113,7 @@
         if who is None:
             self.last += 1
             who = self.numbers[link] = self.last
-            self.askers[who] = Asker(link)
+            self.askers[who] = LinkState(link)
         asker = self.askers[who]
         if asker.number is not None or link.unsent_bytes():
             # its last answer is open or unread: at most one answer may wait for a subscriber
@@ -119,13 +122,13 @@
             return
         asker.number, asker.unread_since = request.number, None
         try:
-            decode = DECODE.get(request.operation)
+            decode = REQUEST_DECODERS.get(request.operation)
             content = decode(request.content) if decode is not None else None
         except UNDECODABLE:
             self.count("questions that can't be read")
             self.answer(asker, False, encode_raw("unfit"))
             return
-        if request.operation in SUBSCRIBES and not asker.joined:
+        if request.operation in SUBSCRIBER_OPERATIONS and not asker.joined:
             asker.joined = self.feeder.joined(self.now(), who)
             if not asker.joined:
                 self.answer(asker, False, encode_raw("full"))
@@ -192,7 +195,7 @@
             known = self.encoded[id(content)] = (content, msgspec.Raw(encode(content)))
         return known[1]
 
-    def answer(self, asker: Asker, done: bool, content: msgspec.Raw) -> None:
+    def answer(self, asker: LinkState, done: bool, content: msgspec.Raw) -> None:
         """Writes the answer to the link's open request."""
         number, asker.number = asker.number, None
         assert number is not None
@@ -200,7 +203,7 @@
         if asker.link.unsent_bytes() and asker.unread_since is None:
             asker.unread_since = self.now()
             if self.looking is None:
-                self.looking = self.reactor.callLater(LOOK / SECOND, self.look)
+                self.looking = self.reactor.callLater(UNREAD_CHECK_INTERVAL_US / SECOND, self.look)
 
     def look(self) -> None:
         """Drops subscribers that don't read, as their answers occupy this process's memory."""
@@ -211,14 +214,14 @@
                 continue
             if not asker.link.unsent_bytes():
                 asker.unread_since = None
-            elif now - asker.unread_since >= UNREAD:
+            elif now - asker.unread_since >= UNREAD_TIMEOUT_US:
                 self.count("dropped: does not read")
                 asker.unread_since = None
                 asker.link.transport.abortConnection()
             else:
                 some = True
         if some:
-            self.looking = self.reactor.callLater(LOOK / SECOND, self.look)
+            self.looking = self.reactor.callLater(UNREAD_CHECK_INTERVAL_US / SECOND, self.look)
 
     def arm(self) -> None:
         """Sets the timer for the feeder's deadline."""
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -35,24 +35,24 @@
 )
 from lichencleat.decode_errors import UNDECODABLE
 
-PACKED_EACH = 16  # pages compressed per entry, some 300 µs each: keeps up with small batches
+PAGES_COMPRESSED_PER_ENTRY = 16  # pages compressed per entry, some 300 µs each: keeps up with small batches
 # bytes of a kept batch with the values it replaced
-PAST_MOST = MAX_BATCH_BYTES + MAX_BATCH_CHANGES * (MAX_VALUE_BYTES + 16)
-DIFF_MOST = 4_096  # changes in one answer: some ms
-DIFF_BYTES = 512 << 10  # bytes of their names and values: half of a frame
-SMALL = 1_024  # bytes of a kept batch up to which it is not compressed
-RECORD_EXTRA = 16  # bytes of a record in an answer beside its strings
+MAX_KEPT_BATCH_BYTES = MAX_BATCH_BYTES + MAX_BATCH_CHANGES * (MAX_VALUE_BYTES + 16)
+MAX_DIFF_CHANGES = 4_096  # changes in one answer: some ms
+MAX_DIFF_BYTES = 512 << 10  # bytes of their names and values: half of a frame
+MAX_UNCOMPRESSED_BYTES = 1_024  # bytes of a kept batch up to which it is not compressed
+RECORD_OVERHEAD_BYTES = 16  # bytes of a record in an answer beside its strings
 
 
-class Publish(msgspec.Struct, frozen=True, array_like=True, tag_field="do", tag="publish"):
+class PublishCommand(msgspec.Struct, frozen=True, array_like=True, tag_field="do", tag="publish"):
     """The only command of this part."""
 
     changes: tuple[Change, ...]
     only_if: int | None = None  # the version that must be in force; 0: the table must be empty
 
 
-class Published(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to `Publish`: whether it was done, and the version in force now."""
+class PublishResult(msgspec.Struct, frozen=True, array_like=True):
+    """The answer to `PublishCommand`: whether it was done, and the version in force now."""
 
     done: bool
     version: int
@@ -60,7 +60,7 @@
     why: str = ""
 
 
-class Find(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="find"):
+class FindQuery(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="find"):
     """Asks for a record."""
 
     kind: str
@@ -68,7 +68,7 @@
     at: int = 0  # the version; 0: the one in force
 
 
-class Found(msgspec.Struct, frozen=True, array_like=True):
+class FindResult(msgspec.Struct, frozen=True, array_like=True):
     """The answer to `Find`."""
 
     version: int  # in force
@@ -77,7 +77,7 @@
     value: bytes | None = None  # None = None | None: there is no such record
 
 
-class Diff(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="diff"):
+class DiffQuery(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="diff"):
     """Asks for the changes after version `a` up to version `b`: as many as fit in one answer."""
 
     a: int
@@ -85,27 +85,27 @@
     skip: int = 0  # changes of the first batch after `a` that were sent already
 
 
-Changed = tuple[str, str, bytes | None, bytes | None]
+RecordDifference = tuple[str, str, bytes | None, bytes | None]
 """Kind, name, value before and after."""
 
 
-class Difference(msgspec.Struct, frozen=True, array_like=True):
+class DiffResult(msgspec.Struct, frozen=True, array_like=True):
     """The answer to `Diff`."""
 
     version: int
     since: int
     known: bool
-    changes: tuple[Changed, ...] = ()  # in order; a record may occur several times
+    changes: tuple[RecordDifference, ...] = ()  # in order; a record may occur several times
     a: int = 0  # where the next request continues; `b`: the answer is complete
     skip: int = 0
 
 
-class Stands(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="stands"):
+class StatusQuery(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="stands"):
     """Asks for the state of the table."""
 
 
-class Standing(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to `Stands`."""
+class StatusResult(msgspec.Struct, frozen=True, array_like=True):
+    """The answer to `StatusQuery`."""
 
     version: int
     since: int
@@ -114,13 +114,13 @@
     bytes: int
 
 
-Query = Find | Diff | Stands
+Query = FindQuery | DiffQuery | StatusQuery
 Replaced = tuple[bytes | None, ...]
-decode_publish = msgspec.msgpack.Decoder(Publish).decode
+decode_publish = msgspec.msgpack.Decoder(PublishCommand).decode
 decode_replaced = msgspec.msgpack.Decoder(Replaced).decode
 
 
-class Past(NamedTuple):
+class KeptBatch(NamedTuple):
     """A kept batch, with the value that each of its changes replaced."""
 
     batch: Batch
@@ -129,7 +129,7 @@
     size: int  # bytes of both, encoded
 
 
-class Dumped(msgspec.Struct, array_like=True):
+class SourceDump(msgspec.Struct, array_like=True):
     """The dump of the source."""
 
     version: int
@@ -140,9 +140,9 @@
     window: list[tuple[bool, bytes]]  # whether it is compressed, and the batch with the replaced values
 
 
-decode_dumped = msgspec.msgpack.Decoder(Dumped).decode
-Pair = tuple[Batch, Replaced]
-decode_pair = msgspec.msgpack.Decoder(Pair).decode
+decode_source_dump = msgspec.msgpack.Decoder(SourceDump).decode
+BatchWithReplaced = tuple[Batch, Replaced]
+decode_batch_with_replaced = msgspec.msgpack.Decoder(BatchWithReplaced).decode
 
 
 class Source:
@@ -154,7 +154,7 @@
         """The bounds of the kept batches, replaced values included."""
         self.window_batches, self.window_bytes = window_batches, window_bytes
         self.table = Table()
-        self.window: deque[Past] = deque()
+        self.window: deque[KeptBatch] = deque()
         self.size = 0  # bytes of the window
         self.since: tuple[int, bytes] = (0, self.table.digest)
         self.packed: list[bytes] = [b""] * len(self.table.pages)  # pages as a dump stores them
@@ -162,8 +162,8 @@
 
     # -- commands --------------------------------------------------------------------------------------
 
-    def apply(self, index: int, command: msgspec.Raw) -> Published:
-        """Applies a `Publish` command as the entry `index`."""
+    def apply(self, index: int, command: msgspec.Raw) -> PublishResult:
+        """Applies a `PublishCommand` command as the entry `index`."""
         try:
             wanted = decode_publish(command)
         except UNDECODABLE:
@@ -185,11 +185,11 @@
         self.keep(before, batch, tuple(self.table.before))
         self.plain |= {locate_key(encode_key(each.kind, each.name))[0] for each in changes}
         self.pack()
-        return Published(True, index, len(changes))
+        return PublishResult(True, index, len(changes))
 
-    def refused(self, why: str) -> Published:
+    def refused(self, why: str) -> PublishResult:
         """The answer to a rejected command."""
-        return Published(False, self.table.version, 0, why)
+        return PublishResult(False, self.table.version, 0, why)
 
     def keep(self, before: tuple[int, bytes], batch: Batch, replaced: Replaced) -> None:
         """Keeps a batch. `before`: version and digest that it follows."""
@@ -203,13 +203,13 @@
 
     def add(self, data: bytes, batch: Batch, replaced: Replaced) -> None:
         """Adds an encoded batch to the window."""
-        dumped = zlib.compress(data, ZLIB_LEVEL) if len(data) > SMALL else data
-        self.window.append(Past(batch, replaced, dumped, len(data)))
+        dumped = zlib.compress(data, ZLIB_LEVEL) if len(data) > MAX_UNCOMPRESSED_BYTES else data
+        self.window.append(KeptBatch(batch, replaced, dumped, len(data)))
         self.size += len(data)
 
     def pack(self) -> None:
         """Compresses some of the changed pages."""
-        for number in heapq.nsmallest(PACKED_EACH, self.plain):
+        for number in heapq.nsmallest(PAGES_COMPRESSED_PER_ENTRY, self.plain):
             self.plain.remove(number)
             self.packed[number] = zlib.compress(self.table.pages[number], ZLIB_LEVEL)
 
@@ -221,69 +221,71 @@
             wanted = msgspec.convert(query, Query)
         except msgspec.ValidationError:
             return None
-        if isinstance(wanted, Find):
+        if isinstance(wanted, FindQuery):
             return self.found(wanted)
-        if isinstance(wanted, Diff):
+        if isinstance(wanted, DiffQuery):
             return self.difference(wanted)
         table = self.table
-        return Standing(table.version, self.since[0], table.digest, table.records, table.bytes)
+        return StatusResult(table.version, self.since[0], table.digest, table.records, table.bytes)
 
     def knows(self, version: int) -> bool:
         """Whether records are known at that version."""
         return self.since[0] <= version <= self.table.version
 
-    def found(self, wanted: Find) -> Found:
+    def found(self, wanted: FindQuery) -> FindResult:
         """The record as it was at the version."""
         version = self.table.version
         at = wanted.at or version
         if not self.knows(at):
-            return Found(version, self.since[0], False)
+            return FindResult(version, self.since[0], False)
         key = (wanted.kind, wanted.name)
         for past in self.after(at):
             for change, replaced in zip(past.batch.changes, past.replaced, strict=True):
                 if (change.kind, change.name) == key:
-                    return Found(version, self.since[0], True, replaced)
-        return Found(version, self.since[0], True, self.table.find(*key))
+                    return FindResult(version, self.since[0], True, replaced)
+        return FindResult(version, self.since[0], True, self.table.find(*key))
 
-    def after(self, version: int) -> Iterator[Past]:
+    def after(self, version: int) -> Iterator[KeptBatch]:
         """The kept batches above the version, oldest first."""
         return (each for each in self.window if each.batch.version > version)
 
-    def difference(self, wanted: Diff) -> Difference:
+    def difference(self, wanted: DiffQuery) -> DiffResult:
         """The changes between two versions; some ms at most, as a leader's heartbeats wait meanwhile."""
         version, since = self.table.version, self.since[0]
         if not (self.knows(wanted.a) and self.knows(wanted.b)):
-            return Difference(version, since, False)
-        told: list[Changed] = []
-        room, skip, at = DIFF_BYTES, wanted.skip, wanted.a
+            return DiffResult(version, since, False)
+        told: list[RecordDifference] = []
+        room, skip, at = MAX_DIFF_BYTES, wanted.skip, wanted.a
         for past in self.after(wanted.a):
             if past.batch.version > wanted.b:
                 break
             pairs = zip(past.batch.changes, past.replaced, strict=True)
             for change, old in islice(pairs, skip, None):
-                room -= RECORD_EXTRA + 4 * len(change.name) + len(old or b"") + len(change.value or b"")
-                if len(told) >= DIFF_MOST or (told and room < 0):
-                    return Difference(version, since, True, tuple(told), at, skip)
+                room -= (
+                    RECORD_OVERHEAD_BYTES + 4 * len(change.name) + len(old or b"") + len(change.value or b"")
+                )
+                if len(told) >= MAX_DIFF_CHANGES or (told and room < 0):
+                    return DiffResult(version, since, True, tuple(told), at, skip)
                 told.append((change.kind, change.name, old, change.value))
                 skip += 1
             at, skip = past.batch.version, 0
-        return Difference(version, since, True, tuple(told), wanted.b)
+        return DiffResult(version, since, True, tuple(told), wanted.b)
 
     # -- dumps -----------------------------------------------------------------------------------------
 
-    def dump(self) -> Dumped:
+    def dump(self) -> SourceDump:
         """The state for a group's snapshot."""
         pages, plain = list(self.packed), sorted(self.plain)
         for number in plain:
             pages[number] = self.table.pages[number]
-        window = [(each.size > SMALL, each.dumped) for each in self.window]
-        return Dumped(self.table.version, self.table.digest, pages, plain, self.since, window)
+        window = [(each.size > MAX_UNCOMPRESSED_BYTES, each.dumped) for each in self.window]
+        return SourceDump(self.table.version, self.table.digest, pages, plain, self.since, window)
 
     def load(self, dumped: msgspec.Raw) -> None:
         """Restores a dump. Raises msgspec.MsgspecError if it is invalid or incomplete."""
-        found = decode_dumped(dumped)
+        found = decode_source_dump(dumped)
         plain = set(found.plain)
-        pages = [each if at in plain else inflated(each) for at, each in enumerate(found.pages)]
+        pages = [each if at in plain else inflate(each) for at, each in enumerate(found.pages)]
         try:
             self.table = Table.loaded(found.version, pages)
         except TableError as wrong:
@@ -297,11 +299,11 @@
         self.packed, self.plain = found.pages, plain
         self.since, self.window, self.size = found.since, deque(), 0
         for deflated, data in found.window:
-            whole = inflated(data, PAST_MOST) if deflated else data
-            self.add(whole, *decode_pair(whole))
+            whole = inflate(data, MAX_KEPT_BATCH_BYTES) if deflated else data
+            self.add(whole, *decode_batch_with_replaced(whole))
 
 
-def net(changes: Iterable[Changed]) -> list[Changed]:
+def net_changes(changes: Iterable[RecordDifference]) -> list[RecordDifference]:
     """The total effect of the changes, sorted by kind and name."""
     old: dict[tuple[str, str], bytes | None] = {}
     new: dict[tuple[str, str], bytes | None] = {}
@@ -311,7 +313,7 @@
     return [(*key, old[key], new[key]) for key in sorted(old) if old[key] != new[key]]
 
 
-def inflated(data: bytes, most: int = MAX_PAGE_BYTES) -> bytes:
+def inflate(data: bytes, most: int = MAX_PAGE_BYTES) -> bytes:
     """The data without compression. Raises msgspec.ValidationError."""
     if not data:
         return b""
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -1,4 +1,4 @@
-"""The host of a `Follower`: opens links to relays, sends requests, and has updates staged in slices and
+"""The host of a `RelayFollower`: opens links to relays, sends requests, and has updates staged in slices and
 applied.
 
 One slice per turn of the reactor, so that a node's clients don't wait for all of it. An answer that can't be
@@ -16,19 +16,19 @@
 from twisted.internet.protocol import ClientFactory
 
 from lichencleat.config.addresses import parse_address
-from lichencleat.config_distribution.acts import Act, Decision
+from lichencleat.config_distribution.acts import Action, Decision
 from lichencleat.config_distribution.copy import Copy
 from lichencleat.config_distribution.counts import MAX_AGE_US
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.follow import RelayFollower
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
     PAGES_OF,
     Batch,
-    decode_digests,
-    decode_fed,
-    decode_pages,
+    decode_follow_answer,
+    decode_pages_answer,
+    decode_snapshot_head,
 )
 from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.log.interfaces import EventLogger
@@ -43,22 +43,23 @@
 )
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
-CALL = 1.5  # s for a connection to open; the follower's own limit is shorter and includes the greeting
-AGAIN = 0.1  # s until decisions are pulled again after an error
+# s for a connection to open; the follower's own limit is shorter and includes the greeting
+CONNECT_TIMEOUT_S = 1.5
+RETRY_DELAY_S = 0.1  # s until decisions are pulled again after an error
 SECOND = 1_000_000  # µs
 
-DECODE: dict[str, Callable[[bytes], Any]] = {
-    FOLLOW: decode_fed,
-    DIGESTS: decode_digests,
-    PAGES_OF: decode_pages,
+ANSWER_DECODERS: dict[str, Callable[[bytes], Any]] = {
+    FOLLOW: decode_follow_answer,
+    DIGESTS: decode_snapshot_head,
+    PAGES_OF: decode_pages_answer,
 }
-decode_why = msgspec.msgpack.Decoder(str).decode
+decode_reason = msgspec.msgpack.Decoder(str).decode
 
 
-class Upward(FramedProtocol):
+class RelayLink(FramedProtocol):
     """The link to a relay."""
 
-    def __init__(self, way: Way) -> None:
+    def __init__(self, way: RelayAttempt) -> None:
         self.way = way
 
     def connectionMade(self) -> None:
@@ -84,7 +85,7 @@
         self.way.end("the connection ended")
 
 
-class Way(ClientFactory):
+class RelayAttempt(ClientFactory):
     """One attempt at one relay, from opening the link to its end.
 
     It has no timer: the follower gives up relays that don't open the link or don't answer.
@@ -94,21 +95,21 @@
 
     def __init__(self, host: Subscriber, relay: str) -> None:
         self.host, self.relay = host, relay
-        self.link: Upward | None = None  # once the relay has accepted the greeting
+        self.link: RelayLink | None = None  # once the relay has accepted the greeting
         self.mark = b""  # the group's mark, as the relay reported it
         self.number = 0  # of the last request
         self.what = ""  # of the open request
         self.ended = False
         where, port = parse_address(relay)
-        self.connector = host.reactor.connectTCP(where, port, self, timeout=CALL)
+        self.connector = host.reactor.connectTCP(where, port, self, timeout=CONNECT_TIMEOUT_S)
 
-    def buildProtocol(self, address: Any) -> Upward:
-        return Upward(self)
+    def buildProtocol(self, address: Any) -> RelayLink:
+        return RelayLink(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self.end("the connection could not be opened")
 
-    def greeted(self, link: Upward, answer: GreetingResponse) -> None:
+    def greeted(self, link: RelayLink, answer: GreetingResponse) -> None:
         """The relay has answered the greeting."""
         if answer.result != GreetingResult.ACCEPTED:
             self.end("it belongs to another group", "turned away")
@@ -143,9 +144,9 @@
         content, why = None, ""
         try:
             if reply.done:
-                content = DECODE[what](reply.content)
+                content = ANSWER_DECODERS[what](reply.content)
             else:
-                why = decode_why(reply.content)
+                why = decode_reason(reply.content)
         except UNDECODABLE:
             self.end("its answer could not be decoded", "answers that can't be read")
             return
@@ -177,7 +178,7 @@
         reactor: Any,
         group: str,
         who: str,
-        follower: Follower,
+        follower: RelayFollower,
         copy: Copy,
         rng: random.Random,
         log: EventLogger,
@@ -196,7 +197,7 @@
         self.follower, self.copy = follower, copy
         self.now = now or (lambda: int(reactor.seconds() * SECOND))
         self.on_taken, self.on_told, self.before = on_taken, on_told, before
-        self.ways: dict[str, Way] = {}
+        self.ways: dict[str, RelayAttempt] = {}
         self.counts: dict[str, int] = {}
         self.begun = self.stopped = self.stirred = False
         self.timer: Any = None
@@ -223,26 +224,26 @@
 
     # -- events --------------------------------------------------------------------------------
 
-    def opened(self, way: Way) -> None:
+    def opened(self, way: RelayAttempt) -> None:
         """The attempt's link is open and accepted."""
         if self.ways.get(way.relay) is way:
             self.follower.opened(self.now(), way.relay, way.mark)
             self.stir()
 
-    def learned(self, way: Way) -> None:
+    def learned(self, way: RelayAttempt) -> None:
         """The followed relay has reported its group's mark."""
         if self.ways.get(way.relay) is way and self.follower.relay == way.relay:
             self.follower.mark = way.mark
             self.on_told()
 
-    def told(self, way: Way, what: str, content: Any, why: str) -> None:
+    def told(self, way: RelayAttempt, what: str, content: Any, why: str) -> None:
         """The attempt's relay has answered."""
         if self.ways.get(way.relay) is way:
             self.follower.told(self.now(), way.relay, what, content, why)
             self.on_told()
             self.stir()
 
-    def lost(self, way: Way, why: str) -> None:
+    def lost(self, way: RelayAttempt, why: str) -> None:
         """The attempt has ended."""
         if self.ways.get(way.relay) is way:
             del self.ways[way.relay]
@@ -287,7 +288,7 @@
                 self.carry_out(decision)
         except Exception:  # the node keeps its version
             self.trouble()
-            self.arm(AGAIN)
+            self.arm(RETRY_DELAY_S)
             return
         if not self.stopped:
             self.arm(max(0, self.follower.deadline() - self.now()) / SECOND)
@@ -309,21 +310,21 @@
     def carry_out(self, decision: Decision) -> None:
         """Carries out one decision of the follower."""
         act = decision.act
-        if act is Act.OPEN:
+        if act is Action.OPEN:
             self.drop(decision.relay)
-            self.ways[decision.relay] = Way(self, decision.relay)
-        elif act is Act.CLOSE:
+            self.ways[decision.relay] = RelayAttempt(self, decision.relay)
+        elif act is Action.CLOSE:
             self.drop(decision.relay)
-        elif act is Act.ASK:
+        elif act is Action.ASK:
             way = self.ways.get(decision.relay)
             if way is not None and way.link is not None:
                 way.ask(decision.what, decision.content)
-        elif act is Act.STEP:
+        elif act is Action.STEP:
             if self.stepping is None:
                 self.stepping = self.reactor.callLater(0, self.step)
-        elif act is Act.TAKEN:
+        elif act is Action.TAKEN:
             self.on_taken(decision.batches)
-        elif act is Act.TELL:
+        elif act is Action.TELL:
             self.log.info(decision.text)
 
     def drop(self, relay: str) -> None:
--- a/lichencleat/config_distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -27,7 +27,7 @@
     PAGE_COUNT,
     Batch,
     Change,
-    Digests,
+    SnapshotHead,
     encode,
 )
 
@@ -92,10 +92,10 @@
         self.shared = table.deflated
         self.own: dict[int, bytes] = {}  # number -> page by zlib, if it was requested
 
-    def head(self, age: int) -> Digests:
+    def head(self, age: int) -> SnapshotHead:
         """The snapshot's head; `age` in µs, as it is to be sent."""
         whole = b"".join(each.to_bytes(DIGEST_BYTES, "little") for each in self.page_digests)
-        return Digests(self.version, self.digest, whole, age)
+        return SnapshotHead(self.version, self.digest, whole, age)
 
     def packed(self, number: int) -> bytes:
         """The page by zlib, compressed once: some 300 µs the first time. Raises IndexError."""
@@ -152,7 +152,7 @@
         """
         return Staging(self, batches)
 
-    def rebuild(self, head: Digests) -> SnapshotStaging:
+    def rebuild(self, head: SnapshotHead) -> SnapshotStaging:
         """Starts a snapshot.
 
         Raises CorruptTableError if the head is inconsistent, ChainError if it is older.
--- a/lichencleat/config_distribution/taking.py
+++ b/lichencleat/config_distribution/taking.py
@@ -9,13 +9,14 @@
 
 from lichencleat.config_distribution.copy import Copy
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.terms import Batch, Digests, Fed, Pages, Wanted
+from lichencleat.config_distribution.terms import Batch, FollowAnswer, PagesAnswer, PagesRequest, SnapshotHead
 
-WANT = 8  # pages requested at once; each takes a slice of some 150 µs
-AHEAD = 2 * WANT  # pages received and not checked yet, up to which more are requested
+PAGES_PER_REQUEST = 8  # pages requested at once; each takes a slice of some 150 µs
+# pages received and not checked yet, up to which more are requested
+MAX_UNCHECKED_PAGES = 2 * PAGES_PER_REQUEST
 
 
-class Taking:
+class PendingUpdate:
     """Owns the update staged beside the copy: batches, or a snapshot."""
 
     def __init__(self, copy: Copy) -> None:
@@ -23,11 +24,11 @@
         self.what = ""  # "batches" or "snapshot" while one is under way
         self.by, self.mark = "", b""  # the relay that sent it, and that relay's group
         self.knows: int | None = None  # µs: the source had nothing newer then, valid once it is applied
-        self.head: Digests | None = None  # of the snapshot that is still being fetched
+        self.head: SnapshotHead | None = None  # of the snapshot that is still being fetched
         self.wanted: frozenset[int] = frozenset()  # pages requested
         self.due = 0  # slices that the received data needs, at least
 
-    def stage(self, fed: Fed, relay: str, mark: bytes, knows: int | None) -> str:
+    def stage(self, fed: FollowAnswer, relay: str, mark: bytes, knows: int | None) -> str:
         """Stages the batches. Returns why they can't be applied; "": they are staged."""
         version = self.copy.version
         for batch in fed.batches:
@@ -43,7 +44,7 @@
         self.sets("batches", relay, mark, knows if version == fed.version else None)
         return ""
 
-    def begin(self, head: Digests, relay: str, mark: bytes, knows: int | None) -> str:
+    def begin(self, head: SnapshotHead, relay: str, mark: bytes, knows: int | None) -> str:
         """Starts or continues a snapshot. Returns why it can't be applied; "": it is under way."""
         if head.version <= self.copy.version:
             return f"its snapshot has version {head.version}, and version {self.copy.version} is in force"
@@ -60,21 +61,21 @@
         self.what, self.by, self.mark, self.knows, self.due = what, relay, mark, knows, 1
         self.head = None
 
-    def pages(self) -> Wanted | None:
+    def pages(self) -> PagesRequest | None:
         """The next pages to request; None if none is missing, or enough wait to be checked."""
-        if self.head is None or self.due > AHEAD:
+        if self.head is None or self.due > MAX_UNCHECKED_PAGES:
             return None
-        numbers = self.copy.missing(WANT)
+        numbers = self.copy.missing(PAGES_PER_REQUEST)
         self.wanted = frozenset(numbers)
-        return Wanted(self.head.version, tuple(numbers)) if numbers else None
+        return PagesRequest(self.head.version, tuple(numbers)) if numbers else None
 
-    def asked_for(self, pages: Pages) -> bool:
+    def asked_for(self, pages: PagesAnswer) -> bool:
         """Whether these pages were requested."""
         numbers = [number for number, _ in pages.pages]
         mine = self.head is not None and pages.version == self.head.version
         return mine and len(set(numbers)) == len(numbers) and self.wanted.issuperset(numbers)
 
-    def put(self, pages: Pages) -> bool:
+    def put(self, pages: PagesAnswer) -> bool:
         """Hands the pages to the copy. False: it rejects them."""
         self.due += len(pages.pages)
         return self.copy.put(pages)
--- a/lichencleat/config_distribution/terms.py
+++ b/lichencleat/config_distribution/terms.py
@@ -65,7 +65,7 @@
 LATE_AFTER_US = 5_000_000  # µs until a node that lacks its relay's version counts as late
 
 
-class Follow(msgspec.Struct, frozen=True, array_like=True):
+class FollowRequest(msgspec.Struct, frozen=True, array_like=True):
     """Asks for what is newer than `version`, and acknowledges that `version` is applied."""
 
     version: int  # 0: the subscriber's table is empty
@@ -74,8 +74,8 @@
     hold: int = MAX_HOLD_US  # µs that the answer may be held while there is no news
 
 
-class Say(IntEnum):
-    """The outcome of a `Follow`."""
+class FollowOutcome(IntEnum):
+    """The outcome of a `FollowRequest`."""
 
     NEWS = 1  # `batches` follow the subscriber's version, in order
     SAME = 2  # the answering process has nothing newer
@@ -84,8 +84,8 @@
     OTHER = 5  # the digests differ at the subscriber's version: one of the two has corrupt data
 
 
-class Fed(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to a `Follow`."""
+class FollowAnswer(msgspec.Struct, frozen=True, array_like=True):
+    """The answer to a `FollowRequest`."""
 
     say: int  # a `Say`
     version: int  # of the answering process
@@ -94,7 +94,7 @@
     batches: tuple[Batch, ...] = ()
 
 
-class Digests(msgspec.Struct, frozen=True, array_like=True):
+class SnapshotHead(msgspec.Struct, frozen=True, array_like=True):
     """A snapshot's head: version, digest and the digest of each page."""
 
     version: int
@@ -103,21 +103,21 @@
     age: int
 
 
-class Wanted(msgspec.Struct, frozen=True, array_like=True):
+class PagesRequest(msgspec.Struct, frozen=True, array_like=True):
     """Requests pages of that version's snapshot."""
 
     version: int
     numbers: tuple[int, ...]
 
 
-class Pages(msgspec.Struct, frozen=True, array_like=True):
+class PagesAnswer(msgspec.Struct, frozen=True, array_like=True):
     """The first of the requested pages that fit; none if that snapshot is no longer kept."""
 
     version: int
     pages: tuple[tuple[int, bytes], ...]  # each page's number, and its bytes by zlib
 
 
-class Wanting(msgspec.Struct, frozen=True, array_like=True):
+class RecordRequest(msgspec.Struct, frozen=True, array_like=True):
     """Requests one record as it was at a version (0: now)."""
 
     kind: str
@@ -126,10 +126,10 @@
 
 
 encode = msgspec.msgpack.encode
-decode_follow = msgspec.msgpack.Decoder(Follow).decode
-decode_fed = msgspec.msgpack.Decoder(Fed).decode
-decode_digests = msgspec.msgpack.Decoder(Digests).decode
-decode_wanted = msgspec.msgpack.Decoder(Wanted).decode
-decode_pages = msgspec.msgpack.Decoder(Pages).decode
-decode_wanting = msgspec.msgpack.Decoder(Wanting).decode
+decode_follow_request = msgspec.msgpack.Decoder(FollowRequest).decode
+decode_follow_answer = msgspec.msgpack.Decoder(FollowAnswer).decode
+decode_snapshot_head = msgspec.msgpack.Decoder(SnapshotHead).decode
+decode_pages_request = msgspec.msgpack.Decoder(PagesRequest).decode
+decode_pages_answer = msgspec.msgpack.Decoder(PagesAnswer).decode
+decode_record_request = msgspec.msgpack.Decoder(RecordRequest).decode
 decode_batch = msgspec.msgpack.Decoder(Batch).decode
--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -12,24 +12,26 @@
 from collections.abc import Callable
 from typing import Any
 
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.serving import KNOWN, Serving
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.serving import OPERATIONS, PublisherHost
 from lichencleat.config_distribution.source import Source
 from lichencleat.consensus.extension import MemberView
 from lichencleat.consensus.state_machine import StateMachine
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
 from lichencleat.transport.inbound import InboundConnection
 
-PART = "distribution"  # the name of this part of the group's state
-PROVE = 0.1  # s between a leader's confirmations of its leadership: one more message to each voter
+STATE_PART = "distribution"  # the name of this part of the group's state
+# s between a leader's confirmations of its leadership: one more message to each voter
+CONFIRM_INTERVAL_S = 0.1
 # µs without a message, of which even a learner gets two a second: this process was stopped
-SILENCE = 1_000_000
-DOUBT = 400_000  # µs after that in which messages may be old ones from the receive buffer, which is then read
-NOT_YET = "nothing here"
+PAUSE_THRESHOLD_US = 1_000_000
+# µs after that in which messages may be old ones from the receive buffer, which is then read
+IGNORE_AFTER_PAUSE_US = 400_000
+NOT_READY_REASON = "nothing here"
 SECOND = 1_000_000  # µs
 
 
-class Fresh:
+class CommitFreshness:
     """Since when a member knows that it has all committed entries; no I/O."""
 
     def __init__(self) -> None:
@@ -41,8 +43,8 @@
 
     def word(self, now: int, commit: int, applied: int) -> None:
         """A message of the leader. After a pause many arrive at once, and none shows when it was sent."""
-        if self.heard is None or now - self.heard > SILENCE:
-            self.doubt, self.waiting = now + DOUBT, None
+        if self.heard is None or now - self.heard > PAUSE_THRESHOLD_US:
+            self.doubt, self.waiting = now + IGNORE_AFTER_PAUSE_US, None
         self.heard = now
         if now < self.doubt:
             return
@@ -62,7 +64,7 @@
         self.waiting = None
 
 
-class Voting:
+class VoterPublisher:
     """Publishes a voter's table. `consensus.process.MemberProcess` calls it; `close` releases everything."""
 
     def __init__(
@@ -71,16 +73,16 @@
         name: str,
         zone: str,
         log: Any,
-        host: Callable[..., Any] = Serving,
+        host: Callable[..., Any] = PublisherHost,
     ) -> None:
-        """`host`: carries out a feeder's decisions, as `serving.Serving`."""
+        """`host`: carries out a feeder's decisions, as `serving.PublisherHost`."""
         self.reactor, self.name, self.zone, self.log, self.host = reactor, name, zone, log, host
-        self.fresh = Fresh()
+        self.fresh = CommitFreshness()
         self.member: MemberView | None = None
         self.source: Source | None = None  # the source in the last state seen
         self.version = 0  # the feeder's version
         self.index = 0  # of the last entry applied
-        self.feeder: Feeder | None = None
+        self.feeder: Publisher | None = None
         self.serving: Any = None
         self.timer: Any = None
         self.ended = False
@@ -99,7 +101,7 @@
         """The member has applied entries, or loaded a snapshot."""
         self.index = state.applied
         self.fresh.applied(state.applied)
-        source = state.states[PART]
+        source = state.states[STATE_PART]
         assert isinstance(source, Source)
         if source is not self.source:
             self.takes(source)
@@ -112,7 +114,7 @@
         now, table = self.now(), source.table
         self.source, self.version = source, table.version
         if self.feeder is None:
-            self.feeder = Feeder(self.name, self.zone, table, now)
+            self.feeder = Publisher(self.name, self.zone, table, now)
             self.serving = self.host(self.reactor, self.feeder, self.now, self.log)
             self.prove()
         self.feeder.table = table
@@ -155,7 +157,7 @@
             if done:
                 self.fresh.proved(asked)
                 self.tell_age()
-            self.timer = self.reactor.callLater(PROVE, self.prove)
+            self.timer = self.reactor.callLater(CONFIRM_INTERVAL_S, self.prove)
 
         if not self.ended and self.member is not None:
             self.member.confirm_leadership(told)
@@ -164,12 +166,12 @@
 
     def handles(self, what: str) -> bool:
         """Whether the operation belongs to the distribution."""
-        return what in KNOWN
+        return what in OPERATIONS
 
     def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
         # the member doesn't take part yet: its state may still be restored from a copy
         if self.serving is None:
-            link.reply(ClientResponse(request.number, False, encode_raw(NOT_YET)))
+            link.reply(ClientResponse(request.number, False, encode_raw(NOT_READY_REASON)))
         else:
             self.serving.asked(link, request)
 
--- a/lichencleat/coordinator/daemon.py
+++ b/lichencleat/coordinator/daemon.py
@@ -127,13 +127,13 @@
             return MemberOptions(
                 states.make_control_plane_states, due_proposals, timeouts, zone=settings.zone
             )
-        from lichencleat.config_distribution.voting import Voting  # other groups don't load it
+        from lichencleat.config_distribution.voting import VoterPublisher  # other groups don't load it
 
         return MemberOptions(
             states.make_config_distribution_states,
             timeouts=timeouts,
             zone=settings.zone,
-            extension=Voting(self._reactor, identity.member_name, settings.zone, self.log),
+            extension=VoterPublisher(self._reactor, identity.member_name, settings.zone, self.log),
         )
 
     def _stop(self, exit_code: int, reason: str = "") -> None:
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -14,14 +14,14 @@
 from twisted.internet.defer import Deferred, inlineCallbacks, succeed
 
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.follow import RelayFollower
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
 from lichencleat.store.errors import StoreError
 
 if TYPE_CHECKING:
-    from lichencleat.config_distribution.kept import Kept
+    from lichencleat.config_distribution.kept import PersistedTable
 
 TENANT = "tenant"  # a record's kind; its name is what a request bears
 SECOND = 1_000_000  # µs
@@ -83,7 +83,7 @@
         self.reactor, self.name, self.chosen, self.unix, self.rng = reactor, name, chosen, unix, rng
         self.report, self.log = report, Said(report.events())
         self.tenants = Tenants(settings)
-        self.kept: Kept | None = None
+        self.kept: PersistedTable | None = None
         self.mark = b""
         self.subscriber: Subscriber | None = None
         self.stopped = False
@@ -94,11 +94,11 @@
         table = Table()
         if self.chosen.directory is not None:
             from lichencleat.config_distribution.kept import (
-                open_kept,  # off means not imported: memory counts
+                open_persisted_table,  # off means not imported: memory counts
             )
 
             try:
-                self.kept = yield open_kept(
+                self.kept = yield open_persisted_table(
                     self.reactor,
                     self.chosen.directory,
                     self.unix,
@@ -127,7 +127,7 @@
             self.tenants.table = table
         now = int(self.reactor.seconds() * SECOND)
         tiers = tuple(map(tuple, self.chosen.sources))
-        follower = Follower(tiers, copy, self.rng, now, True, self.chosen.zone)
+        follower = RelayFollower(tiers, copy, self.rng, now, True, self.chosen.zone)
         self.subscriber = Subscriber(
             self.reactor,
             self.chosen.group,
--- a/lichencleat/testkit/cluster/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -17,9 +17,9 @@
 import msgspec
 import yaml
 
-from lichencleat.config_distribution.source import Publish, Published
+from lichencleat.config_distribution.source import PublishCommand, PublishResult
 from lichencleat.config_distribution.terms import Change
-from lichencleat.config_distribution.voting import PART
+from lichencleat.config_distribution.voting import STATE_PART
 from lichencleat.testkit.checkers.distribution import (
     LEFT,
     PAIR,
@@ -168,8 +168,8 @@
         self.number += 1
         records = batch_of(self.number, self.rng) if records is None else records
         changes = [change(name, value) for name, value in records.items()]
-        told = self.ask(self.publisher.propose, PART, Publish(tuple(changes)), PATIENCE)
-        published = Published(*told)
+        told = self.ask(self.publisher.propose, STATE_PART, PublishCommand(tuple(changes)), PATIENCE)
+        published = PublishResult(*told)
         assert published.done, published.why
         self.confirms(published.version, records)
         return published.version
@@ -179,8 +179,8 @@
         while self.results:
             records, told = self.results.pop(0)
             self.under_way = False
-            if told is not None and Published(*told).done:
-                self.confirms(Published(*told).version, records)
+            if told is not None and PublishResult(*told).done:
+                self.confirms(PublishResult(*told).version, records)
         if self.under_way:
             return
         self.under_way = True
@@ -189,7 +189,7 @@
         changes = tuple(change(name, value) for name, value in records.items())
 
         def begin() -> None:
-            made = self.publisher.propose(PART, Publish(changes), patience)
+            made = self.publisher.propose(STATE_PART, PublishCommand(changes), patience)
             made.addErrback(lambda failure: failure.trap(RequestFailedError) and None)
             made.addCallback(lambda told: self.results.append((records, told)))
 
@@ -301,7 +301,7 @@
             records = batch_of(9_000, random.Random("other")) | {"tenant/t1": {"tenant": "other", "n": 0}}
             records[f"route/{self.relays.call(moment)}"] = {"n": 0}
             changes = tuple(change(name, value) for name, value in records.items())
-            self.ask(client.propose, PART, Publish(changes), PATIENCE)
+            self.ask(client.propose, STATE_PART, PublishCommand(changes), PATIENCE)
         other = RelayProcess(self, "x1", "", [[voter.address]])
         other.start()
         return other
--- a/lichencleat/testkit/cluster/distribution_parts.py
+++ b/lichencleat/testkit/cluster/distribution_parts.py
@@ -13,7 +13,7 @@
 
 import yaml
 
-from lichencleat.config_distribution.kept import PAGE, STORE
+from lichencleat.config_distribution.kept import PAGE_KEY_PREFIX, STORE_LIMITS
 from lichencleat.reactor import unix_time
 from lichencleat.store.batch import Batch
 from lichencleat.store.disk import RealDisk
@@ -98,11 +98,11 @@
         if not self.kept_files():
             return 0
         try:
-            engine = Engine.open(RealDisk(str(self.directory)), unix_time, rng, STORE)
+            engine = Engine.open(RealDisk(str(self.directory)), unix_time, rng, STORE_LIMITS)
         except StoreError:  # it was spoilt before: it is not used as it is
             return 0
         try:
-            there = [key for key, _ in engine.scan(PAGE)]
+            there = [key for key, _ in engine.scan(PAGE_KEY_PREFIX)]
             lost = rng.sample(there, len(there) // 2)
             batch = Batch()
             for key in lost:
--- a/lichencleat/testkit/cluster/hollow_nodes.py
+++ b/lichencleat/testkit/cluster/hollow_nodes.py
@@ -21,10 +21,10 @@
 from typing import Any
 
 from lichencleat.config_distribution import subscriber as subscribing
-from lichencleat.config_distribution.choice import Times
+from lichencleat.config_distribution.choice import Timing
 from lichencleat.config_distribution.copy import Copy, TableCopy
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.subscriber import Subscriber, Upward
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.subscriber import RelayLink, Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
 from lichencleat.log.structured import create_logger
@@ -37,7 +37,7 @@
 passed = {"in": 0, "out": 0}  # bytes of all links
 
 
-class CountedUpward(Upward):
+class CountedUpward(RelayLink):
     def dataReceived(self, data: bytes) -> None:
         passed["in"] += len(data)
         super().dataReceived(data)
@@ -83,7 +83,7 @@
         chosen = self.chosen
         rng = random.Random(f"{chosen['name']} {name}")
         tiers = tuple(map(tuple, chosen["sources"]))
-        follower = Follower(tiers, copy, rng, self.now(), True, chosen["zone"], Times())
+        follower = RelayFollower(tiers, copy, rng, self.now(), True, chosen["zone"], Timing())
         who = f"{chosen['name']}-{name}"
         return Subscriber(self.reactor, chosen["group"], who, follower, copy, rng, self.log, self.now, taken)
 
@@ -136,7 +136,7 @@
 def main() -> None:
     install_faults()
     reactor = make_reactor()
-    subscribing.Upward = CountedUpward  # type: ignore[misc]
+    subscribing.RelayLink = CountedUpward  # type: ignore[misc]
     with open(sys.argv[1]) as file:
         chosen = json.load(file)
     signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(lambda: nodes.tell()))
--- a/lichencleat/testkit/cluster/mistakes.py
+++ b/lichencleat/testkit/cluster/mistakes.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from lichencleat.config_distribution import kept as keeping
-from lichencleat.config_distribution.kept import Kept, page_key, slot_of, unpack
+from lichencleat.config_distribution.kept import PersistedTable, page_key, slot_of, unpack_page
 from lichencleat.config_distribution.pages import EMPTY_PAGE_DIGESTS, table_digest
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Staging, Table
-from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Digests
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, SnapshotHead
 from lichencleat.testkit.cluster.watcher import WatchedCopy
 
 LATER = 0.05  # s from one turn to the other, or from the word to the deed
@@ -123,7 +123,7 @@
         self.deed()
         super().stage(batches)
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         self.deed()
         super().begin(head)
 
@@ -159,16 +159,16 @@
         subscriber.opened = at_new_relay  # type: ignore[method-assign]
 
 
-def trusted(kept: Kept, head: Any) -> Any:
+def trusted(kept: PersistedTable, head: Any) -> Any:
     """As if the head's digest were that of whatever pages are there."""
     total = 0
     for number in range(PAGE_COUNT):
         data = kept.store.engine.get(page_key(number, slot_of(head.slots, number)))
-        total += EMPTY_PAGE_DIGESTS[number] if data is None else unpack(number, data)[1]
+        total += EMPTY_PAGE_DIGESTS[number] if data is None else unpack_page(number, data)[1]
     return msgspec.structs.replace(head, digest=table_digest(total, head.version))
 
 
-def load(kept: Kept, mistake: str) -> Any:
+def load(kept: PersistedTable, mistake: str) -> Any:
     """What is kept, by the real way or by one that trusts whatever is there."""
     if mistake == "torn file":
         real = keeping.decode_head
--- a/lichencleat/testkit/cluster/tap.py
+++ b/lichencleat/testkit/cluster/tap.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.config_distribution.terms import FOLLOW, decode_follow
+from lichencleat.config_distribution.terms import FOLLOW, decode_follow_request
 from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.testkit.checkers.distribution import Acknowledged
 from lichencleat.testkit.cluster.relay import Inward, Link, Relay, Relays
@@ -68,7 +68,7 @@
         relays: Any = self.relay.relays
         version = 0
         if frame.operation == FOLLOW:
-            follow = decode_follow(frame.content)
+            follow = decode_follow_request(frame.content)
             version = follow.version
             relays.acknowledged.append(Acknowledged(moment(), self.caller, version, follow.digest.hex()))
         relays.asked.append(Asked(moment(), self.caller, self.relay.name, frame.operation, version))
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -21,14 +21,14 @@
 import msgspec
 from twisted.internet.defer import inlineCallbacks
 
-from lichencleat.config_distribution.choice import Times
+from lichencleat.config_distribution.choice import Timing
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.kept import open_kept
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.kept import open_persisted_table
 from lichencleat.config_distribution.pages import page_digest, table_digest
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import Batch, Digests, Pages
+from lichencleat.config_distribution.terms import Batch, PagesAnswer, SnapshotHead
 from lichencleat.log.structured import create_logger
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.store.errors import StoreError
@@ -55,11 +55,11 @@
         finally:
             self.on_call()
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         super().begin(head)
         self.on_call()
 
-    def put(self, pages: Pages) -> bool:
+    def put(self, pages: PagesAnswer) -> bool:
         taken = super().put(pages)
         self.on_call()
         return taken
@@ -106,7 +106,9 @@
             held_back = chosen.get("disk") == "held back"
             try:
                 disk = HeldBackDisk(chosen["directory"], create=True) if held_back else None
-                self.kept = yield open_kept(self.reactor, chosen["directory"], unix_time, self.rng, disk=disk)
+                self.kept = yield open_persisted_table(
+                    self.reactor, chosen["directory"], unix_time, self.rng, disk=disk
+                )
                 table, mark, _ = yield mistakes.load(self.kept, self.mistake)
                 self.trouble = self.kept.trouble
             except (StoreError, OSError) as wrong:
@@ -114,9 +116,9 @@
         self.copy = mistakes.copy_of(self.mistake, self.reactor, table, mark)
         self.copy.on_call = self.look
         now = lambda: int(self.reactor.seconds() * 1e6)  # noqa: E731
-        times = replace(Times(), **{key: tuple(span) for key, span in chosen["times"].items()})
+        times = replace(Timing(), **{key: tuple(span) for key, span in chosen["times"].items()})
         tiers = tuple(map(tuple, chosen["sources"]))
-        follower = Follower(tiers, self.copy, self.rng, now(), True, chosen["zone"], times)
+        follower = RelayFollower(tiers, self.copy, self.rng, now(), True, chosen["zone"], times)
         self.subscriber = Subscriber(
             self.reactor,
             chosen["group"],
--- a/lichencleat/testkit/explore_distribution.py
+++ b/lichencleat/testkit/explore_distribution.py
@@ -17,10 +17,18 @@
 
 import click
 
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.follow import Follower, Question
-from lichencleat.config_distribution.taking import Taking
-from lichencleat.config_distribution.terms import FOLLOW, Batch, Digests, Fed, Follow, Pages, Say
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.follow import RelayFollower, SentRequest
+from lichencleat.config_distribution.taking import PendingUpdate
+from lichencleat.config_distribution.terms import (
+    FOLLOW,
+    Batch,
+    FollowAnswer,
+    FollowOutcome,
+    FollowRequest,
+    PagesAnswer,
+    SnapshotHead,
+)
 from lichencleat.testkit.explore import Explored, explore
 from lichencleat.testkit.tiny_distribution import NODE, RELAYS, TICK, Kinds, Limits, World
 from lichencleat.testkit.tiny_table import Tiny, page_digest
@@ -121,34 +129,34 @@
         return taken
 
 
-class Lax(Taking):
+class Lax(PendingUpdate):
     """Takes a snapshot of any version."""
 
-    def begin(self, head: Digests, relay: str, mark: bytes, knows: int | None) -> str:
+    def begin(self, head: SnapshotHead, relay: str, mark: bytes, knows: int | None) -> str:
         self.copy.begin(head)
         self.sets("snapshot", relay, mark, knows)
         self.head = head
         return ""
 
 
-class OlderRelay(Follower):
+class OlderRelay(RelayFollower):
     """Takes what the relay has, also where that is less."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.taking = Lax(self.copy)
 
-    def behind(self, now: int, relay: str, fed: Fed) -> None:
+    def behind(self, now: int, relay: str, fed: FollowAnswer) -> None:
         self.puts(now, "digests", None)
 
 
-class StreamFromNow(Follower):
+class StreamFromNow(RelayFollower):
     """After a snapshot it asks for what follows the version that made it ask for one."""
 
     newest = 0
 
-    def fed(self, now: int, relay: str, question: Question, fed: Fed) -> None:
-        if fed.say == Say.SNAPSHOT:
+    def fed(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
+        if fed.say == FollowOutcome.SNAPSHOT:
             self.newest = fed.version
         super().fed(now, relay, question, fed)
 
@@ -156,7 +164,7 @@
         copy: Any = self.copy
         if self.taking.what == "snapshot":
             head = copy.head
-            copy.head = Digests(self.newest, head.digest, head.pages, head.age)
+            copy.head = SnapshotHead(self.newest, head.digest, head.pages, head.age)
         super().takes(now)
 
 
@@ -168,7 +176,7 @@
         digests = self.digests()
         for number, page in self.pages.items():
             digests[number] = page_digest(number, page)
-        self.head = Digests(self.head.version, self.head.digest, b"".join(digests), self.head.age)
+        self.head = SnapshotHead(self.head.version, self.head.digest, b"".join(digests), self.head.age)
 
     def step(self) -> bool:
         return super().step() if self.batches else not self.missing(1)
@@ -177,7 +185,7 @@
 class OldPages(Trusting):
     """A snapshot that goes on elsewhere keeps the pages of the first one."""
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         super().begin(head)
         self.trusts()
 
@@ -185,7 +193,7 @@
 class SpoiltPiece(Trusting):
     """Pages are taken as they come."""
 
-    def put(self, pages: Pages) -> bool:
+    def put(self, pages: PagesAnswer) -> bool:
         self.pages.update(pages.pages)
         self.trusts()
         return True
@@ -198,7 +206,7 @@
         return bool(self.batches) or super().step()
 
 
-class EarlyWord(Follower):
+class EarlyWord(RelayFollower):
     """Asks for what follows a batch while that is still staged: it acknowledges it."""
 
     def step(self) -> None:
@@ -206,17 +214,17 @@
         copy: Any = self.copy
         if self.taking.what == "batches" and self.relay is not None and self.question is None:
             last = copy.batches[-1]
-            self.puts(self.seen, FOLLOW, Follow(last.version, last.digest, ()))
+            self.puts(self.seen, FOLLOW, FollowRequest(last.version, last.digest, ()))
 
 
-class AgeFromZero(Feeder):
+class AgeFromZero(Publisher):
     """Whatever it hears from above is as of now."""
 
     def known(self, now: int, age: int) -> None:
         super().known(now, 0)
 
 
-class AgeOfStart(Feeder):
+class AgeOfStart(Publisher):
     """What it has at its start is as of then."""
 
     def __init__(self, *args: Any) -> None:
@@ -224,7 +232,7 @@
         self.word = (args[-1], 0)
 
 
-class AgeWhenHeard(Follower):
+class AgeWhenHeard(RelayFollower):
     """An answer's age counts from when it arrived."""
 
     heard = 0
--- a/lichencleat/testkit/hollow.py
+++ b/lichencleat/testkit/hollow.py
@@ -26,8 +26,8 @@
     MAX_TABLE_BYTES,
     PAGE_COUNT,
     Batch,
-    Digests,
-    Pages,
+    PagesAnswer,
+    SnapshotHead,
 )
 
 TABLES_MOST = 64  # versions that are found again; an older one lives on as long as a follower has it
@@ -65,7 +65,7 @@
 class Snapshot:
     """A head, and its pages as far as any follower has fetched them."""
 
-    def __init__(self, head: Digests) -> None:
+    def __init__(self, head: SnapshotHead) -> None:
         """Raises SpoiltError where it can't be one."""
         self.version, self.digest, self.digests = head.version, head.digest, decode_page_digests(head)
         self.pages: dict[int, bytes] = {}
@@ -124,7 +124,7 @@
             self.applied += len(batches)
         return keep(self.works, key, known, WORKS_MOST)
 
-    def snapshot(self, head: Digests) -> Snapshot:
+    def snapshot(self, head: SnapshotHead) -> Snapshot:
         """Raises SpoiltError."""
         key = head.version, head.digest, head.pages
         known = self.heads.get(key)
@@ -178,7 +178,7 @@
         self.batches = tuple(batches)
         self.work = self.shared.work(self.table, self.batches)
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         self.work, self.wrong, self.ready, self.going = None, None, None, True
         table = self.table
         try:
@@ -214,7 +214,7 @@
                 at = self.wanted.find(1, at + 1)
         return found
 
-    def put(self, pages: Pages) -> bool:
+    def put(self, pages: PagesAnswer) -> bool:
         snapshot = self.snapshot
         if snapshot is None or not self.going or pages.version != snapshot.version:
             return False
--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -21,8 +21,8 @@
 import click
 
 from lichencleat.config_distribution.counts import MAX_AGE_US, merge_counts
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.follow import RelayFollower
 from lichencleat.testkit.simulation.distribution_events import EVENTS, WARM, Scene
 from lichencleat.testkit.simulation.distribution_fleet import Fleet, Size
 from lichencleat.testkit.simulation.distribution_table import SharedCopy
@@ -64,8 +64,8 @@
     def __init__(
         self,
         job: Job,
-        feeder: Callable[..., Any] = Feeder,
-        follower: Callable[..., Any] = Follower,
+        feeder: Callable[..., Any] = Publisher,
+        follower: Callable[..., Any] = RelayFollower,
         copy: Callable[..., Any] = SharedCopy,
     ) -> None:
         self.job = job
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.feed import Answer, Decline, Feeder
-from lichencleat.config_distribution.follow import Act, Decision, Follower
-from lichencleat.config_distribution.terms import FOLLOW, Batch, Follow, Pages
+from lichencleat.config_distribution.feed import Answer, Decline, Publisher
+from lichencleat.config_distribution.follow import Action, Decision, RelayFollower
+from lichencleat.config_distribution.terms import FOLLOW, Batch, FollowRequest, PagesAnswer
 from lichencleat.testkit.simulation.distribution_judge import Judge
 from lichencleat.testkit.simulation.distribution_source import Source
 from lichencleat.testkit.simulation.distribution_table import Shared, SharedCopy, drawn_table
@@ -62,8 +62,8 @@
     def __init__(self, fleet: Fleet, site: Site) -> None:
         self.fleet, self.world, self.site = fleet, fleet.world, site
         self.copy: Any = None
-        self.feeder: Feeder | None = None
-        self.follower: Follower | None = None
+        self.feeder: Publisher | None = None
+        self.follower: RelayFollower | None = None
         self.silent = False  # the machine is without power: it does not even refuse a connection
         self.clear()
 
@@ -150,7 +150,7 @@
             self.content, self.size = content, len(encode(content)) + SMALL_ANSWER
         costs, site = self.fleet.costs, self.site
         cost = costs.question // 2 + int(self.size * costs.kilobyte) // 1_024
-        if isinstance(content, Pages):
+        if isinstance(content, PagesAnswer):
             for page, packed in content.pages:
                 if self.packed.get(page) is not packed:
                     self.packed[page] = packed
@@ -188,19 +188,19 @@
 
     def does(self, decision: Decision) -> None:
         act, site, now = decision.act, self.site, self.world.clockwork.now
-        if act is Act.ASK:
+        if act is Action.ASK:
             link = site.calls.get(decision.relay)
             if link is not None and link.opened:
                 self.asks(link, decision.what, decision.content)
-        elif act is Act.STEP:
+        elif act is Action.STEP:
             self.steps()
-        elif act is Act.OPEN:
+        elif act is Action.OPEN:
             self.drops(decision.relay)
             link = self.world.opens(site, self.fleet.world.sites[decision.relay])
             self.world.after(site, CALL, self.gives_up, link)
-        elif act is Act.CLOSE:
+        elif act is Action.CLOSE:
             self.drops(decision.relay)
-        elif act is Act.TAKEN:
+        elif act is Action.TAKEN:
             self.taken(now, decision.batches)
         else:
             self.fleet.tells(now, site, decision.text)
@@ -218,7 +218,7 @@
     def asks(self, link: Link, what: str, content: Any) -> None:
         link.asked += 1
         link.what = what
-        if self.site.tier == "node" and what == FOLLOW and isinstance(content, Follow):
+        if self.site.tier == "node" and what == FOLLOW and isinstance(content, FollowRequest):
             self.fleet.judge.acknowledges(
                 self.world.clockwork.now, self.site.name, self.copy, content.version
             )
@@ -311,8 +311,8 @@
         rng: random.Random,
         size: Size,
         costs: Costs,
-        feeder: Callable[..., Any] = Feeder,
-        follower: Callable[..., Any] = Follower,
+        feeder: Callable[..., Any] = Publisher,
+        follower: Callable[..., Any] = RelayFollower,
         copy: Callable[..., Any] = SharedCopy,
     ) -> None:
         """`feeder`, `follower`, `copy`: the real ones, or variants with a planted mistake."""
--- a/lichencleat/testkit/simulation/distribution_table.py
+++ b/lichencleat/testkit/simulation/distribution_table.py
@@ -14,7 +14,7 @@
 
 from lichencleat.config_distribution import pages
 from lichencleat.config_distribution.table import Table, View
-from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, Digests, Pages
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, PagesAnswer, SnapshotHead
 from lichencleat.testkit import hollow
 
 ROUTES = 200 / 560  # of all records; the others are tenants
@@ -66,11 +66,11 @@
         super().stage(batches)
         self.slices += sum(1 + -(-len(each.changes) // REWRITTEN) for each in batches)
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         super().begin(head)
         self.slices += 2
 
-    def put(self, some: Pages) -> bool:
+    def put(self, some: PagesAnswer) -> bool:
         self.slices += len(some.pages)
         return super().put(some)
 
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -20,12 +20,20 @@
 
 import msgspec
 
-from lichencleat.config_distribution.acts import Act
+from lichencleat.config_distribution.acts import Action
 from lichencleat.config_distribution.counts import MAX_AGE_US
 from lichencleat.config_distribution.errors import CorruptTableError
-from lichencleat.config_distribution.feed import Answer, Feeder
-from lichencleat.config_distribution.follow import Follower, Times
-from lichencleat.config_distribution.terms import Batch, Change, Digests, Fed, Follow, Pages, Say
+from lichencleat.config_distribution.feed import Answer, Publisher
+from lichencleat.config_distribution.follow import RelayFollower, Timing
+from lichencleat.config_distribution.terms import (
+    Batch,
+    Change,
+    FollowAnswer,
+    FollowOutcome,
+    FollowRequest,
+    PagesAnswer,
+    SnapshotHead,
+)
 from lichencleat.config_distribution.window import Window
 from lichencleat.testkit.checkers.distribution import Acknowledged, DistributionWatch, Said
 from lichencleat.testkit.tiny_table import MARK, NAMES, Tiny, changes, digest_of, published
@@ -36,14 +44,14 @@
 WAKES_MOST = 200  # of one process in a tick: more would be a loop
 
 
-class TinyTimes(Times):
+class TinyTimes(Timing):
     """One object for all worlds."""
 
     def __reduce__(self) -> Any:
         return tiny_times, ()
 
 
-def tiny_times() -> Times:
+def tiny_times() -> Timing:
     return TIMES
 
 
@@ -80,8 +88,8 @@
 class Process:
     name: str
     table: Tiny
-    feeder: Feeder | None = None
-    follower: Follower | None = None
+    feeder: Publisher | None = None
+    follower: RelayFollower | None = None
     life: int = 1
     stepping: bool = False
     had: tuple[int, ...] = (0,)  # versions that a copy of its disk may have
@@ -117,8 +125,8 @@
 class Kinds:
     """The real ones, or one with a mistake."""
 
-    feeder: type[Feeder] = Feeder
-    follower: type[Follower] = Follower
+    feeder: type[Publisher] = Publisher
+    follower: type[RelayFollower] = RelayFollower
     table: type[Tiny] = Tiny
 
 
@@ -281,16 +289,16 @@
 
     def can_spoil(self, link: Link) -> bool:
         content = link.message[2] if link.message[0] == "answer" else None
-        if isinstance(content, Fed):
-            return content.say == Say.NEWS
-        return isinstance(content, Pages) and bool(content.pages)
+        if isinstance(content, FollowAnswer):
+            return content.say == FollowOutcome.NEWS
+        return isinstance(content, PagesAnswer) and bool(content.pages)
 
     def spoil(self, caller: str, called: str) -> None:
         """Other bytes arrive than were sent."""
         self.spend("spoils")
         link = self.links[caller, called]
         kind, what, content = link.message
-        if isinstance(content, Fed):
+        if isinstance(content, FollowAnswer):
             last = content.batches[-1]
             wrong = msgspec.structs.replace(last, changes=(Change("r", "c", b"wrong"),))
             content = msgspec.structs.replace(content, batches=(*content.batches[:-1], wrong))
@@ -389,18 +397,18 @@
 
     def carry_out(self, process: Process, decision: Any) -> None:
         key = (process.name, decision.relay)
-        if decision.act is Act.OPEN:
+        if decision.act is Action.OPEN:
             taken = [link.who for link in self.links.values() if link.called == decision.relay]
             who = next(number for number in range(9) if number not in taken)
             self.links[key] = Link(*key, who)
-        elif decision.act is Act.CLOSE:
+        elif decision.act is Action.CLOSE:
             self.closes(*key)
-        elif decision.act is Act.ASK:
+        elif decision.act is Action.ASK:
             self.asks(process, decision.content)
             self.links[key].message = ("question", decision.what, decision.content)
-        elif decision.act is Act.STEP:
+        elif decision.act is Action.STEP:
             process.stepping = True
-        elif decision.act is Act.TAKEN:
+        elif decision.act is Action.TAKEN:
             self.judge()
             process.had = tuple(sorted({*process.had, process.table.version}))
             if process.feeder is not None:
@@ -415,7 +423,7 @@
     # -- what must hold --------------------------------------------------------------------------------
 
     def asks(self, process: Process, content: Any) -> None:
-        if isinstance(content, Follow):
+        if isinstance(content, FollowRequest):
             self.judge()
             told = Acknowledged(self.now, process.name, content.version, content.digest.hex())
             self.watch.acknowledges([told])
@@ -448,5 +456,5 @@
 
 
 def what_of(content: Any) -> str:
-    kinds = {Fed: "follow", Digests: "digests", Pages: "pages"}
+    kinds = {FollowAnswer: "follow", SnapshotHead: "digests", PagesAnswer: "pages"}
     return kinds.get(type(content), "follow")
--- a/lichencleat/testkit/tiny_table.py
+++ b/lichencleat/testkit/tiny_table.py
@@ -6,7 +6,7 @@
 from hashlib import blake2b
 
 from lichencleat.config_distribution.errors import ChainError, CorruptTableError
-from lichencleat.config_distribution.terms import Batch, Change, Digests, Pages
+from lichencleat.config_distribution.terms import Batch, Change, PagesAnswer, SnapshotHead
 
 NAMES = ("a", "b", "c")  # of the records, each on a page of its own; a and b only change together
 AT_ONCE = 2  # pages asked for, so that a snapshot has two pieces
@@ -42,9 +42,9 @@
     def __init__(self, table: Tiny) -> None:
         self.version, self.content = table.version, table.content
 
-    def head(self, age: int) -> Digests:
+    def head(self, age: int) -> SnapshotHead:
         pages = b"".join(page_digest(number, page) for number, page in enumerate(self.content))
-        return Digests(self.version, digest_of(self.content), pages, age)
+        return SnapshotHead(self.version, digest_of(self.content), pages, age)
 
     def packed(self, number: int) -> bytes:
         return self.content[number]
@@ -58,7 +58,7 @@
         self.digest = digest_of(self.content)
         self.mark = MARK if version else b""
         self.batches: tuple[Batch, ...] = ()
-        self.head: Digests | None = None
+        self.head: SnapshotHead | None = None
         self.pages: dict[int, bytes] = {}
         self.going = False
 
@@ -71,7 +71,7 @@
     def stage(self, batches: Sequence[Batch]) -> None:
         self.batches, self.going = tuple(batches), False
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         self.batches, self.head, self.going = (), head, True
 
     def digests(self) -> list[bytes]:
@@ -88,7 +88,7 @@
                 found.append(number)
         return found[: min(most, AT_ONCE)]
 
-    def put(self, pages: Pages) -> bool:
+    def put(self, pages: PagesAnswer) -> bool:
         digests = self.digests()
         for number, page in pages.pages:
             if page_digest(number, page) != digests[number]:
--- a/tests/compatibility/directories.py
+++ b/tests/compatibility/directories.py
@@ -19,7 +19,7 @@
 from twisted.internet.task import Clock
 from twisted.python.failure import Failure
 
-from lichencleat.config_distribution.kept import made_kept
+from lichencleat.config_distribution.kept import make_persisted_table
 from lichencleat.consensus.identity import load_identity
 from lichencleat.consensus.log_storage import LogStorage
 from lichencleat.consensus.messages import Entry, Snapshot
@@ -170,7 +170,7 @@
     clock: Any = Clock()  # of its calls from threads none is made: all work is done at once
     with open_engine(path) as engine:
         store = Store(clock, engine, execute, execute, maintenance=False)
-        kept = wait(made_kept(clock, store, "fleet", print), clock)
+        kept = wait(make_persisted_table(clock, store, "fleet", print), clock)
         table, group_mark, batches = wait(kept.load(), clock)
         return {
             "version": table.version,
--- a/tests/compatibility/running_member.py
+++ b/tests/compatibility/running_member.py
@@ -13,7 +13,7 @@
 from twisted.internet.defer import execute
 from twisted.internet.testing import MemoryReactorClock
 
-from lichencleat.config_distribution.voting import Voting
+from lichencleat.config_distribution.voting import VoterPublisher
 from lichencleat.consensus.identity import IDENTITY_KEY, Identity
 from lichencleat.consensus.log_storage import LogStorage
 from lichencleat.consensus.messages import Configuration, Member
@@ -37,7 +37,7 @@
     founding = LogStorage().bootstrap_batch(bootstrap_snapshot(Configuration((me,))))
     assert engine.commit([founding.put(IDENTITY_KEY, msgspec.msgpack.encode(identity))]) == [None]
     store = Store(reactor, engine, execute, execute, maintenance=False)
-    extension = Voting(reactor, "v1", "north", MagicMock()) if group == "distribution" else None
+    extension = VoterPublisher(reactor, "v1", "north", MagicMock()) if group == "distribution" else None
     return MemberProcess(
         reactor,
         store,
--- a/tests/compatibility/settings_files.py
+++ b/tests/compatibility/settings_files.py
@@ -9,7 +9,7 @@
 
 from lichencleat.capacity.target import read_target
 from lichencleat.config.loading import read_node_config
-from lichencleat.config_distribution.file import read_relay
+from lichencleat.config_distribution.file import read_relay_file
 from lichencleat.coordinator.settings import read_quorum_settings
 from lichencleat.membership.program import read_membership_config
 from lichencleat.router.file import read_router
@@ -17,7 +17,7 @@
 LOADERS: dict[str, Callable[[str], Any]] = {
     "node": read_node_config,
     "quorum": read_quorum_settings,
-    "relay": read_relay,
+    "relay": read_relay_file,
     "router": lambda path: read_router(path)[0],
     "members": read_membership_config,
     "target": read_target,
--- a/tests/config_distribution/following.py
+++ b/tests/config_distribution/following.py
@@ -4,28 +4,30 @@
 
 from hypothesis import settings
 
-from lichencleat.config_distribution.acts import Act
+from lichencleat.config_distribution.acts import Action
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.follow import Follower, Times
+from lichencleat.config_distribution.follow import RelayFollower, Timing
 from lichencleat.config_distribution.terms import (
     FOLLOW,
     Batch,
-    Fed,
-    Pages,
-    Say,
+    FollowAnswer,
+    FollowOutcome,
+    PagesAnswer,
 )
 from lichencleat.testkit.tiny_table import MARK, Tiny, changes, digest_of, published
 
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=100)
 SECOND = 1_000_000
 HOME, NEXT = ("h1", "h2"), ("v1", "v2")
-TIMES = Times()
+TIMES = Timing()
 
 
 class Node:
     """A follower and its host: what it decided last, by what it is."""
 
-    def __init__(self, tiers=(HOME, NEXT), version=0, seed=1, is_node=True, table=None, follower=Follower):
+    def __init__(
+        self, tiers=(HOME, NEXT), version=0, seed=1, is_node=True, table=None, follower=RelayFollower
+    ):
         self.table = table or Tiny(version)
         self.now = SECOND
         self.it = follower(tiers, self.table, random.Random(seed), self.now, is_node, "z1")
@@ -36,19 +38,19 @@
 
     def stir(self):
         while (decision := self.it.next_decision(self.now)) is not None:
-            if decision.act is Act.OPEN:
+            if decision.act is Action.OPEN:
                 assert decision.relay not in self.open
                 self.opened.append((self.now, decision.relay))
                 self.open.add(decision.relay)
-            elif decision.act is Act.CLOSE:
+            elif decision.act is Action.CLOSE:
                 self.open.discard(decision.relay)
-            elif decision.act is Act.ASK:
+            elif decision.act is Action.ASK:
                 assert decision.relay in self.open
                 self.asked.append(decision)
-            elif decision.act is Act.STEP:
+            elif decision.act is Action.STEP:
                 assert not self.stepping
                 self.stepping = True
-            elif decision.act is Act.TAKEN:
+            elif decision.act is Action.TAKEN:
                 self.taken.append(decision.batches)
             else:
                 self.told.append(decision.text)
@@ -102,7 +104,7 @@
 
 
 def fed(say, version, age=0, batches=(), digest=None):
-    return Fed(say, version, digest or digest_of(published(version)), age, tuple(batches))
+    return FollowAnswer(say, version, digest or digest_of(published(version)), age, tuple(batches))
 
 
 def batch(past, version, digest=None):
@@ -115,11 +117,11 @@
 
 
 def pages(version, *numbers):
-    return Pages(version, tuple((number, published(version)[number]) for number in numbers))
+    return PagesAnswer(version, tuple((number, published(version)[number]) for number in numbers))
 
 
 def news(past, version, age=0):
-    return fed(Say.NEWS, version, age, [batch(past, version)])
+    return fed(FollowOutcome.NEWS, version, age, [batch(past, version)])
 
 
 def following(version=3, **more):
--- a/tests/config_distribution/test_copy.py
+++ b/tests/config_distribution/test_copy.py
@@ -6,7 +6,7 @@
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.errors import ChainError, CorruptTableError
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, Digests, Pages
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, PagesAnswer, SnapshotHead
 
 
 def change(name: str, value: bytes | None) -> Change:
@@ -25,8 +25,8 @@
         pass
 
 
-def piece(view, numbers) -> Pages:
-    return Pages(view.version, tuple((number, view.packed(number)) for number in numbers))
+def piece(view, numbers) -> PagesAnswer:
+    return PagesAnswer(view.version, tuple((number, view.packed(number)) for number in numbers))
 
 
 def fetched(copy, view, count: int) -> list[int]:
@@ -100,7 +100,7 @@
     copy.begin(view.head(0))
     whole = fetched(copy, view, 300)
     bad, unseen = copy.missing(2)
-    assert copy.put(Pages(view.version, ((unseen, view.packed(unseen)), (bad, b"nonsense"))))
+    assert copy.put(PagesAnswer(view.version, ((unseen, view.packed(unseen)), (bad, b"nonsense"))))
     with pytest.raises(CorruptTableError, match=f"page {bad}"):
         ready(copy)
     copy.drop()
@@ -123,13 +123,13 @@
 
 def test_pages_of_another_snapshot_or_not_asked_for_are_refused():
     source, copy = source_of(500), TableCopy()
-    assert not copy.put(Pages(1, ()))
+    assert not copy.put(PagesAnswer(1, ()))
     view = source.view()
     copy.begin(view.head(0))
     number = copy.missing(1)[0]
-    assert not copy.put(Pages(2, ((number, view.packed(number)),)))
+    assert not copy.put(PagesAnswer(2, ((number, view.packed(number)),)))
     empty = next(at for at in range(PAGE_COUNT) if not source.pages[at])
-    assert not copy.put(Pages(1, ((empty, view.packed(empty)),)))
+    assert not copy.put(PagesAnswer(1, ((empty, view.packed(empty)),)))
     assert copy.missing(1) == [number]
     copy.drop()
     assert not copy.put(piece(view, [number]))
@@ -140,7 +140,7 @@
     view = source.view()
     copy.begin(view.head(0))
     whole = fetched(copy, view, 50)
-    copy.begin(Digests(7, b"x" * 16, view.head(0).pages, 0))
+    copy.begin(SnapshotHead(7, b"x" * 16, view.head(0).pages, 0))
     assert copy.missing(9) == []
     with pytest.raises(CorruptTableError):
         copy.step()
--- a/tests/config_distribution/test_counts.py
+++ b/tests/config_distribution/test_counts.py
@@ -13,14 +13,14 @@
     adjust_counts,
     merge_counts,
 )
-from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.feed import Publisher
 from lichencleat.config_distribution.terms import (
     FOLLOW,
     LATE_AFTER_US,
     MAX_HOLD_US,
     MAX_ZONES,
     Count,
-    Follow,
+    FollowRequest,
     encode,
 )
 from lichencleat.config_distribution.window import MAX_SLOTS, SLOT_US, VersionHistory
@@ -47,13 +47,15 @@
 
 
 def feeder(version=9, name="r1", now=0):
-    return Feeder(name, "z1", Tiny(version), now)
+    return Publisher(name, "z1", Tiny(version), now)
 
 
 def says(it, now, who, version, counts, hold=MAX_HOLD_US):
     if who not in it.subscribers:
         assert it.joined(now, who)
-    it.asked(now, who, 1, FOLLOW, Follow(version, it.window.digests.get(version, b""), tuple(counts), hold))
+    it.asked(
+        now, who, 1, FOLLOW, FollowRequest(version, it.window.digests.get(version, b""), tuple(counts), hold)
+    )
     while it.next_decision(now):
         pass
 
--- a/tests/config_distribution/test_distribution_sim.py
+++ b/tests/config_distribution/test_distribution_sim.py
@@ -13,9 +13,16 @@
 import msgspec
 import pytest
 
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.terms import (
+    FOLLOW,
+    Batch,
+    Change,
+    FollowAnswer,
+    FollowOutcome,
+    FollowRequest,
+)
 from lichencleat.testkit.simulation.distribution import AIM, Job, Run
 from lichencleat.testkit.simulation.distribution_events import EVENTS
 from lichencleat.testkit.simulation.distribution_fleet import Size
@@ -135,11 +142,11 @@
         return super().find(kind, name)
 
 
-class FollowsOlder(Follower):
+class FollowsOlder(RelayFollower):
     """What a relay has is right, even if it is less."""
 
     def told(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
-        if isinstance(content, Fed) and content.say == Say.BEHIND and self.is_node:
+        if isinstance(content, FollowAnswer) and content.say == FollowOutcome.BEHIND and self.is_node:
             self.copy.table = self.copy.shared.versions[content.version]
         super().told(now, relay, what, content, why)
 
@@ -193,12 +200,12 @@
         super().stage(batches)
 
 
-class AcknowledgesMore(Follower):
+class AcknowledgesMore(RelayFollower):
     """It tells the one above a version that it has only staged."""
 
     def puts(self, now: int, what: str, content: Any, hold: int = 0) -> None:
         if what == FOLLOW and self.is_node and self.copy.version > 1:
-            content = Follow(content.version + 1, content.digest, content.counts, content.hold)
+            content = FollowRequest(content.version + 1, content.digest, content.counts, content.hold)
         super().puts(now, what, content, hold)
 
 
@@ -210,7 +217,7 @@
         return bytes(16) if self.version > 1 else super().digest
 
 
-class CountsTwice(Feeder):
+class CountsTwice(Publisher):
     """A node is added up twice on the way."""
 
     def counts(self, now: int) -> Any:
@@ -235,7 +242,7 @@
     assert any(told in each for each in figures["wrong"]), figures["wrong"]
 
 
-class TellsLate(Feeder):
+class TellsLate(Publisher):
     """Its subscribers hear of nothing before their hold is over, and then that all is as it was."""
 
     def grew(self, now: int, batches: tuple[Batch, ...]) -> None:
@@ -249,7 +256,7 @@
     assert figures["not_in_force_at_the_end"] > 0
 
 
-class Spoils(Feeder):
+class Spoils(Publisher):
     """The packed pages of one relay are those of another place."""
 
     def asked(self, now: int, who: int, number: int, what: str, content: Any) -> None:
--- a/tests/config_distribution/test_feed.py
+++ b/tests/config_distribution/test_feed.py
@@ -9,19 +9,19 @@
 from lichencleat.config_distribution import feed
 from lichencleat.config_distribution.counts import MAX_AGE_US
 from lichencleat.config_distribution.feed import (
-    BEHIND_HOLD,
-    FETCH_BURST,
-    FETCH_IDLE,
-    FETCH_RATE,
-    FETCHERS_MOST,
-    IDLE,
-    PIECE_PAGES,
-    VIEW_FRESH,
-    VIEW_IDLE,
+    BEHIND_HOLD_US,
+    FETCH_BURST_BYTES,
+    FETCH_BYTES_PER_US,
+    FETCH_IDLE_US,
+    MAX_FETCHERS,
+    MAX_PAGES_PER_ANSWER,
+    SUBSCRIBER_IDLE_US,
+    VIEW_IDLE_US,
+    VIEW_SHARED_US,
     Answer,
     Decline,
     Drop,
-    Feeder,
+    Publisher,
 )
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
@@ -37,10 +37,10 @@
     PAGES_OF,
     Batch,
     Change,
-    Follow,
-    Say,
-    Wanted,
-    Wanting,
+    FollowOutcome,
+    FollowRequest,
+    PagesRequest,
+    RecordRequest,
     encode,
 )
 from lichencleat.config_distribution.window import Window, max_encoded_size
@@ -53,7 +53,7 @@
 
     def __init__(self, window=8, room=1 << 20):
         self.table, self.now, self.number = Table(), 0, 0
-        self.feeder = Feeder("r1", "z1", self.table, 0)
+        self.feeder = Publisher("r1", "z1", self.table, 0)
         self.feeder.window = Window(0, self.table.digest, window, room)
         self.feeder.known(0, 0)
 
@@ -71,7 +71,7 @@
 
     def follows(self, who, version, digest=b"", hold=MAX_HOLD_US):
         known = self.feeder.window.digests.get(version, b"")
-        return self.asks(who, FOLLOW, Follow(version, digest or known, (), hold))
+        return self.asks(who, FOLLOW, FollowRequest(version, digest or known, (), hold))
 
     def pulled(self):
         found = []
@@ -100,7 +100,7 @@
     answers = relay.pulled()
     assert {each.who for each in answers} == {1, 2} and answers[0].content is answers[1].content
     fed = answers[0].content
-    assert (fed.say, fed.version, fed.digest, fed.batches) == (Say.NEWS, 7, batch.digest, (batch,))
+    assert (fed.say, fed.version, fed.digest, fed.batches) == (FollowOutcome.NEWS, 7, batch.digest, (batch,))
     assert relay.follows(3, 3)[0].content.batches == (batch,)
     assert relay.passes(10 * MAX_HOLD_US) == []  # nothing is open
 
@@ -113,8 +113,8 @@
     assert [each.who for each in relay.passes(1)] == [2]
     assert relay.passes(MAX_HOLD_US - 301) == []
     (answer,) = relay.passes(1)
-    assert (answer.who, answer.content.say, answer.content.age) == (1, Say.SAME, MAX_HOLD_US)
-    assert said(relay.follows(1, 3, hold=-5)) == Say.SAME
+    assert (answer.who, answer.content.say, answer.content.age) == (1, FollowOutcome.SAME, MAX_HOLD_US)
+    assert said(relay.follows(1, 3, hold=-5)) == FollowOutcome.SAME
 
 
 def test_answers_are_shared_only_by_questions_that_were_there_when_they_were_made():
@@ -135,48 +135,50 @@
     relay = Relay()
     relay.publish(3)
     assert relay.follows(1, 7, b"7" * 16) == []
-    assert relay.passes(BEHIND_HOLD - 1) == []
+    assert relay.passes(BEHIND_HOLD_US - 1) == []
     if not then:
         (answer,) = relay.passes(1)
-        assert (answer.content.say, answer.content.version) == (Say.BEHIND, 3)
+        assert (answer.content.say, answer.content.version) == (FollowOutcome.BEHIND, 3)
     elif then == "same":  # not before its whole hold: it counts on that
         relay.feeder.window.add(Batch(7, 3, b"7" * 16, ()))
-        assert relay.passes(MAX_HOLD_US - BEHIND_HOLD) == []
-        assert said(relay.passes(1)) == Say.SAME
+        assert relay.passes(MAX_HOLD_US - BEHIND_HOLD_US) == []
+        assert said(relay.passes(1)) == FollowOutcome.SAME
     else:
         relay.feeder.window.add(Batch(7, 3, b"7" * 16, ()))
         relay.feeder.window.add(Batch(9, 7, b"9" * 16, ()))
-        assert said(relay.passes(1)) == Say.NEWS
+        assert said(relay.passes(1)) == FollowOutcome.NEWS
 
 
 def test_who_is_too_far_behind_or_has_another_history_is_told():
     relay = Relay(window=2)
     for version in (3, 5, 8, 9):
         relay.publish(version)
-    assert said(relay.follows(1, 3)) == Say.SNAPSHOT  # the window begins after 5
-    assert said(relay.follows(1, 0)) == Say.SNAPSHOT
+    assert said(relay.follows(1, 3)) == FollowOutcome.SNAPSHOT  # the window begins after 5
+    assert said(relay.follows(1, 0)) == FollowOutcome.SNAPSHOT
     assert [each.version for each in relay.follows(1, 5)[0].content.batches] == [8, 9]
-    assert said(relay.follows(1, 5, b"x" * 16)) == said(relay.follows(1, 9, b"x" * 16)) == Say.OTHER
-    assert said(relay.follows(1, 6, b"x" * 16)) == Say.OTHER  # there never was a 6
+    assert said(relay.follows(1, 5, b"x" * 16)) == said(relay.follows(1, 9, b"x" * 16)) == FollowOutcome.OTHER
+    assert said(relay.follows(1, 6, b"x" * 16)) == FollowOutcome.OTHER  # there never was a 6
 
 
 def test_a_new_one_gets_a_small_table_as_news_and_a_large_one_as_a_snapshot():
     relay = Relay(window=99)
     relay.publish(1)
-    assert said(relay.follows(1, 0)) == Say.NEWS
+    assert said(relay.follows(1, 0)) == FollowOutcome.NEWS
     for version in range(2, 50):
         relay.publish(version, 2_000)
-    assert relay.feeder.window.bytes > MAX_ANSWER_BYTES and said(relay.follows(1, 0)) == Say.SNAPSHOT
+    assert (
+        relay.feeder.window.bytes > MAX_ANSWER_BYTES and said(relay.follows(1, 0)) == FollowOutcome.SNAPSHOT
+    )
     (answer,) = relay.follows(1, 1)
     assert len(encode(answer.content)) <= MAX_ANSWER_BYTES + 200 and len(answer.content.batches) < 40
 
 
 def test_an_empty_relay_says_that_it_has_nothing():
     relay = Relay()
-    assert relay.follows(1, 0) == [] and said(relay.passes(MAX_HOLD_US)) == Say.SAME
-    assert relay.follows(1, 4, b"4" * 16) == [] and said(relay.passes(BEHIND_HOLD)) == Say.BEHIND
+    assert relay.follows(1, 0) == [] and said(relay.passes(MAX_HOLD_US)) == FollowOutcome.SAME
+    assert relay.follows(1, 4, b"4" * 16) == [] and said(relay.passes(BEHIND_HOLD_US)) == FollowOutcome.BEHIND
     assert said(relay.asks(1, DIGESTS)) == "nothing here"
-    fresh = Feeder("r", "z", Table(), 5)
+    fresh = Publisher("r", "z", Table(), 5)
     assert fresh.age(9) == MAX_AGE_US and fresh.in_force(9)["age_us"] == -1  # nobody told it anything
 
 
@@ -194,7 +196,7 @@
     relay = Relay()
     assert relay.follows(1, 0) == []
     assert said(relay.follows(1, 0)) == said(relay.asks(1, DIGESTS)) == "unfit"
-    relay.feeder.asked(0, 7, 1, FOLLOW, Follow(0, b"", ()))
+    relay.feeder.asked(0, 7, 1, FOLLOW, FollowRequest(0, b"", ()))
     assert relay.pulled() == [Decline(7, 1, "full")]
     for what, content in ((FOLLOW, None), (PAGES_OF, 3), (DIGESTS, 3), (FIND, None), ("x", None)):
         relay.feeder.asked(0, 7, 2, what, content)
@@ -210,10 +212,10 @@
     for who in range(MAX_SUBSCRIBERS):
         assert relay.feeder.joined(0, who)
     assert not relay.feeder.joined(0, -1) and relay.feeder.joined(0, 3)
-    assert said(relay.follows(3, 0, hold=0)) == Say.SAME
-    relay.passes(IDLE - 1)
+    assert said(relay.follows(3, 0, hold=0)) == FollowOutcome.SAME
+    relay.passes(SUBSCRIBER_IDLE_US - 1)
     assert Drop(3) not in relay.passes(0)
-    assert Drop(3) in relay.passes(FETCH_IDLE)
+    assert Drop(3) in relay.passes(FETCH_IDLE_US)
     assert relay.feeder.joined(relay.now, -1)
 
 
@@ -247,9 +249,9 @@
 def test_what_a_disk_kept_fills_the_window_where_it_leads_to_what_is_there():
     relay = Relay()
     recent = [relay.publish(version) for version in (3, 5, 8)]
-    assert [each.version for each in Feeder("r", "z", relay.table, 0, recent).window.batches] == [5, 8]
+    assert [each.version for each in Publisher("r", "z", relay.table, 0, recent).window.batches] == [5, 8]
     for wrong in (recent[:2], [recent[0], recent[2]], []):
-        window = Feeder("r", "z", relay.table, 0, wrong).window
+        window = Publisher("r", "z", relay.table, 0, wrong).window
         assert (window.base, window.version, window.digest) == (8, 8, relay.table.digest)
 
 
@@ -265,9 +267,9 @@
 
 def test_fetchers_are_bounded_and_turns_come_back():
     relay = filled()
-    for who in range(FETCHERS_MOST):
+    for who in range(MAX_FETCHERS):
         assert relay.asks(who, DIGESTS)[0].content.version == 1
-    assert said(relay.asks(50, DIGESTS)) == said(relay.asks(50, PAGES_OF, Wanted(1, (1,)))) == "busy"
+    assert said(relay.asks(50, DIGESTS)) == said(relay.asks(50, PAGES_OF, PagesRequest(1, (1,)))) == "busy"
     assert isinstance(relay.asks(0, DIGESTS)[0], Answer)  # its own turn goes on
     relay.feeder.left(0, 0)
     assert isinstance(relay.asks(50, DIGESTS)[0], Answer)
@@ -275,7 +277,7 @@
     assert relay.follows(50, 1) == [] and isinstance(
         relay.asks(51, DIGESTS)[0], Answer
     )  # it has what it wanted
-    relay.passes(2 * FETCH_IDLE)  # the others say nothing
+    relay.passes(2 * FETCH_IDLE_US)  # the others say nothing
     assert relay.feeder.fetchers == {} and relay.feeder.in_force(relay.now)["fetching"] == 0
 
 
@@ -284,13 +286,15 @@
     head = relay.asks(1, DIGESTS)[0].content
     view = relay.table.view()
     relay.publish(3, name="n2")
-    (answer,) = relay.asks(1, PAGES_OF, Wanted(2, tuple(range(PIECE_PAGES + 5))))
-    assert answer.content.pages == tuple((number, view.packed(number)) for number in range(PIECE_PAGES))
+    (answer,) = relay.asks(1, PAGES_OF, PagesRequest(2, tuple(range(MAX_PAGES_PER_ANSWER + 5))))
+    assert answer.content.pages == tuple(
+        (number, view.packed(number)) for number in range(MAX_PAGES_PER_ANSWER)
+    )
     assert head.version == 2 and head.digest == view.digest
     assert [each.version for each in relay.follows(1, 2)[0].content.batches] == [3]
     for wrong in ((), (PAGE_COUNT,), (-1,)):
-        assert said(relay.asks(1, PAGES_OF, Wanted(2, wrong))) == "unfit"
-    assert relay.asks(1, PAGES_OF, Wanted(9, (1,)))[0].content.pages == ()
+        assert said(relay.asks(1, PAGES_OF, PagesRequest(2, wrong))) == "unfit"
+    assert relay.asks(1, PAGES_OF, PagesRequest(9, (1,)))[0].content.pages == ()
 
 
 def test_views_are_reused_while_fresh_and_kept_up_to_the_bound():
@@ -302,10 +306,10 @@
         same = relay.asks(100 + who, DIGESTS)[0].content
         assert (same.version, same.age) == (heads[-1].version, heads[-1].age + 1)
         relay.publish(10 + who)
-        relay.now += VIEW_FRESH
+        relay.now += VIEW_SHARED_US
     assert [each.version for each in heads] == [3, 10, 11, 12]
     assert [each.view.version for each in relay.feeder.views] == [12]  # the others fell idle
-    relay.passes(VIEW_IDLE + FETCH_IDLE)
+    relay.passes(VIEW_IDLE_US + FETCH_IDLE_US)
     assert relay.feeder.views == []
 
 
@@ -315,11 +319,11 @@
         for one in range(1 + (who != 1)):
             relay.asks(10 * who + one, DIGESTS)
         relay.publish(10 + who)
-        relay.feeder.views[-1].opened -= VIEW_FRESH
+        relay.feeder.views[-1].opened -= VIEW_SHARED_US
     assert [each.view.version for each in relay.feeder.views] == [3, 10, 11]
     relay.asks(99, DIGESTS)
     assert [each.view.version for each in relay.feeder.views] == [3, 11, 12]
-    assert relay.asks(10, PAGES_OF, Wanted(10, (1,)))[0].content.pages == ()
+    assert relay.asks(10, PAGES_OF, PagesRequest(10, (1,)))[0].content.pages == ()
 
 
 def test_a_view_that_leads_to_now_no_more_is_given_up():
@@ -338,23 +342,23 @@
     for number in range(1, 60):  # pages that can't be compressed
         changes = tuple(Change("t", f"n{number}.{at}", rng.randbytes(3_000)) for at in range(40))
         relay.feeder.grew(0, (relay.table.apply(1_000 + number, changes),))
-    for who in range(FETCHERS_MOST):
+    for who in range(MAX_FETCHERS):
         relay.asks(who, DIGESTS)
     version, asked, bytes_sent, open_ones = relay.table.version, 0, 0, set()
     for _ in range(400):
-        for who in set(range(FETCHERS_MOST)) - open_ones:
+        for who in set(range(MAX_FETCHERS)) - open_ones:
             numbers = tuple((asked + at) % PAGE_COUNT for at in range(8))
             asked += 8
             open_ones.add(who)
-            answers = relay.asks(who, PAGES_OF, Wanted(version, numbers))
+            answers = relay.asks(who, PAGES_OF, PagesRequest(version, numbers))
             for each in answers:
                 open_ones.discard(each.who)
                 bytes_sent += sum(len(page) for _, page in each.content.pages)
         for each in relay.passes(1_000):
             open_ones.discard(each.who)
             bytes_sent += sum(len(page) for _, page in each.content.pages)
-    at_most = FETCH_BURST + MAX_ANSWER_BYTES + FETCH_RATE * relay.now
-    assert 0.8 * FETCH_RATE * relay.now < bytes_sent <= at_most
+    at_most = FETCH_BURST_BYTES + MAX_ANSWER_BYTES + FETCH_BYTES_PER_US * relay.now
+    assert 0.8 * FETCH_BYTES_PER_US * relay.now < bytes_sent <= at_most
 
 
 # -- one record ---------------------------------------------------------------------------------------------
@@ -368,12 +372,12 @@
         (name, at): getattr(decision, "content", getattr(decision, "why", None))
         for name in "abc"
         for at in (0, 1, 2, 3, 4, 5, 9)
-        for decision in relay.asks(1, FIND, Wanting("t", name, at))
+        for decision in relay.asks(1, FIND, RecordRequest("t", name, at))
     }
     assert [told["a", at] for at in (0, 1, 2, 3, 9)] == [b"3", "not kept", "not kept", b"3", b"3"]
     assert [told["b", at] for at in (2, 3, 4, 5)] == ["not kept", "not kept", b"4", b"4"]
     assert told["c", 4] == "not kept" and told["c", 5] == b"5"
-    assert relay.asks(1, FIND, Wanting("t", "none"))[0].content is None
+    assert relay.asks(1, FIND, RecordRequest("t", "none"))[0].content is None
 
 
 # -- nothing grows ------------------------------------------------------------------------------------------
@@ -391,7 +395,7 @@
                 continue
             assert open_ones.pop(each.who)[0] == each.number
             content = getattr(each, "content", None)
-            if getattr(content, "say", None) == Say.NEWS:
+            if getattr(content, "say", None) == FollowOutcome.NEWS:
                 assert content.batches and content.version == version
 
     for _ in range(150):
@@ -411,7 +415,7 @@
             if what == "follow":
                 answered(relay.follows(who, past, hold=rng.choice([0, 1_000, MAX_HOLD_US])))
             else:
-                answered(relay.asks(who, what, Wanted(version, (1, 2)) if what == PAGES_OF else None))
+                answered(relay.asks(who, what, PagesRequest(version, (1, 2)) if what == PAGES_OF else None))
         else:
             answered(relay.passes(rng.randrange(MAX_HOLD_US // 3)))
         it = relay.feeder
@@ -419,4 +423,4 @@
         assert sum(each.held is not None for each in it.subscribers.values()) == len(open_ones)
         assert len(it.waits) <= 2 * len(it.subscribers) + 64 and len(it.views) <= MAX_VIEWS
         assert not it.out and not it.ready and len(it.shared) <= MAX_SUBSCRIBERS
-        assert set(it.fetchers) <= set(it.subscribers) and len(it.fetchers) <= feed.FETCHERS_MOST
+        assert set(it.fetchers) <= set(it.subscribers) and len(it.fetchers) <= feed.MAX_FETCHERS
--- a/tests/config_distribution/test_follow.py
+++ b/tests/config_distribution/test_follow.py
@@ -6,14 +6,14 @@
 import pytest
 from config_distribution.following import HOME, NEXT, SECOND, TIMES, Node, fed, following, news
 
-from lichencleat.config_distribution.choice import Choice
+from lichencleat.config_distribution.choice import RelaySelector
 from lichencleat.config_distribution.counts import MAX_AGE_US
-from lichencleat.config_distribution.follow import BUSY_MOST
+from lichencleat.config_distribution.follow import MAX_BUSY_ANSWERS
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     MAX_HOLD_US,
     MAX_RELAYS,
-    Say,
+    FollowOutcome,
 )
 from lichencleat.testkit.tiny_table import MARK
 
@@ -93,12 +93,12 @@
     node.it.opened(node.now, first, MARK)
     node.stir()
     assert node.question.counts == () and node.question.hold == 0 and node.it.relay == second
-    node.hears(fed(Say.BEHIND, 2), relay=first)
+    node.hears(fed(FollowOutcome.BEHIND, 2), relay=first)
     assert node.it.relay == second and node.open == {second}
     quiet(node, TIMES.home[1])
     node.it.opened(node.now, first, MARK)
     node.stir()
-    node.hears(fed(Say.SAME, 3), relay=first)
+    node.hears(fed(FollowOutcome.SAME, 3), relay=first)
     assert node.it.relay == first and node.open == {first} and node.question.counts
 
 
@@ -107,12 +107,12 @@
     until, opened = node.now + span, len(node.opened)
     while node.now < until and len(node.opened) == opened:
         node.passes(node.it.question.at + MAX_HOLD_US - node.now)
-        node.hears(fed(Say.SAME, node.table.version))
+        node.hears(fed(FollowOutcome.SAME, node.table.version))
     assert len(node.opened) > opened
 
 
 def test_relays_are_bounded_and_one_that_is_named_twice_counts_once():
-    many = Choice([["a", "a", "b"], ["b", *map(str, range(99))]], random.Random(1), TIMES)
+    many = RelaySelector([["a", "a", "b"], ["b", *map(str, range(99))]], random.Random(1), TIMES)
     assert len(many.order) == len(set(many.order)) == MAX_RELAYS and many.tier["b"] == 0
     node = Node(tiers=())
     node.passes(600 * SECOND)
@@ -149,7 +149,7 @@
 def test_one_without_a_mark_is_followed_and_nothing_of_it_is_taken():
     node = Node()
     relay = node.follows(mark=b"")
-    node.hears(fed(Say.SAME, 0, MAX_AGE_US, digest=b"other nothing"))
+    node.hears(fed(FollowOutcome.SAME, 0, MAX_AGE_US, digest=b"other nothing"))
     assert node.it.relay == relay
     node.passes(TIMES.again)
     node.hears(news(0, 3))
@@ -161,14 +161,14 @@
     relay, since = node.it.relay, node.now
     while node.it.relay == relay and node.now < since + 9 * SECOND:
         node.passes(TIMES.again)
-        node.hears(fed(Say.BEHIND, 2))
+        node.hears(fed(FollowOutcome.BEHIND, 2))
     assert TIMES.behind <= node.now - since <= TIMES.behind + 2 * TIMES.again
     node = following()
-    node.hears(fed(Say.BEHIND, 2))
+    node.hears(fed(FollowOutcome.BEHIND, 2))
     node.passes(TIMES.again)
-    node.hears(fed(Say.SAME, 3))
+    node.hears(fed(FollowOutcome.SAME, 3))
     node.passes(TIMES.behind)
-    node.hears(fed(Say.BEHIND, 2))  # it counts anew
+    node.hears(fed(FollowOutcome.BEHIND, 2))  # it counts anew
     assert node.it.relay is not None
 
 
@@ -178,13 +178,13 @@
     assert node.it.relay is None
     node = following()
     relay, waits = node.it.relay, []
-    for _ in range(BUSY_MOST - 1):
-        node.hears(fed(Say.SNAPSHOT, 9))
+    for _ in range(MAX_BUSY_ANSWERS - 1):
+        node.hears(fed(FollowOutcome.SNAPSHOT, 9))
         node.hears(None, DIGESTS, why="busy")
         waits.append(node.it.deadline() - node.now)
         node.passes(waits[-1])
     assert node.it.relay == relay and all(TIMES.busy[0] <= each <= TIMES.busy[1] for each in waits)
-    node.hears(fed(Say.SNAPSHOT, 9))
+    node.hears(fed(FollowOutcome.SNAPSHOT, 9))
     node.hears(None, DIGESTS, why="busy")
     assert {relay, node.follows()} == set(HOME)
 
@@ -199,9 +199,9 @@
         if probe is not None and probe.asked < 0:
             node.it.opened(node.now, probe.relay, MARK)
             node.stir()
-            node.hears(fed(Say.SAME, 3, node.now - since + 300_000), relay=probe.relay)
+            node.hears(fed(FollowOutcome.SAME, 3, node.now - since + 300_000), relay=probe.relay)
         if node.now >= node.it.question.at + MAX_HOLD_US:
-            node.hears(fed(Say.SAME, 3, node.now - since))
+            node.hears(fed(FollowOutcome.SAME, 3, node.now - since))
         assert node.it.relay == relay
     looks = [at - since for at, _ in node.opened[1:]]
     assert 20 < len(looks) < 60 and sum(at > 300 * SECOND for at in looks) < 25
@@ -213,12 +213,12 @@
     node = following()
     relay, age = node.it.relay, 10 * SECOND
     node.passes(MAX_HOLD_US)
-    node.hears(fed(Say.SAME, 3, age))
+    node.hears(fed(FollowOutcome.SAME, 3, age))
     node.passes(node.it.looks.look_at - node.now)
     probe = node.it.looks.probe.relay
     node.it.opened(node.now, probe, MARK)
     node.stir()
-    node.hears(fed(Say.SAME, 3, node.it.age(node.now) - younger), relay=probe)
+    node.hears(fed(FollowOutcome.SAME, 3, node.it.age(node.now) - younger), relay=probe)
     assert node.it.relay == (probe if moves else relay) and len(node.open) == 1
 
 
--- a/tests/config_distribution/test_follow_properties.py
+++ b/tests/config_distribution/test_follow_properties.py
@@ -5,17 +5,17 @@
 from hypothesis import Phase, find, given, settings
 from hypothesis import strategies as st
 
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.taking import Taking
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.taking import PendingUpdate
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
     PAGES_OF,
     Batch,
     Change,
-    Fed,
-    Pages,
-    Say,
+    FollowAnswer,
+    FollowOutcome,
+    PagesAnswer,
 )
 from lichencleat.testkit.explore_distribution import EarlyWord, Lax, SpoiltBatch, SpoiltPiece
 from lichencleat.testkit.tiny_table import NAMES, Tiny, changes, digest_of, published
@@ -32,12 +32,14 @@
     st.booleans(),
 )
 ANSWER = st.one_of(
-    st.builds(Fed, st.integers(0, 6), VERSION, DIGEST, st.integers(-9, 1 << 60), st.tuples(BATCH, BATCH)),
-    st.builds(Fed, st.integers(0, 6), VERSION, DIGEST, st.just(0), st.tuples(BATCH) | st.just(())),
+    st.builds(
+        FollowAnswer, st.integers(0, 6), VERSION, DIGEST, st.integers(-9, 1 << 60), st.tuples(BATCH, BATCH)
+    ),
+    st.builds(FollowAnswer, st.integers(0, 6), VERSION, DIGEST, st.just(0), st.tuples(BATCH) | st.just(())),
     st.builds(news, VERSION, VERSION),
     st.builds(head, VERSION, st.integers(0, 99)),
     st.builds(lambda version, a, b: pages(version, a, b), VERSION, st.integers(0, 2), st.integers(0, 2)),
-    st.builds(Pages, VERSION, st.just(((0, b"wrong"),)) | st.just(())),
+    st.builds(PagesAnswer, VERSION, st.just(((0, b"wrong"),)) | st.just(())),
     st.none(),
 )
 
@@ -54,14 +56,20 @@
         return head(version)
     if what == PAGES_OF:
         found = pages(node.question.version, *node.question.numbers)
-        return Pages(found.version, ((found.pages[0][0], b"wrong"), *found.pages[1:])) if wrong else found
+        return (
+            PagesAnswer(found.version, ((found.pages[0][0], b"wrong"), *found.pages[1:])) if wrong else found
+        )
     if version <= past:
-        return fed(Say.BEHIND if version % 2 and version < past else Say.SNAPSHOT, version)
+        return fed(
+            FollowOutcome.BEHIND if version % 2 and version < past else FollowOutcome.SNAPSHOT, version
+        )
     made = batch(past, version)
-    return fed(Say.NEWS, version, 0, [Batch(version, past, made.digest, (WRONG,)) if wrong else made])
+    return fed(
+        FollowOutcome.NEWS, version, 0, [Batch(version, past, made.digest, (WRONG,)) if wrong else made]
+    )
 
 
-def broken(script, follower=Follower, table=Tiny):
+def broken(script, follower=RelayFollower, table=Tiny):
     """What is wrong after relays said that, in that order."""
     node, version = Node(version=2, table=table(2), follower=follower), 2
     for what, answer, number, wrong in script:
@@ -94,7 +102,7 @@
     assert broken(script) == ""
 
 
-class Unchained(Taking):
+class Unchained(PendingUpdate):
     def stage(self, fed, relay, mark, knows):
         if not fed.batches:
             return "none"
@@ -103,13 +111,13 @@
         return ""
 
 
-class LaxFollower(Follower):
+class LaxFollower(RelayFollower):
     def __init__(self, *args):
         super().__init__(*args)
         self.taking = Lax(self.copy)
 
 
-class UnchainedFollower(Follower):
+class UnchainedFollower(RelayFollower):
     def __init__(self, *args):
         super().__init__(*args)
         self.taking = Unchained(self.copy)
@@ -120,8 +128,8 @@
     [
         (LaxFollower, Tiny, "back from"),
         (UnchainedFollower, SpoiltBatch, " as "),
-        (Follower, SpoiltBatch, " as "),
-        (Follower, SpoiltPiece, " as "),
+        (RelayFollower, SpoiltBatch, " as "),
+        (RelayFollower, SpoiltPiece, " as "),
         (EarlyWord, Tiny, "acknowledged"),
     ],
 )
