--- a/tests/config_distribution/test_follow_taking.py
+++ b/tests/config_distribution/test_follow_taking.py
@@ -5,7 +5,7 @@
 
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.counts import MAX_AGE_US
-from lichencleat.config_distribution.follow import HEADS_MOST
+from lichencleat.config_distribution.follow import MAX_DROPPED_SNAPSHOTS
 from lichencleat.config_distribution.pages import encode_key, locate_key
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
@@ -14,10 +14,10 @@
     PAGES_OF,
     Change,
     Count,
-    Digests,
-    Fed,
-    Pages,
-    Say,
+    FollowAnswer,
+    FollowOutcome,
+    PagesAnswer,
+    SnapshotHead,
 )
 from lichencleat.testkit.tiny_table import MARK, digest_of, published
 
@@ -25,7 +25,7 @@
 def test_batches_are_in_force_whole_and_only_then_acknowledged():
     node = following(1)
     asked = len(node.asked)
-    node.hears(fed(Say.NEWS, 3, 0, [batch(1, 2), batch(2, 3)]))
+    node.hears(fed(FollowOutcome.NEWS, 3, 0, [batch(1, 2), batch(2, 3)]))
     assert node.table.version == 1 and len(node.asked) == asked and node.stepping
     node.steps()
     assert node.table.content == published(3) and [each.version for each in node.taken[0]] == [2, 3]
@@ -36,14 +36,14 @@
 @pytest.mark.parametrize(
     "wrong",
     [
-        fed(Say.NEWS, 5, 0, [batch(2, 5)]),  # follows another version
-        fed(Say.NEWS, 5, 0, [batch(3, 4), batch(3, 5)]),
-        fed(Say.NEWS, 5, 0, [batch(3, 3)]),
-        fed(Say.NEWS, 4, 0, [batch(3, 5)]),  # newer than itself
-        fed(Say.NEWS, 5),
-        fed(Say.SAME, 4),
-        fed(Say.SAME, 3, digest=b"other"),
-        fed(Say.BEHIND, 3),
+        fed(FollowOutcome.NEWS, 5, 0, [batch(2, 5)]),  # follows another version
+        fed(FollowOutcome.NEWS, 5, 0, [batch(3, 4), batch(3, 5)]),
+        fed(FollowOutcome.NEWS, 5, 0, [batch(3, 3)]),
+        fed(FollowOutcome.NEWS, 4, 0, [batch(3, 5)]),  # newer than itself
+        fed(FollowOutcome.NEWS, 5),
+        fed(FollowOutcome.SAME, 4),
+        fed(FollowOutcome.SAME, 3, digest=b"other"),
+        fed(FollowOutcome.BEHIND, 3),
         fed(9, 3),
         head(9),
     ],
@@ -58,7 +58,7 @@
 def test_a_spoilt_batch_is_counted_told_and_its_relay_left():
     node = following()
     relay = node.it.relay
-    node.hears(fed(Say.NEWS, 4, 0, [batch(3, 4, b"wrong")]))
+    node.hears(fed(FollowOutcome.NEWS, 4, 0, [batch(3, 4, b"wrong")]))
     node.steps()
     assert (node.table.version, node.it.relay, node.it.counters["spoilt"]) == (3, None, 1)
     assert any("does not match its digest" in each for each in node.told)
@@ -81,7 +81,7 @@
 
 def test_a_snapshot_goes_on_at_another_relay_with_the_pages_that_came():
     node = following(1)
-    node.hears(fed(Say.SNAPSHOT, 4))
+    node.hears(fed(FollowOutcome.SNAPSHOT, 4))
     node.hears(head(4), DIGESTS)
     assert node.question.numbers == (0, 1)
     node.hears(pages(4, 0, 1), PAGES_OF)
@@ -89,7 +89,7 @@
     node.lost()
     assert node.table.version == 1
     node.follows()
-    node.hears(fed(Say.SNAPSHOT, 4))
+    node.hears(fed(FollowOutcome.SNAPSHOT, 4))
     node.hears(head(4), DIGESTS)
     assert node.question.numbers == (2,)
     node.hears(pages(4, 2), PAGES_OF)
@@ -100,15 +100,15 @@
 @pytest.mark.parametrize("version", [1, 3])
 def test_a_snapshot_that_is_no_newer_is_not_taken(version):
     node = following()
-    node.hears(fed(Say.SNAPSHOT, 9))
+    node.hears(fed(FollowOutcome.SNAPSHOT, 9))
     node.hears(head(version), DIGESTS)
     assert node.it.relay is None and node.table.version == 3 and not node.stepping
 
 
 def test_pages_that_are_spoilt_or_were_not_asked_for_end_at_their_relay():
-    for sent in (Pages(4, ((0, b"wrong"),)), pages(4, 2), pages(5, 0), pages(4, 0, 0)):
+    for sent in (PagesAnswer(4, ((0, b"wrong"),)), pages(4, 2), pages(5, 0), pages(4, 0, 0)):
         node = following(1)
-        node.hears(fed(Say.SNAPSHOT, 4))
+        node.hears(fed(FollowOutcome.SNAPSHOT, 4))
         node.hears(head(4), DIGESTS)
         node.hears(sent, PAGES_OF)
         node.steps()
@@ -117,11 +117,11 @@
 
 def test_a_relay_that_gives_up_its_snapshots_again_and_again_is_left():
     node = following(1)
-    node.hears(fed(Say.SNAPSHOT, 4))
-    for given_up in range(HEADS_MOST + 1):
+    node.hears(fed(FollowOutcome.SNAPSHOT, 4))
+    for given_up in range(MAX_DROPPED_SNAPSHOTS + 1):
         assert node.it.relay is not None and node.asked[-1].what == DIGESTS, given_up
         node.hears(head(4 + given_up), DIGESTS)
-        node.hears(Pages(4 + given_up, ()), PAGES_OF)
+        node.hears(PagesAnswer(4 + given_up, ()), PAGES_OF)
     assert node.it.relay is None
 
 
@@ -129,7 +129,7 @@
 
 
 def other_said(node):
-    node.hears(fed(Say.OTHER, 3, digest=b"other"))
+    node.hears(fed(FollowOutcome.OTHER, 3, digest=b"other"))
     return any("OWN COPY IN DOUBT" in each for each in node.told)
 
 
@@ -140,7 +140,7 @@
     assert not other_said(node) and node.it.relay is None
     node.follows()
     node.passes(MAX_HOLD_US)
-    node.hears(fed(Say.SAME, 3))  # the next tier agrees
+    node.hears(fed(FollowOutcome.SAME, 3))  # the next tier agrees
     node.lost()
     node.follows()
     assert not other_said(node)
@@ -153,11 +153,11 @@
         node.follows()
     assert other_said(node) and node.it.counters["own history given up"] == 1
     node.follows()
-    node.hears(fed(Say.OTHER, 3, digest=b"other"))
-    node.hears(Digests(3, b"other", b"", 0), DIGESTS)  # as high as what is in force: it waits
+    node.hears(fed(FollowOutcome.OTHER, 3, digest=b"other"))
+    node.hears(SnapshotHead(3, b"other", b"", 0), DIGESTS)  # as high as what is in force: it waits
     assert node.table.version == 3 and node.it.relay is not None
     node.passes(node.it.deadline() - node.now)
-    node.hears(fed(Say.OTHER, 3, digest=b"other"))
+    node.hears(fed(FollowOutcome.OTHER, 3, digest=b"other"))
     node.hears(head(5), DIGESTS)
     node.hears(pages(5, 0, 1), PAGES_OF)
     node.hears(pages(5, 2), PAGES_OF)
@@ -177,17 +177,17 @@
     node = Node(table=copy)
     for _ in range(3):
         node.follows()
-        node.hears(Fed(Say.NEWS, 5, source.digest, 0, (second,)))
+        node.hears(FollowAnswer(FollowOutcome.NEWS, 5, source.digest, 0, (second,)))
         node.steps()
         assert (copy.version, node.it.relay) == (3, None)
     assert any("OWN COPY IN DOUBT" in each for each in node.told)
     node.follows()
-    node.hears(Fed(Say.SAME, 3, copy.digest, 0))  # it would agree: that proves nothing now
+    node.hears(FollowAnswer(FollowOutcome.SAME, 3, copy.digest, 0))  # it would agree: that proves nothing now
     node.passes(TIMES.again)
-    node.hears(Fed(Say.NEWS, 5, source.digest, 0, (second,)))
+    node.hears(FollowAnswer(FollowOutcome.NEWS, 5, source.digest, 0, (second,)))
     node.hears(source.view().head(0), DIGESTS)
     assert node.question.numbers == (page,)
-    node.hears(Pages(5, ((page, source.view().packed(page)),)), PAGES_OF)
+    node.hears(PagesAnswer(5, ((page, source.view().packed(page)),)), PAGES_OF)
     node.steps()
     assert (copy.version, copy.find("t", "here"), copy.digest) == (5, b"right", source.digest)
 
@@ -200,7 +200,7 @@
     asked = node.now
     assert node.it.age(node.now) == MAX_AGE_US
     node.now += 9 * SECOND  # it was stopped with the answer in its buffer
-    node.hears(fed(Say.SAME, 3, 200))
+    node.hears(fed(FollowOutcome.SAME, 3, 200))
     assert node.it.age(node.now) == 8 * SECOND + 200
     node.passes(SECOND // 2)
     node.hears(news(3, 4, 100))
@@ -212,7 +212,7 @@
 def test_an_answer_before_its_hold_is_over_counts_from_the_question_and_is_not_asked_again_at_once():
     node = following()
     node.now += MAX_HOLD_US // 4
-    node.hears(fed(Say.SAME, 3))
+    node.hears(fed(FollowOutcome.SAME, 3))
     assert node.it.age(node.now) == MAX_HOLD_US // 4
     assert node.it.deadline() == node.now + TIMES.again
 
@@ -220,14 +220,18 @@
 def test_the_age_is_not_touched_by_what_knows_less():
     node = following()
     node.passes(MAX_HOLD_US)
-    node.hears(fed(Say.SAME, 3))
+    node.hears(fed(FollowOutcome.SAME, 3))
     known = node.it.known_at
-    for answer in (fed(Say.SAME, 3, 50 * SECOND), fed(Say.SAME, 3, MAX_AGE_US), fed(Say.BEHIND, 2)):
+    for answer in (
+        fed(FollowOutcome.SAME, 3, 50 * SECOND),
+        fed(FollowOutcome.SAME, 3, MAX_AGE_US),
+        fed(FollowOutcome.BEHIND, 2),
+    ):
         node.passes(MAX_HOLD_US)
         node.hears(answer)
         assert node.it.known_at == known
     node = following()
-    node.hears(fed(Say.NEWS, 9, 0, [batch(3, 4)]))  # there is more than that
+    node.hears(fed(FollowOutcome.NEWS, 9, 0, [batch(3, 4)]))  # there is more than that
     node.steps()
     assert node.it.age(node.now) == MAX_AGE_US
 
--- a/tests/config_distribution/test_hollow.py
+++ b/tests/config_distribution/test_hollow.py
@@ -8,7 +8,7 @@
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.errors import ChainError, CorruptTableError, TableError
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, Digests, Pages
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change, PagesAnswer, SnapshotHead
 from lichencleat.testkit.hollow import Shared, SharedCopy
 
 NAMES = [f"t{number}" for number in range(40)]
@@ -74,7 +74,7 @@
             view = rng.choice(whose.views)
             head = view.head(0)
             if rng.random() < 0.1:
-                head = Digests(head.version, head.digest, head.pages[16:] + head.pages[:16], 0)
+                head = SnapshotHead(head.version, head.digest, head.pages[16:] + head.pages[:16], 0)
             own.begin(head)
             hollow.begin(head)
             for _ in range(rng.randrange(40)):
@@ -85,8 +85,8 @@
                 sent = [(number, view.packed(number)) for number in numbers]
                 if sent and rng.random() < 0.05:
                     sent[-1] = spoilt(rng, sent[-1])
-                assert told(own.put, Pages(head.version, tuple(sent))) == told(
-                    hollow.put, Pages(head.version, tuple(sent))
+                assert told(own.put, PagesAnswer(head.version, tuple(sent))) == told(
+                    hollow.put, PagesAnswer(head.version, tuple(sent))
                 )
                 assert goes_on(own) == goes_on(hollow)
         elif what == 5:
@@ -124,7 +124,7 @@
         copy.begin(view.head(0))
         numbers = copy.missing(PAGE_COUNT)
         assert copy.put(
-            Pages(view.version, tuple((number, bytes(view.packed(number))) for number in numbers))
+            PagesAnswer(view.version, tuple((number, bytes(view.packed(number))) for number in numbers))
         )
         assert copy.step() and copy.version == 8
         copy.take()
--- a/tests/config_distribution/test_in_time.py
+++ b/tests/config_distribution/test_in_time.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lichencleat.config_distribution.choice import Times
+from lichencleat.config_distribution.choice import Timing
 from lichencleat.testkit import tiny_distribution
 from lichencleat.testkit.tiny_distribution import NODE, RELAYS, SOURCE, Kinds, Limits, World
 
@@ -24,7 +24,7 @@
     def made(seed):
         rng = random.Random(seed)
         monkeypatch.setattr(tiny_distribution, "LOW", rng)
-        monkeypatch.setattr(tiny_distribution, "TIMES", Times())
+        monkeypatch.setattr(tiny_distribution, "TIMES", Timing())
         world = World(Kinds(), Limits(versions=2, slow=()))
         world.publish()
         world.runs(3 * SECOND + rng.randrange(2 * SECOND))
--- a/tests/config_distribution/test_kept.py
+++ b/tests/config_distribution/test_kept.py
@@ -10,7 +10,12 @@
 
 from lichencleat.config_distribution import kept as module
 from lichencleat.config_distribution import pages
-from lichencleat.config_distribution.kept import Kept, made_kept, open_kept, page_key
+from lichencleat.config_distribution.kept import (
+    PersistedTable,
+    make_persisted_table,
+    open_persisted_table,
+    page_key,
+)
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, Change
 from lichencleat.store.batch import Batch as Stored
@@ -28,8 +33,8 @@
 def large_slices(request, monkeypatch):
     """2,048 turns a start are measured elsewhere."""
     if "slices" not in request.function.__name__:
-        monkeypatch.setattr(module, "LOOK_PAGES", 512)
-        monkeypatch.setattr(module, "READ_PAGES", 512)
+        monkeypatch.setattr(module, "PAGES_PER_CHECK", 512)
+        monkeypatch.setattr(module, "PAGES_PER_READ", 512)
 
 
 class Hands:
@@ -62,7 +67,9 @@
         self.disk, self.hands, self.clock, self.lines = disk, Hands(), Clock(), []
         engine = Engine.open(disk, lambda: 5 * SECOND, random.Random(seed), BOUNDS, create=True)
         self.store = Store(self.clock, engine, self.hands, self.hands, maintenance=False)
-        self.kept: Kept = result(made_kept(self.clock, self.store, group, self.lines.append))
+        self.kept: PersistedTable = result(
+            make_persisted_table(self.clock, self.store, group, self.lines.append)
+        )
 
     def load(self):
         told = self.kept.load()
@@ -107,16 +114,16 @@
     disk = FaultyDisk()
     table, _ = written(disk)
     life, looked = Life(FaultyDisk(disk.image())), [0]  # pages between two turns
-    unpack, turn = module.unpack, Kept.turn
+    unpack, turn = module.unpack_page, PersistedTable.turn
 
     def counted(number, data):
         looked[-1] += 1
         return unpack(number, data)
 
-    monkeypatch.setattr(module, "unpack", counted)
-    monkeypatch.setattr(Kept, "turn", lambda kept: looked.append(0) or turn(kept))
+    monkeypatch.setattr(module, "unpack_page", counted)
+    monkeypatch.setattr(PersistedTable, "turn", lambda kept: looked.append(0) or turn(kept))
     assert same(life.load()[0], table)
-    assert sum(looked) == PAGE_COUNT and max(looked) == module.LOOK_PAGES == 2
+    assert sum(looked) == PAGE_COUNT and max(looked) == module.PAGES_PER_CHECK == 2
 
 
 def test_what_was_written_is_there_at_the_next_start():
@@ -159,7 +166,7 @@
 
 
 def test_recent_batches_are_bounded_and_go_round(monkeypatch):
-    monkeypatch.setattr(module, "RECENT_MOST", 8)
+    monkeypatch.setattr(module, "MAX_RECENT_BATCHES", 8)
     disk, table, made = FaultyDisk(), Table(), []
     life = Life(disk)
     life.load()
@@ -168,7 +175,7 @@
         life.kept.wrote(table, (made[-1],))
     loaded, _, recent = Life(FaultyDisk(disk.image())).load()
     assert same(loaded, table) and recent == made[-8:]
-    monkeypatch.setattr(module, "RECENT_BYTES", 300)
+    monkeypatch.setattr(module, "MAX_RECENT_BYTES", 300)
     for version in range(40, 50):
         made.append(table.apply(version, [change("big", bytes([version]) * 90)]))
         life.kept.wrote(table, (made[-1],))
@@ -195,8 +202,8 @@
 @pytest.mark.parametrize("beside", [False, True])
 def test_a_cut_at_any_call_leaves_a_whole_version_and_none_older_than_confirmed(beside, monkeypatch):
     if beside:  # each write is a snapshot that does not fit one commit
-        monkeypatch.setattr(module, "ONE_BYTES", 0)
-        monkeypatch.setattr(module, "PIECE_BYTES", 200)
+        monkeypatch.setattr(module, "MAX_IN_PLACE_BYTES", 0)
+        monkeypatch.setattr(module, "MAX_CHUNK_BYTES", 200)
     states = {0: Table()}
     at = 0
     for fault in (FaultyDisk.CUT, FaultyDisk.CUT_AFTER):
@@ -241,10 +248,10 @@
     for version in range(2, 6):
         life.kept.wrote(table, (step(table, version),))
     assert "not kept" in life.kept.trouble and len(life.lines) == 1
-    life.clock.advance(module.AGAIN)
+    life.clock.advance(module.RETRY_DELAY_S)
     assert (life.kept.counts["writes failed"], len(life.lines)) == (2, 1)
     disk.room = None
-    life.clock.advance(module.AGAIN)
+    life.clock.advance(module.RETRY_DELAY_S)
     assert (life.kept.trouble, len(life.lines)) == ("", 2)
     loaded, _, recent = Life(FaultyDisk(disk.image())).load()
     assert same(loaded, table) and [each.version for each in recent] == [1, 2, 3, 4, 5]
@@ -341,9 +348,9 @@
 def test_an_older_head_over_newer_pages_is_found():
     disk = FaultyDisk()
     table, life = written(disk)
-    head = life.store.engine.get(module.HEAD)
+    head = life.store.engine.get(module.HEAD_KEY)
     life.kept.wrote(table, (step(table, 9),))
-    result(life.store.commit(Stored().put(module.HEAD, head)))
+    result(life.store.commit(Stored().put(module.HEAD_KEY, head)))
     after = Life(FaultyDisk(disk.image()))
     assert same(after.load()[0], Table()) and "not those of version 5" in after.kept.trouble
 
@@ -380,7 +387,7 @@
         Life(disk, "other")
     Life(disk, "fleet").stop()
     life = Life(disk)
-    result(life.store.commit(Stored().put(module.HEAD, module.encode((2, "", b"", 0, b"", b"", 0, 0)))))
+    result(life.store.commit(Stored().put(module.HEAD_KEY, module.encode((2, "", b"", 0, b"", b"", 0, 0)))))
     life.store.close()
     with pytest.raises(CannotOpenError, match="format 2"):
         Life(disk)
@@ -418,7 +425,9 @@
     reactor, table = Reactor(), Table()
 
     def opened(group=""):
-        told = open_kept(reactor, str(tmp_path / "d"), lambda: 5 * SECOND, random.Random(1), group=group)
+        told = open_persisted_table(
+            reactor, str(tmp_path / "d"), lambda: 5 * SECOND, random.Random(1), group=group
+        )
         return reactor.until(told)
 
     kept = opened("fleet")
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -10,7 +10,7 @@
 from lichencleat.cli import distribution as commands
 from lichencleat.cli.main import lichencleat
 from lichencleat.config.errors import InvalidConfigError
-from lichencleat.config_distribution.published import LINE_MOST, check_file, read_changes, split
+from lichencleat.config_distribution.published import MAX_LINE_BYTES, check_file, read_changes, split
 from lichencleat.config_distribution.source import Source
 from lichencleat.config_distribution.terms import MAX_BATCH_BYTES, MAX_BATCH_CHANGES, Change, encode
 from lichencleat.transport.errors import RequestFailedError
@@ -61,7 +61,10 @@
         (b'{"kind":"tenant","name":"\xff","value":1}', "line 2: not JSON: "),
         ('{"kind":"tenant","name":"%s","value":1}' % ("é" * 65), "a name has 1 to 128 bytes"),
         ('{"kind":"tenant","name":"a","value":"%s"}' % ("v" * 4_095), "a value has at most 4096 bytes"),
-        ('{"kind":"tenant","name":"%s","value":1}' % ("n" * LINE_MOST), f"longer than {LINE_MOST} bytes"),
+        (
+            '{"kind":"tenant","name":"%s","value":1}' % ("n" * MAX_LINE_BYTES),
+            f"longer than {MAX_LINE_BYTES} bytes",
+        ),
         ('{"kind":"tenant","name":"a","value":%s}' % ("[" * 5_000), "line 2: not JSON: maximum recursion"),
         ('{"kind":"tenant","name":"good","value":1}', "line 2: tenant 'good' stands in line 1 already"),
     ],
--- a/tests/config_distribution/test_relay_file.py
+++ b/tests/config_distribution/test_relay_file.py
@@ -7,7 +7,7 @@
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config.loading import read_node_config
 from lichencleat.config.schema import MAX_RELAY_ADDRESSES
-from lichencleat.config_distribution.file import read_relay
+from lichencleat.config_distribution.file import read_relay_file
 from lichencleat.config_distribution.terms import MAX_RELAYS
 from lichencleat.coordinator.settings import read_quorum_settings
 
@@ -34,14 +34,14 @@
 
 
 def test_a_good_file_is_read_with_its_defaults(file):
-    relay = read_relay(file(GOOD))
+    relay = read_relay_file(file(GOOD))
     assert relay.sources == [["127.0.0.1:7921", "127.0.0.1:7922"], ["127.0.0.1:7901"]]
     assert (relay.directory, relay.disk, relay.log.form) == (None, "real", "logfmt")
 
 
 @pytest.mark.parametrize("name", ["region", "zone"])
 def test_the_examples_are_right(name):
-    assert read_relay(f"{EXAMPLES}/{name}.yaml").group == "config"
+    assert read_relay_file(f"{EXAMPLES}/{name}.yaml").group == "config"
     voter = read_quorum_settings(f"{EXAMPLES}/voter.yaml", member=True)
     assert voter.group == "config" and voter.distribution
 
@@ -106,5 +106,5 @@
 def test_a_mistake_is_told_with_its_place(file, old, new, told):
     assert old in GOOD
     with pytest.raises(InvalidConfigError) as wrong:
-        read_relay(file(GOOD.replace(old, new)))
+        read_relay_file(file(GOOD.replace(old, new)))
     assert told in str(wrong.value)
--- a/tests/config_distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -5,8 +5,8 @@
 from twisted.internet.task import Clock
 
 from lichencleat.config_distribution import serving
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.serving import Serving
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.serving import PublisherHost
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
     DIGESTS,
@@ -16,13 +16,13 @@
     MAX_SUBSCRIBERS,
     PAGES_OF,
     Change,
-    Follow,
-    Say,
-    Wanted,
-    Wanting,
-    decode_digests,
-    decode_fed,
-    decode_pages,
+    FollowOutcome,
+    FollowRequest,
+    PagesRequest,
+    RecordRequest,
+    decode_follow_answer,
+    decode_pages_answer,
+    decode_snapshot_head,
     encode,
 )
 from lichencleat.transport.frames import ClientRequest, encode_raw
@@ -57,10 +57,10 @@
 
 
 class Host:
-    def __init__(self, turn=serving.ANSWERS_TURN):
+    def __init__(self, turn=serving.MAX_ANSWERS_PER_TURN):
         self.clock, self.table, self.log = Clock(), Table(), Log()
-        self.feeder = Feeder("r1", "north", self.table, 0)
-        self.serving = Serving(
+        self.feeder = Publisher("r1", "north", self.table, 0)
+        self.serving = PublisherHost(
             self.clock, self.feeder, lambda: int(self.clock.seconds() * SECOND), self.log, turn=turn
         )
         self.feeder.known(0, 0)
@@ -77,7 +77,7 @@
         return self.number
 
     def follow(self, link, version=0, digest=b""):
-        return self.ask(link, FOLLOW, Follow(version, digest, ()))
+        return self.ask(link, FOLLOW, FollowRequest(version, digest, ()))
 
     def pass_by(self, seconds, step=0.05):
         for _ in range(round(seconds / step)):
@@ -95,9 +95,9 @@
     host.publish(7, "acme")
     assert not any(each.replies for each in links)  # pulled in the next turn, after all that was read
     host.clock.advance(0)
-    answers = [decode_fed(each.replies[0].content) for each in links]
+    answers = [decode_follow_answer(each.replies[0].content) for each in links]
     assert [each.replies[0].number for each in links] == numbers
-    assert {(each.say, each.version) for each in answers} == {(Say.NEWS, 7)}
+    assert {(each.say, each.version) for each in answers} == {(FollowOutcome.NEWS, 7)}
     assert len(made) == 1
 
 
@@ -120,7 +120,7 @@
     host.pass_by(0.9)
     assert not link.replies
     host.pass_by(0.2)
-    assert [decode_fed(each.content).say for each in link.replies] == [Say.SAME]
+    assert [decode_follow_answer(each.content).say for each in link.replies] == [FollowOutcome.SAME]
 
 
 def test_one_question_at_a_time_and_none_before_the_answer_was_read():
@@ -163,18 +163,18 @@
     host.publish(3, *(f"t{n}" for n in range(50)))
     host.ask(link, DIGESTS)
     host.clock.advance(0)
-    head = decode_digests(link.replies[-1].content)
+    head = decode_snapshot_head(link.replies[-1].content)
     assert (head.version, head.digest) == (3, host.table.digest)
     filled = [n for n, page in enumerate(host.table.pages) if page]
-    host.ask(link, PAGES_OF, Wanted(3, tuple(filled[:5])))
+    host.ask(link, PAGES_OF, PagesRequest(3, tuple(filled[:5])))
     host.clock.advance(0)
-    assert [n for n, _ in decode_pages(link.replies[-1].content).pages] == filled[:5]
-    host.ask(link, FIND, Wanting("tenant", "t7"))
+    assert [n for n, _ in decode_pages_answer(link.replies[-1].content).pages] == filled[:5]
+    host.ask(link, FIND, RecordRequest("tenant", "t7"))
     host.clock.advance(0)
     assert link.replies[-1].done and link.replies[-1].content == encode_raw(b"{}")
 
 
-NO_TEXT = msgspec.Raw(encode(Wanting("tenant", "acme")).replace(b"acme", b"ac\xffe"))
+NO_TEXT = msgspec.Raw(encode(RecordRequest("tenant", "acme")).replace(b"acme", b"ac\xffe"))
 
 
 @pytest.mark.parametrize(
@@ -202,7 +202,7 @@
     host.serving.hung_up(links[0])
     host.follow(links[-1], 0, host.table.digest)
     host.pass_by(1.1)
-    assert decode_fed(links[-1].replies[-1].content).say == Say.SAME
+    assert decode_follow_answer(links[-1].replies[-1].content).say == FollowOutcome.SAME
 
 
 def test_one_that_hung_up_is_answered_no_more_and_forgotten():
--- a/tests/config_distribution/test_source.py
+++ b/tests/config_distribution/test_source.py
@@ -7,17 +7,29 @@
 import pytest
 
 from lichencleat.config_distribution import source as sources
-from lichencleat.config_distribution.source import Diff, Find, Publish, Published, Source, Stands
+from lichencleat.config_distribution.source import (
+    DiffQuery,
+    FindQuery,
+    PublishCommand,
+    PublishResult,
+    Source,
+    StatusQuery,
+)
 from lichencleat.config_distribution.terms import (
     FIND,
     FOLLOW,
     IN_FORCE,
     MAX_BATCH_CHANGES,
     Change,
-    Follow,
-    Say,
+    FollowOutcome,
+    FollowRequest,
+)
+from lichencleat.config_distribution.voting import (
+    IGNORE_AFTER_PAUSE_US,
+    PAUSE_THRESHOLD_US,
+    CommitFreshness,
+    VoterPublisher,
 )
-from lichencleat.config_distribution.voting import DOUBT, SILENCE, Fresh, Voting
 from lichencleat.consensus.extension import GuardedExtension
 from lichencleat.consensus.messages import Configuration, Entry, EntryType, Member, Snapshot
 from lichencleat.consensus.state_machine import StateMachine
@@ -29,7 +41,7 @@
 
 def publish(source, index, *changes, only_if=None):
     made = tuple(Change(kind, name, value) for kind, name, value in changes)
-    return source.apply(index, msgspec.Raw(encode(Publish(made, only_if))))
+    return source.apply(index, msgspec.Raw(encode(PublishCommand(made, only_if))))
 
 
 def asked(source, query):
@@ -37,7 +49,7 @@
 
 
 def found(source, name, at=0):
-    told = asked(source, Find("tenant", name, at))
+    told = asked(source, FindQuery("tenant", name, at))
     return told.value if told.known else "not known"
 
 
@@ -72,13 +84,13 @@
 
 def test_an_entry_makes_one_batch_of_its_index_over_the_one_before():
     source = Source()
-    assert publish(source, 5, ("tenant", "a", b"1"), ("route", "a", b"2")) == Published(True, 5, 2)
-    assert publish(source, 9, ("tenant", "a", None), ("route", "a", b"2")) == Published(True, 9, 1)
+    assert publish(source, 5, ("tenant", "a", b"1"), ("route", "a", b"2")) == PublishResult(True, 5, 2)
+    assert publish(source, 9, ("tenant", "a", None), ("route", "a", b"2")) == PublishResult(True, 9, 1)
     first, second = (each.batch for each in source.window)
     assert (first.version, first.past, second.version, second.past) == (5, 0, 9, 5)
     assert second.changes == (Change("tenant", "a", None),)  # only what changed travels
     assert second.digest == source.table.digest and in_force(source) == {("route", "a"): b"2"}
-    told = asked(source, Stands())
+    told = asked(source, StatusQuery())
     assert (told.version, told.since, told.records) == (9, 0, 1)
 
 
@@ -112,7 +124,7 @@
     publish(source, 1, ("tenant", "a", b"1"))
     assert "another version" in publish(source, 2, ("tenant", "a", b"2"), only_if=0).why
     for none in (b"\x01", encode(["publish", "x"]), encode(["drop", []])):
-        assert source.apply(3, msgspec.Raw(none)) == Published(False, 1, 0, "no command")
+        assert source.apply(3, msgspec.Raw(none)) == PublishResult(False, 1, 0, "no command")
     monkeypatch.setattr("lichencleat.config_distribution.table.MAX_RECORDS", 1)
     assert "records" in publish(source, 4, ("tenant", "b", b"1")).why
     assert found(source, "a") == b"1" and found(source, "b") is None
@@ -124,7 +136,7 @@
     for index in range(1, 200):
         drawn(rng, source, 1, index)
         history[source.table.version] = {name: value for (_, name), value in in_force(source).items()}
-    since = asked(source, Stands()).since
+    since = asked(source, StatusQuery()).since
     assert since == sorted(history)[-41]
     versions = [each for each in history if each >= since]
     for version in versions:
@@ -138,23 +150,23 @@
         ]
         assert difference(source, a, b) == [each for each in changed if each[2] != each[3]]
     for a, b in [(since - 1, since), (since, versions[-1] + 1)]:
-        assert not asked(source, Diff(a, b)).known
+        assert not asked(source, DiffQuery(a, b)).known
 
 
 def difference(source, a, b):
     """As the command asks for it."""
-    query, changes = Diff(a, b), []
+    query, changes = DiffQuery(a, b), []
     while True:
         told = asked(source, query)
         assert told.known
         changes += told.changes
         if told.a == b:
-            return sources.net(changes)
+            return sources.net_changes(changes)
         assert (told.a, told.skip) > (query.a, query.skip)
-        query = Diff(told.a, b, told.skip)
+        query = DiffQuery(told.a, b, told.skip)
 
 
-@pytest.mark.parametrize(("name", "most"), [("DIFF_MOST", 3), ("DIFF_BYTES", 100)])
+@pytest.mark.parametrize(("name", "most"), [("MAX_DIFF_CHANGES", 3), ("MAX_DIFF_BYTES", 100)])
 def test_a_difference_too_large_for_an_answer_is_told_in_parts(monkeypatch, name, most):
     source = Source()
     for index in range(1, 9):
@@ -162,7 +174,7 @@
     whole = difference(source, 2, 8)
     assert len(whole) == 8 and ("tenant", "t3", b"2", b"8") in whole
     monkeypatch.setattr(sources, name, most)
-    assert 0 < len(asked(source, Diff(2, 8)).changes) <= 6
+    assert 0 < len(asked(source, DiffQuery(2, 8)).changes) <= 6
     assert difference(source, 2, 8) == whole
 
 
@@ -171,7 +183,7 @@
     for index in range(1, 30):
         publish(source, index, ("tenant", "a", bytes([index]) * 1_000))
     assert 0 < source.size <= 10_000 and len(source.window) == 4
-    assert asked(source, Stands()).since == 25
+    assert asked(source, StatusQuery()).since == 25
 
 
 def test_a_dump_brings_back_all_and_replay_makes_the_same_bytes():
@@ -185,7 +197,7 @@
         else:
             names = sorted({f"t{rng.randrange(400)}" for _ in range(rng.choice([1, 40]))})
             made = tuple(Change("tenant", name, rng.choice([None, bytes(900), b"y"])) for name in names)
-            data = encode_command("distribution", Publish(made))
+            data = encode_command("distribution", PublishCommand(made))
         entries.append(Entry(1, EntryType.COMMAND, data))
         first.apply(index, entries[-1])
         if index % 40 == 0:
@@ -262,7 +274,7 @@
 
 def serving(index=0, source=None):
     member, later = Seat(), Later()
-    voting = Voting(later, "v1", "z1", None, Host)
+    voting = VoterPublisher(later, "v1", "z1", None, Host)
     voting.start(member)
     state = StateMachine({"distribution": source or Source()})
     state.applied = index
@@ -273,7 +285,7 @@
 def fed(voting, member, version, digest):
     feeder = voting.feeder
     feeder.joined(member.at, 1)
-    feeder.asked(member.at, 1, 1, FOLLOW, Follow(version, digest, (), 0))
+    feeder.asked(member.at, 1, 1, FOLLOW, FollowRequest(version, digest, (), 0))
     decision = feeder.next_decision(member.at)
     feeder.left(member.at, 1)
     return decision.content
@@ -289,19 +301,19 @@
         )
     voting.on_applied(state)  # two entries in one pull
     told = fed(voting, member, 0, nothing)
-    assert told.say == Say.NEWS and [each.version for each in told.batches] == [3, 4]
+    assert told.say == FollowOutcome.NEWS and [each.version for each in told.batches] == [3, 4]
     later = Source()
     publish(later, 20, ("tenant", "b", b"9"))
     publish(later, 30, ("tenant", "c", b"9"))
     restored = StateMachine({"distribution": copied(later)})
     voting.on_applied(restored)
     told = fed(voting, member, 20, later.window[0].batch.digest)
-    assert told.say == Say.NEWS and (told.version, told.digest) == (30, later.table.digest)
+    assert told.say == FollowOutcome.NEWS and (told.version, told.digest) == (30, later.table.digest)
     assert voting.feeder.table.find("tenant", "a") is None
 
 
 def one_change(value):
-    return Publish((Change("tenant", "a", value),))
+    return PublishCommand((Change("tenant", "a", value),))
 
 
 def test_a_leader_s_age_counts_from_before_it_asked_and_grows_while_nobody_answers():
@@ -318,25 +330,25 @@
 
 
 def test_a_follower_s_age_counts_from_the_last_word_whose_commit_it_has():
-    fresh, now = Fresh(), 10_000_000
+    fresh, now = CommitFreshness(), 10_000_000
     fresh.word(now, 5, 5)
     assert fresh.at is None  # the first words may be old ones
-    fresh.word(now + DOUBT, 5, 5)
-    assert fresh.at == now + DOUBT
-    fresh.word(now + DOUBT + 60_000, 8, 5)
-    fresh.word(now + DOUBT + 120_000, 9, 6)
+    fresh.word(now + IGNORE_AFTER_PAUSE_US, 5, 5)
+    assert fresh.at == now + IGNORE_AFTER_PAUSE_US
+    fresh.word(now + IGNORE_AFTER_PAUSE_US + 60_000, 8, 5)
+    fresh.word(now + IGNORE_AFTER_PAUSE_US + 120_000, 9, 6)
     fresh.applied(7)
-    assert fresh.at == now + DOUBT
+    assert fresh.at == now + IGNORE_AFTER_PAUSE_US
     fresh.applied(8)
-    assert fresh.at == now + DOUBT + 60_000
-    woken = now + DOUBT + 120_000 + SILENCE + 1
+    assert fresh.at == now + IGNORE_AFTER_PAUSE_US + 60_000
+    woken = now + IGNORE_AFTER_PAUSE_US + 120_000 + PAUSE_THRESHOLD_US + 1
     for buffered in range(40):  # words of the time when it was stopped
         fresh.word(woken + buffered, 8, 8)
-    assert fresh.at == now + DOUBT + 60_000
+    assert fresh.at == now + IGNORE_AFTER_PAUSE_US + 60_000
 
 
 def test_before_it_takes_part_and_after_its_end_a_voter_answers_nothing():
-    voting = Voting(Later(), "v1", "z1", None, Host)
+    voting = VoterPublisher(Later(), "v1", "z1", None, Host)
     voting.start(Seat())
     replies = []
     link = SimpleNamespace(reply=replies.append)
--- a/tests/config_distribution/test_status.py
+++ b/tests/config_distribution/test_status.py
@@ -7,9 +7,9 @@
 from twisted.internet.defer import succeed
 
 from lichencleat.cli import relays
-from lichencleat.config_distribution.feed import Feeder
+from lichencleat.config_distribution.feed import Publisher
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import FOLLOW, Change, Count, Follow
+from lichencleat.config_distribution.terms import FOLLOW, Change, Count, FollowRequest
 
 FILE = """quorum:
   group: config
@@ -23,11 +23,11 @@
     table = Table()
     for each in range(1, version + 1):
         table.apply(each, [Change("tenant", f"t{each}", b"")])
-    feeder = Feeder(name, "", table, 0)
+    feeder = Publisher(name, "", table, 0)
     feeder.known(0, 300_000)
     for who, (told, has) in enumerate(counts):
         feeder.joined(0, who)
-        feeder.asked(0, who, 1, FOLLOW, Follow(has, b"", told))
+        feeder.asked(0, who, 1, FOLLOW, FollowRequest(has, b"", told))
     return json.loads(json.dumps(feeder.in_force(0)))
 
 
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -9,12 +9,19 @@
 
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.errors import CorruptTableError
-from lichencleat.config_distribution.file import RelayChoice
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.relay import SWEEP, RelayProcess
-from lichencleat.config_distribution.subscriber import CALL, Subscriber
+from lichencleat.config_distribution.file import RelaySettings
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.relay import SWEEP_INTERVAL_S, RelayProcess
+from lichencleat.config_distribution.subscriber import CONNECT_TIMEOUT_S, Subscriber
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import FOLLOW, Batch, Change, Fed, Follow, Say
+from lichencleat.config_distribution.terms import (
+    FOLLOW,
+    Batch,
+    Change,
+    FollowAnswer,
+    FollowOutcome,
+    FollowRequest,
+)
 from lichencleat.transport.frames import FORMAT_VERSION, ClientRequest, ClientResponse, Greeting, encode_raw
 from lichencleat.transport.identity import Incarnation
 
@@ -72,7 +79,7 @@
 
     def relay(self, port, *tiers, mark=b"", table=None):
         sources = [[f"10.0.0.1:{each}" for each in tier] for tier in tiers]
-        chosen = RelayChoice("config", f"r{port}", f"10.0.0.1:{port}", sources, "north")
+        chosen = RelaySettings("config", f"r{port}", f"10.0.0.1:{port}", sources, "north")
         made = RelayProcess(self.net, chosen, self.log, random.Random(port), table or Table(), mark)
         self.parts.append(made)
         made.start()
@@ -92,7 +99,7 @@
     def node(self, *tiers, copy=None, seed=1):
         copy = copy or TableCopy()
         relays = tuple(tuple(f"10.0.0.1:{each}" for each in tier) for tier in tiers)
-        follower = Follower(relays, copy, random.Random(seed), 0, True, "north-a")
+        follower = RelayFollower(relays, copy, random.Random(seed), 0, True, "north-a")
         made = Subscriber(
             self.net, "config", "n1", follower, copy, random.Random(seed), self.log, on_taken=self.took
         )
@@ -213,7 +220,9 @@
 
 BATCH = Batch(3, 0, bytes(16), (Change("tenant", "acme", b"{}"),))
 NO_TEXT = msgspec.Raw(
-    bytes(encode_raw(Fed(Say.NEWS, 3, bytes(16), 0, (BATCH,)))).replace(b"acme", b"ac\xffe")
+    bytes(encode_raw(FollowAnswer(FollowOutcome.NEWS, 3, bytes(16), 0, (BATCH,)))).replace(
+        b"acme", b"ac\xffe"
+    )
 )
 
 
@@ -223,8 +232,8 @@
         (lambda number: msgspec.Raw(b"\xff"), "answers that can't be read"),
         (lambda number: encode_raw("no"), "answers that can't be read"),
         (lambda number: NO_TEXT, "answers that can't be read"),
-        (lambda number: encode_raw(Fed(9, 1, b"", 0)), "unfit answers"),
-        (lambda number: encode_raw(Fed(Say.NEWS, 1, b"", 0)), "unfit answers"),
+        (lambda number: encode_raw(FollowAnswer(9, 1, b"", 0)), "unfit answers"),
+        (lambda number: encode_raw(FollowAnswer(FollowOutcome.NEWS, 1, b"", 0)), "unfit answers"),
     ],
 )
 def test_an_answer_that_is_none_ends_that_link_counted_and_another_is_asked(place, wrong, counted):
@@ -248,7 +257,7 @@
     top = place.source(7902)
     place.publish(top, 3, "acme")
     node = place.node([7901], [7902])
-    assert place.net.run(CALL + 3, lambda: node.copy.version == 3)
+    assert place.net.run(CONNECT_TIMEOUT_S + 3, lambda: node.copy.version == 3)
 
 
 def test_spoilt_slices_are_not_taken_and_an_error_in_one_ends_nothing(place):
@@ -321,9 +330,9 @@
     relay = place.relay(7931, [1], mark=MARK)
     silent, greeted = caller(place, 7931), caller(place, 7931)
     greeted.greeting = Greeting(FORMAT_VERSION, b"", "config", 0, 0, Incarnation(0, 0), "n1")
-    place.net.run(SWEEP + 0.1)
+    place.net.run(SWEEP_INTERVAL_S + 0.1)
     assert not silent.transport.disconnecting
-    place.net.run(SWEEP)
+    place.net.run(SWEEP_INTERVAL_S)
     assert silent.transport.disconnecting and not greeted.transport.disconnecting
     assert relay.counters()["silent callers"] == 1
 
@@ -340,6 +349,6 @@
     relay = RelayProcess(place.net, chosen, place.log, random.Random(1), table, MARK, batches)
     assert len(relay.feeder.window) == 4
     relay.feeder.joined(0, 1)
-    relay.feeder.asked(0, 1, 1, FOLLOW, Follow(3, past.digest, ()))
+    relay.feeder.asked(0, 1, 1, FOLLOW, FollowRequest(3, past.digest, ()))
     told = relay.feeder.next_decision(0).content
     assert [each.version for each in told.batches] == [4, 5]
--- a/tests/config_distribution/test_table.py
+++ b/tests/config_distribution/test_table.py
@@ -19,7 +19,7 @@
     PAGE_COUNT,
     Batch,
     Change,
-    Digests,
+    SnapshotHead,
 )
 
 steady = settings(derandomize=True, deadline=None, database=None, max_examples=40)
@@ -351,7 +351,7 @@
         digests = list(pages.EMPTY_PAGE_DIGESTS)
         digests[number] = pages.page_digest(number, page)
         told = b"".join(each.to_bytes(16, "little") for each in digests)
-        head = Digests(5, pages.table_digest(sum(digests), 5), told, 0)
+        head = SnapshotHead(5, pages.table_digest(sum(digests), 5), told, 0)
         rebuild = Table().rebuild(head)
         assert rebuild.missing(9) == [number]
         assert not rebuild.put(number, zlib.compress(page))
@@ -366,11 +366,13 @@
     spoilt = bytearray(head.pages)
     spoilt[77] ^= 1
     for wrong in [
-        Digests(9, head.digest, bytes(spoilt), 0),
-        Digests(9, head.digest, head.pages[:-16], 0),
-        Digests(9, bytes(16), head.pages, 0),
-        Digests(head.version + (1 << 40), head.digest, head.pages, 0),  # a version beyond all that there are
-        Digests(9, head.digest, head.pages, 0),
+        SnapshotHead(9, head.digest, bytes(spoilt), 0),
+        SnapshotHead(9, head.digest, head.pages[:-16], 0),
+        SnapshotHead(9, bytes(16), head.pages, 0),
+        SnapshotHead(
+            head.version + (1 << 40), head.digest, head.pages, 0
+        ),  # a version beyond all that there are
+        SnapshotHead(9, head.digest, head.pages, 0),
     ]:
         with pytest.raises(CorruptTableError):
             table.rebuild(wrong)
--- a/tests/consensus/test_member_process.py
+++ b/tests/consensus/test_member_process.py
@@ -8,9 +8,9 @@
 from twisted.internet.testing import MemoryReactorClock
 from twisted.python.failure import Failure
 
-from lichencleat.config_distribution.source import Publish, Source
-from lichencleat.config_distribution.terms import Change, Follow, Say, decode_fed
-from lichencleat.config_distribution.voting import Voting
+from lichencleat.config_distribution.source import PublishCommand, Source
+from lichencleat.config_distribution.terms import Change, FollowOutcome, FollowRequest, decode_follow_answer
+from lichencleat.config_distribution.voting import VoterPublisher
 from lichencleat.consensus.extension import GuardedExtension
 from lichencleat.consensus.identity import Identity, load_identity
 from lichencleat.consensus.leader_proposals import LeaderProposer
@@ -84,7 +84,7 @@
     log = SimpleNamespace(
         info=lambda event, **more: said.append(event), warning=lambda event, **more: said.append(event)
     )
-    voting = Voting(reactor, "v1", "z1", log)
+    voting = VoterPublisher(reactor, "v1", "z1", log)
     identity = Identity(b"mark", "g", "v1", 5, 1)
     process = MemberProcess(
         reactor,
@@ -104,13 +104,15 @@
 
 
 def publish(process, reactor, link, name, number):
-    what = encode_command("distribution", Publish((Change("tenant", name, b"1"),)))
+    what = encode_command("distribution", PublishCommand((Change("tenant", name, b"1"),)))
     process.on_request(link, ClientRequest(number, "propose", encode_raw((0, 0, what))))
     run_on(reactor, 0.1)
 
 
 def follow(process, link, number, version=0, digest=b"", hold=0):
-    process.on_request(link, ClientRequest(number, "follow", encode_raw(Follow(version, digest, (), hold))))
+    process.on_request(
+        link, ClientRequest(number, "follow", encode_raw(FollowRequest(version, digest, (), hold)))
+    )
 
 
 def test_member_process_serves_subscribers_what_it_has_applied_with_its_age():
@@ -124,15 +126,15 @@
     assert client.replies[-1].done
     follow(process, link, 2, digest=Source().table.digest)
     run_on(reactor, 0.1)
-    first = decode_fed(link.replies[1].content)
-    assert first.say == Say.NEWS and [each.changes[0].name for each in first.batches] == ["a"]
+    first = decode_follow_answer(link.replies[1].content)
+    assert first.say == FollowOutcome.NEWS and [each.changes[0].name for each in first.batches] == ["a"]
     assert 0 <= first.age < 300_000
     follow(process, link, 3, first.version, first.digest, 1_000_000)
     run_on(reactor, 0.3)
     assert len(link.replies) == 2  # it waits for news
     publish(process, reactor, client, "b", 2)
     run_on(reactor, 0.1)
-    news = decode_fed(link.replies[2].content)
+    news = decode_follow_answer(link.replies[2].content)
     assert news.batches[0].past == first.version and news.batches[0].changes[0].name == "b"
     process.on_request(link, ClientRequest(4, "in force"))
     run_on(reactor, 0.1)
@@ -191,8 +193,8 @@
     run_on(reactor, 0.1)
     follow(again, link, 1, digest=Source().table.digest)
     run_on(reactor, 0.1)
-    fed = decode_fed(link.replies[0].content)
-    assert fed.say == Say.NEWS and [each.changes[0].name for each in fed.batches] == [
+    fed = decode_follow_answer(link.replies[0].content)
+    assert fed.say == FollowOutcome.NEWS and [each.changes[0].name for each in fed.batches] == [
         f"t{number}" for number in range(1, 6)
     ]
     again.end(0)
--- a/tests/consensus/test_undecodable.py
+++ b/tests/consensus/test_undecodable.py
@@ -4,7 +4,7 @@
 import pytest
 from twisted.internet.testing import StringTransport
 
-from lichencleat.config_distribution.source import Publish, Source
+from lichencleat.config_distribution.source import PublishCommand, Source
 from lichencleat.config_distribution.terms import Change
 from lichencleat.consensus.key_value import KeyValueState, SetCommand
 from lichencleat.consensus.messages import Entry, EntryType
@@ -26,7 +26,7 @@
     "shares": DefinePool("pool", 10, 1, 4),
     "revive": NodeReport("node", "zone", 1, True, 0, 1, True, True, 0.5),
     "zones": DefineZone("zone", "region", 1.0),
-    "distribution": Publish((Change("tenant", "acme", b"{}"),)),
+    "distribution": PublishCommand((Change("tenant", "acme", b"{}"),)),
 }
 
 
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -17,7 +17,7 @@
 from lichencleat.config_distribution import kept
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import Change, Digests, Pages
+from lichencleat.config_distribution.terms import Change, PagesAnswer, SnapshotHead
 from lichencleat.node.assembly import RealNode
 from lichencleat.node.config import read_told
 from lichencleat.node.host import Answer
@@ -115,14 +115,14 @@
     view = source.view()
     copy.begin(view.head(0))
     while wanted := copy.missing(8):
-        copy.put(Pages(9, tuple((n, view.packed(n)) for n in wanted)))
+        copy.put(PagesAnswer(9, tuple((n, view.packed(n)) for n in wanted)))
         assert not copy.step() or not copy.missing(1)
         assert seen() == [True, False, True] and not asking.ask(b"t7")
     while not copy.step():
         assert seen() == [True, False, True]
     copy.take()
     assert seen() == [False, False, True] and asking.ask(b"t7")
-    assert isinstance(view.head(0), Digests)
+    assert isinstance(view.head(0), SnapshotHead)
 
 
 def test_what_is_in_hand_of_a_tenant_that_goes_is_answered_to_it_and_to_nobody_else(
@@ -263,7 +263,7 @@
 @pytest.fixture
 def on_disk(monkeypatch):
     def on_disk(opened):
-        monkeypatch.setattr(kept, "open_kept", lambda *args, **more: opened)
+        monkeypatch.setattr(kept, "open_persisted_table", lambda *args, **more: opened)
         return make("somewhere")
 
     return on_disk
