--- a/benchmarks/distribution_table.py
+++ b/benchmarks/distribution_table.py
@@ -274,7 +274,7 @@
         yield kept.load()
         looking.start(LOOK)
         began = time.perf_counter()
-        kept.replaced(copy.table)
+        kept.on_snapshot_applied(copy.table)
         while kept.writing:
             yield until(kept)
         found["keep s"], found["keep bytes"] = time.perf_counter() - began, written(kept)
@@ -299,7 +299,7 @@
         rng, began, before = random.Random(2), time.perf_counter(), written(kept)
         own = time.process_time()
         for _ in range(changes):
-            kept.wrote(table, (batch_of(rng, table, 1, count),))
+            kept.on_batches_applied(table, (batch_of(rng, table, 1, count),))
             while kept.writing:
                 yield until(kept)
         found["change written ms"] = (time.perf_counter() - began) / changes / MS
@@ -311,7 +311,7 @@
 
     def until(kept: Any) -> Any:
         told: Deferred[None] = Deferred()
-        kept.told.append(told)
+        kept.write_waiters.append(told)
         return told
 
     def end(result: Any) -> None:
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -249,9 +249,9 @@
             if not found or not found.known:
                 return found
             changes.extend(found.changes)
-            if found.a == query.b:
+            if found.next_version == query.to_version:
                 return found
-            query = DiffQuery(found.a, query.b, found.skip)
+            query = DiffQuery(found.next_version, query.to_version, found.skip_changes)
 
     found = talk(ask, quorum)
     if not found:
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -78,15 +78,15 @@
     return {
         "version": max((each["version"] for each in answered.values()), default=0),
         "nodes": sum(each.nodes for each in counts),
-        "late": sum(each.late for each in counts),
+        "late": sum(each.late_nodes for each in counts),
         "zones": [
             {
                 "zone": each.zone,
                 "nodes": each.nodes,
-                "lowest": each.lowest,
-                "late": each.late,
-                "oldest_us": each.oldest if each.oldest < MAX_AGE_US else -1,
-                "by": each.by,
+                "lowest": each.lowest_version,
+                "late": each.late_nodes,
+                "oldest_us": each.max_age if each.max_age < MAX_AGE_US else -1,
+                "by": each.lowest_relay,
             }
             for each in counts
         ],
--- a/lichencleat/config_distribution/copy.py
+++ b/lichencleat/config_distribution/copy.py
@@ -60,12 +60,12 @@
         self.mark = mark
         self.staging: Staging | None = None
         self.rebuild: SnapshotStaging | None = None
-        self.going = False  # the snapshot is under way, not only kept for its pages
-        self.wrong: Exception | None = None  # the error in the snapshot's head
-        self.waiting: dict[
+        self.snapshot_active = False  # the snapshot is under way, not only kept for its pages
+        self.head_error: Exception | None = None  # the error in the snapshot's head
+        self.unchecked_pages: dict[
             int, bytes
         ] = {}  # number -> page by zlib that is not checked yet; at most a table's pages
-        self.spent: list[bytes] = []  # pages that a snapshot replaced; freed slice by slice
+        self.replaced_pages: list[bytes] = []  # pages that a snapshot replaced; freed slice by slice
 
     @property
     def version(self) -> int:
@@ -81,55 +81,57 @@
 
     def stage(self, batches: Sequence[Batch]) -> None:
         self.drop()
-        self.spend()
+        self.free_replaced_pages()
         self.staging = self.table.stage(batches)
 
     def begin(self, head: SnapshotHead) -> None:
-        self.staging, self.wrong, self.going = None, None, True
+        self.staging, self.head_error, self.snapshot_active = None, None, True
         try:
             if self.rebuild is None:
-                self.rebuild, self.waiting = self.table.rebuild(head), {}
+                self.rebuild, self.unchecked_pages = self.table.rebuild(head), {}
             else:
-                past, self.rebuild = self.rebuild, self.rebuild.onto(head)
+                past, self.rebuild = self.rebuild, self.rebuild.continue_with(head)
                 old, new = past.digests, self.rebuild.digests
-                self.waiting = {
+                self.unchecked_pages = {
                     number: data
-                    for number, data in self.waiting.items()
-                    if old[number] == new[number] and self.rebuild.wants(number)
+                    for number, data in self.unchecked_pages.items()
+                    if old[number] == new[number] and self.rebuild.is_wanted(number)
                 }
         except (CorruptTableError, ChainError) as wrong:
-            self.wrong = wrong
+            self.head_error = wrong
 
     def missing(self, most: int) -> list[int]:
-        if self.rebuild is None or not self.going or self.wrong is not None:
+        if self.rebuild is None or not self.snapshot_active or self.head_error is not None:
             return []
-        return [each for each in self.rebuild.missing(most + len(self.waiting)) if each not in self.waiting][
-            :most
-        ]
+        return [
+            each
+            for each in self.rebuild.missing(most + len(self.unchecked_pages))
+            if each not in self.unchecked_pages
+        ][:most]
 
     def put(self, pages: PagesAnswer) -> bool:
-        if self.rebuild is None or not self.going or pages.version != self.rebuild.version:
+        if self.rebuild is None or not self.snapshot_active or pages.version != self.rebuild.version:
             return False
-        if not all(self.rebuild.wants(number) for number, _ in pages.pages):
+        if not all(self.rebuild.is_wanted(number) for number, _ in pages.pages):
             return False
-        self.waiting.update(pages.pages)
+        self.unchecked_pages.update(pages.pages)
         return True
 
-    def spend(self) -> None:
+    def free_replaced_pages(self) -> None:
         """Frees one slice of the replaced pages."""
-        del self.spent[-PAGES_FREED_PER_SLICE:]
+        del self.replaced_pages[-PAGES_FREED_PER_SLICE:]
 
     def step(self) -> bool:
-        self.spend()
+        self.free_replaced_pages()
         if self.staging is not None:
             return self.staging.step()
-        if self.wrong is not None:
-            raise self.wrong
-        if self.rebuild is None or not self.going:
+        if self.head_error is not None:
+            raise self.head_error
+        if self.rebuild is None or not self.snapshot_active:
             return False
-        if not self.waiting:
+        if not self.unchecked_pages:
             return self.rebuild.step()
-        number, data = self.waiting.popitem()
+        number, data = self.unchecked_pages.popitem()
         if not self.rebuild.put(number, data):
             raise CorruptTableError(
                 f"page {number} of the snapshot of version {self.rebuild.version} is corrupt"
@@ -140,14 +142,19 @@
         if self.staging is not None:
             staging, self.staging = self.staging, None
             staging.take()
-            self.rebuild, self.waiting = None, {}  # pages of a snapshot that is not needed any more
+            self.rebuild, self.unchecked_pages = None, {}  # pages of a snapshot that is not needed any more
             return staging.batches
-        if self.rebuild is None or not self.going or self.waiting or self.wrong is not None:
+        if (
+            self.rebuild is None
+            or not self.snapshot_active
+            or self.unchecked_pages
+            or self.head_error is not None
+        ):
             raise ChainError("no update is staged")
         self.rebuild.take()
-        self.spent = self.rebuild.pages
-        self.rebuild, self.going = None, False
+        self.replaced_pages = self.rebuild.pages
+        self.rebuild, self.snapshot_active = None, False
         return ()
 
     def drop(self) -> None:
-        self.staging, self.wrong, self.going = None, None, False
+        self.staging, self.head_error, self.snapshot_active = None, None, False
--- a/lichencleat/config_distribution/counts.py
+++ b/lichencleat/config_distribution/counts.py
@@ -28,20 +28,23 @@
 class ZoneSum:
     """The accumulated counts of one zone."""
 
-    __slots__ = ("nodes", "lowest", "oldest", "late", "by")
+    __slots__ = ("nodes", "lowest_version", "max_age", "late_nodes", "lowest_relay")
 
     def __init__(self) -> None:
-        self.nodes = self.oldest = self.late = 0
-        self.lowest: int | None = None
-        self.by = ""
+        self.nodes = self.max_age = self.late_nodes = 0
+        self.lowest_version: int | None = None
+        self.lowest_relay = ""
 
     def add(self, count: Count) -> None:
         """Adds the count of one subscriber."""
         self.nodes += count.nodes
-        self.late += count.late
-        self.oldest = max(self.oldest, count.oldest)
-        if self.lowest is None or (count.lowest, count.by) < (self.lowest, self.by):
-            self.lowest, self.by = count.lowest, count.by
+        self.late_nodes += count.late_nodes
+        self.max_age = max(self.max_age, count.max_age)
+        if self.lowest_version is None or (count.lowest_version, count.lowest_relay) < (
+            self.lowest_version,
+            self.lowest_relay,
+        ):
+            self.lowest_version, self.lowest_relay = count.lowest_version, count.lowest_relay
 
 
 def merge_counts(counts: Iterable[Count], most: int = MAX_ZONES) -> tuple[Count, ...]:
@@ -58,7 +61,9 @@
             sums[zone] = ZoneSum()
         sums[zone].add(each)
     return tuple(
-        Count(zone, found.nodes, found.lowest or 0, found.oldest, found.late, found.by)
+        Count(
+            zone, found.nodes, found.lowest_version or 0, found.max_age, found.late_nodes, found.lowest_relay
+        )
         for zone, found in sorted(sums.items())
     )
 
@@ -74,11 +79,16 @@
     """
     for each in counts:
         nodes = min(MAX_NODES, max(0, each.nodes))
-        late = min(nodes, max(0, each.late))
-        if version < needed or (not each.by and each.lowest < needed):
+        late = min(nodes, max(0, each.late_nodes))
+        if version < needed or (not each.lowest_relay and each.lowest_version < needed):
             late = nodes
-        oldest = age_after(max(0, each.oldest), passed)
-        lowest = min(MAX_AGE_US, max(0, each.lowest))
+        oldest = age_after(max(0, each.max_age), passed)
+        lowest = min(MAX_AGE_US, max(0, each.lowest_version))
         yield Count(
-            each.zone[:MAX_NAME_CHARS], nodes, lowest, oldest, late, (each.by or relay)[:MAX_NAME_CHARS]
+            each.zone[:MAX_NAME_CHARS],
+            nodes,
+            lowest,
+            oldest,
+            late,
+            (each.lowest_relay or relay)[:MAX_NAME_CHARS],
         )
--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -6,7 +6,7 @@
 that is too far behind fetches a snapshot, a bounded number of them at a time, from views that are kept while
 they are in use.
 
-Answers refer to the version of the last `grew`; the table itself may be one turn of the host ahead.
+Answers refer to the version of the last `on_applied`; the table itself may be one turn of the host ahead.
 The age in an answer is the age at the time it was made. News may have been made at any time after the
 request; "nothing newer" is answered only when the hold is over. `follow.py` relies on both.
 """
@@ -127,22 +127,22 @@
     number: int
     what: str
     content: Any
-    asked: int  # µs
-    until: int  # µs: end of its hold
-    wake: int  # µs: the request is looked at then, even without news
-    queued: int = -1  # the `wake` that is in the heap
+    asked_at: int  # µs
+    hold_until: int  # µs: end of its hold
+    wake_at: int  # µs: the request is looked at then, even without news
+    queued_wake_at: int = -1  # the `wake_at` that is in the heap
 
 
 @dataclass(slots=True)
 class SubscriberState:
     """What is known of one subscriber."""
 
-    heard: int  # µs: its last request
+    last_request_at: int  # µs: its last request
     followed: bool = False
     version: int = 0
     counts: tuple[Count, ...] = ()
-    held: OpenRequest | None = None
-    fetches: int | None = None  # version of the view that it fetches
+    open_request: OpenRequest | None = None
+    fetched_version: int | None = None  # version of the view that it fetches
 
 
 @dataclass(slots=True)
@@ -150,8 +150,8 @@
     """A view that is kept for its fetchers."""
 
     view: View
-    opened: int  # µs
-    used: int  # µs: the last request for it
+    opened_at: int  # µs
+    used_at: int  # µs: the last request for it
     age: int  # age of its version when it was opened
 
 
@@ -168,37 +168,37 @@
         self.window = Window(table.version, table.digest)
         if recent and (recent[-1].version, recent[-1].digest) == (table.version, table.digest):
             self.window.restart(recent[0].version, recent[0].digest)
-            self.fills(recent[1:])
-        self.had = VersionHistory(now, table.version)
-        self.word: tuple[int, int] | None = None  # when the age was reported, and that age
+            self.add_to_window(recent[1:])
+        self.version_history = VersionHistory(now, table.version)
+        self.age_report: tuple[int, int] | None = None  # when the age was reported, and that age
         self.subscribers: dict[int, SubscriberState] = {}
-        self.out: deque[Decision] = deque()  # decisions made, at most one per request
+        self.decisions: deque[Decision] = deque()  # decisions made, at most one per request
         self.ready: deque[int] = deque()  # subscribers whose request is to be looked at
-        self.waits: list[tuple[int, int, int]] = []  # heap: wake time, who, number
+        self.wake_heap: list[tuple[int, int, int]] = []  # heap: wake time, who, number
         self.views: list[SharedView] = []  # oldest first
         self.fetchers: dict[int, None] = {}
         self.credit, self.credit_at = FETCH_BURST_BYTES, now  # bytes of snapshots that may be sent
         # outcome, version -> when the answer was made, answer
-        self.shared: dict[tuple[int, int], tuple[int, FollowAnswer]] = {}
-        self.look_at = now + FETCH_IDLE_US
+        self.shared_answers: dict[tuple[int, int], tuple[int, FollowAnswer]] = {}
+        self.next_cleanup_at = now + FETCH_IDLE_US
 
     def count(self, what: str) -> None:
         self.counters[what] = self.counters.get(what, 0) + 1
 
     # -- inputs --------------------------------------------------------------------------------
 
-    def grew(self, now: int, batches: tuple[Batch, ...]) -> None:
+    def on_applied(self, now: int, batches: tuple[Batch, ...]) -> None:
         """The table applied these batches; (): a snapshot replaced it, so the window is emptied."""
         if not batches:
             self.window.restart(self.table.version, self.table.digest)
         else:
-            self.fills(batches)
-        self.had.note(now, self.window.version)
+            self.add_to_window(batches)
+        self.version_history.record(now, self.window.version)
         self.views = [each for each in self.views if each.view.version in self.window.places]
-        self.shared.clear()
-        self.ready.extend(who for who, each in self.subscribers.items() if each.held is not None)
+        self.shared_answers.clear()
+        self.ready.extend(who for who, each in self.subscribers.items() if each.open_request is not None)
 
-    def fills(self, batches: Sequence[Batch]) -> None:
+    def add_to_window(self, batches: Sequence[Batch]) -> None:
         """Adds the batches to the window."""
         try:
             for each in batches:
@@ -207,16 +207,18 @@
             self.count("windows begun anew")
             self.window.restart(self.table.version, self.table.digest)
 
-    def known(self, now: int, age: int) -> None:
+    def set_age(self, now: int, age: int) -> None:
         """Sets the age: µs since the source was known to have nothing newer than the table."""
         if self.table.version == self.window.version:  # else the age is that of a version not served yet
-            self.word = (now, min(MAX_AGE_US, max(0, age)))
+            self.age_report = (now, min(MAX_AGE_US, max(0, age)))
 
     def age(self, now: int) -> int:
         """The current age; `MAX_AGE_US`, not 0, if the source was never heard from."""
-        return MAX_AGE_US if self.word is None else age_after(self.word[1], now - self.word[0])
+        return (
+            MAX_AGE_US if self.age_report is None else age_after(self.age_report[1], now - self.age_report[0])
+        )
 
-    def joined(self, now: int, who: int) -> bool:
+    def add_subscriber(self, now: int, who: int) -> bool:
         """Adds a subscriber. False: the relay has the maximum number of subscribers."""
         if who not in self.subscribers and len(self.subscribers) >= MAX_SUBSCRIBERS:
             self.count("turned away: full")
@@ -224,18 +226,18 @@
         self.subscribers[who] = SubscriberState(now)
         return True
 
-    def left(self, now: int, who: int) -> None:
+    def remove_subscriber(self, now: int, who: int) -> None:
         """Removes a subscriber whose link has ended."""
         self.subscribers.pop(who, None)
         self.fetchers.pop(who, None)
 
-    def asked(self, now: int, who: int, number: int, what: str, content: Any) -> None:
+    def on_request(self, now: int, who: int, number: int, what: str, content: Any) -> None:
         """A request with decoded content. An invalid one is declined."""
         if what == IN_FORCE:
-            self.out.append(Answer(who, number, self.in_force(now)))
+            self.decisions.append(Answer(who, number, self.in_force(now)))
             return
         if what == FIND and isinstance(content, RecordRequest):
-            self.out.append(self.found(who, number, content))
+            self.decisions.append(self.answer_find(who, number, content))
             return
         fits = {FOLLOW: FollowRequest, DIGESTS: type(None), PAGES_OF: PagesRequest}.get(what)
         if fits is None or not isinstance(content, fits):
@@ -245,94 +247,99 @@
         if sub is None:
             self.decline(who, number, "full")
             return
-        if sub.held is not None:
+        if sub.open_request is not None:
             self.decline(who, number, "unfit")
             return
-        sub.heard = until = now
+        sub.last_request_at = until = now
         if isinstance(content, FollowRequest):
             sub.followed, sub.version, sub.counts = True, content.version, content.counts[: MAX_ZONES + 1]
             self.stop_fetching(who, sub)
             until = now + min(max(0, content.hold), MAX_HOLD_US)
-        sub.held = OpenRequest(number, what, content, now, until, until)
+        sub.open_request = OpenRequest(number, what, content, now, until, until)
         self.ready.append(who)
 
     def decline(self, who: int, number: int, why: str) -> None:
         """Declines a request that was never open."""
         self.count(f"declined: {why}")
-        self.out.append(Decline(who, number, why))
+        self.decisions.append(Decline(who, number, why))
 
     # -- decisions -------------------------------------------------------------------------------------
 
     def next_decision(self, now: int) -> Decision | None:
         """The next decision for the host; None: nothing to do until `deadline` or the next input."""
-        if self.out:
-            return self.out.popleft()
-        if now >= self.look_at:
-            self.look(now)
-        while self.waits and self.waits[0][0] <= now:
-            self.ready.append(heapq.heappop(self.waits)[1])
+        if self.decisions:
+            return self.decisions.popleft()
+        if now >= self.next_cleanup_at:
+            self.drop_idle(now)
+        while self.wake_heap and self.wake_heap[0][0] <= now:
+            self.ready.append(heapq.heappop(self.wake_heap)[1])
         while self.ready:
             who = self.ready.popleft()
             sub = self.subscribers.get(who)
-            if sub is None or sub.held is None:
+            if sub is None or sub.open_request is None:
                 continue
-            made = self.decide(now, who, sub, sub.held)
+            made = self.decide(now, who, sub, sub.open_request)
             if made is not None:
-                sub.held = None
+                sub.open_request = None
                 return made
-            if sub.held.queued != sub.held.wake:
-                sub.held.queued = sub.held.wake
-                heapq.heappush(self.waits, (sub.held.wake, who, sub.held.number))
-            if len(self.waits) > 2 * len(self.subscribers) + 64:  # drops entries of requests answered since
-                self.waits = [each for each in self.waits if self.stands(each)]
-                heapq.heapify(self.waits)
-        return self.out.popleft() if self.out else None
-
-    def stands(self, wait: tuple[int, int, int]) -> bool:
+            if sub.open_request.queued_wake_at != sub.open_request.wake_at:
+                sub.open_request.queued_wake_at = sub.open_request.wake_at
+                heapq.heappush(self.wake_heap, (sub.open_request.wake_at, who, sub.open_request.number))
+            # drops entries of requests answered since
+            if len(self.wake_heap) > 2 * len(self.subscribers) + 64:
+                self.wake_heap = [each for each in self.wake_heap if self.is_current(each)]
+                heapq.heapify(self.wake_heap)
+        return self.decisions.popleft() if self.decisions else None
+
+    def is_current(self, wait: tuple[int, int, int]) -> bool:
         """Whether the heap entry still belongs to an open request."""
         sub = self.subscribers.get(wait[1])
-        return sub is not None and sub.held is not None and (sub.held.wake, sub.held.number) == wait[::2]
+        return (
+            sub is not None
+            and sub.open_request is not None
+            and (sub.open_request.wake_at, sub.open_request.number) == wait[::2]
+        )
 
     def deadline(self) -> int | None:
         """µs: when decisions have to be pulled again even without input; None: never."""
-        while self.waits and not self.stands(self.waits[0]):
-            heapq.heappop(self.waits)
-        moments = [self.waits[0][0]] if self.waits else []
+        while self.wake_heap and not self.is_current(self.wake_heap[0]):
+            heapq.heappop(self.wake_heap)
+        moments = [self.wake_heap[0][0]] if self.wake_heap else []
         if self.subscribers or self.views:
-            moments.append(self.look_at)
+            moments.append(self.next_cleanup_at)
         return min(moments, default=None)
 
     def decide(self, now: int, who: int, sub: SubscriberState, held: OpenRequest) -> Decision | None:
-        """The decision on an open request; None: it waits until `held.wake`."""
+        """The decision on an open request; None: it waits until `held.wake_at`."""
         if isinstance(held.content, FollowRequest):
-            fed = self.fed(now, held.content, held)
+            fed = self.answer_follow(now, held.content, held)
             return None if fed is None else Answer(who, held.number, fed)
         if isinstance(held.content, PagesRequest):
-            return self.piece(now, who, sub, held, held.content)
-        return self.head(now, who, sub, held)
+            return self.answer_pages(now, who, sub, held, held.content)
+        return self.answer_digests(now, who, sub, held)
 
     # -- news ------------------------------------------------------------------------------------------
 
-    def fed(self, now: int, has: FollowRequest, held: OpenRequest) -> FollowAnswer | None:
-        """The answer to a `follow`; None: it waits until `held.wake`."""
-        say, since = self.say(has), held.asked
+    def answer_follow(self, now: int, has: FollowRequest, held: OpenRequest) -> FollowAnswer | None:
+        """The answer to a `follow`; None: it waits until `held.wake_at`."""
+        say, since = self.choose_outcome(has), held.asked_at
         if say == FollowOutcome.SAME:
-            held.wake = since = held.until  # the subscriber counts the age from that moment
+            held.wake_at = since = held.hold_until  # the subscriber counts the age from that moment
         elif say == FollowOutcome.BEHIND:
-            held.wake = since = min(held.until, held.asked + BEHIND_HOLD_US)
+            held.wake_at = since = min(held.hold_until, held.asked_at + BEHIND_HOLD_US)
         if now < since:
             return None
-        made, fed = self.shared.get((say, has.version), (-1, None))
+        made, fed = self.shared_answers.get((say, has.version), (-1, None))
         if fed is None or made < since:
             batches = self.window.after(has.version) if say == FollowOutcome.NEWS else None
             fed = FollowAnswer(say, self.window.version, self.window.digest, self.age(now), batches or ())
-            if len(self.shared) >= MAX_SUBSCRIBERS:
-                self.shared.clear()
-            self.shared[say, has.version] = (now, fed)
+            if len(self.shared_answers) >= MAX_SUBSCRIBERS:
+                self.shared_answers.clear()
+            self.shared_answers[say, has.version] = (now, fed)
         self.count(f"said: {say.name}")
         return fed
 
-    def say(self, has: FollowRequest) -> FollowOutcome:
+    def choose_outcome(self, has: FollowRequest) -> FollowOutcome:
         """The outcome for a subscriber at that version; SAME also means "nothing yet"."""
         here = self.window.version
         if has.version > here:
@@ -350,58 +357,58 @@
 
     # -- snapshots -------------------------------------------------------------------------------------
 
-    def head(self, now: int, who: int, sub: SubscriberState, held: OpenRequest) -> Decision:
+    def answer_digests(self, now: int, who: int, sub: SubscriberState, held: OpenRequest) -> Decision:
         """The answer to a request for a snapshot's digests."""
         if not self.window.version:
-            return self.declined(who, held, "nothing here")
+            return self.decline_open(who, held, "nothing here")
         if who not in self.fetchers and len(self.fetchers) >= MAX_FETCHERS:
-            return self.declined(who, held, "busy")
+            return self.decline_open(who, held, "busy")
         kept = self.open_view(now)
         self.fetchers[who] = None
-        sub.fetches = kept.view.version
+        sub.fetched_version = kept.view.version
         self.count("snapshots begun")
-        return Answer(who, held.number, kept.view.head(age_after(kept.age, now - kept.opened)))
+        return Answer(who, held.number, kept.view.head(age_after(kept.age, now - kept.opened_at)))
 
-    def declined(self, who: int, held: OpenRequest, why: str) -> Decline:
+    def decline_open(self, who: int, held: OpenRequest, why: str) -> Decline:
         """Declines an open request."""
         self.count(f"declined: {why}")
         return Decline(who, held.number, why)
 
     def open_view(self, now: int) -> SharedView:
         """The newest view that the window still continues, else a new one in place of the least used."""
-        if self.views and now - self.views[-1].opened < VIEW_SHARED_US:
-            self.views[-1].used = now
+        if self.views and now - self.views[-1].opened_at < VIEW_SHARED_US:
+            self.views[-1].used_at = now
             return self.views[-1]
         if self.views and self.views[-1].view.version == self.table.version:
             self.views.pop()
         if len(self.views) >= MAX_VIEWS:
-            wanted = [each.fetches for each in self.subscribers.values()]
+            wanted = [each.fetched_version for each in self.subscribers.values()]
             self.views.remove(min(self.views, key=lambda each: wanted.count(each.view.version)))
             self.count("views given up")
         self.views.append(SharedView(self.table.view(), now, now, self.age(now)))
         return self.views[-1]
 
-    def piece(
+    def answer_pages(
         self, now: int, who: int, sub: SubscriberState, held: OpenRequest, wants: PagesRequest
     ) -> Decision | None:
         """The answer to a request for pages; None: it waits for the rate limit."""
         if not wants.numbers or not all(0 <= each < PAGE_COUNT for each in wants.numbers):
-            return self.declined(who, held, "unfit")
+            return self.decline_open(who, held, "unfit")
         kept = next((each for each in self.views if each.view.version == wants.version), None)
         if kept is None:
             self.stop_fetching(who, sub)
             return Answer(who, held.number, PagesAnswer(wants.version, ()))
         if who not in self.fetchers:
             if len(self.fetchers) >= MAX_FETCHERS:
-                return self.declined(who, held, "busy")
+                return self.decline_open(who, held, "busy")
             self.fetchers[who] = None
-            sub.fetches = wants.version
+            sub.fetched_version = wants.version
         self.credit = min(FETCH_BURST_BYTES, self.credit + FETCH_BYTES_PER_US * (now - self.credit_at))
         self.credit_at = now
         if self.credit < 0:
-            held.wake = now - self.credit // FETCH_BYTES_PER_US
+            held.wake_at = now - self.credit // FETCH_BYTES_PER_US
             return None
-        kept.used = now
+        kept.used_at = now
         pages, room = [], MAX_ANSWER_BYTES
         for number in wants.numbers[:MAX_PAGES_PER_ANSWER]:
             packed = kept.view.packed(number)
@@ -416,40 +423,42 @@
     def stop_fetching(self, who: int, sub: SubscriberState) -> None:
         """Frees the subscriber's snapshot slot."""
         self.fetchers.pop(who, None)
-        sub.fetches = None
+        sub.fetched_version = None
 
     # -- cleanup ---------------------------------------------------------------------------------
 
-    def look(self, now: int) -> None:
+    def drop_idle(self, now: int) -> None:
         """Frees slots, views and links that are no longer used."""
-        self.look_at = now + FETCH_IDLE_US // 2
+        self.next_cleanup_at = now + FETCH_IDLE_US // 2
         for who in list(self.fetchers):
             sub = self.subscribers[who]
-            if sub.held is None and now - sub.heard >= FETCH_IDLE_US:
+            if sub.open_request is None and now - sub.last_request_at >= FETCH_IDLE_US:
                 self.stop_fetching(who, sub)
                 self.count("turns taken back")
-        wanted = {each.fetches for each in self.subscribers.values()}
+        wanted = {each.fetched_version for each in self.subscribers.values()}
         self.views = [
-            each for each in self.views if each.view.version in wanted or now - each.used < VIEW_IDLE_US
+            each for each in self.views if each.view.version in wanted or now - each.used_at < VIEW_IDLE_US
         ]
         for who, sub in list(self.subscribers.items()):
-            if sub.followed and sub.held is None and now - sub.heard >= SUBSCRIBER_IDLE_US:
-                self.left(now, who)
+            if sub.followed and sub.open_request is None and now - sub.last_request_at >= SUBSCRIBER_IDLE_US:
+                self.remove_subscriber(now, who)
                 self.count("dropped: idle")
-                self.out.append(Drop(who))
+                self.decisions.append(Drop(who))
 
     # -- status ---------------------------------------------------------------------------
 
-    def below(self, now: int) -> Iterator[Count]:
+    def subscriber_counts(self, now: int) -> Iterator[Count]:
         """Counts of all subscribers that were heard from recently."""
-        needed = self.had.before(now - LATE_AFTER_US)
+        needed = self.version_history.version_at(now - LATE_AFTER_US)
         for sub in self.subscribers.values():
-            if sub.counts and (sub.held is not None or now - sub.heard < COUNT_EXPIRY_US):
-                yield from adjust_counts(sub.counts, self.name, sub.version, needed, now - sub.heard)
+            if sub.counts and (sub.open_request is not None or now - sub.last_request_at < COUNT_EXPIRY_US):
+                yield from adjust_counts(
+                    sub.counts, self.name, sub.version, needed, now - sub.last_request_at
+                )
 
     def counts(self, now: int) -> tuple[Count, ...]:
         """Counts of all nodes below, by zone."""
-        return merge_counts(self.below(now))
+        return merge_counts(self.subscriber_counts(now))
 
     def in_force(self, now: int) -> dict[str, Any]:
         """The content for `status`; ages in µs, -1 if the source was never heard from."""
@@ -468,22 +477,22 @@
                 {
                     "zone": each.zone,
                     "nodes": each.nodes,
-                    "lowest": each.lowest,
-                    "oldest_us": each.oldest if each.oldest < MAX_AGE_US else -1,
-                    "late": each.late,
-                    "by": each.by,
+                    "lowest": each.lowest_version,
+                    "oldest_us": each.max_age if each.max_age < MAX_AGE_US else -1,
+                    "late": each.late_nodes,
+                    "by": each.lowest_relay,
                 }
                 for each in self.counts(now)
             ],
             "counters": dict(sorted(self.counters.items())),
         }
 
-    def found(self, who: int, number: int, wants: RecordRequest) -> Decision:
+    def answer_find(self, who: int, number: int, wants: RecordRequest) -> Decision:
         """The answer with a record as it is now, or as it was at a version that the window covers."""
         value = self.table.find(wants.kind, wants.name)
-        if not wants.at or wants.at >= self.table.version:
+        if not wants.version or wants.version >= self.table.version:
             return Answer(who, number, value)
-        if wants.at not in self.window.places:
+        if wants.version not in self.window.places:
             return Decline(who, number, "not kept")
         named = [
             (batch.version, change.value)
@@ -491,7 +500,7 @@
             for change in batch.changes
             if (change.kind, change.name) == (wants.kind, wants.name)
         ]
-        before = [each for each in named if each[0] <= wants.at]
+        before = [each for each in named if each[0] <= wants.version]
         if len(before) == len(named):  # unchanged since
             return Answer(who, number, value)
         if before:
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -163,12 +163,12 @@
         if each.version != version or (not found and each.digest != digest):
             break
         found.append(each)
-        version = each.past
+        version = each.previous
     return found[::-1]
 
 
 class PersistedTable:
-    """Owns the store. `load` comes first; `wrote`, `replaced` and `mark` then say what is to be persisted."""
+    """Owns the store. `load` comes first; the host then reports changes by the `on_applied` methods."""
 
     def __init__(self, reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> None:
         self.reactor, self.store, self.group, self.tell = reactor, store, group, tell
@@ -182,13 +182,13 @@
         self.recent: deque[int] = deque()  # size in bytes of each batch on the disk
         self.next = 0  # number of the next batch
         self.pending: deque[bytes] = deque()  # encoded batches to be written
-        self.anew = False  # the batches on the disk don't lead to the table's version
-        self.fresh = False  # there are changes since the last write began
+        self.batches_invalid = False  # the batches on the disk don't lead to the table's version
+        self.has_changes = False  # there are changes since the last write began
         self.writing = False
         self.failing = False
         self.timer: Any = None
         self.closing: Deferred[None] | None = None
-        self.told: list[Deferred[None]] = []  # fired at the end of the write under way
+        self.write_waiters: list[Deferred[None]] = []  # fired at the end of the write under way
 
     # -- loading ---------------------------------------------------------------------------------------
 
@@ -202,7 +202,7 @@
         except (CorruptTableError, CorruptDataError, msgspec.DecodeError) as wrong:
             self.trouble = f"the stored version is corrupt and not used: {wrong}"
             self.tell(self.trouble)
-            self.digests, self.anew = [-1] * PAGE_COUNT, True
+            self.digests, self.batches_invalid = [-1] * PAGE_COUNT, True
             return Table(), b"", []
 
     def read(self) -> Any:
@@ -220,7 +220,7 @@
             raw = yield self.store.submit_read(self.read_pages, range(begin, begin + PAGES_PER_READ))
             for number, each in enumerate(raw, begin):
                 if number % PAGES_PER_CHECK == 0:
-                    yield self.turn()
+                    yield self.next_turn()
                 page, digest = unpack_page(number, each)
                 whole.append(page)
                 digests.append(digest)
@@ -246,7 +246,7 @@
         get = self.store.engine.get
         return [get(page_key(number, slot_of(self.slots, number))) for number in numbers]
 
-    def turn(self) -> Deferred[None]:
+    def next_turn(self) -> Deferred[None]:
         """Fires in a later turn of the reactor."""
         turn: Deferred[None] = Deferred()
         self.reactor.callLater(0, turn.callback, None)
@@ -254,27 +254,27 @@
 
     # -- changes ---------------------------------------------------------------------------
 
-    def wrote(self, table: Table, batches: Sequence[Batch]) -> None:
+    def on_batches_applied(self, table: Table, batches: Sequence[Batch]) -> None:
         """The table applied these batches."""
         self.table = table
         for each in batches:
             self.pending.append(encode(each))
-        self.shorten()
-        self.stir()
+        self.trim_pending()
+        self.schedule_write()
 
-    def replaced(self, table: Table) -> None:
+    def on_snapshot_applied(self, table: Table) -> None:
         """The table applied a snapshot."""
-        self.table, self.anew = table, True
+        self.table, self.batches_invalid = table, True
         self.pending.clear()
-        self.stir()
+        self.schedule_write()
 
-    def mark(self, mark: bytes) -> None:
+    def set_group_mark(self, mark: bytes) -> None:
         """Sets the group's mark."""
         if mark != self.group_mark:
             self.group_mark = mark
-            self.stir()
+            self.schedule_write()
 
-    def shorten(self) -> None:
+    def trim_pending(self) -> None:
         """Drops the oldest batches above the bounds."""
         size = sum(map(len, self.pending))
         while self.pending and (len(self.pending) > MAX_RECENT_BATCHES or size > MAX_RECENT_BYTES):
@@ -282,29 +282,29 @@
 
     # -- writing ---------------------------------------------------------------------------------------
 
-    def stir(self) -> None:
+    def schedule_write(self) -> None:
         """Starts a write, unless one is under way, due or impossible."""
-        self.fresh = True
+        self.has_changes = True
         if not self.writing and self.timer is None and self.closing is None:
             self.write()
 
     def write(self) -> Deferred[None]:
         """Writes all changes; fires when it has ended, also after a failure."""
-        self.fresh, self.writing = False, True
-        pending, anew = list(self.pending), self.anew
+        self.has_changes, self.writing = False, True
+        pending, anew = list(self.pending), self.batches_invalid
         self.pending.clear()
-        self.anew = False
+        self.batches_invalid = False
 
         def failed(why: Failure) -> None:
-            if not self.anew:  # no snapshot was applied meanwhile
+            if not self.batches_invalid:  # no snapshot was applied meanwhile
                 self.pending.extendleft(reversed(pending))
-                self.shorten()
-            self.anew = self.anew or anew
-            self.failed(why)
+                self.trim_pending()
+            self.batches_invalid = self.batches_invalid or anew
+            self.on_write_failed(why)
 
-        return self.write_all(pending, anew).addCallbacks(self.written, failed)
+        return self.write_all(pending, anew).addCallbacks(self.on_written, failed)
 
-    def written(self, _: Any) -> None:
+    def on_written(self, _: Any) -> None:
         """Ends a successful write and starts the next one if there are changes."""
         self.writing = False
         if self.table is not None:
@@ -312,19 +312,19 @@
         if self.failing:
             self.failing = False
             self.tell("the disk works again")
-        if self.fresh and self.closing is None:
+        if self.has_changes and self.closing is None:
             self.write()
-        self.tell_all()
+        self.fire_write_waiters()
 
-    def tell_all(self) -> None:
+    def fire_write_waiters(self) -> None:
         """Fires what waits for the end of the write."""
-        told, self.told = self.told, []
+        told, self.write_waiters = self.write_waiters, []
         for each in told:
             each.callback(None)
 
-    def failed(self, why: Failure) -> None:
+    def on_write_failed(self, why: Failure) -> None:
         """Reports the failure once and schedules a retry."""
-        self.writing, self.fresh = False, True
+        self.writing, self.has_changes = False, True
         self.counts["writes failed"] += 1
         said = why.getErrorMessage() if why.check(StoreError) else f"{why.type.__name__}: {why.value}"
         self.trouble = f"the version in force is not kept on the disk: {said}"
@@ -332,10 +332,10 @@
             self.tell(self.trouble)
         self.failing = True
         if self.closing is None:
-            self.timer = self.reactor.callLater(RETRY_DELAY_S, self.tries_again)
-        self.tell_all()
+            self.timer = self.reactor.callLater(RETRY_DELAY_S, self.retry)
+        self.fire_write_waiters()
 
-    def tries_again(self) -> None:
+    def retry(self) -> None:
         self.timer = None
         self.write()
 
@@ -353,16 +353,16 @@
                 batch.put(page_key(number, slot_of(planned.slots, number)), data)
             if planned.beside:
                 yield self.commit(batch)
-        recent = self.log(last, pending, anew)
-        last.put(HEAD_KEY, self.head(view, planned.slots, self.next + len(pending), len(recent)))
+        recent = self.add_batches(last, pending, anew)
+        last.put(HEAD_KEY, self.encode_head(view, planned.slots, self.next + len(pending), len(recent)))
         yield self.commit(last)
         self.version, self.digests, self.slots = view.version, view.page_digests, planned.slots
         self.next, self.recent = self.next + len(pending), recent
         self.counts["pages written"] += sum(map(len, planned.pieces))
         if planned.beside:
-            yield from self.sweep(planned.pieces, past)
+            yield from self.delete_replaced_pages(planned.pieces, past)
 
-    def head(self, view: View, slots: bytes, number: int, batches: int) -> bytes:
+    def encode_head(self, view: View, slots: bytes, number: int, batches: int) -> bytes:
         """The encoded head. `number`: of the next batch; `batches`: how many are stored before it."""
         return encode(
             StoredHead(
@@ -377,7 +377,7 @@
             )
         )
 
-    def sweep(self, numbers: Sequence[Sequence[int]], slots: bytes) -> Any:
+    def delete_replaced_pages(self, numbers: Sequence[Sequence[int]], slots: bytes) -> Any:
         """Deletes the replaced pages. After a failure a later snapshot overwrites them."""
         for piece in numbers:
             batch = stored.Batch()
@@ -388,7 +388,7 @@
             except StoreError:
                 return
 
-    def log(self, batch: stored.Batch, pending: list[bytes], anew: bool) -> deque[int]:
+    def add_batches(self, batch: stored.Batch, pending: list[bytes], anew: bool) -> deque[int]:
         """Adds new batches to the write and deletes old ones; returns the stored batches' sizes."""
         recent = self.recent.copy()
         size = sum(recent)
@@ -419,18 +419,18 @@
             if self.timer is not None:
                 self.timer.cancel()
                 self.timer = None
-            self.end()
+            self.shut_down()
         told: Deferred[None] = Deferred()
         self.closing.addBoth(lambda result: told.callback(None) or result)
         return told
 
     @inlineCallbacks
-    def end(self) -> Any:
+    def shut_down(self) -> Any:
         if self.writing:
             under_way: Deferred[None] = Deferred()
-            self.told.append(under_way)
+            self.write_waiters.append(under_way)
             yield under_way
-        if self.fresh and not self.failing:
+        if self.has_changes and not self.failing:
             yield self.write()
         yield self.store.close()
         self.closing.callback(None)
@@ -466,7 +466,9 @@
     kept = PersistedTable(reactor, store, group, tell)
     try:
         if not (yield store.submit_read(check_owner, store, group)):
-            yield kept.commit(stored.Batch().put(HEAD_KEY, kept.head(Table().view(), kept.slots, 0, 0)))
+            yield kept.commit(
+                stored.Batch().put(HEAD_KEY, kept.encode_head(Table().view(), kept.slots, 0, 0))
+            )
     except BaseException:
         yield store.close()
         raise
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -53,12 +53,18 @@
                 # the real disk is opened by the store's own thread, as that may block
                 disk = None if chosen.disk == "real" else open_disk(chosen.disk, chosen.directory)
                 kept = yield open_persisted_table(
-                    self.reactor, chosen.directory, unix_time, self.rng, disk, chosen.group, self.disk_says
+                    self.reactor,
+                    chosen.directory,
+                    unix_time,
+                    self.rng,
+                    disk,
+                    chosen.group,
+                    self.log_disk_state,
                 )
                 table, mark, recent = yield kept.load()
             # the relay works without the disk: it fetches what it lacks
             except (StoreError, OSError) as wrong:
-                self.disk_says(f"{wrong}; the relay runs without it")
+                self.log_disk_state(f"{wrong}; the relay runs without it")
                 if kept is not None:
                     kept.close()
                 kept = None
@@ -76,7 +82,7 @@
         self.log.info("started", listen=chosen.listen, version=table.version, records=table.records)
         self.relay.start()
 
-    def disk_says(self, what: str) -> None:
+    def log_disk_state(self, what: str) -> None:
         """Logs a change of the disk's state."""
         self.log.warning("disk", says=what)
 
--- a/lichencleat/config_distribution/rebuild.py
+++ b/lichencleat/config_distribution/rebuild.py
@@ -71,11 +71,11 @@
             self.pages, self.records, self.bytes = list(table.pages), table.records, table.bytes
             # per page: 1 if it is still to be fetched
             self.wanted = bytearray(map(ne, self.digests, table.page_digests))
-            self.new = bytearray(PAGE_COUNT)  # per page: 1 if it was fetched
+            self.fetched = bytearray(PAGE_COUNT)  # per page: 1 if it was fetched
         else:
             self.pages, self.records, self.bytes = list(past.pages), past.records, past.bytes
-            self.wanted, self.new = past.wanted.copy(), past.new.copy()
-            self.set_right(past.digests)
+            self.wanted, self.fetched = past.wanted.copy(), past.fetched.copy()
+            self.reset_changed_pages(past.digests)
 
     def missing(self, most: int) -> list[int]:
         """Numbers of at most `most` pages still to be fetched."""
@@ -86,13 +86,13 @@
             at = self.wanted.find(1, at + 1)
         return found
 
-    def wants(self, number: int) -> bool:
+    def is_wanted(self, number: int) -> bool:
         """Whether the page is still to be fetched."""
         return 0 <= number < PAGE_COUNT and self.wanted[number] == 1
 
     def put(self, number: int, packed: bytes) -> bool:
         """Adds a page by zlib, some 150 µs; False if it is corrupt. A page not wanted is ignored."""
-        if not self.wants(number):
+        if not self.is_wanted(number):
             return True
         try:
             page = pages.inflate_page(packed)
@@ -109,22 +109,22 @@
         self.records += pages.record_count(page) - pages.record_count(old)
         self.bytes += len(page) - len(old)
         self.pages[number] = page
-        self.new[number], self.wanted[number] = 1, 0
+        self.fetched[number], self.wanted[number] = 1, 0
 
-    def set_right(self, past: list[int]) -> None:
+    def reset_changed_pages(self, past: list[int]) -> None:
         """Resets pages whose digest differs in the snapshot before this one."""
         for number in find_differing_pages(self.digests, past):
-            if self.new[number]:
-                self.back(number)
+            if self.fetched[number]:
+                self.restore_page(number)
             self.wanted[number] = self.digests[number] != self.table.page_digests[number]
 
-    def back(self, number: int) -> None:
+    def restore_page(self, number: int) -> None:
         """Restores the table's own page."""
         page, own = self.pages[number], self.table.pages[number]
         self.records += pages.record_count(own) - pages.record_count(page)
         self.bytes += len(own) - len(page)
         self.pages[number] = own
-        self.new[number] = 0
+        self.fetched[number] = 0
 
     def step(self) -> bool:
         """True once all pages are there. Raises CorruptTableError if they exceed the table's bounds."""
@@ -150,7 +150,7 @@
         table.page_digests, table.total = self.digests, self.total
         table.records, table.bytes, table.version = self.records, self.bytes, self.version
 
-    def onto(self, head: SnapshotHead) -> SnapshotStaging:
+    def continue_with(self, head: SnapshotHead) -> SnapshotStaging:
         """Continues with another snapshot: fetched pages stay if their digest matches.
 
         Raises as the constructor does, and then this one is unchanged, as it is if the table has changed.
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -65,8 +65,8 @@
         self.counted_at = 0
         self.stopped = False
         now = self.now()
-        self.feeder = Publisher(chosen.name, chosen.zone, table, now, recent)
-        self.serving = PublisherHost(reactor, self.feeder, self.now, log, self.also)
+        self.publisher = Publisher(chosen.name, chosen.zone, table, now, recent)
+        self.serving = PublisherHost(reactor, self.publisher, self.now, log, self.status_fields)
         tiers = tuple(map(tuple, chosen.sources))
         self.follower = RelayFollower(tiers, self.copy, rng, now, False, chosen.zone)
         self.subscriber = Subscriber(
@@ -78,12 +78,12 @@
             rng,
             log,
             self.now,
-            self.taken,
-            self.heard,
-            self.before,
+            self.on_applied,
+            self.on_answer,
+            self.update_counts,
         )
-        self.door = Listener(reactor, self, *parse_address(chosen.listen))
-        self.sweeping = reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
+        self.listener = Listener(reactor, self, *parse_address(chosen.listen))
+        self.sweeping = reactor.callLater(SWEEP_INTERVAL_S, self.close_silent_links)
 
     def now(self) -> int:
         """µs on the monotonic clock."""
@@ -101,44 +101,44 @@
         self.sweeping.cancel()
         self.subscriber.stop()
         self.serving.close()
-        self.door.close()
+        self.listener.close()
         return self.kept.close() if self.kept is not None else succeed(None)
 
     # -- events from above -----------------------------------------------------------------------------------
 
-    def before(self) -> None:
+    def update_counts(self) -> None:
         """Updates the counts of what is below, before a request is sent above."""
         now = self.now()
         if now - self.counted_at >= COUNT_INTERVAL_US:
             self.counted_at = now
-            self.follower.below = self.feeder.counts(now)
+            self.follower.counts_below = self.publisher.counts(now)
 
-    def heard(self) -> None:
+    def on_answer(self) -> None:
         """An answer from above changed the age, or told the group's mark."""
         now = self.now()
-        self.feeder.known(now, self.follower.age(now))
-        self.learns()
+        self.publisher.set_age(now, self.follower.age(now))
+        self.adopt_group_mark()
 
-    def taken(self, batches: tuple[Batch, ...]) -> None:
+    def on_applied(self, batches: tuple[Batch, ...]) -> None:
         """The table applied these batches; (): a snapshot."""
         now = self.now()
-        self.learns()
-        self.feeder.grew(now, batches)
-        self.feeder.known(now, self.follower.age(now))
+        self.adopt_group_mark()
+        self.publisher.on_applied(now, batches)
+        self.publisher.set_age(now, self.follower.age(now))
         if self.kept is not None:
             if batches:
-                self.kept.wrote(self.table, batches)
+                self.kept.on_batches_applied(self.table, batches)
             else:
-                self.kept.replaced(self.table)
+                self.kept.on_snapshot_applied(self.table)
         self.log.info(
             "applied batches" if batches else "applied a snapshot",
             version=self.table.version,
             batches=len(batches),
             records=self.table.records,
         )
-        self.serving.stir()
+        self.serving.schedule_pull()
 
-    def learns(self) -> None:
+    def adopt_group_mark(self) -> None:
         """Adopts the group's mark: that of its table, or before that of the relay above.
 
         Links accepted without a mark get a second greeting, so that nobody has to reconnect at a first start;
@@ -147,18 +147,18 @@
         if self.copy.mark != self.kept_mark:
             self.kept_mark = self.copy.mark
             if self.kept is not None:
-                self.kept.mark(self.kept_mark)
+                self.kept.set_group_mark(self.kept_mark)
         past, self.mark = self.mark, self.copy.mark or self.follower.mark or self.mark
         if past == self.mark:
             return
         self.log.info("joined the group", mark=self.mark.hex())
-        for link in [each for each in self.door.connections if each.is_accepted]:
+        for link in [each for each in self.listener.connections if each.is_accepted]:
             if past:
                 link.transport.loseConnection()
             else:
-                link.send(self.word(GreetingResult.ACCEPTED))
+                link.send(self.greeting_response(GreetingResult.ACCEPTED))
 
-    def word(self, welcome: GreetingResult) -> GreetingResponse:
+    def greeting_response(self, welcome: GreetingResult) -> GreetingResponse:
         """The response to a greeting."""
         return GreetingResponse(welcome, self.mark, 0, self.chosen.name, Incarnation(0, 0))
 
@@ -174,7 +174,7 @@
         if greeting.cluster_id and self.mark and greeting.cluster_id != self.mark:
             mine = False
         link.is_accepted = mine
-        link.send(self.word(GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER))
+        link.send(self.greeting_response(GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER))
         if not mine:
             self.count("turned away")
             self.log.warning(
@@ -184,8 +184,8 @@
 
     def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
         """Passes requests for the distribution on and declines others."""
-        if self.serving.wants(request.operation):
-            self.serving.asked(link, request)
+        if self.serving.handles(request.operation):
+            self.serving.on_request(link, request)
         else:
             self.count("questions of another kind")
             link.reply(ClientResponse(request.number, False, encode_raw("unfit")))
@@ -193,7 +193,7 @@
     def on_disconnected(self, link: InboundConnection, member_id: int) -> None:
         """Forgets the link."""
         self.silent.discard(link)
-        self.serving.hung_up(link)
+        self.serving.on_disconnected(link)
 
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -202,22 +202,22 @@
         """Counts a frame that no relay expects."""
         self.count("frames out of place")
 
-    def sweep(self) -> None:
+    def close_silent_links(self) -> None:
         """Closes links without a greeting since the last check, as the listener's places are few."""
         for link in self.silent:
             self.count("silent callers")
             link.transport.abortConnection()
-        self.silent = {each for each in self.door.connections if each.greeting is None}
-        self.sweeping = self.reactor.callLater(SWEEP_INTERVAL_S, self.sweep)
+        self.silent = {each for each in self.listener.connections if each.greeting is None}
+        self.sweeping = self.reactor.callLater(SWEEP_INTERVAL_S, self.close_silent_links)
 
     def counters(self) -> dict[str, int]:
         """All counters of this process: of its listener, of the answers below and of the requests above."""
         told = dict(self.counts)
-        for part in (self.feeder.counters, self.serving.counts, self.subscriber.counters()):
+        for part in (self.publisher.counters, self.serving.counts, self.subscriber.counters()):
             for what, number in part.items():
                 told[what] = told.get(what, 0) + number
         return told
 
-    def also(self) -> dict[str, Any]:
+    def status_fields(self) -> dict[str, Any]:
         """What `status` shows beside the publisher's state."""
         return {"above": self.follower.relay or "", "counters": dict(sorted(self.counters().items()))}
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -60,12 +60,12 @@
 class LinkState:
     """A link that has sent a request."""
 
-    __slots__ = ("link", "number", "joined", "unread_since")
+    __slots__ = ("link", "open_request", "is_subscriber", "unread_since")
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.number: int | None = None  # of its open request
-        self.joined = False  # the feeder counts it among its subscribers
+        self.open_request: int | None = None  # of its open request
+        self.is_subscriber = False  # the publisher counts it among its subscribers
         self.unread_since: int | None = None  # µs: an answer has waited to be written since then
 
 
@@ -75,7 +75,7 @@
     def __init__(
         self,
         reactor: Any,
-        feeder: Publisher,
+        publisher: Publisher,
         now: Callable[[], int],
         log: EventLogger,
         also: Callable[[], dict[str, Any]] = dict,
@@ -84,14 +84,14 @@
         """`now`: µs on the monotonic clock; `also`: further content for `status`; `turn`: answers in one
         turn.
         """
-        self.reactor, self.feeder, self.now, self.log = reactor, feeder, now, log
-        self.also, self.turn = also, turn
-        self.askers: dict[int, LinkState] = {}
+        self.reactor, self.publisher, self.now, self.log = reactor, publisher, now, log
+        self.status_fields, self.answers_per_turn = also, turn
+        self.links: dict[int, LinkState] = {}
         self.numbers: dict[Link, int] = {}
         self.last = 0  # the last number given to a link
-        self.stirred = self.closed = False
-        self.timer: Any = None  # for the feeder's deadline
-        self.looking: Any = None  # while an answer waits to be written
+        self.pull_scheduled = self.closed = False
+        self.timer: Any = None  # for the publisher's deadline
+        self.unread_timer: Any = None  # while an answer waits to be written
         self.counts: dict[str, int] = {}
         # id of a content -> content, encoded; of this pull
         self.encoded: dict[int, tuple[Any, msgspec.Raw]] = {}
@@ -101,11 +101,11 @@
 
     # -- events --------------------------------------------------------------------------------
 
-    def wants(self, what: str) -> bool:
+    def handles(self, what: str) -> bool:
         """Whether the operation belongs to the distribution."""
         return what in OPERATIONS
 
-    def asked(self, link: Link, request: ClientRequest) -> None:
+    def on_request(self, link: Link, request: ClientRequest) -> None:
         """A request from a link."""
         if self.closed:
             return
@@ -113,14 +113,14 @@
         if who is None:
             self.last += 1
             who = self.numbers[link] = self.last
-            self.askers[who] = LinkState(link)
-        asker = self.askers[who]
-        if asker.number is not None or link.unsent_bytes():
+            self.links[who] = LinkState(link)
+        asker = self.links[who]
+        if asker.open_request is not None or link.unsent_bytes():
             # its last answer is open or unread: at most one answer may wait for a subscriber
             self.count("asked again before the answer")
             link.transport.abortConnection()
             return
-        asker.number, asker.unread_since = request.number, None
+        asker.open_request, asker.unread_since = request.number, None
         try:
             decode = REQUEST_DECODERS.get(request.operation)
             content = decode(request.content) if decode is not None else None
@@ -128,52 +128,52 @@
             self.count("questions that can't be read")
             self.answer(asker, False, encode_raw("unfit"))
             return
-        if request.operation in SUBSCRIBER_OPERATIONS and not asker.joined:
-            asker.joined = self.feeder.joined(self.now(), who)
-            if not asker.joined:
+        if request.operation in SUBSCRIBER_OPERATIONS and not asker.is_subscriber:
+            asker.is_subscriber = self.publisher.add_subscriber(self.now(), who)
+            if not asker.is_subscriber:
                 self.answer(asker, False, encode_raw("full"))
                 return
-        self.feeder.asked(self.now(), who, request.number, request.operation, content)
-        self.stir()
+        self.publisher.on_request(self.now(), who, request.number, request.operation, content)
+        self.schedule_pull()
 
-    def hung_up(self, link: Link) -> None:
+    def on_disconnected(self, link: Link) -> None:
         """The link has ended."""
         who = self.numbers.pop(link, None)
         if who is None:
             return
-        asker = self.askers.pop(who)
+        asker = self.links.pop(who)
         if not self.closed:
-            self.feeder.left(self.now(), who)
-            if asker.joined:
-                self.stir()
-
-    def stir(self) -> None:
-        """Has decisions pulled in the next turn, once, after new input to the feeder."""
-        if not self.stirred and not self.closed:
-            self.stirred = True
+            self.publisher.remove_subscriber(self.now(), who)
+            if asker.is_subscriber:
+                self.schedule_pull()
+
+    def schedule_pull(self) -> None:
+        """Has decisions pulled in the next turn, once, after new input to the publisher."""
+        if not self.pull_scheduled and not self.closed:
+            self.pull_scheduled = True
             self.reactor.callLater(0, self.pull)
 
     # -- decisions -------------------------------------------------------------------------------------
 
     def pull(self) -> None:
-        """Pulls the feeder's decisions and writes the answers."""
-        self.stirred = False
+        """Pulls the publisher's decisions and writes the answers."""
+        self.pull_scheduled = False
         if self.closed:
             return
         self.encoded.clear()
-        left = self.turn
+        left = self.answers_per_turn
         try:
-            while left and (decision := self.feeder.next_decision(self.now())) is not None:
+            while left and (decision := self.publisher.next_decision(self.now())) is not None:
                 left -= 1
-                asker = self.askers.get(decision.who)
+                asker = self.links.get(decision.who)
                 if isinstance(decision, Drop):
                     if asker is not None:
                         asker.link.transport.abortConnection()
-                elif asker is None or asker.number != decision.number:
+                elif asker is None or asker.open_request != decision.number:
                     continue  # the link has ended or its request was answered meanwhile
                 elif isinstance(decision, Answer):
                     content = decision.content
-                    told = {**content, **self.also()} if isinstance(content, dict) else content
+                    told = {**content, **self.status_fields()} if isinstance(content, dict) else content
                     self.answer(asker, True, self.encode_once(told))
                 else:
                     self.answer(asker, False, encode_raw(decision.why))
@@ -184,8 +184,8 @@
             )
         self.encoded.clear()
         if not left:
-            self.stir()
-        self.arm()
+            self.schedule_pull()
+        self.set_timer()
 
     def encode_once(self, content: Any) -> msgspec.Raw:
         """The encoded content, from the same pull if it was encoded before."""
@@ -197,19 +197,21 @@
 
     def answer(self, asker: LinkState, done: bool, content: msgspec.Raw) -> None:
         """Writes the answer to the link's open request."""
-        number, asker.number = asker.number, None
+        number, asker.open_request = asker.open_request, None
         assert number is not None
         asker.link.reply(ClientResponse(number, done, content))
         if asker.link.unsent_bytes() and asker.unread_since is None:
             asker.unread_since = self.now()
-            if self.looking is None:
-                self.looking = self.reactor.callLater(UNREAD_CHECK_INTERVAL_US / SECOND, self.look)
+            if self.unread_timer is None:
+                self.unread_timer = self.reactor.callLater(
+                    UNREAD_CHECK_INTERVAL_US / SECOND, self.check_unread
+                )
 
-    def look(self) -> None:
+    def check_unread(self) -> None:
         """Drops subscribers that don't read, as their answers occupy this process's memory."""
-        self.looking = None
+        self.unread_timer = None
         now, some = self.now(), False
-        for asker in list(self.askers.values()):
+        for asker in list(self.links.values()):
             if asker.unread_since is None:
                 continue
             if not asker.link.unsent_bytes():
@@ -221,27 +223,27 @@
             else:
                 some = True
         if some:
-            self.looking = self.reactor.callLater(UNREAD_CHECK_INTERVAL_US / SECOND, self.look)
+            self.unread_timer = self.reactor.callLater(UNREAD_CHECK_INTERVAL_US / SECOND, self.check_unread)
 
-    def arm(self) -> None:
-        """Sets the timer for the feeder's deadline."""
+    def set_timer(self) -> None:
+        """Sets the timer for the publisher's deadline."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        deadline = self.feeder.deadline()
+        deadline = self.publisher.deadline()
         self.timer = None
-        if deadline is not None and not self.stirred:
-            self.timer = self.reactor.callLater(max(0, deadline - self.now()) / SECOND, self.wake)
+        if deadline is not None and not self.pull_scheduled:
+            self.timer = self.reactor.callLater(max(0, deadline - self.now()) / SECOND, self.on_timer)
 
-    def wake(self) -> None:
+    def on_timer(self) -> None:
         self.timer = None
         self.pull()
 
     def close(self) -> None:
         """Stops answering; the links belong to the listener."""
         self.closed = True
-        for timer in (self.timer, self.looking):
+        for timer in (self.timer, self.unread_timer):
             if timer is not None and timer.active():
                 timer.cancel()
-        self.timer = self.looking = None
-        self.askers.clear()
+        self.timer = self.unread_timer = None
+        self.links.clear()
         self.numbers.clear()
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -65,7 +65,7 @@
 
     kind: str
     name: str
-    at: int = 0  # the version; 0: the one in force
+    version: int = 0  # the version; 0: the one in force
 
 
 class FindResult(msgspec.Struct, frozen=True, array_like=True):
@@ -80,9 +80,9 @@
 class DiffQuery(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="diff"):
     """Asks for the changes after version `a` up to version `b`: as many as fit in one answer."""
 
-    a: int
-    b: int
-    skip: int = 0  # changes of the first batch after `a` that were sent already
+    from_version: int
+    to_version: int
+    skip_changes: int = 0  # changes of the first batch after `a` that were sent already
 
 
 RecordDifference = tuple[str, str, bytes | None, bytes | None]
@@ -96,8 +96,8 @@
     since: int
     known: bool
     changes: tuple[RecordDifference, ...] = ()  # in order; a record may occur several times
-    a: int = 0  # where the next request continues; `b`: the answer is complete
-    skip: int = 0
+    next_version: int = 0  # where the next request continues; `b`: the answer is complete
+    skip_changes: int = 0
 
 
 class StatusQuery(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="stands"):
@@ -167,47 +167,47 @@
         try:
             wanted = decode_publish(command)
         except UNDECODABLE:
-            return self.refused("no command")
+            return self.reject("no command")
         if wanted.only_if is not None and wanted.only_if != self.table.version:
-            return self.refused("another version is in force")
+            return self.reject("another version is in force")
         why = find_batch_fault(wanted.changes)
         if why:
-            return self.refused(why)
+            return self.reject(why)
         find = self.table.find
         changes = [each for each in wanted.changes if find(each.kind, each.name) != each.value]
         if not changes:
-            return self.refused("nothing would change")
+            return self.reject("nothing would change")
         before = (self.table.version, self.table.digest)
         try:
             batch = self.table.apply(index, changes)
         except TableError as wrong:
-            return self.refused(str(wrong))
-        self.keep(before, batch, tuple(self.table.before))
+            return self.reject(str(wrong))
+        self.keep_batch(before, batch, tuple(self.table.replaced_values))
         self.plain |= {locate_key(encode_key(each.kind, each.name))[0] for each in changes}
-        self.pack()
+        self.compress_pages()
         return PublishResult(True, index, len(changes))
 
-    def refused(self, why: str) -> PublishResult:
+    def reject(self, why: str) -> PublishResult:
         """The answer to a rejected command."""
         return PublishResult(False, self.table.version, 0, why)
 
-    def keep(self, before: tuple[int, bytes], batch: Batch, replaced: Replaced) -> None:
+    def keep_batch(self, before: tuple[int, bytes], batch: Batch, replaced: Replaced) -> None:
         """Keeps a batch. `before`: version and digest that it follows."""
         if not self.window:
             self.since = before
-        self.add(encode((batch, replaced)), batch, replaced)
+        self.add_to_window(encode((batch, replaced)), batch, replaced)
         while len(self.window) > self.window_batches or self.size > self.window_bytes:
             past = self.window.popleft()
             self.size -= past.size
             self.since = (past.batch.version, past.batch.digest)
 
-    def add(self, data: bytes, batch: Batch, replaced: Replaced) -> None:
+    def add_to_window(self, data: bytes, batch: Batch, replaced: Replaced) -> None:
         """Adds an encoded batch to the window."""
         dumped = zlib.compress(data, ZLIB_LEVEL) if len(data) > MAX_UNCOMPRESSED_BYTES else data
         self.window.append(KeptBatch(batch, replaced, dumped, len(data)))
         self.size += len(data)
 
-    def pack(self) -> None:
+    def compress_pages(self) -> None:
         """Compresses some of the changed pages."""
         for number in heapq.nsmallest(PAGES_COMPRESSED_PER_ENTRY, self.plain):
             self.plain.remove(number)
@@ -222,21 +222,21 @@
         except msgspec.ValidationError:
             return None
         if isinstance(wanted, FindQuery):
-            return self.found(wanted)
+            return self.find_record(wanted)
         if isinstance(wanted, DiffQuery):
-            return self.difference(wanted)
+            return self.list_changes(wanted)
         table = self.table
         return StatusResult(table.version, self.since[0], table.digest, table.records, table.bytes)
 
-    def knows(self, version: int) -> bool:
+    def is_known(self, version: int) -> bool:
         """Whether records are known at that version."""
         return self.since[0] <= version <= self.table.version
 
-    def found(self, wanted: FindQuery) -> FindResult:
+    def find_record(self, wanted: FindQuery) -> FindResult:
         """The record as it was at the version."""
         version = self.table.version
-        at = wanted.at or version
-        if not self.knows(at):
+        at = wanted.version or version
+        if not self.is_known(at):
             return FindResult(version, self.since[0], False)
         key = (wanted.kind, wanted.name)
         for past in self.after(at):
@@ -249,15 +249,15 @@
         """The kept batches above the version, oldest first."""
         return (each for each in self.window if each.batch.version > version)
 
-    def difference(self, wanted: DiffQuery) -> DiffResult:
+    def list_changes(self, wanted: DiffQuery) -> DiffResult:
         """The changes between two versions; some ms at most, as a leader's heartbeats wait meanwhile."""
         version, since = self.table.version, self.since[0]
-        if not (self.knows(wanted.a) and self.knows(wanted.b)):
+        if not (self.is_known(wanted.from_version) and self.is_known(wanted.to_version)):
             return DiffResult(version, since, False)
         told: list[RecordDifference] = []
-        room, skip, at = MAX_DIFF_BYTES, wanted.skip, wanted.a
-        for past in self.after(wanted.a):
-            if past.batch.version > wanted.b:
+        room, skip, at = MAX_DIFF_BYTES, wanted.skip_changes, wanted.from_version
+        for past in self.after(wanted.from_version):
+            if past.batch.version > wanted.to_version:
                 break
             pairs = zip(past.batch.changes, past.replaced, strict=True)
             for change, old in islice(pairs, skip, None):
@@ -269,7 +269,7 @@
                 told.append((change.kind, change.name, old, change.value))
                 skip += 1
             at, skip = past.batch.version, 0
-        return DiffResult(version, since, True, tuple(told), wanted.b)
+        return DiffResult(version, since, True, tuple(told), wanted.to_version)
 
     # -- dumps -----------------------------------------------------------------------------------------
 
@@ -300,7 +300,7 @@
         self.since, self.window, self.size = found.since, deque(), 0
         for deflated, data in found.window:
             whole = inflate(data, MAX_KEPT_BATCH_BYTES) if deflated else data
-            self.add(whole, *decode_batch_with_replaced(whole))
+            self.add_to_window(whole, *decode_batch_with_replaced(whole))
 
 
 def net_changes(changes: Iterable[RecordDifference]) -> list[RecordDifference]:
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -60,29 +60,29 @@
     """The link to a relay."""
 
     def __init__(self, way: RelayAttempt) -> None:
-        self.way = way
+        self.attempt = way
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
-        host = self.way.host
+        host = self.attempt.host
         self.send(Greeting(FORMAT_VERSION, host.copy.mark, host.group, 0, 0, Incarnation(0, 0), host.who))
 
     def stringReceived(self, data: bytes) -> None:
         frame = self.read(data)
-        if isinstance(frame, GreetingResponse) and self.way.link is None:
-            self.way.greeted(self, frame)
-        elif isinstance(frame, GreetingResponse) and self.way.link is self and not self.way.mark:
-            self.way.learned(frame)
-        elif isinstance(frame, ClientResponse) and self.way.link is self:
-            self.way.replied(frame)
+        if isinstance(frame, GreetingResponse) and self.attempt.link is None:
+            self.attempt.on_greeting_response(self, frame)
+        elif isinstance(frame, GreetingResponse) and self.attempt.link is self and not self.attempt.mark:
+            self.attempt.on_group_learned(frame)
+        elif isinstance(frame, ClientResponse) and self.attempt.link is self:
+            self.attempt.on_response(frame)
         elif frame is None:
-            self.way.end("its frame could not be decoded", "frames that can't be read")
+            self.attempt.end("its frame could not be decoded", "frames that can't be read")
         else:
-            self.way.end("it sent an unexpected frame", "frames out of place")
+            self.attempt.end("it sent an unexpected frame", "frames out of place")
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.way.end("the connection ended")
+        self.attempt.end("the connection ended")
 
 
 class RelayAttempt(ClientFactory):
@@ -98,7 +98,7 @@
         self.link: RelayLink | None = None  # once the relay has accepted the greeting
         self.mark = b""  # the group's mark, as the relay reported it
         self.number = 0  # of the last request
-        self.what = ""  # of the open request
+        self.open_operation = ""  # of the open request
         self.ended = False
         where, port = parse_address(relay)
         self.connector = host.reactor.connectTCP(where, port, self, timeout=CONNECT_TIMEOUT_S)
@@ -109,15 +109,15 @@
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
         self.end("the connection could not be opened")
 
-    def greeted(self, link: RelayLink, answer: GreetingResponse) -> None:
+    def on_greeting_response(self, link: RelayLink, answer: GreetingResponse) -> None:
         """The relay has answered the greeting."""
         if answer.result != GreetingResult.ACCEPTED:
             self.end("it belongs to another group", "turned away")
             return
         self.link, self.mark = link, answer.cluster_id
-        self.host.opened(self)
+        self.host.on_opened(self)
 
-    def learned(self, answer: GreetingResponse) -> None:
+    def on_group_learned(self, answer: GreetingResponse) -> None:
         """The relay didn't know its group's mark when the link was opened, and now does."""
         if (
             answer.result != GreetingResult.ACCEPTED
@@ -126,21 +126,21 @@
             self.end("it belongs to another group", "turned away")
             return
         self.mark = answer.cluster_id
-        self.host.learned(self)
+        self.host.on_group_learned(self)
 
     def ask(self, what: str, content: Any) -> None:
         """Sends a request."""
         assert self.link is not None
         self.number += 1
-        self.what = what
+        self.open_operation = what
         self.link.send(ClientRequest(self.number, what, encode_raw(content)))
 
-    def replied(self, reply: ClientResponse) -> None:
+    def on_response(self, reply: ClientResponse) -> None:
         """The relay has answered a request."""
-        if reply.number != self.number or not self.what:
+        if reply.number != self.number or not self.open_operation:
             self.end("it sent an answer without a request", "frames out of place")
             return
-        what, self.what = self.what, ""
+        what, self.open_operation = self.open_operation, ""
         content, why = None, ""
         try:
             if reply.done:
@@ -150,7 +150,7 @@
         except UNDECODABLE:
             self.end("its answer could not be decoded", "answers that can't be read")
             return
-        self.host.told(self, what, content, why)
+        self.host.on_answer(self, what, content, why)
 
     def end(self, why: str, counted: str = "") -> None:
         """Ends the attempt and reports that once to the host."""
@@ -159,7 +159,7 @@
         if counted:
             self.host.count(counted)
         self.drop()
-        self.host.lost(self, why)
+        self.host.on_lost(self, why)
 
     def drop(self) -> None:
         """Closes the link without a report: the follower has decided it."""
@@ -197,9 +197,9 @@
         self.follower, self.copy = follower, copy
         self.now = now or (lambda: int(reactor.seconds() * SECOND))
         self.on_taken, self.on_told, self.before = on_taken, on_told, before
-        self.ways: dict[str, RelayAttempt] = {}
+        self.attempts: dict[str, RelayAttempt] = {}
         self.counts: dict[str, int] = {}
-        self.begun = self.stopped = self.stirred = False
+        self.started = self.stopped = self.pull_scheduled = False
         self.timer: Any = None
         self.stepping: Any = None
 
@@ -208,8 +208,8 @@
 
     def start(self) -> None:
         """Starts to follow a relay."""
-        self.begun = True
-        self.stir()
+        self.started = True
+        self.schedule_pull()
 
     def stop(self) -> None:
         """Closes all links and timers."""
@@ -218,42 +218,42 @@
             if timer is not None and timer.active():
                 timer.cancel()
         self.timer = self.stepping = None
-        for way in list(self.ways.values()):
+        for way in list(self.attempts.values()):
             way.drop()
-        self.ways.clear()
+        self.attempts.clear()
 
     # -- events --------------------------------------------------------------------------------
 
-    def opened(self, way: RelayAttempt) -> None:
+    def on_opened(self, way: RelayAttempt) -> None:
         """The attempt's link is open and accepted."""
-        if self.ways.get(way.relay) is way:
-            self.follower.opened(self.now(), way.relay, way.mark)
-            self.stir()
+        if self.attempts.get(way.relay) is way:
+            self.follower.on_link_opened(self.now(), way.relay, way.mark)
+            self.schedule_pull()
 
-    def learned(self, way: RelayAttempt) -> None:
+    def on_group_learned(self, way: RelayAttempt) -> None:
         """The followed relay has reported its group's mark."""
-        if self.ways.get(way.relay) is way and self.follower.relay == way.relay:
+        if self.attempts.get(way.relay) is way and self.follower.relay == way.relay:
             self.follower.mark = way.mark
             self.on_told()
 
-    def told(self, way: RelayAttempt, what: str, content: Any, why: str) -> None:
+    def on_answer(self, way: RelayAttempt, what: str, content: Any, why: str) -> None:
         """The attempt's relay has answered."""
-        if self.ways.get(way.relay) is way:
-            self.follower.told(self.now(), way.relay, what, content, why)
+        if self.attempts.get(way.relay) is way:
+            self.follower.on_answer(self.now(), way.relay, what, content, why)
             self.on_told()
-            self.stir()
+            self.schedule_pull()
 
-    def lost(self, way: RelayAttempt, why: str) -> None:
+    def on_lost(self, way: RelayAttempt, why: str) -> None:
         """The attempt has ended."""
-        if self.ways.get(way.relay) is way:
-            del self.ways[way.relay]
-            self.follower.lost(self.now(), way.relay, why)
-            self.stir()
+        if self.attempts.get(way.relay) is way:
+            del self.attempts[way.relay]
+            self.follower.on_link_lost(self.now(), way.relay, why)
+            self.schedule_pull()
 
-    def wake(self) -> None:
+    def on_timer(self) -> None:
         self.timer = None
-        self.follower.wakes(self.now())
-        self.stir()
+        self.follower.on_timer(self.now())
+        self.schedule_pull()
 
     def step(self) -> None:
         """Processes one slice of the staged update."""
@@ -264,22 +264,22 @@
             self.log.warning("received corrupt data", why=str(wrong), relay=self.follower.relay or "")
             ready = None
         except Exception:  # the node keeps running; the staged update is discarded
-            self.trouble()
+            self.log_error()
             ready = None
-        self.follower.stepped(self.now(), ready)
+        self.follower.on_stepped(self.now(), ready)
         self.pull()  # in this turn: an applied update is reported before anything else is read
 
-    def stir(self) -> None:
+    def schedule_pull(self) -> None:
         """Has decisions pulled in the next turn, once."""
-        if self.begun and not self.stirred and not self.stopped:
-            self.stirred = True
+        if self.started and not self.pull_scheduled and not self.stopped:
+            self.pull_scheduled = True
             self.reactor.callLater(0, self.pull)
 
     # -- decisions -------------------------------------------------------------------------------------
 
     def pull(self) -> None:
         """Pulls the follower's decisions and carries them out."""
-        self.stirred = False
+        self.pull_scheduled = False
         if self.stopped:
             return
         try:
@@ -287,13 +287,13 @@
             while not self.stopped and (decision := self.follower.next_decision(self.now())) is not None:
                 self.carry_out(decision)
         except Exception:  # the node keeps its version
-            self.trouble()
-            self.arm(RETRY_DELAY_S)
+            self.log_error()
+            self.set_timer(RETRY_DELAY_S)
             return
         if not self.stopped:
-            self.arm(max(0, self.follower.deadline() - self.now()) / SECOND)
+            self.set_timer(max(0, self.follower.deadline() - self.now()) / SECOND)
 
-    def trouble(self) -> None:
+    def log_error(self) -> None:
         """Counts and logs an unexpected error."""
         self.count("errors")
         self.log.warning(
@@ -301,22 +301,22 @@
             trace=traceback.format_exc(limit=-3).replace("\n", " | "),
         )
 
-    def arm(self, span: float) -> None:
+    def set_timer(self, span: float) -> None:
         """Sets the timer for the next pull; `span` in seconds."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.timer = self.reactor.callLater(span, self.wake)
+        self.timer = self.reactor.callLater(span, self.on_timer)
 
     def carry_out(self, decision: Decision) -> None:
         """Carries out one decision of the follower."""
         act = decision.act
         if act is Action.OPEN:
             self.drop(decision.relay)
-            self.ways[decision.relay] = RelayAttempt(self, decision.relay)
+            self.attempts[decision.relay] = RelayAttempt(self, decision.relay)
         elif act is Action.CLOSE:
             self.drop(decision.relay)
         elif act is Action.ASK:
-            way = self.ways.get(decision.relay)
+            way = self.attempts.get(decision.relay)
             if way is not None and way.link is not None:
                 way.ask(decision.what, decision.content)
         elif act is Action.STEP:
@@ -329,13 +329,13 @@
 
     def drop(self, relay: str) -> None:
         """Ends the attempt at that relay, if there is one."""
-        way = self.ways.pop(relay, None)
+        way = self.attempts.pop(relay, None)
         if way is not None:
             way.drop()
 
     # -- state -----------------------------------------------------------------------------
 
-    def beliefs(self) -> str:
+    def describe_state(self) -> str:
         """Version, age and relay in one line."""
         age = self.follower.age(self.now())
         said = f"{age / SECOND:.1f} s" if age < MAX_AGE_US else "unknown"
--- a/lichencleat/config_distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -90,7 +90,7 @@
         self.pages, self.page_digests = list(table.pages), list(table.page_digests)
         # shared by all views of the table: each page as the newest view compressed it
         self.shared = table.deflated
-        self.own: dict[int, bytes] = {}  # number -> page by zlib, if it was requested
+        self.requested_pages: dict[int, bytes] = {}  # number -> page by zlib, if it was requested
 
     def head(self, age: int) -> SnapshotHead:
         """The snapshot's head; `age` in µs, as it is to be sent."""
@@ -99,7 +99,7 @@
 
     def packed(self, number: int) -> bytes:
         """The page by zlib, compressed once: some 300 µs the first time. Raises IndexError."""
-        data = self.own.get(number)
+        data = self.requested_pages.get(number)
         if data is not None:
             return data
         digest = self.page_digests[number]
@@ -109,7 +109,7 @@
         )
         if known is None or known[2] < self.version:
             self.shared[number] = digest, data, self.version
-        self.own[number] = data
+        self.requested_pages[number] = data
         return data
 
 
@@ -123,7 +123,8 @@
         self.total = sum(self.page_digests) & pages.SUM_MASK
         self.records = 0
         self.bytes = 0
-        self.before: list[bytes | None] = []  # values that the changes of the last `apply` replaced, in order
+        # values that the changes of the last `apply` replaced, in order
+        self.replaced_values: list[bytes | None] = []
         self.deflated: dict[int, tuple[int, bytes, int]] = {}  # number -> digest, page by zlib, its version
 
     @property
@@ -176,10 +177,10 @@
         staging = Staging(self, (batch,), checks=False)
         while not staging.step():
             pass
-        before = staging.before
+        before = staging.replaced_values
         staging.take()
-        self.before = before
-        return Batch(version, batch.past, self.digest, batch.changes)
+        self.replaced_values = before
+        return Batch(version, batch.previous, self.digest, batch.changes)
 
     @staticmethod
     def assembled(version: int, whole: list[bytes], digests: list[int], records: int) -> Table:
@@ -214,41 +215,41 @@
         self.table, self.batches, self.checks = table, tuple(batches), checks
         self.base = version = table.version
         for batch in self.batches:
-            if batch.past != version or batch.version <= version:
-                raise ChainError(f"{batch.version} follows {batch.past}, not {version}")
+            if batch.previous != version or batch.version <= version:
+                raise ChainError(f"{batch.version} follows {batch.previous}, not {version}")
             version = batch.version
         self.version = version  # the table's version after `take`
-        self.new: dict[int, bytes] = {}  # page number -> rewritten page
+        self.new_pages: dict[int, bytes] = {}  # page number -> rewritten page
         self.digests: dict[int, int] = {}
         self.total, self.records, self.bytes = table.total, table.records, table.bytes
-        self.before: list[bytes | None] = []  # values that the changes replace, in their order
-        self.at = 0  # index of the batch under way
-        self.sorted = 0  # how many of its changes are assigned to their page
+        self.replaced_values: list[bytes | None] = []  # values that the changes replace, in their order
+        self.batch_index = 0  # index of the batch under way
+        self.assigned = 0  # how many of its changes are assigned to their page
         self.by_page: dict[int, list[pages.PageChange]] = {}
-        self.order: dict[int, list[int]] = {}  # page number -> indexes of its changes in `before`
-        self.begins = 0  # index of the batch's first change in `before`
+        self.order: dict[int, list[int]] = {}  # page number -> indexes of its changes in `replaced_values`
+        self.first_change = 0  # index of the batch's first change in `replaced_values`
 
     def step(self) -> bool:
         """Processes one slice, some 200 µs; True once all is staged and each digest matches.
 
         Raises CorruptTableError for a wrong digest or an exceeded bound; without `checks` InvalidBatchError.
         """
-        if self.at == len(self.batches):
+        if self.batch_index == len(self.batches):
             return True
-        batch = self.batches[self.at]
-        if self.sorted < len(batch.changes):
-            self.sort(batch.changes)
+        batch = self.batches[self.batch_index]
+        if self.assigned < len(batch.changes):
+            self.assign_to_pages(batch.changes)
             return False
         room = MAX_SLICE_BYTES
         while self.by_page and room > 0:
-            room -= PAGE_OVERHEAD_BYTES + self.write(*self.by_page.popitem())
+            room -= PAGE_OVERHEAD_BYTES + self.rewrite_page(*self.by_page.popitem())
         if not self.by_page:
-            self.end(batch)
-        return self.at == len(self.batches)
+            self.finish_batch(batch)
+        return self.batch_index == len(self.batches)
 
-    def sort(self, changes: Sequence[Change]) -> None:
+    def assign_to_pages(self, changes: Sequence[Change]) -> None:
         """Assigns one slice of the changes to their pages."""
-        begin = self.sorted
+        begin = self.assigned
         for at, change in enumerate(changes[begin : begin + MAX_SLICE_CHANGES], begin):
             wrong = find_change_fault(change) if self.checks else ""
             if wrong:
@@ -256,49 +257,51 @@
             key = pages.encode_key(change.kind, change.name)
             number, place = pages.locate_key(key)
             self.by_page.setdefault(number, []).append((place, key, change.value))
-            self.order.setdefault(number, []).append(self.begins + at)
-        self.sorted = min(begin + MAX_SLICE_CHANGES, len(changes))
-        self.before += [None] * (self.sorted - begin)
+            self.order.setdefault(number, []).append(self.first_change + at)
+        self.assigned = min(begin + MAX_SLICE_CHANGES, len(changes))
+        self.replaced_values += [None] * (self.assigned - begin)
 
-    def write(self, number: int, puts: list[pages.PageChange]) -> int:
+    def rewrite_page(self, number: int, puts: list[pages.PageChange]) -> int:
         """Rewrites one page and returns its size in bytes."""
-        old = self.new[number] if number in self.new else self.table.pages[number]
+        old = self.new_pages[number] if number in self.new_pages else self.table.pages[number]
         page, before = pages.rewrite_page(old, puts)
         for at, value in zip(self.order.pop(number), before, strict=True):
-            self.before[at] = value
+            self.replaced_values[at] = value
         if len(page) > pages.MAX_PAGE_BYTES:
-            self.refuse(f"page {number} would have {len(page)} bytes, {pages.MAX_PAGE_BYTES} at the most")
+            self.raise_bound_error(
+                f"page {number} would have {len(page)} bytes, {pages.MAX_PAGE_BYTES} at the most"
+            )
         digest = pages.page_digest(number, page)
         past = self.digests[number] if number in self.digests else self.table.page_digests[number]
         self.total += digest - past
         self.records += pages.record_count(page) - pages.record_count(old)
         self.bytes += len(page) - len(old)
-        self.new[number], self.digests[number] = page, digest
+        self.new_pages[number], self.digests[number] = page, digest
         return len(page)
 
-    def end(self, batch: Batch) -> None:
+    def finish_batch(self, batch: Batch) -> None:
         """Checks the totals and the digest after a batch and moves on to the next one."""
         if self.records > MAX_RECORDS:
-            self.refuse(f"there would be {self.records} records, {MAX_RECORDS} at the most")
+            self.raise_bound_error(f"there would be {self.records} records, {MAX_RECORDS} at the most")
         if self.bytes > MAX_TABLE_BYTES:
-            self.refuse(f"the table would have {self.bytes} bytes, {MAX_TABLE_BYTES} at the most")
+            self.raise_bound_error(f"the table would have {self.bytes} bytes, {MAX_TABLE_BYTES} at the most")
         if self.checks and pages.table_digest(self.total, batch.version) != batch.digest:
             raise CorruptTableError(f"version {batch.version}: the table's digest differs from the batch's")
-        self.at += 1
-        self.sorted, self.begins = 0, len(self.before)
+        self.batch_index += 1
+        self.assigned, self.first_change = 0, len(self.replaced_values)
 
-    def refuse(self, why: str) -> None:
+    def raise_bound_error(self, why: str) -> None:
         """Raises the error for an exceeded bound."""
         raise CorruptTableError(why) if self.checks else InvalidBatchError(why)
 
     def take(self) -> None:
         """Applies what is staged in one step. Raises ChainError if the table has changed meanwhile."""
-        if self.at < len(self.batches):
+        if self.batch_index < len(self.batches):
             raise ChainError("not staged yet")
         if self.table.version != self.base:
             raise ChainError(f"the table is at {self.table.version}, no longer at {self.base}")
         table = self.table
-        for number, page in self.new.items():
+        for number, page in self.new_pages.items():
             table.pages[number] = page
         for number, digest in self.digests.items():
             table.page_digests[number] = digest
--- a/lichencleat/config_distribution/taking.py
+++ b/lichencleat/config_distribution/taking.py
@@ -22,18 +22,18 @@
     def __init__(self, copy: Copy) -> None:
         self.copy = copy
         self.what = ""  # "batches" or "snapshot" while one is under way
-        self.by, self.mark = "", b""  # the relay that sent it, and that relay's group
-        self.knows: int | None = None  # µs: the source had nothing newer then, valid once it is applied
+        self.relay, self.mark = "", b""  # the relay that sent it, and that relay's group
+        self.known_at: int | None = None  # µs: the source had nothing newer then, valid once it is applied
         self.head: SnapshotHead | None = None  # of the snapshot that is still being fetched
-        self.wanted: frozenset[int] = frozenset()  # pages requested
-        self.due = 0  # slices that the received data needs, at least
+        self.requested: frozenset[int] = frozenset()  # pages requested
+        self.slices_due = 0  # slices that the received data needs, at least
 
     def stage(self, fed: FollowAnswer, relay: str, mark: bytes, knows: int | None) -> str:
         """Stages the batches. Returns why they can't be applied; "": they are staged."""
         version = self.copy.version
         for batch in fed.batches:
-            if batch.past != version or batch.version <= version:
-                return f"its batch {batch.version} follows version {batch.past}, not {version}"
+            if batch.previous != version or batch.version <= version:
+                return f"its batch {batch.version} follows version {batch.previous}, not {version}"
             version = batch.version
         if not fed.batches or version > fed.version:
             return "its news has no batches, or batches above its own version"
@@ -41,7 +41,7 @@
             self.copy.stage(fed.batches)
         except TableError as wrong:
             return str(wrong)
-        self.sets("batches", relay, mark, knows if version == fed.version else None)
+        self.start("batches", relay, mark, knows if version == fed.version else None)
         return ""
 
     def begin(self, head: SnapshotHead, relay: str, mark: bytes, knows: int | None) -> str:
@@ -52,32 +52,32 @@
             self.copy.begin(head)
         except TableError as wrong:
             return str(wrong)
-        self.sets("snapshot", relay, mark, knows)
+        self.start("snapshot", relay, mark, knows)
         self.head = head
         return ""
 
-    def sets(self, what: str, relay: str, mark: bytes, knows: int | None) -> None:
+    def start(self, what: str, relay: str, mark: bytes, knows: int | None) -> None:
         """Records what is under way and who sent it."""
-        self.what, self.by, self.mark, self.knows, self.due = what, relay, mark, knows, 1
+        self.what, self.relay, self.mark, self.known_at, self.slices_due = what, relay, mark, knows, 1
         self.head = None
 
     def pages(self) -> PagesRequest | None:
         """The next pages to request; None if none is missing, or enough wait to be checked."""
-        if self.head is None or self.due > MAX_UNCHECKED_PAGES:
+        if self.head is None or self.slices_due > MAX_UNCHECKED_PAGES:
             return None
         numbers = self.copy.missing(PAGES_PER_REQUEST)
-        self.wanted = frozenset(numbers)
+        self.requested = frozenset(numbers)
         return PagesRequest(self.head.version, tuple(numbers)) if numbers else None
 
-    def asked_for(self, pages: PagesAnswer) -> bool:
+    def is_requested(self, pages: PagesAnswer) -> bool:
         """Whether these pages were requested."""
         numbers = [number for number, _ in pages.pages]
         mine = self.head is not None and pages.version == self.head.version
-        return mine and len(set(numbers)) == len(numbers) and self.wanted.issuperset(numbers)
+        return mine and len(set(numbers)) == len(numbers) and self.requested.issuperset(numbers)
 
     def put(self, pages: PagesAnswer) -> bool:
         """Hands the pages to the copy. False: it rejects them."""
-        self.due += len(pages.pages)
+        self.slices_due += len(pages.pages)
         return self.copy.put(pages)
 
     def take(self) -> tuple[Batch, ...]:
@@ -85,15 +85,15 @@
         batches = self.copy.take()
         if not self.copy.mark:
             self.copy.mark = self.mark
-        self.what, self.head, self.due = "", None, 0
+        self.what, self.head, self.slices_due = "", None, 0
         return batches
 
     def drop(self) -> None:
         """Discards what is staged."""
         self.copy.drop()
-        self.what, self.head, self.due = "", None, 0
+        self.what, self.head, self.slices_due = "", None, 0
 
-    def halt(self) -> None:
+    def on_relay_left(self) -> None:
         """Its relay was left: fetched pages stay, and an update that is complete is still processed."""
         if self.what == "snapshot" and self.copy.missing(1):
             self.drop()
--- a/lichencleat/config_distribution/terms.py
+++ b/lichencleat/config_distribution/terms.py
@@ -46,7 +46,7 @@
     """Changes that are applied as a whole or not at all. Each record is named at most once."""
 
     version: int  # index of the log entry that made it; not dense
-    past: int  # the version that it follows; applied on top of that one alone
+    previous: int  # the version that it follows; applied on top of that one alone
     digest: bytes  # of the whole table after the batch
     changes: tuple[Change, ...]
 
@@ -56,10 +56,10 @@
 
     zone: str
     nodes: int
-    lowest: int  # lowest version applied by any of the nodes
-    oldest: int  # µs: highest age of any of the nodes
-    late: int  # nodes without a version that their relay has had for `LATE_AFTER_US`
-    by: str  # name of the relay that serves the node with the lowest version
+    lowest_version: int  # lowest version applied by any of the nodes
+    max_age: int  # µs: highest age of any of the nodes
+    late_nodes: int  # nodes without a version that their relay has had for `LATE_AFTER_US`
+    lowest_relay: str  # name of the relay that serves the node with the lowest version
 
 
 LATE_AFTER_US = 5_000_000  # µs until a node that lacks its relay's version counts as late
@@ -87,7 +87,7 @@
 class FollowAnswer(msgspec.Struct, frozen=True, array_like=True):
     """The answer to a `FollowRequest`."""
 
-    say: int  # a `Say`
+    outcome: int  # a `Say`
     version: int  # of the answering process
     digest: bytes
     age: int  # µs since the source was known to have nothing newer than `version`
@@ -122,7 +122,7 @@
 
     kind: str
     name: str
-    at: int = 0
+    version: int = 0
 
 
 encode = msgspec.msgpack.encode
--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -35,32 +35,32 @@
     """Since when a member knows that it has all committed entries; no I/O."""
 
     def __init__(self) -> None:
-        self.at: int | None = None  # µs: the last such moment
-        self.heard: int | None = None  # µs: the last message
-        self.doubt = 0  # µs: messages before it are ignored
+        self.known_at: int | None = None  # µs: the last such moment
+        self.last_message_at: int | None = None  # µs: the last message
+        self.ignored_until = 0  # µs: messages before it are ignored
         # when a message arrived whose commit is not applied yet, and that commit
         self.waiting: tuple[int, int] | None = None
 
-    def word(self, now: int, commit: int, applied: int) -> None:
+    def on_leader_message(self, now: int, commit: int, applied: int) -> None:
         """A message of the leader. After a pause many arrive at once, and none shows when it was sent."""
-        if self.heard is None or now - self.heard > PAUSE_THRESHOLD_US:
-            self.doubt, self.waiting = now + IGNORE_AFTER_PAUSE_US, None
-        self.heard = now
-        if now < self.doubt:
+        if self.last_message_at is None or now - self.last_message_at > PAUSE_THRESHOLD_US:
+            self.ignored_until, self.waiting = now + IGNORE_AFTER_PAUSE_US, None
+        self.last_message_at = now
+        if now < self.ignored_until:
             return
         if commit <= applied:
-            self.at, self.waiting = now, None
+            self.known_at, self.waiting = now, None
         elif self.waiting is None:
             self.waiting = (now, commit)
 
-    def applied(self, index: int) -> None:
+    def on_applied(self, index: int) -> None:
         """The member has applied the entries up to `index`."""
         if self.waiting is not None and self.waiting[1] <= index:
-            self.at, self.waiting = self.waiting[0], None
+            self.known_at, self.waiting = self.waiting[0], None
 
-    def proved(self, asked: int) -> None:
+    def on_leadership_confirmed(self, asked: int) -> None:
         """The member led at some moment after `asked`, and has applied all entries committed by then."""
-        self.at = asked if self.at is None else max(self.at, asked)
+        self.known_at = asked if self.known_at is None else max(self.known_at, asked)
         self.waiting = None
 
 
@@ -75,14 +75,14 @@
         log: Any,
         host: Callable[..., Any] = PublisherHost,
     ) -> None:
-        """`host`: carries out a feeder's decisions, as `serving.PublisherHost`."""
+        """`host`: carries out a publisher's decisions, as `serving.PublisherHost`."""
         self.reactor, self.name, self.zone, self.log, self.host = reactor, name, zone, log, host
-        self.fresh = CommitFreshness()
+        self.freshness = CommitFreshness()
         self.member: MemberView | None = None
         self.source: Source | None = None  # the source in the last state seen
-        self.version = 0  # the feeder's version
+        self.version = 0  # the publisher's version
         self.index = 0  # of the last entry applied
-        self.feeder: Publisher | None = None
+        self.publisher: Publisher | None = None
         self.serving: Any = None
         self.timer: Any = None
         self.ended = False
@@ -100,54 +100,54 @@
     def on_applied(self, state: StateMachine) -> None:
         """The member has applied entries, or loaded a snapshot."""
         self.index = state.applied
-        self.fresh.applied(state.applied)
+        self.freshness.on_applied(state.applied)
         source = state.states[STATE_PART]
         assert isinstance(source, Source)
         if source is not self.source:
-            self.takes(source)
+            self.use_source(source)
         elif source.table.version != self.version:
-            self.grows(source)
-        self.tell_age()
+            self.publish_batches(source)
+        self.report_age()
 
-    def takes(self, source: Source) -> None:
+    def use_source(self, source: Source) -> None:
         """Uses another state object: at the start, or after a snapshot."""
         now, table = self.now(), source.table
         self.source, self.version = source, table.version
-        if self.feeder is None:
-            self.feeder = Publisher(self.name, self.zone, table, now)
-            self.serving = self.host(self.reactor, self.feeder, self.now, self.log)
-            self.prove()
-        self.feeder.table = table
+        if self.publisher is None:
+            self.publisher = Publisher(self.name, self.zone, table, now)
+            self.serving = self.host(self.reactor, self.publisher, self.now, self.log)
+            self.confirm_leadership()
+        self.publisher.table = table
         kept = tuple(each.batch for each in source.window)
         if kept:  # subscribers can be sent the batches that the dump includes
-            self.feeder.window.restart(*source.since)
-        self.feeder.grew(now, kept)
-        self.serving.stir()
+            self.publisher.window.restart(*source.since)
+        self.publisher.on_applied(now, kept)
+        self.serving.schedule_pull()
 
-    def grows(self, source: Source) -> None:
-        """Passes new batches to the feeder."""
+    def publish_batches(self, source: Source) -> None:
+        """Passes new batches to the publisher."""
         new = []
         for past in reversed(source.window):
             if past.batch.version <= self.version:
                 break
             new.append(past.batch)
         self.version = source.table.version
-        assert self.feeder is not None
-        self.feeder.grew(self.now(), tuple(reversed(new)))
-        self.serving.stir()
+        assert self.publisher is not None
+        self.publisher.on_applied(self.now(), tuple(reversed(new)))
+        self.serving.schedule_pull()
 
     def on_leader_commit(self, commit: int) -> None:
         """A message of the leader with its commit index has arrived."""
-        self.fresh.word(self.now(), commit, self.index)
-        self.tell_age()
+        self.freshness.on_leader_message(self.now(), commit, self.index)
+        self.report_age()
 
-    def tell_age(self) -> None:
-        """Passes the age to the feeder."""
-        if self.feeder is not None and self.fresh.at is not None:
+    def report_age(self) -> None:
+        """Passes the age to the publisher."""
+        if self.publisher is not None and self.freshness.known_at is not None:
             now = self.now()
-            self.feeder.known(now, now - self.fresh.at)
+            self.publisher.set_age(now, now - self.freshness.known_at)
 
-    def prove(self) -> None:
+    def confirm_leadership(self) -> None:
         """Confirms the leadership, again and again; at a member that doesn't lead that fails at once."""
         asked = self.now()
 
@@ -155,9 +155,9 @@
             if self.ended:
                 return
             if done:
-                self.fresh.proved(asked)
-                self.tell_age()
-            self.timer = self.reactor.callLater(CONFIRM_INTERVAL_S, self.prove)
+                self.freshness.on_leadership_confirmed(asked)
+                self.report_age()
+            self.timer = self.reactor.callLater(CONFIRM_INTERVAL_S, self.confirm_leadership)
 
         if not self.ended and self.member is not None:
             self.member.confirm_leadership(told)
@@ -173,12 +173,12 @@
         if self.serving is None:
             link.reply(ClientResponse(request.number, False, encode_raw(NOT_READY_REASON)))
         else:
-            self.serving.asked(link, request)
+            self.serving.on_request(link, request)
 
     def on_disconnected(self, link: InboundConnection) -> None:
         """Forgets the link."""
         if self.serving is not None:
-            self.serving.hung_up(link)
+            self.serving.on_disconnected(link)
 
     def close(self) -> None:
         """Stops the timer and the answers."""
--- a/lichencleat/config_distribution/window.py
+++ b/lichencleat/config_distribution/window.py
@@ -58,9 +58,9 @@
 
         Raises ValueError if it doesn't follow the newest.
         """
-        if batch.past != self.version or batch.version <= self.version:
+        if batch.previous != self.version or batch.version <= self.version:
             raise ValueError(
-                f"batch {batch.version} on top of {batch.past} does not follow version {self.version}"
+                f"batch {batch.version} on top of {batch.previous} does not follow version {self.version}"
             )
         size = max_encoded_size(batch)
         self.batches.append(batch)
@@ -73,7 +73,7 @@
             self.bytes -= self.sizes.popleft()
             gone = self.batches.popleft()
             self.dropped += 1
-            del self.digests[gone.past], self.places[gone.past]
+            del self.digests[gone.previous], self.places[gone.previous]
             self.base = gone.version
 
     def after(self, version: int, room: int = MAX_ANSWER_BYTES) -> tuple[Batch, ...] | None:
@@ -103,7 +103,7 @@
         # per slot: first moment, last moment, version
         self.slots: deque[list[int]] = deque([[now, now, version]])
 
-    def note(self, now: int, version: int) -> None:
+    def record(self, now: int, version: int) -> None:
         """Records that the version is in force now."""
         last = self.slots[-1]
         if now - last[0] < SLOT_US:
@@ -113,13 +113,13 @@
         while len(self.slots) > MAX_SLOTS:
             self.slots.popleft()
 
-    def before(self, moment: int) -> int:
+    def version_at(self, moment: int) -> int:
         """The version that was certainly in force at that moment (µs); 0 if it is not known."""
         while len(self.slots) > 1 and self.slots[1][1] <= moment:
             self.slots.popleft()
         first = self.slots[0]
         return first[2] if first[1] <= moment else 0
 
-    def lookback(self, span: int, now: int) -> Sequence[int]:
+    def versions_within(self, span: int, now: int) -> Sequence[int]:
         """Versions that came into force within the last `span` µs."""
         return [version for _, last, version in self.slots if last > now - span]
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -146,16 +146,16 @@
             return
         table = self.subscriber.copy.table
         if batches:
-            self.kept.wrote(table, batches)
+            self.kept.on_batches_applied(table, batches)
         else:
-            self.kept.replaced(table)
+            self.kept.on_snapshot_applied(table)
 
     def told(self) -> None:
         """The group's mark is known with the first version."""
         if self.subscriber is not None and self.subscriber.copy.mark != self.mark:
             self.mark = self.subscriber.copy.mark
             if self.kept is not None:
-                self.kept.mark(self.mark)
+                self.kept.set_group_mark(self.mark)
 
     def stop(self) -> Deferred[None]:
         """Fires once the disk has what it was given."""
@@ -172,4 +172,4 @@
 
     def beliefs(self) -> str:
         self.tell_counts()
-        return self.subscriber.beliefs() if self.subscriber is not None else "reads its disk"
+        return self.subscriber.describe_state() if self.subscriber is not None else "reads its disk"
--- a/lichencleat/testkit/cluster/mistakes.py
+++ b/lichencleat/testkit/cluster/mistakes.py
@@ -33,9 +33,9 @@
         staging = self.staging
         if staging is None:
             return super().take()
-        numbers = sorted(staging.new)
+        numbers = sorted(staging.new_pages)
         half = numbers[len(numbers) // 2 :]
-        self.rest = [(number, staging.new.pop(number), staging.digests.pop(number)) for number in half]
+        self.rest = [(number, staging.new_pages.pop(number), staging.digests.pop(number)) for number in half]
         self.reactor.callLater(LATER, self.other_half)
         return super().take()
 
@@ -64,7 +64,7 @@
     def at_new_relay(self) -> None:
         if self.table.version:
             self.old = self.table
-        self.rebuild, self.staging, self.going, self.waiting = None, None, False, {}
+        self.rebuild, self.staging, self.snapshot_active, self.unchecked_pages = None, None, False, {}
         self.table = Table()
 
 
@@ -84,7 +84,7 @@
     def stage(self, batches: Sequence[Batch]) -> None:
         first, *others = batches
         if self.after_snapshot:
-            first = Batch(first.version, first.past, first.digest, first.changes[1:])
+            first = Batch(first.version, first.previous, first.digest, first.changes[1:])
             self.after_snapshot = False
         self.drop()
         self.staging = Staging(self.table, (first, *others), checks=False)
@@ -150,13 +150,13 @@
     """What a mistake needs of the host."""
     copy = subscriber.copy
     if isinstance(copy, OlderFollowed):
-        opened = subscriber.opened
+        opened = subscriber.on_opened
 
         def at_new_relay(*way: Any) -> None:
             copy.at_new_relay()
             opened(*way)
 
-        subscriber.opened = at_new_relay  # type: ignore[method-assign]
+        subscriber.on_opened = at_new_relay  # type: ignore[method-assign]
 
 
 def trusted(kept: PersistedTable, head: Any) -> Any:
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -139,14 +139,14 @@
     def taken(self, batches: tuple[Batch, ...]) -> None:
         assert self.copy is not None
         if self.kept is not None and batches:
-            self.kept.wrote(self.copy.table, batches)
+            self.kept.on_batches_applied(self.copy.table, batches)
         elif self.kept is not None:
-            self.kept.replaced(self.copy.table)
+            self.kept.on_snapshot_applied(self.copy.table)
 
     def told(self) -> None:
         if self.kept is not None and self.copy is not None and self.copy.mark != getattr(self, "mark", b""):
             self.mark = self.copy.mark
-            self.kept.mark(self.mark)
+            self.kept.set_group_mark(self.mark)
 
     def answers(self) -> dict[str, Any]:
         assert self.copy is not None
@@ -180,7 +180,7 @@
         if why and self.subscriber is not None:
             follower = self.subscriber.follower
             line["relay"], line["age"] = follower.relay, follower.age(self.subscriber.now())
-            line["home"] = follower.choice.order[0]
+            line["home"] = follower.selector.order[0]
             line["counts"], line["trouble"] = self.subscriber.counts, self.trouble
         os.write(self.said, json.dumps(line).encode() + b"\n")
 
--- a/lichencleat/testkit/explore_distribution.py
+++ b/lichencleat/testkit/explore_distribution.py
@@ -134,7 +134,7 @@
 
     def begin(self, head: SnapshotHead, relay: str, mark: bytes, knows: int | None) -> str:
         self.copy.begin(head)
-        self.sets("snapshot", relay, mark, knows)
+        self.start("snapshot", relay, mark, knows)
         self.head = head
         return ""
 
@@ -144,10 +144,10 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.taking = Lax(self.copy)
+        self.pending = Lax(self.copy)
 
-    def behind(self, now: int, relay: str, fed: FollowAnswer) -> None:
-        self.puts(now, "digests", None)
+    def on_behind(self, now: int, relay: str, fed: FollowAnswer) -> None:
+        self.send_request(now, "digests", None)
 
 
 class StreamFromNow(RelayFollower):
@@ -155,17 +155,17 @@
 
     newest = 0
 
-    def fed(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
-        if fed.say == FollowOutcome.SNAPSHOT:
+    def on_follow_answer(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
+        if fed.outcome == FollowOutcome.SNAPSHOT:
             self.newest = fed.version
-        super().fed(now, relay, question, fed)
+        super().on_follow_answer(now, relay, question, fed)
 
-    def takes(self, now: int) -> None:
+    def apply_update(self, now: int) -> None:
         copy: Any = self.copy
-        if self.taking.what == "snapshot":
+        if self.pending.what == "snapshot":
             head = copy.head
             copy.head = SnapshotHead(self.newest, head.digest, head.pages, head.age)
-        super().takes(now)
+        super().apply_update(now)
 
 
 class Trusting(Tiny):
@@ -212,16 +212,16 @@
     def step(self) -> None:
         super().step()
         copy: Any = self.copy
-        if self.taking.what == "batches" and self.relay is not None and self.question is None:
+        if self.pending.what == "batches" and self.relay is not None and self.request is None:
             last = copy.batches[-1]
-            self.puts(self.seen, FOLLOW, FollowRequest(last.version, last.digest, ()))
+            self.send_request(self.seen, FOLLOW, FollowRequest(last.version, last.digest, ()))
 
 
 class AgeFromZero(Publisher):
     """Whatever it hears from above is as of now."""
 
-    def known(self, now: int, age: int) -> None:
-        super().known(now, 0)
+    def set_age(self, now: int, age: int) -> None:
+        super().set_age(now, 0)
 
 
 class AgeOfStart(Publisher):
@@ -229,7 +229,7 @@
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
-        self.word = (args[-1], 0)
+        self.age_report = (args[-1], 0)
 
 
 class AgeWhenHeard(RelayFollower):
@@ -237,12 +237,12 @@
 
     heard = 0
 
-    def told(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
+    def on_answer(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
         self.heard = now
-        super().told(now, relay, what, content, why)
+        super().on_answer(now, relay, what, content, why)
 
-    def knows(self, moment: int | None) -> None:
-        super().knows(moment if moment is None else self.heard)
+    def advance_known_at(self, moment: int | None) -> None:
+        super().advance_known_at(moment if moment is None else self.heard)
 
 
 MISTAKES: dict[str, tuple[str, Kinds, int]] = {  # name -> scene, kinds, depth in which it is caught
--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -146,7 +146,11 @@
         moved = Counter(site.zone for site in fleet.nodes if site.host.opened_at > now - MOVED)
         for zone, nodes in Counter(site.zone for site in fleet.nodes if site.up).items():
             found = sums.get(zone)
-            fits = found is not None and found.lowest == newest and abs(found.nodes - nodes) <= moved[zone]
+            fits = (
+                found is not None
+                and found.lowest_version == newest
+                and abs(found.nodes - nodes) <= moved[zone]
+            )
             if fits:
                 self.counted.add(zone)
             else:
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -107,18 +107,18 @@
         feeder, now = self.feeder, self.world.clockwork.now
         assert feeder is not None
         if link.number not in self.joined:
-            if not feeder.joined(now, link.number):
+            if not feeder.add_subscriber(now, link.number):
                 self.answers(link, number, False, "full")
                 return
             self.joined.add(link.number)
-        feeder.asked(now, link.number, number, what, content)
+        feeder.on_request(now, link.number, number, what, content)
         self.pull()
 
     def caller_left(self, link: Link) -> None:
         assert self.feeder is not None
         if link.number in self.joined:
             self.joined.discard(link.number)
-            self.feeder.left(self.world.clockwork.now, link.number)
+            self.feeder.remove_subscriber(self.world.clockwork.now, link.number)
             self.pull()
 
     def pull(self) -> None:
@@ -167,7 +167,7 @@
         assert follower is not None
         if self.feeder is not None and now - self.counted_at >= COUNT:
             self.counted_at = now
-            follower.below = self.feeder.counts(now)
+            follower.counts_below = self.feeder.counts(now)
         while (decision := follower.next_decision(now)) is not None:
             self.does(decision)
         due = follower.deadline()
@@ -183,7 +183,7 @@
         follower, now = self.follower, self.world.clockwork.now
         assert follower is not None
         if follower.deadline() <= now:
-            follower.wakes(now)
+            follower.on_timer(now)
         self.pump()
 
     def does(self, decision: Decision) -> None:
@@ -228,12 +228,12 @@
     def link_opened(self, link: Link) -> None:
         assert self.follower is not None
         self.opened_at = self.world.clockwork.now
-        self.follower.opened(self.opened_at, link.called.name, MARK)
+        self.follower.on_link_opened(self.opened_at, link.called.name, MARK)
         self.pump()
 
     def link_lost(self, link: Link) -> None:
         assert self.follower is not None
-        self.follower.lost(self.world.clockwork.now, link.called.name, "the connection ended")
+        self.follower.on_link_lost(self.world.clockwork.now, link.called.name, "the connection ended")
         self.pump()
 
     def replied(self, link: Link, number: int, done: bool, content: Any) -> None:
@@ -251,11 +251,11 @@
         assert follower is not None
         what, link.what = link.what, ""
         if done:
-            follower.told(now, link.called.name, what, content)
+            follower.on_answer(now, link.called.name, what, content)
         else:
-            follower.told(now, link.called.name, what, None, content)
+            follower.on_answer(now, link.called.name, what, None, content)
         if self.feeder is not None:
-            self.feeder.known(now, follower.age(now))
+            self.feeder.set_age(now, follower.age(now))
         self.looked_at()
         self.pump()
 
@@ -289,7 +289,7 @@
             ready: bool | None = self.copy.step()
         except TableError:
             ready = None
-        follower.stepped(now, ready)
+        follower.on_stepped(now, ready)
         self.looked_at()
 
     def looked_at(self) -> None:
@@ -300,8 +300,8 @@
         self.looked_at()
         if self.feeder is not None:
             assert self.follower is not None
-            self.feeder.grew(now, batches)
-            self.feeder.known(now, self.follower.age(now))
+            self.feeder.on_applied(now, batches)
+            self.feeder.set_age(now, self.follower.age(now))
             self.pull()
 
 
--- a/lichencleat/testkit/simulation/distribution_source.py
+++ b/lichencleat/testkit/simulation/distribution_source.py
@@ -102,9 +102,9 @@
             batches = tuple(self.committed[place:count])
             host.copy.table = self.fleet.shared.versions[batches[-1].version]
             self.world.charge(voter, self.fleet.costs.slice * len(batches))
-            feeder.grew(now, batches)
+            feeder.on_applied(now, batches)
         if count >= place:
-            feeder.known(now, now - sent)
+            feeder.set_age(now, now - sent)
         if count > place:
             host.pull()
 
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -56,8 +56,10 @@
 
 
 TIMES = TinyTimes(
-    move=(0, 0), home=(2_000_000, 2_000_000), busy=(1_000_000, 1_000_000), failed=(2_500_000, 2_500_000),
-    wrong=(5_000_000, 5_000_000), rest=(400_000, 800_000), look=(400_000, 800_000),
+    open_delay=(0, 0), first_choice_probe_interval=(2_000_000, 2_000_000),
+    busy_retry_delay=(1_000_000, 1_000_000), failed_exclusion=(2_500_000, 2_500_000),
+    wrong_exclusion=(5_000_000, 5_000_000), backoff=(400_000, 800_000),
+    probe_interval=(400_000, 800_000),
 )  # fmt: skip
 
 
@@ -160,7 +162,7 @@
         if name == SOURCE:
             table.mark = MARK
             assert process.feeder is not None
-            process.feeder.known(self.now, 0)
+            process.feeder.set_age(self.now, 0)
         else:
             process.follower = self.kinds.follower(tiers, table, LOW, self.now, name == NODE, "z", TIMES)
         self.processes[name] = process
@@ -197,7 +199,7 @@
         for process in self.processes.values():  # nothing follows from these
             if process.feeder is not None:
                 process.feeder.counters.clear()
-                process.feeder.shared.clear()
+                process.feeder.shared_answers.clear()
                 process.feeder.credit_at = self.now
             if process.follower is not None:
                 process.follower.counters.clear()
@@ -238,7 +240,7 @@
         table.digest = digest_of(table.content)
         self.published[version] = self.now
         assert source.feeder is not None
-        source.feeder.grew(self.now, (Batch(version, past, table.digest, changes(past, version)),))
+        source.feeder.on_applied(self.now, (Batch(version, past, table.digest, changes(past, version)),))
         self.stir(SOURCE)
 
     def deliver(self, caller: str, called: str) -> None:
@@ -247,12 +249,12 @@
         above, below = self.processes[called], self.processes[caller]
         assert above.feeder is not None and below.follower is not None
         if message[0] == "greeting":
-            above.feeder.joined(self.now, link.who)
-            below.follower.opened(self.now, called, above.table.mark)
+            above.feeder.add_subscriber(self.now, link.who)
+            below.follower.on_link_opened(self.now, called, above.table.mark)
         elif message[0] == "question":
-            above.feeder.asked(self.now, link.who, 1, *message[1:])
+            above.feeder.on_request(self.now, link.who, 1, *message[1:])
         else:
-            below.follower.told(self.now, called, *message[1:])
+            below.follower.on_answer(self.now, called, *message[1:])
             self.tells_age(below)
         self.stir(called)
         self.stir(caller)
@@ -265,14 +267,14 @@
         self.closes(caller, called)
         follower = self.processes[caller].follower
         assert follower is not None
-        follower.lost(self.now, called, "lost")
+        follower.on_link_lost(self.now, called, "lost")
         self.stir(caller)
 
     def closes(self, caller: str, called: str) -> None:
         link = self.links.pop((caller, called), None)
         feeder = self.processes[called].feeder
         if link is not None and feeder is not None:
-            feeder.left(self.now, link.who)
+            feeder.remove_subscriber(self.now, link.who)
 
     def back(self, name: str, version: int) -> None:
         """Another machine with an old copy of its disk."""
@@ -290,7 +292,7 @@
     def can_spoil(self, link: Link) -> bool:
         content = link.message[2] if link.message[0] == "answer" else None
         if isinstance(content, FollowAnswer):
-            return content.say == FollowOutcome.NEWS
+            return content.outcome == FollowOutcome.NEWS
         return isinstance(content, PagesAnswer) and bool(content.pages)
 
     def spoil(self, caller: str, called: str) -> None:
@@ -315,7 +317,7 @@
         except CorruptTableError:
             ready = None
         assert process.follower is not None
-        process.follower.stepped(self.now, ready)
+        process.follower.on_stepped(self.now, ready)
         self.stir(name)
 
     def tick(self) -> None:
@@ -336,7 +338,7 @@
             self.source_knows()
             follower = self.processes[name].follower
             if follower is not None:
-                follower.wakes(self.now)
+                follower.on_timer(self.now)
             self.stir(name)
             self.judge()
         raise RuntimeError(f"timers without end at {self.now}")
@@ -352,7 +354,7 @@
             self.now = max(self.now, moment)
             follower = self.processes[name].follower
             if follower is not None:
-                follower.wakes(self.now)
+                follower.on_timer(self.now)
             self.stir(name)
             self.settle()
             self.judge()
@@ -369,7 +371,7 @@
     def source_knows(self) -> None:
         feeder = self.processes[SOURCE].feeder
         assert feeder is not None
-        feeder.known(self.now, 0)
+        feeder.set_age(self.now, 0)
 
     # -- a host ----------------------------------------------------------------------------------------
 
@@ -389,7 +391,7 @@
             if decision is not None:
                 self.carry_out(process, decision)
             elif follower.deadline() <= self.now:
-                follower.wakes(self.now)
+                follower.on_timer(self.now)
             else:
                 break
         if process.stepping and not (self.limits.slices and name == NODE):
@@ -412,13 +414,13 @@
             self.judge()
             process.had = tuple(sorted({*process.had, process.table.version}))
             if process.feeder is not None:
-                process.feeder.grew(self.now, decision.batches)
+                process.feeder.on_applied(self.now, decision.batches)
                 self.tells_age(process)
                 self.stir(process.name)
 
     def tells_age(self, process: Process) -> None:
         if process.feeder is not None and process.follower is not None:
-            process.feeder.known(self.now, process.follower.age(self.now))
+            process.feeder.set_age(self.now, process.follower.age(self.now))
 
     # -- what must hold --------------------------------------------------------------------------------
 
--- a/tests/config_distribution/following.py
+++ b/tests/config_distribution/following.py
@@ -61,7 +61,7 @@
         until = self.now + span
         while self.it.deadline() <= until:
             self.now = self.it.deadline()
-            self.it.wakes(self.now)
+            self.it.on_timer(self.now)
             self.stir()
         self.now = until
 
@@ -70,18 +70,18 @@
         while not self.open:
             self.passes(self.it.deadline() - self.now)
         relay = relay or self.opened[-1][1]
-        self.it.opened(self.now, relay, mark)
+        self.it.on_link_opened(self.now, relay, mark)
         self.stir()
         return relay
 
     def hears(self, content, what=FOLLOW, relay=None, why=""):
-        self.it.told(self.now, relay or self.it.relay, what, content, why)
+        self.it.on_answer(self.now, relay or self.it.relay, what, content, why)
         self.stir()
 
     def lost(self, relay=None):
         relay = relay or self.it.relay or self.opened[-1][1]
         self.open.discard(relay)
-        self.it.lost(self.now, relay, "lost")
+        self.it.on_link_lost(self.now, relay, "lost")
         self.stir()
 
     def step(self):
@@ -91,7 +91,7 @@
                 ready = self.table.step()
             except TableError:
                 ready = None
-            self.it.stepped(self.now, ready)
+            self.it.on_stepped(self.now, ready)
             self.stir()
 
     def steps(self):
--- a/tests/config_distribution/test_copy.py
+++ b/tests/config_distribution/test_copy.py
@@ -85,9 +85,9 @@
     assert copy.take() == ()
     assert (copy.version, copy.digest) == (1501, source.digest)
     assert copy.find("tenant", "acme-1999") == b"1999"
-    assert copy.spent is old
+    assert copy.replaced_pages is old
     copy.stage([source.apply(1600, [change(f"n{at}", b"") for at in range(400)])])
-    while copy.spent:
+    while copy.replaced_pages:
         copy.step()
     ready(copy)
     copy.take()
@@ -106,7 +106,7 @@
     copy.drop()
     assert copy.missing(9) == [] and not copy.step()
     stale = copy.rebuild.missing(9)[-1]  # comes, is not looked at yet, and is another in the next snapshot
-    copy.waiting[stale] = view.packed(stale)
+    copy.unchecked_pages[stale] = view.packed(stale)
     name = next(pages.iterate_records(source.pages[stale]))[1]
     source.apply(5000, [change("acme-1", b"new"), change(name, b"new")])
     later = source.view()
--- a/tests/config_distribution/test_counts.py
+++ b/tests/config_distribution/test_counts.py
@@ -46,14 +46,14 @@
     return Count(zone, 1, version, age, 0, "")
 
 
-def feeder(version=9, name="r1", now=0):
+def publisher(version=9, name="r1", now=0):
     return Publisher(name, "z1", Tiny(version), now)
 
 
 def says(it, now, who, version, counts, hold=MAX_HOLD_US):
     if who not in it.subscribers:
-        assert it.joined(now, who)
-    it.asked(
+        assert it.add_subscriber(now, who)
+    it.on_request(
         now, who, 1, FOLLOW, FollowRequest(version, it.window.digests.get(version, b""), tuple(counts), hold)
     )
     while it.next_decision(now):
@@ -75,37 +75,42 @@
     assert [each.zone for each in whole] == sorted({each.zone for each in there})
     for each in whole:
         mine = [one for one in there if one.zone == each.zone]
-        assert each.lowest == min(one.lowest for one in mine)
-        assert each.oldest == max(one.oldest for one in mine)
-        assert (each.lowest, each.by) in {(one.lowest, one.by) for one in mine}
+        assert each.lowest_version == min(one.lowest_version for one in mine)
+        assert each.max_age == max(one.max_age for one in mine)
+        assert (each.lowest_version, each.lowest_relay) in {
+            (one.lowest_version, one.lowest_relay) for one in mine
+        }
 
 
 def test_zones_over_the_bound_are_one():
     many = [Count(f"z{number:03}", 2, number + 1, 0, 0, "r") for number in range(MAX_ZONES + 9)]
     told = merge_counts(many)
     assert len(told) == MAX_ZONES + 1 and sum(each.nodes for each in told) == 2 * len(many)
-    assert told[0].zone == "" and told[0].nodes == 18 and told[0].lowest == MAX_ZONES + 1
+    assert told[0].zone == "" and told[0].nodes == 18 and told[0].lowest_version == MAX_ZONES + 1
 
 
 def test_a_relay_names_itself_at_its_own_nodes_and_says_which_are_late():
     told = list(adjust_counts([node("z1", 4), node("z1", 5)], "r1", 5, 5, 7))
-    assert [(each.by, each.late, each.oldest) for each in told] == [("r1", 1, 7), ("r1", 0, 7)]
+    assert [(each.lowest_relay, each.late_nodes, each.max_age) for each in told] == [
+        ("r1", 1, 7),
+        ("r1", 0, 7),
+    ]
     below = [Count("z1", 9, 3, 5, 2, "r9")]
     assert list(adjust_counts(below, "r1", 5, 5, 0)) == below  # as that relay said
-    assert next(iter(adjust_counts(below, "r1", 4, 5, 0))).late == 9  # it is late itself
+    assert next(iter(adjust_counts(below, "r1", 4, 5, 0))).late_nodes == 9  # it is late itself
 
 
 def test_numbers_that_can_not_be_are_cut_and_still_fit_the_wire():
     bad = Count("z" * 999, 1 << 63, -5, 1 << 62, 1 << 63, "r" * 999)
     told = merge_counts(adjust_counts([bad] * 65, "r1", 5, 0, 1 << 62))
-    assert told[0].nodes == 65 * MAX_NODES and told[0].late == told[0].nodes
-    assert (told[0].lowest, told[0].oldest) == (0, MAX_AGE_US)
-    assert len(told[0].zone) == len(told[0].by) == MAX_NAME_CHARS and encode(told)
+    assert told[0].nodes == 65 * MAX_NODES and told[0].late_nodes == told[0].nodes
+    assert (told[0].lowest_version, told[0].max_age) == (0, MAX_AGE_US)
+    assert len(told[0].zone) == len(told[0].lowest_relay) == MAX_NAME_CHARS and encode(told)
     assert merge_counts([Count("z1", -3, 1, 0, 0, "r")]) == ()
 
 
 def test_one_that_moved_is_in_two_sums_for_a_bounded_time():
-    one, other = feeder(name="r1"), feeder(name="r2")
+    one, other = publisher(name="r1"), publisher(name="r2")
     says(one, 0, 1, 9, [node("z1", 9)], hold=0)  # answered at once; its link is never closed
     says(other, 10, 1, 9, [node("z1", 9)])
     both = [
@@ -114,12 +119,12 @@
     ]
     assert both == [2, 2]
     assert [one.counts(COUNT_EXPIRY_US), other.counts(COUNT_EXPIRY_US)[0].nodes] == [(), 1]
-    other.left(COUNT_EXPIRY_US, 1)
+    other.remove_subscriber(COUNT_EXPIRY_US, 1)
     assert other.counts(COUNT_EXPIRY_US) == ()
 
 
 def test_one_whose_question_is_held_counts_however_long():
-    it = feeder()
+    it = publisher()
     says(it, 0, 1, 9, [node("z1", 9, 5)])
     assert it.counts(2 * COUNT_EXPIRY_US) == (Count("z1", 1, 9, 5 + 2 * COUNT_EXPIRY_US, 0, "r1"),)
 
@@ -129,7 +134,7 @@
 def test_the_sum_is_of_those_that_are_there(seed):
     """Subscribers come, go, move without a word, and some are relays with nodes below."""
     rng = random.Random(seed)
-    it, now, there = feeder(), 0, {}
+    it, now, there = publisher(), 0, {}
     for _ in range(60):
         now += rng.randrange(2 * SECOND)
         who = rng.randrange(6)
@@ -138,16 +143,16 @@
             says(it, now, who, 9, [Count("z1", nodes, 9, 0, 0, "r9")], hold=0)
             there[who] = now, nodes
         else:
-            it.left(now, who)
+            it.remove_subscriber(now, who)
             there.pop(who, None)
         wanted = sum(nodes for since, nodes in there.values() if now - since < COUNT_EXPIRY_US)
         assert sum(each.nodes for each in it.counts(now)) == wanted
 
 
 def test_late_is_who_lacks_what_the_relay_has_had_for_long_enough():
-    it, due = feeder(3), SECOND + LATE_AFTER_US
+    it, due = publisher(3), SECOND + LATE_AFTER_US
     it.table.__init__(4)
-    it.grew(SECOND, ())
+    it.on_applied(SECOND, ())
     for now in (due - SECOND, due - 1, due):
         says(it, now, 1, 3, [node("z1", 3)], hold=0)
         assert it.counts(now) == (Count("z1", 1, 3, 0, int(now == due), "r1"),)
@@ -161,10 +166,10 @@
     had, now, came = VersionHistory(0, 0), 0, [(0, 0)]
     for version, span in enumerate(spans, 1):
         now += span
-        had.note(now, version)
+        had.record(now, version)
         came.append((now, version))
         moment = now - LATE_AFTER_US
-        told = had.before(moment)
+        told = had.version_at(moment)
         assert told <= max((each for at, each in came if at <= moment), default=0)
         assert told >= max((each for at, each in came if at <= moment - SLOT_US), default=0)
         assert len(had.slots) <= MAX_SLOTS
--- a/tests/config_distribution/test_distribution_sim.py
+++ b/tests/config_distribution/test_distribution_sim.py
@@ -145,10 +145,10 @@
 class FollowsOlder(RelayFollower):
     """What a relay has is right, even if it is less."""
 
-    def told(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
-        if isinstance(content, FollowAnswer) and content.say == FollowOutcome.BEHIND and self.is_node:
+    def on_answer(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
+        if isinstance(content, FollowAnswer) and content.outcome == FollowOutcome.BEHIND and self.is_node:
             self.copy.table = self.copy.shared.versions[content.version]
-        super().told(now, relay, what, content, why)
+        super().on_answer(now, relay, what, content, why)
 
 
 class LosesAChange(SharedCopy):
@@ -203,10 +203,10 @@
 class AcknowledgesMore(RelayFollower):
     """It tells the one above a version that it has only staged."""
 
-    def puts(self, now: int, what: str, content: Any, hold: int = 0) -> None:
+    def send_request(self, now: int, what: str, content: Any, hold: int = 0) -> None:
         if what == FOLLOW and self.is_node and self.copy.version > 1:
             content = FollowRequest(content.version + 1, content.digest, content.counts, content.hold)
-        super().puts(now, what, content, hold)
+        super().send_request(now, what, content, hold)
 
 
 class TakesBlindly(SharedCopy):
@@ -245,9 +245,9 @@
 class TellsLate(Publisher):
     """Its subscribers hear of nothing before their hold is over, and then that all is as it was."""
 
-    def grew(self, now: int, batches: tuple[Batch, ...]) -> None:
+    def on_applied(self, now: int, batches: tuple[Batch, ...]) -> None:
         if not self.name.startswith(("z01", "r1")) or now < 15 * SECOND:
-            super().grew(now, batches)
+            super().on_applied(now, batches)
 
 
 def test_a_place_that_is_told_no_news_is_seen_by_the_time_it_takes() -> None:
@@ -259,8 +259,8 @@
 class Spoils(Publisher):
     """The packed pages of one relay are those of another place."""
 
-    def asked(self, now: int, who: int, number: int, what: str, content: Any) -> None:
-        super().asked(now, who, number, what, content)
+    def on_request(self, now: int, who: int, number: int, what: str, content: Any) -> None:
+        super().on_request(now, who, number, what, content)
         if self.name == "z01.a":
             for kept in self.views:
                 kept.view.packed = lambda number: b"no page"  # type: ignore[method-assign]
--- a/tests/config_distribution/test_feed.py
+++ b/tests/config_distribution/test_feed.py
@@ -1,4 +1,4 @@
-"""The feeder by direct calls: what is held, what is sent, and that nothing grows with those that lag."""
+"""The publisher by direct calls: what is held, what is sent, and that nothing grows with those that lag."""
 
 import random
 
@@ -49,35 +49,35 @@
 
 
 class Relay:
-    """A feeder, its table, and who asks."""
+    """A publisher, its table, and who asks."""
 
     def __init__(self, window=8, room=1 << 20):
         self.table, self.now, self.number = Table(), 0, 0
-        self.feeder = Publisher("r1", "z1", self.table, 0)
-        self.feeder.window = Window(0, self.table.digest, window, room)
-        self.feeder.known(0, 0)
+        self.publisher = Publisher("r1", "z1", self.table, 0)
+        self.publisher.window = Window(0, self.table.digest, window, room)
+        self.publisher.set_age(0, 0)
 
     def publish(self, version, size=1, name="n"):
         batch = self.table.apply(version, (Change("t", name, b"%d" % version * size),))
-        self.feeder.grew(self.now, (batch,))
+        self.publisher.on_applied(self.now, (batch,))
         return batch
 
     def asks(self, who, what, content=None):
-        if who not in self.feeder.subscribers:
-            assert self.feeder.joined(self.now, who)
+        if who not in self.publisher.subscribers:
+            assert self.publisher.add_subscriber(self.now, who)
         self.number += 1
-        self.feeder.asked(self.now, who, self.number, what, content)
+        self.publisher.on_request(self.now, who, self.number, what, content)
         return self.pulled()
 
     def follows(self, who, version, digest=b"", hold=MAX_HOLD_US):
-        known = self.feeder.window.digests.get(version, b"")
+        known = self.publisher.window.digests.get(version, b"")
         return self.asks(who, FOLLOW, FollowRequest(version, digest or known, (), hold))
 
     def pulled(self):
         found = []
-        while (decision := self.feeder.next_decision(self.now)) is not None:
+        while (decision := self.publisher.next_decision(self.now)) is not None:
             found.append(decision)
-        deadline = self.feeder.deadline()
+        deadline = self.publisher.deadline()
         assert deadline is None or deadline > self.now
         return found
 
@@ -88,7 +88,7 @@
 
 def said(decisions):
     (only,) = decisions
-    return only.content.say if isinstance(only, Answer) else only.why
+    return only.content.outcome if isinstance(only, Answer) else only.why
 
 
 def test_a_follow_waits_for_news_and_all_that_waited_share_one_answer():
@@ -100,7 +100,12 @@
     answers = relay.pulled()
     assert {each.who for each in answers} == {1, 2} and answers[0].content is answers[1].content
     fed = answers[0].content
-    assert (fed.say, fed.version, fed.digest, fed.batches) == (FollowOutcome.NEWS, 7, batch.digest, (batch,))
+    assert (fed.outcome, fed.version, fed.digest, fed.batches) == (
+        FollowOutcome.NEWS,
+        7,
+        batch.digest,
+        (batch,),
+    )
     assert relay.follows(3, 3)[0].content.batches == (batch,)
     assert relay.passes(10 * MAX_HOLD_US) == []  # nothing is open
 
@@ -109,11 +114,11 @@
     relay = Relay()
     relay.publish(3)
     assert relay.follows(1, 3, hold=9 * MAX_HOLD_US) == relay.follows(2, 3, hold=300) == []
-    assert relay.feeder.deadline() == 300 and relay.passes(299) == []
+    assert relay.publisher.deadline() == 300 and relay.passes(299) == []
     assert [each.who for each in relay.passes(1)] == [2]
     assert relay.passes(MAX_HOLD_US - 301) == []
     (answer,) = relay.passes(1)
-    assert (answer.who, answer.content.say, answer.content.age) == (1, FollowOutcome.SAME, MAX_HOLD_US)
+    assert (answer.who, answer.content.outcome, answer.content.age) == (1, FollowOutcome.SAME, MAX_HOLD_US)
     assert said(relay.follows(1, 3, hold=-5)) == FollowOutcome.SAME
 
 
@@ -123,7 +128,7 @@
     relay.publish(3)
     relay.publish(5)
     first = relay.follows(1, 3)[0].content
-    relay.feeder.known(0, 70)
+    relay.publisher.set_age(0, 70)
     assert relay.follows(2, 3)[0].content is first
     relay.now = 10
     later = relay.follows(2, 3)[0].content
@@ -138,14 +143,14 @@
     assert relay.passes(BEHIND_HOLD_US - 1) == []
     if not then:
         (answer,) = relay.passes(1)
-        assert (answer.content.say, answer.content.version) == (FollowOutcome.BEHIND, 3)
+        assert (answer.content.outcome, answer.content.version) == (FollowOutcome.BEHIND, 3)
     elif then == "same":  # not before its whole hold: it counts on that
-        relay.feeder.window.add(Batch(7, 3, b"7" * 16, ()))
+        relay.publisher.window.add(Batch(7, 3, b"7" * 16, ()))
         assert relay.passes(MAX_HOLD_US - BEHIND_HOLD_US) == []
         assert said(relay.passes(1)) == FollowOutcome.SAME
     else:
-        relay.feeder.window.add(Batch(7, 3, b"7" * 16, ()))
-        relay.feeder.window.add(Batch(9, 7, b"9" * 16, ()))
+        relay.publisher.window.add(Batch(7, 3, b"7" * 16, ()))
+        relay.publisher.window.add(Batch(9, 7, b"9" * 16, ()))
         assert said(relay.passes(1)) == FollowOutcome.NEWS
 
 
@@ -167,7 +172,8 @@
     for version in range(2, 50):
         relay.publish(version, 2_000)
     assert (
-        relay.feeder.window.bytes > MAX_ANSWER_BYTES and said(relay.follows(1, 0)) == FollowOutcome.SNAPSHOT
+        relay.publisher.window.bytes > MAX_ANSWER_BYTES
+        and said(relay.follows(1, 0)) == FollowOutcome.SNAPSHOT
     )
     (answer,) = relay.follows(1, 1)
     assert len(encode(answer.content)) <= MAX_ANSWER_BYTES + 200 and len(answer.content.batches) < 40
@@ -186,9 +192,9 @@
     relay = Relay()
     relay.publish(3)
     batch = relay.table.apply(4, (Change("t", "n", b"4"),))
-    relay.feeder.known(0, 999)  # of version 4
-    assert relay.follows(1, 3) == [] and relay.feeder.age(0) == 0
-    relay.feeder.grew(0, (batch,))
+    relay.publisher.set_age(0, 999)  # of version 4
+    assert relay.follows(1, 3) == [] and relay.publisher.age(0) == 0
+    relay.publisher.on_applied(0, (batch,))
     assert relay.pulled()[0].content.batches == (batch,)
 
 
@@ -196,27 +202,27 @@
     relay = Relay()
     assert relay.follows(1, 0) == []
     assert said(relay.follows(1, 0)) == said(relay.asks(1, DIGESTS)) == "unfit"
-    relay.feeder.asked(0, 7, 1, FOLLOW, FollowRequest(0, b"", ()))
+    relay.publisher.on_request(0, 7, 1, FOLLOW, FollowRequest(0, b"", ()))
     assert relay.pulled() == [Decline(7, 1, "full")]
     for what, content in ((FOLLOW, None), (PAGES_OF, 3), (DIGESTS, 3), (FIND, None), ("x", None)):
-        relay.feeder.asked(0, 7, 2, what, content)
+        relay.publisher.on_request(0, 7, 2, what, content)
         assert relay.pulled() == [Decline(7, 2, "unfit")]
-    assert relay.feeder.counters["declined: unfit"] == 7
+    assert relay.publisher.counters["declined: unfit"] == 7
     assert relay.asks(1, IN_FORCE)[0].content["version"] == 0  # answered beside it
-    relay.feeder.left(0, 1)
+    relay.publisher.remove_subscriber(0, 1)
     assert relay.passes(MAX_HOLD_US) == []
 
 
 def test_subscribers_are_bounded_and_one_that_fell_silent_is_dropped():
     relay = Relay()
     for who in range(MAX_SUBSCRIBERS):
-        assert relay.feeder.joined(0, who)
-    assert not relay.feeder.joined(0, -1) and relay.feeder.joined(0, 3)
+        assert relay.publisher.add_subscriber(0, who)
+    assert not relay.publisher.add_subscriber(0, -1) and relay.publisher.add_subscriber(0, 3)
     assert said(relay.follows(3, 0, hold=0)) == FollowOutcome.SAME
     relay.passes(SUBSCRIBER_IDLE_US - 1)
     assert Drop(3) not in relay.passes(0)
     assert Drop(3) in relay.passes(FETCH_IDLE_US)
-    assert relay.feeder.joined(relay.now, -1)
+    assert relay.publisher.add_subscriber(relay.now, -1)
 
 
 @given(st.lists(st.integers(1, 9), min_size=1, max_size=60), st.integers(1, 6), st.integers(100, 900))
@@ -271,14 +277,14 @@
         assert relay.asks(who, DIGESTS)[0].content.version == 1
     assert said(relay.asks(50, DIGESTS)) == said(relay.asks(50, PAGES_OF, PagesRequest(1, (1,)))) == "busy"
     assert isinstance(relay.asks(0, DIGESTS)[0], Answer)  # its own turn goes on
-    relay.feeder.left(0, 0)
+    relay.publisher.remove_subscriber(0, 0)
     assert isinstance(relay.asks(50, DIGESTS)[0], Answer)
     assert said(relay.asks(51, DIGESTS)) == "busy"
     assert relay.follows(50, 1) == [] and isinstance(
         relay.asks(51, DIGESTS)[0], Answer
     )  # it has what it wanted
     relay.passes(2 * FETCH_IDLE_US)  # the others say nothing
-    assert relay.feeder.fetchers == {} and relay.feeder.in_force(relay.now)["fetching"] == 0
+    assert relay.publisher.fetchers == {} and relay.publisher.in_force(relay.now)["fetching"] == 0
 
 
 def test_a_snapshot_under_way_is_of_one_version_whatever_comes():
@@ -308,9 +314,9 @@
         relay.publish(10 + who)
         relay.now += VIEW_SHARED_US
     assert [each.version for each in heads] == [3, 10, 11, 12]
-    assert [each.view.version for each in relay.feeder.views] == [12]  # the others fell idle
+    assert [each.view.version for each in relay.publisher.views] == [12]  # the others fell idle
     relay.passes(VIEW_IDLE_US + FETCH_IDLE_US)
-    assert relay.feeder.views == []
+    assert relay.publisher.views == []
 
 
 def test_the_view_that_fewest_want_makes_room():
@@ -319,10 +325,10 @@
         for one in range(1 + (who != 1)):
             relay.asks(10 * who + one, DIGESTS)
         relay.publish(10 + who)
-        relay.feeder.views[-1].opened -= VIEW_SHARED_US
-    assert [each.view.version for each in relay.feeder.views] == [3, 10, 11]
+        relay.publisher.views[-1].opened_at -= VIEW_SHARED_US
+    assert [each.view.version for each in relay.publisher.views] == [3, 10, 11]
     relay.asks(99, DIGESTS)
-    assert [each.view.version for each in relay.feeder.views] == [3, 11, 12]
+    assert [each.view.version for each in relay.publisher.views] == [3, 11, 12]
     assert relay.asks(10, PAGES_OF, PagesRequest(10, (1,)))[0].content.pages == ()
 
 
@@ -331,9 +337,9 @@
     relay.asks(1, DIGESTS)
     for version in (3, 4):
         relay.publish(version)
-    assert len(relay.feeder.views) == 1
+    assert len(relay.publisher.views) == 1
     relay.publish(5)
-    assert relay.feeder.views == [] and relay.asks(1, DIGESTS)[0].content.version == 5
+    assert relay.publisher.views == [] and relay.asks(1, DIGESTS)[0].content.version == 5
 
 
 def test_pieces_keep_to_a_rate_that_holds_for_all():
@@ -341,7 +347,7 @@
     rng = random.Random(3)
     for number in range(1, 60):  # pages that can't be compressed
         changes = tuple(Change("t", f"n{number}.{at}", rng.randbytes(3_000)) for at in range(40))
-        relay.feeder.grew(0, (relay.table.apply(1_000 + number, changes),))
+        relay.publisher.on_applied(0, (relay.table.apply(1_000 + number, changes),))
     for who in range(MAX_FETCHERS):
         relay.asks(who, DIGESTS)
     version, asked, bytes_sent, open_ones = relay.table.version, 0, 0, set()
@@ -395,7 +401,7 @@
                 continue
             assert open_ones.pop(each.who)[0] == each.number
             content = getattr(each, "content", None)
-            if getattr(content, "say", None) == FollowOutcome.NEWS:
+            if getattr(content, "outcome", None) == FollowOutcome.NEWS:
                 assert content.batches and content.version == version
 
     for _ in range(150):
@@ -406,11 +412,11 @@
             relay.publish(version)
             answered(relay.pulled())
         elif choice < 0.3:
-            relay.feeder.left(relay.now, who)
+            relay.publisher.remove_subscriber(relay.now, who)
             open_ones.pop(who, None)
         elif choice < 0.8 and who not in open_ones:
             open_ones[who] = (relay.number + 1, relay.now)
-            past = rng.choice([0, *relay.feeder.window.digests, version + 1])
+            past = rng.choice([0, *relay.publisher.window.digests, version + 1])
             what = rng.choice(["follow", "follow", DIGESTS, PAGES_OF])
             if what == "follow":
                 answered(relay.follows(who, past, hold=rng.choice([0, 1_000, MAX_HOLD_US])))
@@ -418,9 +424,9 @@
                 answered(relay.asks(who, what, PagesRequest(version, (1, 2)) if what == PAGES_OF else None))
         else:
             answered(relay.passes(rng.randrange(MAX_HOLD_US // 3)))
-        it = relay.feeder
+        it = relay.publisher
         assert all(relay.now - at < MAX_HOLD_US for _, at in open_ones.values())
-        assert sum(each.held is not None for each in it.subscribers.values()) == len(open_ones)
-        assert len(it.waits) <= 2 * len(it.subscribers) + 64 and len(it.views) <= MAX_VIEWS
-        assert not it.out and not it.ready and len(it.shared) <= MAX_SUBSCRIBERS
+        assert sum(each.open_request is not None for each in it.subscribers.values()) == len(open_ones)
+        assert len(it.wake_heap) <= 2 * len(it.subscribers) + 64 and len(it.views) <= MAX_VIEWS
+        assert not it.decisions and not it.ready and len(it.shared_answers) <= MAX_SUBSCRIBERS
         assert set(it.fetchers) <= set(it.subscribers) and len(it.fetchers) <= feed.MAX_FETCHERS
--- a/tests/config_distribution/test_follow.py
+++ b/tests/config_distribution/test_follow.py
@@ -21,11 +21,11 @@
 def test_the_relays_of_the_home_tier_are_drawn_evenly_and_within_the_span():
     drawn = [Node(seed=seed) for seed in range(400)]
     for node in drawn:
-        node.passes(TIMES.move[1])
+        node.passes(TIMES.open_delay[1])
     firsts = Counter(node.opened[0][1] for node in drawn)
     assert set(firsts) == set(HOME) and min(firsts.values()) > 160
     spans = sorted(node.opened[0][0] - SECOND for node in drawn)
-    assert spans[0] < TIMES.move[1] // 20 and spans[-1] > TIMES.move[1] * 19 // 20
+    assert spans[0] < TIMES.open_delay[1] // 20 and spans[-1] > TIMES.open_delay[1] * 19 // 20
 
 
 def test_a_lost_one_is_followed_by_the_other_of_its_tier_then_by_the_next_tier():
@@ -35,19 +35,19 @@
         lost_at = node.now
         node.lost()
         node.follows()
-        assert node.now - lost_at <= TIMES.move[1]
+        assert node.now - lost_at <= TIMES.open_delay[1]
     assert set(seen[:2]) == set(HOME) and set(seen[2:]) == set(NEXT)
 
 
 def test_one_that_opens_not_or_goes_silent_is_left_within_the_patience():
     node = Node()
-    node.passes(TIMES.move[1] + TIMES.opening)
+    node.passes(TIMES.open_delay[1] + TIMES.connect_timeout)
     first = node.opened[0][1]
     assert first not in node.open and f"leaving relay {first}: its link was not opened in time" in node.told
-    node.passes(TIMES.move[1])
+    node.passes(TIMES.open_delay[1])
     second = node.follows()
     assert {first, second} == set(HOME)
-    node.passes(MAX_HOLD_US + TIMES.patience - 1)
+    node.passes(MAX_HOLD_US + TIMES.answer_timeout - 1)
     assert node.it.relay == second
     node.passes(1)
     assert (
@@ -61,11 +61,11 @@
     """Its answer may lie in the buffer: it is read before the relay is left."""
     node = following()
     relay = node.it.relay
-    node.now += MAX_HOLD_US + TIMES.patience + TIMES.overslept + 1
-    node.it.wakes(node.now)
+    node.now += MAX_HOLD_US + TIMES.answer_timeout + TIMES.max_timer_delay + 1
+    node.it.on_timer(node.now)
     node.stir()
     assert node.it.relay == relay
-    node.passes(TIMES.patience)
+    node.passes(TIMES.answer_timeout)
     assert node.it.relay is None
 
 
@@ -76,7 +76,7 @@
             node.passes(node.it.deadline() - node.now)
         node.lost()
     gaps = [later - past for (past, _), (later, _) in zip(node.opened, node.opened[1:], strict=False)]
-    assert max(gaps[:3]) <= TIMES.move[1] and max(gaps) <= 1.5 * TIMES.rest[1]
+    assert max(gaps[:3]) <= TIMES.open_delay[1] and max(gaps) <= 1.5 * TIMES.backoff[1]
     assert sum(gaps[-20:]) / 20 > 2 * SECOND
     assert {relay for _, relay in node.opened} == {*HOME, *NEXT}
 
@@ -87,16 +87,19 @@
     node.lost()
     node.follows()
     second, since = node.it.relay, node.now
-    quiet(node, TIMES.home[1])
+    quiet(node, TIMES.first_choice_probe_interval[1])
     at, probed = node.opened[-1]
-    assert probed == first and TIMES.home[0] <= at - since <= TIMES.home[1]
-    node.it.opened(node.now, first, MARK)
+    assert (
+        probed == first
+        and TIMES.first_choice_probe_interval[0] <= at - since <= TIMES.first_choice_probe_interval[1]
+    )
+    node.it.on_link_opened(node.now, first, MARK)
     node.stir()
     assert node.question.counts == () and node.question.hold == 0 and node.it.relay == second
     node.hears(fed(FollowOutcome.BEHIND, 2), relay=first)
     assert node.it.relay == second and node.open == {second}
-    quiet(node, TIMES.home[1])
-    node.it.opened(node.now, first, MARK)
+    quiet(node, TIMES.first_choice_probe_interval[1])
+    node.it.on_link_opened(node.now, first, MARK)
     node.stir()
     node.hears(fed(FollowOutcome.SAME, 3), relay=first)
     assert node.it.relay == first and node.open == {first} and node.question.counts
@@ -106,7 +109,7 @@
     """Its relay says that there is nothing newer, time after time, until it opens another link."""
     until, opened = node.now + span, len(node.opened)
     while node.now < until and len(node.opened) == opened:
-        node.passes(node.it.question.at + MAX_HOLD_US - node.now)
+        node.passes(node.it.request.sent_at + MAX_HOLD_US - node.now)
         node.hears(fed(FollowOutcome.SAME, node.table.version))
     assert len(node.opened) > opened
 
@@ -151,7 +154,7 @@
     relay = node.follows(mark=b"")
     node.hears(fed(FollowOutcome.SAME, 0, MAX_AGE_US, digest=b"other nothing"))
     assert node.it.relay == relay
-    node.passes(TIMES.again)
+    node.passes(TIMES.retry_delay)
     node.hears(news(0, 3))
     assert node.it.relay is None and not node.stepping and node.table.version == 0
 
@@ -160,14 +163,14 @@
     node = following()
     relay, since = node.it.relay, node.now
     while node.it.relay == relay and node.now < since + 9 * SECOND:
-        node.passes(TIMES.again)
+        node.passes(TIMES.retry_delay)
         node.hears(fed(FollowOutcome.BEHIND, 2))
-    assert TIMES.behind <= node.now - since <= TIMES.behind + 2 * TIMES.again
+    assert TIMES.max_behind <= node.now - since <= TIMES.max_behind + 2 * TIMES.retry_delay
     node = following()
     node.hears(fed(FollowOutcome.BEHIND, 2))
-    node.passes(TIMES.again)
+    node.passes(TIMES.retry_delay)
     node.hears(fed(FollowOutcome.SAME, 3))
-    node.passes(TIMES.behind)
+    node.passes(TIMES.max_behind)
     node.hears(fed(FollowOutcome.BEHIND, 2))  # it counts anew
     assert node.it.relay is not None
 
@@ -183,7 +186,9 @@
         node.hears(None, DIGESTS, why="busy")
         waits.append(node.it.deadline() - node.now)
         node.passes(waits[-1])
-    assert node.it.relay == relay and all(TIMES.busy[0] <= each <= TIMES.busy[1] for each in waits)
+    assert node.it.relay == relay and all(
+        TIMES.busy_retry_delay[0] <= each <= TIMES.busy_retry_delay[1] for each in waits
+    )
     node.hears(fed(FollowOutcome.SNAPSHOT, 9))
     node.hears(None, DIGESTS, why="busy")
     assert {relay, node.follows()} == set(HOME)
@@ -194,13 +199,13 @@
     node = following()
     relay, since = node.it.relay, node.now
     while node.now < since + 600 * SECOND:
-        node.passes(min(node.it.deadline(), node.it.question.at + MAX_HOLD_US) - node.now)
-        probe = node.it.looks.probe
-        if probe is not None and probe.asked < 0:
-            node.it.opened(node.now, probe.relay, MARK)
+        node.passes(min(node.it.deadline(), node.it.request.sent_at + MAX_HOLD_US) - node.now)
+        probe = node.it.prober.probe
+        if probe is not None and probe.asked_at < 0:
+            node.it.on_link_opened(node.now, probe.relay, MARK)
             node.stir()
             node.hears(fed(FollowOutcome.SAME, 3, node.now - since + 300_000), relay=probe.relay)
-        if node.now >= node.it.question.at + MAX_HOLD_US:
+        if node.now >= node.it.request.sent_at + MAX_HOLD_US:
             node.hears(fed(FollowOutcome.SAME, 3, node.now - since))
         assert node.it.relay == relay
     looks = [at - since for at, _ in node.opened[1:]]
@@ -208,15 +213,17 @@
     assert {other for _, other in node.opened} == {*HOME, *NEXT}
 
 
-@pytest.mark.parametrize(("younger", "moves"), [(TIMES.fresher + 200_000, True), (TIMES.fresher, False)])
+@pytest.mark.parametrize(
+    ("younger", "moves"), [(TIMES.min_age_gain + 200_000, True), (TIMES.min_age_gain, False)]
+)
 def test_it_moves_to_a_fresher_one_by_a_margin_alone(younger, moves):
     node = following()
     relay, age = node.it.relay, 10 * SECOND
     node.passes(MAX_HOLD_US)
     node.hears(fed(FollowOutcome.SAME, 3, age))
-    node.passes(node.it.looks.look_at - node.now)
-    probe = node.it.looks.probe.relay
-    node.it.opened(node.now, probe, MARK)
+    node.passes(node.it.prober.fresher_probe_at - node.now)
+    probe = node.it.prober.probe.relay
+    node.it.on_link_opened(node.now, probe, MARK)
     node.stir()
     node.hears(fed(FollowOutcome.SAME, 3, node.it.age(node.now) - younger), relay=probe)
     assert node.it.relay == (probe if moves else relay) and len(node.open) == 1
--- a/tests/config_distribution/test_follow_properties.py
+++ b/tests/config_distribution/test_follow_properties.py
@@ -51,7 +51,7 @@
 
 def fitting(node, version, wrong):
     """An answer to the open question, as a relay that has this version would give it; or a spoilt one."""
-    what, past = node.it.question.what, node.table.version
+    what, past = node.it.request.what, node.table.version
     if what == DIGESTS:
         return head(version)
     if what == PAGES_OF:
@@ -81,15 +81,15 @@
             node.passes(700_000)
         elif what == "step":
             node.step()
-        elif node.it.question is not None:
+        elif node.it.request is not None:
             fits = fitting(node, number, wrong) if what == "fits" else answer
-            node.hears(fits, node.it.question.what)
+            node.hears(fits, node.it.request.what)
         if node.table.version < version:
             return f"back from {version} to {node.table.version}"
         version = node.table.version
         if node.table.content != published(version):
             return f"{node.table.content} as {version}"
-        question = node.it.question
+        question = node.it.request
         if question is not None and question.what == FOLLOW and node.question.version != version:
             return f"acknowledged {node.question.version}, had {version}"
     return ""
@@ -107,20 +107,20 @@
         if not fed.batches:
             return "none"
         self.copy.stage(fed.batches)
-        self.sets("batches", relay, mark, None)
+        self.start("batches", relay, mark, None)
         return ""
 
 
 class LaxFollower(RelayFollower):
     def __init__(self, *args):
         super().__init__(*args)
-        self.taking = Lax(self.copy)
+        self.pending = Lax(self.copy)
 
 
 class UnchainedFollower(RelayFollower):
     def __init__(self, *args):
         super().__init__(*args)
-        self.taking = Unchained(self.copy)
+        self.pending = Unchained(self.copy)
 
 
 @pytest.mark.parametrize(
--- a/tests/config_distribution/test_follow_taking.py
+++ b/tests/config_distribution/test_follow_taking.py
@@ -162,7 +162,7 @@
     node.hears(pages(5, 0, 1), PAGES_OF)
     node.hears(pages(5, 2), PAGES_OF)
     node.steps()
-    assert node.table.content == published(5) and not node.it.anew
+    assert node.table.content == published(5) and not node.it.needs_snapshot
 
 
 def test_a_page_that_went_wrong_in_memory_is_mended_by_a_snapshot():
@@ -183,7 +183,7 @@
     assert any("OWN COPY IN DOUBT" in each for each in node.told)
     node.follows()
     node.hears(FollowAnswer(FollowOutcome.SAME, 3, copy.digest, 0))  # it would agree: that proves nothing now
-    node.passes(TIMES.again)
+    node.passes(TIMES.retry_delay)
     node.hears(FollowAnswer(FollowOutcome.NEWS, 5, source.digest, 0, (second,)))
     node.hears(source.view().head(0), DIGESTS)
     assert node.question.numbers == (page,)
@@ -214,7 +214,7 @@
     node.now += MAX_HOLD_US // 4
     node.hears(fed(FollowOutcome.SAME, 3))
     assert node.it.age(node.now) == MAX_HOLD_US // 4
-    assert node.it.deadline() == node.now + TIMES.again
+    assert node.it.deadline() == node.now + TIMES.retry_delay
 
 
 def test_the_age_is_not_touched_by_what_knows_less():
@@ -238,7 +238,7 @@
 
 def test_a_relay_asks_with_a_shorter_hold_and_tells_of_all_below():
     relay = Node(version=3, is_node=False)
-    below = relay.it.below = (Count("z1", 97, 2, 5, 1, "r1"),)
+    below = relay.it.counts_below = (Count("z1", 97, 2, 5, 1, "r1"),)
     relay.follows()
     assert (relay.question.hold, relay.question.counts) == (TIMES.relay_hold, below)
 
--- a/tests/config_distribution/test_hollow.py
+++ b/tests/config_distribution/test_hollow.py
@@ -61,12 +61,12 @@
         own, hollow = rng.choice(pairs)
         what = rng.randrange(8)
         if what < 3:
-            at = next((at for at, each in enumerate(source.batches) if each.past == own.version), 0)
+            at = next((at for at, each in enumerate(source.batches) if each.previous == own.version), 0)
             at = at if rng.random() < 0.9 else rng.randrange(12)
             batches = source.batches[at : at + rng.randrange(1, 4)]
             if rng.random() < 0.1 and batches:
                 batches[-1] = Batch(
-                    batches[-1].version, batches[-1].past, batches[-1].digest, batches[-1].changes[1:]
+                    batches[-1].version, batches[-1].previous, batches[-1].digest, batches[-1].changes[1:]
                 )
             assert told(own.stage, batches) == told(hollow.stage, batches)
         elif what < 5:
@@ -150,7 +150,7 @@
 def test_of_two_batches_with_one_version_each_is_looked_at():
     source, shared = Source(random.Random(1), 2), Shared()
     good = source.batches[0]
-    wrong = Batch(good.version, good.past, good.digest, good.changes[:-1])
+    wrong = Batch(good.version, good.previous, good.digest, good.changes[:-1])
     for _ in range(2):
         first, second = SharedCopy(shared), SharedCopy(shared)
         first.stage((good,))
--- a/tests/config_distribution/test_in_time.py
+++ b/tests/config_distribution/test_in_time.py
@@ -105,7 +105,7 @@
 
 def test_the_bound_is_one_that_can_be_missed(worlds, monkeypatch):
     world, _ = worlds(1)
-    world.processes[NODE].follower.looks.heard = lambda now, age: None  # never looks for a fresher one
+    world.processes[NODE].follower.prober.on_age = lambda now, age: None  # never looks for a fresher one
     cut_off(world, followed(world))
     world.runs(SECOND)
     assert until_in_force(world) > IN_FORCE
--- a/tests/config_distribution/test_kept.py
+++ b/tests/config_distribution/test_kept.py
@@ -114,14 +114,14 @@
     disk = FaultyDisk()
     table, _ = written(disk)
     life, looked = Life(FaultyDisk(disk.image())), [0]  # pages between two turns
-    unpack, turn = module.unpack_page, PersistedTable.turn
+    unpack, turn = module.unpack_page, PersistedTable.next_turn
 
     def counted(number, data):
         looked[-1] += 1
         return unpack(number, data)
 
     monkeypatch.setattr(module, "unpack_page", counted)
-    monkeypatch.setattr(PersistedTable, "turn", lambda kept: looked.append(0) or turn(kept))
+    monkeypatch.setattr(PersistedTable, "next_turn", lambda kept: looked.append(0) or turn(kept))
     assert same(life.load()[0], table)
     assert sum(looked) == PAGE_COUNT and max(looked) == module.PAGES_PER_CHECK == 2
 
@@ -132,17 +132,17 @@
     loaded, mark, recent = life.load()
     assert same(loaded, Table()) and (mark, recent, life.kept.trouble) == (b"", [], "")
     made = []
-    life.kept.mark(b"mark")
+    life.kept.set_group_mark(b"mark")
     for version in range(1, 30):
         made.append(step(table, version * 2))
-        life.kept.wrote(table, (made[-1],))
+        life.kept.on_batches_applied(table, (made[-1],))
     life.stop()
     again = Life(FaultyDisk(disk.image()), "fleet")
     loaded, mark, recent = again.load()
     assert same(loaded, table)
     assert (mark, recent, again.kept.trouble, again.lines) == (b"mark", made, "", [])
     made.append(step(loaded, 100))  # and it goes on from there
-    again.kept.wrote(loaded, (made[-1],))
+    again.kept.on_batches_applied(loaded, (made[-1],))
     assert again.kept.counts["pages written"] <= 3
     again.stop()
     assert same(Life(FaultyDisk(again.disk.image())).load()[0], loaded)
@@ -153,13 +153,13 @@
     life = Life(disk)
     life.load()
     for version in (1, 2, 3):
-        life.kept.wrote(table, (step(table, version),))
+        life.kept.on_batches_applied(table, (step(table, version),))
     other = Table()
     for version in (7, 8):
         step(other, version, 40)
-    life.kept.replaced(other)
+    life.kept.on_snapshot_applied(other)
     last = step(other, 9)
-    life.kept.wrote(other, (last,))
+    life.kept.on_batches_applied(other, (last,))
     loaded, _, recent = Life(FaultyDisk(disk.image())).load()
     assert same(loaded, other) and recent == [last]
     assert life.kept.counts["pages written"] >= 30
@@ -172,13 +172,13 @@
     life.load()
     for version in range(1, 40):
         made.append(step(table, version, 1))
-        life.kept.wrote(table, (made[-1],))
+        life.kept.on_batches_applied(table, (made[-1],))
     loaded, _, recent = Life(FaultyDisk(disk.image())).load()
     assert same(loaded, table) and recent == made[-8:]
     monkeypatch.setattr(module, "MAX_RECENT_BYTES", 300)
     for version in range(40, 50):
         made.append(table.apply(version, [change("big", bytes([version]) * 90)]))
-        life.kept.wrote(table, (made[-1],))
+        life.kept.on_batches_applied(table, (made[-1],))
     loaded, _, recent = Life(FaultyDisk(disk.image())).load()
     assert same(loaded, table) and recent == made[-2:]
     assert sum(1 for _ in life.store.scan(b"b")) == 2
@@ -191,7 +191,7 @@
     life.hands.at_once = False
     for version in range(1, 51):
         made.append(step(table, version))
-        life.kept.wrote(table, (made[-1],))
+        life.kept.on_batches_applied(table, (made[-1],))
     assert len(life.hands.calls) == 1
     life.hands.work()
     assert life.kept.counts["writes"] <= 3
@@ -218,9 +218,9 @@
                     batch = step(table, version, 12)
                     states.setdefault(version, Table.loaded(version, table.pages))
                     if version % 3:
-                        life.kept.wrote(table, (batch,))
+                        life.kept.on_batches_applied(table, (batch,))
                     else:
-                        life.kept.replaced(table)
+                        life.kept.on_snapshot_applied(table)
                     if disk.off:
                         break
                     confirmed = version
@@ -243,10 +243,10 @@
     disk, table = FaultyDisk(), Table()
     life = Life(disk)
     life.load()
-    life.kept.wrote(table, (step(table, 1),))
+    life.kept.on_batches_applied(table, (step(table, 1),))
     disk.room = disk.used()
     for version in range(2, 6):
-        life.kept.wrote(table, (step(table, version),))
+        life.kept.on_batches_applied(table, (step(table, version),))
     assert "not kept" in life.kept.trouble and len(life.lines) == 1
     life.clock.advance(module.RETRY_DELAY_S)
     assert (life.kept.counts["writes failed"], len(life.lines)) == (2, 1)
@@ -262,7 +262,7 @@
     life = Life(disk)
     life.load()
     disk.room = disk.used()
-    life.kept.wrote(table, (step(table, 1),))
+    life.kept.on_batches_applied(table, (step(table, 1),))
     life.stop()
     assert life.clock.getDelayedCalls() == []
 
@@ -272,8 +272,8 @@
     life = Life(disk)
     life.load()
     life.hands.at_once = False
-    life.kept.wrote(table, (step(table, 1),))
-    life.kept.wrote(table, (step(table, 2),))
+    life.kept.on_batches_applied(table, (step(table, 1),))
+    life.kept.on_batches_applied(table, (step(table, 2),))
     told = life.kept.close()
     assert not told.called
     life.hands.work()
@@ -285,7 +285,7 @@
     table, life = Table(), Life(disk)
     life.load()
     for version in range(1, count + 1):
-        life.kept.wrote(table, (step(table, version),))
+        life.kept.on_batches_applied(table, (step(table, version),))
     return table, life
 
 
@@ -318,7 +318,7 @@
     assert "corrupt" in after.kept.trouble and len(after.lines) == 1
     other = Table()
     step(other, 9, 30)
-    after.kept.replaced(other)  # and it is written over
+    after.kept.on_snapshot_applied(other)  # and it is written over
     assert after.kept.trouble == ""
     assert same(Life(FaultyDisk(after.disk.image())).load()[0], other)
 
@@ -349,7 +349,7 @@
     disk = FaultyDisk()
     table, life = written(disk)
     head = life.store.engine.get(module.HEAD_KEY)
-    life.kept.wrote(table, (step(table, 9),))
+    life.kept.on_batches_applied(table, (step(table, 9),))
     result(life.store.commit(Stored().put(module.HEAD_KEY, head)))
     after = Life(FaultyDisk(disk.image()))
     assert same(after.load()[0], Table()) and "not those of version 5" in after.kept.trouble
@@ -434,7 +434,7 @@
     assert opened("fleet").check(StoreError)  # in use
     reactor.until(kept.load())
     for version in range(1, 9):
-        kept.wrote(table, (step(table, version),))
+        kept.on_batches_applied(table, (step(table, version),))
     reactor.until(kept.close())
     assert opened("other").check(CannotOpenError)
     again = opened("fleet")
@@ -449,7 +449,7 @@
     life = Life(disk)
     life.load()
     for version in range(1, 8):
-        life.kept.wrote(table, (step(table, version, 20),))
+        life.kept.on_batches_applied(table, (step(table, version, 20),))
         states.add(table.digest)
     image, rng = disk.image(), random.Random(5)
     refused = older = 0
--- a/tests/config_distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -1,4 +1,4 @@
-"""The host round a feeder: one answer at most waits for each link, and one that does not read is dropped."""
+"""The host of a publisher: at most one answer waits for each link, and a link that is not read is dropped."""
 
 import msgspec
 import pytest
@@ -59,21 +59,21 @@
 class Host:
     def __init__(self, turn=serving.MAX_ANSWERS_PER_TURN):
         self.clock, self.table, self.log = Clock(), Table(), Log()
-        self.feeder = Publisher("r1", "north", self.table, 0)
+        self.publisher = Publisher("r1", "north", self.table, 0)
         self.serving = PublisherHost(
-            self.clock, self.feeder, lambda: int(self.clock.seconds() * SECOND), self.log, turn=turn
+            self.clock, self.publisher, lambda: int(self.clock.seconds() * SECOND), self.log, turn=turn
         )
-        self.feeder.known(0, 0)
+        self.publisher.set_age(0, 0)
         self.number = 0
 
     def publish(self, version, *names):
         batch = self.table.apply(version, [Change("tenant", name, b"{}") for name in names])
-        self.feeder.grew(int(self.clock.seconds() * SECOND), (batch,))
-        self.serving.stir()
+        self.publisher.on_applied(int(self.clock.seconds() * SECOND), (batch,))
+        self.serving.schedule_pull()
 
     def ask(self, link, what, content=None):
         self.number += 1
-        self.serving.asked(link, ClientRequest(self.number, what, encode_raw(content)))
+        self.serving.on_request(link, ClientRequest(self.number, what, encode_raw(content)))
         return self.number
 
     def follow(self, link, version=0, digest=b""):
@@ -97,7 +97,7 @@
     host.clock.advance(0)
     answers = [decode_follow_answer(each.replies[0].content) for each in links]
     assert [each.replies[0].number for each in links] == numbers
-    assert {(each.say, each.version) for each in answers} == {(FollowOutcome.NEWS, 7)}
+    assert {(each.outcome, each.version) for each in answers} == {(FollowOutcome.NEWS, 7)}
     assert len(made) == 1
 
 
@@ -120,7 +120,7 @@
     host.pass_by(0.9)
     assert not link.replies
     host.pass_by(0.2)
-    assert [decode_follow_answer(each.content).say for each in link.replies] == [FollowOutcome.SAME]
+    assert [decode_follow_answer(each.content).outcome for each in link.replies] == [FollowOutcome.SAME]
 
 
 def test_one_question_at_a_time_and_none_before_the_answer_was_read():
@@ -155,7 +155,7 @@
     host.pass_by(2.1)
     assert stuck.aborted and not slow.aborted
     assert host.serving.counts == {"dropped: does not read": 1}
-    assert host.serving.looking is None  # nothing waits: no timer does
+    assert host.serving.unread_timer is None  # nothing waits: no timer does
 
 
 def test_a_snapshot_is_fetched_and_the_command_finds_a_record():
@@ -186,7 +186,7 @@
     host.clock.advance(0)
     assert [(each.done, each.content) for each in link.replies] == [(False, encode_raw("unfit"))]
     assert host.serving.counts == {"questions that can't be read": 1}
-    assert not host.serving.wants("propose") and host.serving.wants(FOLLOW)
+    assert not host.serving.handles("propose") and host.serving.handles(FOLLOW)
 
 
 def test_one_subscriber_too_many_is_told_so_and_a_command_is_still_answered():
@@ -199,21 +199,21 @@
     host.ask(links[-1], IN_FORCE)
     host.clock.advance(0)
     assert links[-1].replies[-1].done
-    host.serving.hung_up(links[0])
+    host.serving.on_disconnected(links[0])
     host.follow(links[-1], 0, host.table.digest)
     host.pass_by(1.1)
-    assert decode_follow_answer(links[-1].replies[-1].content).say == FollowOutcome.SAME
+    assert decode_follow_answer(links[-1].replies[-1].content).outcome == FollowOutcome.SAME
 
 
 def test_one_that_hung_up_is_answered_no_more_and_forgotten():
     host, gone, other = Host(), Link(), Link()
     host.follow(gone, 0, host.table.digest)
     host.follow(other, 0, host.table.digest)
-    host.serving.hung_up(gone)
+    host.serving.on_disconnected(gone)
     host.publish(1, "acme")
     host.clock.advance(0)
     assert not gone.replies and len(other.replies) == 1
-    assert len(host.serving.askers) == len(host.serving.numbers) == len(host.feeder.subscribers) == 1
+    assert len(host.serving.links) == len(host.serving.numbers) == len(host.publisher.subscribers) == 1
 
 
 def test_after_its_close_nothing_is_answered_and_no_timer_is_left():
@@ -228,11 +228,11 @@
 
 def test_an_error_in_a_decision_is_told_and_ends_nothing():
     host, link = Host(), Link()
-    right, host.feeder.next_decision = host.feeder.next_decision, lambda now: 1 // 0
+    right, host.publisher.next_decision = host.publisher.next_decision, lambda now: 1 // 0
     host.follow(link, 0, host.table.digest)
     host.clock.advance(0)
     assert host.serving.counts == {"errors": 1} and "ZeroDivisionError" in host.log.events[0][1]["trace"]
-    host.feeder.next_decision = right
+    host.publisher.next_decision = right
     host.publish(1, "acme")
     host.clock.advance(0)
     assert len(link.replies) == 1
--- a/tests/config_distribution/test_source.py
+++ b/tests/config_distribution/test_source.py
@@ -87,7 +87,7 @@
     assert publish(source, 5, ("tenant", "a", b"1"), ("route", "a", b"2")) == PublishResult(True, 5, 2)
     assert publish(source, 9, ("tenant", "a", None), ("route", "a", b"2")) == PublishResult(True, 9, 1)
     first, second = (each.batch for each in source.window)
-    assert (first.version, first.past, second.version, second.past) == (5, 0, 9, 5)
+    assert (first.version, first.previous, second.version, second.previous) == (5, 0, 9, 5)
     assert second.changes == (Change("tenant", "a", None),)  # only what changed travels
     assert second.digest == source.table.digest and in_force(source) == {("route", "a"): b"2"}
     told = asked(source, StatusQuery())
@@ -160,10 +160,10 @@
         told = asked(source, query)
         assert told.known
         changes += told.changes
-        if told.a == b:
+        if told.next_version == b:
             return sources.net_changes(changes)
-        assert (told.a, told.skip) > (query.a, query.skip)
-        query = DiffQuery(told.a, b, told.skip)
+        assert (told.next_version, told.skip_changes) > (query.from_version, query.skip_changes)
+        query = DiffQuery(told.next_version, b, told.skip_changes)
 
 
 @pytest.mark.parametrize(("name", "most"), [("MAX_DIFF_CHANGES", 3), ("MAX_DIFF_BYTES", 100)])
@@ -233,12 +233,12 @@
 
 
 class Host:
-    """In place of `serving.Serving`: what the feeder was told, and asked at once."""
+    """In place of `serving.PublisherHost`: what the publisher was told, and asked at once."""
 
-    def __init__(self, reactor, feeder, now, log):
-        self.feeder, self.now, self.closed = feeder, now, False
+    def __init__(self, reactor, publisher, now, log):
+        self.publisher, self.now, self.closed = publisher, now, False
 
-    def stir(self):
+    def schedule_pull(self):
         pass
 
     def close(self):
@@ -283,11 +283,11 @@
 
 
 def fed(voting, member, version, digest):
-    feeder = voting.feeder
-    feeder.joined(member.at, 1)
-    feeder.asked(member.at, 1, 1, FOLLOW, FollowRequest(version, digest, (), 0))
-    decision = feeder.next_decision(member.at)
-    feeder.left(member.at, 1)
+    publisher = voting.publisher
+    publisher.add_subscriber(member.at, 1)
+    publisher.on_request(member.at, 1, 1, FOLLOW, FollowRequest(version, digest, (), 0))
+    decision = publisher.next_decision(member.at)
+    publisher.remove_subscriber(member.at, 1)
     return decision.content
 
 
@@ -301,15 +301,15 @@
         )
     voting.on_applied(state)  # two entries in one pull
     told = fed(voting, member, 0, nothing)
-    assert told.say == FollowOutcome.NEWS and [each.version for each in told.batches] == [3, 4]
+    assert told.outcome == FollowOutcome.NEWS and [each.version for each in told.batches] == [3, 4]
     later = Source()
     publish(later, 20, ("tenant", "b", b"9"))
     publish(later, 30, ("tenant", "c", b"9"))
     restored = StateMachine({"distribution": copied(later)})
     voting.on_applied(restored)
     told = fed(voting, member, 20, later.window[0].batch.digest)
-    assert told.say == FollowOutcome.NEWS and (told.version, told.digest) == (30, later.table.digest)
-    assert voting.feeder.table.find("tenant", "a") is None
+    assert told.outcome == FollowOutcome.NEWS and (told.version, told.digest) == (30, later.table.digest)
+    assert voting.publisher.table.find("tenant", "a") is None
 
 
 def one_change(value):
@@ -318,33 +318,33 @@
 
 def test_a_leader_s_age_counts_from_before_it_asked_and_grows_while_nobody_answers():
     voting, member, later, state = serving()
-    assert voting.feeder.in_force(member.at)["age_us"] == -1  # nothing is known before it was proved
+    assert voting.publisher.in_force(member.at)["age_us"] == -1  # nothing is known before it was proved
     member.at += 70_000
     member.proofs.pop()(True)
-    assert voting.feeder.age(member.at) == 70_000
+    assert voting.publisher.age(member.at) == 70_000
     later.calls.pop()()
     member.at += 500_000
-    assert voting.feeder.age(member.at) == 570_000
+    assert voting.publisher.age(member.at) == 570_000
     member.proofs.pop()(False)  # it leads no more
-    assert voting.feeder.age(member.at) == 570_000 and later.calls
+    assert voting.publisher.age(member.at) == 570_000 and later.calls
 
 
 def test_a_follower_s_age_counts_from_the_last_word_whose_commit_it_has():
     fresh, now = CommitFreshness(), 10_000_000
-    fresh.word(now, 5, 5)
-    assert fresh.at is None  # the first words may be old ones
-    fresh.word(now + IGNORE_AFTER_PAUSE_US, 5, 5)
-    assert fresh.at == now + IGNORE_AFTER_PAUSE_US
-    fresh.word(now + IGNORE_AFTER_PAUSE_US + 60_000, 8, 5)
-    fresh.word(now + IGNORE_AFTER_PAUSE_US + 120_000, 9, 6)
-    fresh.applied(7)
-    assert fresh.at == now + IGNORE_AFTER_PAUSE_US
-    fresh.applied(8)
-    assert fresh.at == now + IGNORE_AFTER_PAUSE_US + 60_000
+    fresh.on_leader_message(now, 5, 5)
+    assert fresh.known_at is None  # the first words may be old ones
+    fresh.on_leader_message(now + IGNORE_AFTER_PAUSE_US, 5, 5)
+    assert fresh.known_at == now + IGNORE_AFTER_PAUSE_US
+    fresh.on_leader_message(now + IGNORE_AFTER_PAUSE_US + 60_000, 8, 5)
+    fresh.on_leader_message(now + IGNORE_AFTER_PAUSE_US + 120_000, 9, 6)
+    fresh.on_applied(7)
+    assert fresh.known_at == now + IGNORE_AFTER_PAUSE_US
+    fresh.on_applied(8)
+    assert fresh.known_at == now + IGNORE_AFTER_PAUSE_US + 60_000
     woken = now + IGNORE_AFTER_PAUSE_US + 120_000 + PAUSE_THRESHOLD_US + 1
     for buffered in range(40):  # words of the time when it was stopped
-        fresh.word(woken + buffered, 8, 8)
-    assert fresh.at == now + IGNORE_AFTER_PAUSE_US + 60_000
+        fresh.on_leader_message(woken + buffered, 8, 8)
+    assert fresh.known_at == now + IGNORE_AFTER_PAUSE_US + 60_000
 
 
 def test_before_it_takes_part_and_after_its_end_a_voter_answers_nothing():
--- a/tests/config_distribution/test_status.py
+++ b/tests/config_distribution/test_status.py
@@ -19,16 +19,16 @@
 
 
 def voter(name, version, *counts):
-    """What a feeder tells that has heard these of its subscribers, one each."""
+    """What a publisher tells that has heard these of its subscribers, one each."""
     table = Table()
     for each in range(1, version + 1):
         table.apply(each, [Change("tenant", f"t{each}", b"")])
-    feeder = Publisher(name, "", table, 0)
-    feeder.known(0, 300_000)
+    publisher = Publisher(name, "", table, 0)
+    publisher.set_age(0, 300_000)
     for who, (told, has) in enumerate(counts):
-        feeder.joined(0, who)
-        feeder.asked(0, who, 1, FOLLOW, FollowRequest(has, b"", told))
-    return json.loads(json.dumps(feeder.in_force(0)))
+        publisher.add_subscriber(0, who)
+        publisher.on_request(0, who, 1, FOLLOW, FollowRequest(has, b"", told))
+    return json.loads(json.dumps(publisher.in_force(0)))
 
 
 @pytest.fixture
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -88,13 +88,13 @@
     def source(self, port, mark=MARK):
         made = self.relay(port, [1], mark=mark)
         made.follower.age = lambda now: 0
-        made.feeder.known(made.now(), 0)
+        made.publisher.set_age(made.now(), 0)
         made.follower.known_at = 0
         return made
 
     def publish(self, source, version, *names, value=b"{}"):
         batch = source.table.apply(version, [Change("tenant", each, value) for each in names])
-        source.taken((batch,))
+        source.on_applied((batch,))
 
     def node(self, *tiers, copy=None, seed=1):
         copy = copy or TableCopy()
@@ -129,12 +129,14 @@
     assert node.copy.find("tenant", "third") == b"{}"
     assert {each.table.digest for each in (top, region, zone)} == {node.copy.digest}
     assert [[each.version for each in one] for one in place.taken] == [[3], [9]]
-    assert place.net.run(5, lambda: [each.lowest for each in top.feeder.counts(top.now())] == [9])
-    assert [(each.zone, each.nodes, each.by) for each in top.feeder.counts(top.now())] == [
+    assert place.net.run(5, lambda: [each.lowest_version for each in top.publisher.counts(top.now())] == [9])
+    assert [(each.zone, each.nodes, each.lowest_relay) for each in top.publisher.counts(top.now())] == [
         ("north-a", 1, "r7931")
     ]
     assert node.copy.mark == zone.copy.mark == MARK
-    assert node.beliefs().startswith("version 9, age ") and node.beliefs().endswith("relay 10.0.0.1:7931")
+    assert node.describe_state().startswith("version 9, age ") and node.describe_state().endswith(
+        "relay 10.0.0.1:7931"
+    )
 
 
 def test_a_snapshot_is_taken_whole_one_slice_a_turn(place):
@@ -164,7 +166,7 @@
     second = node.follower.relay
     place.net.silent.add(int(second[-4:]))
     assert place.net.run(6, lambda: node.follower.relay == "10.0.0.1:7901")
-    assert len(node.ways) <= 2 and node.copy.version == 3
+    assert len(node.attempts) <= 2 and node.copy.version == 3
 
 
 def test_a_relay_of_another_group_is_not_followed(place):
@@ -206,7 +208,7 @@
     node = place.node([7931])
     assert place.net.run(10, lambda: node.follower.relay)
     zone.copy.mark = b"mark-two"
-    zone.learns()
+    zone.adopt_group_mark()
     assert place.net.run(10, lambda: node.follower.mark == b"mark-two")
     assert node.counters()["left"] == 1 and not node.counts
 
@@ -286,11 +288,11 @@
     done = []
     node.stop()
     place.net.run(0.1)
-    assert not zone.door.connections and not zone.feeder.subscribers
+    assert not zone.listener.connections and not zone.publisher.subscribers
     zone.stop().addCallback(done.append)
     zone.stop().addCallback(done.append)
     place.net.run(0.1)
-    assert done == [None, None] and not node.ways and not zone.door.connections
+    assert done == [None, None] and not node.attempts and not zone.listener.connections
     top.stop()
     assert not place.net.getDelayedCalls()
 
@@ -344,11 +346,11 @@
     for each in batches[:3]:
         past.apply(each.version, each.changes)
     relay = place.relay(7931, [1], mark=MARK, table=table)
-    assert relay.feeder.in_force(0)["age_us"] == -1
+    assert relay.publisher.in_force(0)["age_us"] == -1
     chosen = msgspec.structs.replace(relay.chosen, listen="10.0.0.1:7932")
     relay = RelayProcess(place.net, chosen, place.log, random.Random(1), table, MARK, batches)
-    assert len(relay.feeder.window) == 4
-    relay.feeder.joined(0, 1)
-    relay.feeder.asked(0, 1, 1, FOLLOW, FollowRequest(3, past.digest, ()))
-    told = relay.feeder.next_decision(0).content
+    assert len(relay.publisher.window) == 4
+    relay.publisher.add_subscriber(0, 1)
+    relay.publisher.on_request(0, 1, 1, FOLLOW, FollowRequest(3, past.digest, ()))
+    told = relay.publisher.next_decision(0).content
     assert [each.version for each in told.batches] == [4, 5]
--- a/tests/config_distribution/test_table.py
+++ b/tests/config_distribution/test_table.py
@@ -114,7 +114,7 @@
         for version, puts in enumerate(drawn, 1):
             before = [model.get(key) for key in puts]
             made.append(source.apply(version * 3, [Change(*key, value) for key, value in puts.items()]))
-            assert source.before == before
+            assert source.replaced_values == before
             model = {key: value for key, value in (model | puts).items() if value is not None}
             states.append(model)
             agree(source, model)
@@ -392,7 +392,7 @@
         assert rebuild.put(number, first.packed(number))
     source.apply(source.version + 1, [change(f"acme-{at}", b"new") for at in range(0, 3000, 30)])
     later = source.view()
-    again = rebuild.onto(later.head(0))
+    again = rebuild.continue_with(later.head(0))
     changed = {number for number in fetched if first.pages[number] != later.pages[number]}
     assert changed and changed == set(fetched) & set(again.missing(PAGE_COUNT))
     for number in again.missing(PAGE_COUNT):
@@ -411,7 +411,7 @@
         assert rebuild.put(number, bad.packed(number))
     source.apply(6, [change("acme-1", b"value 1"), change("new", None), change("newer", b"one")])
     later = source.view()
-    again = rebuild.onto(later.head(0))
+    again = rebuild.continue_with(later.head(0))
     differ = [number for number in range(PAGE_COUNT) if later.pages[number] != table.pages[number]]
     assert again.missing(PAGE_COUNT) == differ  # the ones taken back are the table's own
     for number in differ:
@@ -468,10 +468,10 @@
     ready = False
     while not ready:
         slices.append([])
-        sorted_before, at = staging.sorted, staging.at
+        sorted_before, at = staging.assigned, staging.batch_index
         ready = staging.step()
-        assert staging.sorted - sorted_before <= 7
-        assert staging.at - at <= 1
+        assert staging.assigned - sorted_before <= 7
+        assert staging.batch_index - at <= 1
     for each in slices:
         assert sum(each[:-1]) + 100 * len(each[:-1]) < 2_000  # the last one may go over
     assert max(map(len, slices)) > 1  # and it does use its share
