--- a/tests/consensus/test_member_process.py
+++ b/tests/consensus/test_member_process.py
@@ -127,7 +127,7 @@
     follow(process, link, 2, digest=Source().table.digest)
     run_on(reactor, 0.1)
     first = decode_follow_answer(link.replies[1].content)
-    assert first.say == FollowOutcome.NEWS and [each.changes[0].name for each in first.batches] == ["a"]
+    assert first.outcome == FollowOutcome.NEWS and [each.changes[0].name for each in first.batches] == ["a"]
     assert 0 <= first.age < 300_000
     follow(process, link, 3, first.version, first.digest, 1_000_000)
     run_on(reactor, 0.3)
@@ -135,12 +135,12 @@
     publish(process, reactor, client, "b", 2)
     run_on(reactor, 0.1)
     news = decode_follow_answer(link.replies[2].content)
-    assert news.batches[0].past == first.version and news.batches[0].changes[0].name == "b"
+    assert news.batches[0].previous == first.version and news.batches[0].changes[0].name == "b"
     process.on_request(link, ClientRequest(4, "in force"))
     run_on(reactor, 0.1)
     assert decode(link.replies[3].content)["version"] == news.version
     process.on_disconnected(link, 0)
-    assert process.extension.extension.feeder.in_force(process.now())["subscribers"] == 0
+    assert process.extension.extension.publisher.in_force(process.now())["subscribers"] == 0
     process.end(0)
 
 
@@ -194,7 +194,7 @@
     follow(again, link, 1, digest=Source().table.digest)
     run_on(reactor, 0.1)
     fed = decode_follow_answer(link.replies[0].content)
-    assert fed.say == FollowOutcome.NEWS and [each.changes[0].name for each in fed.batches] == [
+    assert fed.outcome == FollowOutcome.NEWS and [each.changes[0].name for each in fed.batches] == [
         f"t{number}" for number in range(1, 6)
     ]
     again.end(0)
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -198,7 +198,7 @@
     assert not node.ended.called and not subscriber.stopped
     for _ in range(300):
         node.reactor.advance(0.01)
-    assert node.ended.called and subscriber.stopped and not subscriber.ways
+    assert node.ended.called and subscriber.stopped and not subscriber.attempts
 
 
 def test_off_means_not_imported():
@@ -282,7 +282,11 @@
     node.taken(())
     node.subscriber.copy.mark = b"mark-two"
     node.told()
-    assert disk.calls == [("wrote", table, (batch,)), ("replaced", table), ("mark", b"mark-two")]
+    assert disk.calls == [
+        ("on_batches_applied", table, (batch,)),
+        ("on_snapshot_applied", table),
+        ("set_group_mark", b"mark-two"),
+    ]
     node.stop()
     assert disk.calls[-1] == "close"
 
