--- a/lichencleat/config_distribution/acts.py
+++ b/lichencleat/config_distribution/acts.py
@@ -16,8 +16,8 @@
     CLOSE = 2  # close the link to `relay`, also while it is being opened
     ASK = 3  # send the request `what` with `content` to `relay`
     STEP = 4  # call copy.step() in a later turn of the reactor and report the result
-    TAKEN = 5  # `batches` were applied; empty: a snapshot was applied
-    TELL = 6  # log `text`
+    APPLIED = 5  # `batches` were applied; empty: a snapshot was applied
+    LOG = 6  # log `text`
 
 
 @dataclass(frozen=True, slots=True)
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -112,7 +112,7 @@
 
     def log(self, text: str) -> None:
         """Logs a line."""
-        self.decisions.append(Decision(Action.TELL, text=text[:MAX_LOG_CHARS]))
+        self.decisions.append(Decision(Action.LOG, text=text[:MAX_LOG_CHARS]))
 
     # -- state --------------------------------------------------------------------------------
 
@@ -523,7 +523,7 @@
         self.diverging_relays.clear()
         self.corrupt_relays.clear()
         self.advance_known_at(known)
-        self.decisions.append(Decision(Action.TAKEN, batches=batches))
+        self.decisions.append(Decision(Action.APPLIED, batches=batches))
         self.selector.on_success(pending.relay)
         self.ask(now)
 
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -155,10 +155,10 @@
         self.window_batches, self.window_bytes = window_batches, window_bytes
         self.table = Table()
         self.window: deque[KeptBatch] = deque()
-        self.size = 0  # bytes of the window
+        self.window_bytes_used = 0  # bytes of the window
         self.since: tuple[int, bytes] = (0, self.table.digest)
-        self.packed: list[bytes] = [b""] * len(self.table.pages)  # pages as a dump stores them
-        self.plain: set[int] = set()  # pages not compressed since their last change
+        self.compressed_pages: list[bytes] = [b""] * len(self.table.pages)  # pages as a dump stores them
+        self.uncompressed_pages: set[int] = set()  # pages not compressed since their last change
 
     # -- commands --------------------------------------------------------------------------------------
 
@@ -183,7 +183,7 @@
         except TableError as wrong:
             return self.reject(str(wrong))
         self.keep_batch(before, batch, tuple(self.table.replaced_values))
-        self.plain |= {locate_key(encode_key(each.kind, each.name))[0] for each in changes}
+        self.uncompressed_pages |= {locate_key(encode_key(each.kind, each.name))[0] for each in changes}
         self.compress_pages()
         return PublishResult(True, index, len(changes))
 
@@ -196,22 +196,22 @@
         if not self.window:
             self.since = before
         self.add_to_window(encode((batch, replaced)), batch, replaced)
-        while len(self.window) > self.window_batches or self.size > self.window_bytes:
+        while len(self.window) > self.window_batches or self.window_bytes_used > self.window_bytes:
             past = self.window.popleft()
-            self.size -= past.size
+            self.window_bytes_used -= past.size
             self.since = (past.batch.version, past.batch.digest)
 
     def add_to_window(self, data: bytes, batch: Batch, replaced: Replaced) -> None:
         """Adds an encoded batch to the window."""
         dumped = zlib.compress(data, ZLIB_LEVEL) if len(data) > MAX_UNCOMPRESSED_BYTES else data
         self.window.append(KeptBatch(batch, replaced, dumped, len(data)))
-        self.size += len(data)
+        self.window_bytes_used += len(data)
 
     def compress_pages(self) -> None:
         """Compresses some of the changed pages."""
-        for number in heapq.nsmallest(PAGES_COMPRESSED_PER_ENTRY, self.plain):
-            self.plain.remove(number)
-            self.packed[number] = zlib.compress(self.table.pages[number], ZLIB_LEVEL)
+        for number in heapq.nsmallest(PAGES_COMPRESSED_PER_ENTRY, self.uncompressed_pages):
+            self.uncompressed_pages.remove(number)
+            self.compressed_pages[number] = zlib.compress(self.table.pages[number], ZLIB_LEVEL)
 
     # -- queries ------------------------------------------------------------------------------------
 
@@ -275,7 +275,7 @@
 
     def dump(self) -> SourceDump:
         """The state for a group's snapshot."""
-        pages, plain = list(self.packed), sorted(self.plain)
+        pages, plain = list(self.compressed_pages), sorted(self.uncompressed_pages)
         for number in plain:
             pages[number] = self.table.pages[number]
         window = [(each.size > MAX_UNCOMPRESSED_BYTES, each.dumped) for each in self.window]
@@ -296,8 +296,8 @@
             raise msgspec.ValidationError(
                 f"the digest of the dumped table of version {found.version} does not match"
             )
-        self.packed, self.plain = found.pages, plain
-        self.since, self.window, self.size = found.since, deque(), 0
+        self.compressed_pages, self.uncompressed_pages = found.pages, plain
+        self.since, self.window, self.window_bytes_used = found.since, deque(), 0
         for deflated, data in found.window:
             whole = inflate(data, MAX_KEPT_BATCH_BYTES) if deflated else data
             self.add_to_window(whole, *decode_batch_with_replaced(whole))
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -322,9 +322,9 @@
         elif act is Action.STEP:
             if self.stepping is None:
                 self.stepping = self.reactor.callLater(0, self.step)
-        elif act is Action.TAKEN:
+        elif act is Action.APPLIED:
             self.on_taken(decision.batches)
-        elif act is Action.TELL:
+        elif act is Action.LOG:
             self.log.info(decision.text)
 
     def drop(self, relay: str) -> None:
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -200,7 +200,7 @@
             self.world.after(site, CALL, self.gives_up, link)
         elif act is Action.CLOSE:
             self.drops(decision.relay)
-        elif act is Action.TAKEN:
+        elif act is Action.APPLIED:
             self.taken(now, decision.batches)
         else:
             self.fleet.tells(now, site, decision.text)
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -410,7 +410,7 @@
             self.links[key].message = ("question", decision.what, decision.content)
         elif decision.act is Action.STEP:
             process.stepping = True
-        elif decision.act is Action.TAKEN:
+        elif decision.act is Action.APPLIED:
             self.judge()
             process.had = tuple(sorted({*process.had, process.table.version}))
             if process.feeder is not None:
--- a/tests/config_distribution/following.py
+++ b/tests/config_distribution/following.py
@@ -1,4 +1,4 @@
-"""A follower with relays and a table that tests drive by hand."""
+"""A relay follower with relays and a table that tests drive by hand."""
 
 import random
 
@@ -23,7 +23,7 @@
 
 
 class Node:
-    """A follower and its host: what it decided last, by what it is."""
+    """A relay follower and its host; records the decisions by kind."""
 
     def __init__(
         self, tiers=(HOME, NEXT), version=0, seed=1, is_node=True, table=None, follower=RelayFollower
@@ -32,7 +32,7 @@
         self.now = SECOND
         self.it = follower(tiers, self.table, random.Random(seed), self.now, is_node, "z1")
         self.opened, self.asked, self.told, self.taken = [], [], [], []
-        self.open = set()  # links, as far as they are wanted
+        self.open = set()  # relays with an open link
         self.stepping = False
         self.stir()
 
@@ -50,14 +50,14 @@
             elif decision.act is Action.STEP:
                 assert not self.stepping
                 self.stepping = True
-            elif decision.act is Action.TAKEN:
+            elif decision.act is Action.APPLIED:
                 self.taken.append(decision.batches)
             else:
                 self.told.append(decision.text)
         assert len(self.open) <= 2 and self.it.deadline() > self.now
 
     def passes(self, span):
-        """Timers run when they are due; links that it opens answer to nobody."""
+        """Lets time pass and fires the timers; links that are opened meanwhile get no answer."""
         until = self.now + span
         while self.it.deadline() <= until:
             self.now = self.it.deadline()
@@ -66,7 +66,7 @@
         self.now = until
 
     def follows(self, relay=None, mark=MARK):
-        """Its next link opens. Gives the relay."""
+        """Opens the next link. Returns the relay."""
         while not self.open:
             self.passes(self.it.deadline() - self.now)
         relay = relay or self.opened[-1][1]
--- a/tests/config_distribution/test_copy.py
+++ b/tests/config_distribution/test_copy.py
@@ -1,4 +1,4 @@
-"""What a follower holds: batches and snapshots staged in slices, spoilt ones given up, pages kept."""
+"""A follower's copy: batches and snapshots staged in slices, corrupt ones discarded, fetched pages kept."""
 
 import pytest
 
@@ -30,7 +30,7 @@
 
 
 def fetched(copy, view, count: int) -> list[int]:
-    """That many pages more, looked through."""
+    """Fetches `count` more pages and checks them."""
     numbers = copy.missing(count)
     assert copy.put(piece(view, numbers))
     for _ in numbers:
@@ -38,12 +38,12 @@
     return numbers
 
 
-def test_batches_are_taken_whole_and_given_back():
+def test_batches_are_applied_as_a_whole_and_returned():
     source, copy = Table(), TableCopy(mark=b"m")
     made = tuple(source.apply(at, [change("x", b"%d" % at), change(f"y{at}", b"")]) for at in (2, 5))
     copy.stage(made)
     with pytest.raises(ChainError):
-        copy.take()  # staged, not looked through
+        copy.take()  # staged, but not checked
     copy.stage(made)
     ready(copy)
     assert copy.version == 0 and copy.find("tenant", "x") is None
@@ -56,7 +56,7 @@
     assert copy.version == 5
 
 
-def test_a_spoilt_batch_leaves_all_as_it_was():
+def test_a_corrupt_batch_changes_nothing():
     source, copy = source_of(500), TableCopy(source_of(500))
     good = source.apply(9, [change("acme-1", b"new")])
     copy.stage([Batch(9, 1, good.digest, (change("acme-1", b"neu"),))])
@@ -72,7 +72,7 @@
     assert copy.digest == source.digest
 
 
-def test_a_snapshot_is_taken_in_one_turn_and_the_pages_before_it_let_go_of():
+def test_a_snapshot_is_applied_in_one_turn_and_replaced_pages_are_freed_in_slices():
     source, copy = source_of(2000), TableCopy(source_of(500))
     old = copy.table.pages
     view = source.view()
@@ -94,7 +94,7 @@
     assert copy.digest == source.digest
 
 
-def test_a_spoilt_page_ends_it_and_the_next_relay_goes_on_with_what_was_whole():
+def test_a_corrupt_page_ends_a_snapshot_and_the_next_relay_continues_with_valid_pages():
     source, copy = source_of(2000), TableCopy()
     view = source.view()
     copy.begin(view.head(0))
@@ -105,7 +105,7 @@
         ready(copy)
     copy.drop()
     assert copy.missing(9) == [] and not copy.step()
-    stale = copy.rebuild.missing(9)[-1]  # comes, is not looked at yet, and is another in the next snapshot
+    stale = copy.rebuild.missing(9)[-1]  # received, not checked yet, and different in the next snapshot
     copy.unchecked_pages[stale] = view.packed(stale)
     name = next(pages.iterate_records(source.pages[stale]))[1]
     source.apply(5000, [change("acme-1", b"new"), change(name, b"new")])
@@ -121,7 +121,7 @@
     assert (copy.version, copy.digest) == (5000, source.digest)
 
 
-def test_pages_of_another_snapshot_or_not_asked_for_are_refused():
+def test_pages_of_another_snapshot_or_not_requested_are_rejected():
     source, copy = source_of(500), TableCopy()
     assert not copy.put(PagesAnswer(1, ()))
     view = source.view()
@@ -135,7 +135,7 @@
     assert not copy.put(piece(view, [number]))
 
 
-def test_a_head_that_is_wrong_shows_in_step_and_what_was_fetched_stays():
+def test_step_reports_an_invalid_head_and_fetched_pages_stay():
     source, copy = source_of(500), TableCopy()
     view = source.view()
     copy.begin(view.head(0))
@@ -151,11 +151,11 @@
     assert not set(whole) & set(copy.missing(PAGE_COUNT))
     ahead = TableCopy(source_of(1000))
     ahead.begin(view.head(0))
-    with pytest.raises(ChainError):  # older than what is in force
+    with pytest.raises(ChainError):  # older than the version in force
         ahead.step()
 
 
-def test_batches_taken_meanwhile_make_an_end_of_the_snapshot():
+def test_batches_applied_meanwhile_end_the_snapshot():
     source, copy = source_of(500), TableCopy(source_of(500))
     batch = source.apply(502, [change("acme-1", b"new")])
     view = source.view()
@@ -165,7 +165,7 @@
     ready(copy)
     copy.take()
     assert copy.rebuild is None and copy.digest == source.digest
-    copy.begin(view.head(0))  # the same again: nothing is missing
+    copy.begin(view.head(0))  # the same snapshot again: no page is missing
     assert copy.missing(9) == [] and copy.step()
     copy.take()
     assert copy.version == 502
--- a/tests/config_distribution/test_counts.py
+++ b/tests/config_distribution/test_counts.py
@@ -1,4 +1,4 @@
-"""Counts up the tree: sums that add up whatever comes and goes, extremes, who is late."""
+"""Version counts up the tree: sums stay right as subscribers come and go, extremes, and late nodes."""
 
 import random
 
@@ -62,8 +62,8 @@
 
 @given(COUNTS, st.randoms(use_true_random=False))
 @FIXED
-def test_sums_and_extremes_do_not_depend_on_the_way_up(counts, rng):
-    """In any order, and by way of any relays: the same."""
+def test_sums_and_extremes_do_not_depend_on_the_path_up(counts, rng):
+    """The result is the same in any order and through any relays."""
     whole = merge_counts(counts)
     shuffled = list(counts)
     rng.shuffle(shuffled)
@@ -82,25 +82,25 @@
         }
 
 
-def test_zones_over_the_bound_are_one():
+def test_zones_above_the_bound_are_merged():
     many = [Count(f"z{number:03}", 2, number + 1, 0, 0, "r") for number in range(MAX_ZONES + 9)]
     told = merge_counts(many)
     assert len(told) == MAX_ZONES + 1 and sum(each.nodes for each in told) == 2 * len(many)
     assert told[0].zone == "" and told[0].nodes == 18 and told[0].lowest_version == MAX_ZONES + 1
 
 
-def test_a_relay_names_itself_at_its_own_nodes_and_says_which_are_late():
+def test_a_relay_adds_its_name_to_its_own_nodes_and_marks_late_ones():
     told = list(adjust_counts([node("z1", 4), node("z1", 5)], "r1", 5, 5, 7))
     assert [(each.lowest_relay, each.late_nodes, each.max_age) for each in told] == [
         ("r1", 1, 7),
         ("r1", 0, 7),
     ]
     below = [Count("z1", 9, 3, 5, 2, "r9")]
-    assert list(adjust_counts(below, "r1", 5, 5, 0)) == below  # as that relay said
-    assert next(iter(adjust_counts(below, "r1", 4, 5, 0))).late_nodes == 9  # it is late itself
+    assert list(adjust_counts(below, "r1", 5, 5, 0)) == below  # as the relay below reported
+    assert next(iter(adjust_counts(below, "r1", 4, 5, 0))).late_nodes == 9  # the subscriber itself is late
 
 
-def test_numbers_that_can_not_be_are_cut_and_still_fit_the_wire():
+def test_numbers_out_of_range_are_clamped_and_fit_the_wire_format():
     bad = Count("z" * 999, 1 << 63, -5, 1 << 62, 1 << 63, "r" * 999)
     told = merge_counts(adjust_counts([bad] * 65, "r1", 5, 0, 1 << 62))
     assert told[0].nodes == 65 * MAX_NODES and told[0].late_nodes == told[0].nodes
@@ -109,7 +109,7 @@
     assert merge_counts([Count("z1", -3, 1, 0, 0, "r")]) == ()
 
 
-def test_one_that_moved_is_in_two_sums_for_a_bounded_time():
+def test_a_subscriber_that_moved_is_in_two_sums_for_a_bounded_time():
     one, other = publisher(name="r1"), publisher(name="r2")
     says(one, 0, 1, 9, [node("z1", 9)], hold=0)  # answered at once; its link is never closed
     says(other, 10, 1, 9, [node("z1", 9)])
@@ -123,7 +123,7 @@
     assert other.counts(COUNT_EXPIRY_US) == ()
 
 
-def test_one_whose_question_is_held_counts_however_long():
+def test_a_subscriber_with_a_held_request_counts_for_any_duration():
     it = publisher()
     says(it, 0, 1, 9, [node("z1", 9, 5)])
     assert it.counts(2 * COUNT_EXPIRY_US) == (Count("z1", 1, 9, 5 + 2 * COUNT_EXPIRY_US, 0, "r1"),)
@@ -131,8 +131,8 @@
 
 @given(st.integers(0, 1 << 30))
 @FIXED
-def test_the_sum_is_of_those_that_are_there(seed):
-    """Subscribers come, go, move without a word, and some are relays with nodes below."""
+def test_the_sum_covers_the_present_subscribers(seed):
+    """Subscribers come, go and move without closing links; some are relays with nodes below."""
     rng = random.Random(seed)
     it, now, there = publisher(), 0, {}
     for _ in range(60):
@@ -149,7 +149,7 @@
         assert sum(each.nodes for each in it.counts(now)) == wanted
 
 
-def test_late_is_who_lacks_what_the_relay_has_had_for_long_enough():
+def test_a_node_is_late_if_it_lacks_what_the_relay_has_had_for_long_enough():
     it, due = publisher(3), SECOND + LATE_AFTER_US
     it.table.__init__(4)
     it.on_applied(SECOND, ())
@@ -162,7 +162,7 @@
 
 @given(st.lists(st.integers(1, 400_000), min_size=1, max_size=200))
 @FIXED
-def test_what_was_had_is_never_told_too_early_nor_by_more_than_a_slot_too_late(spans):
+def test_a_past_version_is_reported_never_too_early_and_at_most_a_slot_too_late(spans):
     had, now, came = VersionHistory(0, 0), 0, [(0, 0)]
     for version, span in enumerate(spans, 1):
         now += span
--- a/tests/config_distribution/test_distribution_checkers.py
+++ b/tests/config_distribution/test_distribution_checkers.py
@@ -1,4 +1,4 @@
-"""The judges of histories find each planted mistake, and nothing in a history that is right."""
+"""The checkers of histories find each injected mistake, and nothing in a correct history."""
 
 import pytest
 
@@ -34,7 +34,7 @@
     return watch
 
 
-def test_a_right_history_is_right():
+def test_a_correct_history_passes():
     told = [Acknowledged(12, "n1", 3, "d3"), Acknowledged(40, "n2", 5, "d5"), Acknowledged(1, "n3", 0, "")]
     watch = judged(RIGHT, told, [(3, answers(3)), (4, answers(4)), (5, answers(5))])
     assert watch.wrong is None and watch.heard == len(RIGHT) and watch.acknowledged == 3
@@ -43,7 +43,7 @@
 
 
 @pytest.mark.parametrize(("wrong_at", "found"), [(48, "half a batch"), (52, "two digests")])
-def test_a_lost_change_of_a_pair_is_found_whoever_says_the_version_first(wrong_at, found):
+def test_a_lost_change_of_a_pair_is_found_whoever_reports_the_version_first(wrong_at, found):
     lost = said(wrong_at, "n2", 7, "other", **{"pair/a0": {"n": 5}})
     history = sorted([*RIGHT, said(50, "n1", 7), lost], key=lambda each: each.at)
     wrong = judged(history, (), [(7, answers(7))]).wrong
@@ -62,14 +62,14 @@
         (said(50, "n2", 9), "not as published"),
     ],
 )
-def test_each_planted_mistake_is_found(planted, found):
+def test_each_injected_mistake_is_found(planted, found):
     published = [(9, answers(8))]
     assert judged(RIGHT, (), published).wrong is None
     wrong = judged([*RIGHT, planted], (), published).wrong
     assert wrong is not None and found in wrong and "n2" in wrong
 
 
-def test_what_is_published_is_held_against_what_was_said_before_the_word_of_it_came():
+def test_a_publication_is_compared_with_reports_from_before_it_was_known():
     watch = judged(RIGHT)
     watch.publishes(5, {"pair/a0": {"n": 5}})
     assert watch.wrong is None
@@ -80,10 +80,10 @@
 @pytest.mark.parametrize(
     "told",
     [
-        Acknowledged(9, "n1", 3, "d3"),  # before
-        Acknowledged(50, "n2", 4, "d4"),  # never
+        Acknowledged(9, "n1", 3, "d3"),  # before it was in force
+        Acknowledged(50, "n2", 4, "d4"),  # never in force there
         Acknowledged(50, "n1", 3, "d5"),  # with another digest
     ],
 )
-def test_an_acknowledgement_before_it_is_in_force_is_found(told):
+def test_an_acknowledgement_before_the_version_is_in_force_is_found(told):
     assert "acknowledged before it is in force" in judged(RIGHT, [told]).wrong
--- a/tests/config_distribution/test_distribution_sim.py
+++ b/tests/config_distribution/test_distribution_sim.py
@@ -1,4 +1,6 @@
-"""The simulated fleet, small: what must hold does, planted mistakes are caught, a seed's bytes stay."""
+"""The simulated fleet at a small size: the guarantees hold, injected mistakes are caught, a seed is
+reproducible.
+"""
 
 from __future__ import annotations
 
@@ -38,14 +40,14 @@
     return Run(Job(event, seed, size), **variants).play()
 
 
-# -- what must hold ----------------------------------------------------------------------------------------
+# -- guarantees ---------------------------------------------------------------------------------------
 
 
 @pytest.mark.parametrize(
     ("event", "seed"),
     [("power disk", 1), ("drawn", 4)],
 )
-def test_through_an_event(event: str, seed: int) -> None:
+def test_the_guarantees_hold_through_an_event(event: str, seed: int) -> None:
     figures = play(event, seed)
     assert figures["wrong"] == []
     assert figures["in_force"]["count"] > 100
@@ -66,7 +68,7 @@
         "leader killed",
     ],
 )
-def test_through_another_one_at_the_least_size(event: str) -> None:
+def test_the_guarantees_hold_through_further_events_at_the_smallest_size(event: str) -> None:
     figures = play(event, size=LEAST)
     assert figures["wrong"] == []
     assert figures["in_time"]
@@ -79,7 +81,7 @@
     assert figures["counters"]["node"]["relays behind"] > 0
 
 
-def test_a_region_that_is_cut_off_says_how_old_it_is_and_catches_up() -> None:
+def test_a_region_that_is_cut_off_reports_its_age_and_catches_up() -> None:
     run = Run(Job("region cut", 3, LEAST))
     run.fleet.begins()
     run.fleet.world.clockwork.run(60 * SECOND)
@@ -96,7 +98,7 @@
     assert figures["age_ms"]["all"] < AIM
 
 
-def test_the_same_seed_gives_the_same_bytes_whatever_the_hashes() -> None:
+def test_a_seed_gives_the_same_bytes_with_any_hash_seed() -> None:
     script = (
         "import json; from tests.config_distribution.test_distribution_sim import LEAST, play;"
         "print(json.dumps(play('drawn', 7, LEAST)))"
@@ -114,16 +116,16 @@
     assert json.loads(told[0]) == json.loads(json.dumps(play("drawn", 7, LEAST)))
 
 
-def test_every_event_has_a_scene_that_ends() -> None:
+def test_the_scene_of_every_event_ends() -> None:
     for event in EVENTS:
         assert 60 < Run(Job(event, 1, LEAST)).scene.until < 400
 
 
-# -- planted mistakes --------------------------------------------------------------------------------------
+# -- injected mistakes -------------------------------------------------------------------------------------
 
 
 class TwoTurns(SharedCopy):
-    """Half of a batch is answered before the rest."""
+    """Half of a batch is visible a turn before the rest."""
 
     def step(self) -> bool:
         first, self.half = not getattr(self, "half", False), True
@@ -143,7 +145,7 @@
 
 
 class FollowsOlder(RelayFollower):
-    """What a relay has is right, even if it is less."""
+    """Accepts a relay's version even if it is lower."""
 
     def on_answer(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
         if isinstance(content, FollowAnswer) and content.outcome == FollowOutcome.BEHIND and self.is_node:
@@ -152,7 +154,7 @@
 
 
 class LosesAChange(SharedCopy):
-    """The first batch after a snapshot is passed over."""
+    """Skips the first batch after a snapshot."""
 
     def take(self) -> tuple[Batch, ...]:
         past, lose = self.table, getattr(self, "fetched_whole", False)
@@ -166,7 +168,7 @@
 
 
 class TrustsATorn(SharedCopy):
-    """What the disk had is not looked at: its last pages were never written."""
+    """Doesn't check what the disk had, whose last pages were never written."""
 
     def __init__(self, shared: Any, version: int = 0, mark: bytes = b"") -> None:
         super().__init__(shared, version, mark)
@@ -176,7 +178,7 @@
 
 
 class AcknowledgesEarly(SharedCopy):
-    """The version counts as in force, and the table follows a turn later."""
+    """Reports the version as in force a turn before the table has it."""
 
     def take(self) -> tuple[Batch, ...]:
         past = self.table
@@ -201,7 +203,7 @@
 
 
 class AcknowledgesMore(RelayFollower):
-    """It tells the one above a version that it has only staged."""
+    """Acknowledges a version that is only staged."""
 
     def send_request(self, now: int, what: str, content: Any, hold: int = 0) -> None:
         if what == FOLLOW and self.is_node and self.copy.version > 1:
@@ -210,7 +212,7 @@
 
 
 class TakesBlindly(SharedCopy):
-    """Bytes are given to it under another digest than they have."""
+    """Accepts bytes with a digest that doesn't match."""
 
     @property
     def digest(self) -> bytes:
@@ -218,7 +220,7 @@
 
 
 class CountsTwice(Publisher):
-    """A node is added up twice on the way."""
+    """Adds a node twice on its way up."""
 
     def counts(self, now: int) -> Any:
         return tuple(msgspec.structs.replace(each, nodes=2 * each.nodes) for each in super().counts(now))
@@ -237,27 +239,27 @@
         ("calm", {"feeder": CountsTwice}, "counted"),
     ],
 )
-def test_a_planted_mistake_is_caught(event: str, variants: dict[str, Any], told: str) -> None:
+def test_an_injected_mistake_is_caught(event: str, variants: dict[str, Any], told: str) -> None:
     figures = play(event, size=LEAST, **variants)
     assert any(told in each for each in figures["wrong"]), figures["wrong"]
 
 
 class TellsLate(Publisher):
-    """Its subscribers hear of nothing before their hold is over, and then that all is as it was."""
+    """Sends news only after the hold, and then reports no change."""
 
     def on_applied(self, now: int, batches: tuple[Batch, ...]) -> None:
         if not self.name.startswith(("z01", "r1")) or now < 15 * SECOND:
             super().on_applied(now, batches)
 
 
-def test_a_place_that_is_told_no_news_is_seen_by_the_time_it_takes() -> None:
+def test_late_news_shows_in_the_time_until_it_is_in_force() -> None:
     figures = play("calm", size=LEAST, feeder=TellsLate)
     assert not figures["in_time"]
     assert figures["not_in_force_at_the_end"] > 0
 
 
 class Spoils(Publisher):
-    """The packed pages of one relay are those of another place."""
+    """One relay sends pages of another place."""
 
     def on_request(self, now: int, who: int, number: int, what: str, content: Any) -> None:
         super().on_request(now, who, number, what, content)
@@ -266,14 +268,14 @@
                 kept.view.packed = lambda number: b"no page"  # type: ignore[method-assign]
 
 
-def test_spoilt_pages_are_asked_for_elsewhere() -> None:
+def test_corrupt_pages_are_requested_from_another_relay() -> None:
     run = Run(Job("rack cold", 2, LEAST), feeder=Spoils)
     figures = run.play()
     assert figures["wrong"] == []
     assert figures["not_in_force_at_the_end"] == 0
 
 
-# -- the judge, the places ---------------------------------------------------------------------------------
+# -- the judge and the hosts --------------------------------------------------------------------------------
 
 
 class Held:
@@ -307,7 +309,7 @@
         (Held(0, bytes(16), {}), "went back"),
     ],
 )
-def test_what_a_node_turns_to_is_compared(held: Held, told: str | None) -> None:
+def test_the_new_state_of_a_node_is_compared(held: Held, told: str | None) -> None:
     made = judge()
     made.starts(0, "n", Held(1, b"1" * 16, {"a": b"old"}), "running")
     made.looks_at(1_250_000, "n", held)
@@ -315,7 +317,7 @@
     assert made.missing() == ([] if held.version >= 2 else ["n"])
 
 
-def test_spans_begin_when_a_node_was_to_be_reached() -> None:
+def test_spans_begin_when_a_node_could_be_reached() -> None:
     made = judge()
     old, new = Held(1, b"1" * 16, {"a": b"old"}), Held(2, b"2" * 16, {"a": b"new"})
     for name in ("runs", "comes back"):
@@ -369,7 +371,7 @@
     return world, caller, called, link
 
 
-def test_frames_stay_in_order_and_large_ones_take_several_ways() -> None:
+def test_frames_stay_in_order_and_large_ones_take_several_trips() -> None:
     world, caller, called, link = pair()
     for number in range(50):
         world.sends(link, False, 200, 0, called.host.frame, number)
@@ -382,7 +384,7 @@
     assert caller.host.got[-1] - begin > 5 * small
 
 
-def test_a_cut_is_silent_and_an_end_is_told() -> None:
+def test_a_cut_connection_is_silent_and_an_ended_one_is_reported() -> None:
     world, caller, called, link = pair()
     world.cut.add(1)
     world.sends(link, False, 200, 0, called.host.frame, "lost")
@@ -400,7 +402,7 @@
     assert caller.host.got == ["opened", "lost"]
 
 
-def test_a_core_does_one_thing_after_another_and_a_stopped_one_nothing() -> None:
+def test_a_core_works_sequentially_and_a_stopped_one_not_at_all() -> None:
     world, _, called, link = pair(Costs(opening=0))
     done: list[int] = []
     begin = world.clockwork.now
@@ -417,6 +419,6 @@
     assert called.host.got == ["held"]
 
 
-def test_bytes_of_a_frame() -> None:
+def test_the_size_of_a_frame() -> None:
     assert size_of(100) == 100 + 4 + 66
     assert size_of(1_448) == 1_448 + 4 + 2 * 66
--- a/tests/config_distribution/test_feed.py
+++ b/tests/config_distribution/test_feed.py
@@ -1,4 +1,4 @@
-"""The publisher by direct calls: what is held, what is sent, and that nothing grows with those that lag."""
+"""The publisher by direct calls: what is held and sent, and that lagging subscribers cost no memory."""
 
 import random
 
@@ -49,7 +49,7 @@
 
 
 class Relay:
-    """A publisher, its table, and who asks."""
+    """A publisher, its table and its subscribers."""
 
     def __init__(self, window=8, room=1 << 20):
         self.table, self.now, self.number = Table(), 0, 0
@@ -91,7 +91,7 @@
     return only.content.outcome if isinstance(only, Answer) else only.why
 
 
-def test_a_follow_waits_for_news_and_all_that_waited_share_one_answer():
+def test_a_follow_waits_for_news_and_all_waiting_requests_share_one_answer():
     relay = Relay()
     relay.publish(3)
     assert relay.follows(1, 3) == relay.follows(2, 3) == []
@@ -107,10 +107,10 @@
         (batch,),
     )
     assert relay.follows(3, 3)[0].content.batches == (batch,)
-    assert relay.passes(10 * MAX_HOLD_US) == []  # nothing is open
+    assert relay.passes(10 * MAX_HOLD_US) == []  # no request is open
 
 
-def test_a_hold_is_what_was_asked_for_and_capped_and_nothing_newer_is_never_said_earlier():
+def test_a_requested_hold_is_capped_and_nothing_newer_is_not_answered_before_its_end():
     relay = Relay()
     relay.publish(3)
     assert relay.follows(1, 3, hold=9 * MAX_HOLD_US) == relay.follows(2, 3, hold=300) == []
@@ -122,8 +122,8 @@
     assert said(relay.follows(1, 3, hold=-5)) == FollowOutcome.SAME
 
 
-def test_answers_are_shared_only_by_questions_that_were_there_when_they_were_made():
-    """Whoever hears news counts their age from its question; an older answer would be too young for it."""
+def test_answers_are_shared_only_by_requests_that_were_open_when_they_were_made():
+    """A subscriber counts the age of news from its request, so an older answer would give too low an age."""
     relay = Relay()
     relay.publish(3)
     relay.publish(5)
@@ -136,7 +136,7 @@
 
 
 @pytest.mark.parametrize("then", ["", "news", "same"])
-def test_one_that_has_more_waits_a_little_for_the_relay(then):
+def test_a_subscriber_with_a_higher_version_waits_for_the_relay(then):
     relay = Relay()
     relay.publish(3)
     assert relay.follows(1, 7, b"7" * 16) == []
@@ -144,7 +144,7 @@
     if not then:
         (answer,) = relay.passes(1)
         assert (answer.content.outcome, answer.content.version) == (FollowOutcome.BEHIND, 3)
-    elif then == "same":  # not before its whole hold: it counts on that
+    elif then == "same":  # not before the whole hold is over, as the subscriber relies on that
         relay.publisher.window.add(Batch(7, 3, b"7" * 16, ()))
         assert relay.passes(MAX_HOLD_US - BEHIND_HOLD_US) == []
         assert said(relay.passes(1)) == FollowOutcome.SAME
@@ -154,7 +154,7 @@
         assert said(relay.passes(1)) == FollowOutcome.NEWS
 
 
-def test_who_is_too_far_behind_or_has_another_history_is_told():
+def test_a_subscriber_too_far_behind_or_with_another_history_is_told_so():
     relay = Relay(window=2)
     for version in (3, 5, 8, 9):
         relay.publish(version)
@@ -162,10 +162,10 @@
     assert said(relay.follows(1, 0)) == FollowOutcome.SNAPSHOT
     assert [each.version for each in relay.follows(1, 5)[0].content.batches] == [8, 9]
     assert said(relay.follows(1, 5, b"x" * 16)) == said(relay.follows(1, 9, b"x" * 16)) == FollowOutcome.OTHER
-    assert said(relay.follows(1, 6, b"x" * 16)) == FollowOutcome.OTHER  # there never was a 6
+    assert said(relay.follows(1, 6, b"x" * 16)) == FollowOutcome.OTHER  # there was no version 6
 
 
-def test_a_new_one_gets_a_small_table_as_news_and_a_large_one_as_a_snapshot():
+def test_an_empty_subscriber_gets_a_small_table_as_news_and_a_large_one_as_a_snapshot():
     relay = Relay(window=99)
     relay.publish(1)
     assert said(relay.follows(1, 0)) == FollowOutcome.NEWS
@@ -179,16 +179,16 @@
     assert len(encode(answer.content)) <= MAX_ANSWER_BYTES + 200 and len(answer.content.batches) < 40
 
 
-def test_an_empty_relay_says_that_it_has_nothing():
+def test_an_empty_relay_answers_that_it_has_nothing():
     relay = Relay()
     assert relay.follows(1, 0) == [] and said(relay.passes(MAX_HOLD_US)) == FollowOutcome.SAME
     assert relay.follows(1, 4, b"4" * 16) == [] and said(relay.passes(BEHIND_HOLD_US)) == FollowOutcome.BEHIND
     assert said(relay.asks(1, DIGESTS)) == "nothing here"
     fresh = Publisher("r", "z", Table(), 5)
-    assert fresh.age(9) == MAX_AGE_US and fresh.in_force(9)["age_us"] == -1  # nobody told it anything
+    assert fresh.age(9) == MAX_AGE_US and fresh.in_force(9)["age_us"] == -1  # the source was never heard from
 
 
-def test_it_answers_from_what_it_was_told_while_the_table_is_a_turn_ahead():
+def test_it_answers_from_reported_batches_while_the_table_is_a_turn_ahead():
     relay = Relay()
     relay.publish(3)
     batch = relay.table.apply(4, (Change("t", "n", b"4"),))
@@ -198,7 +198,7 @@
     assert relay.pulled()[0].content.batches == (batch,)
 
 
-def test_one_question_at_a_time_and_only_of_those_that_joined():
+def test_a_subscriber_has_one_open_request_and_must_have_joined():
     relay = Relay()
     assert relay.follows(1, 0) == []
     assert said(relay.follows(1, 0)) == said(relay.asks(1, DIGESTS)) == "unfit"
@@ -208,12 +208,12 @@
         relay.publisher.on_request(0, 7, 2, what, content)
         assert relay.pulled() == [Decline(7, 2, "unfit")]
     assert relay.publisher.counters["declined: unfit"] == 7
-    assert relay.asks(1, IN_FORCE)[0].content["version"] == 0  # answered beside it
+    assert relay.asks(1, IN_FORCE)[0].content["version"] == 0  # answered in parallel
     relay.publisher.remove_subscriber(0, 1)
     assert relay.passes(MAX_HOLD_US) == []
 
 
-def test_subscribers_are_bounded_and_one_that_fell_silent_is_dropped():
+def test_subscribers_are_bounded_and_a_silent_one_is_dropped():
     relay = Relay()
     for who in range(MAX_SUBSCRIBERS):
         assert relay.publisher.add_subscriber(0, who)
@@ -227,7 +227,7 @@
 
 @given(st.lists(st.integers(1, 9), min_size=1, max_size=60), st.integers(1, 6), st.integers(100, 900))
 @FIXED
-def test_the_window_is_the_last_batches_within_its_bounds(steps, most, room):
+def test_the_window_holds_the_last_batches_within_its_bounds(steps, most, room):
     window, batches, version = Window(0, b"", most, room), [], 0
     for step in steps:
         batch = Batch(version + step, version, b"%d" % (version + step), (Change("t", "n", b"x" * step * 9),))
@@ -252,7 +252,7 @@
     assert all(len(encode(each)) <= max_encoded_size(each) for each in batches)
 
 
-def test_what_a_disk_kept_fills_the_window_where_it_leads_to_what_is_there():
+def test_persisted_batches_fill_the_window_if_they_lead_to_the_table():
     relay = Relay()
     recent = [relay.publish(version) for version in (3, 5, 8)]
     assert [each.version for each in Publisher("r", "z", relay.table, 0, recent).window.batches] == [5, 8]
@@ -271,23 +271,23 @@
     return relay
 
 
-def test_fetchers_are_bounded_and_turns_come_back():
+def test_fetchers_are_bounded_and_slots_are_freed():
     relay = filled()
     for who in range(MAX_FETCHERS):
         assert relay.asks(who, DIGESTS)[0].content.version == 1
     assert said(relay.asks(50, DIGESTS)) == said(relay.asks(50, PAGES_OF, PagesRequest(1, (1,)))) == "busy"
-    assert isinstance(relay.asks(0, DIGESTS)[0], Answer)  # its own turn goes on
+    assert isinstance(relay.asks(0, DIGESTS)[0], Answer)  # it keeps its slot
     relay.publisher.remove_subscriber(0, 0)
     assert isinstance(relay.asks(50, DIGESTS)[0], Answer)
     assert said(relay.asks(51, DIGESTS)) == "busy"
     assert relay.follows(50, 1) == [] and isinstance(
         relay.asks(51, DIGESTS)[0], Answer
-    )  # it has what it wanted
-    relay.passes(2 * FETCH_IDLE_US)  # the others say nothing
+    )  # it has finished fetching
+    relay.passes(2 * FETCH_IDLE_US)  # the others send nothing
     assert relay.publisher.fetchers == {} and relay.publisher.in_force(relay.now)["fetching"] == 0
 
 
-def test_a_snapshot_under_way_is_of_one_version_whatever_comes():
+def test_a_snapshot_under_way_keeps_its_version_while_batches_arrive():
     relay = filled((1, 2))
     head = relay.asks(1, DIGESTS)[0].content
     view = relay.table.view()
@@ -303,7 +303,7 @@
     assert relay.asks(1, PAGES_OF, PagesRequest(9, (1,)))[0].content.pages == ()
 
 
-def test_views_are_reused_while_fresh_and_kept_up_to_the_bound():
+def test_views_are_reused_while_fresh_and_bounded_in_number():
     relay = filled((1, 2, 3))
     heads = []
     for who in range(MAX_VIEWS + 1):
@@ -314,12 +314,12 @@
         relay.publish(10 + who)
         relay.now += VIEW_SHARED_US
     assert [each.version for each in heads] == [3, 10, 11, 12]
-    assert [each.view.version for each in relay.publisher.views] == [12]  # the others fell idle
+    assert [each.view.version for each in relay.publisher.views] == [12]  # the others became idle
     relay.passes(VIEW_IDLE_US + FETCH_IDLE_US)
     assert relay.publisher.views == []
 
 
-def test_the_view_that_fewest_want_makes_room():
+def test_the_least_used_view_is_replaced():
     relay = filled((1, 2, 3), window=99)
     for who in range(MAX_VIEWS):
         for one in range(1 + (who != 1)):
@@ -332,7 +332,7 @@
     assert relay.asks(10, PAGES_OF, PagesRequest(10, (1,)))[0].content.pages == ()
 
 
-def test_a_view_that_leads_to_now_no_more_is_given_up():
+def test_a_view_that_the_window_no_longer_continues_is_dropped():
     relay = filled((1, 2), window=2)
     relay.asks(1, DIGESTS)
     for version in (3, 4):
@@ -342,10 +342,10 @@
     assert relay.publisher.views == [] and relay.asks(1, DIGESTS)[0].content.version == 5
 
 
-def test_pieces_keep_to_a_rate_that_holds_for_all():
+def test_pages_are_sent_at_a_common_rate_limit():
     relay = filled(range(1, 400), window=999)
     rng = random.Random(3)
-    for number in range(1, 60):  # pages that can't be compressed
+    for number in range(1, 60):  # incompressible pages
         changes = tuple(Change("t", f"n{number}.{at}", rng.randbytes(3_000)) for at in range(40))
         relay.publisher.on_applied(0, (relay.table.apply(1_000 + number, changes),))
     for who in range(MAX_FETCHERS):
@@ -367,10 +367,10 @@
     assert 0.8 * FETCH_BYTES_PER_US * relay.now < bytes_sent <= at_most
 
 
-# -- one record ---------------------------------------------------------------------------------------------
+# -- single records --------------------------------------------------------------------------------------
 
 
-def test_a_record_is_told_as_it_was_where_the_window_still_knows():
+def test_a_record_is_found_as_it_was_within_the_window():
     relay = Relay(window=3)
     for version, name in ((1, "a"), (2, "b"), (3, "a"), (4, "b"), (5, "c")):
         relay.publish(version, name=name)
@@ -386,12 +386,12 @@
     assert relay.asks(1, FIND, RecordRequest("t", "none"))[0].content is None
 
 
-# -- nothing grows ------------------------------------------------------------------------------------------
+# -- bounded memory -----------------------------------------------------------------------------------------
 
 
 @given(st.integers(0, 1 << 30))
 @FIXED
-def test_each_question_has_one_answer_in_time_and_nothing_is_kept_for_those_that_lag(seed):
+def test_each_request_has_one_answer_in_time_and_lagging_subscribers_cost_no_memory(seed):
     rng = random.Random(seed)
     relay, version, open_ones = filled((1, 2), window=4), 2, {}
 
--- a/tests/config_distribution/test_follow.py
+++ b/tests/config_distribution/test_follow.py
@@ -18,7 +18,7 @@
 from lichencleat.testkit.tiny_table import MARK
 
 
-def test_the_relays_of_the_home_tier_are_drawn_evenly_and_within_the_span():
+def test_the_relays_of_the_nearest_tier_are_drawn_evenly_and_within_the_delay():
     drawn = [Node(seed=seed) for seed in range(400)]
     for node in drawn:
         node.passes(TIMES.open_delay[1])
@@ -28,7 +28,7 @@
     assert spans[0] < TIMES.open_delay[1] // 20 and spans[-1] > TIMES.open_delay[1] * 19 // 20
 
 
-def test_a_lost_one_is_followed_by_the_other_of_its_tier_then_by_the_next_tier():
+def test_a_lost_relay_is_replaced_from_its_tier_and_then_from_the_next():
     node, seen = following(), []
     for _ in range(4):
         seen.append(node.it.relay)
@@ -39,7 +39,7 @@
     assert set(seen[:2]) == set(HOME) and set(seen[2:]) == set(NEXT)
 
 
-def test_one_that_opens_not_or_goes_silent_is_left_within_the_patience():
+def test_a_relay_that_does_not_open_or_answer_is_left_within_the_timeout():
     node = Node()
     node.passes(TIMES.open_delay[1] + TIMES.connect_timeout)
     first = node.opened[0][1]
@@ -57,8 +57,8 @@
     )
 
 
-def test_a_timer_that_is_late_means_that_this_one_slept():
-    """Its answer may lie in the buffer: it is read before the relay is left."""
+def test_a_late_timer_means_that_this_process_was_stopped():
+    """The answer may be in the receive buffer, so it is read before the relay is left."""
     node = following()
     relay = node.it.relay
     node.now += MAX_HOLD_US + TIMES.answer_timeout + TIMES.max_timer_delay + 1
@@ -69,7 +69,7 @@
     assert node.it.relay is None
 
 
-def test_where_all_fail_it_tries_ever_more_rarely_and_never_stops():
+def test_retries_back_off_when_all_relays_fail_and_never_stop():
     node = Node()
     for _ in range(60):
         while not node.open:
@@ -81,7 +81,7 @@
     assert {relay for _, relay in node.opened} == {*HOME, *NEXT}
 
 
-def test_it_goes_home_again_after_a_drawn_time_if_home_is_well():
+def test_it_returns_to_its_first_choice_after_a_random_delay():
     node = following()
     first = node.it.relay
     node.lost()
@@ -106,7 +106,7 @@
 
 
 def quiet(node, span):
-    """Its relay says that there is nothing newer, time after time, until it opens another link."""
+    """The relay answers that there is nothing newer, until another link is opened."""
     until, opened = node.now + span, len(node.opened)
     while node.now < until and len(node.opened) == opened:
         node.passes(node.it.request.sent_at + MAX_HOLD_US - node.now)
@@ -114,7 +114,7 @@
     assert len(node.opened) > opened
 
 
-def test_relays_are_bounded_and_one_that_is_named_twice_counts_once():
+def test_relays_are_bounded_and_a_duplicate_counts_once():
     many = RelaySelector([["a", "a", "b"], ["b", *map(str, range(99))]], random.Random(1), TIMES)
     assert len(many.order) == len(set(many.order)) == MAX_RELAYS and many.tier["b"] == 0
     node = Node(tiers=())
@@ -122,14 +122,14 @@
     assert node.opened == []
 
 
-# -- who is not followed ------------------------------------------------------------------------------------
+# -- relays that are not followed ------------------------------------------------------------------------
 
 
-def test_another_group_is_never_asked_anything():
+def test_a_relay_of_another_group_is_never_asked():
     node = Node(version=3)
     node.follows(mark=b"other")
     assert node.asked == [] and node.open == set() and node.it.counters["of another group"] == 1
-    node = Node()  # it knows no group yet, and takes what it is told first
+    node = Node()  # without a known group it adopts the first mark
     node.follows(mark=b"other")
     node.hears(news(0, 3))
     node.steps()
@@ -139,17 +139,17 @@
     assert node.it.relay is None and len(node.asked) == 2
 
 
-def test_a_link_from_before_the_mark_was_known_is_left_once_it_is_of_another_group():
+def test_a_link_opened_before_the_mark_was_known_is_left_if_the_group_differs():
     node = Node(version=0)
     node.follows(mark=b"other")
     node.hears(news(0, 3))
-    node.lost()  # what it sent is staged still
+    node.lost()  # the received data stays staged
     node.follows()
     node.steps()
     assert node.table.mark == b"other" and node.it.relay is None and node.open == set()
 
 
-def test_one_without_a_mark_is_followed_and_nothing_of_it_is_taken():
+def test_a_relay_without_a_mark_is_followed_but_its_data_is_not_applied():
     node = Node()
     relay = node.follows(mark=b"")
     node.hears(fed(FollowOutcome.SAME, 0, MAX_AGE_US, digest=b"other nothing"))
@@ -159,7 +159,7 @@
     assert node.it.relay is None and not node.stepping and node.table.version == 0
 
 
-def test_one_that_has_less_is_given_some_time_to_catch_up():
+def test_a_relay_with_a_lower_version_gets_time_to_catch_up():
     node = following()
     relay, since = node.it.relay, node.now
     while node.it.relay == relay and node.now < since + 9 * SECOND:
@@ -171,11 +171,11 @@
     node.passes(TIMES.retry_delay)
     node.hears(fed(FollowOutcome.SAME, 3))
     node.passes(TIMES.max_behind)
-    node.hears(fed(FollowOutcome.BEHIND, 2))  # it counts anew
+    node.hears(fed(FollowOutcome.BEHIND, 2))  # the time counts anew
     assert node.it.relay is not None
 
 
-def test_one_that_is_full_is_left_and_one_without_a_turn_is_asked_again_later():
+def test_a_full_relay_is_left_and_one_without_a_free_slot_is_asked_again():
     node = following()
     node.hears(None, why="full")
     assert node.it.relay is None
@@ -194,8 +194,8 @@
     assert {relay, node.follows()} == set(HOME)
 
 
-def test_a_place_that_is_cut_off_as_a_whole_stays_where_it_is():
-    """Ten minutes: it looks for a fresher one, ever more rarely, and never moves."""
+def test_a_site_that_is_cut_off_as_a_whole_keeps_its_relay():
+    """For ten minutes it probes for a fresher relay, ever more rarely, and never moves."""
     node = following()
     relay, since = node.it.relay, node.now
     while node.now < since + 600 * SECOND:
@@ -216,7 +216,7 @@
 @pytest.mark.parametrize(
     ("younger", "moves"), [(TIMES.min_age_gain + 200_000, True), (TIMES.min_age_gain, False)]
 )
-def test_it_moves_to_a_fresher_one_by_a_margin_alone(younger, moves):
+def test_it_moves_to_a_fresher_relay_only_by_a_margin(younger, moves):
     node = following()
     relay, age = node.it.relay, 10 * SECOND
     node.passes(MAX_HOLD_US)
@@ -229,4 +229,4 @@
     assert node.it.relay == (probe if moves else relay) and len(node.open) == 1
 
 
-# -- what is taken ------------------------------------------------------------------------------------------
+# -- what is applied -----------------------------------------------------------------------------------------
--- a/tests/config_distribution/test_follow_properties.py
+++ b/tests/config_distribution/test_follow_properties.py
@@ -1,4 +1,4 @@
-"""A follower against relays that say anything; planted mistakes do not withstand it."""
+"""A relay follower against relays that answer anything; injected mistakes are found."""
 
 import pytest
 from config_distribution.following import FIXED, Node, batch, fed, head, news, pages
@@ -50,7 +50,7 @@
 
 
 def fitting(node, version, wrong):
-    """An answer to the open question, as a relay that has this version would give it; or a spoilt one."""
+    """A valid answer to the open request from a relay with this version, or a corrupted one."""
     what, past = node.it.request.what, node.table.version
     if what == DIGESTS:
         return head(version)
@@ -70,7 +70,7 @@
 
 
 def broken(script, follower=RelayFollower, table=Tiny):
-    """What is wrong after relays said that, in that order."""
+    """The first fault after the relays answered in the scripted order."""
     node, version = Node(version=2, table=table(2), follower=follower), 2
     for what, answer, number, wrong in script:
         if not node.it.relay:
@@ -97,8 +97,8 @@
 
 @given(SCRIPT)
 @FIXED
-def test_whatever_relays_say_the_version_never_goes_back_and_is_whole(script):
-    """Relays that lie in any order, but for a digest that fits other bytes."""
+def test_the_version_never_decreases_and_is_complete_whatever_relays_answer(script):
+    """Relays lie in any order, except for a matching digest of other bytes."""
     assert broken(script) == ""
 
 
@@ -133,7 +133,7 @@
         (EarlyWord, Tiny, "acknowledged"),
     ],
 )
-def test_a_planted_mistake_does_not_withstand_that(follower, table, found):
+def test_an_injected_mistake_is_found(follower, table, found):
     many = settings(
         derandomize=True, deadline=None, database=None, max_examples=5_000, phases=[Phase.generate]
     )
--- a/tests/config_distribution/test_follow_taking.py
+++ b/tests/config_distribution/test_follow_taking.py
@@ -1,4 +1,4 @@
-"""What a follower takes over, and what its age is: by direct calls."""
+"""Which updates a follower applies, and its age: by direct calls."""
 
 import pytest
 from config_distribution.following import SECOND, TIMES, Node, batch, fed, following, head, news, pages
@@ -22,7 +22,7 @@
 from lichencleat.testkit.tiny_table import MARK, digest_of, published
 
 
-def test_batches_are_in_force_whole_and_only_then_acknowledged():
+def test_batches_are_applied_as_a_whole_before_they_are_acknowledged():
     node = following(1)
     asked = len(node.asked)
     node.hears(fed(FollowOutcome.NEWS, 3, 0, [batch(1, 2), batch(2, 3)]))
@@ -39,7 +39,7 @@
         fed(FollowOutcome.NEWS, 5, 0, [batch(2, 5)]),  # follows another version
         fed(FollowOutcome.NEWS, 5, 0, [batch(3, 4), batch(3, 5)]),
         fed(FollowOutcome.NEWS, 5, 0, [batch(3, 3)]),
-        fed(FollowOutcome.NEWS, 4, 0, [batch(3, 5)]),  # newer than itself
+        fed(FollowOutcome.NEWS, 4, 0, [batch(3, 5)]),  # above the answer's own version
         fed(FollowOutcome.NEWS, 5),
         fed(FollowOutcome.SAME, 4),
         fed(FollowOutcome.SAME, 3, digest=b"other"),
@@ -48,14 +48,14 @@
         head(9),
     ],
 )
-def test_an_answer_that_can_not_be_is_not_taken_and_its_relay_is_left(wrong):
+def test_an_invalid_answer_is_not_applied_and_its_relay_is_left(wrong):
     node = following()
     node.hears(wrong)
     assert node.it.relay is None and not node.stepping and node.table.version == 3
     assert node.it.counters["unfit answers"] == 1
 
 
-def test_a_spoilt_batch_is_counted_told_and_its_relay_left():
+def test_a_corrupt_batch_is_counted_and_logged_and_its_relay_left():
     node = following()
     relay = node.it.relay
     node.hears(fed(FollowOutcome.NEWS, 4, 0, [batch(3, 4, b"wrong")]))
@@ -69,7 +69,7 @@
     assert node.table.content == published(4)
 
 
-def test_what_is_staged_is_taken_although_its_relay_is_lost_meanwhile():
+def test_a_staged_update_is_applied_although_its_relay_is_lost_meanwhile():
     node = following()
     node.hears(news(3, 4))
     node.lost()
@@ -79,7 +79,7 @@
     assert node.question.version == 4
 
 
-def test_a_snapshot_goes_on_at_another_relay_with_the_pages_that_came():
+def test_a_snapshot_continues_at_another_relay_with_the_fetched_pages():
     node = following(1)
     node.hears(fed(FollowOutcome.SNAPSHOT, 4))
     node.hears(head(4), DIGESTS)
@@ -98,14 +98,14 @@
 
 
 @pytest.mark.parametrize("version", [1, 3])
-def test_a_snapshot_that_is_no_newer_is_not_taken(version):
+def test_a_snapshot_that_is_not_newer_is_not_applied(version):
     node = following()
     node.hears(fed(FollowOutcome.SNAPSHOT, 9))
     node.hears(head(version), DIGESTS)
     assert node.it.relay is None and node.table.version == 3 and not node.stepping
 
 
-def test_pages_that_are_spoilt_or_were_not_asked_for_end_at_their_relay():
+def test_corrupt_or_unrequested_pages_end_the_link_to_their_relay():
     for sent in (PagesAnswer(4, ((0, b"wrong"),)), pages(4, 2), pages(5, 0), pages(4, 0, 0)):
         node = following(1)
         node.hears(fed(FollowOutcome.SNAPSHOT, 4))
@@ -115,7 +115,7 @@
         assert node.it.relay is None and node.table.version == 1
 
 
-def test_a_relay_that_gives_up_its_snapshots_again_and_again_is_left():
+def test_a_relay_that_repeatedly_drops_its_snapshots_is_left():
     node = following(1)
     node.hears(fed(FollowOutcome.SNAPSHOT, 4))
     for given_up in range(MAX_DROPPED_SNAPSHOTS + 1):
@@ -125,7 +125,7 @@
     assert node.it.relay is None
 
 
-# -- two histories ------------------------------------------------------------------------------------------
+# -- diverging histories ---------------------------------------------------------------------------------
 
 
 def other_said(node):
@@ -133,7 +133,7 @@
     return any("OWN COPY IN DOUBT" in each for each in node.told)
 
 
-def test_another_history_in_one_tier_is_only_left():
+def test_relays_of_one_tier_with_another_history_are_only_left():
     node = following()
     assert not other_said(node)
     node.follows()
@@ -146,7 +146,7 @@
     assert not other_said(node)
 
 
-def test_another_history_in_two_tiers_is_taken_from_a_higher_version_on():
+def test_another_history_in_two_tiers_is_adopted_from_a_higher_version_on():
     node = following()
     for _ in range(2):
         assert not other_said(node)
@@ -154,7 +154,8 @@
     assert other_said(node) and node.it.counters["own history given up"] == 1
     node.follows()
     node.hears(fed(FollowOutcome.OTHER, 3, digest=b"other"))
-    node.hears(SnapshotHead(3, b"other", b"", 0), DIGESTS)  # as high as what is in force: it waits
+    # of the version in force: it waits for a higher one
+    node.hears(SnapshotHead(3, b"other", b"", 0), DIGESTS)
     assert node.table.version == 3 and node.it.relay is not None
     node.passes(node.it.deadline() - node.now)
     node.hears(fed(FollowOutcome.OTHER, 3, digest=b"other"))
@@ -165,8 +166,8 @@
     assert node.table.content == published(5) and not node.it.needs_snapshot
 
 
-def test_a_page_that_went_wrong_in_memory_is_mended_by_a_snapshot():
-    """A batch on that page has another digest here, whichever relay it is from."""
+def test_a_page_corrupted_in_memory_is_repaired_by_a_snapshot():
+    """Batches on the corrupt page lead to another digest here, whichever relay sends them."""
     page = locate_key(encode_key("t", "here"))[0]
     beside = next(name for name in map(str, range(99_999)) if locate_key(encode_key("t", name))[0] == page)
     source, copy = Table(), TableCopy(mark=MARK)
@@ -182,7 +183,8 @@
         assert (copy.version, node.it.relay) == (3, None)
     assert any("OWN COPY IN DOUBT" in each for each in node.told)
     node.follows()
-    node.hears(FollowAnswer(FollowOutcome.SAME, 3, copy.digest, 0))  # it would agree: that proves nothing now
+    # the digests match, which proves nothing in this state
+    node.hears(FollowAnswer(FollowOutcome.SAME, 3, copy.digest, 0))
     node.passes(TIMES.retry_delay)
     node.hears(FollowAnswer(FollowOutcome.NEWS, 5, source.digest, 0, (second,)))
     node.hears(source.view().head(0), DIGESTS)
@@ -195,11 +197,11 @@
 # -- age ----------------------------------------------------------------------------------------------------
 
 
-def test_the_age_counts_from_when_an_answer_can_have_been_made_not_from_when_it_was_heard():
+def test_the_age_counts_from_when_an_answer_was_made_not_from_when_it_was_read():
     node = following()
     asked = node.now
     assert node.it.age(node.now) == MAX_AGE_US
-    node.now += 9 * SECOND  # it was stopped with the answer in its buffer
+    node.now += 9 * SECOND  # it was stopped with the answer in its receive buffer
     node.hears(fed(FollowOutcome.SAME, 3, 200))
     assert node.it.age(node.now) == 8 * SECOND + 200
     node.passes(SECOND // 2)
@@ -209,7 +211,7 @@
     assert node.it.age(node.now + 70) == SECOND // 2 + 170 and asked < node.now
 
 
-def test_an_answer_before_its_hold_is_over_counts_from_the_question_and_is_not_asked_again_at_once():
+def test_an_answer_before_the_hold_ends_counts_from_the_request_and_delays_the_next_one():
     node = following()
     node.now += MAX_HOLD_US // 4
     node.hears(fed(FollowOutcome.SAME, 3))
@@ -217,7 +219,7 @@
     assert node.it.deadline() == node.now + TIMES.retry_delay
 
 
-def test_the_age_is_not_touched_by_what_knows_less():
+def test_older_information_does_not_change_the_age():
     node = following()
     node.passes(MAX_HOLD_US)
     node.hears(fed(FollowOutcome.SAME, 3))
@@ -231,16 +233,16 @@
         node.hears(answer)
         assert node.it.known_at == known
     node = following()
-    node.hears(fed(FollowOutcome.NEWS, 9, 0, [batch(3, 4)]))  # there is more than that
+    node.hears(fed(FollowOutcome.NEWS, 9, 0, [batch(3, 4)]))  # the relay has more than these batches
     node.steps()
     assert node.it.age(node.now) == MAX_AGE_US
 
 
-def test_a_relay_asks_with_a_shorter_hold_and_tells_of_all_below():
+def test_a_relay_asks_with_a_shorter_hold_and_sends_the_counts_below():
     relay = Node(version=3, is_node=False)
     below = relay.it.counts_below = (Count("z1", 97, 2, 5, 1, "r1"),)
     relay.follows()
     assert (relay.question.hold, relay.question.counts) == (TIMES.relay_hold, below)
 
 
-# -- whatever relays say ------------------------------------------------------------------------------------
+# -- arbitrary answers -----------------------------------------------------------------------------------
--- a/tests/config_distribution/test_hollow.py
+++ b/tests/config_distribution/test_hollow.py
@@ -1,4 +1,4 @@
-"""Shared copies do what a copy of one's own does: the same versions, bytes, answers and errors."""
+"""Shared copies behave as a copy with its own table: the same versions, bytes, answers and errors."""
 
 import random
 
@@ -27,7 +27,7 @@
 
 
 def told(call, *args):
-    """What it gives, or the kind of its error."""
+    """The call's result, or the type of its error."""
     try:
         return call(*args)
     except TableError as wrong:
@@ -35,7 +35,7 @@
 
 
 def goes_on(copy):
-    """Slices until it is ready or spoilt, or enough of them: how many is what hollow ones leave out."""
+    """Steps until it is ready or corrupt, at most a bounded number; hollow copies need fewer slices."""
     for _ in range(40):
         ready = told(copy.step)
         if ready is not False:
@@ -49,7 +49,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_in_step_with_a_copy_of_ones_own(seed):
+def test_a_shared_copy_behaves_as_a_copy_with_its_own_table(seed):
     rng = random.Random(seed)
     source, other = Source(rng, 12), Source(random.Random(seed + 100), 12)
     shared = Shared()
@@ -132,7 +132,7 @@
     assert all(each.table is copies[0].table and each.digest == view.digest for each in copies)
 
 
-def test_what_is_found_again_is_bounded(monkeypatch):
+def test_the_caches_are_bounded(monkeypatch):
     monkeypatch.setattr("lichencleat.testkit.hollow.TABLES_MOST", 3)
     monkeypatch.setattr("lichencleat.testkit.hollow.WORKS_MOST", 3)
     source, shared = Source(random.Random(1), 12), Shared()
@@ -147,7 +147,7 @@
     assert ahead.digest == behind.digest == source.table.digest
 
 
-def test_of_two_batches_with_one_version_each_is_looked_at():
+def test_two_batches_with_the_same_version_are_both_checked():
     source, shared = Source(random.Random(1), 2), Shared()
     good = source.batches[0]
     wrong = Batch(good.version, good.previous, good.digest, good.changes[:-1])
--- a/tests/config_distribution/test_in_time.py
+++ b/tests/config_distribution/test_in_time.py
@@ -1,6 +1,6 @@
-"""A node has a change within 5 s through the loss of a relay, with the real spans and drawn moments.
+"""A node applies a change within 5 s despite the loss of a relay, with the real timings and random moments.
 
-Messages arrive at once here; what they take in a fleet is the simulation's to say.
+Messages arrive at once here; the simulation covers their delays in a fleet.
 """
 
 import random
@@ -14,12 +14,12 @@
 SECOND = 1_000_000
 SEEDS = range(40)
 IN_FORCE = 5 * SECOND
-STEP = 10_000  # µs between looks at the node
+STEP = 10_000  # µs between checks of the node
 
 
 @pytest.fixture
 def worlds(monkeypatch):
-    """Makes a world in which version 1 is everywhere, and has been for a drawn time."""
+    """Makes a world in which version 1 has been everywhere for a random time."""
 
     def made(seed):
         rng = random.Random(seed)
@@ -35,7 +35,7 @@
 
 
 def until_in_force(world):
-    """µs from a change's publication until the node has it."""
+    """µs from a change's publication until the node has applied it."""
     world.publish()
     published = world.now
     while world.processes[NODE].table.version < 2 and world.now - published < 60 * SECOND:
@@ -49,12 +49,12 @@
 
 
 def cut_off(world, relay):
-    """It answers those below, and hears nothing from above."""
+    """The relay answers those below, but receives nothing from above."""
     world.mute = frozenset([(relay, SOURCE)])
 
 
 def stopped(world, relay):
-    """Its links stand, and nothing comes of them, either way."""
+    """The relay's links stay open, but no message passes in either direction."""
     world.mute = frozenset([relay, (relay, SOURCE)])
 
 
@@ -67,7 +67,7 @@
 
 
 def lost(world, relay):
-    """Its process ends: its links too, and none can be opened."""
+    """The relay's process ends: its links end, and none can be opened."""
     stopped(world, relay)
     for key in [key for key in world.links if key[1] == relay]:
         world.loses(*key)
@@ -85,13 +85,13 @@
 
 
 @pytest.mark.parametrize("fault", [lost, stopped, cut_off, cut_off_both, stopped_both])
-def test_a_change_is_in_force_in_time_although_its_relay_is(worlds, fault):
+def test_a_change_is_applied_in_time_although_a_relay_is(worlds, fault):
     took = times(worlds, fault)
     assert took[-1] < IN_FORCE, took
-    assert fault is lost or took[-1] > SECOND  # the fault is one
+    assert fault is lost or took[-1] > SECOND  # the fault has an effect
 
 
-def test_a_place_without_any_relay_keeps_what_it_has_and_takes_the_rest_when_they_are_back(worlds):
+def test_a_node_without_any_relay_keeps_its_version_and_catches_up_later(worlds):
     for seed in SEEDS:
         world, _ = worlds(seed)
         stopped_both(world, followed(world))
@@ -100,12 +100,12 @@
         node = world.processes[NODE]
         assert node.table.version == 1 and node.follower.age(world.now) > 55 * SECOND
         world.mute = frozenset()
-        assert until_in_force(world) < 13 * SECOND  # the longest rest
+        assert until_in_force(world) < 13 * SECOND  # the longest backoff
 
 
-def test_the_bound_is_one_that_can_be_missed(worlds, monkeypatch):
+def test_the_time_limit_can_be_missed(worlds, monkeypatch):
     world, _ = worlds(1)
-    world.processes[NODE].follower.prober.on_age = lambda now, age: None  # never looks for a fresher one
+    world.processes[NODE].follower.prober.on_age = lambda now, age: None  # never probes for a fresher relay
     cut_off(world, followed(world))
     world.runs(SECOND)
     assert until_in_force(world) > IN_FORCE
--- a/tests/config_distribution/test_kept.py
+++ b/tests/config_distribution/test_kept.py
@@ -1,4 +1,4 @@
-"""The last version on a disk: whole after any cut, checked at the start, never in the reactor's way."""
+"""The persisted table: complete after any power cut, checked at the start, never blocking the reactor."""
 
 import queue
 import random
@@ -31,14 +31,14 @@
 
 @pytest.fixture(autouse=True)
 def large_slices(request, monkeypatch):
-    """2,048 turns a start are measured elsewhere."""
+    """Fewer turns per start; `test_a_start_checks_pages_in_slices` covers the real number."""
     if "slices" not in request.function.__name__:
         monkeypatch.setattr(module, "PAGES_PER_CHECK", 512)
         monkeypatch.setattr(module, "PAGES_PER_READ", 512)
 
 
 class Hands:
-    """The store's threads: works at once, or call by call where the test says so."""
+    """The store's threads: work at once, or call by call if the test says so."""
 
     def __init__(self):
         self.calls, self.at_once, self.off = [], True, False
@@ -61,7 +61,7 @@
 
 
 class Life:
-    """One start on a disk of memory."""
+    """One start of the process on a disk in memory."""
 
     def __init__(self, disk, group="", seed=1):
         self.disk, self.hands, self.clock, self.lines = disk, Hands(), Clock(), []
@@ -110,7 +110,7 @@
     )
 
 
-def test_a_start_looks_at_pages_in_slices(monkeypatch):
+def test_a_start_checks_pages_in_slices(monkeypatch):
     disk = FaultyDisk()
     table, _ = written(disk)
     life, looked = Life(FaultyDisk(disk.image())), [0]  # pages between two turns
@@ -126,7 +126,7 @@
     assert sum(looked) == PAGE_COUNT and max(looked) == module.PAGES_PER_CHECK == 2
 
 
-def test_what_was_written_is_there_at_the_next_start():
+def test_the_next_start_loads_what_was_written():
     disk, table = FaultyDisk(), Table()
     life = Life(disk, "fleet")
     loaded, mark, recent = life.load()
@@ -141,14 +141,14 @@
     loaded, mark, recent = again.load()
     assert same(loaded, table)
     assert (mark, recent, again.kept.trouble, again.lines) == (b"mark", made, "", [])
-    made.append(step(loaded, 100))  # and it goes on from there
+    made.append(step(loaded, 100))  # the chain continues from there
     again.kept.on_batches_applied(loaded, (made[-1],))
     assert again.kept.counts["pages written"] <= 3
     again.stop()
     assert same(Life(FaultyDisk(again.disk.image())).load()[0], loaded)
 
 
-def test_a_snapshot_makes_an_end_of_the_batches_before_it():
+def test_a_snapshot_removes_the_batches_before_it():
     disk, table = FaultyDisk(), Table()
     life = Life(disk)
     life.load()
@@ -165,7 +165,7 @@
     assert life.kept.counts["pages written"] >= 30
 
 
-def test_recent_batches_are_bounded_and_go_round(monkeypatch):
+def test_recent_batches_are_bounded_and_their_keys_are_reused(monkeypatch):
     monkeypatch.setattr(module, "MAX_RECENT_BATCHES", 8)
     disk, table, made = FaultyDisk(), Table(), []
     life = Life(disk)
@@ -184,7 +184,7 @@
     assert sum(1 for _ in life.store.scan(b"b")) == 2
 
 
-def test_while_the_disk_is_slow_one_write_takes_all_that_waits():
+def test_one_write_has_all_changes_that_waited_for_a_slow_disk():
     disk, table, made = FaultyDisk(), Table(), []
     life = Life(disk)
     life.load()
@@ -200,8 +200,8 @@
 
 
 @pytest.mark.parametrize("beside", [False, True])
-def test_a_cut_at_any_call_leaves_a_whole_version_and_none_older_than_confirmed(beside, monkeypatch):
-    if beside:  # each write is a snapshot that does not fit one commit
+def test_a_power_cut_at_any_call_leaves_a_complete_version_no_older_than_confirmed(beside, monkeypatch):
+    if beside:  # each write is a snapshot that doesn't fit one commit
         monkeypatch.setattr(module, "MAX_IN_PLACE_BYTES", 0)
         monkeypatch.setattr(module, "MAX_CHUNK_BYTES", 200)
     states = {0: Table()}
@@ -239,7 +239,7 @@
     assert at >= 2 * 2 * 10  # an append and a flush of each version, cut before and after
 
 
-def test_a_full_disk_is_told_once_counted_and_got_over():
+def test_a_full_disk_is_reported_once_counted_and_survived():
     disk, table = FaultyDisk(), Table()
     life = Life(disk)
     life.load()
@@ -257,7 +257,7 @@
     assert same(loaded, table) and [each.version for each in recent] == [1, 2, 3, 4, 5]
 
 
-def test_closing_with_a_full_disk_ends():
+def test_closing_with_a_full_disk_terminates():
     disk, table = FaultyDisk(), Table()
     life = Life(disk)
     life.load()
@@ -267,7 +267,7 @@
     assert life.clock.getDelayedCalls() == []
 
 
-def test_closing_waits_for_the_write_under_way_and_what_came_meanwhile():
+def test_closing_waits_for_the_write_under_way_and_changes_made_meanwhile():
     disk, table = FaultyDisk(), Table()
     life = Life(disk)
     life.load()
@@ -290,7 +290,7 @@
 
 
 def spoil_page(life, table, page):
-    """As one that goes wrong in memory on its way to the disk, with a digest that fits it or not."""
+    """Corrupts a page as faulty memory on its way to the disk would, with or without a matching digest."""
     number = next(at for at in range(PAGE_COUNT) if table.pages[at])
     return number, Stored().put(page_key(number, 0), page(number, table.pages[number]))
 
@@ -298,7 +298,7 @@
 @pytest.mark.parametrize(
     "page",
     [
-        lambda number, page: bytes(16) + pages.deflate_page(page),  # another digest
+        lambda number, page: bytes(16) + pages.deflate_page(page),  # a wrong digest
         lambda number, page: pages.page_digest(number, page).to_bytes(16, "little") + b"torn",
         lambda number, page: b"",
         lambda number, page: (
@@ -307,7 +307,7 @@
         lambda number, page: pages.page_digest(number, b"").to_bytes(16, "little") + pages.deflate_page(b""),
     ],
 )
-def test_a_spoilt_page_is_found_and_nothing_of_it_used(page):
+def test_a_corrupt_page_is_detected_and_nothing_is_used(page):
     disk = FaultyDisk()
     table, life = written(disk)
     number, batch = spoil_page(life, table, page)
@@ -318,13 +318,13 @@
     assert "corrupt" in after.kept.trouble and len(after.lines) == 1
     other = Table()
     step(other, 9, 30)
-    after.kept.on_snapshot_applied(other)  # and it is written over
+    after.kept.on_snapshot_applied(other)  # and it is overwritten
     assert after.kept.trouble == ""
     assert same(Life(FaultyDisk(after.disk.image())).load()[0], other)
 
 
-def test_a_page_that_the_disk_does_not_give_back_is_found_a_batch_only_left_out(monkeypatch):
-    """As where a bit flips behind what the store's checkpoint covers: reading tells."""
+def test_an_unreadable_page_is_detected_and_an_unreadable_batch_skipped(monkeypatch):
+    """As if a bit flips behind the part that the store's checkpoint covers: the read detects it."""
     disk = FaultyDisk()
     table, _ = written(disk)
     number = next(at for at in range(PAGE_COUNT) if table.pages[at])
@@ -345,7 +345,7 @@
             assert same(loaded, table) and [each.version for each in recent] == left
 
 
-def test_an_older_head_over_newer_pages_is_found():
+def test_an_older_head_over_newer_pages_is_detected():
     disk = FaultyDisk()
     table, life = written(disk)
     head = life.store.engine.get(module.HEAD_KEY)
@@ -359,12 +359,12 @@
     ("number", "data", "left"),
     [
         (2, b"torn", [4, 5]),
-        (2, module.encode(Batch(2, 1, b"", ())), [4, 5]),  # a stale one
+        (2, module.encode(Batch(2, 1, b"", ())), [4, 5]),  # a stale batch
         (4, module.encode(Batch(5, 4, bytes(16), ())), []),  # of another table
         (4, module.encode(Batch(4, 3, b"", ())), []),
     ],
 )
-def test_batches_that_do_not_lead_to_the_version_are_left_out(number, data, left):
+def test_batches_that_do_not_lead_to_the_version_are_skipped(number, data, left):
     disk = FaultyDisk()
     table, life = written(disk)
     result(life.store.commit(Stored().put(module.batch_key(number), data)))
@@ -372,7 +372,7 @@
     assert same(loaded, table) and [each.version for each in recent] == left
 
 
-def test_somebody_elses_directory_is_refused_and_left_as_it_is():
+def test_the_directory_of_another_program_is_rejected_and_unchanged():
     disk = FaultyDisk()
     engine = Engine.open(disk, lambda: 5 * SECOND, random.Random(1), BOUNDS, create=True)
     engine.commit([Stored().put(b"key", b"value")])
@@ -443,8 +443,8 @@
     reactor.until(again.close())
 
 
-def test_a_flipped_bit_anywhere_gives_a_whole_version_or_none():
-    """Most are found by the store at its opening; none may give a table that never was."""
+def test_a_flipped_bit_anywhere_leaves_a_complete_version_or_none():
+    """The store detects most of them at its opening; none may lead to a table that never existed."""
     disk, table, states = FaultyDisk(), Table(), {Table().digest}
     life = Life(disk)
     life.load()
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -1,4 +1,4 @@
-"""Files to publish, read with their mistakes told in one line, and the commands that publish and look."""
+"""Files to publish, with errors that name the line, and the commands that publish and show records."""
 
 import json
 
@@ -23,7 +23,7 @@
     return str(path)
 
 
-def test_both_forms_say_the_same_changes_and_a_value_has_one_form_of_bytes(tmp_path):
+def test_both_formats_give_the_same_changes_and_values_are_canonical(tmp_path):
     first = lines(tmp_path / "a.jsonl", GOOD % "x", "\n", '{"name":"y","kind":"route","gone":true}\n')
     second = lines(
         tmp_path / "a.yaml",
@@ -69,7 +69,7 @@
         ('{"kind":"tenant","name":"good","value":1}', "line 2: tenant 'good' stands in line 1 already"),
     ],
 )
-def test_a_wrong_line_is_told_with_its_place_and_nothing_is_taken(tmp_path, said, told):
+def test_the_error_of_an_invalid_line_names_it_and_nothing_is_used(tmp_path, said, told):
     path = lines(tmp_path / "a.jsonl", GOOD % "good", said, b"\n")
     with pytest.raises(InvalidConfigError) as wrong:
         check_file(path)
@@ -101,14 +101,14 @@
         ("- {kind: tenant, name: b, value: [}", "line 3: not YAML: "),
     ],
 )
-def test_a_wrong_record_of_yaml_too(tmp_path, said, told):
+def test_the_error_of_an_invalid_yaml_record_names_its_line(tmp_path, said, told):
     path = lines(tmp_path / "a.yaml", "records:\n- {kind: tenant, name: a, value: 1}\n", said, "\n")
     with pytest.raises(InvalidConfigError) as wrong:
         check_file(path)
     assert told in str(wrong.value) and "\n" not in str(wrong.value)
 
 
-def test_a_file_that_is_not_there_or_holds_nothing(tmp_path):
+def test_a_missing_or_empty_file(tmp_path):
     (tmp_path / "directory.jsonl").mkdir()
     for name, told in (("no.jsonl", "No such file"), ("directory.jsonl", "Is a directory")):
         with pytest.raises(InvalidConfigError, match=told):
@@ -118,7 +118,7 @@
             check_file(lines(tmp_path / name, said))
 
 
-def test_large_ones_are_split_by_count_and_by_bytes():
+def test_large_files_are_split_by_count_and_by_bytes():
     small = [Change("tenant", f"n{n}", b"v") for n in range(2 * MAX_BATCH_CHANGES + 3)]
     assert [len(each) for each in split(small)] == [MAX_BATCH_CHANGES, MAX_BATCH_CHANGES, 3]
     large = [Change("tenant", f"n{n}", bytes(4_000)) for n in range(100)]
@@ -128,11 +128,11 @@
     assert list(split([])) == []
 
 
-# -- commands, with a source in place of the group -----------------------------------------------------------
+# -- commands, with a source instead of a group ----------------------------------------------------------
 
 
 class Group:
-    """Applies at once what a client would propose; fails from a proposal on, where it is told to."""
+    """Applies at once what a client proposes; fails from a given proposal on."""
 
     def __init__(self, fails_at=None, part="distribution"):
         self.source, self.part, self.index, self.fails_at = Source(), part, 0, fails_at
@@ -176,7 +176,7 @@
     return run
 
 
-def test_a_batch_is_published_shown_as_it_was_and_compared(tmp_path, run):
+def test_a_batch_is_published_and_versions_are_shown_and_compared(tmp_path, run):
     first = lines(tmp_path / "1.jsonl", GOOD % "x", GOOD % "y")
     second = lines(
         tmp_path / "2.yaml",
@@ -202,7 +202,7 @@
     assert run("diff", "FILE", 1, 7)[0] == 1
 
 
-def test_what_is_refused_or_wrong_has_its_exit_code_and_one_line(tmp_path, run):
+def test_rejections_and_errors_have_their_exit_code_and_one_line(tmp_path, run):
     good = lines(tmp_path / "1.jsonl", GOOD % "x")
     wrong = lines(tmp_path / "2.jsonl", GOOD % "y", "{}\n")
     assert run("publish", "FILE", good)[0] == 0
@@ -226,7 +226,7 @@
         assert code == 1 and "is not one for configuration" in said
 
 
-def test_a_large_file_goes_batch_by_batch_and_on_from_where_it_stopped(tmp_path, run):
+def test_a_large_file_is_published_batch_by_batch_and_can_be_resumed(tmp_path, run):
     large = lines(tmp_path / "1.jsonl", *(GOOD % f"n{n}" for n in range(3 * MAX_BATCH_CHANGES)))
     code, said = run("publish", "FILE", large)
     assert code == 2 and "With --in-batches it goes in 3, which hold each by itself" in said
@@ -240,4 +240,5 @@
     assert code == 0 and json.loads(said)["batches"] == 1
     assert run.group.source.table.records == 3 * MAX_BATCH_CHANGES
     code, said = run("publish", "FILE", large, "--in-batches", "--json")
-    assert (code, json.loads(said)["changed"], json.loads(said)["batches"]) == (0, 0, 0)  # all there already
+    # all records have these values already
+    assert (code, json.loads(said)["changed"], json.loads(said)["batches"]) == (0, 0, 0)
--- a/tests/config_distribution/test_relay_file.py
+++ b/tests/config_distribution/test_relay_file.py
@@ -1,4 +1,4 @@
-"""A relay's file: mistakes are told with their line, and nothing of a wrong one is used."""
+"""A relay's file: errors name the line, and nothing of an invalid file is used."""
 
 from pathlib import Path
 
@@ -40,13 +40,13 @@
 
 
 @pytest.mark.parametrize("name", ["region", "zone"])
-def test_the_examples_are_right(name):
+def test_the_examples_are_valid(name):
     assert read_relay_file(f"{EXAMPLES}/{name}.yaml").group == "config"
     voter = read_quorum_settings(f"{EXAMPLES}/voter.yaml", member=True)
     assert voter.group == "config" and voter.distribution
 
 
-def test_a_node_s_section_is_read_and_its_mistakes_are_told(file):
+def test_a_node_s_section_is_read_and_its_errors_are_reported(file):
     chosen = read_node_config(f"{EXAMPLES}/node.yaml").distribution
     assert (chosen.zone, chosen.tenants, chosen.directory) == ("north-a", True, None)
     assert read_node_config(file("")).distribution is None and MAX_RELAY_ADDRESSES == MAX_RELAYS
@@ -103,7 +103,7 @@
         ),
     ],
 )
-def test_a_mistake_is_told_with_its_place(file, old, new, told):
+def test_an_error_names_its_line(file, old, new, told):
     assert old in GOOD
     with pytest.raises(InvalidConfigError) as wrong:
         read_relay_file(file(GOOD.replace(old, new)))
--- a/tests/config_distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -31,7 +31,7 @@
 
 
 class Link:
-    """A called link whose other end reads when it is told to."""
+    """The server's end of a link whose client reads when the test says so."""
 
     def __init__(self):
         self.transport, self.replies, self.kept_waiting, self.aborted = self, [], 0, False
@@ -84,7 +84,7 @@
             self.clock.advance(step)
 
 
-def test_what_all_wait_for_is_decided_in_one_turn_and_encoded_once(monkeypatch):
+def test_a_common_answer_is_decided_in_one_turn_and_encoded_once(monkeypatch):
     made = []
     monkeypatch.setattr(serving, "encode", lambda content: made.append(content) or encode(content))
     host = Host()
@@ -93,7 +93,7 @@
     host.clock.advance(0)
     assert not any(each.replies for each in links)
     host.publish(7, "acme")
-    assert not any(each.replies for each in links)  # pulled in the next turn, after all that was read
+    assert not any(each.replies for each in links)  # pulled in the next turn, after all requests were read
     host.clock.advance(0)
     answers = [decode_follow_answer(each.replies[0].content) for each in links]
     assert [each.replies[0].number for each in links] == numbers
@@ -101,7 +101,7 @@
     assert len(made) == 1
 
 
-def test_a_turn_answers_a_bounded_number_and_the_next_one_goes_on():
+def test_a_turn_answers_a_bounded_number_and_the_next_one_continues():
     host = Host(turn=4)
     host.publish(7, "acme")
     host.clock.advance(0)
@@ -114,7 +114,7 @@
     assert turns == [4, 8, 10]
 
 
-def test_a_hold_that_is_over_is_answered_by_the_timer():
+def test_the_timer_answers_a_request_at_the_end_of_its_hold():
     host, link = Host(), Link()
     host.follow(link, 0, host.table.digest)
     host.pass_by(0.9)
@@ -123,7 +123,7 @@
     assert [decode_follow_answer(each.content).outcome for each in link.replies] == [FollowOutcome.SAME]
 
 
-def test_one_question_at_a_time_and_none_before_the_answer_was_read():
+def test_a_link_has_one_open_request_and_none_before_the_answer_was_read():
     host, hasty, slow, fair = Host(), Link(), Link(), Link()
     host.follow(hasty)
     host.follow(hasty)
@@ -155,7 +155,7 @@
     host.pass_by(2.1)
     assert stuck.aborted and not slow.aborted
     assert host.serving.counts == {"dropped: does not read": 1}
-    assert host.serving.unread_timer is None  # nothing waits: no timer does
+    assert host.serving.unread_timer is None  # no answer waits, so there is no timer
 
 
 def test_a_snapshot_is_fetched_and_the_command_finds_a_record():
@@ -180,7 +180,7 @@
 @pytest.mark.parametrize(
     ("what", "content"), [*((each, "no such thing") for each in (FOLLOW, PAGES_OF, FIND)), (FIND, NO_TEXT)]
 )
-def test_a_question_that_can_t_be_read_is_declined_and_counted(what, content):
+def test_a_request_that_cannot_be_decoded_is_declined_and_counted(what, content):
     host, link = Host(), Link()
     host.ask(link, what, content)
     host.clock.advance(0)
@@ -189,7 +189,7 @@
     assert not host.serving.handles("propose") and host.serving.handles(FOLLOW)
 
 
-def test_one_subscriber_too_many_is_told_so_and_a_command_is_still_answered():
+def test_a_subscriber_above_the_bound_is_declined_and_a_command_still_answered():
     host = Host()
     links = [Link() for _ in range(MAX_SUBSCRIBERS + 1)]
     for each in links:
@@ -205,7 +205,7 @@
     assert decode_follow_answer(links[-1].replies[-1].content).outcome == FollowOutcome.SAME
 
 
-def test_one_that_hung_up_is_answered_no_more_and_forgotten():
+def test_a_link_that_ended_is_forgotten_and_gets_no_answer():
     host, gone, other = Host(), Link(), Link()
     host.follow(gone, 0, host.table.digest)
     host.follow(other, 0, host.table.digest)
@@ -216,7 +216,7 @@
     assert len(host.serving.links) == len(host.serving.numbers) == len(host.publisher.subscribers) == 1
 
 
-def test_after_its_close_nothing_is_answered_and_no_timer_is_left():
+def test_after_close_nothing_is_answered_and_no_timer_is_left():
     host, link = Host(), Link()
     host.follow(link, 0, host.table.digest)
     host.clock.advance(0)
@@ -226,7 +226,7 @@
     assert not link.replies and not host.clock.getDelayedCalls()
 
 
-def test_an_error_in_a_decision_is_told_and_ends_nothing():
+def test_an_error_in_a_decision_is_logged_and_serving_continues():
     host, link = Host(), Link()
     right, host.publisher.next_decision = host.publisher.next_decision, lambda now: 1 // 0
     host.follow(link, 0, host.table.digest)
--- a/tests/config_distribution/test_source.py
+++ b/tests/config_distribution/test_source.py
@@ -1,4 +1,4 @@
-"""The source: what makes a batch, what is refused, what is known of the past, and what a dump brings back."""
+"""The source: which entries become batches, which are rejected, past versions, and dumps."""
 
 import random
 from types import SimpleNamespace
@@ -60,7 +60,7 @@
 
 
 def drawn(rng, source, entries, begin=1):
-    """Entries of every kind that the part may be given, applied; the model of what must be in force."""
+    """Applies random entries of every kind; returns the model of the expected state."""
     model = {(kind, name): value for kind, name, value in source.table.items()}
     for index in range(begin, begin + entries):
         names = {f"t{rng.randrange(60)}" for _ in range(rng.choice([0, 1, 1, 1, 5]))}
@@ -82,13 +82,13 @@
     return {(kind, name): value for kind, name, value in source.table.items()}
 
 
-def test_an_entry_makes_one_batch_of_its_index_over_the_one_before():
+def test_an_entry_makes_one_batch_with_its_index_on_top_of_the_last():
     source = Source()
     assert publish(source, 5, ("tenant", "a", b"1"), ("route", "a", b"2")) == PublishResult(True, 5, 2)
     assert publish(source, 9, ("tenant", "a", None), ("route", "a", b"2")) == PublishResult(True, 9, 1)
     first, second = (each.batch for each in source.window)
     assert (first.version, first.previous, second.version, second.previous) == (5, 0, 9, 5)
-    assert second.changes == (Change("tenant", "a", None),)  # only what changed travels
+    assert second.changes == (Change("tenant", "a", None),)  # only actual changes are sent
     assert second.digest == source.table.digest and in_force(source) == {("route", "a"): b"2"}
     told = asked(source, StatusQuery())
     assert (told.version, told.since, told.records) == (9, 0, 1)
@@ -110,7 +110,7 @@
         ([("tenant", f"n{n}", bytes(4_000)) for n in range(40)], "a batch has at most"),
     ],
 )
-def test_what_is_refused_changes_nothing_and_says_why(changes, why):
+def test_a_rejected_command_changes_nothing_and_has_a_reason(changes, why):
     source = Source()
     publish(source, 1, ("tenant", "a", b"1"))
     before = encode(source.dump())
@@ -119,7 +119,7 @@
     assert encode(source.dump()) == before
 
 
-def test_another_version_and_what_is_no_command_are_refused(monkeypatch):
+def test_a_failed_condition_and_an_invalid_command_are_rejected(monkeypatch):
     source = Source()
     publish(source, 1, ("tenant", "a", b"1"))
     assert "another version" in publish(source, 2, ("tenant", "a", b"2"), only_if=0).why
@@ -131,7 +131,7 @@
     assert source.read(["none"]) is None
 
 
-def test_a_record_is_known_as_it_was_at_each_version_of_the_window():
+def test_a_record_is_known_at_each_version_of_the_window():
     rng, source, history = random.Random(4), Source(window_batches=40), {}
     for index in range(1, 200):
         drawn(rng, source, 1, index)
@@ -154,7 +154,7 @@
 
 
 def difference(source, a, b):
-    """As the command asks for it."""
+    """The changes as the command requests them."""
     query, changes = DiffQuery(a, b), []
     while True:
         told = asked(source, query)
@@ -167,7 +167,7 @@
 
 
 @pytest.mark.parametrize(("name", "most"), [("MAX_DIFF_CHANGES", 3), ("MAX_DIFF_BYTES", 100)])
-def test_a_difference_too_large_for_an_answer_is_told_in_parts(monkeypatch, name, most):
+def test_a_difference_too_large_for_one_answer_is_sent_in_parts(monkeypatch, name, most):
     source = Source()
     for index in range(1, 9):
         publish(source, index, *(("tenant", f"t{n}", b"%d" % index) for n in range(8) if n != index))
@@ -178,15 +178,15 @@
     assert difference(source, 2, 8) == whole
 
 
-def test_the_window_is_bounded_by_bytes_too_with_the_values_that_were_replaced():
+def test_the_window_is_bounded_by_bytes_including_replaced_values():
     source = Source(window_bytes=10_000)
     for index in range(1, 30):
         publish(source, index, ("tenant", "a", bytes([index]) * 1_000))
-    assert 0 < source.size <= 10_000 and len(source.window) == 4
+    assert 0 < source.window_bytes_used <= 10_000 and len(source.window) == 4
     assert asked(source, StatusQuery()).since == 25
 
 
-def test_a_dump_brings_back_all_and_replay_makes_the_same_bytes():
+def test_a_dump_restores_everything_and_replay_makes_the_same_bytes():
     def state():
         return StateMachine({"distribution": Source(window_batches=30)})
 
@@ -202,7 +202,8 @@
         first.apply(index, entries[-1])
         if index % 40 == 0:
             copies.append((index, first.dump()))
-            assert first.states["distribution"].plain  # some pages go as they are: both forms are tried
+            # some pages are uncompressed: both forms are covered
+            assert first.states["distribution"].uncompressed_pages
     for index, dumped in copies:
         again = state()
         again.restore(Snapshot(index, 1, GROUP, dumped))
@@ -212,7 +213,7 @@
         assert again.states["distribution"].table.digest == first.states["distribution"].table.digest
 
 
-def test_a_spoilt_dump_is_not_taken_for_a_table():
+def test_a_corrupt_dump_is_rejected():
     source = Source()
     drawn(random.Random(2), source, 80)
     assert in_force(copied(source)) == in_force(source)
@@ -229,11 +230,11 @@
             Source().load(msgspec.Raw(encode(dumped)))
 
 
-# -- a voter that serves -----------------------------------------------------------------------------------
+# -- a voter that publishes ----------------------------------------------------------------------------------
 
 
 class Host:
-    """In place of `serving.PublisherHost`: what the publisher was told, and asked at once."""
+    """Replaces `serving.PublisherHost`: keeps the publisher and carries out nothing."""
 
     def __init__(self, reactor, publisher, now, log):
         self.publisher, self.now, self.closed = publisher, now, False
@@ -246,7 +247,7 @@
 
 
 class Seat:
-    """In place of the process."""
+    """Replaces the process."""
 
     zone = "z1"
 
@@ -291,7 +292,7 @@
     return decision.content
 
 
-def test_what_is_applied_is_fed_and_a_snapshot_takes_the_tables_place():
+def test_applied_entries_are_published_and_a_snapshot_replaces_the_table():
     voting, member, _, state = serving()
     nothing = state.states["distribution"].table.digest
     for index in (3, 4):
@@ -316,23 +317,23 @@
     return PublishCommand((Change("tenant", "a", value),))
 
 
-def test_a_leader_s_age_counts_from_before_it_asked_and_grows_while_nobody_answers():
+def test_a_leader_s_age_counts_from_before_its_confirmation_and_grows_without_one():
     voting, member, later, state = serving()
-    assert voting.publisher.in_force(member.at)["age_us"] == -1  # nothing is known before it was proved
+    assert voting.publisher.in_force(member.at)["age_us"] == -1  # unknown before the leadership is confirmed
     member.at += 70_000
     member.proofs.pop()(True)
     assert voting.publisher.age(member.at) == 70_000
     later.calls.pop()()
     member.at += 500_000
     assert voting.publisher.age(member.at) == 570_000
-    member.proofs.pop()(False)  # it leads no more
+    member.proofs.pop()(False)  # it no longer leads
     assert voting.publisher.age(member.at) == 570_000 and later.calls
 
 
-def test_a_follower_s_age_counts_from_the_last_word_whose_commit_it_has():
+def test_a_follower_s_age_counts_from_the_last_message_whose_commit_is_applied():
     fresh, now = CommitFreshness(), 10_000_000
     fresh.on_leader_message(now, 5, 5)
-    assert fresh.known_at is None  # the first words may be old ones
+    assert fresh.known_at is None  # the first messages may be old ones
     fresh.on_leader_message(now + IGNORE_AFTER_PAUSE_US, 5, 5)
     assert fresh.known_at == now + IGNORE_AFTER_PAUSE_US
     fresh.on_leader_message(now + IGNORE_AFTER_PAUSE_US + 60_000, 8, 5)
@@ -342,12 +343,12 @@
     fresh.on_applied(8)
     assert fresh.known_at == now + IGNORE_AFTER_PAUSE_US + 60_000
     woken = now + IGNORE_AFTER_PAUSE_US + 120_000 + PAUSE_THRESHOLD_US + 1
-    for buffered in range(40):  # words of the time when it was stopped
+    for buffered in range(40):  # messages from the time when the process was stopped
         fresh.on_leader_message(woken + buffered, 8, 8)
     assert fresh.known_at == now + IGNORE_AFTER_PAUSE_US + 60_000
 
 
-def test_before_it_takes_part_and_after_its_end_a_voter_answers_nothing():
+def test_a_voter_answers_nothing_before_it_takes_part_and_after_its_end():
     voting = VoterPublisher(Later(), "v1", "z1", None, Host)
     voting.start(Seat())
     replies = []
@@ -364,10 +365,10 @@
     voting.close()
     assert voting.serving.closed
     member.proofs.pop()(True)
-    assert not later.calls  # nor does it ask on
+    assert not later.calls  # nor does it confirm its leadership again
 
 
-def test_a_mistake_in_serving_ends_the_serving_and_not_the_voter():
+def test_an_error_in_publishing_ends_the_publishing_and_not_the_voter():
     told = []
     log = SimpleNamespace(warning=lambda event, **fields: told.append((event, fields)))
     voting, *_ = serving()
--- a/tests/config_distribution/test_status.py
+++ b/tests/config_distribution/test_status.py
@@ -1,4 +1,4 @@
-"""`distribution status`: what several voters tell is added up by zone, and who is silent is named."""
+"""`distribution status` adds up the counts of several voters by zone and names those that don't answer."""
 
 import json
 
@@ -19,7 +19,7 @@
 
 
 def voter(name, version, *counts):
-    """What a publisher tells that has heard these of its subscribers, one each."""
+    """The status of a publisher whose subscribers have sent these counts."""
     table = Table()
     for each in range(1, version + 1):
         table.apply(each, [Change("tenant", f"t{each}", b"")])
@@ -55,7 +55,7 @@
     }
 
 
-def test_zones_are_added_up_over_all_that_answer(status):
+def test_zones_are_added_up_over_all_answers(status):
     told = json.loads(status(found(), "--json").stdout)
     assert (told["version"], told["nodes"], told["late"]) == (9, 47, 3)
     north = {"zone": "north-a", "nodes": 42, "lowest": 3, "late": 3, "oldest_us": 4_000_000, "by": "r2"}
@@ -63,7 +63,7 @@
     assert told["members"]["10.0.0.3:1"] == SILENT
 
 
-def test_the_table_names_the_stragglers_relay_and_who_did_not_answer(status):
+def test_the_table_names_the_relay_of_the_lowest_version_and_missing_answers(status):
     ran = status(found())
     lines = ran.stdout.splitlines()
     assert ran.exit_code == 0 and lines[0] == "version 9, 47 nodes, 3 late"
@@ -72,18 +72,18 @@
     assert [each.split()[0] for each in lines if "10.0.0." in each][:2] == ["v1", "v2"]
 
 
-def test_an_age_that_nobody_knows_is_said_so(status):
+def test_an_unknown_age_is_shown_as_unknown(status):
     told = {"10.0.0.1:1": voter("v1", 1, ((Count("north-a", 1, 0, 1 << 53, 0, "r1"),), 0))}
     assert status(told).stdout.splitlines()[3].split() == ["north-a", "1", "0", "0", "unknown", "r1"]
     assert json.loads(status(told, "--json").stdout)["zones"][0]["oldest_us"] == -1
 
 
-def test_where_nobody_answers_the_exit_code_is_1(status):
+def test_without_any_answer_the_exit_code_is_1(status):
     ran = status({"10.0.0.3:1": SILENT})
     assert ran.exit_code == 1 and "nobody answers (10.0.0.1:1, 10.0.0.2:1, 10.0.0.3:1)" in ran.output
 
 
-def test_a_wrong_file_is_one_line_with_its_place_and_exit_code_2(tmp_path):
+def test_an_invalid_file_gives_one_line_and_exit_code_2(tmp_path):
     path = tmp_path / "r.yaml"
     path.write_text("distribution:\n  group: config\n")
     for command in (relays.run, relays.status):
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -1,4 +1,4 @@
-"""A subscriber and relays, as hosts on links in memory: what is taken, what ends a link, what is left."""
+"""Subscribers and relays as hosts on links in memory: what is applied, what ends a link, what is released."""
 
 import random
 
@@ -27,11 +27,11 @@
 
 SECOND = 1_000_000
 MARK = b"mark-one"
-STEP = 0.01  # s that the clock is moved on at once
+STEP = 0.01  # s per step of the clock
 
 
 class Net(MemoryReactorClock):
-    """Links in memory; a port that is silent takes a connection and delivers nothing."""
+    """Links in memory; a silent port accepts a connection and delivers nothing."""
 
     def __init__(self):
         super().__init__()
@@ -49,7 +49,7 @@
             self.pumps.append((port, connect(other, ends[0], one, ends[1], greet=False)))
 
     def run(self, seconds, until=None):
-        """Moves on until `until`, or so long."""
+        """Moves the clock until `until` is true, for at most so many seconds."""
         for _ in range(round(seconds / STEP)):
             self.advance(STEP)
             self.link()
@@ -72,7 +72,7 @@
 
 
 class Place:
-    """A net with what runs on it; a source is a relay that is told what to have."""
+    """A net with its processes; a source is a relay whose table the test sets."""
 
     def __init__(self):
         self.net, self.parts, self.log = Net(), [], Log()
@@ -118,14 +118,14 @@
     return Place()
 
 
-def test_what_is_published_goes_through_two_tiers_and_counts_come_up(place):
+def test_a_publication_passes_two_tiers_and_counts_are_added_up(place):
     top = place.source(7901)
     place.publish(top, 3, "acme", "other")
     region, zone = place.relay(7921, [7901]), place.relay(7931, [7921], [7901])
     node = place.node([7931])
     assert place.net.run(10, lambda: node.copy.version == 3)
     place.publish(top, 9, "third")
-    assert place.net.run(0.2, lambda: node.copy.version == 9)  # held questions are answered at once
+    assert place.net.run(0.2, lambda: node.copy.version == 9)  # held requests are answered at once
     assert node.copy.find("tenant", "third") == b"{}"
     assert {each.table.digest for each in (top, region, zone)} == {node.copy.digest}
     assert [[each.version for each in one] for one in place.taken] == [[3], [9]]
@@ -139,7 +139,7 @@
     )
 
 
-def test_a_snapshot_is_taken_whole_one_slice_a_turn(place):
+def test_a_snapshot_is_applied_as_a_whole_with_one_slice_a_turn(place):
     top = place.source(7901)
     for version in range(1, 41):
         place.publish(top, version, *(f"t{version}-{n}" for n in range(100)), value=b"x" * 100)
@@ -153,7 +153,7 @@
     assert place.net.run(1, lambda: node.copy.version == 41)
 
 
-def test_a_lost_relay_is_left_for_the_next_and_one_that_says_nothing_too(place):
+def test_a_lost_or_silent_relay_is_left_for_the_next(place):
     top = place.source(7901)
     place.publish(top, 3, "acme")
     for each in (7931, 7932):
@@ -179,8 +179,8 @@
     assert node.counts["turned away"] == 1 and other.counts["turned away"] == 1
 
 
-def test_a_first_start_of_all_at_once_has_nobody_come_twice(place):
-    """Links are there before anyone knows the group: who learns it says so on them, down the tree."""
+def test_nobody_reconnects_when_all_start_for_the_first_time(place):
+    """Links are open before any process knows the group; whoever learns it reports it down the tree."""
     zone, other = place.relay(7931, [7921]), place.relay(7932, [7921])
     nodes = [place.node([7931, 7932], seed=seed) for seed in range(6)]
     region = place.relay(7921, [7901])
@@ -194,7 +194,7 @@
     assert not any(each.counters().get("left") for each in nodes)
 
 
-def test_who_knows_another_group_leaves_when_its_relay_learns_its_own(place):
+def test_a_subscriber_of_another_group_leaves_when_its_relay_learns_its_group(place):
     zone = place.relay(7931, [7901])
     node = place.node([7931], copy=TableCopy(Table(), b"mark-two"))
     assert place.net.run(10, lambda: node.follower.relay)
@@ -203,7 +203,7 @@
     assert zone.mark == MARK and node.follower.mark != MARK
 
 
-def test_who_was_greeted_with_another_group_has_to_come_anew(place):
+def test_a_subscriber_greeted_with_another_group_has_to_reconnect(place):
     zone = place.relay(7931, [1], mark=MARK)
     node = place.node([7931])
     assert place.net.run(10, lambda: node.follower.relay)
@@ -214,7 +214,7 @@
 
 
 def answers(place, port, answer):
-    """A source whose answers are these."""
+    """A source with these answers."""
     made = place.source(port)
     made.on_request = lambda link, request: link.reply(answer(request))
     return made
@@ -238,7 +238,7 @@
         (lambda number: encode_raw(FollowAnswer(FollowOutcome.NEWS, 1, b"", 0)), "unfit answers"),
     ],
 )
-def test_an_answer_that_is_none_ends_that_link_counted_and_another_is_asked(place, wrong, counted):
+def test_an_invalid_answer_ends_the_link_is_counted_and_another_relay_is_asked(place, wrong, counted):
     answers(place, 7901, lambda request: ClientResponse(request.number, True, wrong(request.number)))
     top = place.source(7902)
     place.publish(top, 3, "acme")
@@ -247,13 +247,13 @@
     assert node.counters()[counted] == 1 and node.follower.relay == "10.0.0.1:7902"
 
 
-def test_an_answer_to_no_question_ends_the_link(place):
+def test_an_answer_without_a_request_ends_the_link(place):
     answers(place, 7901, lambda request: ClientResponse(request.number + 1, True, encode_raw(None)))
     node = place.node([7901])
     assert place.net.run(3, lambda: node.counts.get("frames out of place"))
 
 
-def test_who_takes_a_connection_and_says_nothing_is_left_in_time(place):
+def test_a_relay_that_accepts_a_connection_and_never_answers_is_left_in_time(place):
     place.source(7901)
     place.net.silent.add(7901)
     top = place.source(7902)
@@ -262,7 +262,7 @@
     assert place.net.run(CONNECT_TIMEOUT_S + 3, lambda: node.copy.version == 3)
 
 
-def test_spoilt_slices_are_not_taken_and_an_error_in_one_ends_nothing(place):
+def test_corrupt_slices_are_not_applied_and_an_error_in_one_ends_nothing(place):
     top = place.source(7901)
     place.publish(top, 3, "acme")
     node = place.node([7901])
@@ -279,7 +279,7 @@
     assert "received corrupt data" in place.log.events
 
 
-def test_what_stops_gives_back_its_links_and_timers(place):
+def test_stop_releases_links_and_timers(place):
     top = place.source(7901)
     place.publish(top, 3, "acme")
     zone = place.relay(7931, [7901])
@@ -298,7 +298,7 @@
 
 
 def caller(place, port):
-    """A link by hand to that relay."""
+    """A raw link to that relay."""
     _, factory, *_ = next(each for each in place.net.tcpServers if each[0] == port)
     made = factory.buildProtocol(None)
     made.makeConnection(FakeTransport(made, True))
@@ -307,7 +307,7 @@
     return made
 
 
-def test_the_door_turns_away_what_is_no_subscriber(place):
+def test_the_listener_rejects_links_that_are_not_subscribers(place):
     relay = place.relay(7931, [1], mark=MARK)
     hello = Greeting(FORMAT_VERSION, b"", "config", 0, 0, Incarnation(0, 0), "n1")
     for wrong in (
@@ -328,7 +328,7 @@
     assert [(each.number, each.done) for each in link.sent[1:]] == [(5, False)]
 
 
-def test_who_calls_and_says_nothing_is_ended(place):
+def test_a_link_without_a_greeting_is_closed(place):
     relay = place.relay(7931, [1], mark=MARK)
     silent, greeted = caller(place, 7931), caller(place, 7931)
     greeted.greeting = Greeting(FORMAT_VERSION, b"", "config", 0, 0, Incarnation(0, 0), "n1")
@@ -339,7 +339,7 @@
     assert relay.counters()["silent callers"] == 1
 
 
-def test_a_start_from_the_disk_feeds_those_behind_and_its_age_is_unknown(place):
+def test_a_start_from_the_disk_serves_lagging_subscribers_and_its_age_is_unknown(place):
     table = Table()
     batches = [table.apply(n, [Change("tenant", f"t{n}", b"{}")]) for n in range(1, 6)]
     past = Table()
--- a/tests/config_distribution/test_table.py
+++ b/tests/config_distribution/test_table.py
@@ -1,4 +1,4 @@
-"""The table of records: packed pages, digests, batches and snapshots taken whole or not at all."""
+"""The table of records: packed pages, digests, batches and snapshots applied as a whole or not at all."""
 
 import random
 import zlib
@@ -58,18 +58,18 @@
 def test_empty_table_has_a_fixed_digest():
     table = Table()
     assert table.digest == Table().digest
-    assert table.digest.hex() == "4ead1c0a868f1995b112e99b7a0a7954"  # what other processes have, too
+    assert table.digest.hex() == "4ead1c0a868f1995b112e99b7a0a7954"  # the value at every process
     assert (table.version, table.records, table.bytes) == (0, 0, 0)
     assert table.find("tenant", "acme") is None
 
 
-def test_names_that_no_record_can_have_are_not_found():
+def test_invalid_names_are_not_found():
     table = filled(3)
     for kind, name in [("tenant", "\ud800"), ("k" * 300, "n"), ("", ""), ("tenant", "n" * 300)]:
         assert table.find(kind, name) is None
 
 
-def test_kind_and_name_are_told_apart_where_they_run_into_one_another(monkeypatch):
+def test_kind_and_name_are_distinguished_if_their_concatenations_are_equal(monkeypatch):
     monkeypatch.setattr(pages, "hash_key", SAME["all on one place"])
     table = Table()
     table.apply(1, [Change("ab", "c", b"1"), Change("a", "bc", b"2"), Change("abc", "d", b"")])
@@ -94,8 +94,8 @@
 
 
 @pytest.mark.parametrize("hashes", ["as they are", *SAME])
-def test_each_name_is_answered_with_its_own_value_and_no_other(hashes, monkeypatch):
-    """At every slice of batches and snapshots: the whole state before, then the whole state after."""
+def test_each_name_has_its_own_value(hashes, monkeypatch):
+    """At every slice of batches and snapshots the table has the complete old or the complete new state."""
     if hashes in SAME:
         monkeypatch.setattr(pages, "hash_key", SAME[hashes])
 
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("hashes", ["as they are", *SAME])
-def test_same_records_make_the_same_bytes_whatever_the_way(hashes, monkeypatch):
+def test_the_same_records_make_the_same_bytes_in_any_order(hashes, monkeypatch):
     if hashes in SAME:
         monkeypatch.setattr(pages, "hash_key", SAME[hashes])
     records = [change(name, b"%d" % at, kind) for at, name in enumerate(NAMES) for kind in ("a", "b")]
@@ -172,13 +172,13 @@
     for past, version in [(0, 5), (2, 5), (1, 1), (1, 0)]:
         with pytest.raises(ChainError):
             table.stage([Batch(version, past, batch.digest, batch.changes)])
-    with pytest.raises(ChainError):  # a hole between two
+    with pytest.raises(ChainError):  # a gap between two
         table.stage([Batch(5, 1, b"", batch.changes), Batch(7, 6, b"", batch.changes)])
     with pytest.raises(ChainError):
         table.apply(1, [change("x", b"1")])
 
 
-def test_another_digest_is_spoilt_and_nothing_changes():
+def test_a_wrong_digest_is_rejected_and_nothing_changes():
     source, table = filled(600), filled(600)
     good = source.apply(9, [change(f"acme-{at}", b"new") for at in range(400)])
     more = source.apply(10, [change("acme-1", None)])
@@ -191,15 +191,15 @@
         with pytest.raises(CorruptTableError):
             ended(table.stage([wrong, more]))
         assert (table.digest, table.pages, table.version) == (before, pages_before, 2)
-    with pytest.raises(CorruptTableError):  # a version that nobody made, with the right content
+    with pytest.raises(CorruptTableError):  # a version that was never made, with correct content
         ended(table.stage([Batch(8, 2, good.digest, good.changes)]))
     second = table.stage([good, Batch(10, 9, good.digest, more.changes)])
-    with pytest.raises(CorruptTableError):  # the second one's
+    with pytest.raises(CorruptTableError):  # the second batch's
         ended(second)
     assert table.version == 2 and table.find("tenant", "acme-3") == b"value 3"
 
 
-def test_what_was_staged_on_a_table_that_moved_is_not_taken():
+def test_an_update_staged_on_a_table_that_changed_is_not_applied():
     source, table = filled(10), filled(10)
     one = source.apply(2, [change("x", b"1")])
     two = source.apply(3, [change("y", b"1")])
@@ -207,7 +207,7 @@
     snapshot = table.rebuild(source.view().head(0))
     ended(first)
     with pytest.raises(ChainError):
-        again.take()  # not staged to its end
+        again.take()  # not staged completely
     ended(again)
     first.take()
     with pytest.raises(ChainError):
@@ -236,13 +236,13 @@
         ([change(f"n{at}", bytes(MAX_VALUE_BYTES)) for at in range(40)], "bytes"),
     ],
 )
-def test_changes_that_break_a_bound_are_refused_and_change_nothing(changes, why):
+def test_changes_above_a_bound_are_rejected_and_change_nothing(changes, why):
     table = filled(5)
     before = list(table.pages)
     with pytest.raises(InvalidBatchError, match=why):
         table.apply(2, changes)
     assert (table.version, table.pages, table.records) == (1, before, 5)
-    if changes:  # nor does a follower take them, whatever digest comes along
+    if changes:  # nor does a follower apply them, with any digest
         with pytest.raises(CorruptTableError):
             ended(table.stage([Batch(2, 1, bytes(DIGEST_BYTES), tuple(changes))]))
 
@@ -269,7 +269,7 @@
     assert table.apply(2, batch.changes) == batch
 
 
-def test_a_snapshot_asks_only_for_pages_that_differ():
+def test_a_snapshot_requests_only_pages_that_differ():
     source, table = filled(3000), filled(3000)
     changes = [change(f"acme-{at}", b"new") for at in range(20)]
     source.apply(source.version + 1, changes)
@@ -282,7 +282,7 @@
     assert table.find("tenant", "acme-1") == b"value 1"
 
 
-def test_spoilt_pages_are_refused_and_asked_for_again():
+def test_corrupt_pages_are_rejected_and_requested_again():
     source, table = filled(3000), Table()
     view = source.view()
     rebuild = table.rebuild(view.head(0))
@@ -295,10 +295,10 @@
         good + b"x",
         bytes([good[0] ^ 1]) + good[1:],
         view.packed(other),
-        zlib.compress(page.replace(b"value", b"VALUE")),  # whole, and another
+        zlib.compress(page.replace(b"value", b"VALUE")),  # valid, but another page
         zlib.compress(page[:-1]),
         zlib.compress(page + b"x"),
-        zlib.compress(bytes(200 << 20), 9),  # it says that it has 200 MB
+        zlib.compress(bytes(200 << 20), 9),  # inflates to 200 MB
     ]:
         assert not rebuild.put(number, bad)
         assert rebuild.missing(1) == [number]
@@ -307,7 +307,7 @@
     assert rebuild.put(number, b"late and not wanted any more")
 
 
-def test_of_a_bomb_no_more_than_a_page_is_inflated(monkeypatch):
+def test_a_compression_bomb_is_inflated_up_to_the_size_of_a_page(monkeypatch):
     asked = []
 
     class Stream:
@@ -323,8 +323,8 @@
     assert asked == [pages.MAX_PAGE_BYTES + 1]
 
 
-def test_a_page_that_can_not_be_one_is_refused_with_its_own_digest():
-    """As a relay would send it whose table was spoilt before the digests were made."""
+def test_an_invalid_page_with_a_matching_digest_is_rejected():
+    """As a relay would send it whose table was corrupted before the digests were made."""
     number = pages.locate_key(pages.encode_key("tenant", "acme-7"))[0]
     table = Table()
     table.apply(1, [change("acme-7", b"one"), *(change(f"acme-{at}", b"two") for at in range(100, 400))])
@@ -360,7 +360,7 @@
     assert pages.find_page_fault(number ^ 1, whole)
 
 
-def test_a_head_that_does_not_add_up_or_is_older_is_refused():
+def test_an_inconsistent_or_older_head_is_rejected():
     source, table = filled(100), filled(100, version=4)
     head = source.view().head(0)
     spoilt = bytearray(head.pages)
@@ -369,9 +369,7 @@
         SnapshotHead(9, head.digest, bytes(spoilt), 0),
         SnapshotHead(9, head.digest, head.pages[:-16], 0),
         SnapshotHead(9, bytes(16), head.pages, 0),
-        SnapshotHead(
-            head.version + (1 << 40), head.digest, head.pages, 0
-        ),  # a version beyond all that there are
+        SnapshotHead(head.version + (1 << 40), head.digest, head.pages, 0),  # a version above any that exists
         SnapshotHead(9, head.digest, head.pages, 0),
     ]:
         with pytest.raises(CorruptTableError):
@@ -383,7 +381,7 @@
         table.rebuild(source.view().head(0))  # the same version with another digest
 
 
-def test_another_relays_snapshot_goes_on_with_pages_that_are_still_right():
+def test_another_relay_s_snapshot_continues_with_pages_that_are_still_valid():
     source, table = filled(3000), Table()
     first = source.view()
     rebuild = table.rebuild(first.head(0))
@@ -402,7 +400,7 @@
     assert (table.version, table.digest, table.records) == (later.version, later.digest, 3000)
 
 
-def test_a_page_fetched_for_a_snapshot_that_was_taken_back_is_not_kept():
+def test_a_page_of_a_discarded_snapshot_is_not_kept():
     source, table = filled(100, version=1), filled(100, version=1)
     source.apply(5, [change("acme-1", b"wrong"), change("new", b"one")])
     bad = source.view()
@@ -413,7 +411,7 @@
     later = source.view()
     again = rebuild.continue_with(later.head(0))
     differ = [number for number in range(PAGE_COUNT) if later.pages[number] != table.pages[number]]
-    assert again.missing(PAGE_COUNT) == differ  # the ones taken back are the table's own
+    assert again.missing(PAGE_COUNT) == differ  # the discarded ones are the table's own again
     for number in differ:
         assert again.put(number, later.packed(number))
     ended(again)
@@ -426,7 +424,7 @@
     )
 
 
-def test_a_view_stays_as_it_was_and_each_page_is_deflated_once(monkeypatch):
+def test_a_view_does_not_change_and_each_page_is_compressed_once(monkeypatch):
     source = filled(2000)
     old = source.view()
     number = next(at for at in range(PAGE_COUNT) if source.pages[at])
@@ -446,8 +444,8 @@
 
 
 @pytest.mark.parametrize(("records", "names"), [(3000, 1), (40, 1), (40, 40)])
-def test_no_slice_does_more_than_its_share(records, names, monkeypatch):
-    """In bytes and pages: what a slice takes in time is measured by the benchmark."""
+def test_no_slice_exceeds_its_limit(records, names, monkeypatch):
+    """In bytes and pages; the benchmark measures the time of a slice."""
     source, table = filled(records), filled(records)
     size = 120 // names
     changes = [change(f"n{at}", bytes([at % 251]) * 20 * names) for at in range(4 * size)]
@@ -473,8 +471,8 @@
         assert staging.assigned - sorted_before <= 7
         assert staging.batch_index - at <= 1
     for each in slices:
-        assert sum(each[:-1]) + 100 * len(each[:-1]) < 2_000  # the last one may go over
-    assert max(map(len, slices)) > 1  # and it does use its share
+        assert sum(each[:-1]) + 100 * len(each[:-1]) < 2_000  # the last page may exceed the limit
+    assert max(map(len, slices)) > 1  # and slices use the limit
     assert len([each for each in slices if not each]) >= sum(-(-len(each.changes) // 7) for each in batches)
     staging.take()
     assert table.digest == source.digest
--- a/tests/config_distribution/test_table_benchmark.py
+++ b/tests/config_distribution/test_table_benchmark.py
@@ -1,4 +1,4 @@
-"""The table's benchmark goes through at a small size and writes what a capacity page is made from."""
+"""The table's benchmark runs at a small size and writes the input of a capacity page."""
 
 import json
 
--- a/tests/config_distribution/test_tree.py
+++ b/tests/config_distribution/test_tree.py
@@ -1,4 +1,4 @@
-"""A source, two relays and a node: all orders of small settings, long drawn ones, every planted mistake."""
+"""A source, two relays and a node: all orders of small settings, long random orders, injected mistakes."""
 
 import random
 
@@ -12,7 +12,7 @@
 FIXED = settings(derandomize=True, deadline=None, database=None, max_examples=60)
 LONG = Limits(versions=12, ticks=30, losses=12, back=4, spoils=3, window=2, slices=True)
 PHASE = 25  # choices
-CALM = 20  # ticks of 1.1 s: over the longest span for which a relay is left out, and back-off
+CALM = 20  # ticks of 1.1 s: longer than any exclusion of a relay and any backoff
 
 
 @pytest.mark.parametrize("name", SCENES)
@@ -24,21 +24,21 @@
 
 
 @pytest.mark.parametrize("name", MISTAKES)
-def test_the_planted_mistake_is_found(name):
+def test_the_injected_mistake_is_found(name):
     scene_name, kinds, depth = MISTAKES[name]
     scene = SCENES[scene_name]
     found = play(scene, kinds, depth)
     assert found.violation is not None
     world = begun(scene, kinds)
-    for action in found.history:  # the history that it tells leads there
+    for action in found.history:  # the reported history reproduces it
         world.act(action)
     assert world.wrong == found.violation
 
 
 def driven(kinds, numbers, limits=LONG):
-    """The world after what those numbers choose, one of all that may happen each time.
+    """The world after the numbers have chosen one of the possible actions each time.
 
-    For PHASE of them a relay may be cut off from the source: what it asks and hears does not arrive.
+    For PHASE choices a relay may be cut off from the source: its requests and the answers don't arrive.
     """
     world, cut = World(kinds, limits), ""
     for at, number in enumerate(numbers):
@@ -52,7 +52,7 @@
 
 
 def calmed(world):
-    """Nothing fails any more: ticks until all have the newest, CALM at the most."""
+    """Without further faults: ticks until all have the newest version, at most CALM."""
     world.left = Limits(versions=0, ticks=CALM, losses=0, back=0)
     world.limits = Limits(window=2, slow=())
     newest = max(world.published)
@@ -67,16 +67,16 @@
 
 @given(st.lists(st.integers(0, 10_000), min_size=20, max_size=120))
 @FIXED
-def test_nothing_breaks_in_drawn_orders_and_all_have_the_newest_once_they_end(numbers):
+def test_nothing_breaks_in_random_orders_and_all_have_the_newest_version_at_the_end(numbers):
     world = driven(Kinds(), numbers)
     assert world.wrong is None
     assert calmed(world) < CALM, {name: each.table.version for name, each in world.processes.items()}
     assert world.wrong is None
 
 
-def test_drawn_orders_find_mistakes_too():
-    """So the drawn test above is none that can't fail. The one that they miss takes three lost links in a row
-    and a relay that stays behind; all orders find it.
+def test_random_orders_find_mistakes_too():
+    """Shows that the test of random orders can fail. The one mistake that they miss takes three lost links in
+    a row and a relay that stays behind; all orders find it.
     """
     missed = set(MISTAKES)
     for name, (_, kinds, _) in MISTAKES.items():
@@ -88,7 +88,7 @@
     assert missed == {"an older relay followed"}
 
 
-def test_a_world_that_was_packed_goes_on_as_it_was():
+def test_a_restored_world_continues_as_before():
     world = begun(SCENES["node"], Kinds())
     packed = Moment(world)
     for action in [("publish",), ("deliver", "n", "A"), ("step", "n"), ("tick",)]:
