--- a/lichencleat/config_distribution/copy.py
+++ b/lichencleat/config_distribution/copy.py
@@ -97,8 +97,8 @@
                     for number, data in self.unchecked_pages.items()
                     if old[number] == new[number] and self.rebuild.is_wanted(number)
                 }
-        except (CorruptTableError, ChainError) as wrong:
-            self.head_error = wrong
+        except (CorruptTableError, ChainError) as error:
+            self.head_error = error
 
     def missing(self, most: int) -> list[int]:
         if self.rebuild is None or not self.snapshot_active or self.head_error is not None:
--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -185,7 +185,7 @@
     def count(self, what: str) -> None:
         self.counters[what] = self.counters.get(what, 0) + 1
 
-    # -- inputs --------------------------------------------------------------------------------
+    # -- inputs ------------------------------------------------------------------------------------------
 
     def on_applied(self, now: int, batches: tuple[Batch, ...]) -> None:
         """The table applied these batches; (): a snapshot replaced it, so the window is emptied."""
@@ -243,19 +243,23 @@
         if fits is None or not isinstance(content, fits):
             self.decline(who, number, "unfit")
             return
-        sub = self.subscribers.get(who)
-        if sub is None:
+        subscriber = self.subscribers.get(who)
+        if subscriber is None:
             self.decline(who, number, "full")
             return
-        if sub.open_request is not None:
+        if subscriber.open_request is not None:
             self.decline(who, number, "unfit")
             return
-        sub.last_request_at = until = now
+        subscriber.last_request_at = until = now
         if isinstance(content, FollowRequest):
-            sub.followed, sub.version, sub.counts = True, content.version, content.counts[: MAX_ZONES + 1]
-            self.stop_fetching(who, sub)
+            subscriber.followed, subscriber.version, subscriber.counts = (
+                True,
+                content.version,
+                content.counts[: MAX_ZONES + 1],
+            )
+            self.stop_fetching(who, subscriber)
             until = now + min(max(0, content.hold), MAX_HOLD_US)
-        sub.open_request = OpenRequest(number, what, content, now, until, until)
+        subscriber.open_request = OpenRequest(number, what, content, now, until, until)
         self.ready.append(who)
 
     def decline(self, who: int, number: int, why: str) -> None:
@@ -263,7 +267,7 @@
         self.count(f"declined: {why}")
         self.decisions.append(Decline(who, number, why))
 
-    # -- decisions -------------------------------------------------------------------------------------
+    # -- decisions ---------------------------------------------------------------------------------------
 
     def next_decision(self, now: int) -> Decision | None:
         """The next decision for the host; None: nothing to do until `deadline` or the next input."""
@@ -275,16 +279,18 @@
             self.ready.append(heapq.heappop(self.wake_heap)[1])
         while self.ready:
             who = self.ready.popleft()
-            sub = self.subscribers.get(who)
-            if sub is None or sub.open_request is None:
+            subscriber = self.subscribers.get(who)
+            if subscriber is None or subscriber.open_request is None:
                 continue
-            made = self.decide(now, who, sub, sub.open_request)
+            made = self.decide(now, who, subscriber, subscriber.open_request)
             if made is not None:
-                sub.open_request = None
+                subscriber.open_request = None
                 return made
-            if sub.open_request.queued_wake_at != sub.open_request.wake_at:
-                sub.open_request.queued_wake_at = sub.open_request.wake_at
-                heapq.heappush(self.wake_heap, (sub.open_request.wake_at, who, sub.open_request.number))
+            if subscriber.open_request.queued_wake_at != subscriber.open_request.wake_at:
+                subscriber.open_request.queued_wake_at = subscriber.open_request.wake_at
+                heapq.heappush(
+                    self.wake_heap, (subscriber.open_request.wake_at, who, subscriber.open_request.number)
+                )
             # drops entries of requests answered since
             if len(self.wake_heap) > 2 * len(self.subscribers) + 64:
                 self.wake_heap = [each for each in self.wake_heap if self.is_current(each)]
@@ -293,11 +299,11 @@
 
     def is_current(self, wait: tuple[int, int, int]) -> bool:
         """Whether the heap entry still belongs to an open request."""
-        sub = self.subscribers.get(wait[1])
+        subscriber = self.subscribers.get(wait[1])
         return (
-            sub is not None
-            and sub.open_request is not None
-            and (sub.open_request.wake_at, sub.open_request.number) == wait[::2]
+            subscriber is not None
+            and subscriber.open_request is not None
+            and (subscriber.open_request.wake_at, subscriber.open_request.number) == wait[::2]
         )
 
     def deadline(self) -> int | None:
@@ -309,35 +315,39 @@
             moments.append(self.next_cleanup_at)
         return min(moments, default=None)
 
-    def decide(self, now: int, who: int, sub: SubscriberState, held: OpenRequest) -> Decision | None:
-        """The decision on an open request; None: it waits until `held.wake_at`."""
-        if isinstance(held.content, FollowRequest):
-            fed = self.answer_follow(now, held.content, held)
-            return None if fed is None else Answer(who, held.number, fed)
-        if isinstance(held.content, PagesRequest):
-            return self.answer_pages(now, who, sub, held, held.content)
-        return self.answer_digests(now, who, sub, held)
-
-    # -- news ------------------------------------------------------------------------------------------
-
-    def answer_follow(self, now: int, has: FollowRequest, held: OpenRequest) -> FollowAnswer | None:
-        """The answer to a `follow`; None: it waits until `held.wake_at`."""
-        say, since = self.choose_outcome(has), held.asked_at
-        if say == FollowOutcome.SAME:
-            held.wake_at = since = held.hold_until  # the subscriber counts the age from that moment
-        elif say == FollowOutcome.BEHIND:
-            held.wake_at = since = min(held.hold_until, held.asked_at + BEHIND_HOLD_US)
+    def decide(
+        self, now: int, who: int, subscriber: SubscriberState, request: OpenRequest
+    ) -> Decision | None:
+        """The decision on an open request; None: it waits until `request.wake_at`."""
+        if isinstance(request.content, FollowRequest):
+            answer = self.answer_follow(now, request.content, request)
+            return None if answer is None else Answer(who, request.number, answer)
+        if isinstance(request.content, PagesRequest):
+            return self.answer_pages(now, who, subscriber, request, request.content)
+        return self.answer_digests(now, who, subscriber, request)
+
+    # -- news --------------------------------------------------------------------------------------------
+
+    def answer_follow(self, now: int, has: FollowRequest, request: OpenRequest) -> FollowAnswer | None:
+        """The answer to a `follow`; None: it waits until `request.wake_at`."""
+        outcome, since = self.choose_outcome(has), request.asked_at
+        if outcome == FollowOutcome.SAME:
+            request.wake_at = since = request.hold_until  # the subscriber counts the age from that moment
+        elif outcome == FollowOutcome.BEHIND:
+            request.wake_at = since = min(request.hold_until, request.asked_at + BEHIND_HOLD_US)
         if now < since:
             return None
-        made, fed = self.shared_answers.get((say, has.version), (-1, None))
-        if fed is None or made < since:
-            batches = self.window.after(has.version) if say == FollowOutcome.NEWS else None
-            fed = FollowAnswer(say, self.window.version, self.window.digest, self.age(now), batches or ())
+        made, answer = self.shared_answers.get((outcome, has.version), (-1, None))
+        if answer is None or made < since:
+            batches = self.window.after(has.version) if outcome == FollowOutcome.NEWS else None
+            answer = FollowAnswer(
+                outcome, self.window.version, self.window.digest, self.age(now), batches or ()
+            )
             if len(self.shared_answers) >= MAX_SUBSCRIBERS:
                 self.shared_answers.clear()
-            self.shared_answers[say, has.version] = (now, fed)
-        self.count(f"said: {say.name}")
-        return fed
+            self.shared_answers[outcome, has.version] = (now, answer)
+        self.count(f"said: {outcome.name}")
+        return answer
 
     def choose_outcome(self, has: FollowRequest) -> FollowOutcome:
         """The outcome for a subscriber at that version; SAME also means "nothing yet"."""
@@ -355,24 +365,26 @@
             return FollowOutcome.SNAPSHOT
         return FollowOutcome.NEWS
 
-    # -- snapshots -------------------------------------------------------------------------------------
+    # -- snapshots ---------------------------------------------------------------------------------------
 
-    def answer_digests(self, now: int, who: int, sub: SubscriberState, held: OpenRequest) -> Decision:
+    def answer_digests(
+        self, now: int, who: int, subscriber: SubscriberState, request: OpenRequest
+    ) -> Decision:
         """The answer to a request for a snapshot's digests."""
         if not self.window.version:
-            return self.decline_open(who, held, "nothing here")
+            return self.decline_open(who, request, "nothing here")
         if who not in self.fetchers and len(self.fetchers) >= MAX_FETCHERS:
-            return self.decline_open(who, held, "busy")
+            return self.decline_open(who, request, "busy")
         kept = self.open_view(now)
         self.fetchers[who] = None
-        sub.fetched_version = kept.view.version
+        subscriber.fetched_version = kept.view.version
         self.count("snapshots begun")
-        return Answer(who, held.number, kept.view.head(age_after(kept.age, now - kept.opened_at)))
+        return Answer(who, request.number, kept.view.head(age_after(kept.age, now - kept.opened_at)))
 
-    def decline_open(self, who: int, held: OpenRequest, why: str) -> Decline:
+    def decline_open(self, who: int, request: OpenRequest, why: str) -> Decline:
         """Declines an open request."""
         self.count(f"declined: {why}")
-        return Decline(who, held.number, why)
+        return Decline(who, request.number, why)
 
     def open_view(self, now: int) -> SharedView:
         """The newest view that the window still continues, else a new one in place of the least used."""
@@ -389,28 +401,28 @@
         return self.views[-1]
 
     def answer_pages(
-        self, now: int, who: int, sub: SubscriberState, held: OpenRequest, wants: PagesRequest
+        self, now: int, who: int, subscriber: SubscriberState, request: OpenRequest, wanted: PagesRequest
     ) -> Decision | None:
         """The answer to a request for pages; None: it waits for the rate limit."""
-        if not wants.numbers or not all(0 <= each < PAGE_COUNT for each in wants.numbers):
-            return self.decline_open(who, held, "unfit")
-        kept = next((each for each in self.views if each.view.version == wants.version), None)
+        if not wanted.numbers or not all(0 <= each < PAGE_COUNT for each in wanted.numbers):
+            return self.decline_open(who, request, "unfit")
+        kept = next((each for each in self.views if each.view.version == wanted.version), None)
         if kept is None:
-            self.stop_fetching(who, sub)
-            return Answer(who, held.number, PagesAnswer(wants.version, ()))
+            self.stop_fetching(who, subscriber)
+            return Answer(who, request.number, PagesAnswer(wanted.version, ()))
         if who not in self.fetchers:
             if len(self.fetchers) >= MAX_FETCHERS:
-                return self.decline_open(who, held, "busy")
+                return self.decline_open(who, request, "busy")
             self.fetchers[who] = None
-            sub.fetched_version = wants.version
+            subscriber.fetched_version = wanted.version
         self.credit = min(FETCH_BURST_BYTES, self.credit + FETCH_BYTES_PER_US * (now - self.credit_at))
         self.credit_at = now
         if self.credit < 0:
-            held.wake_at = now - self.credit // FETCH_BYTES_PER_US
+            request.wake_at = now - self.credit // FETCH_BYTES_PER_US
             return None
         kept.used_at = now
         pages, room = [], MAX_ANSWER_BYTES
-        for number in wants.numbers[:MAX_PAGES_PER_ANSWER]:
+        for number in wanted.numbers[:MAX_PAGES_PER_ANSWER]:
             packed = kept.view.packed(number)
             room -= len(packed)
             if pages and room < 0:
@@ -418,42 +430,48 @@
             pages.append((number, packed))
             self.credit -= len(packed)
         self.count("pieces")
-        return Answer(who, held.number, PagesAnswer(wants.version, tuple(pages)))
+        return Answer(who, request.number, PagesAnswer(wanted.version, tuple(pages)))
 
-    def stop_fetching(self, who: int, sub: SubscriberState) -> None:
+    def stop_fetching(self, who: int, subscriber: SubscriberState) -> None:
         """Frees the subscriber's snapshot slot."""
         self.fetchers.pop(who, None)
-        sub.fetched_version = None
+        subscriber.fetched_version = None
 
-    # -- cleanup ---------------------------------------------------------------------------------
+    # -- cleanup -----------------------------------------------------------------------------------------
 
     def drop_idle(self, now: int) -> None:
         """Frees slots, views and links that are no longer used."""
         self.next_cleanup_at = now + FETCH_IDLE_US // 2
         for who in list(self.fetchers):
-            sub = self.subscribers[who]
-            if sub.open_request is None and now - sub.last_request_at >= FETCH_IDLE_US:
-                self.stop_fetching(who, sub)
+            subscriber = self.subscribers[who]
+            if subscriber.open_request is None and now - subscriber.last_request_at >= FETCH_IDLE_US:
+                self.stop_fetching(who, subscriber)
                 self.count("turns taken back")
         wanted = {each.fetched_version for each in self.subscribers.values()}
         self.views = [
             each for each in self.views if each.view.version in wanted or now - each.used_at < VIEW_IDLE_US
         ]
-        for who, sub in list(self.subscribers.items()):
-            if sub.followed and sub.open_request is None and now - sub.last_request_at >= SUBSCRIBER_IDLE_US:
+        for who, subscriber in list(self.subscribers.items()):
+            if (
+                subscriber.followed
+                and subscriber.open_request is None
+                and now - subscriber.last_request_at >= SUBSCRIBER_IDLE_US
+            ):
                 self.remove_subscriber(now, who)
                 self.count("dropped: idle")
                 self.decisions.append(Drop(who))
 
-    # -- status ---------------------------------------------------------------------------
+    # -- status ------------------------------------------------------------------------------------------
 
     def subscriber_counts(self, now: int) -> Iterator[Count]:
         """Counts of all subscribers that were heard from recently."""
         needed = self.version_history.version_at(now - LATE_AFTER_US)
-        for sub in self.subscribers.values():
-            if sub.counts and (sub.open_request is not None or now - sub.last_request_at < COUNT_EXPIRY_US):
+        for subscriber in self.subscribers.values():
+            if subscriber.counts and (
+                subscriber.open_request is not None or now - subscriber.last_request_at < COUNT_EXPIRY_US
+            ):
                 yield from adjust_counts(
-                    sub.counts, self.name, sub.version, needed, now - sub.last_request_at
+                    subscriber.counts, self.name, subscriber.version, needed, now - subscriber.last_request_at
                 )
 
     def counts(self, now: int) -> tuple[Count, ...]:
@@ -487,20 +505,20 @@
             "counters": dict(sorted(self.counters.items())),
         }
 
-    def answer_find(self, who: int, number: int, wants: RecordRequest) -> Decision:
+    def answer_find(self, who: int, number: int, wanted: RecordRequest) -> Decision:
         """The answer with a record as it is now, or as it was at a version that the window covers."""
-        value = self.table.find(wants.kind, wants.name)
-        if not wants.version or wants.version >= self.table.version:
+        value = self.table.find(wanted.kind, wanted.name)
+        if not wanted.version or wanted.version >= self.table.version:
             return Answer(who, number, value)
-        if wants.version not in self.window.places:
+        if wanted.version not in self.window.places:
             return Decline(who, number, "not kept")
         named = [
             (batch.version, change.value)
             for batch in self.window.batches
             for change in batch.changes
-            if (change.kind, change.name) == (wants.kind, wants.name)
+            if (change.kind, change.name) == (wanted.kind, wanted.name)
         ]
-        before = [each for each in named if each[0] <= wants.version]
+        before = [each for each in named if each[0] <= wanted.version]
         if len(before) == len(named):  # unchanged since
             return Answer(who, number, value)
         if before:
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -88,7 +88,7 @@
         self.decisions: deque[Decision] = deque()  # a few per input
         # the relay whose link is being opened, and the deadline for it
         self.opening: tuple[str, int] | None = None
-        self.open_at: int | None = None  # µs: `upcoming` is opened then
+        self.open_at: int | None = None  # µs: `next_relay` is opened then
         self.next_relay: str | None = None
         self.request: SentRequest | None = None
         self.pause_until: int | None = None  # µs: the relay is asked again then
@@ -114,7 +114,7 @@
         """Logs a line."""
         self.decisions.append(Decision(Action.LOG, text=text[:MAX_LOG_CHARS]))
 
-    # -- state --------------------------------------------------------------------------------
+    # -- state -------------------------------------------------------------------------------------------
 
     def age(self, now: int) -> int:
         """µs since the source was known to have nothing newer; `MAX_AGE_US` if it never was."""
@@ -149,10 +149,10 @@
             self.exclude_and_leave(
                 now, self.opening[0], "its link was not opened in time", self.times.failed_exclusion
             )
-        question = self.request
-        if question is not None and now >= question.deadline:
-            if now - question.deadline > self.times.max_timer_delay and not question.extended:
-                question.deadline, question.extended = now + self.times.answer_timeout, True
+        request = self.request
+        if request is not None and now >= request.deadline:
+            if now - request.deadline > self.times.max_timer_delay and not request.extended:
+                request.deadline, request.extended = now + self.times.answer_timeout, True
             elif self.relay is not None:
                 self.exclude_and_leave(
                     now, self.relay, "it did not answer in time", self.times.failed_exclusion
@@ -167,7 +167,7 @@
             if other is not None:
                 self.decide(Action.OPEN, other)
 
-    # -- links -----------------------------------------------------------------------------------------
+    # -- links -------------------------------------------------------------------------------------------
 
     def schedule_next_relay(self, now: int) -> None:
         """Schedules the opening of another relay after a random delay."""
@@ -245,7 +245,7 @@
         self.schedule_next_relay(now)
         self.relay = None
 
-    # -- questions -------------------------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------------------------------
 
     def ask(self, now: int) -> None:
         """Asks the relay for what is newer than the version in force."""
@@ -269,8 +269,8 @@
     def send_request(self, now: int, what: str, content: Any, hold: int = 0) -> None:
         """Sends a request, with the deadline for its answer."""
         assert self.relay is not None
-        patience = self.times.answer_timeout + (hold if what == FOLLOW else MAX_HOLD_US)
-        self.request = SentRequest(what, now, now + patience, hold)
+        timeout = self.times.answer_timeout + (hold if what == FOLLOW else MAX_HOLD_US)
+        self.request = SentRequest(what, now, now + timeout, hold)
         self.decide(Action.ASK, self.relay, what, content)
 
     def on_answer(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
@@ -283,16 +283,16 @@
             if what == FOLLOW and probe.asked_at >= 0:
                 self.on_probe_answer(now, probe, content)
             return
-        question = self.request
-        if relay != self.relay or question is None or question.what != what:
+        request = self.request
+        if relay != self.relay or request is None or request.what != what:
             return
         self.request = None
         if content is None:
             self.on_declined(now, relay, what, why)
         elif what == FOLLOW and isinstance(content, FollowAnswer):
-            self.on_follow_answer(now, relay, question, content)
+            self.on_follow_answer(now, relay, request, content)
         elif what == DIGESTS and isinstance(content, SnapshotHead):
-            self.begin_snapshot(now, relay, question, content)
+            self.begin_snapshot(now, relay, request, content)
         elif what == PAGES_OF and isinstance(content, PagesAnswer):
             self.on_pages(now, relay, content)
         else:
@@ -320,62 +320,62 @@
         self.count("unfit answers")
         self.exclude_and_leave(now, relay, why, self.times.wrong_exclusion)
 
-    # -- news ------------------------------------------------------------------------------------------
+    # -- news --------------------------------------------------------------------------------------------
 
-    def on_follow_answer(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
+    def on_follow_answer(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
         """Handles the answer to a `follow`."""
-        if fed.version and not self.mark:
+        if answer.version and not self.mark:
             self.leave(now, relay, "it did not report its group when the link was opened")
-        elif fed.outcome == FollowOutcome.BEHIND:
-            self.on_behind(now, relay, fed)
-        elif fed.outcome == FollowOutcome.OTHER:
+        elif answer.outcome == FollowOutcome.BEHIND:
+            self.on_behind(now, relay, answer)
+        elif answer.outcome == FollowOutcome.OTHER:
             self.on_other(now, relay)
-        elif fed.outcome == FollowOutcome.SAME:
-            self.on_same(now, relay, question, fed)
-        elif fed.outcome == FollowOutcome.SNAPSHOT or (
-            fed.outcome == FollowOutcome.NEWS and self.needs_snapshot
+        elif answer.outcome == FollowOutcome.SAME:
+            self.on_same(now, relay, request, answer)
+        elif answer.outcome == FollowOutcome.SNAPSHOT or (
+            answer.outcome == FollowOutcome.NEWS and self.needs_snapshot
         ):
             self.behind_since = None
-            self.prober.on_age(now, fed.age)
+            self.prober.on_age(now, answer.age)
             self.send_request(now, DIGESTS, None)
-        elif fed.outcome == FollowOutcome.NEWS:
-            self.on_news(now, relay, question, fed)
+        elif answer.outcome == FollowOutcome.NEWS:
+            self.on_news(now, relay, request, answer)
         else:
             self.on_invalid_answer(now, relay, "its answer has an unknown outcome")
 
-    def on_same(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
+    def on_same(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
         """The relay has nothing newer."""
-        if fed.version != self.copy.version or (fed.version and fed.digest != self.copy.digest):
+        if answer.version != self.copy.version or (answer.version and answer.digest != self.copy.digest):
             self.on_invalid_answer(now, relay, "it reported no news for another version or digest")
             return
         self.behind_since = None
         self.selector.on_success(relay)
-        self.prober.on_age(now, fed.age)
+        self.prober.on_age(now, answer.age)
         self.diverging_relays.clear()
         self.needs_snapshot = self.needs_snapshot and bool(self.corrupt_relays)
-        held = now >= question.sent_at + question.hold
-        if fed.age < MAX_AGE_US:
-            self.advance_known_at(question.sent_at + (question.hold if held else 0) - max(0, fed.age))
-        if held and question.hold:
+        held = now >= request.sent_at + request.hold
+        if answer.age < MAX_AGE_US:
+            self.advance_known_at(request.sent_at + (request.hold if held else 0) - max(0, answer.age))
+        if held and request.hold:
             self.ask(now)
         else:
             # limits the rate of requests to a relay that doesn't hold them
             self.pause_until = now + self.times.retry_delay
 
-    def on_news(self, now: int, relay: str, question: SentRequest, fed: FollowAnswer) -> None:
+    def on_news(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
         """Stages the batches of the answer."""
         self.behind_since = None
-        self.prober.on_age(now, fed.age)
-        known = question.sent_at - max(0, fed.age) if fed.age < MAX_AGE_US else None
-        wrong = self.pending.stage(fed, relay, self.mark, known)
-        if wrong:
-            self.on_invalid_answer(now, relay, wrong)
+        self.prober.on_age(now, answer.age)
+        known = request.sent_at - max(0, answer.age) if answer.age < MAX_AGE_US else None
+        fault = self.pending.stage(answer, relay, self.mark, known)
+        if fault:
+            self.on_invalid_answer(now, relay, fault)
         else:
             self.step()
 
-    def on_behind(self, now: int, relay: str, fed: FollowAnswer) -> None:
+    def on_behind(self, now: int, relay: str, answer: FollowAnswer) -> None:
         """The relay has less than this process. It may be catching up, so it gets some time."""
-        if fed.version >= self.copy.version:
+        if answer.version >= self.copy.version:
             self.on_invalid_answer(now, relay, "it reported a lower version, but its version is not lower")
             return
         if self.behind_since is None:
@@ -385,7 +385,7 @@
             self.exclude_and_leave(
                 now,
                 relay,
-                f"its version {fed.version} is lower than {self.copy.version}",
+                f"its version {answer.version} is lower than {self.copy.version}",
                 self.times.failed_exclusion,
             )
             return
@@ -420,17 +420,17 @@
                 f"OWN COPY IN DOUBT at version {self.copy.version}, differs at {named}: needs a snapshot"
             )
 
-    # -- snapshots -------------------------------------------------------------------------------------
+    # -- snapshots ---------------------------------------------------------------------------------------
 
-    def begin_snapshot(self, now: int, relay: str, question: SentRequest, head: SnapshotHead) -> None:
+    def begin_snapshot(self, now: int, relay: str, request: SentRequest, head: SnapshotHead) -> None:
         """Starts the snapshot whose head was received."""
         if head.version <= self.copy.version and self.needs_snapshot:
             self.pause_until = now + self.selector.draw(self.times.busy_retry_delay)
             return
-        known = question.sent_at - max(0, head.age) if head.age < MAX_AGE_US else None
-        wrong = self.pending.begin(head, relay, self.mark, known) if self.mark else "its group is not known"
-        if wrong:
-            self.on_invalid_answer(now, relay, wrong)
+        known = request.sent_at - max(0, head.age) if head.age < MAX_AGE_US else None
+        fault = self.pending.begin(head, relay, self.mark, known) if self.mark else "its group is not known"
+        if fault:
+            self.on_invalid_answer(now, relay, fault)
             return
         self.busy_answers = 0
         self.step()
@@ -463,7 +463,7 @@
             self.step()
             self.request_pages(now)
 
-    # -- staging ---------------------------------------------------------------------------------------
+    # -- staging -----------------------------------------------------------------------------------------
 
     def step(self) -> None:
         """Has the host process the next slice."""
@@ -513,9 +513,9 @@
         snapshot, known = pending.what == "snapshot", pending.known_at
         try:
             batches = pending.take()
-        except TableError as wrong:
+        except TableError as error:
             self.count("not taken")
-            self.log(f"the staged update was not applied: {wrong}")
+            self.log(f"the staged update was not applied: {error}")
             self.discard_update(now, pending.relay)
             return
         self.count("snapshots" if snapshot else "batches")
@@ -540,19 +540,19 @@
         self.selector.exclude(now, probe.relay, self.times.failed_exclusion)
         self.end_probe(probe, closed)
 
-    def on_probe_answer(self, now: int, probe: Probe, fed: Any) -> None:
+    def on_probe_answer(self, now: int, probe: Probe, answer: Any) -> None:
         """Handles the answer to the probe: moves to its relay if that is justified."""
-        if not isinstance(fed, FollowAnswer):
+        if not isinstance(answer, FollowAnswer):
             self.fail_probe(now, probe)
             return
         if (
-            fed.outcome == FollowOutcome.OTHER
+            answer.outcome == FollowOutcome.OTHER
             and probe.mark
             and not self.is_foreign(now, probe.relay, probe.mark)
         ):
             self.record_other_history(now, probe.relay)
             self.check_own_copy()
-        worth = self.prober.is_better(now, probe, fed, self.copy.version, self.age(now))
+        worth = self.prober.is_better(now, probe, answer, self.copy.version, self.age(now))
         if not worth or self.pending.what or self.is_foreign(now, probe.relay, probe.mark):
             self.end_probe(probe)
             return
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -132,9 +132,9 @@
     digest = pages.page_digest(number, page)
     if digest.to_bytes(DIGEST_BYTES, "little") != data[:DIGEST_BYTES]:
         raise CorruptTableError(f"page {number}: the digest does not match")
-    wrong = pages.find_page_fault(number, page)
-    if wrong:
-        raise CorruptTableError(f"page {number}: {wrong}")
+    fault = pages.find_page_fault(number, page)
+    if fault:
+        raise CorruptTableError(f"page {number}: {fault}")
     return page, digest
 
 
@@ -190,7 +190,7 @@
         self.closing: Deferred[None] | None = None
         self.write_waiters: list[Deferred[None]] = []  # fired at the end of the write under way
 
-    # -- loading ---------------------------------------------------------------------------------------
+    # -- loading -----------------------------------------------------------------------------------------
 
     @inlineCallbacks
     def load(self) -> Any:
@@ -199,8 +199,8 @@
         """
         try:
             return (yield from self.read())
-        except (CorruptTableError, CorruptDataError, msgspec.DecodeError) as wrong:
-            self.trouble = f"the stored version is corrupt and not used: {wrong}"
+        except (CorruptTableError, CorruptDataError, msgspec.DecodeError) as error:
+            self.trouble = f"the stored version is corrupt and not used: {error}"
             self.tell(self.trouble)
             self.digests, self.batches_invalid = [-1] * PAGE_COUNT, True
             return Table(), b"", []
@@ -252,7 +252,7 @@
         self.reactor.callLater(0, turn.callback, None)
         return turn
 
-    # -- changes ---------------------------------------------------------------------------
+    # -- changes -----------------------------------------------------------------------------------------
 
     def on_batches_applied(self, table: Table, batches: Sequence[Batch]) -> None:
         """The table applied these batches."""
@@ -280,7 +280,7 @@
         while self.pending and (len(self.pending) > MAX_RECENT_BATCHES or size > MAX_RECENT_BYTES):
             size -= len(self.pending.popleft())
 
-    # -- writing ---------------------------------------------------------------------------------------
+    # -- writing -----------------------------------------------------------------------------------------
 
     def schedule_write(self) -> None:
         """Starts a write, unless one is under way, due or impossible."""
@@ -318,16 +318,16 @@
 
     def fire_write_waiters(self) -> None:
         """Fires what waits for the end of the write."""
-        told, self.write_waiters = self.write_waiters, []
-        for each in told:
+        done, self.write_waiters = self.write_waiters, []
+        for each in done:
             each.callback(None)
 
     def on_write_failed(self, why: Failure) -> None:
         """Reports the failure once and schedules a retry."""
         self.writing, self.has_changes = False, True
         self.counts["writes failed"] += 1
-        said = why.getErrorMessage() if why.check(StoreError) else f"{why.type.__name__}: {why.value}"
-        self.trouble = f"the version in force is not kept on the disk: {said}"
+        message = why.getErrorMessage() if why.check(StoreError) else f"{why.type.__name__}: {why.value}"
+        self.trouble = f"the version in force is not kept on the disk: {message}"
         if not self.failing:
             self.tell(self.trouble)
         self.failing = True
@@ -410,7 +410,7 @@
         self.counts["bytes written"] += batch.bytes
         return self.store.commit(batch)
 
-    # -- shutdown ---------------------------------------------------------------------------------------
+    # -- shutdown ----------------------------------------------------------------------------------------
 
     def close(self) -> Deferred[None]:
         """Writes pending changes if the disk works. Fires when the store is closed."""
@@ -420,9 +420,9 @@
                 self.timer.cancel()
                 self.timer = None
             self.shut_down()
-        told: Deferred[None] = Deferred()
-        self.closing.addBoth(lambda result: told.callback(None) or result)
-        return told
+        done: Deferred[None] = Deferred()
+        self.closing.addBoth(lambda result: done.callback(None) or result)
+        return done
 
     @inlineCallbacks
     def shut_down(self) -> Any:
@@ -438,17 +438,17 @@
 
 def check_owner(store: Store, group: str) -> bool:
     """Whether there is stored data, in a thread. Raises CannotOpenError if it is not this program's."""
-    said = store.engine.get(HEAD_KEY)
-    if said is None:
+    data = store.engine.get(HEAD_KEY)
+    if data is None:
         if store.stat()["entries"]:
             raise CannotOpenError("the directory holds something else than a configuration; name another one")
         return False
     try:
-        head = decode_head(said)
-    except msgspec.DecodeError as wrong:
+        head = decode_head(data)
+    except msgspec.DecodeError as error:
         raise CannotOpenError(
             "the directory holds something else than a configuration; name another one"
-        ) from wrong
+        ) from error
     if head.format != FORMAT:
         raise CannotOpenError(
             f"the directory has format {head.format}, and this program needs format {FORMAT}; empty it"
--- a/lichencleat/config_distribution/looks.py
+++ b/lichencleat/config_distribution/looks.py
@@ -34,7 +34,7 @@
         self.first_choice_probe_at: int | None = None  # µs: next probe of an earlier choice
 
     def on_following(self, now: int, relay: str) -> None:
-        """Starts anew, as another relay is followed."""
+        """Resets the probes, as another relay is followed."""
         self.probe = self.fresher_probe_at = self.first_choice_probe_at = None
         if not self.selector.is_first_choice(relay):
             self.first_choice_probe_at = now + self.selector.draw(self.times.first_choice_probe_interval)
@@ -78,19 +78,19 @@
         """The link of the probe is open and the request is sent."""
         probe.asked_at, probe.mark, probe.deadline = now, mark, now + self.times.answer_timeout
 
-    def is_better(self, now: int, probe: Probe, fed: FollowAnswer, version: int, age: int) -> bool:
+    def is_better(self, now: int, probe: Probe, answer: FollowAnswer, version: int, age: int) -> bool:
         """Whether the probed relay's answer justifies a move.
 
         `version`, `age`: in force here. The relay's version must not be lower.
         """
         if (
-            fed.outcome not in (FollowOutcome.NEWS, FollowOutcome.SAME, FollowOutcome.SNAPSHOT)
-            or fed.version < version
+            answer.outcome not in (FollowOutcome.NEWS, FollowOutcome.SAME, FollowOutcome.SNAPSHOT)
+            or answer.version < version
         ):
             return False
-        if fed.version and not probe.mark:
+        if answer.version and not probe.mark:
             return False
-        its = age_after(max(0, fed.age), now - probe.asked_at)
+        its = age_after(max(0, answer.age), now - probe.asked_at)
         if probe.is_first_choice:
             return its <= max(self.times.stale_age, age)
         return its + self.times.min_age_gain < age
--- a/lichencleat/config_distribution/pages.py
+++ b/lichencleat/config_distribution/pages.py
@@ -184,8 +184,8 @@
     stream = zlib.decompressobj()
     try:
         page = stream.decompress(data, MAX_PAGE_BYTES + 1)
-    except zlib.error as wrong:
-        raise CorruptTableError(f"cannot inflate a page: {wrong}") from wrong
+    except zlib.error as error:
+        raise CorruptTableError(f"cannot inflate a page: {error}") from error
     if len(page) > MAX_PAGE_BYTES:
         raise CorruptTableError(f"a page has more than {MAX_PAGE_BYTES} bytes")
     if not stream.eof or stream.unused_data:
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -63,8 +63,8 @@
                 )
                 table, mark, recent = yield kept.load()
             # the relay works without the disk: it fetches what it lacks
-            except (StoreError, OSError) as wrong:
-                self.log_disk_state(f"{wrong}; the relay runs without it")
+            except (StoreError, OSError) as error:
+                self.log_disk_state(f"{error}; the relay runs without it")
                 if kept is not None:
                     kept.close()
                 kept = None
@@ -74,10 +74,10 @@
             return
         try:
             self.relay = RelayProcess(self.reactor, chosen, self.log, self.rng, table, mark, recent, kept)
-        except CannotListenError as wrong:
+        except CannotListenError as error:
             if kept is not None:
                 yield kept.close()
-            self.stop(EXIT_CANNOT_START, str(wrong))
+            self.stop(EXIT_CANNOT_START, str(error))
             return
         self.log.info("started", listen=chosen.listen, version=table.version, records=table.records)
         self.relay.start()
--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -39,7 +39,7 @@
 
 
 class Record(Struct, forbid_unknown_fields=True, frozen=True):
-    """A record as it is to be: with a value, or removed."""
+    """A record to be published: with a value, or removed."""
 
     kind: Annotated[str, Meta(min_length=1, max_length=MAX_KIND_CHARS)]
     name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
@@ -130,7 +130,7 @@
     return read_lines(path) if path.endswith(JSON_LINES_SUFFIX) else read_yaml(path)
 
 
-# -- JSON Lines --------------------------------------------------------------------------------------------
+# -- JSON Lines ------------------------------------------------------------------------------------------
 
 
 def read_lines(path: str) -> Iterator[tuple[int, Change]]:
@@ -146,8 +146,8 @@
                     )
                 if line.strip():
                     yield number, parse_line(path, number, line)
-    except OSError as wrong:
-        raise InvalidConfigError(f"{path}: {wrong.strerror}; name a readable file") from wrong
+    except OSError as error:
+        raise InvalidConfigError(f"{path}: {error.strerror}; name a readable file") from error
 
 
 def parse_line(path: str, number: int, line: bytes) -> Change:
@@ -156,12 +156,12 @@
     try:
         record = decode_line(line)
         json.loads(line, object_pairs_hook=reject_duplicate_keys)
-    except DuplicateKeyError as wrong:
-        raise InvalidConfigError(f"{place}: {wrong}") from wrong
-    except msgspec.ValidationError as wrong:
-        raise InvalidConfigError(f"{place}: {format_validation_error(str(wrong))}") from wrong
-    except (msgspec.DecodeError, ValueError, RecursionError) as wrong:  # invalid JSON or UTF-8
-        raise InvalidConfigError(f"{place}: not JSON: {wrong}; write one record per line") from wrong
+    except DuplicateKeyError as error:
+        raise InvalidConfigError(f"{place}: {error}") from error
+    except msgspec.ValidationError as error:
+        raise InvalidConfigError(f"{place}: {format_validation_error(str(error))}") from error
+    except (msgspec.DecodeError, ValueError, RecursionError) as error:  # invalid JSON or UTF-8
+        raise InvalidConfigError(f"{place}: not JSON: {error}; write one record per line") from error
     return make_change(place, "", record)
 
 
@@ -172,14 +172,14 @@
         raise DuplicateKeyError(f"duplicate key {key!r}; remove one")
 
 
-def format_validation_error(wrong: str) -> str:
+def format_validation_error(fault: str) -> str:
     """msgspec's message with the place first."""
-    what, _, where = wrong.partition(" - at `")
+    what, _, where = fault.partition(" - at `")
     where = where.rstrip("`").removeprefix("$").lstrip(".")
     return f"{where or 'the record'}: {what}"
 
 
-# -- YAML --------------------------------------------------------------------------------------------------
+# -- YAML ------------------------------------------------------------------------------------------------
 
 
 def read_yaml(path: str) -> Iterator[tuple[int, Change]]:
@@ -189,10 +189,10 @@
         where = f"$.records[{at}]"
         line = place.line_of(where) or 1
         if record.value is not UNSET:
-            wrong = find_json_fault(record.value, [MAX_VALUE_BYTES])
-            if wrong:
+            fault = find_json_fault(record.value, [MAX_VALUE_BYTES])
+            if fault:
                 raise InvalidConfigError(
-                    f"{path}, line {value_line(place, where, line)}: records[{at}].value: {wrong}"
+                    f"{path}, line {value_line(place, where, line)}: records[{at}].value: {fault}"
                 )
         yield line, make_change(f"{path}, line {line}", f"records[{at}].", record)
 
@@ -211,9 +211,9 @@
     if room[0] < 0:
         return f"a value has at most {MAX_VALUE_BYTES} bytes"
     if isinstance(value, dict):
-        wrong = next((key for key in value if not isinstance(key, str)), None)
-        if wrong is not None:
-            return f"the key {wrong!r} is not a string; put it in quotes"
+        bad_key = next((key for key in value if not isinstance(key, str)), None)
+        if bad_key is not None:
+            return f"the key {bad_key!r} is not a string; put it in quotes"
         return next(filter(None, (find_json_fault(each, room) for each in value.values())), "")
     if isinstance(value, list):
         return next(filter(None, (find_json_fault(each, room) for each in value)), "")
@@ -233,10 +233,10 @@
         raise InvalidConfigError(f"{place}: {where}value: give a value or 'gone: true', not both")
     try:
         value = None if record.gone else encode_value(record.value)
-    except (OverflowError, ValueError, RecursionError) as wrong:
-        raise InvalidConfigError(f"{place}: {where}value: {wrong}; write it as a string") from wrong
+    except (OverflowError, ValueError, RecursionError) as fault:
+        raise InvalidConfigError(f"{place}: {where}value: {fault}; write it as a string") from fault
     change = Change(record.kind, record.name, value)
-    wrong = find_change_fault(change)
-    if wrong:
-        raise InvalidConfigError(f"{place}: {record.kind} {record.name[:MAX_NAME_BYTES]!r}: {wrong}")
+    fault = find_change_fault(change)
+    if fault:
+        raise InvalidConfigError(f"{place}: {record.kind} {record.name[:MAX_NAME_BYTES]!r}: {fault}")
     return change
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -104,7 +104,7 @@
         self.listener.close()
         return self.kept.close() if self.kept is not None else succeed(None)
 
-    # -- events from above -----------------------------------------------------------------------------------
+    # -- events from above -------------------------------------------------------------------------------
 
     def update_counts(self) -> None:
         """Updates the counts of what is below, before a request is sent above."""
@@ -114,7 +114,7 @@
             self.follower.counts_below = self.publisher.counts(now)
 
     def on_answer(self) -> None:
-        """An answer from above changed the age, or told the group's mark."""
+        """An answer from above changed the age or reported the group's mark."""
         now = self.now()
         self.publisher.set_age(now, self.follower.age(now))
         self.adopt_group_mark()
@@ -162,7 +162,7 @@
         """The response to a greeting."""
         return GreetingResponse(welcome, self.mark, 0, self.chosen.name, Incarnation(0, 0))
 
-    # -- events of the listener -----------------------------------------------------------------------------
+    # -- events of the listener --------------------------------------------------------------------------
 
     def on_greeting(self, link: InboundConnection, greeting: Greeting) -> None:
         """Accepts links of its own group and closes others."""
@@ -212,11 +212,11 @@
 
     def counters(self) -> dict[str, int]:
         """All counters of this process: of its listener, of the answers below and of the requests above."""
-        told = dict(self.counts)
+        totals = dict(self.counts)
         for part in (self.publisher.counters, self.serving.counts, self.subscriber.counters()):
             for what, number in part.items():
-                told[what] = told.get(what, 0) + number
-        return told
+                totals[what] = totals.get(what, 0) + number
+        return totals
 
     def status_fields(self) -> dict[str, Any]:
         """What `status` shows beside the publisher's state."""
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -48,7 +48,7 @@
 
 
 class Link(Protocol):
-    """The link of a request, as quorum.links.Called."""
+    """The link of a request, as `transport.inbound.InboundConnection`."""
 
     transport: Any
 
@@ -78,14 +78,14 @@
         publisher: Publisher,
         now: Callable[[], int],
         log: EventLogger,
-        also: Callable[[], dict[str, Any]] = dict,
-        turn: int = MAX_ANSWERS_PER_TURN,
+        status_fields: Callable[[], dict[str, Any]] = dict,
+        answers_per_turn: int = MAX_ANSWERS_PER_TURN,
     ) -> None:
-        """`now`: µs on the monotonic clock; `also`: further content for `status`; `turn`: answers in one
-        turn.
+        """`now`: µs on the monotonic clock; `status_fields`: further content for `status`;
+        `answers_per_turn`: answers in one turn.
         """
         self.reactor, self.publisher, self.now, self.log = reactor, publisher, now, log
-        self.status_fields, self.answers_per_turn = also, turn
+        self.status_fields, self.answers_per_turn = status_fields, answers_per_turn
         self.links: dict[int, LinkState] = {}
         self.numbers: dict[Link, int] = {}
         self.last = 0  # the last number given to a link
@@ -99,7 +99,7 @@
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
-    # -- events --------------------------------------------------------------------------------
+    # -- events ------------------------------------------------------------------------------------------
 
     def handles(self, what: str) -> bool:
         """Whether the operation belongs to the distribution."""
@@ -114,24 +114,24 @@
             self.last += 1
             who = self.numbers[link] = self.last
             self.links[who] = LinkState(link)
-        asker = self.links[who]
-        if asker.open_request is not None or link.unsent_bytes():
+        link_state = self.links[who]
+        if link_state.open_request is not None or link.unsent_bytes():
             # its last answer is open or unread: at most one answer may wait for a subscriber
             self.count("asked again before the answer")
             link.transport.abortConnection()
             return
-        asker.open_request, asker.unread_since = request.number, None
+        link_state.open_request, link_state.unread_since = request.number, None
         try:
             decode = REQUEST_DECODERS.get(request.operation)
             content = decode(request.content) if decode is not None else None
         except UNDECODABLE:
             self.count("questions that can't be read")
-            self.answer(asker, False, encode_raw("unfit"))
+            self.answer(link_state, False, encode_raw("unfit"))
             return
-        if request.operation in SUBSCRIBER_OPERATIONS and not asker.is_subscriber:
-            asker.is_subscriber = self.publisher.add_subscriber(self.now(), who)
-            if not asker.is_subscriber:
-                self.answer(asker, False, encode_raw("full"))
+        if request.operation in SUBSCRIBER_OPERATIONS and not link_state.is_subscriber:
+            link_state.is_subscriber = self.publisher.add_subscriber(self.now(), who)
+            if not link_state.is_subscriber:
+                self.answer(link_state, False, encode_raw("full"))
                 return
         self.publisher.on_request(self.now(), who, request.number, request.operation, content)
         self.schedule_pull()
@@ -141,10 +141,10 @@
         who = self.numbers.pop(link, None)
         if who is None:
             return
-        asker = self.links.pop(who)
+        link_state = self.links.pop(who)
         if not self.closed:
             self.publisher.remove_subscriber(self.now(), who)
-            if asker.is_subscriber:
+            if link_state.is_subscriber:
                 self.schedule_pull()
 
     def schedule_pull(self) -> None:
@@ -153,7 +153,7 @@
             self.pull_scheduled = True
             self.reactor.callLater(0, self.pull)
 
-    # -- decisions -------------------------------------------------------------------------------------
+    # -- decisions ---------------------------------------------------------------------------------------
 
     def pull(self) -> None:
         """Pulls the publisher's decisions and writes the answers."""
@@ -165,18 +165,18 @@
         try:
             while left and (decision := self.publisher.next_decision(self.now())) is not None:
                 left -= 1
-                asker = self.links.get(decision.who)
+                link_state = self.links.get(decision.who)
                 if isinstance(decision, Drop):
-                    if asker is not None:
-                        asker.link.transport.abortConnection()
-                elif asker is None or asker.open_request != decision.number:
+                    if link_state is not None:
+                        link_state.link.transport.abortConnection()
+                elif link_state is None or link_state.open_request != decision.number:
                     continue  # the link has ended or its request was answered meanwhile
                 elif isinstance(decision, Answer):
                     content = decision.content
-                    told = {**content, **self.status_fields()} if isinstance(content, dict) else content
-                    self.answer(asker, True, self.encode_once(told))
+                    extended = {**content, **self.status_fields()} if isinstance(content, dict) else content
+                    self.answer(link_state, True, self.encode_once(extended))
                 else:
-                    self.answer(asker, False, encode_raw(decision.why))
+                    self.answer(link_state, False, encode_raw(decision.why))
         except Exception:  # a voter has to keep leading and confirming whatever happens to subscribers
             self.count("errors")
             self.log.warning(
@@ -195,13 +195,13 @@
             known = self.encoded[id(content)] = (content, msgspec.Raw(encode(content)))
         return known[1]
 
-    def answer(self, asker: LinkState, done: bool, content: msgspec.Raw) -> None:
+    def answer(self, link_state: LinkState, done: bool, content: msgspec.Raw) -> None:
         """Writes the answer to the link's open request."""
-        number, asker.open_request = asker.open_request, None
+        number, link_state.open_request = link_state.open_request, None
         assert number is not None
-        asker.link.reply(ClientResponse(number, done, content))
-        if asker.link.unsent_bytes() and asker.unread_since is None:
-            asker.unread_since = self.now()
+        link_state.link.reply(ClientResponse(number, done, content))
+        if link_state.link.unsent_bytes() and link_state.unread_since is None:
+            link_state.unread_since = self.now()
             if self.unread_timer is None:
                 self.unread_timer = self.reactor.callLater(
                     UNREAD_CHECK_INTERVAL_US / SECOND, self.check_unread
@@ -211,15 +211,15 @@
         """Drops subscribers that don't read, as their answers occupy this process's memory."""
         self.unread_timer = None
         now, some = self.now(), False
-        for asker in list(self.links.values()):
-            if asker.unread_since is None:
+        for link_state in list(self.links.values()):
+            if link_state.unread_since is None:
                 continue
-            if not asker.link.unsent_bytes():
-                asker.unread_since = None
-            elif now - asker.unread_since >= UNREAD_TIMEOUT_US:
+            if not link_state.link.unsent_bytes():
+                link_state.unread_since = None
+            elif now - link_state.unread_since >= UNREAD_TIMEOUT_US:
                 self.count("dropped: does not read")
-                asker.unread_since = None
-                asker.link.transport.abortConnection()
+                link_state.unread_since = None
+                link_state.link.transport.abortConnection()
             else:
                 some = True
         if some:
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -160,7 +160,7 @@
         self.compressed_pages: list[bytes] = [b""] * len(self.table.pages)  # pages as a dump stores them
         self.uncompressed_pages: set[int] = set()  # pages not compressed since their last change
 
-    # -- commands --------------------------------------------------------------------------------------
+    # -- commands ----------------------------------------------------------------------------------------
 
     def apply(self, index: int, command: msgspec.Raw) -> PublishResult:
         """Applies a `PublishCommand` command as the entry `index`."""
@@ -180,8 +180,8 @@
         before = (self.table.version, self.table.digest)
         try:
             batch = self.table.apply(index, changes)
-        except TableError as wrong:
-            return self.reject(str(wrong))
+        except TableError as error:
+            return self.reject(str(error))
         self.keep_batch(before, batch, tuple(self.table.replaced_values))
         self.uncompressed_pages |= {locate_key(encode_key(each.kind, each.name))[0] for each in changes}
         self.compress_pages()
@@ -213,7 +213,7 @@
             self.uncompressed_pages.remove(number)
             self.compressed_pages[number] = zlib.compress(self.table.pages[number], ZLIB_LEVEL)
 
-    # -- queries ------------------------------------------------------------------------------------
+    # -- queries -----------------------------------------------------------------------------------------
 
     def read(self, query: Any) -> Any:
         """Answers a query; None: it is invalid."""
@@ -254,7 +254,7 @@
         version, since = self.table.version, self.since[0]
         if not (self.is_known(wanted.from_version) and self.is_known(wanted.to_version)):
             return DiffResult(version, since, False)
-        told: list[RecordDifference] = []
+        changes: list[RecordDifference] = []
         room, skip, at = MAX_DIFF_BYTES, wanted.skip_changes, wanted.from_version
         for past in self.after(wanted.from_version):
             if past.batch.version > wanted.to_version:
@@ -264,14 +264,14 @@
                 room -= (
                     RECORD_OVERHEAD_BYTES + 4 * len(change.name) + len(old or b"") + len(change.value or b"")
                 )
-                if len(told) >= MAX_DIFF_CHANGES or (told and room < 0):
-                    return DiffResult(version, since, True, tuple(told), at, skip)
-                told.append((change.kind, change.name, old, change.value))
+                if len(changes) >= MAX_DIFF_CHANGES or (changes and room < 0):
+                    return DiffResult(version, since, True, tuple(changes), at, skip)
+                changes.append((change.kind, change.name, old, change.value))
                 skip += 1
             at, skip = past.batch.version, 0
-        return DiffResult(version, since, True, tuple(told), wanted.to_version)
+        return DiffResult(version, since, True, tuple(changes), wanted.to_version)
 
-    # -- dumps -----------------------------------------------------------------------------------------
+    # -- dumps -------------------------------------------------------------------------------------------
 
     def dump(self) -> SourceDump:
         """The state for a group's snapshot."""
@@ -288,10 +288,10 @@
         pages = [each if at in plain else inflate(each) for at, each in enumerate(found.pages)]
         try:
             self.table = Table.loaded(found.version, pages)
-        except TableError as wrong:
+        except TableError as error:
             raise msgspec.ValidationError(
-                f"the dumped table of version {found.version} is invalid: {wrong}"
-            ) from wrong
+                f"the dumped table of version {found.version} is invalid: {error}"
+            ) from error
         if self.table.digest != found.digest:
             raise msgspec.ValidationError(
                 f"the digest of the dumped table of version {found.version} does not match"
@@ -320,8 +320,8 @@
     made = zlib.decompressobj()
     try:
         whole = made.decompress(data, most + 1)
-    except zlib.error as wrong:
-        raise msgspec.ValidationError(f"cannot inflate dumped data: {wrong}") from wrong
+    except zlib.error as error:
+        raise msgspec.ValidationError(f"cannot inflate dumped data: {error}") from error
     if not made.eof or len(whole) > most:
         raise msgspec.ValidationError("dumped data is incomplete or above its maximum size")
     return whole
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -59,8 +59,8 @@
 class RelayLink(FramedProtocol):
     """The link to a relay."""
 
-    def __init__(self, way: RelayAttempt) -> None:
-        self.attempt = way
+    def __init__(self, attempt: RelayAttempt) -> None:
+        self.attempt = attempt
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
@@ -183,20 +183,21 @@
         rng: random.Random,
         log: EventLogger,
         now: Callable[[], int] | None = None,
-        on_taken: Callable[[tuple[Batch, ...]], None] = lambda batches: None,
-        on_told: Callable[[], None] = lambda: None,
-        before: Callable[[], None] = lambda: None,
+        on_applied: Callable[[tuple[Batch, ...]], None] = lambda batches: None,
+        on_answered: Callable[[], None] = lambda: None,
+        before_pull: Callable[[], None] = lambda: None,
     ) -> None:
         """`group`: its name; `who`: this process's name in the relays' logs; `now`: µs on the monotonic
         clock.
 
-        Callbacks: `on_taken` after an update was applied, with its batches, () for a snapshot; `on_told`
-        after each answer; `before` before decisions are pulled, to update the counts below.
+        Callbacks: `on_applied` after an update was applied, with its batches, () for a snapshot;
+        `on_answered` after each answer; `before_pull` before decisions are pulled, to update the counts
+        below.
         """
         self.reactor, self.group, self.who, self.rng, self.log = reactor, group, who, rng, log
         self.follower, self.copy = follower, copy
         self.now = now or (lambda: int(reactor.seconds() * SECOND))
-        self.on_taken, self.on_told, self.before = on_taken, on_told, before
+        self.on_applied, self.on_answered, self.before_pull = on_applied, on_answered, before_pull
         self.attempts: dict[str, RelayAttempt] = {}
         self.counts: dict[str, int] = {}
         self.started = self.stopped = self.pull_scheduled = False
@@ -218,36 +219,36 @@
             if timer is not None and timer.active():
                 timer.cancel()
         self.timer = self.stepping = None
-        for way in list(self.attempts.values()):
-            way.drop()
+        for attempt in list(self.attempts.values()):
+            attempt.drop()
         self.attempts.clear()
 
-    # -- events --------------------------------------------------------------------------------
+    # -- events ------------------------------------------------------------------------------------------
 
-    def on_opened(self, way: RelayAttempt) -> None:
+    def on_opened(self, attempt: RelayAttempt) -> None:
         """The attempt's link is open and accepted."""
-        if self.attempts.get(way.relay) is way:
-            self.follower.on_link_opened(self.now(), way.relay, way.mark)
+        if self.attempts.get(attempt.relay) is attempt:
+            self.follower.on_link_opened(self.now(), attempt.relay, attempt.mark)
             self.schedule_pull()
 
-    def on_group_learned(self, way: RelayAttempt) -> None:
+    def on_group_learned(self, attempt: RelayAttempt) -> None:
         """The followed relay has reported its group's mark."""
-        if self.attempts.get(way.relay) is way and self.follower.relay == way.relay:
-            self.follower.mark = way.mark
-            self.on_told()
+        if self.attempts.get(attempt.relay) is attempt and self.follower.relay == attempt.relay:
+            self.follower.mark = attempt.mark
+            self.on_answered()
 
-    def on_answer(self, way: RelayAttempt, what: str, content: Any, why: str) -> None:
+    def on_answer(self, attempt: RelayAttempt, what: str, content: Any, why: str) -> None:
         """The attempt's relay has answered."""
-        if self.attempts.get(way.relay) is way:
-            self.follower.on_answer(self.now(), way.relay, what, content, why)
-            self.on_told()
+        if self.attempts.get(attempt.relay) is attempt:
+            self.follower.on_answer(self.now(), attempt.relay, what, content, why)
+            self.on_answered()
             self.schedule_pull()
 
-    def on_lost(self, way: RelayAttempt, why: str) -> None:
+    def on_lost(self, attempt: RelayAttempt, why: str) -> None:
         """The attempt has ended."""
-        if self.attempts.get(way.relay) is way:
-            del self.attempts[way.relay]
-            self.follower.on_link_lost(self.now(), way.relay, why)
+        if self.attempts.get(attempt.relay) is attempt:
+            del self.attempts[attempt.relay]
+            self.follower.on_link_lost(self.now(), attempt.relay, why)
             self.schedule_pull()
 
     def on_timer(self) -> None:
@@ -260,8 +261,8 @@
         self.stepping = None
         try:
             ready: bool | None = self.copy.step()
-        except TableError as wrong:
-            self.log.warning("received corrupt data", why=str(wrong), relay=self.follower.relay or "")
+        except TableError as error:
+            self.log.warning("received corrupt data", why=str(error), relay=self.follower.relay or "")
             ready = None
         except Exception:  # the node keeps running; the staged update is discarded
             self.log_error()
@@ -275,7 +276,7 @@
             self.pull_scheduled = True
             self.reactor.callLater(0, self.pull)
 
-    # -- decisions -------------------------------------------------------------------------------------
+    # -- decisions ---------------------------------------------------------------------------------------
 
     def pull(self) -> None:
         """Pulls the follower's decisions and carries them out."""
@@ -283,7 +284,7 @@
         if self.stopped:
             return
         try:
-            self.before()
+            self.before_pull()
             while not self.stopped and (decision := self.follower.next_decision(self.now())) is not None:
                 self.carry_out(decision)
         except Exception:  # the node keeps its version
@@ -316,30 +317,30 @@
         elif act is Action.CLOSE:
             self.drop(decision.relay)
         elif act is Action.ASK:
-            way = self.attempts.get(decision.relay)
-            if way is not None and way.link is not None:
-                way.ask(decision.what, decision.content)
+            attempt = self.attempts.get(decision.relay)
+            if attempt is not None and attempt.link is not None:
+                attempt.ask(decision.what, decision.content)
         elif act is Action.STEP:
             if self.stepping is None:
                 self.stepping = self.reactor.callLater(0, self.step)
         elif act is Action.APPLIED:
-            self.on_taken(decision.batches)
+            self.on_applied(decision.batches)
         elif act is Action.LOG:
             self.log.info(decision.text)
 
     def drop(self, relay: str) -> None:
         """Ends the attempt at that relay, if there is one."""
-        way = self.attempts.pop(relay, None)
-        if way is not None:
-            way.drop()
+        attempt = self.attempts.pop(relay, None)
+        if attempt is not None:
+            attempt.drop()
 
-    # -- state -----------------------------------------------------------------------------
+    # -- state -------------------------------------------------------------------------------------------
 
     def describe_state(self) -> str:
         """Version, age and relay in one line."""
         age = self.follower.age(self.now())
-        said = f"{age / SECOND:.1f} s" if age < MAX_AGE_US else "unknown"
-        return f"version {self.copy.version}, age {said}, relay {self.follower.relay or 'none'}"
+        age_text = f"{age / SECOND:.1f} s" if age < MAX_AGE_US else "unknown"
+        return f"version {self.copy.version}, age {age_text}, relay {self.follower.relay or 'none'}"
 
     def counters(self) -> dict[str, int]:
         """All counters, of the links and of the updates."""
--- a/lichencleat/config_distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -70,9 +70,9 @@
     if not 0 < len(changes) <= MAX_BATCH_CHANGES:
         return f"a batch has 1 to {MAX_BATCH_CHANGES} changes, not {len(changes)}"
     for change in changes:
-        wrong = find_change_fault(change)
-        if wrong:
-            return f"{change.kind[:MAX_KIND_CHARS]!r} {change.name[:MAX_NAME_BYTES]!r}: {wrong}"
+        fault = find_change_fault(change)
+        if fault:
+            return f"{change.kind[:MAX_KIND_CHARS]!r} {change.name[:MAX_NAME_BYTES]!r}: {fault}"
     if len({(change.kind, change.name) for change in changes}) < len(changes):
         return "a batch names each record at most once"
     size = len(encode(tuple(changes)))
@@ -93,7 +93,7 @@
         self.requested_pages: dict[int, bytes] = {}  # number -> page by zlib, if it was requested
 
     def head(self, age: int) -> SnapshotHead:
-        """The snapshot's head; `age` in µs, as it is to be sent."""
+        """The snapshot's head; `age`: µs, sent with it."""
         whole = b"".join(each.to_bytes(DIGEST_BYTES, "little") for each in self.page_digests)
         return SnapshotHead(self.version, self.digest, whole, age)
 
@@ -170,9 +170,9 @@
         Raises InvalidBatchError or ChainError and changes nothing. Errors depend on the table and the changes
         alone, so that every voter rejects the same batches.
         """
-        wrong = find_batch_fault(changes)
-        if wrong:
-            raise InvalidBatchError(wrong)
+        fault = find_batch_fault(changes)
+        if fault:
+            raise InvalidBatchError(fault)
         batch = Batch(version, self.version, b"", tuple(changes))
         staging = Staging(self, (batch,), checks=False)
         while not staging.step():
@@ -197,9 +197,9 @@
         if len(whole) != PAGE_COUNT:
             raise CorruptTableError(f"a table has {PAGE_COUNT} pages, not {len(whole)}")
         for number, page in enumerate(whole):
-            wrong = pages.find_page_fault(number, page)
-            if wrong:
-                raise CorruptTableError(f"page {number}: {wrong}")
+            fault = pages.find_page_fault(number, page)
+            if fault:
+                raise CorruptTableError(f"page {number}: {fault}")
         digests = [pages.page_digest(number, page) for number, page in enumerate(whole)]
         return Table.assembled(version, list(whole), digests, sum(map(pages.record_count, whole)))
 
@@ -251,9 +251,9 @@
         """Assigns one slice of the changes to their pages."""
         begin = self.assigned
         for at, change in enumerate(changes[begin : begin + MAX_SLICE_CHANGES], begin):
-            wrong = find_change_fault(change) if self.checks else ""
-            if wrong:
-                raise CorruptTableError(wrong)
+            fault = find_change_fault(change) if self.checks else ""
+            if fault:
+                raise CorruptTableError(fault)
             key = pages.encode_key(change.kind, change.name)
             number, place = pages.locate_key(key)
             self.by_page.setdefault(number, []).append((place, key, change.value))
--- a/lichencleat/config_distribution/taking.py
+++ b/lichencleat/config_distribution/taking.py
@@ -28,37 +28,37 @@
         self.requested: frozenset[int] = frozenset()  # pages requested
         self.slices_due = 0  # slices that the received data needs, at least
 
-    def stage(self, fed: FollowAnswer, relay: str, mark: bytes, knows: int | None) -> str:
+    def stage(self, answer: FollowAnswer, relay: str, mark: bytes, known_at: int | None) -> str:
         """Stages the batches. Returns why they can't be applied; "": they are staged."""
         version = self.copy.version
-        for batch in fed.batches:
+        for batch in answer.batches:
             if batch.previous != version or batch.version <= version:
                 return f"its batch {batch.version} follows version {batch.previous}, not {version}"
             version = batch.version
-        if not fed.batches or version > fed.version:
+        if not answer.batches or version > answer.version:
             return "its news has no batches, or batches above its own version"
         try:
-            self.copy.stage(fed.batches)
-        except TableError as wrong:
-            return str(wrong)
-        self.start("batches", relay, mark, knows if version == fed.version else None)
+            self.copy.stage(answer.batches)
+        except TableError as error:
+            return str(error)
+        self.start("batches", relay, mark, known_at if version == answer.version else None)
         return ""
 
-    def begin(self, head: SnapshotHead, relay: str, mark: bytes, knows: int | None) -> str:
+    def begin(self, head: SnapshotHead, relay: str, mark: bytes, known_at: int | None) -> str:
         """Starts or continues a snapshot. Returns why it can't be applied; "": it is under way."""
         if head.version <= self.copy.version:
             return f"its snapshot has version {head.version}, and version {self.copy.version} is in force"
         try:
             self.copy.begin(head)
-        except TableError as wrong:
-            return str(wrong)
-        self.start("snapshot", relay, mark, knows)
+        except TableError as error:
+            return str(error)
+        self.start("snapshot", relay, mark, known_at)
         self.head = head
         return ""
 
-    def start(self, what: str, relay: str, mark: bytes, knows: int | None) -> None:
+    def start(self, what: str, relay: str, mark: bytes, known_at: int | None) -> None:
         """Records what is under way and who sent it."""
-        self.what, self.relay, self.mark, self.known_at, self.slices_due = what, relay, mark, knows, 1
+        self.what, self.relay, self.mark, self.known_at, self.slices_due = what, relay, mark, known_at, 1
         self.head = None
 
     def pages(self) -> PagesRequest | None:
--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -95,7 +95,7 @@
         assert self.member is not None
         return self.member.now()
 
-    # -- events of the member --------------------------------------------------------------------------
+    # -- events of the member ----------------------------------------------------------------------------
 
     def on_applied(self, state: StateMachine) -> None:
         """The member has applied entries, or loaded a snapshot."""
@@ -151,7 +151,7 @@
         """Confirms the leadership, again and again; at a member that doesn't lead that fails at once."""
         asked = self.now()
 
-        def told(done: bool) -> None:
+        def on_result(done: bool) -> None:
             if self.ended:
                 return
             if done:
@@ -160,9 +160,9 @@
             self.timer = self.reactor.callLater(CONFIRM_INTERVAL_S, self.confirm_leadership)
 
         if not self.ended and self.member is not None:
-            self.member.confirm_leadership(told)
+            self.member.confirm_leadership(on_result)
 
-    # -- requests --------------------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------------------------------
 
     def handles(self, what: str) -> bool:
         """Whether the operation belongs to the distribution."""
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -136,8 +136,8 @@
             copy,
             self.rng,
             self.log,
-            on_taken=self.taken,
-            on_told=self.told,
+            on_applied=self.taken,
+            on_answered=self.told,
         )
         self.subscriber.start()
 
--- a/tests/config_distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -61,7 +61,11 @@
         self.clock, self.table, self.log = Clock(), Table(), Log()
         self.publisher = Publisher("r1", "north", self.table, 0)
         self.serving = PublisherHost(
-            self.clock, self.publisher, lambda: int(self.clock.seconds() * SECOND), self.log, turn=turn
+            self.clock,
+            self.publisher,
+            lambda: int(self.clock.seconds() * SECOND),
+            self.log,
+            answers_per_turn=turn,
         )
         self.publisher.set_age(0, 0)
         self.number = 0
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -101,7 +101,7 @@
         relays = tuple(tuple(f"10.0.0.1:{each}" for each in tier) for tier in tiers)
         follower = RelayFollower(relays, copy, random.Random(seed), 0, True, "north-a")
         made = Subscriber(
-            self.net, "config", "n1", follower, copy, random.Random(seed), self.log, on_taken=self.took
+            self.net, "config", "n1", follower, copy, random.Random(seed), self.log, on_applied=self.took
         )
         made.start()
         self.parts.append(made)
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -215,7 +215,7 @@
     wrong.start()
     rig.all_have()
     (began,) = [each for each in right.lines if each["why"] == "started" and each["at"] >= since]
-    assert began["version"] == 0 and "spoilt" in began["trouble"]
+    assert began["version"] == 0 and "corrupt" in began["trouble"]
     rig.until(lambda: rig.judged(wrong.name), "the one that trusts it to be found")
     assert "two digests" in rig.judged(wrong.name) or "two answers" in rig.judged(wrong.name)
     wrong.kill()
