--- a/lichencleat/testkit/cluster/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -41,12 +41,12 @@
 FILLED = 400  # records of a batch that fills the table
 SERIAL = "serial/all"  # the number of the batch
 TIMES = {  # µs: what takes minutes in the field takes seconds here, as a test has no more
-    "home": (500_000, 1_500_000),
-    "failed": (500_000, 1_500_000),
-    "wrong": (1_000_000, 3_000_000),
-    "busy": (200_000, 600_000),
-    "rest": (200_000, 1_000_000),
-    "look": (500_000, 2_000_000),
+    "first_choice_probe_interval": (500_000, 1_500_000),
+    "failed_exclusion": (500_000, 1_500_000),
+    "wrong_exclusion": (1_000_000, 3_000_000),
+    "busy_retry_delay": (200_000, 600_000),
+    "backoff": (200_000, 1_000_000),
+    "probe_interval": (500_000, 2_000_000),
 }
 
 encode_value = msgspec.json.Encoder(order="sorted").encode
