--- a/benchmarks/distribution_table.py
+++ b/benchmarks/distribution_table.py
@@ -295,7 +295,7 @@
         gc.collect()
         found["load memory bytes"] = memory("VmRSS") - before
         watched("load")
-        assert table.digest == head.digest and not kept.trouble
+        assert table.digest == head.digest and not kept.problem
         rng, began, before = random.Random(2), time.perf_counter(), written(kept)
         own = time.process_time()
         for _ in range(changes):
--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -68,9 +68,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The content of the answer to request `number` of subscriber `who`."""
+    """The content of the answer to request `number` of the subscriber."""
 
-    who: int
+    subscriber_id: int
     number: int
     content: Any
 
@@ -79,7 +79,7 @@
 class Decline:
     """The rejection of a request, with its reason."""
 
-    who: int
+    subscriber_id: int
     number: int
     why: str  # "full", "busy": to be retried after a while; "nothing here", "unfit", "not kept"
 
@@ -91,7 +91,7 @@
     No request is open.
     """
 
-    who: int
+    subscriber_id: int
     number: int = -1
     why: str = "idle"
 
@@ -174,7 +174,7 @@
         self.subscribers: dict[int, SubscriberState] = {}
         self.decisions: deque[Decision] = deque()  # decisions made, at most one per request
         self.ready: deque[int] = deque()  # subscribers whose request is to be looked at
-        self.wake_heap: list[tuple[int, int, int]] = []  # heap: wake time, who, number
+        self.wake_heap: list[tuple[int, int, int]] = []  # heap: wake time, subscriber, number
         self.views: list[SharedView] = []  # oldest first
         self.fetchers: dict[int, None] = {}
         self.credit, self.credit_at = FETCH_BURST_BYTES, now  # bytes of snapshots that may be sent
@@ -196,7 +196,9 @@
         self.version_history.record(now, self.window.version)
         self.views = [each for each in self.views if each.view.version in self.window.places]
         self.shared_answers.clear()
-        self.ready.extend(who for who, each in self.subscribers.items() if each.open_request is not None)
+        self.ready.extend(
+            subscriber_id for subscriber_id, each in self.subscribers.items() if each.open_request is not None
+        )
 
     def add_to_window(self, batches: Sequence[Batch]) -> None:
         """Adds the batches to the window."""
@@ -218,37 +220,37 @@
             MAX_AGE_US if self.age_report is None else age_after(self.age_report[1], now - self.age_report[0])
         )
 
-    def add_subscriber(self, now: int, who: int) -> bool:
+    def add_subscriber(self, now: int, subscriber_id: int) -> bool:
         """Adds a subscriber. False: the relay has the maximum number of subscribers."""
-        if who not in self.subscribers and len(self.subscribers) >= MAX_SUBSCRIBERS:
+        if subscriber_id not in self.subscribers and len(self.subscribers) >= MAX_SUBSCRIBERS:
             self.count("turned away: full")
             return False
-        self.subscribers[who] = SubscriberState(now)
+        self.subscribers[subscriber_id] = SubscriberState(now)
         return True
 
-    def remove_subscriber(self, now: int, who: int) -> None:
+    def remove_subscriber(self, now: int, subscriber_id: int) -> None:
         """Removes a subscriber whose link has ended."""
-        self.subscribers.pop(who, None)
-        self.fetchers.pop(who, None)
+        self.subscribers.pop(subscriber_id, None)
+        self.fetchers.pop(subscriber_id, None)
 
-    def on_request(self, now: int, who: int, number: int, what: str, content: Any) -> None:
+    def on_request(self, now: int, subscriber_id: int, number: int, what: str, content: Any) -> None:
         """A request with decoded content. An invalid one is declined."""
         if what == IN_FORCE:
-            self.decisions.append(Answer(who, number, self.in_force(now)))
+            self.decisions.append(Answer(subscriber_id, number, self.in_force(now)))
             return
         if what == FIND and isinstance(content, RecordRequest):
-            self.decisions.append(self.answer_find(who, number, content))
+            self.decisions.append(self.answer_find(subscriber_id, number, content))
             return
         fits = {FOLLOW: FollowRequest, DIGESTS: type(None), PAGES_OF: PagesRequest}.get(what)
         if fits is None or not isinstance(content, fits):
-            self.decline(who, number, "unfit")
+            self.decline(subscriber_id, number, "unfit")
             return
-        subscriber = self.subscribers.get(who)
+        subscriber = self.subscribers.get(subscriber_id)
         if subscriber is None:
-            self.decline(who, number, "full")
+            self.decline(subscriber_id, number, "full")
             return
         if subscriber.open_request is not None:
-            self.decline(who, number, "unfit")
+            self.decline(subscriber_id, number, "unfit")
             return
         subscriber.last_request_at = until = now
         if isinstance(content, FollowRequest):
@@ -257,15 +259,15 @@
                 content.version,
                 content.counts[: MAX_ZONES + 1],
             )
-            self.stop_fetching(who, subscriber)
+            self.stop_fetching(subscriber_id, subscriber)
             until = now + min(max(0, content.hold), MAX_HOLD_US)
         subscriber.open_request = OpenRequest(number, what, content, now, until, until)
-        self.ready.append(who)
+        self.ready.append(subscriber_id)
 
-    def decline(self, who: int, number: int, why: str) -> None:
+    def decline(self, subscriber_id: int, number: int, why: str) -> None:
         """Declines a request that was never open."""
         self.count(f"declined: {why}")
-        self.decisions.append(Decline(who, number, why))
+        self.decisions.append(Decline(subscriber_id, number, why))
 
     # -- decisions ---------------------------------------------------------------------------------------
 
@@ -278,18 +280,19 @@
         while self.wake_heap and self.wake_heap[0][0] <= now:
             self.ready.append(heapq.heappop(self.wake_heap)[1])
         while self.ready:
-            who = self.ready.popleft()
-            subscriber = self.subscribers.get(who)
+            subscriber_id = self.ready.popleft()
+            subscriber = self.subscribers.get(subscriber_id)
             if subscriber is None or subscriber.open_request is None:
                 continue
-            made = self.decide(now, who, subscriber, subscriber.open_request)
+            made = self.decide(now, subscriber_id, subscriber, subscriber.open_request)
             if made is not None:
                 subscriber.open_request = None
                 return made
             if subscriber.open_request.queued_wake_at != subscriber.open_request.wake_at:
                 subscriber.open_request.queued_wake_at = subscriber.open_request.wake_at
                 heapq.heappush(
-                    self.wake_heap, (subscriber.open_request.wake_at, who, subscriber.open_request.number)
+                    self.wake_heap,
+                    (subscriber.open_request.wake_at, subscriber_id, subscriber.open_request.number),
                 )
             # drops entries of requests answered since
             if len(self.wake_heap) > 2 * len(self.subscribers) + 64:
@@ -316,15 +319,15 @@
         return min(moments, default=None)
 
     def decide(
-        self, now: int, who: int, subscriber: SubscriberState, request: OpenRequest
+        self, now: int, subscriber_id: int, subscriber: SubscriberState, request: OpenRequest
     ) -> Decision | None:
         """The decision on an open request; None: it waits until `request.wake_at`."""
         if isinstance(request.content, FollowRequest):
             answer = self.answer_follow(now, request.content, request)
-            return None if answer is None else Answer(who, request.number, answer)
+            return None if answer is None else Answer(subscriber_id, request.number, answer)
         if isinstance(request.content, PagesRequest):
-            return self.answer_pages(now, who, subscriber, request, request.content)
-        return self.answer_digests(now, who, subscriber, request)
+            return self.answer_pages(now, subscriber_id, subscriber, request, request.content)
+        return self.answer_digests(now, subscriber_id, subscriber, request)
 
     # -- news --------------------------------------------------------------------------------------------
 
@@ -368,23 +371,25 @@
     # -- snapshots ---------------------------------------------------------------------------------------
 
     def answer_digests(
-        self, now: int, who: int, subscriber: SubscriberState, request: OpenRequest
+        self, now: int, subscriber_id: int, subscriber: SubscriberState, request: OpenRequest
     ) -> Decision:
         """The answer to a request for a snapshot's digests."""
         if not self.window.version:
-            return self.decline_open(who, request, "nothing here")
-        if who not in self.fetchers and len(self.fetchers) >= MAX_FETCHERS:
-            return self.decline_open(who, request, "busy")
+            return self.decline_open(subscriber_id, request, "nothing here")
+        if subscriber_id not in self.fetchers and len(self.fetchers) >= MAX_FETCHERS:
+            return self.decline_open(subscriber_id, request, "busy")
         kept = self.open_view(now)
-        self.fetchers[who] = None
+        self.fetchers[subscriber_id] = None
         subscriber.fetched_version = kept.view.version
         self.count("snapshots begun")
-        return Answer(who, request.number, kept.view.head(age_after(kept.age, now - kept.opened_at)))
+        return Answer(
+            subscriber_id, request.number, kept.view.head(age_after(kept.age, now - kept.opened_at))
+        )
 
-    def decline_open(self, who: int, request: OpenRequest, why: str) -> Decline:
+    def decline_open(self, subscriber_id: int, request: OpenRequest, why: str) -> Decline:
         """Declines an open request."""
         self.count(f"declined: {why}")
-        return Decline(who, request.number, why)
+        return Decline(subscriber_id, request.number, why)
 
     def open_view(self, now: int) -> SharedView:
         """The newest view that the window still continues, else a new one in place of the least used."""
@@ -401,19 +406,24 @@
         return self.views[-1]
 
     def answer_pages(
-        self, now: int, who: int, subscriber: SubscriberState, request: OpenRequest, wanted: PagesRequest
+        self,
+        now: int,
+        subscriber_id: int,
+        subscriber: SubscriberState,
+        request: OpenRequest,
+        wanted: PagesRequest,
     ) -> Decision | None:
         """The answer to a request for pages; None: it waits for the rate limit."""
         if not wanted.numbers or not all(0 <= each < PAGE_COUNT for each in wanted.numbers):
-            return self.decline_open(who, request, "unfit")
+            return self.decline_open(subscriber_id, request, "unfit")
         kept = next((each for each in self.views if each.view.version == wanted.version), None)
         if kept is None:
-            self.stop_fetching(who, subscriber)
-            return Answer(who, request.number, PagesAnswer(wanted.version, ()))
-        if who not in self.fetchers:
+            self.stop_fetching(subscriber_id, subscriber)
+            return Answer(subscriber_id, request.number, PagesAnswer(wanted.version, ()))
+        if subscriber_id not in self.fetchers:
             if len(self.fetchers) >= MAX_FETCHERS:
-                return self.decline_open(who, request, "busy")
-            self.fetchers[who] = None
+                return self.decline_open(subscriber_id, request, "busy")
+            self.fetchers[subscriber_id] = None
             subscriber.fetched_version = wanted.version
         self.credit = min(FETCH_BURST_BYTES, self.credit + FETCH_BYTES_PER_US * (now - self.credit_at))
         self.credit_at = now
@@ -430,11 +440,11 @@
             pages.append((number, packed))
             self.credit -= len(packed)
         self.count("pieces")
-        return Answer(who, request.number, PagesAnswer(wanted.version, tuple(pages)))
+        return Answer(subscriber_id, request.number, PagesAnswer(wanted.version, tuple(pages)))
 
-    def stop_fetching(self, who: int, subscriber: SubscriberState) -> None:
+    def stop_fetching(self, subscriber_id: int, subscriber: SubscriberState) -> None:
         """Frees the subscriber's snapshot slot."""
-        self.fetchers.pop(who, None)
+        self.fetchers.pop(subscriber_id, None)
         subscriber.fetched_version = None
 
     # -- cleanup -----------------------------------------------------------------------------------------
@@ -442,24 +452,24 @@
     def drop_idle(self, now: int) -> None:
         """Frees slots, views and links that are no longer used."""
         self.next_cleanup_at = now + FETCH_IDLE_US // 2
-        for who in list(self.fetchers):
-            subscriber = self.subscribers[who]
+        for subscriber_id in list(self.fetchers):
+            subscriber = self.subscribers[subscriber_id]
             if subscriber.open_request is None and now - subscriber.last_request_at >= FETCH_IDLE_US:
-                self.stop_fetching(who, subscriber)
+                self.stop_fetching(subscriber_id, subscriber)
                 self.count("turns taken back")
         wanted = {each.fetched_version for each in self.subscribers.values()}
         self.views = [
             each for each in self.views if each.view.version in wanted or now - each.used_at < VIEW_IDLE_US
         ]
-        for who, subscriber in list(self.subscribers.items()):
+        for subscriber_id, subscriber in list(self.subscribers.items()):
             if (
                 subscriber.followed
                 and subscriber.open_request is None
                 and now - subscriber.last_request_at >= SUBSCRIBER_IDLE_US
             ):
-                self.remove_subscriber(now, who)
+                self.remove_subscriber(now, subscriber_id)
                 self.count("dropped: idle")
-                self.decisions.append(Drop(who))
+                self.decisions.append(Drop(subscriber_id))
 
     # -- status ------------------------------------------------------------------------------------------
 
@@ -505,13 +515,13 @@
             "counters": dict(sorted(self.counters.items())),
         }
 
-    def answer_find(self, who: int, number: int, wanted: RecordRequest) -> Decision:
+    def answer_find(self, subscriber_id: int, number: int, wanted: RecordRequest) -> Decision:
         """The answer with a record as it is now, or as it was at a version that the window covers."""
         value = self.table.find(wanted.kind, wanted.name)
         if not wanted.version or wanted.version >= self.table.version:
-            return Answer(who, number, value)
+            return Answer(subscriber_id, number, value)
         if wanted.version not in self.window.places:
-            return Decline(who, number, "not kept")
+            return Decline(subscriber_id, number, "not kept")
         named = [
             (batch.version, change.value)
             for batch in self.window.batches
@@ -520,7 +530,8 @@
         ]
         before = [each for each in named if each[0] <= wanted.version]
         if len(before) == len(named):  # unchanged since
-            return Answer(who, number, value)
+            return Answer(subscriber_id, number, value)
         if before:
-            return Answer(who, number, before[-1][1])
-        return Decline(who, number, "not kept")  # changed since; its previous value is not in the window
+            return Answer(subscriber_id, number, before[-1][1])
+        # changed since; its previous value is not in the window
+        return Decline(subscriber_id, number, "not kept")
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -100,7 +100,7 @@
         self.corrupt_relays: set[str] = set()  # relays whose batch led to another digest here
         # the own copy is in doubt: a snapshot is needed even if the digests match
         self.needs_snapshot = False
-        self.seen = now
+        self.last_seen_at = now
         self.counters: dict[str, int] = {}
         self.schedule_next_relay(now)
 
@@ -108,6 +108,7 @@
         self.counters[what] = self.counters.get(what, 0) + 1
 
     def decide(self, act: Action, relay: str = "", what: str = "", content: Any = None) -> None:
+        """Queues a decision for the host."""
         self.decisions.append(Decision(act, relay, what, content))
 
     def log(self, text: str) -> None:
@@ -127,7 +128,7 @@
 
     def next_decision(self, now: int) -> Decision | None:
         """The next decision for the host, or None."""
-        self.seen = now
+        self.last_seen_at = now
         return self.decisions.popleft() if self.decisions else None
 
     def deadline(self) -> int:
@@ -139,7 +140,7 @@
             moments.append(self.request.deadline)
         if self.relay is not None:
             moments.append(self.prober.deadline())
-        return min((each for each in moments if each is not None), default=self.seen + IDLE_WAKE_US)
+        return min((each for each in moments if each is not None), default=self.last_seen_at + IDLE_WAKE_US)
 
     def on_timer(self, now: int) -> None:
         """Handles all deadlines that have passed."""
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -11,7 +11,7 @@
 lacks.
 
 Torn or corrupt data, or data of another group, is detected at the start (each page's digest, their sum, the
-chain of batches) and not used: the table is then empty, `trouble` has the reason, and the next version
+chain of batches) and not used: the table is then empty, `problem` has the reason, and the next version
 overwrites it.
 
 Reading, compression and writing run in the store's threads, in calls that hold the interpreter's lock for at
@@ -170,9 +170,9 @@
 class PersistedTable:
     """Owns the store. `load` comes first; the host then reports changes by the `on_applied` methods."""
 
-    def __init__(self, reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> None:
-        self.reactor, self.store, self.group, self.tell = reactor, store, group, tell
-        self.trouble = ""  # why the stored version was not used, or the disk's last error
+    def __init__(self, reactor: Any, store: Store, group: str, report: Callable[[str], None]) -> None:
+        self.reactor, self.store, self.group, self.report = reactor, store, group, report
+        self.problem = ""  # why the stored version was not used, or the disk's last error
         self.counts = {"writes": 0, "writes failed": 0, "pages written": 0, "bytes written": 0}
         self.table: Table | None = None  # the table to be persisted
         self.group_mark = b""
@@ -194,14 +194,14 @@
 
     @inlineCallbacks
     def load(self) -> Any:
-        """The table, the group's mark and the batches that led to it; an empty table if `trouble` has a
+        """The table, the group's mark and the batches that led to it; an empty table if `problem` has a
         reason.
         """
         try:
             return (yield from self.read())
         except (CorruptTableError, CorruptDataError, msgspec.DecodeError) as error:
-            self.trouble = f"the stored version is corrupt and not used: {error}"
-            self.tell(self.trouble)
+            self.problem = f"the stored version is corrupt and not used: {error}"
+            self.report(self.problem)
             self.digests, self.batches_invalid = [-1] * PAGE_COUNT, True
             return Table(), b"", []
 
@@ -308,10 +308,10 @@
         """Ends a successful write and starts the next one if there are changes."""
         self.writing = False
         if self.table is not None:
-            self.trouble = ""
+            self.problem = ""
         if self.failing:
             self.failing = False
-            self.tell("the disk works again")
+            self.report("the disk works again")
         if self.has_changes and self.closing is None:
             self.write()
         self.fire_write_waiters()
@@ -327,15 +327,16 @@
         self.writing, self.has_changes = False, True
         self.counts["writes failed"] += 1
         message = why.getErrorMessage() if why.check(StoreError) else f"{why.type.__name__}: {why.value}"
-        self.trouble = f"the version in force is not kept on the disk: {message}"
+        self.problem = f"the version in force is not kept on the disk: {message}"
         if not self.failing:
-            self.tell(self.trouble)
+            self.report(self.problem)
         self.failing = True
         if self.closing is None:
             self.timer = self.reactor.callLater(RETRY_DELAY_S, self.retry)
         self.fire_write_waiters()
 
     def retry(self) -> None:
+        """Writes again after a failure."""
         self.timer = None
         self.write()
 
@@ -406,6 +407,7 @@
         return recent
 
     def commit(self, batch: stored.Batch) -> Deferred[None]:
+        """Counts the batch and commits it."""
         self.counts["writes"] += 1
         self.counts["bytes written"] += batch.bytes
         return self.store.commit(batch)
@@ -426,6 +428,7 @@
 
     @inlineCallbacks
     def shut_down(self) -> Any:
+        """Waits for the write under way, writes pending changes and closes the store."""
         if self.writing:
             under_way: Deferred[None] = Deferred()
             self.write_waiters.append(under_way)
@@ -461,9 +464,9 @@
 
 
 @inlineCallbacks
-def make_persisted_table(reactor: Any, store: Store, group: str, tell: Callable[[str], None]) -> Any:
+def make_persisted_table(reactor: Any, store: Store, group: str, report: Callable[[str], None]) -> Any:
     """The persistence of an opened store; writes the first head into an empty one."""
-    kept = PersistedTable(reactor, store, group, tell)
+    kept = PersistedTable(reactor, store, group, report)
     try:
         if not (yield store.submit_read(check_owner, store, group)):
             yield kept.commit(
@@ -482,12 +485,12 @@
     rng: random.Random,
     disk: Disk | None = None,
     group: str = "",
-    tell: Callable[[str], None] = lambda text: None,
+    report: Callable[[str], None] = lambda text: None,
 ) -> Deferred[PersistedTable]:
     """Opens the directory, or creates it. Fails with a StoreError: in use, damaged, full, of another program.
 
-    `clock`: µs of Unix time; `tell` gets a line when the disk's state changes; `group`: its name, to detect
+    `clock`: µs of Unix time; `report` gets a line when the disk's state changes; `group`: its name, to detect
     the directory of another group.
     """
     opened = open_store(reactor, directory, clock, rng, STORE_LIMITS, disk=disk)
-    return opened.addCallback(lambda store: make_persisted_table(reactor, store, group, tell))
+    return opened.addCallback(lambda store: make_persisted_table(reactor, store, group, report))
--- a/lichencleat/config_distribution/looks.py
+++ b/lichencleat/config_distribution/looks.py
@@ -27,8 +27,8 @@
 class RelayProber:
     """Owns the probe, one at a time, and the times of the next ones."""
 
-    def __init__(self, choice: RelaySelector, times: Timing) -> None:
-        self.selector, self.times = choice, times
+    def __init__(self, selector: RelaySelector, times: Timing) -> None:
+        self.selector, self.times = selector, times
         self.probe: Probe | None = None
         self.fresher_probe_at: int | None = None  # µs: next probe for a fresher relay
         self.first_choice_probe_at: int | None = None  # µs: next probe of an earlier choice
--- a/lichencleat/config_distribution/pages.py
+++ b/lichencleat/config_distribution/pages.py
@@ -73,14 +73,14 @@
     return (total + known & SUM_MASK).to_bytes(DIGEST_BYTES, "little")
 
 
-def find_value(page: bytes, place: int, key: bytes) -> bytes | None:
+def find_value(page: bytes, position: int, key: bytes) -> bytes | None:
     """The value of the key's record, or None."""
     if not page:
         return None
     count = int.from_bytes(page[:4], "little")
     heads = memoryview(page)[4 : 4 + 8 * count].cast("I")  # places, then ends
-    at = bisect_left(heads, place, 0, count)
-    while at < count and heads[at] == place:
+    at = bisect_left(heads, position, 0, count)
+    while at < count and heads[at] == position:
         begin = heads[count + at - 1] if at else 4 + 8 * count
         if page.startswith(key, begin):
             return page[begin + len(key) : heads[count + at]]
@@ -103,33 +103,33 @@
     return heads[:count], [page[a:b] for a, b in pairwise([4 + 8 * count, *ends])]
 
 
-def pack_records(places: list[int], records: list[bytes]) -> bytes:
+def pack_records(positions: list[int], records: list[bytes]) -> bytes:
     """The page of these positions and records, which are in order."""
     if not records:
         return b""
     count = len(records)
     ends = array("I", accumulate(map(len, records), initial=4 + 8 * count))
-    return b"".join((count.to_bytes(4, "little"), array("I", places), ends[1:], *records))
+    return b"".join((count.to_bytes(4, "little"), array("I", positions), ends[1:], *records))
 
 
 def rewrite_page(page: bytes, puts: Iterable[PageChange]) -> tuple[bytes, list[bytes | None]]:
     """The page after the changes, and the value that each change replaced."""
-    places, records = unpack_records(page)
+    positions, records = unpack_records(page)
     before: list[bytes | None] = []
-    for place, key, value in puts:
-        at = bisect_left(places, place)
-        while at < len(places) and places[at] == place and records[at][: len(key)] < key:
+    for position, key, value in puts:
+        at = bisect_left(positions, position)
+        while at < len(positions) and positions[at] == position and records[at][: len(key)] < key:
             at += 1
-        there = at < len(places) and places[at] == place and records[at].startswith(key)
+        there = at < len(positions) and positions[at] == position and records[at].startswith(key)
         before.append(records[at][len(key) :] if there else None)
         if there and value is not None:
             records[at] = key + value
         elif there:
-            del places[at], records[at]
+            del positions[at], records[at]
         elif value is not None:
-            places.insert(at, place)
+            positions.insert(at, position)
             records.insert(at, key + value)
-    return pack_records(places, records), before
+    return pack_records(positions, records), before
 
 
 def iterate_records(page: bytes) -> Iterator[tuple[str, str, bytes]]:
@@ -152,22 +152,22 @@
         return "its header is incomplete"
     heads = memoryview(page)[4:base].cast("I").tolist()
     begin, past = base, (-1, b"")
-    for place, end in zip(heads[:count], heads[count:], strict=True):
+    for position, end in zip(heads[:count], heads[count:], strict=True):
         if not begin + RECORD_HEADER_BYTES < end <= len(page):
             return "a record's end offset is out of range"
         key = page[begin : begin + RECORD_HEADER_BYTES + page[begin] + page[begin + 1]]
         if begin + len(key) > end or not page[begin] or not page[begin + 1]:
             return "a record's name is incomplete"
-        if locate_key(key) != (number, place):
+        if locate_key(key) != (number, position):
             return "a record is on the wrong page or at the wrong position"
-        if (place, key) <= past:
+        if (position, key) <= past:
             return "records are out of order"
         try:
             key[RECORD_HEADER_BYTES : RECORD_HEADER_BYTES + key[0]].decode()
             key[RECORD_HEADER_BYTES + key[0] :].decode()
         except ValueError:
             return "a record's name is not UTF-8"
-        begin, past = end, (place, key)
+        begin, past = end, (position, key)
     return "" if begin == len(page) else "bytes after the last record"
 
 
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -24,41 +24,41 @@
 class RelayProgram:
     """Starts a relay on the reactor, and stops it on a signal."""
 
-    def __init__(self, reactor: Any, chosen: RelaySettings) -> None:
-        self.reactor, self.chosen = reactor, chosen
+    def __init__(self, reactor: Any, settings: RelaySettings) -> None:
+        self.reactor, self.settings = reactor, settings
         self.rng = random.Random(os.urandom(16))
         self.exit_code = EXIT_STOPPED
         self.relay: RelayProcess | None = None
         self.stopping = self.stopped = False
         self.log = create_logger(
             unix_time,
-            chosen.log.form,
-            process=chosen.name,
+            settings.log.form,
+            process=settings.name,
             role="relay",
-            group=chosen.group,
+            group=settings.group,
             pid=os.getpid(),
         )
 
     @inlineCallbacks
     def start(self) -> Any:
         """Loads the stored version and starts the relay."""
-        chosen, kept = self.chosen, None
+        settings, kept = self.settings, None
         table, mark, recent = Table(), b"", []
-        if chosen.directory is not None:
+        if settings.directory is not None:
             from lichencleat.config_distribution.kept import (
                 open_persisted_table,  # imported only if needed, to save memory
             )
 
             try:
                 # the real disk is opened by the store's own thread, as that may block
-                disk = None if chosen.disk == "real" else open_disk(chosen.disk, chosen.directory)
+                disk = None if settings.disk == "real" else open_disk(settings.disk, settings.directory)
                 kept = yield open_persisted_table(
                     self.reactor,
-                    chosen.directory,
+                    settings.directory,
                     unix_time,
                     self.rng,
                     disk,
-                    chosen.group,
+                    settings.group,
                     self.log_disk_state,
                 )
                 table, mark, recent = yield kept.load()
@@ -73,13 +73,13 @@
             self.stop(EXIT_STOPPED)
             return
         try:
-            self.relay = RelayProcess(self.reactor, chosen, self.log, self.rng, table, mark, recent, kept)
+            self.relay = RelayProcess(self.reactor, settings, self.log, self.rng, table, mark, recent, kept)
         except CannotListenError as error:
             if kept is not None:
                 yield kept.close()
             self.stop(EXIT_CANNOT_START, str(error))
             return
-        self.log.info("started", listen=chosen.listen, version=table.version, records=table.records)
+        self.log.info("started", listen=settings.listen, version=table.version, records=table.records)
         self.relay.start()
 
     def log_disk_state(self, what: str) -> None:
@@ -109,7 +109,7 @@
         self.reactor.callLater(0, self.reactor.stop)
 
 
-def run(chosen: RelaySettings) -> int:
+def run(settings: RelaySettings) -> int:
     """Runs the relay. Returns the exit code: 0 after a stop signal, 2 if it could not start."""
     reactor = make_reactor()
-    return run_daemon(reactor, RelayProgram(reactor, chosen))
+    return run_daemon(reactor, RelayProgram(reactor, settings))
--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -202,21 +202,21 @@
     return place.line_of(f"{where}.value") or line
 
 
-def find_json_fault(value: Any, room: list[int]) -> str:
+def find_json_fault(value: Any, parts_left: list[int]) -> str:
     """Why the value has no JSON form; "" if it has one.
 
-    `room`: how many parts it may have, as YAML can refer to one part many times.
+    `parts_left`: how many parts it may have, as YAML can refer to one part many times.
     """
-    room[0] -= 1
-    if room[0] < 0:
+    parts_left[0] -= 1
+    if parts_left[0] < 0:
         return f"a value has at most {MAX_VALUE_BYTES} bytes"
     if isinstance(value, dict):
         bad_key = next((key for key in value if not isinstance(key, str)), None)
         if bad_key is not None:
             return f"the key {bad_key!r} is not a string; put it in quotes"
-        return next(filter(None, (find_json_fault(each, room) for each in value.values())), "")
+        return next(filter(None, (find_json_fault(each, parts_left) for each in value.values())), "")
     if isinstance(value, list):
-        return next(filter(None, (find_json_fault(each, room) for each in value)), "")
+        return next(filter(None, (find_json_fault(each, parts_left) for each in value)), "")
     if isinstance(value, float) and not math.isfinite(value):
         return f"{value} is not a JSON number"
     if value is None or isinstance(value, str | int | float):
--- a/lichencleat/config_distribution/rebuild.py
+++ b/lichencleat/config_distribution/rebuild.py
@@ -100,10 +100,10 @@
             return False
         if pages.page_digest(number, page) != self.digests[number] or pages.find_page_fault(number, page):
             return False
-        self.place(number, page)
+        self.replace_page(number, page)
         return True
 
-    def place(self, number: int, page: bytes) -> None:
+    def replace_page(self, number: int, page: bytes) -> None:
         """Puts the page in its place and updates the totals."""
         old = self.pages[number]
         self.records += pages.record_count(page) - pages.record_count(old)
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -48,7 +48,7 @@
     def __init__(
         self,
         reactor: Any,
-        chosen: RelaySettings,
+        settings: RelaySettings,
         log: EventLogger,
         rng: random.Random,
         table: Table,
@@ -57,22 +57,22 @@
         kept: PersistedTable | None = None,
     ) -> None:
         """`table`, `mark`, `recent`: from the disk. Raises CannotListenError."""
-        self.reactor, self.chosen, self.log, self.kept = reactor, chosen, log, kept
-        self.table, self.mark, self.kept_mark = table, mark, mark
+        self.reactor, self.settings, self.log, self.kept = reactor, settings, log, kept
+        self.table, self.mark, self.persisted_mark = table, mark, mark
         self.copy = TableCopy(table, mark)
         self.counts: dict[str, int] = {}
         self.silent: set[InboundConnection] = set()  # links without a greeting at the last check
         self.counted_at = 0
         self.stopped = False
         now = self.now()
-        self.publisher = Publisher(chosen.name, chosen.zone, table, now, recent)
+        self.publisher = Publisher(settings.name, settings.zone, table, now, recent)
         self.serving = PublisherHost(reactor, self.publisher, self.now, log, self.status_fields)
-        tiers = tuple(map(tuple, chosen.sources))
-        self.follower = RelayFollower(tiers, self.copy, rng, now, False, chosen.zone)
+        tiers = tuple(map(tuple, settings.sources))
+        self.follower = RelayFollower(tiers, self.copy, rng, now, False, settings.zone)
         self.subscriber = Subscriber(
             reactor,
-            chosen.group,
-            chosen.name,
+            settings.group,
+            settings.name,
             self.follower,
             self.copy,
             rng,
@@ -82,7 +82,7 @@
             self.on_answer,
             self.update_counts,
         )
-        self.listener = Listener(reactor, self, *parse_address(chosen.listen))
+        self.listener = Listener(reactor, self, *parse_address(settings.listen))
         self.sweeping = reactor.callLater(SWEEP_INTERVAL_S, self.close_silent_links)
 
     def now(self) -> int:
@@ -144,10 +144,10 @@
         Links accepted without a mark get a second greeting, so that nobody has to reconnect at a first start;
         links that were given another mark are closed.
         """
-        if self.copy.mark != self.kept_mark:
-            self.kept_mark = self.copy.mark
+        if self.copy.mark != self.persisted_mark:
+            self.persisted_mark = self.copy.mark
             if self.kept is not None:
-                self.kept.set_group_mark(self.kept_mark)
+                self.kept.set_group_mark(self.persisted_mark)
         past, self.mark = self.mark, self.copy.mark or self.follower.mark or self.mark
         if past == self.mark:
             return
@@ -160,7 +160,7 @@
 
     def greeting_response(self, welcome: GreetingResult) -> GreetingResponse:
         """The response to a greeting."""
-        return GreetingResponse(welcome, self.mark, 0, self.chosen.name, Incarnation(0, 0))
+        return GreetingResponse(welcome, self.mark, 0, self.settings.name, Incarnation(0, 0))
 
     # -- events of the listener --------------------------------------------------------------------------
 
@@ -168,7 +168,7 @@
         """Accepts links of its own group and closes others."""
         mine = (
             greeting.format_version == FORMAT_VERSION
-            and greeting.cluster_name == self.chosen.group
+            and greeting.cluster_name == self.settings.group
             and greeting.member_id == 0
         )
         if greeting.cluster_id and self.mark and greeting.cluster_id != self.mark:
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -109,12 +109,12 @@
         """A request from a link."""
         if self.closed:
             return
-        who = self.numbers.get(link)
-        if who is None:
+        subscriber_id = self.numbers.get(link)
+        if subscriber_id is None:
             self.last += 1
-            who = self.numbers[link] = self.last
-            self.links[who] = LinkState(link)
-        link_state = self.links[who]
+            subscriber_id = self.numbers[link] = self.last
+            self.links[subscriber_id] = LinkState(link)
+        link_state = self.links[subscriber_id]
         if link_state.open_request is not None or link.unsent_bytes():
             # its last answer is open or unread: at most one answer may wait for a subscriber
             self.count("asked again before the answer")
@@ -129,21 +129,21 @@
             self.answer(link_state, False, encode_raw("unfit"))
             return
         if request.operation in SUBSCRIBER_OPERATIONS and not link_state.is_subscriber:
-            link_state.is_subscriber = self.publisher.add_subscriber(self.now(), who)
+            link_state.is_subscriber = self.publisher.add_subscriber(self.now(), subscriber_id)
             if not link_state.is_subscriber:
                 self.answer(link_state, False, encode_raw("full"))
                 return
-        self.publisher.on_request(self.now(), who, request.number, request.operation, content)
+        self.publisher.on_request(self.now(), subscriber_id, request.number, request.operation, content)
         self.schedule_pull()
 
     def on_disconnected(self, link: Link) -> None:
         """The link has ended."""
-        who = self.numbers.pop(link, None)
-        if who is None:
+        subscriber_id = self.numbers.pop(link, None)
+        if subscriber_id is None:
             return
-        link_state = self.links.pop(who)
+        link_state = self.links.pop(subscriber_id)
         if not self.closed:
-            self.publisher.remove_subscriber(self.now(), who)
+            self.publisher.remove_subscriber(self.now(), subscriber_id)
             if link_state.is_subscriber:
                 self.schedule_pull()
 
@@ -165,7 +165,7 @@
         try:
             while left and (decision := self.publisher.next_decision(self.now())) is not None:
                 left -= 1
-                link_state = self.links.get(decision.who)
+                link_state = self.links.get(decision.subscriber_id)
                 if isinstance(decision, Drop):
                     if link_state is not None:
                         link_state.link.transport.abortConnection()
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -66,7 +66,9 @@
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
         host = self.attempt.host
-        self.send(Greeting(FORMAT_VERSION, host.copy.mark, host.group, 0, 0, Incarnation(0, 0), host.who))
+        self.send(
+            Greeting(FORMAT_VERSION, host.copy.mark, host.group, 0, 0, Incarnation(0, 0), host.caller_name)
+        )
 
     def stringReceived(self, data: bytes) -> None:
         frame = self.read(data)
@@ -177,7 +179,7 @@
         self,
         reactor: Any,
         group: str,
-        who: str,
+        caller_name: str,
         follower: RelayFollower,
         copy: Copy,
         rng: random.Random,
@@ -187,14 +189,14 @@
         on_answered: Callable[[], None] = lambda: None,
         before_pull: Callable[[], None] = lambda: None,
     ) -> None:
-        """`group`: its name; `who`: this process's name in the relays' logs; `now`: µs on the monotonic
-        clock.
+        """`group`: its name; `caller_name`: this process's name in the relays' logs; `now`: µs on the
+        monotonic clock.
 
         Callbacks: `on_applied` after an update was applied, with its batches, () for a snapshot;
         `on_answered` after each answer; `before_pull` before decisions are pulled, to update the counts
         below.
         """
-        self.reactor, self.group, self.who, self.rng, self.log = reactor, group, who, rng, log
+        self.reactor, self.group, self.caller_name, self.rng, self.log = reactor, group, caller_name, rng, log
         self.follower, self.copy = follower, copy
         self.now = now or (lambda: int(reactor.seconds() * SECOND))
         self.on_applied, self.on_answered, self.before_pull = on_applied, on_answered, before_pull
@@ -252,6 +254,7 @@
             self.schedule_pull()
 
     def on_timer(self) -> None:
+        """The follower's deadline has passed."""
         self.timer = None
         self.follower.on_timer(self.now())
         self.schedule_pull()
--- a/lichencleat/config_distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -94,8 +94,8 @@
 
     def head(self, age: int) -> SnapshotHead:
         """The snapshot's head; `age`: µs, sent with it."""
-        whole = b"".join(each.to_bytes(DIGEST_BYTES, "little") for each in self.page_digests)
-        return SnapshotHead(self.version, self.digest, whole, age)
+        digests = b"".join(each.to_bytes(DIGEST_BYTES, "little") for each in self.page_digests)
+        return SnapshotHead(self.version, self.digest, digests, age)
 
     def packed(self, number: int) -> bytes:
         """The page by zlib, compressed once: some 300 µs the first time. Raises IndexError."""
@@ -138,8 +138,8 @@
             key = pages.encode_key(kind, name)
         except ValueError:  # no record has a name that is not UTF-8 or is too long
             return None
-        number, place = pages.locate_key(key)
-        return pages.find_value(self.pages[number], place, key)
+        number, position = pages.locate_key(key)
+        return pages.find_value(self.pages[number], position, key)
 
     def items(self) -> Iterator[tuple[str, str, bytes]]:
         """Kind, name and value of all records, page by page; each page as it is when it is reached."""
@@ -183,25 +183,25 @@
         return Batch(version, batch.previous, self.digest, batch.changes)
 
     @staticmethod
-    def assembled(version: int, whole: list[bytes], digests: list[int], records: int) -> Table:
+    def assembled(version: int, page_bytes: list[bytes], digests: list[int], records: int) -> Table:
         """A table of pages that were checked before, with their digests and total number of records."""
         table = Table()
-        table.version, table.pages, table.page_digests = version, list(whole), list(digests)
+        table.version, table.pages, table.page_digests = version, list(page_bytes), list(digests)
         table.total = sum(digests) & pages.SUM_MASK
-        table.records, table.bytes = records, sum(map(len, whole))
+        table.records, table.bytes = records, sum(map(len, page_bytes))
         return table
 
     @staticmethod
-    def loaded(version: int, whole: Sequence[bytes]) -> Table:
+    def loaded(version: int, page_bytes: Sequence[bytes]) -> Table:
         """A table of unchecked pages. Raises CorruptTableError if one of them is no valid page."""
-        if len(whole) != PAGE_COUNT:
-            raise CorruptTableError(f"a table has {PAGE_COUNT} pages, not {len(whole)}")
-        for number, page in enumerate(whole):
+        if len(page_bytes) != PAGE_COUNT:
+            raise CorruptTableError(f"a table has {PAGE_COUNT} pages, not {len(page_bytes)}")
+        for number, page in enumerate(page_bytes):
             fault = pages.find_page_fault(number, page)
             if fault:
                 raise CorruptTableError(f"page {number}: {fault}")
-        digests = [pages.page_digest(number, page) for number, page in enumerate(whole)]
-        return Table.assembled(version, list(whole), digests, sum(map(pages.record_count, whole)))
+        digests = [pages.page_digest(number, page) for number, page in enumerate(page_bytes)]
+        return Table.assembled(version, list(page_bytes), digests, sum(map(pages.record_count, page_bytes)))
 
 
 class Staging:
@@ -255,8 +255,8 @@
             if fault:
                 raise CorruptTableError(fault)
             key = pages.encode_key(change.kind, change.name)
-            number, place = pages.locate_key(key)
-            self.by_page.setdefault(number, []).append((place, key, change.value))
+            number, position = pages.locate_key(key)
+            self.by_page.setdefault(number, []).append((position, key, change.value))
             self.order.setdefault(number, []).append(self.first_change + at)
         self.assigned = min(begin + MAX_SLICE_CHANGES, len(changes))
         self.replaced_values += [None] * (self.assigned - begin)
--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -88,6 +88,7 @@
         self.ended = False
 
     def start(self, member: MemberView) -> None:
+        """The member is ready to confirm its leadership."""
         self.member = member
 
     def now(self) -> int:
@@ -169,6 +170,7 @@
         return what in OPERATIONS
 
     def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
+        """Passes a request on, or declines it before the member takes part."""
         # the member doesn't take part yet: its state may still be restored from a copy
         if self.serving is None:
             link.reply(ClientResponse(request.number, False, encode_raw(NOT_READY_REASON)))
--- a/lichencleat/config_distribution/window.py
+++ b/lichencleat/config_distribution/window.py
@@ -26,20 +26,24 @@
 
 def max_encoded_size(batch: Batch) -> int:
     """Upper bound of the batch's encoded size in bytes."""
-    room = BATCH_OVERHEAD_BYTES
+    size = BATCH_OVERHEAD_BYTES
     for kind, name, value in ((each.kind, each.name, each.value) for each in batch.changes):
-        room += CHANGE_OVERHEAD_BYTES + len(kind.encode()) + len(name.encode()) + len(value or b"")
-    return room
+        size += CHANGE_OVERHEAD_BYTES + len(kind.encode()) + len(name.encode()) + len(value or b"")
+    return size
 
 
 class Window:
     """The last batches in order, each following the one before, from a version that the table had."""
 
     def __init__(
-        self, version: int, digest: bytes, most: int = MAX_WINDOW_BATCHES, room: int = MAX_WINDOW_BYTES
+        self,
+        version: int,
+        digest: bytes,
+        max_batches: int = MAX_WINDOW_BATCHES,
+        max_bytes: int = MAX_WINDOW_BYTES,
     ):
-        """`most`: maximum number of batches; `room`: maximum of their encoded bytes."""
-        self.most, self.room = most, room
+        """`max_batches`: number of batches kept; `max_bytes`: of them, encoded."""
+        self.max_batches, self.max_bytes = max_batches, max_bytes
         self.restart(version, digest)
 
     def restart(self, version: int, digest: bytes) -> None:
@@ -69,15 +73,15 @@
         self.version, self.digest = batch.version, batch.digest
         self.digests[batch.version] = batch.digest
         self.places[batch.version] = self.dropped + len(self.batches)
-        while self.batches and (len(self.batches) > self.most or self.bytes > self.room):
+        while self.batches and (len(self.batches) > self.max_batches or self.bytes > self.max_bytes):
             self.bytes -= self.sizes.popleft()
             gone = self.batches.popleft()
             self.dropped += 1
             del self.digests[gone.previous], self.places[gone.previous]
             self.base = gone.version
 
-    def after(self, version: int, room: int = MAX_ANSWER_BYTES) -> tuple[Batch, ...] | None:
-        """The batches that follow the version, in order, as many as fit into `room` bytes, at least one.
+    def after(self, version: int, max_bytes: int = MAX_ANSWER_BYTES) -> tuple[Batch, ...] | None:
+        """The batches that follow the version, in order, as many as fit into `max_bytes`, at least one.
 
         None if the window doesn't reach back to that version; empty if there is nothing newer.
         """
@@ -86,8 +90,8 @@
             return None
         found: list[Batch] = []
         for at in range(place - self.dropped, len(self.batches)):
-            room -= self.sizes[at]
-            if found and room < 0:
+            max_bytes -= self.sizes[at]
+            if found and max_bytes < 0:
                 break
             found.append(self.batches[at])
         return tuple(found)
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -104,7 +104,7 @@
                     self.unix,
                     self.rng,
                     group=self.chosen.group,
-                    tell=self.disk_says,
+                    report=self.disk_says,
                 )
                 table, self.mark, _ = yield self.kept.load()
             except (StoreError, OSError) as wrong:  # it goes on without: what it lacks comes from a relay
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -110,7 +110,7 @@
                     self.reactor, chosen["directory"], unix_time, self.rng, disk=disk
                 )
                 table, mark, _ = yield mistakes.load(self.kept, self.mistake)
-                self.trouble = self.kept.trouble
+                self.trouble = self.kept.problem
             except (StoreError, OSError) as wrong:
                 self.trouble = str(wrong)
         self.copy = mistakes.copy_of(self.mistake, self.reactor, table, mark)
--- a/lichencleat/testkit/explore_distribution.py
+++ b/lichencleat/testkit/explore_distribution.py
@@ -214,7 +214,7 @@
         copy: Any = self.copy
         if self.pending.what == "batches" and self.relay is not None and self.request is None:
             last = copy.batches[-1]
-            self.send_request(self.seen, FOLLOW, FollowRequest(last.version, last.digest, ()))
+            self.send_request(self.last_seen_at, FOLLOW, FollowRequest(last.version, last.digest, ()))
 
 
 class AgeFromZero(Publisher):
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -125,7 +125,7 @@
         feeder, now, links = self.feeder, self.world.clockwork.now, self.site.links
         assert feeder is not None
         while (decision := feeder.next_decision(now)) is not None:
-            link = links.get(decision.who)
+            link = links.get(decision.subscriber_id)
             if link is None:
                 continue
             if isinstance(decision, Answer):
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -203,7 +203,7 @@
                 process.feeder.credit_at = self.now
             if process.follower is not None:
                 process.follower.counters.clear()
-                process.follower.seen = self.now
+                process.follower.last_seen_at = self.now
 
     def settle(self) -> None:
         """Messages of those that are not slow arrive at once."""
@@ -383,7 +383,7 @@
         feeder, follower = process.feeder, process.follower
         while feeder is not None and (told := feeder.next_decision(self.now)) is not None:
             for link in self.links.values():
-                if link.called == name and link.who == told.who:
+                if link.called == name and link.who == told.subscriber_id:
                     content = told.content if isinstance(told, Answer) else None
                     link.message = ("answer", what_of(content), content)
         while follower is not None:
--- a/tests/config_distribution/test_feed.py
+++ b/tests/config_distribution/test_feed.py
@@ -98,7 +98,7 @@
     relay.now += 400
     batch = relay.publish(7)
     answers = relay.pulled()
-    assert {each.who for each in answers} == {1, 2} and answers[0].content is answers[1].content
+    assert {each.subscriber_id for each in answers} == {1, 2} and answers[0].content is answers[1].content
     fed = answers[0].content
     assert (fed.outcome, fed.version, fed.digest, fed.batches) == (
         FollowOutcome.NEWS,
@@ -115,10 +115,14 @@
     relay.publish(3)
     assert relay.follows(1, 3, hold=9 * MAX_HOLD_US) == relay.follows(2, 3, hold=300) == []
     assert relay.publisher.deadline() == 300 and relay.passes(299) == []
-    assert [each.who for each in relay.passes(1)] == [2]
+    assert [each.subscriber_id for each in relay.passes(1)] == [2]
     assert relay.passes(MAX_HOLD_US - 301) == []
     (answer,) = relay.passes(1)
-    assert (answer.who, answer.content.outcome, answer.content.age) == (1, FollowOutcome.SAME, MAX_HOLD_US)
+    assert (answer.subscriber_id, answer.content.outcome, answer.content.age) == (
+        1,
+        FollowOutcome.SAME,
+        MAX_HOLD_US,
+    )
     assert said(relay.follows(1, 3, hold=-5)) == FollowOutcome.SAME
 
 
@@ -358,10 +362,10 @@
             open_ones.add(who)
             answers = relay.asks(who, PAGES_OF, PagesRequest(version, numbers))
             for each in answers:
-                open_ones.discard(each.who)
+                open_ones.discard(each.subscriber_id)
                 bytes_sent += sum(len(page) for _, page in each.content.pages)
         for each in relay.passes(1_000):
-            open_ones.discard(each.who)
+            open_ones.discard(each.subscriber_id)
             bytes_sent += sum(len(page) for _, page in each.content.pages)
     at_most = FETCH_BURST_BYTES + MAX_ANSWER_BYTES + FETCH_BYTES_PER_US * relay.now
     assert 0.8 * FETCH_BYTES_PER_US * relay.now < bytes_sent <= at_most
@@ -399,7 +403,7 @@
         for each in decisions:
             if isinstance(each, Drop):
                 continue
-            assert open_ones.pop(each.who)[0] == each.number
+            assert open_ones.pop(each.subscriber_id)[0] == each.number
             content = getattr(each, "content", None)
             if getattr(content, "outcome", None) == FollowOutcome.NEWS:
                 assert content.batches and content.version == version
--- a/tests/config_distribution/test_kept.py
+++ b/tests/config_distribution/test_kept.py
@@ -130,7 +130,7 @@
     disk, table = FaultyDisk(), Table()
     life = Life(disk, "fleet")
     loaded, mark, recent = life.load()
-    assert same(loaded, Table()) and (mark, recent, life.kept.trouble) == (b"", [], "")
+    assert same(loaded, Table()) and (mark, recent, life.kept.problem) == (b"", [], "")
     made = []
     life.kept.set_group_mark(b"mark")
     for version in range(1, 30):
@@ -140,7 +140,7 @@
     again = Life(FaultyDisk(disk.image()), "fleet")
     loaded, mark, recent = again.load()
     assert same(loaded, table)
-    assert (mark, recent, again.kept.trouble, again.lines) == (b"mark", made, "", [])
+    assert (mark, recent, again.kept.problem, again.lines) == (b"mark", made, "", [])
     made.append(step(loaded, 100))  # the chain continues from there
     again.kept.on_batches_applied(loaded, (made[-1],))
     assert again.kept.counts["pages written"] <= 3
@@ -231,7 +231,7 @@
             at += 1
             after = Life(disk.after_cut(by_chance(random.Random(call))))
             loaded, _, recent = after.load()
-            assert after.kept.trouble == ""
+            assert after.kept.problem == ""
             assert loaded.version >= confirmed
             assert same(loaded, states[loaded.version])
             assert not recent or recent[-1].version == loaded.version
@@ -247,12 +247,12 @@
     disk.room = disk.used()
     for version in range(2, 6):
         life.kept.on_batches_applied(table, (step(table, version),))
-    assert "not kept" in life.kept.trouble and len(life.lines) == 1
+    assert "not kept" in life.kept.problem and len(life.lines) == 1
     life.clock.advance(module.RETRY_DELAY_S)
     assert (life.kept.counts["writes failed"], len(life.lines)) == (2, 1)
     disk.room = None
     life.clock.advance(module.RETRY_DELAY_S)
-    assert (life.kept.trouble, len(life.lines)) == ("", 2)
+    assert (life.kept.problem, len(life.lines)) == ("", 2)
     loaded, _, recent = Life(FaultyDisk(disk.image())).load()
     assert same(loaded, table) and [each.version for each in recent] == [1, 2, 3, 4, 5]
 
@@ -315,11 +315,11 @@
     after = Life(FaultyDisk(disk.image()))
     loaded, mark, recent = after.load()
     assert same(loaded, Table()) and (mark, recent) == (b"", [])
-    assert "corrupt" in after.kept.trouble and len(after.lines) == 1
+    assert "corrupt" in after.kept.problem and len(after.lines) == 1
     other = Table()
     step(other, 9, 30)
     after.kept.on_snapshot_applied(other)  # and it is overwritten
-    assert after.kept.trouble == ""
+    assert after.kept.problem == ""
     assert same(Life(FaultyDisk(after.disk.image())).load()[0], other)
 
 
@@ -340,7 +340,7 @@
         monkeypatch.setattr(life.store.engine, "get", broken)
         loaded, _, recent = life.load()
         if left is None:
-            assert same(loaded, Table()) and recent == [] and "1.log" in life.kept.trouble
+            assert same(loaded, Table()) and recent == [] and "1.log" in life.kept.problem
         else:
             assert same(loaded, table) and [each.version for each in recent] == left
 
@@ -352,7 +352,7 @@
     life.kept.on_batches_applied(table, (step(table, 9),))
     result(life.store.commit(Stored().put(module.HEAD_KEY, head)))
     after = Life(FaultyDisk(disk.image()))
-    assert same(after.load()[0], Table()) and "not those of version 5" in after.kept.trouble
+    assert same(after.load()[0], Table()) and "not those of version 5" in after.kept.problem
 
 
 @pytest.mark.parametrize(
--- a/tests/config_distribution/test_subscriber.py
+++ b/tests/config_distribution/test_subscriber.py
@@ -347,7 +347,7 @@
         past.apply(each.version, each.changes)
     relay = place.relay(7931, [1], mark=MARK, table=table)
     assert relay.publisher.in_force(0)["age_us"] == -1
-    chosen = msgspec.structs.replace(relay.chosen, listen="10.0.0.1:7932")
+    chosen = msgspec.structs.replace(relay.settings, listen="10.0.0.1:7932")
     relay = RelayProcess(place.net, chosen, place.log, random.Random(1), table, MARK, batches)
     assert len(relay.publisher.window) == 4
     relay.publisher.add_subscriber(0, 1)
