--- a/benchmarks/distribution_table.py
+++ b/benchmarks/distribution_table.py
@@ -28,14 +28,14 @@
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
-    PAGES,
-    RECORDS_MOST,
+    MAX_RECORDS,
+    PAGE_COUNT,
     Batch,
     Change,
-    Digests,
-    Pages,
+    PagesAnswer,
+    SnapshotHead,
     decode_batch,
-    decode_digests,
+    decode_snapshot_head,
     encode,
 )
 
@@ -67,7 +67,7 @@
     for number in rng.sample(range(count), size):
         change = record(rng, number, count)
         if number % 10 == 0:
-            new = rng.random() < 0.5 and table.records + size <= RECORDS_MOST
+            new = rng.random() < 0.5 and table.records + size <= MAX_RECORDS
             change = Change("tenant", f"new-{rng.getrandbits(40)}", change.value) if new else change
             change = change if new else Change(change.kind, change.name, None)
         changes.append(change)
@@ -77,18 +77,18 @@
 def make(count: int, directory: Path) -> dict[str, float]:
     """Writes the head, the packed pages and some batches on top; keeps the table in a store, too."""
     rng = random.Random(count)
-    puts: list[list[pages.Put]] = [[] for _ in range(PAGES)]
+    puts: list[list[pages.PageChange]] = [[] for _ in range(PAGE_COUNT)]
     for number in range(count):
         change = record(rng, number, count)
-        key = pages.key_of(change.kind, change.name)
-        page, place = pages.place_of(key)
+        key = pages.encode_key(change.kind, change.name)
+        page, place = pages.locate_key(key)
         puts[page].append((place, key, change.value))
-    whole = [pages.rewritten(b"", each)[0] for each in puts]
+    whole = [pages.rewrite_page(b"", each)[0] for each in puts]
     del puts
     table = Table.loaded(1, whole)
     view = table.view()
     began = time.perf_counter()
-    packed = [view.packed(number) for number in range(PAGES)]
+    packed = [view.packed(number) for number in range(PAGE_COUNT)]
     took = time.perf_counter() - began
     (directory / "head").write_bytes(encode(view.head(0)))
     with open(directory / "pages", "wb") as file:
@@ -145,13 +145,13 @@
         }
 
 
-def fetch(copy: TableCopy, head: Digests, directory: Path, slices: Slices) -> None:
+def fetch(copy: TableCopy, head: SnapshotHead, directory: Path, slices: Slices) -> None:
     """From nothing, as a follower does it: some pages, a slice for each, and so on."""
     source = enumerate(pieces(directory / "pages"))
     slices.run(copy.begin, head)
     while numbers := slices.run(copy.missing, WANT):
         some = tuple(take(source, numbers))
-        slices.run(copy.put, Pages(head.version, some))
+        slices.run(copy.put, PagesAnswer(head.version, some))
         for _ in some:
             slices.run(copy.step)
     while not slices.run(copy.step):
@@ -170,7 +170,7 @@
 
 def use(count: int, directory: Path) -> dict[str, float]:
     """A node's table in this process: what it takes to have, to change, to search."""
-    head = decode_digests((directory / "head").read_bytes())
+    head = decode_snapshot_head((directory / "head").read_bytes())
     gc.collect()
     before = memory("VmRSS")
     copy, slices = TableCopy(), Slices()
@@ -239,7 +239,7 @@
     from twisted.internet.defer import Deferred, inlineCallbacks
     from twisted.internet.task import LoopingCall
 
-    from lichencleat.config_distribution.kept import open_kept
+    from lichencleat.config_distribution.kept import open_persisted_table
     from lichencleat.reactor import make_reactor, unix_time
 
     reactor = make_reactor()
@@ -261,7 +261,7 @@
         last[0] = 0.0
 
     def opened() -> Any:
-        return open_kept(reactor, str(directory / "kept"), unix_time, random.Random(1))
+        return open_persisted_table(reactor, str(directory / "kept"), unix_time, random.Random(1))
 
     def written(kept: Any) -> int:
         return kept.store.stat()["bytes written"]
@@ -269,12 +269,12 @@
     @inlineCallbacks
     def write() -> Any:
         copy = TableCopy()
-        fetch(copy, decode_digests((directory / "head").read_bytes()), directory, Slices())
+        fetch(copy, decode_snapshot_head((directory / "head").read_bytes()), directory, Slices())
         kept = yield opened()
         yield kept.load()
         looking.start(LOOK)
         began = time.perf_counter()
-        kept.replaced(copy.table)
+        kept.on_snapshot_applied(copy.table)
         while kept.writing:
             yield until(kept)
         found["keep s"], found["keep bytes"] = time.perf_counter() - began, written(kept)
@@ -283,7 +283,7 @@
 
     @inlineCallbacks
     def load() -> Any:
-        head = decode_digests((directory / "head").read_bytes())
+        head = decode_snapshot_head((directory / "head").read_bytes())
         gc.collect()
         looking.start(LOOK)
         began, before = time.perf_counter(), memory("VmRSS")
@@ -295,11 +295,11 @@
         gc.collect()
         found["load memory bytes"] = memory("VmRSS") - before
         watched("load")
-        assert table.digest == head.digest and not kept.trouble
+        assert table.digest == head.digest and not kept.problem
         rng, began, before = random.Random(2), time.perf_counter(), written(kept)
         own = time.process_time()
         for _ in range(changes):
-            kept.wrote(table, (batch_of(rng, table, 1, count),))
+            kept.on_batches_applied(table, (batch_of(rng, table, 1, count),))
             while kept.writing:
                 yield until(kept)
         found["change written ms"] = (time.perf_counter() - began) / changes / MS
@@ -311,7 +311,7 @@
 
     def until(kept: Any) -> Any:
         told: Deferred[None] = Deferred()
-        kept.told.append(told)
+        kept.write_waiters.append(told)
         return told
 
     def end(result: Any) -> None:
--- a/lichencleat/capacity/events.py
+++ b/lichencleat/capacity/events.py
@@ -9,8 +9,8 @@
 from lichencleat.capacity.sizes import frequent_node_reports
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import DAY_S, Target
-from lichencleat.config_distribution.feed import FETCH_RATE
-from lichencleat.config_distribution.terms import WINDOW_BATCHES
+from lichencleat.config_distribution.feed import FETCH_BYTES_PER_US
+from lichencleat.config_distribution.terms import MAX_WINDOW_BATCHES
 from lichencleat.recovery.messages import MAX_NODES
 
 REGION_CUT_S = 300.0  # how long a region is cut off
@@ -96,7 +96,10 @@
                     "changes that each node lacks", target.changes_per_second * REGION_CUT_S, "", "target"
                 ),
                 Figure(
-                    "changes that a relay keeps", WINDOW_BATCHES, "", "`distribution.terms.WINDOW_BATCHES`"
+                    "changes that a relay keeps",
+                    MAX_WINDOW_BATCHES,
+                    "",
+                    "`distribution.terms.WINDOW_BATCHES`",
                 ),
                 simulated_figure("region_cut.back_s", BACK_ALL),
                 simulated_figure("region_cut.in_force_p99_s", IN_FORCE_P99),
@@ -149,5 +152,5 @@
     together, so concurrency does not change the time.
     """
     line = slopes.line("table.snapshot_mb")
-    value = None if line is None else count * line.value_at(target.records) / FETCH_RATE
+    value = None if line is None else count * line.value_at(target.records) / FETCH_BYTES_PER_US
     return Figure(SNAPSHOT_FETCHES, value, "s", "table.snapshot_mb (table), `distribution.feed.FETCH_RATE`")
--- a/lichencleat/capacity/glance.py
+++ b/lichencleat/capacity/glance.py
@@ -13,7 +13,7 @@
 from lichencleat.capacity.sizes import SECOND
 from lichencleat.capacity.slopes import Slopes
 from lichencleat.capacity.target import Target
-from lichencleat.config_distribution.terms import HOLD
+from lichencleat.config_distribution.terms import MAX_HOLD_US
 from lichencleat.leases import messages as owners
 from lichencleat.quotas import messages as shares
 
@@ -54,7 +54,7 @@
         return None if found is None else found.value_at(size)
 
     changes, nodes, records = target.changes_per_second, target.nodes, target.records
-    requests = SECOND / HOLD + changes  # requests per second of one subscriber
+    requests = SECOND / MAX_HOLD_US + changes  # requests per second of one subscriber
     each = value_at("subscriber.bytes_s", changes)
     zone = nodes / target.zones / target.tree.relays_a_zone
     relays = target.zones * target.tree.relays_a_zone / target.regions / target.tree.relays_a_region
--- a/lichencleat/cli/distribution.py
+++ b/lichencleat/cli/distribution.py
@@ -23,16 +23,16 @@
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config_distribution.published import Summary, check_file, read_changes, split
 from lichencleat.config_distribution.source import (
-    Changed,
-    Diff,
-    Difference,
-    Find,
-    Found,
-    Publish,
-    Published,
-    net,
+    DiffQuery,
+    DiffResult,
+    FindQuery,
+    FindResult,
+    PublishCommand,
+    PublishResult,
+    RecordDifference,
+    net_changes,
 )
-from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change
+from lichencleat.config_distribution.terms import MAX_BATCH_BYTES, MAX_BATCH_CHANGES, Change
 from lichencleat.transport.errors import RequestFailedError
 from lichencleat.transport.group_client import GroupClient
 
@@ -120,17 +120,17 @@
             "--skip can be used only with --in-batches"
             if skip
             else (
-                f"{summary.records} records, {summary.bytes} bytes; a batch has at most {BATCH_MOST} records "
-                f"and {BATCH_BYTES} bytes. With --in-batches, the file is published in {summary.batches} "
-                "batches that take effect one by one"
+                f"{summary.records} records, {summary.bytes} bytes; a batch has at most "
+                f"{MAX_BATCH_CHANGES} records and {MAX_BATCH_BYTES} bytes. With --in-batches, the file is "
+                f"published in {summary.batches} batches that take effect one by one"
             )
         )
         raise output.WrongInput(f"{batch_file}: {problem}")
-    command = Publish(summary.changes, only_if)
+    command = PublishCommand(summary.changes, only_if)
     answer = decode_reply(
         file,
         run_with_client(lambda reactor, client: client.propose(PART, command, CLI_REQUEST_TIMEOUT_S), quorum),
-        Published,
+        PublishResult,
     )
     if not answer.done:
         raise output.WrongData(
@@ -192,11 +192,11 @@
     """Propose the batches of a file one after another, and record the progress or the failure."""
     try:
         for batch in split(read_remaining_changes(batch_file, progress.done)):
-            answer = yield client.propose(PART, Publish(batch), CLI_REQUEST_TIMEOUT_S)
+            answer = yield client.propose(PART, PublishCommand(batch), CLI_REQUEST_TIMEOUT_S)
             if answer is None:
                 progress.failure = "the group does not distribute configuration"
                 return
-            reply = msgspec.convert(answer, Published)
+            reply = msgspec.convert(answer, PublishResult)
             if not reply.done and reply.why != UNCHANGED:
                 progress.failure = f"the group rejected a batch: {reply.why}"
                 return
@@ -235,11 +235,11 @@
 @AS_JSON
 def show(file: str, kind: str, name: str, at: int | None, as_json: bool) -> None:
     """Show the record NAME of KIND, and the version of the value. Exit code 1 if there is no such record."""
-    query = Find(kind, name, at or 0)
+    query = FindQuery(kind, name, at or 0)
     answer = run_with_client(
         lambda reactor, client: client.read(PART, query, CLI_REQUEST_TIMEOUT_S), read_group_settings(file)
     )
-    found: Found = decode_reply(file, answer, Found)
+    found: FindResult = decode_reply(file, answer, FindResult)
     if not found.known:
         raise unknown_version_error(found, at or 0)
     if found.value is None:
@@ -249,7 +249,7 @@
     output.pairs({"value": printed, "version": at or found.version, "in_force": found.version}, as_json)
 
 
-def unknown_version_error(found: Found | Difference, version: int) -> output.WrongData:
+def unknown_version_error(found: FindResult | DiffResult, version: int) -> output.WrongData:
     """Return the error for a version that is too old or does not exist yet."""
     return output.WrongData(
         f"distribution: version {version} is not available; versions {found.since} to {found.version} are"
@@ -264,20 +264,20 @@
 def diff(file: str, a: int, b: int, as_json: bool) -> None:
     """Show the records that differ between versions A and B."""
     quorum = read_group_settings(file)
-    changes: list[Changed] = []
+    changes: list[RecordDifference] = []
 
     @inlineCallbacks
     def read_changes_between(reactor: Any, client: GroupClient) -> Any:
-        query = Diff(min(a, b), max(a, b))
+        query = DiffQuery(min(a, b), max(a, b))
         while True:
             answer = yield client.read(PART, query, CLI_REQUEST_TIMEOUT_S)
-            found = answer and msgspec.convert(answer, Difference)
+            found = answer and msgspec.convert(answer, DiffResult)
             if not found or not found.known:
                 return found
             changes.extend(found.changes)
-            if found.a == query.b:
+            if found.next_version == query.to_version:
                 return found
-            query = Diff(found.a, query.b, found.skip)
+            query = DiffQuery(found.next_version, query.to_version, found.skip_changes)
 
     found = run_with_client(read_changes_between, quorum)
     if not found:
@@ -286,7 +286,7 @@
         raise unknown_version_error(
             found, next(each for each in (a, b) if not found.since <= each <= found.version)
         )
-    rows = net(changes)
+    rows = net_changes(changes)
     if a > b:
         rows = [(kind, name, new, old) for kind, name, old, new in rows]
     if as_json:
--- a/lichencleat/cli/relays.py
+++ b/lichencleat/cli/relays.py
@@ -10,7 +10,7 @@
 from lichencleat.cli import output
 from lichencleat.cli.consensus import call_members, run_on_reactor
 from lichencleat.config.errors import InvalidConfigError
-from lichencleat.config_distribution.counts import OLDEST, merged
+from lichencleat.config_distribution.counts import MAX_AGE_US, merge_counts
 from lichencleat.config_distribution.terms import IN_FORCE, Count
 from lichencleat.coordinator.settings import read_quorum_settings
 
@@ -24,10 +24,10 @@
 def run(file: str) -> None:
     """Run the relay that FILE configures until SIGTERM."""
     from lichencleat.config_distribution import program
-    from lichencleat.config_distribution.file import read_relay
+    from lichencleat.config_distribution.file import read_relay_file
 
     try:
-        relay_file = read_relay(file)
+        relay_file = read_relay_file(file)
     except InvalidConfigError as error:
         raise output.WrongInput(str(error)) from error
     raise click.exceptions.Exit(program.run(relay_file))
@@ -66,12 +66,12 @@
 
 def summarize_status(answered: dict[str, dict[str, Any]]) -> dict[str, Any]:
     """Return the newest version that any voter has, and the counts of nodes, added up over all voters."""
-    counts = merged(
+    counts = merge_counts(
         Count(
             each["zone"],
             each["nodes"],
             each["lowest"],
-            each["oldest_us"] if each["oldest_us"] >= 0 else OLDEST,
+            each["oldest_us"] if each["oldest_us"] >= 0 else MAX_AGE_US,
             each["late"],
             each["by"],
         )
@@ -81,15 +81,15 @@
     return {
         "version": max((each["version"] for each in answered.values()), default=0),
         "nodes": sum(each.nodes for each in counts),
-        "late": sum(each.late for each in counts),
+        "late": sum(each.late_nodes for each in counts),
         "zones": [
             {
                 "zone": each.zone,
                 "nodes": each.nodes,
-                "lowest": each.lowest,
-                "late": each.late,
-                "oldest_us": each.oldest if each.oldest < OLDEST else -1,
-                "by": each.by,
+                "lowest": each.lowest_version,
+                "late": each.late_nodes,
+                "oldest_us": each.max_age if each.max_age < MAX_AGE_US else -1,
+                "by": each.lowest_relay,
             }
             for each in counts
         ],
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -1,17 +1,19 @@
-"""Which relay is followed, and what it is asked; no I/O. What may be taken over: `taking.py`.
-
-Inputs only update what is known; the host then pulls decisions. One question is open at a time, and the next
-one is asked only when what the last one brought is in force: so it acknowledges nothing else.
-
-Age: "nothing newer" is said when the hold is over, so the answer was made no earlier than that; news may have
-been made at any time after the question. From that moment the age counts, never from when it was heard: who
-was stopped with an answer in its buffer is as old as it is. What nobody has told yet is `OLDEST`.
-
-Two histories: a relay that says OTHER, or whose batch has another digest, is left, and either side may be the
-one that is wrong. Only where relays of several tiers say so (where there is one tier: two relays) is it this
-one, which is told loudly; it then fetches a snapshot, of a higher version than the one in force, so that
-nobody ever sees two contents under one version. Until there is such a version it goes on with what it has.
-Pages that a change touched differ in that snapshot, so a page that went wrong in memory is fetched whole.
+"""Which relay is followed and what it is asked; no I/O. What may be applied: `taking.py`.
+
+Inputs only update the state; the host then pulls decisions. One request is open at a time, and the next one
+is sent only when the update from the last one is applied, so a request acknowledges nothing else.
+
+Age: "nothing newer" is answered when the hold is over, so the answer was made no earlier than that; news may
+have been made at any time after the request. The age counts from that moment, not from when the answer was
+read: a process that was stopped with an answer in its receive buffer doesn't take the answer for a recent
+one. An age that is not known yet is `MAX_AGE_US`.
+
+Diverging histories: a relay that answers OTHER, or whose batch has another digest, is left; either side may
+be the one that is wrong. Only if relays of several tiers disagree with this process (with one tier: two
+relays), its own copy is in doubt, which is logged in capital letters. It then fetches a snapshot of a higher
+version than the one in force, so that nobody ever sees two contents under one version, and keeps its copy
+until there is one. Pages that a change touched differ in that snapshot, so a page corrupted in memory is
+fetched as a whole.
 """
 
 from __future__ import annotations
@@ -22,46 +24,48 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lichencleat.config_distribution.acts import Act, Decision
-from lichencleat.config_distribution.choice import Choice, Span, Times
+from lichencleat.config_distribution.acts import Action, Decision
+from lichencleat.config_distribution.choice import DelayRange, RelaySelector, Timing
 from lichencleat.config_distribution.copy import Copy
-from lichencleat.config_distribution.counts import OLDEST, aged
+from lichencleat.config_distribution.counts import MAX_AGE_US, age_after
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.looks import Looks, Probe
-from lichencleat.config_distribution.taking import Taking
+from lichencleat.config_distribution.looks import Probe, RelayProber
+from lichencleat.config_distribution.taking import PendingUpdate
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
-    HOLD,
+    MAX_HOLD_US,
     PAGES_OF,
     Count,
-    Digests,
-    Fed,
-    Follow,
-    Pages,
-    Say,
+    FollowAnswer,
+    FollowOutcome,
+    FollowRequest,
+    PagesAnswer,
+    SnapshotHead,
 )
 
-__all__ = ["Act", "Decision", "Follower", "Times"]
+__all__ = ["Action", "Decision", "RelayFollower", "Timing"]
 
-HEADS_MOST = 8  # snapshots in a row that the relay gave up while they were fetched, before it is left
-BUSY_MOST = 4  # times told to come again for a snapshot, before another relay of the tier is asked
-IDLE = 60_000_000  # µs between looks where nothing is waited for
-TEXT = 200  # characters of a line that is told
+MAX_DROPPED_SNAPSHOTS = 8  # snapshots in a row that the relay dropped during the fetch, before it is left
+MAX_BUSY_ANSWERS = 4  # times in a row that a snapshot is declined, before another relay of the tier is asked
+IDLE_WAKE_US = 60_000_000  # µs between wake-ups when nothing is pending
+MAX_LOG_CHARS = 200  # characters of a log line
 
 
 @dataclass(slots=True)
-class Question:
-    """The open one."""
+class SentRequest:
+    """The open request."""
 
     what: str
-    at: int  # µs when it was asked
-    until: int  # µs: then its relay counts as silent
+    sent_at: int  # µs: when it was sent
+    deadline: int  # µs: its relay counts as silent after that
     hold: int = 0
-    slept: bool = False  # it was given more time, as this process overslept
+    extended: bool = False  # its deadline was extended, as this process was stopped
 
 
-class Follower:
+class RelayFollower:
+    """Decides which relay a node or relay follows, what it asks and which updates it applies."""
+
     def __init__(
         self,
         tiers: Sequence[Sequence[str]],
@@ -70,429 +74,491 @@
         now: int,
         is_node: bool,
         zone: str,
-        times: Times | None = None,
+        times: Timing | None = None,
     ) -> None:
         """`tiers`: addresses, nearest first; `now`: µs on the monotonic clock, as in all calls."""
         self.copy, self.is_node, self.zone = copy, is_node, zone
-        self.times = times or Times()
-        self.choice = Choice(tiers, rng, self.times)
-        self.looks = Looks(self.choice, self.times)
-        self.taking = Taking(copy)
-        self.relay: str | None = None  # that is followed: its link is open
-        self.mark = b""  # told by it
-        self.below: tuple[Count, ...] = ()  # of all that hangs on this one
-        self.out: deque[Decision] = deque()  # a few for each input
-        self.opening: tuple[str, int] | None = None  # and until when
-        self.rest_until: int | None = None  # then `upcoming` is opened
-        self.upcoming: str | None = None
-        self.question: Question | None = None
-        self.pause_until: int | None = None  # then the relay is asked again
-        self.stepping = False  # the host owes a `stepped`
-        self.heads = self.busy = 0  # in a row
+        self.times = times or Timing()
+        self.selector = RelaySelector(tiers, rng, self.times)
+        self.prober = RelayProber(self.selector, self.times)
+        self.pending = PendingUpdate(copy)
+        self.relay: str | None = None  # the relay that is followed: its link is open
+        self.mark = b""  # the group's mark, as that relay reported it
+        self.counts_below: tuple[Count, ...] = ()  # counts of all nodes below this process
+        self.decisions: deque[Decision] = deque()  # a few per input
+        # the relay whose link is being opened, and the deadline for it
+        self.opening: tuple[str, int] | None = None
+        self.open_at: int | None = None  # µs: `next_relay` is opened then
+        self.next_relay: str | None = None
+        self.request: SentRequest | None = None
+        self.pause_until: int | None = None  # µs: the relay is asked again then
+        self.stepping = False  # the host has to call `on_stepped`
+        self.dropped_snapshots = self.busy_answers = 0  # counted in a row
         self.behind_since: int | None = None
-        self.known_at: int | None = None  # the source had nothing newer than what is in force, µs
-        self.others: set[str] = set()  # relays with another history
-        self.spoilts: set[str] = set()  # relays whose batch had another digest here
-        self.anew = False  # a snapshot is wanted, whatever digests say
-        self.seen = now
+        self.known_at: int | None = None  # µs: the source had nothing newer than the version in force then
+        self.diverging_relays: set[str] = set()  # relays with another history
+        self.corrupt_relays: set[str] = set()  # relays whose batch led to another digest here
+        # the own copy is in doubt: a snapshot is needed even if the digests match
+        self.needs_snapshot = False
+        self.last_seen_at = now
         self.counters: dict[str, int] = {}
-        self.plan(now)
+        self.schedule_next_relay(now)
 
     def count(self, what: str) -> None:
         self.counters[what] = self.counters.get(what, 0) + 1
 
-    def decide(self, act: Act, relay: str = "", what: str = "", content: Any = None) -> None:
-        self.out.append(Decision(act, relay, what, content))
+    def decide(self, act: Action, relay: str = "", what: str = "", content: Any = None) -> None:
+        """Queues a decision for the host."""
+        self.decisions.append(Decision(act, relay, what, content))
 
-    def tell(self, text: str) -> None:
-        self.out.append(Decision(Act.TELL, text=text[:TEXT]))
+    def log(self, text: str) -> None:
+        """Logs a line."""
+        self.decisions.append(Decision(Action.LOG, text=text[:MAX_LOG_CHARS]))
 
-    # -- what is known ---------------------------------------------------------------------------------
+    # -- state -------------------------------------------------------------------------------------------
 
     def age(self, now: int) -> int:
-        """µs since the source was known to have nothing newer; `OLDEST` where that never was."""
-        return OLDEST if self.known_at is None else aged(0, now - self.known_at)
+        """µs since the source was known to have nothing newer; `MAX_AGE_US` if it never was."""
+        return MAX_AGE_US if self.known_at is None else age_after(0, now - self.known_at)
 
-    def knows(self, moment: int | None) -> None:
+    def advance_known_at(self, moment: int | None) -> None:
+        """Moves the start of the age forward."""
         if moment is not None and (self.known_at is None or moment > self.known_at):
             self.known_at = moment
 
     def next_decision(self, now: int) -> Decision | None:
-        self.seen = now
-        return self.out.popleft() if self.out else None
+        """The next decision for the host, or None."""
+        self.last_seen_at = now
+        return self.decisions.popleft() if self.decisions else None
 
     def deadline(self) -> int:
-        """µs: when `wakes` is to be called at the latest."""
-        moments = [self.rest_until, self.pause_until]
+        """µs: `on_timer` has to be called at that time at the latest."""
+        moments = [self.open_at, self.pause_until]
         if self.opening is not None:
             moments.append(self.opening[1])
-        if self.question is not None:
-            moments.append(self.question.until)
+        if self.request is not None:
+            moments.append(self.request.deadline)
         if self.relay is not None:
-            moments.append(self.looks.deadline())
-        return min((each for each in moments if each is not None), default=self.seen + IDLE)
+            moments.append(self.prober.deadline())
+        return min((each for each in moments if each is not None), default=self.last_seen_at + IDLE_WAKE_US)
 
-    def wakes(self, now: int) -> None:
-        """Whatever was to happen by now."""
-        if self.rest_until is not None and now >= self.rest_until:
-            self.opens(now)
+    def on_timer(self, now: int) -> None:
+        """Handles all deadlines that have passed."""
+        if self.open_at is not None and now >= self.open_at:
+            self.open_next_relay(now)
         if self.opening is not None and now >= self.opening[1]:
-            self.fails(now, self.opening[0], "its link does not open", self.times.failed)
-        question = self.question
-        if question is not None and now >= question.until:
-            if now - question.until > self.times.overslept and not question.slept:
-                question.until, question.slept = now + self.times.patience, True
+            self.exclude_and_leave(
+                now, self.opening[0], "its link was not opened in time", self.times.failed_exclusion
+            )
+        request = self.request
+        if request is not None and now >= request.deadline:
+            if now - request.deadline > self.times.max_timer_delay and not request.extended:
+                request.deadline, request.extended = now + self.times.answer_timeout, True
             elif self.relay is not None:
-                self.fails(now, self.relay, "it is silent", self.times.failed)
+                self.exclude_and_leave(
+                    now, self.relay, "it did not answer in time", self.times.failed_exclusion
+                )
         if self.pause_until is not None and now >= self.pause_until:
             self.ask(now)
-        probe = self.looks.probe
-        if probe is not None and now >= probe.until:
-            self.probe_fails(now, probe)
+        probe = self.prober.probe
+        if probe is not None and now >= probe.deadline:
+            self.fail_probe(now, probe)
         if self.relay is not None:
-            other = self.looks.begins(now, self.relay, not self.taking.what)
+            other = self.prober.begin_probe(now, self.relay, not self.pending.what)
             if other is not None:
-                self.decide(Act.OPEN, other)
+                self.decide(Action.OPEN, other)
 
-    # -- links -----------------------------------------------------------------------------------------
+    # -- links -------------------------------------------------------------------------------------------
 
-    def plan(self, now: int) -> None:
-        """Another relay, after a drawn span."""
-        self.upcoming, span = self.choice.next(now, self.relay)
-        self.rest_until = now + span
+    def schedule_next_relay(self, now: int) -> None:
+        """Schedules the opening of another relay after a random delay."""
+        self.next_relay, span = self.selector.choose_next(now, self.relay)
+        self.open_at = now + span
 
-    def opens(self, now: int) -> None:
-        self.rest_until = None
-        if self.upcoming is None:
-            self.plan(now)
+    def open_next_relay(self, now: int) -> None:
+        """Opens the scheduled relay."""
+        self.open_at = None
+        if self.next_relay is None:
+            self.schedule_next_relay(now)
             return
-        self.opening = (self.upcoming, now + self.times.opening)
-        self.decide(Act.OPEN, self.upcoming)
-
-    def opened(self, now: int, relay: str, mark: bytes) -> None:
-        """`mark`: of its group; b"" where it does not know it yet."""
-        probe = self.looks.probe
-        if probe is not None and relay == probe.relay and probe.asked < 0:
-            if self.foreign(now, relay, mark):
-                self.probe_ends(probe)
+        self.opening = (self.next_relay, now + self.times.connect_timeout)
+        self.decide(Action.OPEN, self.next_relay)
+
+    def on_link_opened(self, now: int, relay: str, mark: bytes) -> None:
+        """The link to a relay is open. `mark`: of its group; b"" if the relay doesn't know it yet."""
+        probe = self.prober.probe
+        if probe is not None and relay == probe.relay and probe.asked_at < 0:
+            if self.is_foreign(now, relay, mark):
+                self.end_probe(probe)
                 return
-            self.looks.opened(now, probe, mark)
-            self.decide(Act.ASK, relay, FOLLOW, Follow(self.copy.version, self.copy.digest, (), 0))
+            self.prober.on_opened(now, probe, mark)
+            self.decide(Action.ASK, relay, FOLLOW, FollowRequest(self.copy.version, self.copy.digest, (), 0))
         elif self.opening is not None and relay == self.opening[0]:
             self.opening = None
-            self.follows(now, relay, mark)
+            self.start_following(now, relay, mark)
         else:
-            self.decide(Act.CLOSE, relay)
+            self.decide(Action.CLOSE, relay)
 
-    def foreign(self, now: int, relay: str, mark: bytes) -> bool:
-        """Is it of another group? Then it is left out and told."""
+    def is_foreign(self, now: int, relay: str, mark: bytes) -> bool:
+        """Whether the relay belongs to another group; it is then excluded, which is logged."""
         if not mark or not self.copy.mark or mark == self.copy.mark:
             return False
         self.count("of another group")
-        self.choice.bad(now, relay, self.times.wrong)
-        self.tell(f"{relay} is of another group and not followed")
+        self.selector.exclude(now, relay, self.times.wrong_exclusion)
+        self.log(f"relay {relay} belongs to another group and is not followed")
         return True
 
-    def follows(self, now: int, relay: str, mark: bytes) -> None:
+    def start_following(self, now: int, relay: str, mark: bytes) -> None:
+        """Follows the relay, whose link is open."""
         self.relay, self.mark = relay, mark
-        self.question = self.pause_until = self.behind_since = None
-        self.busy = self.heads = 0
-        self.looks.follows(now, relay)
+        self.request = self.pause_until = self.behind_since = None
+        self.busy_answers = self.dropped_snapshots = 0
+        self.prober.on_following(now, relay)
         self.count("followed")
-        if not self.taking.what:
+        if not self.pending.what:
             self.ask(now)
 
-    def lost(self, now: int, relay: str, why: str) -> None:
-        """Its link has ended, or did not open."""
-        probe = self.looks.probe
+    def on_link_lost(self, now: int, relay: str, why: str) -> None:
+        """The relay's link has ended, or could not be opened."""
+        probe = self.prober.probe
         if probe is not None and relay == probe.relay:
-            self.probe_fails(now, probe, closed=True)
+            self.fail_probe(now, probe, closed=True)
         elif relay == self.relay or (self.opening is not None and relay == self.opening[0]):
-            self.fails(now, relay, why, self.times.failed, closed=True)
+            self.exclude_and_leave(now, relay, why, self.times.failed_exclusion, closed=True)
 
-    def fails(self, now: int, relay: str, why: str, span: Span, closed: bool = False) -> None:
-        """It is left out for a while, and another one is opened."""
-        self.choice.bad(now, relay, span)
-        self.leaves(now, relay, why, closed)
+    def exclude_and_leave(
+        self, now: int, relay: str, why: str, span: DelayRange, closed: bool = False
+    ) -> None:
+        """Excludes the relay for a while and moves on to another one."""
+        self.selector.exclude(now, relay, span)
+        self.leave(now, relay, why, closed)
 
-    def leaves(self, now: int, relay: str, why: str, closed: bool = False) -> None:
+    def leave(self, now: int, relay: str, why: str, closed: bool = False) -> None:
+        """Closes the relay's link and schedules another relay."""
         self.count("left")
-        self.tell(f"leaves {relay}: {why}")
+        self.log(f"leaving relay {relay}: {why}")
         if not closed:
-            self.decide(Act.CLOSE, relay)
-        if self.looks.probe is not None:
-            self.probe_ends(self.looks.probe)
-        self.opening = self.question = self.pause_until = None
-        self.taking.halt()
-        self.plan(now)
+            self.decide(Action.CLOSE, relay)
+        if self.prober.probe is not None:
+            self.end_probe(self.prober.probe)
+        self.opening = self.request = self.pause_until = None
+        self.pending.on_relay_left()
+        self.schedule_next_relay(now)
         self.relay = None
 
-    # -- questions -------------------------------------------------------------------------------------
+    # -- requests ----------------------------------------------------------------------------------------
 
     def ask(self, now: int) -> None:
-        """What is newer than what is in force?"""
+        """Asks the relay for what is newer than the version in force."""
         relay, self.pause_until = self.relay, None
-        if relay is None or self.question is not None:
+        if relay is None or self.request is not None:
             return
-        if self.foreign(now, relay, self.mark):  # its link was opened before the mark was known here
-            self.leaves(now, relay, "it is of another group")
+        if self.is_foreign(now, relay, self.mark):  # the link was opened before the copy had a mark
+            self.leave(now, relay, "it belongs to another group")
             return
         hold = self.times.hold if self.is_node else self.times.relay_hold
-        counts = self.below
+        counts = self.counts_below
         if self.is_node:
             counts = (Count(self.zone, 1, self.copy.version, self.age(now), 0, ""), *counts)
-        self.puts(now, FOLLOW, Follow(self.copy.version, self.copy.digest, counts, hold), min(hold, HOLD))
-
-    def puts(self, now: int, what: str, content: Any, hold: int = 0) -> None:
+        self.send_request(
+            now,
+            FOLLOW,
+            FollowRequest(self.copy.version, self.copy.digest, counts, hold),
+            min(hold, MAX_HOLD_US),
+        )
+
+    def send_request(self, now: int, what: str, content: Any, hold: int = 0) -> None:
+        """Sends a request, with the deadline for its answer."""
         assert self.relay is not None
-        patience = self.times.patience + (hold if what == FOLLOW else HOLD)
-        self.question = Question(what, now, now + patience, hold)
-        self.decide(Act.ASK, self.relay, what, content)
+        timeout = self.times.answer_timeout + (hold if what == FOLLOW else MAX_HOLD_US)
+        self.request = SentRequest(what, now, now + timeout, hold)
+        self.decide(Action.ASK, self.relay, what, content)
+
+    def on_answer(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
+        """An answer from a relay. `content` None: declined, `why` if known.
 
-    def told(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
-        """An answer; None: declined, `why` where that is known. What fits no question counts for nothing."""
-        probe = self.looks.probe
+        Without a request it is ignored.
+        """
+        probe = self.prober.probe
         if probe is not None and relay == probe.relay:
-            if what == FOLLOW and probe.asked >= 0:
-                self.probe_told(now, probe, content)
+            if what == FOLLOW and probe.asked_at >= 0:
+                self.on_probe_answer(now, probe, content)
             return
-        question = self.question
-        if relay != self.relay or question is None or question.what != what:
+        request = self.request
+        if relay != self.relay or request is None or request.what != what:
             return
-        self.question = None
+        self.request = None
         if content is None:
-            self.declined(now, relay, what, why)
-        elif what == FOLLOW and isinstance(content, Fed):
-            self.fed(now, relay, question, content)
-        elif what == DIGESTS and isinstance(content, Digests):
-            self.begins(now, relay, question, content)
-        elif what == PAGES_OF and isinstance(content, Pages):
-            self.piece(now, relay, content)
+            self.on_declined(now, relay, what, why)
+        elif what == FOLLOW and isinstance(content, FollowAnswer):
+            self.on_follow_answer(now, relay, request, content)
+        elif what == DIGESTS and isinstance(content, SnapshotHead):
+            self.begin_snapshot(now, relay, request, content)
+        elif what == PAGES_OF and isinstance(content, PagesAnswer):
+            self.on_pages(now, relay, content)
         else:
-            self.unfit(now, relay, "an answer of another kind")
+            self.on_invalid_answer(now, relay, "its answer does not match the request")
 
-    def declined(self, now: int, relay: str, what: str, why: str) -> None:
+    def on_declined(self, now: int, relay: str, what: str, why: str) -> None:
+        """Leaves a relay that declines, or waits for a slot where only the snapshot is declined."""
         self.count("declined")
         if what == FOLLOW or why in ("nothing here", "unfit"):
-            self.fails(now, relay, why or "it declines", self.times.failed)
+            self.exclude_and_leave(now, relay, why or "it declined the request", self.times.failed_exclusion)
             return
-        self.busy += 1
-        self.taking.halt()
-        other = self.choice.beside(now, relay) if self.busy >= BUSY_MOST else None
+        self.busy_answers += 1
+        self.pending.on_relay_left()
+        other = (
+            self.selector.same_tier_alternative(now, relay) if self.busy_answers >= MAX_BUSY_ANSWERS else None
+        )
         if other is not None:
-            self.leaves(now, relay, "it has no turn for a snapshot")
-            self.upcoming = other
+            self.leave(now, relay, "it has no free slot for a snapshot")
+            self.next_relay = other
         else:
-            self.pause_until = now + self.choice.draw(self.times.busy)
+            self.pause_until = now + self.selector.draw(self.times.busy_retry_delay)
 
-    def unfit(self, now: int, relay: str, why: str) -> None:
+    def on_invalid_answer(self, now: int, relay: str, why: str) -> None:
+        """Leaves the relay after an invalid answer."""
         self.count("unfit answers")
-        self.fails(now, relay, why, self.times.wrong)
-
-    # -- news ------------------------------------------------------------------------------------------
-
-    def fed(self, now: int, relay: str, question: Question, fed: Fed) -> None:
-        if fed.version and not self.mark:
-            self.leaves(now, relay, "its group was not known when its link was opened")
-        elif fed.say == Say.BEHIND:
-            self.behind(now, relay, fed)
-        elif fed.say == Say.OTHER:
-            self.other(now, relay)
-        elif fed.say == Say.SAME:
-            self.same(now, relay, question, fed)
-        elif fed.say == Say.SNAPSHOT or (fed.say == Say.NEWS and self.anew):
+        self.exclude_and_leave(now, relay, why, self.times.wrong_exclusion)
+
+    # -- news --------------------------------------------------------------------------------------------
+
+    def on_follow_answer(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
+        """Handles the answer to a `follow`."""
+        if answer.version and not self.mark:
+            self.leave(now, relay, "it did not report its group when the link was opened")
+        elif answer.outcome == FollowOutcome.BEHIND:
+            self.on_behind(now, relay, answer)
+        elif answer.outcome == FollowOutcome.OTHER:
+            self.on_other(now, relay)
+        elif answer.outcome == FollowOutcome.SAME:
+            self.on_same(now, relay, request, answer)
+        elif answer.outcome == FollowOutcome.SNAPSHOT or (
+            answer.outcome == FollowOutcome.NEWS and self.needs_snapshot
+        ):
             self.behind_since = None
-            self.looks.heard(now, fed.age)
-            self.puts(now, DIGESTS, None)
-        elif fed.say == Say.NEWS:
-            self.news(now, relay, question, fed)
+            self.prober.on_age(now, answer.age)
+            self.send_request(now, DIGESTS, None)
+        elif answer.outcome == FollowOutcome.NEWS:
+            self.on_news(now, relay, request, answer)
         else:
-            self.unfit(now, relay, "an answer that is none")
+            self.on_invalid_answer(now, relay, "its answer has an unknown outcome")
 
-    def same(self, now: int, relay: str, question: Question, fed: Fed) -> None:
-        if fed.version != self.copy.version or (fed.version and fed.digest != self.copy.digest):
-            self.unfit(now, relay, "it says the same of another version or digest")
+    def on_same(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
+        """The relay has nothing newer."""
+        if answer.version != self.copy.version or (answer.version and answer.digest != self.copy.digest):
+            self.on_invalid_answer(now, relay, "it reported no news for another version or digest")
             return
         self.behind_since = None
-        self.choice.good(relay)
-        self.looks.heard(now, fed.age)
-        self.others.clear()
-        self.anew = self.anew and bool(self.spoilts)
-        held = now >= question.at + question.hold
-        if fed.age < OLDEST:
-            self.knows(question.at + (question.hold if held else 0) - max(0, fed.age))
-        if held and question.hold:
+        self.selector.on_success(relay)
+        self.prober.on_age(now, answer.age)
+        self.diverging_relays.clear()
+        self.needs_snapshot = self.needs_snapshot and bool(self.corrupt_relays)
+        held = now >= request.sent_at + request.hold
+        if answer.age < MAX_AGE_US:
+            self.advance_known_at(request.sent_at + (request.hold if held else 0) - max(0, answer.age))
+        if held and request.hold:
             self.ask(now)
         else:
-            self.pause_until = now + self.times.again  # whatever it does, it is not asked without end
+            # limits the rate of requests to a relay that doesn't hold them
+            self.pause_until = now + self.times.retry_delay
 
-    def news(self, now: int, relay: str, question: Question, fed: Fed) -> None:
+    def on_news(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
+        """Stages the batches of the answer."""
         self.behind_since = None
-        self.looks.heard(now, fed.age)
-        known = question.at - max(0, fed.age) if fed.age < OLDEST else None
-        wrong = self.taking.stage(fed, relay, self.mark, known)
-        if wrong:
-            self.unfit(now, relay, wrong)
+        self.prober.on_age(now, answer.age)
+        known = request.sent_at - max(0, answer.age) if answer.age < MAX_AGE_US else None
+        fault = self.pending.stage(answer, relay, self.mark, known)
+        if fault:
+            self.on_invalid_answer(now, relay, fault)
         else:
             self.step()
 
-    def behind(self, now: int, relay: str, fed: Fed) -> None:
-        """It may be catching up: it is given some time."""
-        if fed.version >= self.copy.version:
-            self.unfit(now, relay, "it says that it has less, and has not")
+    def on_behind(self, now: int, relay: str, answer: FollowAnswer) -> None:
+        """The relay has less than this process. It may be catching up, so it gets some time."""
+        if answer.version >= self.copy.version:
+            self.on_invalid_answer(now, relay, "it reported a lower version, but its version is not lower")
             return
         if self.behind_since is None:
             self.behind_since = now
-        if now - self.behind_since >= self.times.behind:
+        if now - self.behind_since >= self.times.max_behind:
             self.count("relays behind")
-            self.fails(now, relay, f"it has {fed.version}, less than {self.copy.version}", self.times.failed)
+            self.exclude_and_leave(
+                now,
+                relay,
+                f"its version {answer.version} is lower than {self.copy.version}",
+                self.times.failed_exclusion,
+            )
             return
-        self.pause_until = now + self.times.again
+        self.pause_until = now + self.times.retry_delay
 
-    def other(self, now: int, relay: str) -> None:
-        if self.anew:
-            self.puts(now, DIGESTS, None)
+    def on_other(self, now: int, relay: str) -> None:
+        """The relay has another digest at the version in force."""
+        if self.needs_snapshot:
+            self.send_request(now, DIGESTS, None)
             return
-        self.another_history(now, relay)
-        self.leaves(now, relay, "another history")
-        self.doubts()
+        self.record_other_history(now, relay)
+        self.leave(now, relay, "its history differs")
+        self.check_own_copy()
 
-    def another_history(self, now: int, relay: str) -> None:
+    def record_other_history(self, now: int, relay: str) -> None:
+        """Records that the relay's history differs, and excludes it."""
         self.count("another history")
-        self.tell(f"{relay} has another history at version {self.copy.version}")
-        self.others.add(relay)
-        self.choice.bad(now, relay, self.times.wrong)
-
-    def doubts(self) -> None:
-        """Do several places say that it is this one that is wrong?"""
-        if not self.anew and (self.choice.several(self.others) or self.choice.several(self.spoilts)):
-            self.anew = True
+        self.log(f"relay {relay} has another history at version {self.copy.version}")
+        self.diverging_relays.add(relay)
+        self.selector.exclude(now, relay, self.times.wrong_exclusion)
+
+    def check_own_copy(self) -> None:
+        """Puts the own copy in doubt if independent relays disagree with it."""
+        if not self.needs_snapshot and (
+            self.selector.are_independent(self.diverging_relays)
+            or self.selector.are_independent(self.corrupt_relays)
+        ):
+            self.needs_snapshot = True
             self.count("own history given up")
-            named = ", ".join(sorted(self.others | self.spoilts))
-            self.tell(f"OWN COPY IN DOUBT at version {self.copy.version}, by {named}: wants a snapshot")
+            named = ", ".join(sorted(self.diverging_relays | self.corrupt_relays))
+            self.log(
+                f"OWN COPY IN DOUBT at version {self.copy.version}, differs at {named}: needs a snapshot"
+            )
 
-    # -- snapshots -------------------------------------------------------------------------------------
+    # -- snapshots ---------------------------------------------------------------------------------------
 
-    def begins(self, now: int, relay: str, question: Question, head: Digests) -> None:
-        if head.version <= self.copy.version and self.anew:
-            self.pause_until = now + self.choice.draw(self.times.busy)
+    def begin_snapshot(self, now: int, relay: str, request: SentRequest, head: SnapshotHead) -> None:
+        """Starts the snapshot whose head was received."""
+        if head.version <= self.copy.version and self.needs_snapshot:
+            self.pause_until = now + self.selector.draw(self.times.busy_retry_delay)
             return
-        known = question.at - max(0, head.age) if head.age < OLDEST else None
-        wrong = self.taking.begin(head, relay, self.mark, known) if self.mark else "of no known group"
-        if wrong:
-            self.unfit(now, relay, wrong)
+        known = request.sent_at - max(0, head.age) if head.age < MAX_AGE_US else None
+        fault = self.pending.begin(head, relay, self.mark, known) if self.mark else "its group is not known"
+        if fault:
+            self.on_invalid_answer(now, relay, fault)
             return
-        self.busy = 0
+        self.busy_answers = 0
         self.step()
-        self.asks_pages(now)
+        self.request_pages(now)
 
-    def asks_pages(self, now: int) -> None:
-        if self.relay is not None and self.question is None:
-            wanted = self.taking.pages()
+    def request_pages(self, now: int) -> None:
+        """Requests the next pages of the snapshot."""
+        if self.relay is not None and self.request is None:
+            wanted = self.pending.pages()
             if wanted is not None:
-                self.puts(now, PAGES_OF, wanted)
-
-    def piece(self, now: int, relay: str, pages: Pages) -> None:
-        if not pages.pages and self.taking.head is not None:
-            self.heads += 1  # that snapshot is kept no more: a newer one, and what is here stays
-            if self.heads > HEADS_MOST:
-                self.fails(now, relay, "it gives up its snapshots", self.times.failed)
+                self.send_request(now, PAGES_OF, wanted)
+
+    def on_pages(self, now: int, relay: str, pages: PagesAnswer) -> None:
+        """Handles pages of the snapshot."""
+        if not pages.pages and self.pending.head is not None:
+            # the relay dropped that snapshot: a newer one is requested, fetched pages stay
+            self.dropped_snapshots += 1
+            if self.dropped_snapshots > MAX_DROPPED_SNAPSHOTS:
+                self.exclude_and_leave(
+                    now, relay, "it dropped its snapshots during the fetch", self.times.failed_exclusion
+                )
             else:
-                self.puts(now, DIGESTS, None)
-        elif not self.taking.asked_for(pages):
-            self.unfit(now, relay, "pages that were not asked for")
-        elif not self.taking.put(pages):
-            self.spoilt(now, relay)
+                self.send_request(now, DIGESTS, None)
+        elif not self.pending.is_requested(pages):
+            self.on_invalid_answer(now, relay, "it sent pages that were not requested")
+        elif not self.pending.put(pages):
+            self.on_corrupt(now, relay)
         else:
-            self.heads = 0
+            self.dropped_snapshots = 0
             self.step()
-            self.asks_pages(now)
+            self.request_pages(now)
 
-    # -- staging ---------------------------------------------------------------------------------------
+    # -- staging -----------------------------------------------------------------------------------------
 
     def step(self) -> None:
+        """Has the host process the next slice."""
         if not self.stepping:
             self.stepping = True
-            self.decide(Act.STEP)
+            self.decide(Action.STEP)
 
-    def stepped(self, now: int, ready: bool | None) -> None:
-        """What copy.step() gave; None: what was staged is spoilt."""
+    def on_stepped(self, now: int, ready: bool | None) -> None:
+        """The result of copy.step(); None: what was staged is corrupt."""
         self.stepping = False
-        taking = self.taking
-        if not taking.what:
+        pending = self.pending
+        if not pending.what:
             return
         if ready is None:
-            self.spoilt(now, taking.by)
+            self.on_corrupt(now, pending.relay)
         elif ready:
-            self.takes(now)
-        elif taking.what == "batches":
+            self.apply_update(now)
+        elif pending.what == "batches":
             self.step()
         else:
-            taking.due = max(0, taking.due - 1)
-            self.asks_pages(now)
-            if taking.due or self.question is None:
+            pending.slices_due = max(0, pending.slices_due - 1)
+            self.request_pages(now)
+            if pending.slices_due or self.request is None:
                 self.step()
 
-    def spoilt(self, now: int, relay: str) -> None:
+    def on_corrupt(self, now: int, relay: str) -> None:
+        """Discards corrupt data and notes the relay that sent it."""
         self.count("spoilt")
-        self.tell(f"{self.taking.what} from {relay} do not fit their digest: not taken")
-        if self.taking.what == "batches":
-            self.spoilts.add(relay)
-            self.doubts()
-        self.drops(now, relay)
-
-    def drops(self, now: int, relay: str) -> None:
-        """What is staged goes, and so does who sent it."""
-        self.taking.drop()
-        self.choice.bad(now, relay, self.times.wrong)
+        self.log(f"{self.pending.what} from relay {relay} does not match its digest and is not applied")
+        if self.pending.what == "batches":
+            self.corrupt_relays.add(relay)
+            self.check_own_copy()
+        self.discard_update(now, relay)
+
+    def discard_update(self, now: int, relay: str) -> None:
+        """Discards what is staged and leaves the relay that sent it."""
+        self.pending.drop()
+        self.selector.exclude(now, relay, self.times.wrong_exclusion)
         if relay == self.relay:
-            self.leaves(now, relay, "what it sent was not taken")
+            self.leave(now, relay, "its data was not applied")
         else:
             self.ask(now)
 
-    def takes(self, now: int) -> None:
-        taking = self.taking
-        snapshot, known = taking.what == "snapshot", taking.knows
+    def apply_update(self, now: int) -> None:
+        """Applies what is staged."""
+        pending = self.pending
+        snapshot, known = pending.what == "snapshot", pending.known_at
         try:
-            batches = taking.take()
-        except TableError as wrong:
+            batches = pending.take()
+        except TableError as error:
             self.count("not taken")
-            self.tell(f"not taken: {wrong}")
-            self.drops(now, taking.by)
+            self.log(f"the staged update was not applied: {error}")
+            self.discard_update(now, pending.relay)
             return
         self.count("snapshots" if snapshot else "batches")
-        self.anew = self.anew and not snapshot
-        self.others.clear()
-        self.spoilts.clear()
-        self.knows(known)
-        self.out.append(Decision(Act.TAKEN, batches=batches))
-        self.choice.good(taking.by)
+        self.needs_snapshot = self.needs_snapshot and not snapshot
+        self.diverging_relays.clear()
+        self.corrupt_relays.clear()
+        self.advance_known_at(known)
+        self.decisions.append(Decision(Action.APPLIED, batches=batches))
+        self.selector.on_success(pending.relay)
         self.ask(now)
 
-    # -- other relays ----------------------------------------------------------------------------------
+    # -- probes of other relays --------------------------------------------------------------------------
 
-    def probe_ends(self, probe: Probe, closed: bool = False) -> None:
+    def end_probe(self, probe: Probe, closed: bool = False) -> None:
+        """Ends the probe."""
         if not closed:
-            self.decide(Act.CLOSE, probe.relay)
-        self.looks.probe = None
-
-    def probe_fails(self, now: int, probe: Probe, closed: bool = False) -> None:
-        self.choice.bad(now, probe.relay, self.times.failed)
-        self.probe_ends(probe, closed)
-
-    def probe_told(self, now: int, probe: Probe, fed: Any) -> None:
-        if not isinstance(fed, Fed):
-            self.probe_fails(now, probe)
+            self.decide(Action.CLOSE, probe.relay)
+        self.prober.probe = None
+
+    def fail_probe(self, now: int, probe: Probe, closed: bool = False) -> None:
+        """Ends the probe and excludes its relay for a while."""
+        self.selector.exclude(now, probe.relay, self.times.failed_exclusion)
+        self.end_probe(probe, closed)
+
+    def on_probe_answer(self, now: int, probe: Probe, answer: Any) -> None:
+        """Handles the answer to the probe: moves to its relay if that is justified."""
+        if not isinstance(answer, FollowAnswer):
+            self.fail_probe(now, probe)
             return
-        if fed.say == Say.OTHER and probe.mark and not self.foreign(now, probe.relay, probe.mark):
-            self.another_history(now, probe.relay)
-            self.doubts()
-        worth = self.looks.worth(now, probe, fed, self.copy.version, self.age(now))
-        if not worth or self.taking.what or self.foreign(now, probe.relay, probe.mark):
-            self.probe_ends(probe)
+        if (
+            answer.outcome == FollowOutcome.OTHER
+            and probe.mark
+            and not self.is_foreign(now, probe.relay, probe.mark)
+        ):
+            self.record_other_history(now, probe.relay)
+            self.check_own_copy()
+        worth = self.prober.is_better(now, probe, answer, self.copy.version, self.age(now))
+        if not worth or self.pending.what or self.is_foreign(now, probe.relay, probe.mark):
+            self.end_probe(probe)
             return
-        self.count("home again" if probe.home else "moved to a fresher one")
-        self.tell(f"moves from {self.relay} to {probe.relay}")
-        self.decide(Act.CLOSE, self.relay or "")
-        self.choice.good(probe.relay)
-        self.follows(now, probe.relay, probe.mark)
+        self.count("home again" if probe.is_first_choice else "moved to a fresher one")
+        self.log(f"moving from relay {self.relay} to relay {probe.relay}")
+        self.decide(Action.CLOSE, self.relay or "")
+        self.selector.on_success(probe.relay)
+        self.start_following(now, probe.relay, probe.mark)
--- a/lichencleat/config_distribution/looks.py
+++ b/lichencleat/config_distribution/looks.py
@@ -1,82 +1,96 @@
-"""When another relay is looked at while one is followed, and whether it is worth a move; no I/O.
+"""When another relay is probed while one is followed, and whether a move to it is justified; no I/O.
 
-A relay whose word is stale is kept until another one was asked and is fresher by a margin; looks for one get
-rarer with each round of all. So a place that is cut off as a whole stays where it is.
+A relay whose age is above the limit is followed until a probe finds one that is fresher by a margin; the
+probes get rarer with each round of all relays. So a site that is cut off as a whole stays with its relay.
 """
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from lichencleat.config_distribution.choice import Choice, Times
-from lichencleat.config_distribution.counts import aged
-from lichencleat.config_distribution.terms import Fed, Say
+from lichencleat.config_distribution.choice import RelaySelector, Timing
+from lichencleat.config_distribution.counts import age_after
+from lichencleat.config_distribution.terms import FollowAnswer, FollowOutcome
 
 
 @dataclass(slots=True)
 class Probe:
+    """The probe of one relay: a link and one request over it."""
+
     relay: str
-    until: int  # µs
-    home: bool  # it is an earlier choice; else: perhaps a fresher one
-    asked: int = -1  # µs; -1: its link is not open yet
+    deadline: int  # µs: deadline of the current step
+    is_first_choice: bool  # it is an earlier choice; else it may be fresher
+    asked_at: int = -1  # µs: when the request was sent; -1: its link is not open yet
     mark: bytes = b""
 
 
-class Looks:
-    """One at a time."""
+class RelayProber:
+    """Owns the probe, one at a time, and the times of the next ones."""
 
-    def __init__(self, choice: Choice, times: Times) -> None:
-        self.choice, self.times = choice, times
+    def __init__(self, selector: RelaySelector, times: Timing) -> None:
+        self.selector, self.times = selector, times
         self.probe: Probe | None = None
-        self.look_at: int | None = None  # µs: for a fresher one
-        self.home_at: int | None = None  # µs: whether an earlier choice is back
-
-    def follows(self, now: int, relay: str) -> None:
-        self.probe = self.look_at = self.home_at = None
-        if not self.choice.first(relay):
-            self.home_at = now + self.choice.draw(self.times.home)
-
-    def heard(self, now: int, age: int) -> None:
-        """What the one that is followed says of its age: looks for a fresher one begin, or end."""
-        if age <= self.times.stale:
-            self.look_at = None
-            self.choice.fresh()
-        elif self.look_at is None:
-            self.look_at = now + self.choice.look_span()
+        self.fresher_probe_at: int | None = None  # µs: next probe for a fresher relay
+        self.first_choice_probe_at: int | None = None  # µs: next probe of an earlier choice
+
+    def on_following(self, now: int, relay: str) -> None:
+        """Resets the probes, as another relay is followed."""
+        self.probe = self.fresher_probe_at = self.first_choice_probe_at = None
+        if not self.selector.is_first_choice(relay):
+            self.first_choice_probe_at = now + self.selector.draw(self.times.first_choice_probe_interval)
+
+    def on_age(self, now: int, age: int) -> None:
+        """Starts or ends the probes for a fresher relay, by the age that the followed one reports."""
+        if age <= self.times.stale_age:
+            self.fresher_probe_at = None
+            self.selector.reset_probe_interval()
+        elif self.fresher_probe_at is None:
+            self.fresher_probe_at = now + self.selector.draw_probe_delay()
 
     def deadline(self) -> int | None:
+        """µs: when the probe has to be looked at again; None: no probe is due."""
         if self.probe is not None:
-            return self.probe.until
-        return min((each for each in (self.look_at, self.home_at) if each is not None), default=None)
+            return self.probe.deadline
+        return min(
+            (each for each in (self.fresher_probe_at, self.first_choice_probe_at) if each is not None),
+            default=None,
+        )
 
-    def begins(self, now: int, relay: str, free: bool) -> str | None:
-        """The one to open, if the time has come; not while something is on its way (`free`)."""
+    def begin_probe(self, now: int, relay: str, free: bool) -> str | None:
+        """The relay to probe now, or None. `free`: no update is under way; else the probe is skipped."""
         if self.probe is not None:
             return None
-        home = self.home_at is not None and now >= self.home_at
+        home = self.first_choice_probe_at is not None and now >= self.first_choice_probe_at
         if home:
-            self.home_at = now + self.choice.draw(self.times.home)
-        elif self.look_at is not None and now >= self.look_at:
-            self.look_at = now + self.choice.look_span()
+            self.first_choice_probe_at = now + self.selector.draw(self.times.first_choice_probe_interval)
+        elif self.fresher_probe_at is not None and now >= self.fresher_probe_at:
+            self.fresher_probe_at = now + self.selector.draw_probe_delay()
         else:
             return None
         if not free:
             return None
-        other = self.choice.better(now, relay) if home else self.choice.looks(now, relay)
+        other = self.selector.earlier_choice(now, relay) if home else self.selector.next_to_probe(now, relay)
         if other is not None:
-            self.probe = Probe(other, now + self.times.opening, home)
+            self.probe = Probe(other, now + self.times.connect_timeout, home)
         return other
 
-    def opened(self, now: int, probe: Probe, mark: bytes) -> None:
-        probe.asked, probe.mark, probe.until = now, mark, now + self.times.patience
+    def on_opened(self, now: int, probe: Probe, mark: bytes) -> None:
+        """The link of the probe is open and the request is sent."""
+        probe.asked_at, probe.mark, probe.deadline = now, mark, now + self.times.answer_timeout
+
+    def is_better(self, now: int, probe: Probe, answer: FollowAnswer, version: int, age: int) -> bool:
+        """Whether the probed relay's answer justifies a move.
 
-    def worth(self, now: int, probe: Probe, fed: Fed, version: int, age: int) -> bool:
-        """`version`, `age`: of what is in force here. It has to say itself that it is better."""
-        if fed.say not in (Say.NEWS, Say.SAME, Say.SNAPSHOT) or fed.version < version:
+        `version`, `age`: in force here. The relay's version must not be lower.
+        """
+        if (
+            answer.outcome not in (FollowOutcome.NEWS, FollowOutcome.SAME, FollowOutcome.SNAPSHOT)
+            or answer.version < version
+        ):
             return False
-        if fed.version and not probe.mark:
+        if answer.version and not probe.mark:
             return False
-        its = aged(max(0, fed.age), now - probe.asked)
-        if probe.home:
-            return its <= max(self.times.stale, age)
-        return its + self.times.fresher < age
+        its = age_after(max(0, answer.age), now - probe.asked_at)
+        if probe.is_first_choice:
+            return its <= max(self.times.stale_age, age)
+        return its + self.times.min_age_gain < age
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -1,4 +1,4 @@
-"""`lichencleat distribution run`: one relay from its file, with its disk, signals and exit code."""
+"""`lichencleat distribution run`: runs one relay from its file, with its disk, signals and exit code."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from twisted.internet.defer import inlineCallbacks
 from twisted.internet.error import CannotListenError
 
-from lichencleat.config_distribution.file import RelayChoice
+from lichencleat.config_distribution.file import RelaySettings
 from lichencleat.config_distribution.relay import RelayProcess
 from lichencleat.config_distribution.table import Table
 from lichencleat.daemon import EXIT_CANNOT_START, EXIT_STOPPED, run_daemon
@@ -18,45 +18,53 @@
 from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
 
-STOP_MOST = 5.0  # s for the disk to take what it was given, once told to leave
+STOP_TIMEOUT_S = 5.0  # s for the disk to write pending changes during a shutdown
 
 
-class Running:
-    """Brings a relay up on the reactor, and down at a signal."""
+class RelayProgram:
+    """Starts a relay on the reactor, and stops it on a signal."""
 
-    def __init__(self, reactor: Any, chosen: RelayChoice) -> None:
-        self.reactor, self.chosen = reactor, chosen
+    def __init__(self, reactor: Any, settings: RelaySettings) -> None:
+        self.reactor, self.settings = reactor, settings
         self.rng = random.Random(os.urandom(16))
         self.exit_code = EXIT_STOPPED
         self.relay: RelayProcess | None = None
         self.stopping = self.stopped = False
         self.log = create_logger(
             unix_time,
-            chosen.log.form,
-            process=chosen.name,
+            settings.log.form,
+            process=settings.name,
             role="relay",
-            group=chosen.group,
+            group=settings.group,
             pid=os.getpid(),
         )
 
     @inlineCallbacks
     def start(self) -> Any:
-        chosen, kept = self.chosen, None
+        """Loads the stored version and starts the relay."""
+        settings, kept = self.settings, None
         table, mark, recent = Table(), b"", []
-        if chosen.directory is not None:
+        if settings.directory is not None:
             from lichencleat.config_distribution.kept import (
-                open_kept,  # off means not imported: memory counts
+                open_persisted_table,  # imported only if needed, to save memory
             )
 
             try:
-                # the real disk is opened by the store's own thread: it may block
-                disk = None if chosen.disk == "real" else open_disk(chosen.disk, chosen.directory)
-                kept = yield open_kept(
-                    self.reactor, chosen.directory, unix_time, self.rng, disk, chosen.group, self.disk_says
+                # the real disk is opened by the store's own thread, as that may block
+                disk = None if settings.disk == "real" else open_disk(settings.disk, settings.directory)
+                kept = yield open_persisted_table(
+                    self.reactor,
+                    settings.directory,
+                    unix_time,
+                    self.rng,
+                    disk,
+                    settings.group,
+                    self.log_disk_state,
                 )
                 table, mark, recent = yield kept.load()
-            except (StoreError, OSError) as wrong:  # it goes on without: what it lacks comes from above
-                self.disk_says(f"{wrong}; goes on without it")
+            # the relay works without the disk: it fetches what it lacks
+            except (StoreError, OSError) as error:
+                self.log_disk_state(f"{error}; the relay runs without it")
                 if kept is not None:
                     kept.close()
                 kept = None
@@ -65,39 +73,43 @@
             self.stop(EXIT_STOPPED)
             return
         try:
-            self.relay = RelayProcess(self.reactor, chosen, self.log, self.rng, table, mark, recent, kept)
-        except CannotListenError as wrong:
+            self.relay = RelayProcess(self.reactor, settings, self.log, self.rng, table, mark, recent, kept)
+        except CannotListenError as error:
             if kept is not None:
                 yield kept.close()
-            self.stop(EXIT_CANNOT_START, str(wrong))
+            self.stop(EXIT_CANNOT_START, str(error))
             return
-        self.log.info("started", listen=chosen.listen, version=table.version, records=table.records)
+        self.log.info("started", listen=settings.listen, version=table.version, records=table.records)
         self.relay.start()
 
-    def disk_says(self, what: str) -> None:
+    def log_disk_state(self, what: str) -> None:
+        """Logs a change of the disk's state."""
         self.log.warning("disk", says=what)
 
     def request_stop(self) -> None:
+        """Starts the shutdown; further calls have no effect."""
         if self.stopping:
             return
         self.stopping = True
-        self.reactor.callLater(STOP_MOST, self.stop, EXIT_STOPPED)  # guards the end, whatever the disk does
+        # ends the process even if the disk hangs
+        self.reactor.callLater(STOP_TIMEOUT_S, self.stop, EXIT_STOPPED)
         if self.relay is not None:
             self.relay.stop().addBoth(lambda _: self.stop(EXIT_STOPPED))
 
     def stop(self, code: int, reason: str = "") -> None:
+        """Logs the end and stops the reactor."""
         if self.stopped:
             return
         self.stopped, self.exit_code = True, code
         if reason:
-            self.log.warning("can't start", reason=reason)
+            self.log.warning("cannot start", reason=reason)
         else:
             counters = self.relay.counters() if self.relay is not None else {}
             self.log.info("stopped", code=code, **{name.replace(" ", "_"): n for name, n in counters.items()})
         self.reactor.callLater(0, self.reactor.stop)
 
 
-def run(chosen: RelayChoice) -> int:
-    """The exit code: 0 told to leave, 2 could not start."""
+def run(settings: RelaySettings) -> int:
+    """Runs the relay. Returns the exit code: 0 after a stop signal, 2 if it could not start."""
     reactor = make_reactor()
-    return run_daemon(reactor, Running(reactor, chosen))
+    return run_daemon(reactor, RelayProgram(reactor, settings))
--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -1,8 +1,7 @@
-"""Files of changes to publish: JSON Lines, one record a line, or YAML for a few; mistakes told with their
-place.
+"""Files of changes to publish: JSON Lines with one record a line, or YAML for a few; errors name the line.
 
-A file is gone through to its end before anything of it is used. Values are kept as JSON in one form (keys
-sorted, no spaces), so that the same value is the same bytes whoever wrote it down.
+A file is checked to its end before any of it is used. Values are stored as JSON in a canonical form (keys
+sorted, no spaces), so that the same value has the same bytes whoever wrote it.
 """
 
 from __future__ import annotations
@@ -20,29 +19,30 @@
 from lichencleat.config.document import YamlDocument
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config.loading import parse_config, read_config_text
-from lichencleat.config_distribution.pages import key_of
-from lichencleat.config_distribution.table import unfit_change
+from lichencleat.config_distribution.pages import encode_key
+from lichencleat.config_distribution.table import find_change_fault
 from lichencleat.config_distribution.terms import (
-    BATCH_BYTES,
-    BATCH_MOST,
-    KIND_MOST,
-    NAME_MOST,
-    RECORDS_MOST,
-    VALUE_MOST,
+    MAX_BATCH_BYTES,
+    MAX_BATCH_CHANGES,
+    MAX_KIND_CHARS,
+    MAX_NAME_BYTES,
+    MAX_RECORDS,
+    MAX_VALUE_BYTES,
     Change,
     encode,
 )
 
-LINES = ".jsonl"
-LINE_MOST = 64 << 10  # bytes of a line: a value of `VALUE_MOST` with each character escaped, and its name
-HEAD = 8  # bytes of a batch beside its changes
+JSON_LINES_SUFFIX = ".jsonl"
+# bytes of a line: a value of `MAX_VALUE_BYTES` with each character escaped, and its name
+MAX_LINE_BYTES = 64 << 10
+BATCH_HEADER_BYTES = 8  # bytes of a batch beside its changes
 
 
 class Record(Struct, forbid_unknown_fields=True, frozen=True):
-    """One as it is to be: with a value, or gone."""
+    """A record to be published: with a value, or removed."""
 
-    kind: Annotated[str, Meta(min_length=1, max_length=KIND_MOST)]
-    name: Annotated[str, Meta(min_length=1, max_length=NAME_MOST)]
+    kind: Annotated[str, Meta(min_length=1, max_length=MAX_KIND_CHARS)]
+    name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
     value: Any = UNSET
     gone: bool = False
 
@@ -57,20 +57,20 @@
 encode_value = msgspec.json.Encoder(order="sorted").encode
 
 
-class TwiceError(ValueError):
-    """A key that stands twice in one object."""
+class DuplicateKeyError(ValueError):
+    """A duplicate key in one object."""
 
 
 @dataclass(slots=True)
 class Summary:
-    """What a file holds."""
+    """The content of a file in figures."""
 
     set: int = 0  # records with a value
-    gone: int = 0
+    gone: int = 0  # records to be removed
     bytes: int = 0  # of all changes, encoded
-    batches: int = 0  # as many as it takes
+    batches: int = 0  # the number of batches needed
     kinds: Counter[str] = field(default_factory=Counter)
-    changes: tuple[Change, ...] = ()  # of the first batch: all, where there is one
+    changes: tuple[Change, ...] = ()  # of the first batch; all changes if there is only one batch
 
     @property
     def records(self) -> int:
@@ -78,21 +78,21 @@
 
 
 def check_file(path: str) -> Summary:
-    """All of it. Raises InvalidConfigError, one line, for the first mistake."""
+    """Checks the whole file. Raises InvalidConfigError, one line, for the first error."""
     summary = Summary()
 
     def counted() -> Iterator[Change]:
         seen: dict[bytes, int] = {}
         for line, change in read_changes(path):
-            key = key_of(change.kind, change.name)
+            key = encode_key(change.kind, change.name)
             if key in seen:
                 raise InvalidConfigError(
                     f"{path}, line {line}: {change.kind} {change.name!r} stands in line {seen[key]} already; "
                     "leave one of them out"
                 )
-            if len(seen) >= RECORDS_MOST:
+            if len(seen) >= MAX_RECORDS:
                 raise InvalidConfigError(
-                    f"{path}, line {line}: more than {RECORDS_MOST} records; no table has more"
+                    f"{path}, line {line}: more than {MAX_RECORDS} records, which is the maximum of a table"
                 )
             seen[key] = line
             summary.kinds[change.kind] += 1
@@ -106,19 +106,19 @@
         if summary.batches == 1:
             summary.changes = batch
     if not summary.batches:
-        raise InvalidConfigError(f"{path}: no records; write one a line")
+        raise InvalidConfigError(f"{path}: no records; write one record per line")
     return summary
 
 
 def split(changes: Iterable[Change]) -> Iterator[tuple[Change, ...]]:
-    """Batches of as many as fit, in order."""
+    """Batches of as many changes as fit, in order."""
     batch: list[Change] = []
-    size = HEAD
+    size = BATCH_HEADER_BYTES
     for change in changes:
         its = len(encode(change))
-        if batch and (len(batch) >= BATCH_MOST or size + its > BATCH_BYTES):
+        if batch and (len(batch) >= MAX_BATCH_CHANGES or size + its > MAX_BATCH_BYTES):
             yield tuple(batch)
-            batch, size = [], HEAD
+            batch, size = [], BATCH_HEADER_BYTES
         batch.append(change)
         size += its
     if batch:
@@ -126,111 +126,117 @@
 
 
 def read_changes(path: str) -> Iterator[tuple[int, Change]]:
-    """Line, from 1, and change. Raises InvalidConfigError where the file is wrong."""
-    return read_lines(path) if path.endswith(LINES) else read_yaml(path)
+    """Line number, from 1, and change. Raises InvalidConfigError if the file is invalid."""
+    return read_lines(path) if path.endswith(JSON_LINES_SUFFIX) else read_yaml(path)
 
 
-# -- JSON Lines --------------------------------------------------------------------------------------------
+# -- JSON Lines ------------------------------------------------------------------------------------------
 
 
 def read_lines(path: str) -> Iterator[tuple[int, Change]]:
+    """The changes of a JSON Lines file."""
     number = 0
     try:
         with open(path, "rb") as file:
-            while line := file.readline(LINE_MOST + 1):
+            while line := file.readline(MAX_LINE_BYTES + 1):
                 number += 1
-                if len(line) > LINE_MOST:
+                if len(line) > MAX_LINE_BYTES:
                     raise InvalidConfigError(
-                        f"{path}, line {number}: longer than {LINE_MOST} bytes; no record is"
+                        f"{path}, line {number}: longer than {MAX_LINE_BYTES} bytes, the maximum of a record"
                     )
                 if line.strip():
-                    yield number, of_line(path, number, line)
-    except OSError as wrong:
-        raise InvalidConfigError(f"{path}: {wrong.strerror}; name a file that can be read") from wrong
+                    yield number, parse_line(path, number, line)
+    except OSError as error:
+        raise InvalidConfigError(f"{path}: {error.strerror}; name a readable file") from error
 
 
-def of_line(path: str, number: int, line: bytes) -> Change:
+def parse_line(path: str, number: int, line: bytes) -> Change:
+    """The change of one line."""
     place = f"{path}, line {number}"
     try:
         record = decode_line(line)
-        json.loads(line, object_pairs_hook=once)
-    except TwiceError as wrong:
-        raise InvalidConfigError(f"{place}: {wrong}") from wrong
-    except msgspec.ValidationError as wrong:
-        raise InvalidConfigError(f"{place}: {said(str(wrong))}") from wrong
-    except (msgspec.DecodeError, ValueError, RecursionError) as wrong:  # what is no JSON, or no UTF-8
-        raise InvalidConfigError(f"{place}: not JSON: {wrong}; write one record a line") from wrong
-    return change_of(place, "", record)
-
-
-def once(pairs: list[tuple[str, Any]]) -> None:
-    """JSON takes the last of two equal keys in silence: here that is a mistake."""
+        json.loads(line, object_pairs_hook=reject_duplicate_keys)
+    except DuplicateKeyError as error:
+        raise InvalidConfigError(f"{place}: {error}") from error
+    except msgspec.ValidationError as error:
+        raise InvalidConfigError(f"{place}: {format_validation_error(str(error))}") from error
+    except (msgspec.DecodeError, ValueError, RecursionError) as error:  # invalid JSON or UTF-8
+        raise InvalidConfigError(f"{place}: not JSON: {error}; write one record per line") from error
+    return make_change(place, "", record)
+
+
+def reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> None:
+    """Rejects duplicate keys, of which JSON decoders silently take the last."""
     if len({key for key, _ in pairs}) < len(pairs):
         key = next(key for key, count in Counter(key for key, _ in pairs).items() if count > 1)
-        raise TwiceError(f"{key!r} stands twice; leave one out")
+        raise DuplicateKeyError(f"duplicate key {key!r}; remove one")
 
 
-def said(wrong: str) -> str:
-    """msgspec's words, the place first."""
-    what, _, where = wrong.partition(" - at `")
+def format_validation_error(fault: str) -> str:
+    """msgspec's message with the place first."""
+    what, _, where = fault.partition(" - at `")
     where = where.rstrip("`").removeprefix("$").lstrip(".")
     return f"{where or 'the record'}: {what}"
 
 
-# -- YAML --------------------------------------------------------------------------------------------------
+# -- YAML ------------------------------------------------------------------------------------------------
 
 
 def read_yaml(path: str) -> Iterator[tuple[int, Change]]:
+    """The changes of a YAML file."""
     chosen, place = parse_config(path, read_config_text(path), RecordsFile)
     for at, record in enumerate(chosen.records):
         where = f"$.records[{at}]"
         line = place.line_of(where) or 1
         if record.value is not UNSET:
-            wrong = no_json(record.value, [VALUE_MOST])
-            if wrong:
+            fault = find_json_fault(record.value, [MAX_VALUE_BYTES])
+            if fault:
                 raise InvalidConfigError(
-                    f"{path}, line {line_of(place, where, line)}: records[{at}].value: {wrong}"
+                    f"{path}, line {value_line(place, where, line)}: records[{at}].value: {fault}"
                 )
-        yield line, change_of(f"{path}, line {line}", f"records[{at}].", record)
+        yield line, make_change(f"{path}, line {line}", f"records[{at}].", record)
 
 
-def line_of(place: YamlDocument, where: str, line: int) -> int:
+def value_line(place: YamlDocument, where: str, line: int) -> int:
+    """The line of the record's value, or else `line`."""
     return place.line_of(f"{where}.value") or line
 
 
-def no_json(value: Any, room: list[int]) -> str:
-    """Why JSON can't say it; "" where it can. `room`: how many parts it may have at the most, as YAML may
-    name one part again and again.
+def find_json_fault(value: Any, parts_left: list[int]) -> str:
+    """Why the value has no JSON form; "" if it has one.
+
+    `parts_left`: how many parts it may have, as YAML can refer to one part many times.
     """
-    room[0] -= 1
-    if room[0] < 0:
-        return f"a value has at most {VALUE_MOST} bytes"
+    parts_left[0] -= 1
+    if parts_left[0] < 0:
+        return f"a value has at most {MAX_VALUE_BYTES} bytes"
     if isinstance(value, dict):
-        wrong = next((key for key in value if not isinstance(key, str)), None)
-        if wrong is not None:
-            return f"the key {wrong!r} is no text; put it in quotes"
-        return next(filter(None, (no_json(each, room) for each in value.values())), "")
+        bad_key = next((key for key in value if not isinstance(key, str)), None)
+        if bad_key is not None:
+            return f"the key {bad_key!r} is not a string; put it in quotes"
+        return next(filter(None, (find_json_fault(each, parts_left) for each in value.values())), "")
     if isinstance(value, list):
-        return next(filter(None, (no_json(each, room) for each in value)), "")
+        return next(filter(None, (find_json_fault(each, parts_left) for each in value)), "")
     if isinstance(value, float) and not math.isfinite(value):
-        return f"{value} is no number of JSON"
+        return f"{value} is not a JSON number"
     if value is None or isinstance(value, str | int | float):
         return ""
-    return f"{value!r} is a {type(value).__name__}, which JSON has not; put it in quotes"
+    return f"{value!r} is a {type(value).__name__}, which JSON does not have; put it in quotes"
 
 
-# -- both --------------------------------------------------------------------------------------------------
+# -- both formats ----------------------------------------------------------------------------------------
 
 
-def change_of(place: str, where: str, record: Record) -> Change:
+def make_change(place: str, where: str, record: Record) -> Change:
+    """The change that a record describes."""
     if record.gone == (record.value is not UNSET):
-        raise InvalidConfigError(f"{place}: {where}value: give a value, or 'gone: true', and not both")
+        raise InvalidConfigError(f"{place}: {where}value: give a value or 'gone: true', not both")
     try:
         value = None if record.gone else encode_value(record.value)
-    except (OverflowError, ValueError, RecursionError) as wrong:
-        raise InvalidConfigError(f"{place}: {where}value: {wrong}; write it as a text") from wrong
+    except (OverflowError, ValueError, RecursionError) as fault:
+        raise InvalidConfigError(f"{place}: {where}value: {fault}; write it as a string") from fault
     change = Change(record.kind, record.name, value)
-    wrong = unfit_change(change)
-    if wrong:
-        raise InvalidConfigError(f"{place}: {record.kind} {record.name[:NAME_MOST]!r}: {wrong}")
+    fault = find_change_fault(change)
+    if fault:
+        raise InvalidConfigError(f"{place}: {record.kind} {record.name[:MAX_NAME_BYTES]!r}: {fault}")
     return change
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -1,7 +1,8 @@
-"""One relay: a `Subscriber` above and a `Serving` below round one table, and its last version on a disk.
+"""A relay process: a `Subscriber` above and a `PublisherHost` below one table, and its last version on a
+disk.
 
-It serves what it has only once that is checked, and tells how old it is: after a start that is unknown, and
-told as older than any relay may be, until one above has answered. Who hangs on it goes elsewhere until then.
+It serves its version as soon as that is checked, with its age. After a start the age is unknown, which counts
+as older than any limit, until a process above has answered; subscribers prefer other relays until then.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
 
 from lichencleat.config.addresses import parse_address
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.file import RelayChoice
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.serving import Serving
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.file import RelaySettings
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.serving import PublisherHost
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
@@ -34,176 +35,189 @@
 from lichencleat.transport.inbound import InboundConnection, Listener
 
 if TYPE_CHECKING:
-    from lichencleat.config_distribution.kept import Kept  # off means not imported: memory counts
+    from lichencleat.config_distribution.kept import PersistedTable  # imported only if needed, to save memory
 
-COUNT = 200_000  # µs between sums of what is below: they are told once a second
-SWEEP = 5.0  # s between looks for links whose caller has not said who it is
+COUNT_INTERVAL_US = 200_000  # µs between sums of the counts below; they are sent once a second
+SWEEP_INTERVAL_S = 5.0  # s between checks for links without a greeting
 SECOND = 1_000_000  # µs
 
 
 class RelayProcess:
-    """Owns the door, the links above, the timers and the disk; given back in `stop`."""
+    """Owns the listener, the links above, the timers and the disk; `stop` releases them."""
 
     def __init__(
         self,
         reactor: Any,
-        chosen: RelayChoice,
+        settings: RelaySettings,
         log: EventLogger,
         rng: random.Random,
         table: Table,
         mark: bytes = b"",
         recent: Sequence[Batch] = (),
-        kept: Kept | None = None,
+        kept: PersistedTable | None = None,
     ) -> None:
-        """`table`, `mark`, `recent`: as they were kept. Raises CannotListenError."""
-        self.reactor, self.chosen, self.log, self.kept = reactor, chosen, log, kept
-        self.table, self.mark, self.kept_mark = table, mark, mark
+        """`table`, `mark`, `recent`: from the disk. Raises CannotListenError."""
+        self.reactor, self.settings, self.log, self.kept = reactor, settings, log, kept
+        self.table, self.mark, self.persisted_mark = table, mark, mark
         self.copy = TableCopy(table, mark)
         self.counts: dict[str, int] = {}
-        self.silent: set[InboundConnection] = set()  # links without a greeting at the last look
+        self.silent: set[InboundConnection] = set()  # links without a greeting at the last check
         self.counted_at = 0
         self.stopped = False
         now = self.now()
-        self.feeder = Feeder(chosen.name, chosen.zone, table, now, recent)
-        self.serving = Serving(reactor, self.feeder, self.now, log, self.also)
-        tiers = tuple(map(tuple, chosen.sources))
-        self.follower = Follower(tiers, self.copy, rng, now, False, chosen.zone)
+        self.publisher = Publisher(settings.name, settings.zone, table, now, recent)
+        self.serving = PublisherHost(reactor, self.publisher, self.now, log, self.status_fields)
+        tiers = tuple(map(tuple, settings.sources))
+        self.follower = RelayFollower(tiers, self.copy, rng, now, False, settings.zone)
         self.subscriber = Subscriber(
             reactor,
-            chosen.group,
-            chosen.name,
+            settings.group,
+            settings.name,
             self.follower,
             self.copy,
             rng,
             log,
             self.now,
-            self.taken,
-            self.heard,
-            self.before,
+            self.on_applied,
+            self.on_answer,
+            self.update_counts,
         )
-        self.door = Listener(reactor, self, *parse_address(chosen.listen))
-        self.sweeping = reactor.callLater(SWEEP, self.sweep)
+        self.listener = Listener(reactor, self, *parse_address(settings.listen))
+        self.sweeping = reactor.callLater(SWEEP_INTERVAL_S, self.close_silent_links)
 
     def now(self) -> int:
+        """µs on the monotonic clock."""
         return int(self.reactor.seconds() * SECOND)
 
     def start(self) -> None:
+        """Opens the first link above."""
         self.subscriber.start()
 
     def stop(self) -> Deferred[None]:
-        """Asks and answers no more; fires once the disk has what it was given."""
+        """Stops asking and answering; fires once the disk has the pending changes."""
         if self.stopped:
             return succeed(None)
         self.stopped = True
         self.sweeping.cancel()
         self.subscriber.stop()
         self.serving.close()
-        self.door.close()
+        self.listener.close()
         return self.kept.close() if self.kept is not None else succeed(None)
 
-    # -- from above ------------------------------------------------------------------------------------
+    # -- events from above -------------------------------------------------------------------------------
 
-    def before(self) -> None:
-        """Before anything is asked above: what is below, as of now."""
+    def update_counts(self) -> None:
+        """Updates the counts of what is below, before a request is sent above."""
         now = self.now()
-        if now - self.counted_at >= COUNT:
+        if now - self.counted_at >= COUNT_INTERVAL_US:
             self.counted_at = now
-            self.follower.below = self.feeder.counts(now)
+            self.follower.counts_below = self.publisher.counts(now)
 
-    def heard(self) -> None:
+    def on_answer(self) -> None:
+        """An answer from above changed the age or reported the group's mark."""
         now = self.now()
-        self.feeder.known(now, self.follower.age(now))
-        self.learns()
+        self.publisher.set_age(now, self.follower.age(now))
+        self.adopt_group_mark()
 
-    def taken(self, batches: tuple[Batch, ...]) -> None:
+    def on_applied(self, batches: tuple[Batch, ...]) -> None:
+        """The table applied these batches; (): a snapshot."""
         now = self.now()
-        self.learns()
-        self.feeder.grew(now, batches)
-        self.feeder.known(now, self.follower.age(now))
+        self.adopt_group_mark()
+        self.publisher.on_applied(now, batches)
+        self.publisher.set_age(now, self.follower.age(now))
         if self.kept is not None:
             if batches:
-                self.kept.wrote(self.table, batches)
+                self.kept.on_batches_applied(self.table, batches)
             else:
-                self.kept.replaced(self.table)
+                self.kept.on_snapshot_applied(self.table)
         self.log.info(
-            "takes" if batches else "takes a snapshot",
+            "applied batches" if batches else "applied a snapshot",
             version=self.table.version,
             batches=len(batches),
             records=self.table.records,
         )
-        self.serving.stir()
+        self.serving.schedule_pull()
 
-    def learns(self) -> None:
-        """Which group it is: that of what it has, before that the one above's. Who was greeted without it is
-        greeted again, so that a first start has nobody come twice; who was told another one has to come anew.
+    def adopt_group_mark(self) -> None:
+        """Adopts the group's mark: that of its table, or before that of the relay above.
+
+        Links accepted without a mark get a second greeting, so that nobody has to reconnect at a first start;
+        links that were given another mark are closed.
         """
-        if self.copy.mark != self.kept_mark:
-            self.kept_mark = self.copy.mark
+        if self.copy.mark != self.persisted_mark:
+            self.persisted_mark = self.copy.mark
             if self.kept is not None:
-                self.kept.mark(self.kept_mark)
+                self.kept.set_group_mark(self.persisted_mark)
         past, self.mark = self.mark, self.copy.mark or self.follower.mark or self.mark
         if past == self.mark:
             return
-        self.log.info("joins", mark=self.mark.hex())
-        for link in [each for each in self.door.connections if each.is_accepted]:
+        self.log.info("joined the group", mark=self.mark.hex())
+        for link in [each for each in self.listener.connections if each.is_accepted]:
             if past:
                 link.transport.loseConnection()
             else:
-                link.send(self.word(GreetingResult.ACCEPTED))
+                link.send(self.greeting_response(GreetingResult.ACCEPTED))
 
-    def word(self, welcome: GreetingResult) -> GreetingResponse:
-        return GreetingResponse(welcome, self.mark, 0, self.chosen.name, Incarnation(0, 0))
+    def greeting_response(self, welcome: GreetingResult) -> GreetingResponse:
+        """The response to a greeting."""
+        return GreetingResponse(welcome, self.mark, 0, self.settings.name, Incarnation(0, 0))
 
-    # -- the door's owner ------------------------------------------------------------------------------
+    # -- events of the listener --------------------------------------------------------------------------
 
     def on_greeting(self, link: InboundConnection, greeting: Greeting) -> None:
+        """Accepts links of its own group and closes others."""
         mine = (
             greeting.format_version == FORMAT_VERSION
-            and greeting.cluster_name == self.chosen.group
+            and greeting.cluster_name == self.settings.group
             and greeting.member_id == 0
         )
         if greeting.cluster_id and self.mark and greeting.cluster_id != self.mark:
             mine = False
         link.is_accepted = mine
-        link.send(self.word(GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER))
+        link.send(self.greeting_response(GreetingResult.ACCEPTED if mine else GreetingResult.WRONG_CLUSTER))
         if not mine:
             self.count("turned away")
-            self.log.warning("turns away", who=greeting.caller_name, group=greeting.cluster_name)
+            self.log.warning(
+                "rejected a link of another group", who=greeting.caller_name, group=greeting.cluster_name
+            )
             link.transport.loseConnection()
 
     def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
-        if self.serving.wants(request.operation):
-            self.serving.asked(link, request)
+        """Passes requests for the distribution on and declines others."""
+        if self.serving.handles(request.operation):
+            self.serving.on_request(link, request)
         else:
             self.count("questions of another kind")
             link.reply(ClientResponse(request.number, False, encode_raw("unfit")))
 
     def on_disconnected(self, link: InboundConnection, member_id: int) -> None:
+        """Forgets the link."""
         self.silent.discard(link)
-        self.serving.hung_up(link)
+        self.serving.on_disconnected(link)
 
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
 
     def on_peer_message(self, message: object) -> None:
+        """Counts a frame that no relay expects."""
         self.count("frames out of place")
 
-    def sweep(self) -> None:
-        """Ends links whose caller has said nothing since the last look: the door's places are few."""
+    def close_silent_links(self) -> None:
+        """Closes links without a greeting since the last check, as the listener's places are few."""
         for link in self.silent:
             self.count("silent callers")
             link.transport.abortConnection()
-        self.silent = {each for each in self.door.connections if each.greeting is None}
-        self.sweeping = self.reactor.callLater(SWEEP, self.sweep)
+        self.silent = {each for each in self.listener.connections if each.greeting is None}
+        self.sweeping = self.reactor.callLater(SWEEP_INTERVAL_S, self.close_silent_links)
 
     def counters(self) -> dict[str, int]:
-        """All that this process counts, of its door, what it answers and what it asks."""
-        told = dict(self.counts)
-        for part in (self.feeder.counters, self.serving.counts, self.subscriber.counters()):
+        """All counters of this process: of its listener, of the answers below and of the requests above."""
+        totals = dict(self.counts)
+        for part in (self.publisher.counters, self.serving.counts, self.subscriber.counters()):
             for what, number in part.items():
-                told[what] = told.get(what, 0) + number
-        return told
+                totals[what] = totals.get(what, 0) + number
+        return totals
 
-    def also(self) -> dict[str, Any]:
-        """For `status`, beside the feeder's word."""
+    def status_fields(self) -> dict[str, Any]:
+        """What `status` shows beside the publisher's state."""
         return {"above": self.follower.relay or "", "counters": dict(sorted(self.counters().items()))}
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -1,7 +1,8 @@
-"""The host round a `Follower`: opens links to relays, asks, and has what came staged in slices and taken.
+"""The host of a `RelayFollower`: opens links to relays, sends requests, and has updates staged in slices and
+applied.
 
-One slice a turn of the reactor, so that a node's callers wait for none. An answer that can't be decoded ends
-the link that it came over, counted.
+One slice per turn of the reactor, so that a node's clients don't wait for all of it. An answer that can't be
+decoded ends its link and is counted.
 """
 
 from __future__ import annotations
@@ -15,19 +16,19 @@
 from twisted.internet.protocol import ClientFactory
 
 from lichencleat.config.addresses import parse_address
-from lichencleat.config_distribution.acts import Act, Decision
+from lichencleat.config_distribution.acts import Action, Decision
 from lichencleat.config_distribution.copy import Copy
-from lichencleat.config_distribution.counts import OLDEST
+from lichencleat.config_distribution.counts import MAX_AGE_US
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.follow import RelayFollower
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
     PAGES_OF,
     Batch,
-    decode_digests,
-    decode_fed,
-    decode_pages,
+    decode_follow_answer,
+    decode_pages_answer,
+    decode_snapshot_head,
 )
 from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.log.interfaces import EventLogger
@@ -42,121 +43,128 @@
 )
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
-CALL = 1.5  # s for a connection to open; the follower's patience is shorter, and counts until it is greeted
-AGAIN = 0.1  # s until decisions are pulled again after one that failed
+# s for a connection to open; the follower's own limit is shorter and includes the greeting
+CONNECT_TIMEOUT_S = 1.5
+RETRY_DELAY_S = 0.1  # s until decisions are pulled again after an error
 SECOND = 1_000_000  # µs
 
-DECODE: dict[str, Callable[[bytes], Any]] = {
-    FOLLOW: decode_fed,
-    DIGESTS: decode_digests,
-    PAGES_OF: decode_pages,
+ANSWER_DECODERS: dict[str, Callable[[bytes], Any]] = {
+    FOLLOW: decode_follow_answer,
+    DIGESTS: decode_snapshot_head,
+    PAGES_OF: decode_pages_answer,
 }
-decode_why = msgspec.msgpack.Decoder(str).decode
+decode_reason = msgspec.msgpack.Decoder(str).decode
 
 
-class Upward(FramedProtocol):
+class RelayLink(FramedProtocol):
     """The link to a relay."""
 
-    def __init__(self, way: Way) -> None:
-        self.way = way
+    def __init__(self, attempt: RelayAttempt) -> None:
+        self.attempt = attempt
 
     def connectionMade(self) -> None:
         self.transport.setTcpNoDelay(True)
         self.transport.setTcpKeepAlive(True)
-        host = self.way.host
-        self.send(Greeting(FORMAT_VERSION, host.copy.mark, host.group, 0, 0, Incarnation(0, 0), host.who))
+        host = self.attempt.host
+        self.send(
+            Greeting(FORMAT_VERSION, host.copy.mark, host.group, 0, 0, Incarnation(0, 0), host.caller_name)
+        )
 
     def stringReceived(self, data: bytes) -> None:
         frame = self.read(data)
-        if isinstance(frame, GreetingResponse) and self.way.link is None:
-            self.way.greeted(self, frame)
-        elif isinstance(frame, GreetingResponse) and self.way.link is self and not self.way.mark:
-            self.way.learned(frame)
-        elif isinstance(frame, ClientResponse) and self.way.link is self:
-            self.way.replied(frame)
+        if isinstance(frame, GreetingResponse) and self.attempt.link is None:
+            self.attempt.on_greeting_response(self, frame)
+        elif isinstance(frame, GreetingResponse) and self.attempt.link is self and not self.attempt.mark:
+            self.attempt.on_group_learned(frame)
+        elif isinstance(frame, ClientResponse) and self.attempt.link is self:
+            self.attempt.on_response(frame)
         elif frame is None:
-            self.way.end("a frame that can't be read", "frames that can't be read")
+            self.attempt.end("its frame could not be decoded", "frames that can't be read")
         else:
-            self.way.end("a frame out of place", "frames out of place")
+            self.attempt.end("it sent an unexpected frame", "frames out of place")
 
     def connectionLost(self, reason: Any = None) -> None:
-        self.way.end("the connection ended")
+        self.attempt.end("the connection ended")
 
 
-class Way(ClientFactory):
-    """One try at one relay, from its opening to its end; a later one is another Way. It has no timer: the
-    follower gives up who opens no link or says nothing.
+class RelayAttempt(ClientFactory):
+    """One attempt at one relay, from opening the link to its end.
+
+    It has no timer: the follower gives up relays that don't open the link or don't answer.
     """
 
     noisy = False
 
     def __init__(self, host: Subscriber, relay: str) -> None:
         self.host, self.relay = host, relay
-        self.link: Upward | None = None  # greeted and welcome
-        self.mark = b""  # of its group, as it said
-        self.number = 0  # of the last question
-        self.what = ""  # of the open question
+        self.link: RelayLink | None = None  # once the relay has accepted the greeting
+        self.mark = b""  # the group's mark, as the relay reported it
+        self.number = 0  # of the last request
+        self.open_operation = ""  # of the open request
         self.ended = False
         where, port = parse_address(relay)
-        self.connector = host.reactor.connectTCP(where, port, self, timeout=CALL)
+        self.connector = host.reactor.connectTCP(where, port, self, timeout=CONNECT_TIMEOUT_S)
 
-    def buildProtocol(self, address: Any) -> Upward:
-        return Upward(self)
+    def buildProtocol(self, address: Any) -> RelayLink:
+        return RelayLink(self)
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
-        self.end("no connection")
+        self.end("the connection could not be opened")
 
-    def greeted(self, link: Upward, answer: GreetingResponse) -> None:
+    def on_greeting_response(self, link: RelayLink, answer: GreetingResponse) -> None:
+        """The relay has answered the greeting."""
         if answer.result != GreetingResult.ACCEPTED:
-            self.end("is of another group", "turned away")
+            self.end("it belongs to another group", "turned away")
             return
         self.link, self.mark = link, answer.cluster_id
-        self.host.opened(self)
+        self.host.on_opened(self)
 
-    def learned(self, answer: GreetingResponse) -> None:
-        """It did not know its group when it was called, and does now."""
+    def on_group_learned(self, answer: GreetingResponse) -> None:
+        """The relay didn't know its group's mark when the link was opened, and now does."""
         if (
             answer.result != GreetingResult.ACCEPTED
             or (self.host.copy.mark or answer.cluster_id) != answer.cluster_id
         ):
-            self.end("is of another group", "turned away")
+            self.end("it belongs to another group", "turned away")
             return
         self.mark = answer.cluster_id
-        self.host.learned(self)
+        self.host.on_group_learned(self)
 
     def ask(self, what: str, content: Any) -> None:
+        """Sends a request."""
         assert self.link is not None
         self.number += 1
-        self.what = what
+        self.open_operation = what
         self.link.send(ClientRequest(self.number, what, encode_raw(content)))
 
-    def replied(self, reply: ClientResponse) -> None:
-        if reply.number != self.number or not self.what:
-            self.end("an answer to no question", "frames out of place")
+    def on_response(self, reply: ClientResponse) -> None:
+        """The relay has answered a request."""
+        if reply.number != self.number or not self.open_operation:
+            self.end("it sent an answer without a request", "frames out of place")
             return
-        what, self.what = self.what, ""
+        what, self.open_operation = self.open_operation, ""
         content, why = None, ""
         try:
             if reply.done:
-                content = DECODE[what](reply.content)
+                content = ANSWER_DECODERS[what](reply.content)
             else:
-                why = decode_why(reply.content)
+                why = decode_reason(reply.content)
         except UNDECODABLE:
-            self.end("an answer that can't be read", "answers that can't be read")
+            self.end("its answer could not be decoded", "answers that can't be read")
             return
-        self.host.told(self, what, content, why)
+        self.host.on_answer(self, what, content, why)
 
     def end(self, why: str, counted: str = "") -> None:
-        """Of itself, the other end or the network: told once."""
+        """Ends the attempt and reports that once to the host."""
         if self.ended:
             return
         if counted:
             self.host.count(counted)
         self.drop()
-        self.host.lost(self, why)
+        self.host.on_lost(self, why)
 
     def drop(self) -> None:
-        """Without a word: the follower wants it no more."""
+        """Closes the link without a report: the follower has decided it."""
         self.ended = True
         if self.link is not None:
             self.link.transport.abortConnection()
@@ -165,34 +173,36 @@
 
 
 class Subscriber:
-    """Owns the links to relays and the timers; given back in `stop`."""
+    """Owns the links to relays and the timers; `stop` releases them."""
 
     def __init__(
         self,
         reactor: Any,
         group: str,
-        who: str,
-        follower: Follower,
+        caller_name: str,
+        follower: RelayFollower,
         copy: Copy,
         rng: random.Random,
         log: EventLogger,
         now: Callable[[], int] | None = None,
-        on_taken: Callable[[tuple[Batch, ...]], None] = lambda batches: None,
-        on_told: Callable[[], None] = lambda: None,
-        before: Callable[[], None] = lambda: None,
+        on_applied: Callable[[tuple[Batch, ...]], None] = lambda batches: None,
+        on_answered: Callable[[], None] = lambda: None,
+        before_pull: Callable[[], None] = lambda: None,
     ) -> None:
-        """`group`: its name; `who` calls, for the relays' logs; `now`: µs on the monotonic clock.
+        """`group`: its name; `caller_name`: this process's name in the relays' logs; `now`: µs on the
+        monotonic clock.
 
-        Called after something was taken: `on_taken`, with the batches, or none for a snapshot; after each
-        answer: `on_told`; before decisions are pulled: `before`, for what is below to be told.
+        Callbacks: `on_applied` after an update was applied, with its batches, () for a snapshot;
+        `on_answered` after each answer; `before_pull` before decisions are pulled, to update the counts
+        below.
         """
-        self.reactor, self.group, self.who, self.rng, self.log = reactor, group, who, rng, log
+        self.reactor, self.group, self.caller_name, self.rng, self.log = reactor, group, caller_name, rng, log
         self.follower, self.copy = follower, copy
         self.now = now or (lambda: int(reactor.seconds() * SECOND))
-        self.on_taken, self.on_told, self.before = on_taken, on_told, before
-        self.ways: dict[str, Way] = {}
+        self.on_applied, self.on_answered, self.before_pull = on_applied, on_answered, before_pull
+        self.attempts: dict[str, RelayAttempt] = {}
         self.counts: dict[str, int] = {}
-        self.begun = self.stopped = self.stirred = False
+        self.started = self.stopped = self.pull_scheduled = False
         self.timer: Any = None
         self.stepping: Any = None
 
@@ -200,124 +210,141 @@
         self.counts[what] = self.counts.get(what, 0) + 1
 
     def start(self) -> None:
-        self.begun = True
-        self.stir()
+        """Starts to follow a relay."""
+        self.started = True
+        self.schedule_pull()
 
     def stop(self) -> None:
+        """Closes all links and timers."""
         self.stopped = True
         for timer in (self.timer, self.stepping):
             if timer is not None and timer.active():
                 timer.cancel()
         self.timer = self.stepping = None
-        for way in list(self.ways.values()):
-            way.drop()
-        self.ways.clear()
-
-    # -- what happened ---------------------------------------------------------------------------------
-
-    def opened(self, way: Way) -> None:
-        if self.ways.get(way.relay) is way:
-            self.follower.opened(self.now(), way.relay, way.mark)
-            self.stir()
-
-    def learned(self, way: Way) -> None:
-        if self.ways.get(way.relay) is way and self.follower.relay == way.relay:
-            self.follower.mark = way.mark
-            self.on_told()
-
-    def told(self, way: Way, what: str, content: Any, why: str) -> None:
-        if self.ways.get(way.relay) is way:
-            self.follower.told(self.now(), way.relay, what, content, why)
-            self.on_told()
-            self.stir()
-
-    def lost(self, way: Way, why: str) -> None:
-        if self.ways.get(way.relay) is way:
-            del self.ways[way.relay]
-            self.follower.lost(self.now(), way.relay, why)
-            self.stir()
-
-    def wake(self) -> None:
+        for attempt in list(self.attempts.values()):
+            attempt.drop()
+        self.attempts.clear()
+
+    # -- events ------------------------------------------------------------------------------------------
+
+    def on_opened(self, attempt: RelayAttempt) -> None:
+        """The attempt's link is open and accepted."""
+        if self.attempts.get(attempt.relay) is attempt:
+            self.follower.on_link_opened(self.now(), attempt.relay, attempt.mark)
+            self.schedule_pull()
+
+    def on_group_learned(self, attempt: RelayAttempt) -> None:
+        """The followed relay has reported its group's mark."""
+        if self.attempts.get(attempt.relay) is attempt and self.follower.relay == attempt.relay:
+            self.follower.mark = attempt.mark
+            self.on_answered()
+
+    def on_answer(self, attempt: RelayAttempt, what: str, content: Any, why: str) -> None:
+        """The attempt's relay has answered."""
+        if self.attempts.get(attempt.relay) is attempt:
+            self.follower.on_answer(self.now(), attempt.relay, what, content, why)
+            self.on_answered()
+            self.schedule_pull()
+
+    def on_lost(self, attempt: RelayAttempt, why: str) -> None:
+        """The attempt has ended."""
+        if self.attempts.get(attempt.relay) is attempt:
+            del self.attempts[attempt.relay]
+            self.follower.on_link_lost(self.now(), attempt.relay, why)
+            self.schedule_pull()
+
+    def on_timer(self) -> None:
+        """The follower's deadline has passed."""
         self.timer = None
-        self.follower.wakes(self.now())
-        self.stir()
+        self.follower.on_timer(self.now())
+        self.schedule_pull()
 
     def step(self) -> None:
-        """One slice of what is staged."""
+        """Processes one slice of the staged update."""
         self.stepping = None
         try:
             ready: bool | None = self.copy.step()
-        except TableError as wrong:
-            self.log.warning("spoilt", why=str(wrong), relay=self.follower.relay or "")
+        except TableError as error:
+            self.log.warning("received corrupt data", why=str(error), relay=self.follower.relay or "")
             ready = None
-        except Exception:  # guards the node: whatever was staged is not taken
-            self.trouble()
+        except Exception:  # the node keeps running; the staged update is discarded
+            self.log_error()
             ready = None
-        self.follower.stepped(self.now(), ready)
-        self.pull()  # in this turn: what was taken is told before anything else is read
+        self.follower.on_stepped(self.now(), ready)
+        self.pull()  # in this turn: an applied update is reported before anything else is read
 
-    def stir(self) -> None:
-        if self.begun and not self.stirred and not self.stopped:
-            self.stirred = True
+    def schedule_pull(self) -> None:
+        """Has decisions pulled in the next turn, once."""
+        if self.started and not self.pull_scheduled and not self.stopped:
+            self.pull_scheduled = True
             self.reactor.callLater(0, self.pull)
 
-    # -- decisions -------------------------------------------------------------------------------------
+    # -- decisions ---------------------------------------------------------------------------------------
 
     def pull(self) -> None:
-        self.stirred = False
+        """Pulls the follower's decisions and carries them out."""
+        self.pull_scheduled = False
         if self.stopped:
             return
         try:
-            self.before()
+            self.before_pull()
             while not self.stopped and (decision := self.follower.next_decision(self.now())) is not None:
                 self.carry_out(decision)
-        except Exception:  # guards the node: it goes on with what it has
-            self.trouble()
-            self.arm(AGAIN)
+        except Exception:  # the node keeps its version
+            self.log_error()
+            self.set_timer(RETRY_DELAY_S)
             return
         if not self.stopped:
-            self.arm(max(0, self.follower.deadline() - self.now()) / SECOND)
+            self.set_timer(max(0, self.follower.deadline() - self.now()) / SECOND)
 
-    def trouble(self) -> None:
+    def log_error(self) -> None:
+        """Counts and logs an unexpected error."""
         self.count("errors")
-        self.log.warning("error", trace=traceback.format_exc(limit=-3).replace("\n", " | "))
+        self.log.warning(
+            "unexpected error while following a relay",
+            trace=traceback.format_exc(limit=-3).replace("\n", " | "),
+        )
 
-    def arm(self, span: float) -> None:
+    def set_timer(self, span: float) -> None:
+        """Sets the timer for the next pull; `span` in seconds."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
-        self.timer = self.reactor.callLater(span, self.wake)
+        self.timer = self.reactor.callLater(span, self.on_timer)
 
     def carry_out(self, decision: Decision) -> None:
+        """Carries out one decision of the follower."""
         act = decision.act
-        if act is Act.OPEN:
+        if act is Action.OPEN:
             self.drop(decision.relay)
-            self.ways[decision.relay] = Way(self, decision.relay)
-        elif act is Act.CLOSE:
+            self.attempts[decision.relay] = RelayAttempt(self, decision.relay)
+        elif act is Action.CLOSE:
             self.drop(decision.relay)
-        elif act is Act.ASK:
-            way = self.ways.get(decision.relay)
-            if way is not None and way.link is not None:
-                way.ask(decision.what, decision.content)
-        elif act is Act.STEP:
+        elif act is Action.ASK:
+            attempt = self.attempts.get(decision.relay)
+            if attempt is not None and attempt.link is not None:
+                attempt.ask(decision.what, decision.content)
+        elif act is Action.STEP:
             if self.stepping is None:
                 self.stepping = self.reactor.callLater(0, self.step)
-        elif act is Act.TAKEN:
-            self.on_taken(decision.batches)
-        elif act is Act.TELL:
+        elif act is Action.APPLIED:
+            self.on_applied(decision.batches)
+        elif act is Action.LOG:
             self.log.info(decision.text)
 
     def drop(self, relay: str) -> None:
-        way = self.ways.pop(relay, None)
-        if way is not None:
-            way.drop()
+        """Ends the attempt at that relay, if there is one."""
+        attempt = self.attempts.pop(relay, None)
+        if attempt is not None:
+            attempt.drop()
 
-    # -- what it believes ------------------------------------------------------------------------------
+    # -- state -------------------------------------------------------------------------------------------
 
-    def beliefs(self) -> str:
+    def describe_state(self) -> str:
+        """Version, age and relay in one line."""
         age = self.follower.age(self.now())
-        said = f"{age / SECOND:.1f} s" if age < OLDEST else "unknown"
-        return f"version {self.copy.version}, age {said}, relay {self.follower.relay or 'none'}"
+        age_text = f"{age / SECOND:.1f} s" if age < MAX_AGE_US else "unknown"
+        return f"version {self.copy.version}, age {age_text}, relay {self.follower.relay or 'none'}"
 
     def counters(self) -> dict[str, int]:
-        """All that was counted, of links and of what came over them."""
+        """All counters, of the links and of the updates."""
         return {**self.follower.counters, **self.counts}
--- a/lichencleat/node/tenants.py
+++ b/lichencleat/node/tenants.py
@@ -13,14 +13,14 @@
 from twisted.internet.defer import Deferred, inlineCallbacks, succeed
 
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.follow import RelayFollower
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import Batch
 from lichencleat.store.errors import StoreError
 
 if TYPE_CHECKING:
-    from lichencleat.config_distribution.kept import Kept
+    from lichencleat.config_distribution.kept import PersistedTable
 
 TENANT = "tenant"  # kind of the distributed records whose names are the tenants
 SECOND = 1_000_000  # µs
@@ -85,7 +85,7 @@
         self.reactor, self.name, self.config, self.unix_time, self.rng = reactor, name, config, unix_time, rng
         self.report, self.log = report, PrefixedLog(report.events())
         self.tenants = Tenants(settings)
-        self.store: Kept | None = None
+        self.store: PersistedTable | None = None
         self.mark = b""  # mark of the group in the copy on disk; empty before it is known
         self.subscriber: Subscriber | None = None
         self.is_stopped = False
@@ -96,16 +96,16 @@
         table = Table()
         if self.config.directory is not None:
             # imported only with a copy on disk, to save memory
-            from lichencleat.config_distribution.kept import open_kept
+            from lichencleat.config_distribution.kept import open_persisted_table
 
             try:
-                self.store = yield open_kept(
+                self.store = yield open_persisted_table(
                     self.reactor,
                     self.config.directory,
                     self.unix_time,
                     self.rng,
                     group=self.config.group,
-                    tell=self.log_store_error,
+                    report=self.log_store_error,
                 )
                 table, self.mark, _ = yield self.store.load()
             except (StoreError, OSError) as error:  # the relays then send the table
@@ -130,7 +130,7 @@
             self.tenants.table = table
         now = int(self.reactor.seconds() * SECOND)
         tiers = tuple(map(tuple, self.config.sources))
-        follower = Follower(tiers, copy, self.rng, now, True, self.config.zone)
+        follower = RelayFollower(tiers, copy, self.rng, now, True, self.config.zone)
         self.subscriber = Subscriber(
             self.reactor,
             self.config.group,
@@ -139,8 +139,8 @@
             copy,
             self.rng,
             self.log,
-            on_taken=self.on_batches_taken,
-            on_told=self.on_version_known,
+            on_applied=self.on_batches_taken,
+            on_answered=self.on_version_known,
         )
         self.subscriber.start()
 
@@ -150,16 +150,16 @@
             return
         table = self.subscriber.copy.table
         if batches:
-            self.store.wrote(table, batches)
+            self.store.on_batches_applied(table, batches)
         else:
-            self.store.replaced(table)
+            self.store.on_snapshot_applied(table)
 
     def on_version_known(self) -> None:
         """Store the mark of the group if it has changed; it arrives with the first version."""
         if self.subscriber is not None and self.subscriber.copy.mark != self.mark:
             self.mark = self.subscriber.copy.mark
             if self.store is not None:
-                self.store.mark(self.mark)
+                self.store.set_group_mark(self.mark)
 
     def stop(self) -> Deferred[None]:
         """Unsubscribe; the returned Deferred fires once all changes are written to disk."""
@@ -178,4 +178,4 @@
     def describe(self) -> str:
         """Return the distribution part of the status line."""
         self.update_counters()
-        return self.subscriber.beliefs() if self.subscriber is not None else "reads its disk"
+        return self.subscriber.describe_state() if self.subscriber is not None else "reads its disk"
--- a/lichencleat/testkit/cluster/mistakes.py
+++ b/lichencleat/testkit/cluster/mistakes.py
@@ -11,11 +11,11 @@
 import msgspec
 
 from lichencleat.config_distribution import kept as keeping
-from lichencleat.config_distribution.kept import Kept, page_key, slot_of, unpack
-from lichencleat.config_distribution.pages import EMPTY, digest_bytes
+from lichencleat.config_distribution.kept import PersistedTable, page_key, slot_of, unpack_page
+from lichencleat.config_distribution.pages import EMPTY_PAGE_DIGESTS, table_digest
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Staging, Table
-from lichencleat.config_distribution.terms import PAGES, Batch, Digests
+from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, SnapshotHead
 from lichencleat.testkit.cluster.watcher import WatchedCopy
 
 LATER = 0.05  # s from one turn to the other, or from the word to the deed
@@ -33,9 +33,9 @@
         staging = self.staging
         if staging is None:
             return super().take()
-        numbers = sorted(staging.new)
+        numbers = sorted(staging.new_pages)
         half = numbers[len(numbers) // 2 :]
-        self.rest = [(number, staging.new.pop(number), staging.digests.pop(number)) for number in half]
+        self.rest = [(number, staging.new_pages.pop(number), staging.digests.pop(number)) for number in half]
         self.reactor.callLater(LATER, self.other_half)
         return super().take()
 
@@ -64,7 +64,7 @@
     def at_new_relay(self) -> None:
         if self.table.version:
             self.old = self.table
-        self.rebuild, self.staging, self.going, self.waiting = None, None, False, {}
+        self.rebuild, self.staging, self.snapshot_active, self.unchecked_pages = None, None, False, {}
         self.table = Table()
 
 
@@ -84,7 +84,7 @@
     def stage(self, batches: Sequence[Batch]) -> None:
         first, *others = batches
         if self.after_snapshot:
-            first = Batch(first.version, first.past, first.digest, first.changes[1:])
+            first = Batch(first.version, first.previous, first.digest, first.changes[1:])
             self.after_snapshot = False
         self.drop()
         self.staging = Staging(self.table, (first, *others), checks=False)
@@ -123,7 +123,7 @@
         self.deed()
         super().stage(batches)
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         self.deed()
         super().begin(head)
 
@@ -150,25 +150,25 @@
     """What a mistake needs of the host."""
     copy = subscriber.copy
     if isinstance(copy, OlderFollowed):
-        opened = subscriber.opened
+        opened = subscriber.on_opened
 
         def at_new_relay(*way: Any) -> None:
             copy.at_new_relay()
             opened(*way)
 
-        subscriber.opened = at_new_relay  # type: ignore[method-assign]
+        subscriber.on_opened = at_new_relay  # type: ignore[method-assign]
 
 
-def trusted(kept: Kept, head: Any) -> Any:
+def trusted(kept: PersistedTable, head: Any) -> Any:
     """As if the head's digest were that of whatever pages are there."""
     total = 0
-    for number in range(PAGES):
+    for number in range(PAGE_COUNT):
         data = kept.store.engine.get(page_key(number, slot_of(head.slots, number)))
-        total += EMPTY[number] if data is None else unpack(number, data)[1]
-    return msgspec.structs.replace(head, digest=digest_bytes(total, head.version))
+        total += EMPTY_PAGE_DIGESTS[number] if data is None else unpack_page(number, data)[1]
+    return msgspec.structs.replace(head, digest=table_digest(total, head.version))
 
 
-def load(kept: Kept, mistake: str) -> Any:
+def load(kept: PersistedTable, mistake: str) -> Any:
     """What is kept, by the real way or by one that trusts whatever is there."""
     if mistake == "torn file":
         real = keeping.decode_head
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -21,14 +21,14 @@
 import msgspec
 from twisted.internet.defer import inlineCallbacks
 
-from lichencleat.config_distribution.choice import Times
+from lichencleat.config_distribution.choice import Timing
 from lichencleat.config_distribution.copy import TableCopy
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.kept import open_kept
-from lichencleat.config_distribution.pages import digest_bytes, digest_of
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.kept import open_persisted_table
+from lichencleat.config_distribution.pages import page_digest, table_digest
 from lichencleat.config_distribution.subscriber import Subscriber
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import Batch, Digests, Pages
+from lichencleat.config_distribution.terms import Batch, PagesAnswer, SnapshotHead
 from lichencleat.log.structured import create_logger
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.store.errors import StoreError
@@ -55,11 +55,11 @@
         finally:
             self.on_call()
 
-    def begin(self, head: Digests) -> None:
+    def begin(self, head: SnapshotHead) -> None:
         super().begin(head)
         self.on_call()
 
-    def put(self, pages: Pages) -> bool:
+    def put(self, pages: PagesAnswer) -> bool:
         taken = super().put(pages)
         self.on_call()
         return taken
@@ -106,17 +106,19 @@
             held_back = chosen.get("disk") == "held back"
             try:
                 disk = HeldBackDisk(chosen["directory"], create=True) if held_back else None
-                self.kept = yield open_kept(self.reactor, chosen["directory"], unix_time, self.rng, disk=disk)
+                self.kept = yield open_persisted_table(
+                    self.reactor, chosen["directory"], unix_time, self.rng, disk=disk
+                )
                 table, mark, _ = yield mistakes.load(self.kept, self.mistake)
-                self.trouble = self.kept.trouble
+                self.trouble = self.kept.problem
             except (StoreError, OSError) as wrong:
                 self.trouble = str(wrong)
         self.copy = mistakes.copy_of(self.mistake, self.reactor, table, mark)
         self.copy.on_call = self.look
         now = lambda: int(self.reactor.seconds() * 1e6)  # noqa: E731
-        times = replace(Times(), **{key: tuple(span) for key, span in chosen["times"].items()})
+        times = replace(Timing(), **{key: tuple(span) for key, span in chosen["times"].items()})
         tiers = tuple(map(tuple, chosen["sources"]))
-        follower = Follower(tiers, self.copy, self.rng, now(), True, chosen["zone"], times)
+        follower = RelayFollower(tiers, self.copy, self.rng, now(), True, chosen["zone"], times)
         self.subscriber = Subscriber(
             self.reactor,
             chosen["group"],
@@ -137,14 +139,14 @@
     def taken(self, batches: tuple[Batch, ...]) -> None:
         assert self.copy is not None
         if self.kept is not None and batches:
-            self.kept.wrote(self.copy.table, batches)
+            self.kept.on_batches_applied(self.copy.table, batches)
         elif self.kept is not None:
-            self.kept.replaced(self.copy.table)
+            self.kept.on_snapshot_applied(self.copy.table)
 
     def told(self) -> None:
         if self.kept is not None and self.copy is not None and self.copy.mark != getattr(self, "mark", b""):
             self.mark = self.copy.mark
-            self.kept.mark(self.mark)
+            self.kept.set_group_mark(self.mark)
 
     def answers(self) -> dict[str, Any]:
         assert self.copy is not None
@@ -165,8 +167,8 @@
         if seen == self.last and not why:
             return
         self.last = seen
-        total = sum(digest_of(number, page) for number, page in enumerate(table.pages))
-        digest = digest_bytes(total, table.version)
+        total = sum(page_digest(number, page) for number, page in enumerate(table.pages))
+        digest = table_digest(total, table.version)
         line = {
             "at": moment(),
             "life": os.getpid(),
@@ -178,7 +180,7 @@
         if why and self.subscriber is not None:
             follower = self.subscriber.follower
             line["relay"], line["age"] = follower.relay, follower.age(self.subscriber.now())
-            line["home"] = follower.choice.order[0]
+            line["home"] = follower.selector.order[0]
             line["counts"], line["trouble"] = self.subscriber.counts, self.trouble
         os.write(self.said, json.dumps(line).encode() + b"\n")
 
--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -20,9 +20,9 @@
 
 import click
 
-from lichencleat.config_distribution.counts import OLDEST, merged
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.follow import Follower
+from lichencleat.config_distribution.counts import MAX_AGE_US, merge_counts
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.follow import RelayFollower
 from lichencleat.testkit.simulation.distribution_events import EVENTS, WARM, Scene
 from lichencleat.testkit.simulation.distribution_fleet import Fleet, Size
 from lichencleat.testkit.simulation.distribution_table import SharedCopy
@@ -64,8 +64,8 @@
     def __init__(
         self,
         job: Job,
-        feeder: Callable[..., Any] = Feeder,
-        follower: Callable[..., Any] = Follower,
+        feeder: Callable[..., Any] = Publisher,
+        follower: Callable[..., Any] = RelayFollower,
         copy: Callable[..., Any] = SharedCopy,
     ) -> None:
         self.job = job
@@ -140,11 +140,17 @@
         fleet, now = self.fleet, self.fleet.world.clockwork.now
         up = [voter.host.feeder for voter in fleet.source.voters if voter.up]
         newest = fleet.judge.versions[-1]
-        sums = {each.zone: each for each in merged(count for feeder in up for count in feeder.counts(now))}
+        sums = {
+            each.zone: each for each in merge_counts(count for feeder in up for count in feeder.counts(now))
+        }
         moved = Counter(site.zone for site in fleet.nodes if site.host.opened_at > now - MOVED)
         for zone, nodes in Counter(site.zone for site in fleet.nodes if site.up).items():
             found = sums.get(zone)
-            fits = found is not None and found.lowest == newest and abs(found.nodes - nodes) <= moved[zone]
+            fits = (
+                found is not None
+                and found.lowest_version == newest
+                and abs(found.nodes - nodes) <= moved[zone]
+            )
             if fits:
                 self.counted.add(zone)
             else:
@@ -187,7 +193,7 @@
 def ages_of(fleet: Fleet) -> dict[str, int]:
     now = fleet.world.clockwork.now
     ages = sorted(site.host.follower.age(now) for site in fleet.nodes if site.up and not site.paused)
-    known = [age for age in ages if age < OLDEST]
+    known = [age for age in ages if age < MAX_AGE_US]
     return {
         "p50": known[len(known) // 2] // 1_000 if known else -1,
         "all": known[-1] // 1_000 if known else -1,
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from lichencleat.config_distribution.errors import TableError
-from lichencleat.config_distribution.feed import Answer, Decline, Feeder
-from lichencleat.config_distribution.follow import Act, Decision, Follower
-from lichencleat.config_distribution.terms import FOLLOW, Batch, Follow, Pages
+from lichencleat.config_distribution.feed import Answer, Decline, Publisher
+from lichencleat.config_distribution.follow import Action, Decision, RelayFollower
+from lichencleat.config_distribution.terms import FOLLOW, Batch, FollowRequest, PagesAnswer
 from lichencleat.testkit.simulation.distribution_judge import Judge
 from lichencleat.testkit.simulation.distribution_source import Source
 from lichencleat.testkit.simulation.distribution_table import Shared, SharedCopy, drawn_table
@@ -62,8 +62,8 @@
     def __init__(self, fleet: Fleet, site: Site) -> None:
         self.fleet, self.world, self.site = fleet, fleet.world, site
         self.copy: Any = None
-        self.feeder: Feeder | None = None
-        self.follower: Follower | None = None
+        self.feeder: Publisher | None = None
+        self.follower: RelayFollower | None = None
         self.silent = False  # the machine is without power: it does not even refuse a connection
         self.clear()
 
@@ -107,25 +107,25 @@
         feeder, now = self.feeder, self.world.clockwork.now
         assert feeder is not None
         if link.number not in self.joined:
-            if not feeder.joined(now, link.number):
+            if not feeder.add_subscriber(now, link.number):
                 self.answers(link, number, False, "full")
                 return
             self.joined.add(link.number)
-        feeder.asked(now, link.number, number, what, content)
+        feeder.on_request(now, link.number, number, what, content)
         self.pull()
 
     def caller_left(self, link: Link) -> None:
         assert self.feeder is not None
         if link.number in self.joined:
             self.joined.discard(link.number)
-            self.feeder.left(self.world.clockwork.now, link.number)
+            self.feeder.remove_subscriber(self.world.clockwork.now, link.number)
             self.pull()
 
     def pull(self) -> None:
         feeder, now, links = self.feeder, self.world.clockwork.now, self.site.links
         assert feeder is not None
         while (decision := feeder.next_decision(now)) is not None:
-            link = links.get(decision.who)
+            link = links.get(decision.subscriber_id)
             if link is None:
                 continue
             if isinstance(decision, Answer):
@@ -150,7 +150,7 @@
             self.content, self.size = content, len(encode(content)) + SMALL_ANSWER
         costs, site = self.fleet.costs, self.site
         cost = costs.question // 2 + int(self.size * costs.kilobyte) // 1_024
-        if isinstance(content, Pages):
+        if isinstance(content, PagesAnswer):
             for page, packed in content.pages:
                 if self.packed.get(page) is not packed:
                     self.packed[page] = packed
@@ -167,7 +167,7 @@
         assert follower is not None
         if self.feeder is not None and now - self.counted_at >= COUNT:
             self.counted_at = now
-            follower.below = self.feeder.counts(now)
+            follower.counts_below = self.feeder.counts(now)
         while (decision := follower.next_decision(now)) is not None:
             self.does(decision)
         due = follower.deadline()
@@ -183,24 +183,24 @@
         follower, now = self.follower, self.world.clockwork.now
         assert follower is not None
         if follower.deadline() <= now:
-            follower.wakes(now)
+            follower.on_timer(now)
         self.pump()
 
     def does(self, decision: Decision) -> None:
         act, site, now = decision.act, self.site, self.world.clockwork.now
-        if act is Act.ASK:
+        if act is Action.ASK:
             link = site.calls.get(decision.relay)
             if link is not None and link.opened:
                 self.asks(link, decision.what, decision.content)
-        elif act is Act.STEP:
+        elif act is Action.STEP:
             self.steps()
-        elif act is Act.OPEN:
+        elif act is Action.OPEN:
             self.drops(decision.relay)
             link = self.world.opens(site, self.fleet.world.sites[decision.relay])
             self.world.after(site, CALL, self.gives_up, link)
-        elif act is Act.CLOSE:
+        elif act is Action.CLOSE:
             self.drops(decision.relay)
-        elif act is Act.TAKEN:
+        elif act is Action.APPLIED:
             self.taken(now, decision.batches)
         else:
             self.fleet.tells(now, site, decision.text)
@@ -218,7 +218,7 @@
     def asks(self, link: Link, what: str, content: Any) -> None:
         link.asked += 1
         link.what = what
-        if self.site.tier == "node" and what == FOLLOW and isinstance(content, Follow):
+        if self.site.tier == "node" and what == FOLLOW and isinstance(content, FollowRequest):
             self.fleet.judge.acknowledges(
                 self.world.clockwork.now, self.site.name, self.copy, content.version
             )
@@ -228,12 +228,12 @@
     def link_opened(self, link: Link) -> None:
         assert self.follower is not None
         self.opened_at = self.world.clockwork.now
-        self.follower.opened(self.opened_at, link.called.name, MARK)
+        self.follower.on_link_opened(self.opened_at, link.called.name, MARK)
         self.pump()
 
     def link_lost(self, link: Link) -> None:
         assert self.follower is not None
-        self.follower.lost(self.world.clockwork.now, link.called.name, "the connection ended")
+        self.follower.on_link_lost(self.world.clockwork.now, link.called.name, "the connection ended")
         self.pump()
 
     def replied(self, link: Link, number: int, done: bool, content: Any) -> None:
@@ -251,11 +251,11 @@
         assert follower is not None
         what, link.what = link.what, ""
         if done:
-            follower.told(now, link.called.name, what, content)
+            follower.on_answer(now, link.called.name, what, content)
         else:
-            follower.told(now, link.called.name, what, None, content)
+            follower.on_answer(now, link.called.name, what, None, content)
         if self.feeder is not None:
-            self.feeder.known(now, follower.age(now))
+            self.feeder.set_age(now, follower.age(now))
         self.looked_at()
         self.pump()
 
@@ -289,7 +289,7 @@
             ready: bool | None = self.copy.step()
         except TableError:
             ready = None
-        follower.stepped(now, ready)
+        follower.on_stepped(now, ready)
         self.looked_at()
 
     def looked_at(self) -> None:
@@ -300,8 +300,8 @@
         self.looked_at()
         if self.feeder is not None:
             assert self.follower is not None
-            self.feeder.grew(now, batches)
-            self.feeder.known(now, self.follower.age(now))
+            self.feeder.on_applied(now, batches)
+            self.feeder.set_age(now, self.follower.age(now))
             self.pull()
 
 
@@ -311,8 +311,8 @@
         rng: random.Random,
         size: Size,
         costs: Costs,
-        feeder: Callable[..., Any] = Feeder,
-        follower: Callable[..., Any] = Follower,
+        feeder: Callable[..., Any] = Publisher,
+        follower: Callable[..., Any] = RelayFollower,
         copy: Callable[..., Any] = SharedCopy,
     ) -> None:
         """`feeder`, `follower`, `copy`: the real ones, or variants with a planted mistake."""
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -20,12 +20,20 @@
 
 import msgspec
 
-from lichencleat.config_distribution.acts import Act
-from lichencleat.config_distribution.counts import OLDEST
-from lichencleat.config_distribution.errors import SpoiltError
-from lichencleat.config_distribution.feed import Answer, Feeder
-from lichencleat.config_distribution.follow import Follower, Times
-from lichencleat.config_distribution.terms import Batch, Change, Digests, Fed, Follow, Pages, Say
+from lichencleat.config_distribution.acts import Action
+from lichencleat.config_distribution.counts import MAX_AGE_US
+from lichencleat.config_distribution.errors import CorruptTableError
+from lichencleat.config_distribution.feed import Answer, Publisher
+from lichencleat.config_distribution.follow import RelayFollower, Timing
+from lichencleat.config_distribution.terms import (
+    Batch,
+    Change,
+    FollowAnswer,
+    FollowOutcome,
+    FollowRequest,
+    PagesAnswer,
+    SnapshotHead,
+)
 from lichencleat.config_distribution.window import Window
 from lichencleat.testkit.checkers.distribution import Acknowledged, DistributionWatch, Said
 from lichencleat.testkit.tiny_table import MARK, NAMES, Tiny, changes, digest_of, published
@@ -36,20 +44,22 @@
 WAKES_MOST = 200  # of one process in a tick: more would be a loop
 
 
-class TinyTimes(Times):
+class TinyTimes(Timing):
     """One object for all worlds."""
 
     def __reduce__(self) -> Any:
         return tiny_times, ()
 
 
-def tiny_times() -> Times:
+def tiny_times() -> Timing:
     return TIMES
 
 
 TIMES = TinyTimes(
-    move=(0, 0), home=(2_000_000, 2_000_000), busy=(1_000_000, 1_000_000), failed=(2_500_000, 2_500_000),
-    wrong=(5_000_000, 5_000_000), rest=(400_000, 800_000), look=(400_000, 800_000),
+    open_delay=(0, 0), first_choice_probe_interval=(2_000_000, 2_000_000),
+    busy_retry_delay=(1_000_000, 1_000_000), failed_exclusion=(2_500_000, 2_500_000),
+    wrong_exclusion=(5_000_000, 5_000_000), backoff=(400_000, 800_000),
+    probe_interval=(400_000, 800_000),
 )  # fmt: skip
 
 
@@ -80,8 +90,8 @@
 class Process:
     name: str
     table: Tiny
-    feeder: Feeder | None = None
-    follower: Follower | None = None
+    feeder: Publisher | None = None
+    follower: RelayFollower | None = None
     life: int = 1
     stepping: bool = False
     had: tuple[int, ...] = (0,)  # versions that a copy of its disk may have
@@ -117,8 +127,8 @@
 class Kinds:
     """The real ones, or one with a mistake."""
 
-    feeder: type[Feeder] = Feeder
-    follower: type[Follower] = Follower
+    feeder: type[Publisher] = Publisher
+    follower: type[RelayFollower] = RelayFollower
     table: type[Tiny] = Tiny
 
 
@@ -152,7 +162,7 @@
         if name == SOURCE:
             table.mark = MARK
             assert process.feeder is not None
-            process.feeder.known(self.now, 0)
+            process.feeder.set_age(self.now, 0)
         else:
             process.follower = self.kinds.follower(tiers, table, LOW, self.now, name == NODE, "z", TIMES)
         self.processes[name] = process
@@ -189,11 +199,11 @@
         for process in self.processes.values():  # nothing follows from these
             if process.feeder is not None:
                 process.feeder.counters.clear()
-                process.feeder.shared.clear()
+                process.feeder.shared_answers.clear()
                 process.feeder.credit_at = self.now
             if process.follower is not None:
                 process.follower.counters.clear()
-                process.follower.seen = self.now
+                process.follower.last_seen_at = self.now
 
     def settle(self) -> None:
         """Messages of those that are not slow arrive at once."""
@@ -230,7 +240,7 @@
         table.digest = digest_of(table.content)
         self.published[version] = self.now
         assert source.feeder is not None
-        source.feeder.grew(self.now, (Batch(version, past, table.digest, changes(past, version)),))
+        source.feeder.on_applied(self.now, (Batch(version, past, table.digest, changes(past, version)),))
         self.stir(SOURCE)
 
     def deliver(self, caller: str, called: str) -> None:
@@ -239,12 +249,12 @@
         above, below = self.processes[called], self.processes[caller]
         assert above.feeder is not None and below.follower is not None
         if message[0] == "greeting":
-            above.feeder.joined(self.now, link.who)
-            below.follower.opened(self.now, called, above.table.mark)
+            above.feeder.add_subscriber(self.now, link.who)
+            below.follower.on_link_opened(self.now, called, above.table.mark)
         elif message[0] == "question":
-            above.feeder.asked(self.now, link.who, 1, *message[1:])
+            above.feeder.on_request(self.now, link.who, 1, *message[1:])
         else:
-            below.follower.told(self.now, called, *message[1:])
+            below.follower.on_answer(self.now, called, *message[1:])
             self.tells_age(below)
         self.stir(called)
         self.stir(caller)
@@ -257,14 +267,14 @@
         self.closes(caller, called)
         follower = self.processes[caller].follower
         assert follower is not None
-        follower.lost(self.now, called, "lost")
+        follower.on_link_lost(self.now, called, "lost")
         self.stir(caller)
 
     def closes(self, caller: str, called: str) -> None:
         link = self.links.pop((caller, called), None)
         feeder = self.processes[called].feeder
         if link is not None and feeder is not None:
-            feeder.left(self.now, link.who)
+            feeder.remove_subscriber(self.now, link.who)
 
     def back(self, name: str, version: int) -> None:
         """Another machine with an old copy of its disk."""
@@ -281,16 +291,16 @@
 
     def can_spoil(self, link: Link) -> bool:
         content = link.message[2] if link.message[0] == "answer" else None
-        if isinstance(content, Fed):
-            return content.say == Say.NEWS
-        return isinstance(content, Pages) and bool(content.pages)
+        if isinstance(content, FollowAnswer):
+            return content.outcome == FollowOutcome.NEWS
+        return isinstance(content, PagesAnswer) and bool(content.pages)
 
     def spoil(self, caller: str, called: str) -> None:
         """Other bytes arrive than were sent."""
         self.spend("spoils")
         link = self.links[caller, called]
         kind, what, content = link.message
-        if isinstance(content, Fed):
+        if isinstance(content, FollowAnswer):
             last = content.batches[-1]
             wrong = msgspec.structs.replace(last, changes=(Change("r", "c", b"wrong"),))
             content = msgspec.structs.replace(content, batches=(*content.batches[:-1], wrong))
@@ -304,10 +314,10 @@
         process.stepping = False
         try:
             ready: bool | None = process.table.step()
-        except SpoiltError:
+        except CorruptTableError:
             ready = None
         assert process.follower is not None
-        process.follower.stepped(self.now, ready)
+        process.follower.on_stepped(self.now, ready)
         self.stir(name)
 
     def tick(self) -> None:
@@ -328,7 +338,7 @@
             self.source_knows()
             follower = self.processes[name].follower
             if follower is not None:
-                follower.wakes(self.now)
+                follower.on_timer(self.now)
             self.stir(name)
             self.judge()
         raise RuntimeError(f"timers without end at {self.now}")
@@ -344,7 +354,7 @@
             self.now = max(self.now, moment)
             follower = self.processes[name].follower
             if follower is not None:
-                follower.wakes(self.now)
+                follower.on_timer(self.now)
             self.stir(name)
             self.settle()
             self.judge()
@@ -361,7 +371,7 @@
     def source_knows(self) -> None:
         feeder = self.processes[SOURCE].feeder
         assert feeder is not None
-        feeder.known(self.now, 0)
+        feeder.set_age(self.now, 0)
 
     # -- a host ----------------------------------------------------------------------------------------
 
@@ -373,7 +383,7 @@
         feeder, follower = process.feeder, process.follower
         while feeder is not None and (told := feeder.next_decision(self.now)) is not None:
             for link in self.links.values():
-                if link.called == name and link.who == told.who:
+                if link.called == name and link.who == told.subscriber_id:
                     content = told.content if isinstance(told, Answer) else None
                     link.message = ("answer", what_of(content), content)
         while follower is not None:
@@ -381,7 +391,7 @@
             if decision is not None:
                 self.carry_out(process, decision)
             elif follower.deadline() <= self.now:
-                follower.wakes(self.now)
+                follower.on_timer(self.now)
             else:
                 break
         if process.stepping and not (self.limits.slices and name == NODE):
@@ -389,33 +399,33 @@
 
     def carry_out(self, process: Process, decision: Any) -> None:
         key = (process.name, decision.relay)
-        if decision.act is Act.OPEN:
+        if decision.act is Action.OPEN:
             taken = [link.who for link in self.links.values() if link.called == decision.relay]
             who = next(number for number in range(9) if number not in taken)
             self.links[key] = Link(*key, who)
-        elif decision.act is Act.CLOSE:
+        elif decision.act is Action.CLOSE:
             self.closes(*key)
-        elif decision.act is Act.ASK:
+        elif decision.act is Action.ASK:
             self.asks(process, decision.content)
             self.links[key].message = ("question", decision.what, decision.content)
-        elif decision.act is Act.STEP:
+        elif decision.act is Action.STEP:
             process.stepping = True
-        elif decision.act is Act.TAKEN:
+        elif decision.act is Action.APPLIED:
             self.judge()
             process.had = tuple(sorted({*process.had, process.table.version}))
             if process.feeder is not None:
-                process.feeder.grew(self.now, decision.batches)
+                process.feeder.on_applied(self.now, decision.batches)
                 self.tells_age(process)
                 self.stir(process.name)
 
     def tells_age(self, process: Process) -> None:
         if process.feeder is not None and process.follower is not None:
-            process.feeder.known(self.now, process.follower.age(self.now))
+            process.feeder.set_age(self.now, process.follower.age(self.now))
 
     # -- what must hold --------------------------------------------------------------------------------
 
     def asks(self, process: Process, content: Any) -> None:
-        if isinstance(content, Follow):
+        if isinstance(content, FollowRequest):
             self.judge()
             told = Acknowledged(self.now, process.name, content.version, content.digest.hex())
             self.watch.acknowledges([told])
@@ -443,10 +453,10 @@
     def judge_age(self, name: str, version: int, age: int) -> None:
         """At the moment that an age speaks of, nothing newer was published."""
         newer = self.published.get(version + 1)
-        if age < OLDEST and newer is not None and self.now - age > newer:
+        if age < MAX_AGE_US and newer is not None and self.now - age > newer:
             self.says(f"{name} says {age} µs of version {version}, {self.now - newer} µs after the next one")
 
 
 def what_of(content: Any) -> str:
-    kinds = {Fed: "follow", Digests: "digests", Pages: "pages"}
+    kinds = {FollowAnswer: "follow", SnapshotHead: "digests", PagesAnswer: "pages"}
     return kinds.get(type(content), "follow")
--- a/tests/config_distribution/test_follow_properties.py
+++ b/tests/config_distribution/test_follow_properties.py
@@ -1,21 +1,21 @@
-"""A follower against relays that say anything; planted mistakes do not withstand it."""
+"""A relay follower against relays that answer anything; injected mistakes are found."""
 
 import pytest
 from config_distribution.following import FIXED, Node, batch, fed, head, news, pages
 from hypothesis import Phase, find, given, settings
 from hypothesis import strategies as st
 
-from lichencleat.config_distribution.follow import Follower
-from lichencleat.config_distribution.taking import Taking
+from lichencleat.config_distribution.follow import RelayFollower
+from lichencleat.config_distribution.taking import PendingUpdate
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FOLLOW,
     PAGES_OF,
     Batch,
     Change,
-    Fed,
-    Pages,
-    Say,
+    FollowAnswer,
+    FollowOutcome,
+    PagesAnswer,
 )
 from lichencleat.testkit.explore_distribution import EarlyWord, Lax, SpoiltBatch, SpoiltPiece
 from lichencleat.testkit.tiny_table import NAMES, Tiny, changes, digest_of, published
@@ -32,12 +32,14 @@
     st.booleans(),
 )
 ANSWER = st.one_of(
-    st.builds(Fed, st.integers(0, 6), VERSION, DIGEST, st.integers(-9, 1 << 60), st.tuples(BATCH, BATCH)),
-    st.builds(Fed, st.integers(0, 6), VERSION, DIGEST, st.just(0), st.tuples(BATCH) | st.just(())),
+    st.builds(
+        FollowAnswer, st.integers(0, 6), VERSION, DIGEST, st.integers(-9, 1 << 60), st.tuples(BATCH, BATCH)
+    ),
+    st.builds(FollowAnswer, st.integers(0, 6), VERSION, DIGEST, st.just(0), st.tuples(BATCH) | st.just(())),
     st.builds(news, VERSION, VERSION),
     st.builds(head, VERSION, st.integers(0, 99)),
     st.builds(lambda version, a, b: pages(version, a, b), VERSION, st.integers(0, 2), st.integers(0, 2)),
-    st.builds(Pages, VERSION, st.just(((0, b"wrong"),)) | st.just(())),
+    st.builds(PagesAnswer, VERSION, st.just(((0, b"wrong"),)) | st.just(())),
     st.none(),
 )
 
@@ -48,21 +50,27 @@
 
 
 def fitting(node, version, wrong):
-    """An answer to the open question, as a relay that has this version would give it; or a spoilt one."""
-    what, past = node.it.question.what, node.table.version
+    """A valid answer to the open request from a relay with this version, or a corrupted one."""
+    what, past = node.it.request.what, node.table.version
     if what == DIGESTS:
         return head(version)
     if what == PAGES_OF:
         found = pages(node.question.version, *node.question.numbers)
-        return Pages(found.version, ((found.pages[0][0], b"wrong"), *found.pages[1:])) if wrong else found
+        return (
+            PagesAnswer(found.version, ((found.pages[0][0], b"wrong"), *found.pages[1:])) if wrong else found
+        )
     if version <= past:
-        return fed(Say.BEHIND if version % 2 and version < past else Say.SNAPSHOT, version)
+        return fed(
+            FollowOutcome.BEHIND if version % 2 and version < past else FollowOutcome.SNAPSHOT, version
+        )
     made = batch(past, version)
-    return fed(Say.NEWS, version, 0, [Batch(version, past, made.digest, (WRONG,)) if wrong else made])
+    return fed(
+        FollowOutcome.NEWS, version, 0, [Batch(version, past, made.digest, (WRONG,)) if wrong else made]
+    )
 
 
-def broken(script, follower=Follower, table=Tiny):
-    """What is wrong after relays said that, in that order."""
+def broken(script, follower=RelayFollower, table=Tiny):
+    """The first fault after the relays answered in the scripted order."""
     node, version = Node(version=2, table=table(2), follower=follower), 2
     for what, answer, number, wrong in script:
         if not node.it.relay:
@@ -73,15 +81,15 @@
             node.passes(700_000)
         elif what == "step":
             node.step()
-        elif node.it.question is not None:
+        elif node.it.request is not None:
             fits = fitting(node, number, wrong) if what == "fits" else answer
-            node.hears(fits, node.it.question.what)
+            node.hears(fits, node.it.request.what)
         if node.table.version < version:
             return f"back from {version} to {node.table.version}"
         version = node.table.version
         if node.table.content != published(version):
             return f"{node.table.content} as {version}"
-        question = node.it.question
+        question = node.it.request
         if question is not None and question.what == FOLLOW and node.question.version != version:
             return f"acknowledged {node.question.version}, had {version}"
     return ""
@@ -89,30 +97,30 @@
 
 @given(SCRIPT)
 @FIXED
-def test_whatever_relays_say_the_version_never_goes_back_and_is_whole(script):
-    """Relays that lie in any order, but for a digest that fits other bytes."""
+def test_the_version_never_decreases_and_is_complete_whatever_relays_answer(script):
+    """Relays lie in any order, except for a matching digest of other bytes."""
     assert broken(script) == ""
 
 
-class Unchained(Taking):
+class Unchained(PendingUpdate):
     def stage(self, fed, relay, mark, knows):
         if not fed.batches:
             return "none"
         self.copy.stage(fed.batches)
-        self.sets("batches", relay, mark, None)
+        self.start("batches", relay, mark, None)
         return ""
 
 
-class LaxFollower(Follower):
+class LaxFollower(RelayFollower):
     def __init__(self, *args):
         super().__init__(*args)
-        self.taking = Lax(self.copy)
+        self.pending = Lax(self.copy)
 
 
-class UnchainedFollower(Follower):
+class UnchainedFollower(RelayFollower):
     def __init__(self, *args):
         super().__init__(*args)
-        self.taking = Unchained(self.copy)
+        self.pending = Unchained(self.copy)
 
 
 @pytest.mark.parametrize(
@@ -120,12 +128,12 @@
     [
         (LaxFollower, Tiny, "back from"),
         (UnchainedFollower, SpoiltBatch, " as "),
-        (Follower, SpoiltBatch, " as "),
-        (Follower, SpoiltPiece, " as "),
+        (RelayFollower, SpoiltBatch, " as "),
+        (RelayFollower, SpoiltPiece, " as "),
         (EarlyWord, Tiny, "acknowledged"),
     ],
 )
-def test_a_planted_mistake_does_not_withstand_that(follower, table, found):
+def test_an_injected_mistake_is_found(follower, table, found):
     many = settings(
         derandomize=True, deadline=None, database=None, max_examples=5_000, phases=[Phase.generate]
     )
--- a/tests/config_distribution/test_published.py
+++ b/tests/config_distribution/test_published.py
@@ -1,4 +1,4 @@
-"""Files to publish, read with their mistakes told in one line, and the commands that publish and look."""
+"""Files to publish, with errors that name the line, and the commands that publish and show records."""
 
 import json
 
@@ -10,9 +10,9 @@
 from lichencleat.cli import distribution as commands
 from lichencleat.cli.main import lichencleat
 from lichencleat.config.errors import InvalidConfigError
-from lichencleat.config_distribution.published import LINE_MOST, check_file, read_changes, split
+from lichencleat.config_distribution.published import MAX_LINE_BYTES, check_file, read_changes, split
 from lichencleat.config_distribution.source import Source
-from lichencleat.config_distribution.terms import BATCH_BYTES, BATCH_MOST, Change, encode
+from lichencleat.config_distribution.terms import MAX_BATCH_BYTES, MAX_BATCH_CHANGES, Change, encode
 from lichencleat.transport.errors import RequestFailedError
 
 GOOD = '{"kind":"tenant","name":"%s","value":{"b":1,"a":[null,true,"é"]}}\n'
@@ -23,7 +23,7 @@
     return str(path)
 
 
-def test_both_forms_say_the_same_changes_and_a_value_has_one_form_of_bytes(tmp_path):
+def test_both_formats_give_the_same_changes_and_values_are_canonical(tmp_path):
     first = lines(tmp_path / "a.jsonl", GOOD % "x", "\n", '{"name":"y","kind":"route","gone":true}\n')
     second = lines(
         tmp_path / "a.yaml",
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize(
     ("said", "told"),
     [
-        ('{"kind":"tenant","name":"a"}', "line 2: value: give a value, or 'gone: true', and not both"),
+        ('{"kind":"tenant","name":"a"}', "line 2: value: give a value or 'gone: true', not both"),
         ('{"kind":"tenant","name":"a","value":1,"gone":true}', "line 2: value: give a value"),
         ('{"kind":"tenant","value":1}', "line 2: the record: Object missing required field `name`"),
         ('{"kind":"tenant","name":7,"value":1}', "line 2: name: Expected `str`, got `int`"),
@@ -56,17 +56,20 @@
         ('{"kind":"tenant","name":"a","value":', "line 2: not JSON: Input data was truncated; write one"),
         ('{"kind":"tenant","name":"a","value":NaN}', "line 2: not JSON:"),
         ('{"kind":"tenant","name":"a","value":1e999}', "line 2: value: Number out of range"),
-        ('{"kind":"tenant","name":"a","value":{"k":1,"k":2}}', "line 2: 'k' stands twice; leave one out"),
-        ('{"kind":"tenant","name":"a","value":1,"name":"b"}', "line 2: 'name' stands twice"),
+        ('{"kind":"tenant","name":"a","value":{"k":1,"k":2}}', "line 2: duplicate key 'k'; remove one"),
+        ('{"kind":"tenant","name":"a","value":1,"name":"b"}', "line 2: duplicate key 'name'"),
         (b'{"kind":"tenant","name":"\xff","value":1}', "line 2: not JSON: "),
         ('{"kind":"tenant","name":"%s","value":1}' % ("é" * 65), "a name has 1 to 128 bytes"),
         ('{"kind":"tenant","name":"a","value":"%s"}' % ("v" * 4_095), "a value has at most 4096 bytes"),
-        ('{"kind":"tenant","name":"%s","value":1}' % ("n" * LINE_MOST), f"longer than {LINE_MOST} bytes"),
+        (
+            '{"kind":"tenant","name":"%s","value":1}' % ("n" * MAX_LINE_BYTES),
+            f"longer than {MAX_LINE_BYTES} bytes",
+        ),
         ('{"kind":"tenant","name":"a","value":%s}' % ("[" * 5_000), "line 2: not JSON: maximum recursion"),
         ('{"kind":"tenant","name":"good","value":1}', "line 2: tenant 'good' stands in line 1 already"),
     ],
 )
-def test_a_wrong_line_is_told_with_its_place_and_nothing_is_taken(tmp_path, said, told):
+def test_the_error_of_an_invalid_line_names_it_and_nothing_is_used(tmp_path, said, told):
     path = lines(tmp_path / "a.jsonl", GOOD % "good", said, b"\n")
     with pytest.raises(InvalidConfigError) as wrong:
         check_file(path)
@@ -85,8 +88,11 @@
             "- kind: tenant\n  name: b\n  value: 2026-01-02",
             "line 5: records[1].value: datetime.date(2026, 1, 2)",
         ),
-        ("- kind: tenant\n  name: b\n  value: {x: [.nan]}", "line 5: records[1].value: nan is no number"),
-        ("- kind: tenant\n  name: b\n  value: {1: x}", "line 5: records[1].value: the key 1 is no text"),
+        (
+            "- kind: tenant\n  name: b\n  value: {x: [.nan]}",
+            "line 5: records[1].value: nan is not a JSON number",
+        ),
+        ("- kind: tenant\n  name: b\n  value: {1: x}", "line 5: records[1].value: the key 1 is not a string"),
         (
             "- kind: tenant\n  name: b\n  value: [&a [x, x, x, x, x, x, x, x], &b [*a, *a, *a, *a, *a], "
             "&c [*b, *b, *b, *b, *b, *b, *b, *b, *b, *b], &d [*c, *c, *c, *c, *c, *c, *c, *c]]",
@@ -95,14 +101,14 @@
         ("- {kind: tenant, name: b, value: [}", "line 3: not YAML: "),
     ],
 )
-def test_a_wrong_record_of_yaml_too(tmp_path, said, told):
+def test_the_error_of_an_invalid_yaml_record_names_its_line(tmp_path, said, told):
     path = lines(tmp_path / "a.yaml", "records:\n- {kind: tenant, name: a, value: 1}\n", said, "\n")
     with pytest.raises(InvalidConfigError) as wrong:
         check_file(path)
     assert told in str(wrong.value) and "\n" not in str(wrong.value)
 
 
-def test_a_file_that_is_not_there_or_holds_nothing(tmp_path):
+def test_a_missing_or_empty_file(tmp_path):
     (tmp_path / "directory.jsonl").mkdir()
     for name, told in (("no.jsonl", "No such file"), ("directory.jsonl", "Is a directory")):
         with pytest.raises(InvalidConfigError, match=told):
@@ -112,21 +118,21 @@
             check_file(lines(tmp_path / name, said))
 
 
-def test_large_ones_are_split_by_count_and_by_bytes():
-    small = [Change("tenant", f"n{n}", b"v") for n in range(2 * BATCH_MOST + 3)]
-    assert [len(each) for each in split(small)] == [BATCH_MOST, BATCH_MOST, 3]
+def test_large_files_are_split_by_count_and_by_bytes():
+    small = [Change("tenant", f"n{n}", b"v") for n in range(2 * MAX_BATCH_CHANGES + 3)]
+    assert [len(each) for each in split(small)] == [MAX_BATCH_CHANGES, MAX_BATCH_CHANGES, 3]
     large = [Change("tenant", f"n{n}", bytes(4_000)) for n in range(100)]
     made = list(split(large))
     assert [change for each in made for change in each] == large
-    assert all(len(encode(each)) <= BATCH_BYTES for each in made) and len(made) == 4
+    assert all(len(encode(each)) <= MAX_BATCH_BYTES for each in made) and len(made) == 4
     assert list(split([])) == []
 
 
-# -- commands, with a source in place of the group -----------------------------------------------------------
+# -- commands, with a source instead of a group ----------------------------------------------------------
 
 
 class Group:
-    """Applies at once what a client would propose; fails from a proposal on, where it is told to."""
+    """Applies at once what a client proposes; fails from a given proposal on."""
 
     def __init__(self, fails_at=None, part="distribution"):
         self.source, self.part, self.index, self.fails_at = Source(), part, 0, fails_at
@@ -170,7 +176,7 @@
     return run
 
 
-def test_a_batch_is_published_shown_as_it_was_and_compared(tmp_path, run):
+def test_a_batch_is_published_and_versions_are_shown_and_compared(tmp_path, run):
     first = lines(tmp_path / "1.jsonl", GOOD % "x", GOOD % "y")
     second = lines(
         tmp_path / "2.yaml",
@@ -196,7 +202,7 @@
     assert run("diff", "FILE", 1, 7)[0] == 1
 
 
-def test_what_is_refused_or_wrong_has_its_exit_code_and_one_line(tmp_path, run):
+def test_rejections_and_errors_have_their_exit_code_and_one_line(tmp_path, run):
     good = lines(tmp_path / "1.jsonl", GOOD % "x")
     wrong = lines(tmp_path / "2.jsonl", GOOD % "y", "{}\n")
     assert run("publish", "FILE", good)[0] == 0
@@ -220,8 +226,8 @@
         assert code == 1 and "does not distribute configuration" in said
 
 
-def test_a_large_file_goes_batch_by_batch_and_on_from_where_it_stopped(tmp_path, run):
-    large = lines(tmp_path / "1.jsonl", *(GOOD % f"n{n}" for n in range(3 * BATCH_MOST)))
+def test_a_large_file_is_published_batch_by_batch_and_can_be_resumed(tmp_path, run):
+    large = lines(tmp_path / "1.jsonl", *(GOOD % f"n{n}" for n in range(3 * MAX_BATCH_CHANGES)))
     code, said = run("publish", "FILE", large)
     assert (
         code == 2
@@ -230,9 +236,12 @@
     run.group.fails_at = 3
     code, said = run("publish", "FILE", large, "--in-batches")
     assert code == 1 and "nobody answers; the request may take effect" in said
-    assert f"--skip {2 * BATCH_MOST}" in said and run.group.source.table.records == 2 * BATCH_MOST
-    code, said = run("publish", "FILE", large, "--in-batches", "--skip", 2 * BATCH_MOST, "--json")
+    assert (
+        f"--skip {2 * MAX_BATCH_CHANGES}" in said and run.group.source.table.records == 2 * MAX_BATCH_CHANGES
+    )
+    code, said = run("publish", "FILE", large, "--in-batches", "--skip", 2 * MAX_BATCH_CHANGES, "--json")
     assert code == 0 and json.loads(said)["batches"] == 1
-    assert run.group.source.table.records == 3 * BATCH_MOST
+    assert run.group.source.table.records == 3 * MAX_BATCH_CHANGES
     code, said = run("publish", "FILE", large, "--in-batches", "--json")
-    assert (code, json.loads(said)["changed"], json.loads(said)["batches"]) == (0, 0, 0)  # all there already
+    # all records have these values already
+    assert (code, json.loads(said)["changed"], json.loads(said)["batches"]) == (0, 0, 0)
--- a/tests/config_distribution/test_relay_file.py
+++ b/tests/config_distribution/test_relay_file.py
@@ -1,4 +1,4 @@
-"""A relay's file: mistakes are told with their line, and nothing of a wrong one is used."""
+"""A relay's file: errors name the line, and nothing of an invalid file is used."""
 
 from pathlib import Path
 
@@ -7,8 +7,8 @@
 from lichencleat.config.errors import InvalidConfigError
 from lichencleat.config.loading import read_node_config
 from lichencleat.config.schema import MAX_RELAY_ADDRESSES
-from lichencleat.config_distribution.file import read_relay
-from lichencleat.config_distribution.terms import RELAYS_MOST
+from lichencleat.config_distribution.file import read_relay_file
+from lichencleat.config_distribution.terms import MAX_RELAYS
 from lichencleat.coordinator.settings import read_quorum_settings
 
 EXAMPLES = Path(__file__).parents[2] / "deploy" / "relays"
@@ -34,22 +34,22 @@
 
 
 def test_a_good_file_is_read_with_its_defaults(file):
-    relay = read_relay(file(GOOD))
+    relay = read_relay_file(file(GOOD))
     assert relay.sources == [["127.0.0.1:7921", "127.0.0.1:7922"], ["127.0.0.1:7901"]]
     assert (relay.directory, relay.disk, relay.log.form) == (None, "real", "logfmt")
 
 
 @pytest.mark.parametrize("name", ["region", "zone"])
-def test_the_examples_are_right(name):
-    assert read_relay(f"{EXAMPLES}/{name}.yaml").group == "config"
+def test_the_examples_are_valid(name):
+    assert read_relay_file(f"{EXAMPLES}/{name}.yaml").group == "config"
     voter = read_quorum_settings(f"{EXAMPLES}/voter.yaml", member=True)
     assert voter.group == "config" and voter.distribution
 
 
-def test_a_node_s_section_is_read_and_its_mistakes_are_told(file):
+def test_a_node_s_section_is_read_and_its_errors_are_reported(file):
     chosen = read_node_config(f"{EXAMPLES}/node.yaml").distribution
     assert (chosen.zone, chosen.tenants, chosen.directory) == ("north-a", True, None)
-    assert read_node_config(file("")).distribution is None and MAX_RELAY_ADDRESSES == RELAYS_MOST
+    assert read_node_config(file("")).distribution is None and MAX_RELAY_ADDRESSES == MAX_RELAYS
     for text, told in (
         (
             "distribution: {group: g, sources: [[1.1.1.1:7, 1.1.1.1:7]]}",
@@ -103,8 +103,8 @@
         ),
     ],
 )
-def test_a_mistake_is_told_with_its_place(file, old, new, told):
+def test_an_error_names_its_line(file, old, new, told):
     assert old in GOOD
     with pytest.raises(InvalidConfigError) as wrong:
-        read_relay(file(GOOD.replace(old, new)))
+        read_relay_file(file(GOOD.replace(old, new)))
     assert told in str(wrong.value)
--- a/tests/node/test_tenants.py
+++ b/tests/node/test_tenants.py
@@ -17,7 +17,7 @@
 from lichencleat.config_distribution import kept
 from lichencleat.config_distribution.copy import TableCopy
 from lichencleat.config_distribution.table import Table
-from lichencleat.config_distribution.terms import Change, Digests, Pages
+from lichencleat.config_distribution.terms import Change, PagesAnswer, SnapshotHead
 from lichencleat.node.assembly import RealNode
 from lichencleat.node.config import read_start_settings
 from lichencleat.node.host import Answer
@@ -113,14 +113,14 @@
     view = source.view()
     copy.begin(view.head(0))
     while wanted := copy.missing(8):
-        copy.put(Pages(9, tuple((n, view.packed(n)) for n in wanted)))
+        copy.put(PagesAnswer(9, tuple((n, view.packed(n)) for n in wanted)))
         assert not copy.step() or not copy.missing(1)
         assert seen() == [True, False, True] and not sender.ask(b"t7")
     while not copy.step():
         assert seen() == [True, False, True]
     copy.take()
     assert seen() == [False, False, True] and sender.ask(b"t7")
-    assert isinstance(view.head(0), Digests)
+    assert isinstance(view.head(0), SnapshotHead)
 
 
 def test_pending_request_of_a_removed_tenant_is_answered_to_that_tenant_alone(sender, table, connection):
@@ -194,7 +194,7 @@
     assert not node.ended.called and not subscriber.stopped
     for _ in range(300):
         node.reactor.advance(0.01)
-    assert node.ended.called and subscriber.stopped and not subscriber.ways
+    assert node.ended.called and subscriber.stopped and not subscriber.attempts
 
 
 def test_distribution_is_not_imported_if_it_is_off():
@@ -259,7 +259,7 @@
 @pytest.fixture
 def make_with_disk(monkeypatch):
     def make_with_disk(opened):
-        monkeypatch.setattr(kept, "open_kept", lambda *args, **more: opened)
+        monkeypatch.setattr(kept, "open_persisted_table", lambda *args, **more: opened)
         return make_node("somewhere")
 
     return make_with_disk
@@ -278,7 +278,11 @@
     node.on_batches_taken(())
     node.subscriber.copy.mark = b"mark-two"
     node.on_version_known()
-    assert disk.calls == [("wrote", table, (batch,)), ("replaced", table), ("mark", b"mark-two")]
+    assert disk.calls == [
+        ("on_batches_applied", table, (batch,)),
+        ("on_snapshot_applied", table),
+        ("set_group_mark", b"mark-two"),
+    ]
     node.stop()
     assert disk.calls[-1] == "close"
 
