--- a/benchmarks/quorum_size.py
+++ b/benchmarks/quorum_size.py
@@ -28,7 +28,7 @@
         rng = random.Random(f"size {seed}")
         self.clockwork = Clockwork()
         self.network = Network(self.clockwork, rng)
-        self.group = SimGroup(self.clockwork, self.network, rng, VOTERS, learners, compact_each=2_000)
+        self.group = SimGroup(self.clockwork, self.network, rng, VOTERS, learners, compaction_interval=2_000)
         self.group.start()
         self.run(3)
         for seat in range(VOTERS + 1, VOTERS + learners + 1):
@@ -45,7 +45,7 @@
             assert leader is not None
             learner = self.group.members[seat].member
             learner = type(learner)(learner.member_id, learner.name, "", 0, is_voter=False)
-            self.group.ask("op", leader.seat, "add", learner, told.append)
+            self.group.send_request("op", leader.member_id, "add", learner, told.append)
             self.run(0.02)
 
     def write(self) -> None:
@@ -53,10 +53,12 @@
         self.made += 1
         if leader is not None:
             what = encode_command("facts", SetCommand(f"f{self.made % 50}", b"%d" % self.made))
-            self.group.ask("op", leader.seat, "propose", Entry(0, EntryType.COMMAND, what), lambda told: None)
+            self.group.send_request(
+                "op", leader.member_id, "propose", Entry(0, EntryType.COMMAND, what), lambda told: None
+            )
 
     def term(self) -> int:
-        return max(each.voter.term for each in self.group.members.values())
+        return max(each.node.term for each in self.group.members.values())
 
     def behind(self) -> int:
         leader = self.group.leader()
--- a/lichencleat/testkit/checkers/__init__.py
+++ b/lichencleat/testkit/checkers/__init__.py
@@ -1,3 +1,3 @@
-"""Judges of what happened, written once for the simulation, the rig and the tests; each is checked with
-planted mistakes.
+"""Checkers of recorded behavior, shared by the simulations, the cluster harness and the tests. Tests verify
+each checker with injected bugs.
 """
--- a/lichencleat/testkit/checkers/store_history.py
+++ b/lichencleat/testkit/checkers/store_history.py
@@ -1,8 +1,8 @@
-"""Checks what a store holds after a power cut against what it was asked for and what it confirmed.
+"""Checks the content of a store after a power cut against the requested and the confirmed batches.
 
-The rule: the entries are those after the first n batches that were not refused, in order, for an n no smaller
-than the number confirmed. So nothing confirmed is missing, no batch is there in half, and nothing is there
-that was never asked for.
+The rule: for some n, not smaller than the number of confirmed batches, the entries are the result of the
+first n batches that were not refused, in order. Thus no confirmed change is missing, no batch is partly
+applied, and no entry exists that was never requested.
 """
 
 from __future__ import annotations
@@ -13,37 +13,37 @@
 
 
 class History:
-    """The batches that a store was asked for, in order, and what became of each."""
+    """The batches requested from a store, in order, with the outcome of each."""
 
     def __init__(self) -> None:
         self.batches: list[list[Change]] = []
-        self.confirmed = 0  # this many, from the first on, are confirmed
-        # reported as not confirmed since: may be back as whole batches until the next confirmation
+        self.confirmed = 0  # number of confirmed batches, which are the first ones
+        # batches that failed since the last confirmation; each may reappear as a whole until the next one
         self.failed: list[list[Change]] = []
 
     def record_request(self, changes: Iterable[Change]) -> None:
-        """Note a batch that is about to be committed; the one before it is confirmed or refused."""
+        """Record a batch before its commit. The outcome of the previous batch must be recorded already."""
         self.batches.append(list(changes))
 
     def record_confirmation(self) -> None:
-        """Note that all batches so far are confirmed."""
+        """Record that all batches so far are confirmed."""
         self.confirmed = len(self.batches)
         self.failed = []
 
     def record_refusal(self) -> None:
-        """Note that the last batch was refused before anything was written."""
+        """Record that the last batch was refused before any write."""
         self.batches.pop()
 
     def record_failure(self) -> None:
-        """Note that the last batch failed: a cut before the next confirmed one may bring it back."""
+        """Record that the last batch failed. A power cut before the next confirmation may bring it back."""
         self.failed.append(self.batches.pop())
 
     def state_after(self, count: int) -> dict[bytes, tuple[bytes, int]]:
-        """The entries, with value and expiry, after the first `count` batches."""
+        """Return the entries (key -> value, expiry) after the first `count` batches."""
         return apply_batches(self.batches[:count])
 
     def check(self, found: dict[bytes, bytes], now: int) -> str | None:
-        """None where the store's entries keep the rule; else how they break it. `now` is in µs."""
+        """Return None if the entries found obey the rule, else describe the violation. `now` is in µs."""
         states = [self.state_after(count) for count in range(self.confirmed, len(self.batches) + 1)]
         states += [apply_batches([*self.batches[: self.confirmed], each]) for each in self.failed]
         shown = [visible_entries(state, now) for state in states]
@@ -59,7 +59,7 @@
 
 
 def apply_batches(batches: Iterable[list[Change]]) -> dict[bytes, tuple[bytes, int]]:
-    """The entries, with value and expiry, that these batches leave."""
+    """Return the entries (key -> value, expiry) that result from the batches."""
     state: dict[bytes, tuple[bytes, int]] = {}
     for batch in batches:
         for key, value, expiry in batch:
@@ -71,5 +71,5 @@
 
 
 def visible_entries(state: dict[bytes, tuple[bytes, int]], now: int) -> dict[bytes, bytes]:
-    """The values of entries that have not expired at `now` (µs)."""
+    """Return the values of the entries that have not expired at `now` (µs)."""
     return {key: value for key, (value, expiry) in state.items() if not 0 < expiry <= now}
--- a/lichencleat/testkit/cluster/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -352,16 +352,16 @@
 
     def answered(self, told: Any, call: Call) -> None:
         call.returned = self.now()
-        name = call.what[1]
-        if call.what[0] == "get":
+        name = call.operation[1]
+        if call.operation[0] == "get":
             fact = KeyValueEntry(*told) if told else None
             self.known[name] = (fact.value, fact.revision) if fact else (None, 0)
-            call.told = self.known[name][0]
+            call.result = self.known[name][0]
             return
         answer = SetResult(*told)
-        call.told = answer.is_applied
+        call.result = answer.is_applied
         if answer.is_applied:
-            self.known[name] = call.what[2], answer.revision
+            self.known[name] = call.operation[2], answer.revision
 
     def count(self) -> int:
         return sum(each.returned < 1 << 61 for each in self.history)
--- a/lichencleat/testkit/simulation/__init__.py
+++ b/lichencleat/testkit/simulation/__init__.py
@@ -1,7 +1,7 @@
-"""The same state machines in one process: on a drawn network, drawn disks and drawn clocks, the same to the
-byte for a seed.
+"""Simulations that run the program's state machines in one process, with a simulated network, simulated disks
+and simulated clocks. The seed fully determines a run.
 
-`clockwork.py` time, `network.py` what is between, `group.py` voters with their disks, `clients.py` who asks
-them, `faults.py` what is drawn to go wrong and how a failing schedule is made short, `run.py` one run and
-many of them.
+The consensus simulation: `clockwork.py` simulated time, `network.py` message delivery, `group.py` members of
+a consensus group with their disks, `clients.py` clients of the group, `faults.py` the random fault schedule
+and its reduction to a minimal one, `run.py` the command that plays one or many seeds.
 """
--- a/lichencleat/testkit/simulation/clients.py
+++ b/lichencleat/testkit/simulation/clients.py
@@ -1,5 +1,5 @@
-"""Clients of a group: one call at a time, repeated until it is answered, in a session; they write down what
-they saw.
+"""Simulated clients of a consensus group. Each client has a session, makes one call at a time, retries the
+call until it has an answer, and records its history for the linearizability check.
 """
 
 from __future__ import annotations
@@ -17,102 +17,122 @@
 from lichencleat.transport.frames import encode_command
 from lichencleat.transport.outcomes import SessionOutcome
 
-PATIENCE = (200_000, 3_000_000)  # µs for one try, drawn once a client: who waits longer is told older news
-REST = (1_000, 60_000)  # µs between calls
-FACTS = 3  # few, so that clients meet
+# one value is drawn for each client: a client with a long timeout accepts answers that arrive late
+ATTEMPT_TIMEOUT_RANGE_US = (200_000, 3_000_000)
+PAUSE_RANGE_US = (1_000, 60_000)  # time between two calls of a client
+KEY_COUNT = 3  # few keys, so that clients conflict
 
 
 class SimClient:
+    """A client that makes random put, compare-and-set and get calls."""
+
     def __init__(self, group: SimGroup, name: str, rng: random.Random, calls: int) -> None:
-        self.group, self.name, self.rng, self.left = group, name, rng, calls
+        self.group, self.name, self.rng, self.calls_left = group, name, rng, calls
         self.history: list[Call] = []
-        self.known: dict[str, tuple[bytes | None, int]] = {}  # what it saw of each fact: value and revision
-        self.session = self.number = self.tries = self.made = 0
-        self.seat = 0
-        self.patience = rng.randint(*PATIENCE)
+        self.known_values: dict[str, tuple[bytes | None, int]] = {}  # key -> last known (value, revision)
+        self.session_id = self.sequence = self.attempts = self.values_written = 0
+        self.member_id = 0  # member that the next attempt asks; 0: choose at random
+        self.attempt_timeout = rng.randint(*ATTEMPT_TIMEOUT_RANGE_US)
         self.call: Call | None = None
-        self.entry: Entry | None = None  # that it proposes
+        self.entry: Entry | None = None  # entry to propose in the current call; None for a read
         self.timer: Timer | None = None
 
     def start(self) -> None:
-        self.group.clockwork.after(self.rng.randint(*REST), self.begin)
+        self.group.clockwork.after(self.rng.randint(*PAUSE_RANGE_US), self.begin)
 
     def begin(self) -> None:
-        if self.left == 0:
+        """Open a session if the client has none, otherwise start the next call."""
+        if self.calls_left == 0:
             return
-        if not self.session:
+        if not self.session_id:
             self.entry = Entry(0, EntryType.SESSION)
             self.attempt()
             return
-        self.left -= 1
-        name = f"f{self.rng.randrange(FACTS)}"
+        self.calls_left -= 1
+        name = f"f{self.rng.randrange(KEY_COUNT)}"
         kind = self.rng.choice(["put", "cas", "get"])
-        value, revision = self.known.get(name, (None, 0))
+        value, revision = self.known_values.get(name, (None, 0))
         self.entry = None
-        what: tuple[Any, ...] = ("get", name)
+        operation: tuple[Any, ...] = ("get", name)
         if kind != "get":
-            self.made += 1
-            new = f"{self.name}-{self.made}".encode()
-            what = ("put", name, new) if kind == "put" else ("cas", name, new, value)
-            wanted = SetCommand(name, new, None if kind == "put" else revision)
-            self.number += 1
+            self.values_written += 1
+            new = f"{self.name}-{self.values_written}".encode()
+            operation = ("put", name, new) if kind == "put" else ("cas", name, new, value)
+            command = SetCommand(name, new, None if kind == "put" else revision)
+            self.sequence += 1
             self.entry = Entry(
-                0, EntryType.COMMAND, encode_command("facts", wanted), self.session, self.number
+                0, EntryType.COMMAND, encode_command("facts", command), self.session_id, self.sequence
             )
-        self.call = Call(self.name, what, self.group.clockwork.now)
+        self.call = Call(self.name, operation, self.group.clockwork.now)
         self.history.append(self.call)
         self.attempt()
 
     def attempt(self) -> None:
-        if not self.seat or self.rng.random() < 0.3:
-            self.seat = self.rng.choice(list(self.group.members))
-        self.tries += 1
-        mark = self.tries
+        """Send the current call to a member and arm the timeout of the attempt."""
+        if not self.member_id or self.rng.random() < 0.3:
+            self.member_id = self.rng.choice(list(self.group.members))
+        self.attempts += 1
+        attempt_number = self.attempts
         if self.entry is not None:
-            self.group.ask(self.name, self.seat, "propose", self.entry, lambda told: self.told(mark, told))
+            self.group.send_request(
+                self.name,
+                self.member_id,
+                "propose",
+                self.entry,
+                lambda reply: self.on_reply(attempt_number, reply),
+            )
         else:
             assert self.call is not None
-            self.group.ask(
-                self.name, self.seat, "read", self.call.what[1], lambda told: self.told(mark, told)
+            self.group.send_request(
+                self.name,
+                self.member_id,
+                "read",
+                self.call.operation[1],
+                lambda reply: self.on_reply(attempt_number, reply),
             )
-        self.timer = self.group.clockwork.after(self.patience, self.again)
+        self.timer = self.group.clockwork.after(self.attempt_timeout, self.retry)
 
-    def again(self) -> None:
-        self.seat = 0
+    def retry(self) -> None:
+        """Repeat the current call at another random member after a timeout."""
+        self.member_id = 0
         self.attempt()
 
-    def told(self, mark: int, told: Any) -> None:
-        """Answers to older tries count for nothing: the one under way will be told the same."""
-        if mark != self.tries or (self.call is None and self.entry is None):
+    def on_reply(self, attempt_number: int, reply: Any) -> None:
+        """Handle the reply to an attempt. Replies to earlier attempts are ignored, because the current
+        attempt is answered or retried as well.
+        """
+        if attempt_number != self.attempts or (self.call is None and self.entry is None):
             return
         assert self.timer is not None
         self.timer.cancel()
-        if told[0] == "refused":
-            self.seat = told[2] if told[2] in self.group.members else 0
-            self.tries += 1
+        if reply[0] == "refused":
+            self.member_id = reply[2] if reply[2] in self.group.members else 0
+            self.attempts += 1
             self.timer = self.group.clockwork.after(self.rng.randint(5_000, 50_000), self.attempt)
             return
-        if told[0] == "read":
-            self.saw(told[1])
+        if reply[0] == "read":
+            self.on_read(reply[1])
         elif self.entry is not None and self.entry.entry_type == EntryType.SESSION:
-            self.session, self.number = msgspec.msgpack.decode(told[2]), 0
-        elif told[1] is not SessionOutcome.DONE:
-            self.session = 0  # what became of the call is not known: it stays open in the history
+            self.session_id, self.sequence = msgspec.msgpack.decode(reply[2]), 0
+        elif reply[1] is not SessionOutcome.DONE:
+            self.session_id = 0  # the outcome is unknown: the call remains unanswered in the history
         else:
-            self.changed(msgspec.msgpack.decode(told[2], type=SetResult))
+            self.on_set_result(msgspec.msgpack.decode(reply[2], type=SetResult))
         self.call = self.entry = None
-        self.group.clockwork.after(self.rng.randint(*REST), self.begin)
+        self.group.clockwork.after(self.rng.randint(*PAUSE_RANGE_US), self.begin)
 
-    def saw(self, fact: KeyValueEntry | None) -> None:
+    def on_read(self, entry: KeyValueEntry | None) -> None:
+        """Record the result of a read in the history."""
         assert self.call is not None
-        value, revision = (fact.value, fact.revision) if fact else (None, 0)
-        self.known[self.call.what[1]] = value, revision
-        self.call.told, self.call.returned = value, self.group.clockwork.now
+        value, revision = (entry.value, entry.revision) if entry else (None, 0)
+        self.known_values[self.call.operation[1]] = value, revision
+        self.call.result, self.call.returned = value, self.group.clockwork.now
 
-    def changed(self, answer: SetResult) -> None:
+    def on_set_result(self, answer: SetResult) -> None:
+        """Record the result of a put or a compare-and-set in the history."""
         assert self.call is not None
-        self.call.told, self.call.returned = answer.is_applied, self.group.clockwork.now
+        self.call.result, self.call.returned = answer.is_applied, self.group.clockwork.now
         if answer.is_applied:
-            name, value = self.call.what[1:3]
-            self.known[name] = value, answer.revision
+            name, value = self.call.operation[1:3]
+            self.known_values[name] = value, answer.revision
             self.group.watch.confirmed(self.name, value, answer.revision)
--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -27,7 +27,7 @@
 from lichencleat.testkit.simulation.distribution_fleet import Fleet, Size
 from lichencleat.testkit.simulation.distribution_table import SharedCopy
 from lichencleat.testkit.simulation.distribution_world import REGIONS, SECOND, ZONES, Costs, Meter, Site
-from lichencleat.testkit.simulation.many import many
+from lichencleat.testkit.simulation.many import run_many
 
 AIM = 5_000  # ms from publishing until in force at all that are reached
 DAY = 86_400  # s
@@ -285,7 +285,7 @@
     ]
     click.echo(HEAD)
     runs: list[Ran] = []
-    for ran in many(run_one, jobs, cores, len(jobs), chunk=1):
+    for ran in run_many(run_one, jobs, cores, len(jobs), chunk=1):
         runs.append(ran)
         click.echo(line_of(ran))
         for wrong in ran.figures["wrong"][:3]:
--- a/lichencleat/testkit/simulation/group.py
+++ b/lichencleat/testkit/simulation/group.py
@@ -1,4 +1,4 @@
-"""Voters with their disks, in simulated time: what a process of the program is, without its sockets and
+"""Members of a consensus group with their disks, in simulated time: the program's process without sockets and
 threads.
 """
 
@@ -37,15 +37,15 @@
 from lichencleat.testkit.simulation.network import Network
 from lichencleat.transport.outcomes import RejectReason
 
-FLUSH = (100, 1_200)  # µs that a write and its flush take on a disk in good health
-SMALL = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=4 << 20, keep_reserve=False)
-UPKEEP_EACH = 20  # commits from one round of the store's upkeep to the next
+FLUSH_RANGE_US = (100, 1_200)  # time of a write with its flush on a healthy disk
+STORE_LIMITS = StoreLimits(segment_bytes=64 << 10, max_disk_bytes=4 << 20, keep_reserve=False)
+COMMITS_PER_MAINTENANCE = 20  # commits between two rounds of store maintenance
 
-Answer = Callable[[Any], None]
+ReplyHandler = Callable[[Any], None]
 
 
-class WatchedFacts(KeyValueState):
-    """Tells the judge what takes effect: values are unlike each other."""
+class WatchedKeyValueState(KeyValueState):
+    """Key-value state that reports each applied change to the checker. Each written value is unique."""
 
     def __init__(self, member: Any, watch: GroupWatch) -> None:
         super().__init__()
@@ -54,218 +54,243 @@
     def apply(self, index: int, command: msgspec.Raw) -> Any:
         answer = super().apply(index, command)
         if answer.is_applied:
-            wanted = msgspec.msgpack.decode(command, type=SetCommand)
-            self.watch.takes_effect(self.member, index, wanted.value)
+            decoded = msgspec.msgpack.decode(command, type=SetCommand)
+            self.watch.takes_effect(self.member, index, decoded.value)
         return answer
 
 
 class SimMember:
-    """One process: started, cut off, killed, stopped and gone on with."""
+    """One member's process and disk, with the faults that can happen to them."""
 
     def __init__(
-        self, group: SimGroup, member: Member, rng: random.Random, founding: Configuration | None
+        self, group: SimGroup, member: Member, rng: random.Random, initial_configuration: Configuration | None
     ) -> None:
-        self.group, self.member, self.seat, self.rng = group, member, member.member_id, rng
+        self.group, self.member, self.member_id, self.rng = group, member, member.member_id, rng
         self.clock = DriftingClock(group.clockwork, start=rng.randrange(1 << 40))
         self.disk = FaultyDisk()
-        self.flush_time = 1  # times what is usual
+        self.flush_time = 1  # factor on the usual time of a flush
         self.up = False
-        self.stopped = False  # SIGSTOP
-        self.missed: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # while it is stopped
+        self.stopped = False  # the process is suspended, as by SIGSTOP
+        # calls that came due while the process is suspended
+        self.deferred_calls: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.timer: Timer | None = None
-        self.life = 0
-        if founding is not None:
-            engine = self.open()
-            assert engine.commit([LogStorage().bootstrap_batch(bootstrap_snapshot(founding))]) == [None]
+        self.incarnation = 0
+        if initial_configuration is not None:
+            engine = self.open_store()
+            assert engine.commit(
+                [LogStorage().bootstrap_batch(bootstrap_snapshot(initial_configuration))]
+            ) == [None]
             engine.close()
 
-    # -- the process ---------------------------------------------------------------------------------
+    # -- process life cycle --------------------------------------------------------------------------
 
-    def open(self) -> Engine:
-        return Engine.open(self.disk, lambda: self.group.clockwork.now, self.rng, SMALL, create=True)
+    def open_store(self) -> Engine:
+        return Engine.open(self.disk, lambda: self.group.clockwork.now, self.rng, STORE_LIMITS, create=True)
 
     def start(self) -> None:
-        self.up, self.stopped, self.missed = True, False, []
-        self.life += 1
+        """Start the process with the state found on the disk."""
+        self.up, self.stopped, self.deferred_calls = True, False, []
+        self.incarnation += 1
         self.disk.locked = self.disk.off = False
         self.disk.room, self.disk.faults = None, {}
-        self.engine = self.open()
-        self.journal = LogStorage()
-        self.fresh_state()
-        durable = self.journal.load(self.engine.get)
-        self.voter = self.group.kind(
-            self.seat, durable, self.group.times, random.Random(self.rng.randrange(1 << 30)), self.clock()
+        self.engine = self.open_store()
+        self.log_storage = LogStorage()
+        self.reset_state()
+        durable = self.log_storage.load(self.engine.get)
+        self.node = self.group.node_class(
+            self.member_id,
+            durable,
+            self.group.timeouts,
+            random.Random(self.rng.randrange(1 << 30)),
+            self.clock(),
         )
-        self.waiting: list[DurableWrite] = []
-        self.writing = False
-        self.reads: list[tuple[int, Any, Answer]] = []
+        self.pending_writes: list[DurableWrite] = []
+        self.is_writing = False
+        self.reads: list[tuple[int, Any, ReplyHandler]] = []
         self.commits = 0
-        self.dumped: tuple[int, bytes] | None = None
-        self.pull()
+        self.last_snapshot: tuple[int, bytes] | None = None
+        self.run_actions()
 
-    def fresh_state(self) -> None:
-        self.state = StateMachine({"facts": WatchedFacts(self.member.name, self.group.watch)})
+    def reset_state(self) -> None:
+        self.state = StateMachine({"facts": WatchedKeyValueState(self.member.name, self.group.watch)})
 
     def end(self) -> None:
+        """End the process; the disk stays as it is."""
         self.up = False
         if self.timer is not None:
             self.timer.cancel()
 
     def cut_power(self) -> None:
-        """What was not flushed is lost, in part; a write under way reaches the disk in part, or not."""
+        """Cut the power of the machine. A random part of the unflushed data is lost; a write in progress may
+        reach the disk in part or not at all.
+        """
         if not self.up:
             return
-        if self.writing and self.rng.random() < 0.5:
+        if self.is_writing and self.rng.random() < 0.5:
             self.disk.faults = {len(self.disk.calls) + self.rng.randrange(3): FaultyDisk.CUT}
             with contextlib.suppress(PowerCutError):
-                self.engine.commit([self.journal_batch(each) for each in self.waiting])
+                self.engine.commit([self.make_batch(each) for each in self.pending_writes])
         self.end()
         self.disk = self.disk.after_cut(by_chance(self.rng))
 
     def kill(self) -> None:
-        """The process goes; what it wrote stands in the machine's memory still."""
+        """Kill the process. Its unflushed writes are kept, as they are in the operating system's cache."""
         if self.up:
             self.end()
             self.disk.off = False
 
     def stop(self) -> None:
+        """Suspend the process."""
         self.stopped = self.up
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
+        """Resume a suspended process and run the deferred calls."""
         if self.stopped:
             self.stopped = False
-            missed, self.missed = self.missed, []
-            for call, args in missed:
+            deferred_calls, self.deferred_calls = self.deferred_calls, []
+            for call, args in deferred_calls:
                 call(*args)
 
-    def alive(self, life: int, call: Callable[..., None], *args: Any) -> None:
-        """Does the call in the process that asked for it; later, where that is stopped."""
-        if not self.up or self.life != life:
+    def call_if_alive(self, incarnation: int, call: Callable[..., None], *args: Any) -> None:
+        """Run a call in the process of the given incarnation. Drop the call if that process has ended; defer
+        the call while the process is suspended.
+        """
+        if not self.up or self.incarnation != incarnation:
             return
         if self.stopped:
-            self.missed.append((self.alive, (life, call, *args)))
+            self.deferred_calls.append((self.call_if_alive, (incarnation, call, *args)))
             return
         call(*args)
 
-    def later(self, span: int, call: Callable[..., None], *args: Any) -> Timer:
-        return self.group.clockwork.after(span, self.alive, self.life, call, *args)
+    def call_later(self, delay: int, call: Callable[..., None], *args: Any) -> Timer:
+        """Schedule a call `delay` µs from now, which runs only in the current process."""
+        return self.group.clockwork.after(delay, self.call_if_alive, self.incarnation, call, *args)
 
-    # -- as a host -----------------------------------------------------------------------------------
+    # -- host of the consensus node ------------------------------------------------------------------
 
-    def hears(self, message: Message) -> None:
-        self.voter.receive(self.clock(), message)
-        self.pull()
+    def receive(self, message: Message) -> None:
+        self.node.receive(self.clock(), message)
+        self.run_actions()
 
     def wake(self) -> None:
-        self.voter.on_timer(self.clock())
-        self.pull()
+        self.node.on_timer(self.clock())
+        self.run_actions()
 
-    def pull(self) -> None:
-        while self.up and (decision := self.voter.next_action()) is not None:
-            self.carry_out(decision)
+    def run_actions(self) -> None:
+        """Perform all pending actions of the node, answer reads that are due, and re-arm its timer."""
+        while self.up and (action := self.node.next_action()) is not None:
+            self.perform_action(action)
         if not self.up:
             return
         for read in [each for each in self.reads if each[0] <= self.state.applied]:
             self.reads.remove(read)
             read[2](("read", self.state.read("facts", read[1])))
-        if self.voter.role is Role.LEADER:
-            self.group.watch.leads(self.member.name, self.voter.term)
+        if self.node.role is Role.LEADER:
+            self.group.watch.leads(self.member.name, self.node.term)
         if self.timer is not None:
             self.timer.cancel()
-        self.timer = self.later(self.clock.until(self.voter.deadline()), self.wake)
+        self.timer = self.call_later(self.clock.until(self.node.deadline()), self.wake)
 
-    def carry_out(self, decision: Action) -> None:
-        if decision.action_type is ActionType.WRITE:
-            assert decision.write is not None
-            self.waiting.append(decision.write)
+    def perform_action(self, action: Action) -> None:
+        if action.action_type is ActionType.WRITE:
+            assert action.write is not None
+            self.pending_writes.append(action.write)
             self.write()
-        elif decision.action_type is ActionType.SEND:
-            assert decision.message is not None
-            self.group.carry(decision.message)
-        elif decision.action_type is ActionType.APPLY:
-            self.apply(decision)
-        elif decision.action_type is ActionType.RESTORE_SNAPSHOT:
-            assert decision.snapshot is not None
-            self.fresh_state()
-            self.state.restore(decision.snapshot)
-            self.dumped = None
-        elif decision.action_type is ActionType.SERVE_READ:
-            query, answer = decision.context
-            self.reads.append((decision.index, query, answer))
-        elif decision.action_type is ActionType.REJECT:
-            decision.context[1](("refused", decision.reason, self.voter.leader_id))
-        elif decision.action_type is ActionType.HALT:
-            self.group.left.append((self.member.name, decision.reason))
+        elif action.action_type is ActionType.SEND:
+            assert action.message is not None
+            self.group.send(action.message)
+        elif action.action_type is ActionType.APPLY:
+            self.apply(action)
+        elif action.action_type is ActionType.RESTORE_SNAPSHOT:
+            assert action.snapshot is not None
+            self.reset_state()
+            self.state.restore(action.snapshot)
+            self.last_snapshot = None
+        elif action.action_type is ActionType.SERVE_READ:
+            query, answer = action.context
+            self.reads.append((action.index, query, answer))
+        elif action.action_type is ActionType.REJECT:
+            action.context[1](("refused", action.reason, self.node.leader_id))
+        elif action.action_type is ActionType.HALT:
+            self.group.halted.append((self.member.name, action.reason))
             self.end()
 
-    def apply(self, decision: Action) -> None:
-        entry = decision.entry
+    def apply(self, action: Action) -> None:
+        entry = action.entry
         assert entry is not None
-        self.group.watch.applies(self.member.name, decision.index, entry)
-        verdict, result = self.state.apply(decision.index, entry)
-        if decision.context is not None:
-            decision.context[1](("done", verdict, result))
-        if decision.index % self.group.compact_each == 0:
-            if self.dumped is not None:
-                self.voter.compact(*self.dumped)
-            self.dumped = (decision.index, self.state.dump())
-
-    def journal_batch(self, save: DurableWrite) -> Any:
-        return self.journal.make_batch(save)
+        self.group.watch.applies(self.member.name, action.index, entry)
+        verdict, result = self.state.apply(action.index, entry)
+        if action.context is not None:
+            action.context[1](("done", verdict, result))
+        if action.index % self.group.compaction_interval == 0:
+            if self.last_snapshot is not None:
+                self.node.compact(*self.last_snapshot)
+            self.last_snapshot = (action.index, self.state.dump())
+
+    def make_batch(self, durable_write: DurableWrite) -> Any:
+        return self.log_storage.make_batch(durable_write)
 
     def write(self) -> None:
-        if not self.writing and self.waiting:
-            self.writing = True
-            self.later(self.rng.randint(*FLUSH) * self.flush_time, self.written)
-
-    def written(self) -> None:
-        self.writing = False
-        group, self.waiting = self.waiting, []
-        verdicts = self.engine.commit([self.journal_batch(each) for each in group])
+        """Start to write the pending writes, unless a write is in progress."""
+        if not self.is_writing and self.pending_writes:
+            self.is_writing = True
+            self.call_later(self.rng.randint(*FLUSH_RANGE_US) * self.flush_time, self.on_written)
+
+    def on_written(self) -> None:
+        """Commit the pending writes and report the outcome to the node."""
+        self.is_writing = False
+        group, self.pending_writes = self.pending_writes, []
+        verdicts = self.engine.commit([self.make_batch(each) for each in group])
         wrong = next((each for each in verdicts if each is not None), None)
         if wrong is not None:
-            self.voter.on_disk_failed(str(wrong))
+            self.node.on_disk_failed(str(wrong))
         else:
-            self.voter.on_write_durable(self.clock(), group[-1].number)
-            self.keep_up()
-        self.pull()
+            self.node.on_write_durable(self.clock(), group[-1].number)
+            self.run_maintenance()
+        self.run_actions()
         if self.up:
             self.write()
 
-    def keep_up(self) -> None:
+    def run_maintenance(self) -> None:
+        """Run the maintenance of the store after every COMMITS_PER_MAINTENANCE commits."""
         self.commits += 1
-        if self.commits % UPKEEP_EACH == 0:
-            with contextlib.suppress(StoreError):  # the next write tells
+        if self.commits % COMMITS_PER_MAINTENANCE == 0:
+            with contextlib.suppress(StoreError):  # the next write reports the error
                 while self.engine.step():
                     pass
 
-    # -- what clients ask ----------------------------------------------------------------------------
+    # -- client requests -----------------------------------------------------------------------------
 
-    def asked(self, what: str, content: Any, answer: Answer) -> None:
+    def on_request(self, request: str, content: Any, answer: ReplyHandler) -> None:
+        """Pass a client request to the node. `answer` is called with the reply, a tuple that starts with
+        "done", "read" or "refused".
+        """
         now = self.clock()
-        if what == "propose":
+        if request == "propose":
             entry: Entry = content
             if entry.entry_type == EntryType.SESSION:
-                self.voter.propose_session(now, (what, answer))
+                self.node.propose_session(now, (request, answer))
             else:
-                self.voter.propose(now, (what, answer), entry.data, entry.session_id, entry.sequence)
-        elif what == "read":
-            self.voter.read(now, (content, answer))
-        elif what == "add":
-            self.voter.change_configuration(
-                now, (what, answer), with_member(self.voter.log.configuration, content)
+                self.node.propose(now, (request, answer), entry.data, entry.session_id, entry.sequence)
+        elif request == "read":
+            self.node.read(now, (content, answer))
+        elif request == "add":
+            self.node.change_configuration(
+                now, (request, answer), with_member(self.node.log.configuration, content)
             )
-        elif what == "remove":
-            self.voter.change_configuration(
-                now, (what, answer), without_member(self.voter.log.configuration, content)
+        elif request == "remove":
+            self.node.change_configuration(
+                now, (request, answer), without_member(self.node.log.configuration, content)
             )
-        elif what == "transfer":
-            moving = self.voter.transfer_leadership(now, content)
-            answer(("done" if moving else "refused", RejectReason.NOT_LEADER, self.voter.leader_id))
-        self.pull()
+        elif request == "transfer":
+            moving = self.node.transfer_leadership(now, content)
+            answer(("done" if moving else "refused", RejectReason.NOT_LEADER, self.node.leader_id))
+        self.run_actions()
 
 
 class SimGroup:
+    """A consensus group: its members and the network between them."""
+
     def __init__(
         self,
         clockwork: Clockwork,
@@ -273,40 +298,63 @@
         rng: random.Random,
         voters: int,
         spare: int = 0,
-        kind: type[RaftNode] = RaftNode,
-        times: Timeouts | None = None,
-        compact_each: int = 40,
+        node_class: type[RaftNode] = RaftNode,
+        timeouts: Timeouts | None = None,
+        compaction_interval: int = 40,
     ) -> None:
         self.clockwork, self.network, self.rng = clockwork, network, rng
-        self.kind, self.times, self.compact_each = kind, times or Timeouts(), compact_each
+        self.node_class, self.timeouts, self.compaction_interval = (
+            node_class,
+            timeouts or Timeouts(),
+            compaction_interval,
+        )
         self.watch = GroupWatch()
-        self.left: list[tuple[str, str]] = []  # who went by itself, and why
-        listed = [Member(seat, f"v{seat}", "", 0) for seat in range(1, voters + spare + 1)]
-        founding = Configuration(tuple(listed[:voters]))
+        self.halted: list[tuple[str, str]] = []  # (member name, reason) of each node that halted itself
+        all_members = [
+            Member(member_id, f"v{member_id}", "", 0) for member_id in range(1, voters + spare + 1)
+        ]
+        initial_configuration = Configuration(tuple(all_members[:voters]))
         self.members: dict[int, SimMember] = {}
-        for each in listed:
+        for each in all_members:
             own = random.Random(rng.randrange(1 << 60))
             self.members[each.member_id] = SimMember(
-                self, each, own, founding if each.member_id <= voters else None
+                self, each, own, initial_configuration if each.member_id <= voters else None
             )
 
     def start(self) -> None:
         for each in self.members.values():
             each.start()
 
-    def carry(self, message: Message) -> None:
-        to = self.members[message.recipient]
-        self.network.send(message.sender, message.recipient, to.alive, to.life, to.hears, message)
-
-    def ask(self, client: Any, seat: int, what: str, content: Any, answer: Answer) -> None:
-        """As a client does, over the network, both ways."""
-        to = self.members[seat]
-
-        def back(told: Any) -> None:
-            self.network.send(seat, client, answer, told)
+    def send(self, message: Message) -> None:
+        """Send a message between members over the network."""
+        recipient = self.members[message.recipient]
+        self.network.send(
+            message.sender,
+            message.recipient,
+            recipient.call_if_alive,
+            recipient.incarnation,
+            recipient.receive,
+            message,
+        )
 
-        self.network.send(client, seat, lambda: to.alive(to.life, to.asked, what, content, back))
+    def send_request(
+        self, client: Any, member_id: int, request: str, content: Any, answer: ReplyHandler
+    ) -> None:
+        """Send a client request to a member; request and reply pass over the network."""
+        recipient = self.members[member_id]
+
+        def send_reply(reply: Any) -> None:
+            self.network.send(member_id, client, answer, reply)
+
+        self.network.send(
+            client,
+            member_id,
+            lambda: recipient.call_if_alive(
+                recipient.incarnation, recipient.on_request, request, content, send_reply
+            ),
+        )
 
     def leader(self) -> SimMember | None:
-        leading = [each for each in self.members.values() if each.up and each.voter.role is Role.LEADER]
-        return max(leading, key=lambda each: each.voter.term, default=None)
+        """Return the running leader of the newest term, or None."""
+        leading = [each for each in self.members.values() if each.up and each.node.role is Role.LEADER]
+        return max(leading, key=lambda each: each.node.term, default=None)
--- a/lichencleat/testkit/simulation/many.py
+++ b/lichencleat/testkit/simulation/many.py
@@ -1,4 +1,4 @@
-"""Many drawn runs over some cores, in the order of their seeds, until enough have failed."""
+"""Plays many simulation runs on several cores."""
 
 from __future__ import annotations
 
@@ -6,18 +6,24 @@
 from concurrent.futures import ProcessPoolExecutor
 from typing import Any
 
-CHUNK = 4  # runs handed to a process at once: they take some 50 ms each
+RUNS_PER_CHUNK = 4  # runs handed to a process at once; a run takes about 50 ms
 
 
-def many(
-    one: Callable[[Any], Any], jobs: Iterable[Any], cores: int, most: int, chunk: int = CHUNK
+def run_many(
+    run_one: Callable[[Any], Any],
+    jobs: Iterable[Any],
+    cores: int,
+    max_failures: int,
+    chunk: int = RUNS_PER_CHUNK,
 ) -> Iterator[Any]:
-    """What `one` gives for each job; its `wrong` tells whether it failed. Ends after `most` that did."""
+    """Yield the result of `run_one` for each job in order, and stop after `max_failures` failed runs. A run
+    has failed if the field `wrong` of its result is not None.
+    """
     failed = 0
     with ProcessPoolExecutor(cores) as pool:
-        for ran in pool.map(one, jobs, chunksize=chunk):
-            yield ran
-            failed += ran.wrong is not None
-            if failed >= most:
+        for result in pool.map(run_one, jobs, chunksize=chunk):
+            yield result
+            failed += result.wrong is not None
+            if failed >= max_failures:
                 pool.shutdown(cancel_futures=True)
                 return
--- a/lichencleat/testkit/simulation/network.py
+++ b/lichencleat/testkit/simulation/network.py
@@ -1,4 +1,4 @@
-"""What lies between the members: each message takes a drawn time, is lost, comes twice, or meets a cut."""
+"""Simulated network: messages have random delays, and may be lost, duplicated or stopped by a cut link."""
 
 from __future__ import annotations
 
@@ -8,41 +8,51 @@
 
 from lichencleat.testkit.simulation.clockwork import Clockwork
 
-NEAR = (100, 1_500)  # µs: a message within a zone, with its way through two kernels
+DELAY_RANGE_US = (100, 1_500)  # within a zone, including both kernels
 
 
 class Network:
-    """Ends are whatever names them. Messages overtake each other: a link that broke and came back does so
-    too.
+    """Links between endpoints, which are named by any hashable value. Messages may overtake each other, as
+    they do over a connection that breaks and is set up again.
     """
 
     def __init__(self, clockwork: Clockwork, rng: random.Random) -> None:
         self.clockwork, self.rng = clockwork, rng
-        self.cuts: dict[tuple[Any, Any], int] = {}  # (from, to) -> how many cuts lie on it
-        self.slow: dict[Any, int] = {}  # end -> µs more to and from it
-        self.loss = 0.0
-        self.repeats = 0.0
+        self.cut_counts: dict[tuple[Any, Any], int] = {}  # (sender, recipient) -> cuts in effect on this link
+        self.extra_delay: dict[Any, int] = {}  # endpoint -> µs added to its messages, both ways
+        self.loss = 0.0  # probability that a message is lost
+        self.duplication = 0.0  # probability that a message arrives twice
         self.sent = self.lost = 0
 
     def cut(self, pairs: list[tuple[Any, Any]]) -> None:
+        """Cut the links (sender, recipient). A link with several cuts works after as many heals."""
         for pair in pairs:
-            self.cuts[pair] = self.cuts.get(pair, 0) + 1
+            self.cut_counts[pair] = self.cut_counts.get(pair, 0) + 1
 
     def heal(self, pairs: list[tuple[Any, Any]]) -> None:
+        """Remove one cut from each of the links (sender, recipient)."""
         for pair in pairs:
-            self.cuts[pair] -= 1
+            self.cut_counts[pair] -= 1
 
-    def send(self, sender: Any, to: Any, deliver: Callable[..., None], *args: Any) -> None:
+    def send(self, sender: Any, recipient: Any, deliver: Callable[..., None], *args: Any) -> None:
+        """Schedule `deliver(*args)` after the delay of the link, unless the message is lost."""
         self.sent += 1
-        if self.cuts.get((sender, to)) or self.rng.random() < self.loss:
+        if self.cut_counts.get((sender, recipient)) or self.rng.random() < self.loss:
             self.lost += 1
             return
-        for _ in range(2 if self.rng.random() < self.repeats else 1):
-            span = self.rng.randint(*NEAR) + self.slow.get(sender, 0) + self.slow.get(to, 0)
-            self.clockwork.after(span, self.arrive, sender, to, deliver, args)
-
-    def arrive(self, sender: Any, to: Any, deliver: Callable[..., None], args: tuple[Any, ...]) -> None:
-        if self.cuts.get((sender, to)):
+        for _ in range(2 if self.rng.random() < self.duplication else 1):
+            delay = (
+                self.rng.randint(*DELAY_RANGE_US)
+                + self.extra_delay.get(sender, 0)
+                + self.extra_delay.get(recipient, 0)
+            )
+            self.clockwork.after(delay, self.deliver_unless_cut, sender, recipient, deliver, args)
+
+    def deliver_unless_cut(
+        self, sender: Any, recipient: Any, deliver: Callable[..., None], args: tuple[Any, ...]
+    ) -> None:
+        """Deliver a message, unless the link was cut while the message was on its way."""
+        if self.cut_counts.get((sender, recipient)):
             self.lost += 1
         else:
             deliver(*args)
--- a/lichencleat/testkit/simulation/shares.py
+++ b/lichencleat/testkit/simulation/shares.py
@@ -1,9 +1,10 @@
-"""Nodes that share a dependency, through drawn faults in simulated time:
-`python -m lichencleat.testkit.simulation.shares`.
+"""Simulation of quotas under random faults: nodes that share the limit on calls to a dependency.
+`python -m lichencleat.testkit.simulation.shares`
 
-The log is one order with losses, and with tries that are applied long after their caller gave them up.
-Owners change, and old ones go on dealing. Judged at every step: what all nodes believe they may have in
-hand, and what the dependency has in hand, against the limit.
+The replicated log is a model: it applies commands in one order, loses some of them, and applies some long
+after their sender has given up. The lease of the allocator moves, and a previous allocator may continue for a
+while. After each step, the number of calls that all nodes believe they may have in flight, and the number in
+flight at the dependency, are checked against the limit.
 """
 
 from __future__ import annotations
@@ -32,219 +33,258 @@
 from lichencleat.quotas.quota_grant import QuotaGrant
 from lichencleat.quotas.quota_state import QuotaState, reserved_calls
 from lichencleat.testkit.simulation.clockwork import Clockwork, DriftingClock
-from lichencleat.testkit.simulation.many import many
+from lichencleat.testkit.simulation.many import run_many
 
-POOL, TERM = "p", 1_000_000  # µs: short, so that a run sees many
-TROUBLE, CALM = 15_000_000, 8_000_000  # µs with faults, and after them
-COMMIT = (500, 30_000)  # µs from a proposal to its entry, and from there to the answer
-STEADY, WILD = 0.045, 0.6  # how far a clock's rate may be off: within the stated drift, and far beyond it
-CALL = (5_000, 400_000)  # µs that the dependency takes, but for a few that would take for ever
-FILLED = 0.6  # of what can be given, in calm, while every node wants more
+POOL, TERM_US = "p", 1_000_000  # a short term, so that a run has many terms
+FAULT_PHASE_US, RECOVERY_PHASE_US = 15_000_000, 8_000_000  # time with faults; time to recover after them
+COMMIT_RANGE_US = (500, 30_000)  # time from a proposal to its log entry, and again to the answer
+# largest clock rate error: within the drift that quotas allow for, and far beyond it
+MAX_DRIFT, MAX_EXCESSIVE_DRIFT = 0.045, 0.6
+# nine calls in ten take a time within this range; the others take 60 s if nothing ends them
+CALL_DURATION_RANGE_US = (5_000, 400_000)
+# fraction of the grantable calls that must be granted after the faults, while every node wants more calls
+MIN_GRANTED_FRACTION = 0.6
 
 
 @dataclass(frozen=True, slots=True)
-class Kinds:
-    """The modules under test, or ones with a mistake planted."""
+class Implementations:
+    """The classes under test, or variants of them with an injected bug."""
 
     pools: type[QuotaState] = QuotaState
     grants: type[QuotaGrant] = QuotaGrant
-    dealer: type[Allocator] = Allocator
+    allocator: type[Allocator] = Allocator
 
 
 class LogModel:
+    """Model of a replicated log that loses and delays commands and answers."""
+
     def __init__(self, world: SharesWorld, rng: random.Random) -> None:
         self.clockwork, self.rng = world.clockwork, rng
         self.jobs = LeaseState()
-        self.pools = world.kinds.pools(self.jobs)
+        self.pools = world.implementations.pools(self.jobs)
         self.index = 0
-        self.loss, self.late, self.down = 0.02, 0.03, False
+        # probabilities that a message is lost and that a command is applied late; whether the log is down
+        self.loss, self.delayed, self.down = 0.02, 0.03, False
 
-    def propose(self, what: Any, answer: Callable[[Any], None] = lambda told: None) -> None:
+    def propose(self, command: Any, answer: Callable[[Any], None] = lambda reply: None) -> None:
+        """Schedule a command for the log, unless the command is lost."""
         if self.down or self.rng.random() < self.loss:
             return
-        span = self.rng.randint(*COMMIT)
-        if self.rng.random() < self.late:
-            span += self.rng.randrange(3 * TERM)  # a try that its caller has given up long ago
-        self.clockwork.after(span, self.enter, what, answer)
+        delay = self.rng.randint(*COMMIT_RANGE_US)
+        if self.rng.random() < self.delayed:
+            delay += self.rng.randrange(3 * TERM_US)  # may be applied after its sender has given up
+        self.clockwork.after(delay, self.apply, command, answer)
 
-    def enter(self, what: Any, answer: Callable[[Any], None]) -> None:
+    def apply(self, command: Any, answer: Callable[[Any], None]) -> None:
+        """Apply a command to the quota state and schedule the answer, unless the answer is lost."""
         self.index += 1
-        told = self.pools.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(what)))
+        reply = self.pools.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(command)))
         if self.rng.random() >= self.loss:
-            self.clockwork.after(self.rng.randint(*COMMIT), answer, told)
+            self.clockwork.after(self.rng.randint(*COMMIT_RANGE_US), answer, reply)
 
-    def own(self, what: Any) -> None:
+    def apply_lease_command(self, command: Any) -> None:
+        """Apply a command to the lease state at once."""
         self.index += 1
-        self.jobs.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(what)))
+        self.jobs.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(command)))
 
 
 class SimNode:
-    """A node that calls as much as it may, and wants more at times."""
+    """A node that makes as many calls as its quota allows, up to a number that changes at random."""
 
     def __init__(self, world: SharesWorld, name: str, rng: random.Random) -> None:
         self.world, self.name, self.rng = world, name, rng
-        self.clock = DriftingClock(world.clockwork, rng.randrange(1 << 40), world.rate())
-        self.life = 0
+        self.clock = DriftingClock(world.clockwork, rng.randrange(1 << 40), world.draw_rate())
+        self.incarnation = 0
         self.up = self.cut = self.stopped = False
-        self.wants = 0
-        self.missed: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
+        self.wanted_calls = 0
+        self.deferred_calls: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.start()
 
     def start(self) -> None:
-        self.life += 1
-        self.up, self.stopped, self.missed = True, False, []
+        """Start the process as a new incarnation without calls in flight."""
+        self.incarnation += 1
+        self.up, self.stopped, self.deferred_calls = True, False, []
         world = self.world
-        life = self.rng.getrandbits(40)
-        self.grants = world.kinds.grants(POOL, self.name, life, world.floor, TERM, self.clock())
-        self.out: set[int] = set()
-        self.asked = 0
-        self.later(0, self.step)
-        self.later(0, self.work)
-
-    def later(self, span: int, call: Callable[..., None], *args: Any) -> None:
-        self.world.clockwork.after(span, self.alive, self.life, call, args)
-
-    def alive(self, life: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        if self.up and life == self.life:
+        incarnation = self.rng.getrandbits(40)
+        self.grants = world.implementations.grants(
+            POOL, self.name, incarnation, world.floor, TERM_US, self.clock()
+        )
+        self.calls_in_flight: set[int] = set()  # known to this process
+        self.attempt = 0
+        self.call_later(0, self.step)
+        self.call_later(0, self.start_calls)
+
+    def call_later(self, delay: int, call: Callable[..., None], *args: Any) -> None:
+        """Schedule a call `delay` µs from now, which runs only in the current process."""
+        self.world.clockwork.after(delay, self.call_if_alive, self.incarnation, call, args)
+
+    def call_if_alive(self, incarnation: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+        """Run a call unless its process has ended; defer the call while the process is suspended."""
+        if self.up and incarnation == self.incarnation:
             if self.stopped:
-                self.missed.append((call, args))
+                self.deferred_calls.append((call, args))
             else:
                 call(*args)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
+        """Resume a suspended process and run the deferred calls."""
         if self.up and self.stopped:
             self.stopped = False
-            missed, self.missed = self.missed, []
-            for call, args in missed:
+            deferred_calls, self.deferred_calls = self.deferred_calls, []
+            for call, args in deferred_calls:
                 call(*args)
 
     def step(self) -> None:
+        """Report the demand, send a quota request if one is due, and schedule the next step."""
         now = self.clock()
-        self.grants.note_demand(max(self.wants, len(self.out)))
-        ask = self.grants.next_request(now, len(self.out))
-        if ask is not None:
-            self.asked += 1
-            mark, life = self.asked, self.life
+        self.grants.note_demand(max(self.wanted_calls, len(self.calls_in_flight)))
+        request = self.grants.next_request(now, len(self.calls_in_flight))
+        if request is not None:
+            self.attempt += 1
+            attempt, incarnation = self.attempt, self.incarnation
 
-            def back(told: QuotaReply) -> None:
+            def deliver_reply(reply: QuotaReply) -> None:
                 if not self.cut:
-                    self.alive(life, self.answered, (mark, told))
+                    self.call_if_alive(incarnation, self.on_reply, (attempt, reply))
 
             if not self.cut:
-                self.world.log.propose(ask, back)
-            self.later(self.clock.until(now + self.grants.reply_timeout()), self.silent, mark)
-        self.later(self.rng.randint(5_000, 40_000), self.step)
-
-    def answered(self, mark: int, told: QuotaReply) -> None:
-        if mark == self.asked and self.grants.requested_at is not None:
-            self.grants.on_reply(self.clock(), told)
-        self.world.look()
-
-    def silent(self, mark: int) -> None:
-        if mark == self.asked and self.grants.requested_at is not None:
+                self.world.log.propose(request, deliver_reply)
+            self.call_later(self.clock.until(now + self.grants.reply_timeout()), self.on_timeout, attempt)
+        self.call_later(self.rng.randint(5_000, 40_000), self.step)
+
+    def on_reply(self, attempt: int, reply: QuotaReply) -> None:
+        """Process the reply to the latest request."""
+        if attempt == self.attempt and self.grants.requested_at is not None:
+            self.grants.on_reply(self.clock(), reply)
+        self.world.check_limit()
+
+    def on_timeout(self, attempt: int) -> None:
+        """Report the latest request as failed if there is still no reply."""
+        if attempt == self.attempt and self.grants.requested_at is not None:
             self.grants.on_failure(self.clock())
 
-    def work(self) -> None:
-        """Lets out what it may; each call ends at its own time, or at the one that it was told."""
+    def start_calls(self) -> None:
+        """Start as many calls as the quota allows. Each call ends after its own duration, or at the latest
+        after the duration that the grant allows.
+        """
         now = self.clock()
-        while len(self.out) < min(self.wants, self.grants.usable_calls(now)):
-            span = self.clock.until(now + self.grants.max_call_duration(now))
-            takes = self.rng.randint(*CALL) if self.rng.random() < 0.9 else 60_000_000
-            number = self.world.calls
-            self.world.calls += 1
-            self.out.add(number)
-            self.world.out.add(number)
-            self.world.clockwork.after(min(span, takes), self.ends, number, self.life)
-        self.world.look()
-        self.later(self.rng.randint(2_000, 30_000), self.work)
-
-    def ends(self, number: int, life: int) -> None:
-        self.world.out.discard(number)
-        self.alive(life, self.out.discard, (number,))
-
-
-class SimDealer:
-    """An owner under one token; it may go on long after the job was given away."""
+        while len(self.calls_in_flight) < min(self.wanted_calls, self.grants.usable_calls(now)):
+            max_duration = self.clock.until(now + self.grants.max_call_duration(now))
+            call_duration = (
+                self.rng.randint(*CALL_DURATION_RANGE_US) if self.rng.random() < 0.9 else 60_000_000
+            )
+            number = self.world.calls_started
+            self.world.calls_started += 1
+            self.calls_in_flight.add(number)
+            self.world.calls_in_flight.add(number)
+            self.world.clockwork.after(
+                min(max_duration, call_duration), self.finish_call, number, self.incarnation
+            )
+        self.world.check_limit()
+        self.call_later(self.rng.randint(2_000, 30_000), self.start_calls)
+
+    def finish_call(self, number: int, incarnation: int) -> None:
+        """End a call at the dependency, and at the node if the process that started the call still runs."""
+        self.world.calls_in_flight.discard(number)
+        self.call_if_alive(incarnation, self.calls_in_flight.discard, (number,))
+
+
+class SimAllocator:
+    """An allocator under one fencing token. It may continue long after its lease has moved to another one."""
 
     def __init__(self, world: SharesWorld, token: int) -> None:
         self.world, self.token = world, token
-        self.dealer = world.kinds.dealer(POOL, token)
-        self.clock = DriftingClock(world.clockwork, world.rng.randrange(1 << 40), world.rate())
-        self.on = True
-        self.look()
-
-    def look(self) -> None:
-        if not self.on:
+        self.allocator = world.implementations.allocator(POOL, token)
+        self.clock = DriftingClock(world.clockwork, world.rng.randrange(1 << 40), world.draw_rate())
+        self.is_active = True
+        self.read_pool()
+
+    def read_pool(self) -> None:
+        """Read the pool at regular intervals. The allocator sees a pool that is slightly out of date."""
+        if not self.is_active:
             return
         clockwork, rng = self.world.clockwork, self.world.rng
-        clockwork.after(round(TERM * POLL_INTERVAL_TERMS), self.look)
+        clockwork.after(round(TERM_US * POLL_INTERVAL_TERMS), self.read_pool)
         if self.world.log.down:
             return
         seen = msgspec.convert(msgspec.to_builtins(self.world.log.pools.pools[POOL]), type(self.world.pool))
-        clockwork.after(rng.randint(*COMMIT), self.sees, seen)
+        clockwork.after(rng.randint(*COMMIT_RANGE_US), self.on_pool_read, seen)
 
-    def sees(self, pool: Any) -> None:
-        for each in self.dealer.decide(self.clock(), pool):
+    def on_pool_read(self, pool: Any) -> None:
+        """Propose the allocations that the allocator decides."""
+        for each in self.allocator.decide(self.clock(), pool):
             self.world.log.propose(each)
 
 
 class SharesWorld:
-    def __init__(self, seed: int, kinds: Kinds, wild: bool) -> None:
+    """One simulated run: the log, the nodes, their allocators and the dependency, with the checks."""
+
+    def __init__(self, seed: int, implementations: Implementations, wild: bool) -> None:
         self.rng = rng = random.Random(f"shares {seed}")
-        self.kinds, self.wild = kinds, wild
+        self.implementations, self.wild = implementations, wild
         self.clockwork = Clockwork()
-        self.wrong: str | None = None
-        self.calls = 0
-        self.out: set[int] = set()  # at the dependency
-        self.most = 0
+        self.wrong: str | None = None  # the first violation found
+        self.calls_started = 0
+        self.calls_in_flight: set[int] = set()  # at the dependency, including calls of ended processes
+        self.max_in_flight = 0
         self.log = LogModel(self, random.Random(rng.randrange(1 << 60)))
         count = rng.randint(2, 6)
         self.floor = rng.randint(0, 2)
-        seats = count + rng.randint(0, 1)
-        self.limit = rng.randint(self.floor * seats + 1, 40 + self.floor * seats)
+        max_nodes = count + rng.randint(0, 1)
+        self.limit = rng.randint(self.floor * max_nodes + 1, 40 + self.floor * max_nodes)
         self.log.pools.apply(
-            0, msgspec.Raw(msgspec.msgpack.encode(DefinePool(POOL, self.limit, self.floor, seats, TERM)))
+            0,
+            msgspec.Raw(msgspec.msgpack.encode(DefinePool(POOL, self.limit, self.floor, max_nodes, TERM_US))),
         )
         self.pool = self.log.pools.pools[POOL]
-        self.log.own(DefineJob(allocator_job(POOL)))
-        self.owners = 0
-        self.dealers: list[SimDealer] = []
-        self.new_owner()
+        self.log.apply_lease_command(DefineJob(allocator_job(POOL)))
+        self.allocator_count = 0
+        self.allocators: list[SimAllocator] = []
+        self.replace_allocator()
         self.nodes = [
             SimNode(self, f"n{number}", random.Random(rng.randrange(1 << 60))) for number in range(count)
         ]
 
-    def rate(self) -> float:
-        span = WILD if self.wild else STEADY
-        return 1 + self.rng.uniform(-span, span)
+    def draw_rate(self) -> float:
+        """Return a random clock rate."""
+        max_error = MAX_EXCESSIVE_DRIFT if self.wild else MAX_DRIFT
+        return 1 + self.rng.uniform(-max_error, max_error)
 
-    def new_owner(self) -> None:
-        """The old one hears of it late, if at all."""
+    def replace_allocator(self) -> None:
+        """Move the lease of the allocator to a new one. The previous allocators stop up to four terms later."""
         for name, each in list(self.log.jobs.candidates.items()):
-            self.log.own(CandidateExpired(name, each.renewal_index))
-        self.owners += 1
-        self.log.own(RenewLease(f"d{self.owners}", "", self.owners, True, {}))
-        for old in self.dealers:
-            self.clockwork.after(self.rng.randrange(4 * TERM), setattr, old, "on", False)
+            self.log.apply_lease_command(CandidateExpired(name, each.renewal_index))
+        self.allocator_count += 1
+        self.log.apply_lease_command(
+            RenewLease(f"d{self.allocator_count}", "", self.allocator_count, True, {})
+        )
+        for old in self.allocators:
+            self.clockwork.after(self.rng.randrange(4 * TERM_US), setattr, old, "is_active", False)
         token = self.log.jobs.jobs[allocator_job(POOL)].fencing_token
-        self.clockwork.after(self.rng.randrange(TERM), lambda: self.dealers.append(SimDealer(self, token)))
+        self.clockwork.after(
+            self.rng.randrange(TERM_US), lambda: self.allocators.append(SimAllocator(self, token))
+        )
 
-    def look(self) -> None:
+    def check_limit(self) -> None:
+        """Check usable, in-flight and reserved calls against the limit. With excessive drift, check only the
+        reserved calls.
+        """
         if self.wrong is not None:
             return
         usable = sum(each.grants.usable_calls(each.clock()) for each in self.nodes if each.up)
-        self.most = max(self.most, len(self.out))
+        self.max_in_flight = max(self.max_in_flight, len(self.calls_in_flight))
         if usable > self.limit and not self.wild:
             self.wrong = f"{usable} believed usable of {self.limit} at {self.clockwork.now}"
-        elif len(self.out) > self.limit and not self.wild:
-            self.wrong = f"{len(self.out)} in hand below of {self.limit} at {self.clockwork.now}"
+        elif len(self.calls_in_flight) > self.limit and not self.wild:
+            self.wrong = f"{len(self.calls_in_flight)} in hand below of {self.limit} at {self.clockwork.now}"
         elif reserved_calls(self.pool) > self.limit:
             self.wrong = f"{reserved_calls(self.pool)} reserved of {self.limit} at {self.clockwork.now}"
 
     def fault(self) -> None:
+        """Start a random fault, or change the number of calls that a node wants."""
         rng, after = self.rng, self.clockwork.after
-        who = rng.choice(self.nodes)
-        span = rng.randint(10_000, 4_000_000)
+        node = rng.choice(self.nodes)
+        duration = rng.randint(10_000, 4_000_000)
         kind = rng.choice(
             [
                 "stop",
@@ -262,134 +302,137 @@
                 "need",
             ]
         )
-        if kind == "stop" and not who.stopped:
-            who.stopped = who.up
-            after(span, who.go_on)
+        if kind == "stop" and not node.stopped:
+            node.stopped = node.up
+            after(duration, node.resume)
         elif kind == "cut":
-            who.cut = True
-            after(span, lambda: setattr(who, "cut", False))
-        elif kind == "kill" and who.up:
-            who.up = False  # its calls go on below: nobody there has noticed
-            after(rng.randint(1_000, 2_000_000), lambda: who.up or who.start())
+            node.cut = True
+            after(duration, lambda: setattr(node, "cut", False))
+        elif kind == "kill" and node.up:
+            node.up = False  # its calls at the dependency continue
+            after(rng.randint(1_000, 2_000_000), lambda: node.up or node.start())
         elif kind == "rate":
-            who.clock.runs(self.rate())
+            node.clock.set_rate(self.draw_rate())
         elif kind == "owner":
-            self.new_owner()
+            self.replace_allocator()
         elif kind == "down":
             self.log.down = True
-            after(min(span, 2_500_000), lambda: setattr(self.log, "down", False))
+            after(min(duration, 2_500_000), lambda: setattr(self.log, "down", False))
         elif kind == "loss":
             self.log.loss = rng.uniform(0, 0.5)
-            after(span, lambda: setattr(self.log, "loss", 0.02))
+            after(duration, lambda: setattr(self.log, "loss", 0.02))
         elif kind == "need":
-            who.wants = rng.choice([0, 1, 3, 50])
+            node.wanted_calls = rng.choice([0, 1, 3, 50])
 
 
 @dataclass(slots=True)
-class Ran:
+class RunResult:
+    """The outcome of one run, with its counts."""
+
     seed: int
-    wrong: str | None = None
+    wrong: str | None = None  # the first violation found
     calls: int = 0
-    full: float = 0.0  # the most that was in hand below, of the limit
+    max_utilization: float = 0.0  # most calls in flight at the dependency, as a fraction of the limit
 
 
-def run(seed: int, kinds: Kinds | None = None, wild: bool = False) -> Ran:
-    world = SharesWorld(seed, kinds or Kinds(), wild)
+def run(seed: int, implementations: Implementations | None = None, wild: bool = False) -> RunResult:
+    """Play one run. With `wild`, clock rates exceed the drift that quotas allow for."""
+    world = SharesWorld(seed, implementations or Implementations(), wild)
     for each in world.nodes:
-        each.wants = world.rng.choice([0, 2, 50])
+        each.wanted_calls = world.rng.choice([0, 2, 50])
     for _ in range(world.rng.randint(2, 25)):
-        world.clockwork.after(world.rng.randrange(TROUBLE), world.fault)
-    world.clockwork.run(TROUBLE + 4_000_000, lambda: world.wrong is not None)
-    world.log.loss = world.log.late = 0.0
+        world.clockwork.after(world.rng.randrange(FAULT_PHASE_US), world.fault)
+    world.clockwork.run(FAULT_PHASE_US + 4_000_000, lambda: world.wrong is not None)
+    world.log.loss = world.log.delayed = 0.0
     for each in world.nodes:
-        each.cut, each.wants = False, 50
-        each.go_on()
-        each.clock.runs(1.0)
+        each.cut, each.wanted_calls = False, 50
+        each.resume()
+        each.clock.set_rate(1.0)
         if not each.up:
             each.start()
-    world.new_owner()
-    world.clockwork.run(world.clockwork.now + CALM, lambda: world.wrong is not None)
+    world.replace_allocator()
+    world.clockwork.run(world.clockwork.now + RECOVERY_PHASE_US, lambda: world.wrong is not None)
     usable = [each.grants.usable_calls(each.clock()) for each in world.nodes]
     if world.wrong is None and not wild:
-        could = world.limit - world.floor * (world.pool.max_nodes - len(world.nodes))
-        if sum(usable) < FILLED * could:
-            world.wrong = f"only {sum(usable)} of {could} given in calm: {usable}"
+        grantable = world.limit - world.floor * (world.pool.max_nodes - len(world.nodes))
+        if sum(usable) < MIN_GRANTED_FRACTION * grantable:
+            world.wrong = f"only {sum(usable)} of {grantable} given in calm: {usable}"
         elif max(usable) - min(usable) > 1:
             world.wrong = f"all want the same, and have {usable}"
-    return Ran(seed, world.wrong, world.calls, world.most / world.limit)
+    return RunResult(seed, world.wrong, world.calls_started, world.max_in_flight / world.limit)
 
 
-# -- mistakes that must be caught ------------------------------------------------------------------
+# -- injected bugs ---------------------------------------------------------------------------------
 
 
-class FromTheAnswer(QuotaGrant):
-    """Counts its grant from the answer, not from before it asked."""
+class GrantCountedFromReply(QuotaGrant):
+    """Injected bug: the term of a grant starts with the reply instead of the request."""
 
     def on_reply(self, now: int, reply: QuotaReply) -> None:
         self.requested_at = now
         super().on_reply(now, reply)
 
 
-class NoEnd(QuotaGrant):
-    """Lets calls out that outlast its grant."""
+class UnboundedCallDuration(QuotaGrant):
+    """Injected bug: calls may last longer than the grant."""
 
     def max_call_duration(self, now: int) -> int:
-        return 20 * TERM
+        return 20 * TERM_US
 
 
-class FloorAtOnce(QuotaGrant):
-    """Counts on its floor from its first moment."""
+class FloorUsedImmediately(QuotaGrant):
+    """Injected bug: a node uses its floor as soon as it starts."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
         self.floor_from = 0
 
 
-class SaysLess(QuotaGrant):
-    """Tells what it may have, not what it has."""
+class ReportsNoCallsInFlight(QuotaGrant):
+    """Injected bug: a node does not report its calls in flight."""
 
     def next_request(self, now: int, in_flight: int) -> QuotaRequest | None:
         return super().next_request(now, 0)
 
 
-class Hasty(Allocator):
-    """Does not wait for a term's end."""
+class ExpiryTooEarly(Allocator):
+    """Injected bug: the allocator expires a grant after 60% of its term."""
 
     def __init__(self, pool: str, fencing_token: int) -> None:
         super().__init__(pool, fencing_token, drift=-0.4)
 
 
-class NoTurns(QuotaState):
-    """Takes an older renewal after a newer one."""
+class AcceptsOldRequests(QuotaState):
+    """Injected bug: an older request is accepted after a newer one."""
 
     def renew(self, index: int, request: QuotaRequest) -> QuotaReply:
-        seat = self.pools[request.pool].node_quotas.get(request.node)
-        if seat is not None and seat.incarnation == request.incarnation:
-            seat.request_number = min(seat.request_number, request.request_number - 1)
+        quota = self.pools[request.pool].node_quotas.get(request.node)
+        if quota is not None and quota.incarnation == request.incarnation:
+            quota.request_number = min(quota.request_number, request.request_number - 1)
         return super().renew(index, request)
 
 
-class NoGhost(QuotaState):
-    """Forgets what an earlier life held."""
+class ForgetsEarlierIncarnation(QuotaState):
+    """Injected bug: calls that earlier incarnations of a node may have in flight are forgotten."""
 
     def renew(self, index: int, request: QuotaRequest) -> QuotaReply:
-        told = super().renew(index, request)
+        reply = super().renew(index, request)
         self.pools[request.pool].node_quotas[request.node].reserved_until_expiry = 0
-        return told
+        return reply
 
 
-class AtOnce(QuotaState):
-    """Frees what the owner takes back before its holder has said so."""
+class ReclaimsWithoutReport(QuotaState):
+    """Injected bug: calls that the allocator takes back are freed before the node reports the decrease."""
 
     def allocate(self, command: Allocate, pool: Pool) -> CommandReply:
-        told = super().allocate(command, pool)
+        reply = super().allocate(command, pool)
         for each in pool.node_quotas.values():
             each.reserved = min(each.reserved, max(each.target, pool.floor))
-        return told
+        return reply
 
 
-class AnyRenewal(QuotaState):
-    """Believes that a term is over, whichever renewal was meant."""
+class ExpiryIgnoresLatestRenewal(QuotaState):
+    """Injected bug: an expiry proposal is accepted although a newer renewal has been applied."""
 
     def expire_grant(self, command: GrantExpired, pool: Pool) -> CommandReply:
         quota = pool.node_quotas[command.node]
@@ -398,20 +441,21 @@
 
 
 VARIANTS = {
-    "none": Kinds(),
-    "FromTheAnswer": Kinds(grants=FromTheAnswer),
-    "NoEnd": Kinds(grants=NoEnd),
-    "FloorAtOnce": Kinds(grants=FloorAtOnce),
-    "SaysLess": Kinds(grants=SaysLess),
-    "Hasty": Kinds(dealer=Hasty),
-    "NoTurns": Kinds(pools=NoTurns),
-    "NoGhost": Kinds(pools=NoGhost),
-    "AtOnce": Kinds(pools=AtOnce),
-    "AnyRenewal": Kinds(pools=AnyRenewal),
+    "none": Implementations(),
+    "FromTheAnswer": Implementations(grants=GrantCountedFromReply),
+    "NoEnd": Implementations(grants=UnboundedCallDuration),
+    "FloorAtOnce": Implementations(grants=FloorUsedImmediately),
+    "SaysLess": Implementations(grants=ReportsNoCallsInFlight),
+    "Hasty": Implementations(allocator=ExpiryTooEarly),
+    "NoTurns": Implementations(pools=AcceptsOldRequests),
+    "NoGhost": Implementations(pools=ForgetsEarlierIncarnation),
+    "AtOnce": Implementations(pools=ReclaimsWithoutReport),
+    "AnyRenewal": Implementations(pools=ExpiryIgnoresLatestRenewal),
 }
 
 
-def one(job: tuple[int, str, bool]) -> Ran:
+def run_one(job: tuple[int, str, bool]) -> RunResult:
+    """Play one run with a variant given by its name."""
     seed, variant, wild = job
     return run(seed, VARIANTS[variant], wild)
 
@@ -420,19 +464,27 @@
 @click.option("--seeds", default=100, show_default=True)
 @click.option("--first", default=1, show_default=True)
 @click.option("--cores", default=1, show_default=True)
-@click.option("--variant", default="none", type=click.Choice(sorted(VARIANTS)), help="A planted mistake.")
-@click.option("--wild", is_flag=True, help="Clocks far beyond the stated drift: only the table holds then.")
-@click.option("--most", default=3, show_default=True, help="Stop after so many failing seeds.")
+@click.option("--variant", default="none", type=click.Choice(sorted(VARIANTS)), help="Injected bug.")
+@click.option(
+    "--wild",
+    is_flag=True,
+    help="Clock rates far beyond the allowed drift: only reserved calls are checked then.",
+)
+@click.option("--most", default=3, show_default=True, help="Stop after this number of failing seeds.")
 def main(seeds: int, first: int, cores: int, variant: str, wild: bool, most: int) -> None:
-    """Runs nodes and owners through drawn faults, and tells what broke."""
-    runs, calls, full, wrong = 0, 0, 0.0, []
+    """Run nodes and allocators under random faults, one run per seed, and report violations."""
+    runs, calls, max_utilization, wrong = 0, 0, 0.0, []
     jobs = [(seed, variant, wild) for seed in range(first, first + seeds)]
-    for ran in many(one, jobs, cores, most):
-        runs, calls, full = runs + 1, calls + ran.calls, max(full, ran.full)
-        wrong += [ran] if ran.wrong is not None else []
-    click.echo(f"{runs} runs, {calls} calls, at the most {full:.0%} of a limit in hand")
-    for ran in wrong:
-        click.echo(f"seed {ran.seed}: {ran.wrong}")
+    for result in run_many(run_one, jobs, cores, most):
+        runs, calls, max_utilization = (
+            runs + 1,
+            calls + result.calls,
+            max(max_utilization, result.max_utilization),
+        )
+        wrong += [result] if result.wrong is not None else []
+    click.echo(f"{runs} runs, {calls} calls, at the most {max_utilization:.0%} of a limit in hand")
+    for result in wrong:
+        click.echo(f"seed {result.seed}: {result.wrong}")
     raise SystemExit(1 if wrong else 0)
 
 
--- a/tests/consensus/test_checkers.py
+++ b/tests/consensus/test_checkers.py
@@ -3,7 +3,13 @@
 import random
 
 from lichencleat.testkit.checkers.group import GroupWatch
-from lichencleat.testkit.checkers.linear import NEVER, Call, judge_facts, linear, register
+from lichencleat.testkit.checkers.linear import (
+    NEVER,
+    Call,
+    check_key_value_history,
+    is_linearizable,
+    register,
+)
 
 
 def call(client, what, begin, end, told):
@@ -39,45 +45,52 @@
 def test_correct_histories_pass_the_checker():
     rng = random.Random(5)
     for _ in range(1_000):
-        assert judge_facts(random_history(rng)) is None
+        assert check_key_value_history(random_history(rng)) is None
 
 
 def test_read_of_a_value_never_written_is_found():
     rng, found, injected = random.Random(6), 0, 0
     while injected < 200:
         history = random_history(rng)
-        reads = [each for each in history if each.what[0] == "get" and each.told is not None]
+        reads = [each for each in history if each.operation[0] == "get" and each.result is not None]
         if not reads:
             continue
         injected += 1
         wrong = rng.choice(reads)
-        wrong.told = b"never written"
-        found += judge_facts(history) is not None
+        wrong.result = b"never written"
+        found += check_key_value_history(history) is not None
     assert found == injected
 
 
 def test_stale_read_lost_write_and_duplicate_write_are_found():
     base = [call("a", ("put", "f", b"1"), 0, 10, True), call("a", ("put", "f", b"2"), 20, 30, True)]
-    assert judge_facts([*base, call("b", ("get", "f"), 40, 50, b"2")]) is None
-    assert judge_facts([*base, call("b", ("get", "f"), 40, 50, b"1")]).startswith("fact f is no single thing")
-    assert judge_facts([*base, call("b", ("get", "f"), 25, 50, b"1")]) is None  # overlaps the second write
+    assert check_key_value_history([*base, call("b", ("get", "f"), 40, 50, b"2")]) is None
+    assert check_key_value_history([*base, call("b", ("get", "f"), 40, 50, b"1")]).startswith(
+        "fact f is no single thing"
+    )
+    assert (
+        check_key_value_history([*base, call("b", ("get", "f"), 25, 50, b"1")]) is None
+    )  # overlaps the second write
     again = [*base, call("b", ("get", "f"), 40, 50, b"2"), call("b", ("get", "f"), 60, 70, b"1")]
-    assert judge_facts(again) is not None
+    assert check_key_value_history(again) is not None
     both = [*base, call("b", ("cas", "f", b"3", b"1"), 40, 50, True)]
-    assert judge_facts(both) is not None
+    assert check_key_value_history(both) is not None
 
 
 def test_unanswered_call_may_be_done_or_not():
     maybe = Call("a", ("put", "f", b"1"), 0)
-    assert judge_facts([maybe, call("b", ("get", "f"), 90, 95, b"1")]) is None
-    assert judge_facts([maybe, call("b", ("get", "f"), 90, 95, None)]) is None
+    assert check_key_value_history([maybe, call("b", ("get", "f"), 90, 95, b"1")]) is None
+    assert check_key_value_history([maybe, call("b", ("get", "f"), 90, 95, None)]) is None
     back = [call("b", ("get", "f"), 90, 95, b"1"), call("b", ("get", "f"), 96, 99, None)]
-    assert judge_facts([maybe, *back]) is not None
+    assert check_key_value_history([maybe, *back]) is not None
 
 
 def test_search_over_its_limit_has_no_verdict():
     calls = [Call(f"c{n}", ("put", b"%d" % n), 0, True, 10) for n in range(12)]
-    assert linear([*calls, Call("x", ("get", None), 20, b"none", 30)], None, register, most=500) is None
+    assert (
+        is_linearizable([*calls, Call("x", ("get", None), 20, b"none", 30)], None, register, max_steps=500)
+        is None
+    )
     assert NEVER > 10**18
 
 
--- a/tests/consensus/test_simulation.py
+++ b/tests/consensus/test_simulation.py
@@ -44,7 +44,7 @@
     clockwork.after(clock.until(50_000), lambda: readings.append(clock()))
     clockwork.run(100_000)
     assert 50_000 <= readings[0] <= 50_003
-    clock.runs(0.5)
+    clock.set_rate(0.5)
     before = clock()
     clockwork.run(102_000)
     assert clock() == before + 1_000
--- a/tests/fleet/owners.py
+++ b/tests/fleet/owners.py
@@ -17,7 +17,7 @@
 
 import click
 
-from lichencleat.testkit.checkers.linear import judge_facts
+from lichencleat.testkit.checkers.linear import check_key_value_history
 from lichencleat.testkit.cluster.receiver import Receiver
 from lichencleat.testkit.cluster.rig import Rig, Writer
 
@@ -147,7 +147,7 @@
             rig.until(lambda: all(each.client.is_idle for each in writers), "the last calls")
             history = [call for each in writers for call in each.history]
             ran.calls, ran.acts, ran.refused = len(history), receiver.watch.accepted, receiver.watch.refused
-            ran.wrong = receiver.watch.wrong or judge_facts(history)
+            ran.wrong = receiver.watch.wrong or check_key_value_history(history)
         except AssertionError as wrong:
             ran.wrong = str(wrong)
         finally:
--- a/tests/fleet/test_quorum.py
+++ b/tests/fleet/test_quorum.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lichencleat.testkit.checkers.linear import judge_facts
+from lichencleat.testkit.checkers.linear import check_key_value_history
 from lichencleat.testkit.cluster.rig import Rig, Writer
 
 
@@ -32,7 +32,7 @@
     for each in writers:
         each.on = False
     rig.until(lambda: all(each.client.is_idle for each in writers), "the last calls")
-    assert judge_facts([call for each in writers for call in each.history]) is None
+    assert check_key_value_history([call for each in writers for call in each.history]) is None
 
 
 def test_a_leader_that_is_cut_off_loses_nothing_and_another_leads(rig):
