--- a/benchmarks/capacity/members.py
+++ b/benchmarks/capacity/members.py
@@ -58,27 +58,27 @@
 
     timed: Timed
 
-    def hears(self, sender: int, datagram: bytes) -> None:  # type: ignore[override]
+    def receive(self, sender: int, datagram: bytes) -> None:  # type: ignore[override]
         if self.up:
             now = self.clock()
             self.timed.call(lambda: self.gossip.on_message(now, "h", sender, decode(datagram)))
-            self.pull()
+            self.run_actions()
 
-    def wake(self, life: int) -> None:
-        if self.up and self.life == life:
+    def wake(self, incarnation: int) -> None:
+        if self.up and self.incarnation == incarnation:
             self.timed.call(self.gossip.on_timer, self.clock())
-            self.pull()
+            self.run_actions()
 
-    def pull(self) -> None:
+    def run_actions(self) -> None:
         while (decision := self.timed.call(self.gossip.next_action)) is not None:
             if isinstance(decision, SendDatagram):
                 self.send(decision)
             else:
-                self.world.changed(self, decision.update)
+                self.world.on_member_update(self, decision.update)
         if self.timer is not None:
             self.timer.cancel()
         span = self.clock.until(self.timed.call(self.gossip.next_deadline))
-        self.timer = self.world.clockwork.after(span, self.wake, self.life)
+        self.timer = self.world.clockwork.after(span, self.wake, self.incarnation)
 
     def send(self, send: SendDatagram) -> None:
         world = self.world
@@ -87,7 +87,7 @@
         world.counts["bytes"] += len(data)
         if send.port < len(world.instances):
             to = world.instances[send.port]
-            world.network.send(self.number, send.port, to.hears, self.number, data)
+            world.network.send(self.number, send.port, to.receive, self.number, data)
 
 
 def together(count: int, seed: int, timed: Timed) -> MembersWorld:
--- a/lichencleat/testkit/simulation/shares.py
+++ b/lichencleat/testkit/simulation/shares.py
@@ -251,7 +251,7 @@
         return 1 + self.rng.uniform(-max_error, max_error)
 
     def replace_allocator(self) -> None:
-        """Move the lease of the allocator to a new one. The previous allocators stop up to four terms later."""
+        """Move the lease to a new allocator. The previous allocators stop up to four terms later."""
         for name, each in list(self.log.jobs.candidates.items()):
             self.log.apply_lease_command(CandidateExpired(name, each.renewal_index))
         self.allocator_count += 1
--- a/lichencleat/testkit/simulation/variants.py
+++ b/lichencleat/testkit/simulation/variants.py
@@ -1,4 +1,4 @@
-"""Voters with a mistake planted: each must be caught, or a test is missing."""
+"""Variants of the consensus node, each with one injected bug that the tests must detect."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class VoteNotFlushed(RaftNode):
-    """Says what rests on its term and vote before they are on the disk."""
+    """Injected bug: messages are sent before the term and the vote that they depend on are durable."""
 
     def enqueue_message(self, message: Message) -> None:
         self.outbox.append(OutgoingMessage(0, message))
 
 
 class CommitByCount(RaftNode):
-    """Commits an older term's entry because a majority has it."""
+    """Injected bug: an entry of an earlier term is committed as soon as a majority has it."""
 
     def advance_commit_index(self, now: int) -> None:
         assert self.leader_state is not None
@@ -31,14 +31,14 @@
 
 
 class AnyLogIsFine(RaftNode):
-    """Votes for a candidate that lacks what may be committed."""
+    """Injected bug: a vote is granted to a candidate whose log may lack committed entries."""
 
     def is_log_up_to_date(self, m: Message) -> bool:
         return True
 
 
 class AckBeforeFlush(RaftNode):
-    """Tells the leader that it has what is not on its disk yet."""
+    """Injected bug: a follower acknowledges entries before they are durable."""
 
     def send_append_response(self, leader_id: int, read_round: int) -> None:
         response = self.make_message(MessageType.APPEND_RESPONSE, leader_id)
@@ -46,16 +46,16 @@
 
 
 class OwnCountsUnflushed(RaftNode):
-    """A leader that counts its own log before it is on the disk."""
+    """Injected bug: a leader counts its own entries towards the majority before they are durable."""
 
     def advance_commit_index(self, now: int) -> None:
-        self.writes.durable_index, kept = self.log.last_index, self.writes.durable_index
+        self.writes.durable_index, saved_index = self.log.last_index, self.writes.durable_index
         super().advance_commit_index(now)
-        self.writes.durable_index = kept
+        self.writes.durable_index = saved_index
 
 
 class CutsWhatAgrees(RaftNode):
-    """Takes a late message for the whole truth and cuts what came after it."""
+    """Injected bug: a late append message truncates matching entries that follow its position."""
 
     def on_append(self, now: int, m: Message) -> None:
         if (
@@ -68,7 +68,7 @@
 
 
 class CommitsUnverified(RaftNode):
-    """Takes the leader's commit for its own log, where that has not been compared yet."""
+    """Injected bug: a follower applies the leader's commit index to entries not yet known to match."""
 
     def on_append(self, now: int, m: Message) -> None:
         super().on_append(now, m)
@@ -77,37 +77,37 @@
 
 
 class ReadsAtOnce(RaftNode):
-    """A leader that answers reads without asking whether it still leads."""
+    """Injected bug: a leader answers reads without confirming its leadership with a majority."""
 
-    def read(self, now: int, ticket: Any) -> None:
+    def read(self, now: int, context: Any) -> None:
         if self.leader_state is None or self.commit_index < self.leader_state.first_index:
-            self.reject(ticket, RejectReason.NOT_LEADER)
+            self.reject(context, RejectReason.NOT_LEADER)
         else:
             self.pending_actions.append(
-                Action(ActionType.SERVE_READ, context=ticket, index=self.commit_index)
+                Action(ActionType.SERVE_READ, context=context, index=self.commit_index)
             )
 
 
 class ReadsTooEarly(RaftNode):
-    """A leader that answers reads before anything of its term is committed."""
+    """Injected bug: a leader answers reads before an entry of its own term is committed."""
 
-    def read(self, now: int, ticket: Any) -> None:
+    def read(self, now: int, context: Any) -> None:
         if self.leader_state is not None and self.commit_index < self.leader_state.first_index:
-            self.leader_state.add_read(ticket, self.commit_index)
+            self.leader_state.add_read(context, self.commit_index)
             self.start_read_round()
         else:
-            super().read(now, ticket)
+            super().read(now, context)
 
 
 class ChangesAnyTime(RaftNode):
-    """Changes members while the change before may still be undone."""
+    """Injected bug: a configuration change starts before the previous one is committed."""
 
     def change_rejection(self, group: Configuration) -> RejectReason | None:
         return None
 
 
 class ForgetsTheVote(RaftNode):
-    """Votes again in a term for who asks again later."""
+    """Injected bug: a member votes for a second candidate in the same term."""
 
     def on_vote(self, now: int, m: Message) -> None:
         self.vote = 0
@@ -117,8 +117,8 @@
 VARIANTS: dict[str, type[RaftNode]] = {
     "none": RaftNode,
     **{
-        each.__name__: each
-        for each in (
+        variant.__name__: variant
+        for variant in (
             VoteNotFlushed,
             CommitByCount,
             AnyLogIsFine,
--- a/tests/membership/test_gossip.py
+++ b/tests/membership/test_gossip.py
@@ -127,20 +127,20 @@
 @pytest.fixture
 def world():
     world = MembersWorld(
-        3, 40, choice=GossipSettings(probe_interval=200_000, probe_timeout=60_000, sync_interval=1_000_000)
+        3, 40, settings=GossipSettings(probe_interval=200_000, probe_timeout=60_000, sync_interval=1_000_000)
     )
     for each in world.instances:
         world.clockwork.after(world.rng.randrange(SECOND), each.start)
     world.run(SECOND)
-    assert world.until_together(60 * SECOND) is not None
+    assert world.run_until_converged(60 * SECOND) is not None
     return world
 
 
 def test_gossip_detects_four_in_ten_members_killed_at_once(world):
     for each in world.instances[::5] + world.instances[1::5]:
         each.kill()
-    assert world.until_together(60 * SECOND) is not None
-    assert world.counts["called gone wrongly"] == 0
+    assert world.run_until_converged(60 * SECOND) is not None
+    assert world.counts["false deaths"] == 0
 
 
 def test_gossip_merges_partitions(world):
@@ -148,15 +148,15 @@
     pairs = [(a, b) for a in left for b in right] + [(b, a) for a in left for b in right]
     world.network.cut(pairs)
     world.run(60 * SECOND)
-    assert all(each.sees() == {f"n{n}" for n in left} for each in world.instances[:20])
+    assert all(each.active_names() == {f"n{n}" for n in left} for each in world.instances[:20])
     world.network.heal(pairs)
-    assert world.until_together(120 * SECOND) is not None
+    assert world.run_until_converged(120 * SECOND) is not None
 
 
 def test_gossip_declares_no_member_dead_under_datagram_loss(world):
     world.network.loss = 0.05
     world.run(60 * SECOND)
-    assert world.counts["called gone wrongly"] == 0
+    assert world.counts["false deaths"] == 0
 
 
 def test_gossip_converges_after_a_member_has_flapped(world):
@@ -166,4 +166,4 @@
         world.run(3 * SECOND)
         flapping.start()
         world.run(SECOND)
-    assert world.until_together(60 * SECOND) is not None
+    assert world.run_until_converged(60 * SECOND) is not None
