--- a/benchmarks/capacity/returns.py
+++ b/benchmarks/capacity/returns.py
@@ -15,7 +15,7 @@
 from lichencleat.recovery.messages import NodeReport, NodeState, NodeStatus, RolloutPlan
 from lichencleat.recovery.planner import RolloutPlanner
 from lichencleat.recovery.state import FleetSnapshot
-from lichencleat.testkit.simulation.revive import SPAN, World
+from lichencleat.testkit.simulation.revive import DURATION_SECONDS, World
 
 encode = msgspec.msgpack.encode
 BATCH = 20_000  # records
@@ -74,7 +74,9 @@
     for number in range(effort.runs(3)):
         for count in effort.sizes((50, 200, 800, 2_000), (4, 6, 8, 10)):
             ran = World(count, effort.seed + number, "plan").play()
-            lines.add("fleet.to_90_s", count, SPAN if ran.to_90 is None else ran.to_90)
+            lines.add(
+                "fleet.to_90_s", count, DURATION_SECONDS if ran.recovery_time is None else ran.recovery_time
+            )
     return lines.made()
 
 
--- a/lichencleat/testkit/simulation/zones.py
+++ b/lichencleat/testkit/simulation/zones.py
@@ -2,9 +2,10 @@
 `python -m lichencleat.testkit.simulation.zones`.
 
 The controller, its routing plan and the routers' choice of zones are the real ones (`failover/`). The zones
-are a model: a zone serves requests up to its capacity, rejects the rest, and serves less under heavy overload.
-Two baselines run for comparison: routers that spread traffic over all zones that pass health checks, and a
-fixed split. The spill fraction of a router is the fraction of its arrivals that it sends to other zones.
+are a model: a zone serves requests up to its capacity, rejects the rest, and serves less under heavy
+overload. Two baselines run for comparison: routers that spread traffic over all zones that pass health
+checks, and a fixed split. The spill fraction of a router is the fraction of its arrivals that it sends to
+other zones.
 """
 
 from __future__ import annotations
--- a/tests/recovery/test_recovery_models.py
+++ b/tests/recovery/test_recovery_models.py
@@ -9,8 +9,8 @@
 
 def test_simulated_recovery_by_plan_loses_less_than_all_at_once():
     plan, at_once = World(30, 1, "plan").play(), World(30, 1, "at once").play()
-    assert plan.full and plan.falls == 0 and plan.epochs == 1
-    assert plan.lost < at_once.lost / 2 and plan.to_90 < 16
+    assert plan.all_open and plan.collapses == 0 and plan.epochs == 1
+    assert plan.lost_fraction < at_once.lost_fraction / 2 and plan.recovery_time < 16
     assert plan == World(30, 1, "plan").play()
 
 
@@ -18,9 +18,9 @@
     for at in (5.0, 8.0, 12.0):
         world = World(30, 2, "plan")
         world.clockwork.after(round(at * SECOND), setattr, world, "planner", None)
-        world.clockwork.after(round((at + 2) * SECOND), world.owner_comes, 2)
+        world.clockwork.after(round((at + 2) * SECOND), world.start_planner, 2)
         ran = world.play()
-        assert ran.full and ran.falls == 0 and ran.epochs == 1, (at, ran)
+        assert ran.all_open and ran.collapses == 0 and ran.epochs == 1, (at, ran)
 
 
 def test_model_checker_passes_the_code_and_catches_injected_bugs():
