--- a/lichencleat/testkit/simulation/clients.py
+++ b/lichencleat/testkit/simulation/clients.py
@@ -17,7 +17,7 @@
 from lichencleat.transport.frames import encode_command
 from lichencleat.transport.outcomes import SessionOutcome
 
-# one value is drawn for each client: a client with a long timeout accepts answers that arrive late
+# timeout of an attempt, drawn once per client; a client with a long timeout also accepts late answers
 ATTEMPT_TIMEOUT_RANGE_US = (200_000, 3_000_000)
 PAUSE_RANGE_US = (1_000, 60_000)  # time between two calls of a client
 KEY_COUNT = 3  # few keys, so that clients conflict
--- a/lichencleat/testkit/simulation/group.py
+++ b/lichencleat/testkit/simulation/group.py
@@ -1,5 +1,5 @@
-"""Members of a consensus group with their disks, in simulated time: the program's process without sockets and
-threads.
+"""Members of a consensus group with their disks in simulated time. They stand for the processes of the
+program, without sockets and threads.
 """
 
 from __future__ import annotations
@@ -289,7 +289,9 @@
 
 
 class SimGroup:
-    """A consensus group: its members and the network between them."""
+    """A consensus group. The first `voters` members form its initial configuration; `spare` more members are
+    outside of it until they are added.
+    """
 
     def __init__(
         self,
--- a/lichencleat/testkit/simulation/network.py
+++ b/lichencleat/testkit/simulation/network.py
@@ -8,7 +8,7 @@
 
 from lichencleat.testkit.simulation.clockwork import Clockwork
 
-DELAY_RANGE_US = (100, 1_500)  # within a zone, including both kernels
+DELAY_RANGE_US = (100, 1_500)  # delay of a message within a zone, including the kernels of both machines
 
 
 class Network:
