--- a/lichencleat/testkit/cluster/fleet.py
+++ b/lichencleat/testkit/cluster/fleet.py
@@ -1,6 +1,7 @@
-"""A whole fleet of real processes on the rig: voters, nodes in two zones that share a dependency, keep
-receipts and return together; callers that ask again and again. For tests of what all of them do, and for
-benchmarks.
+"""A complete fleet of real processes: voters, and nodes in two zones under load.
+
+The nodes share a dependency, store idempotency records on disk and restart together under a rollout plan.
+Tests and benchmarks of the whole fleet use this module.
 """
 
 from __future__ import annotations
@@ -19,14 +20,16 @@
 from lichencleat.testkit.cluster.peers import Dependency
 from lichencleat.testkit.cluster.rig import Rig, wait_until
 
+# Calls in flight that the dependency allows; floor of each node's grant, in calls; s that a grant is valid.
 LIMIT, FLOOR, TERM = 24, 1, 1.0
-NODES, OPEN, KEYS = 8, 6, 12  # OPEN: tries at once at each node; KEYS: of receipted requests, at each
-WINDOW = 60.0  # s: longer than a schedule, mostly
-BACK = 30.0  # s in which the fleet has to be open again
+# Number of nodes; attempts without an answer at each node; idempotency keys in use at each node.
+NODES, OPEN, KEYS = 8, 6, 12
+WINDOW = 60.0  # s for which an idempotency key is remembered: longer than most schedules
+BACK = 30.0  # s within which all nodes must accept all requests again
 
 
 class Load:
-    """Pure requests with a call, and receipted ones of a few keys, at one node."""
+    """Load of one node: idempotent requests that call the dependency, and keyed requests with a few keys."""
 
     def __init__(self, rig: Rig, node: RigNode, open_: int = OPEN) -> None:
         self.rig, self.node, self.open, self.on = rig, node, open_, True
@@ -37,6 +40,7 @@
         rig.relays.reactor.callFromThread(self.step)
 
     def step(self) -> None:
+        """Send attempts until `open` of them have no answer, and schedule the next step."""
         if not self.on:
             return
         while self.caller.waiting < self.open:
@@ -51,36 +55,47 @@
         self.rig.relays.reactor.callLater(self.rng.uniform(0.01, 0.04), self.step)
 
     def new_keys(self) -> None:
-        """The ones before are not asked for any more."""
+        """Replace the idempotency keys; the earlier keys are not used any more."""
         self.keys = [b"%032x" % self.rng.getrandbits(128) for _ in range(KEYS)]
 
     def honoured(self) -> int:
+        """Return the number of served attempts."""
         return sum(bool(each.answers) and each.answers[0][0] == b"200" for each in list(self.caller.said))
 
     def judge(self) -> str | None:
+        """Return a description of the first violated guarantee at this node, or None.
+
+        Guarantees: a key that ran does not run again for an attempt sent within WINDOW; each attempt is
+        answered at most once; a served result comes from a run; all served answers of a key are the same.
+        """
         engine = self.node.engine
         sent = {each.ident: each.sent for each in self.caller.said}
         for (tariff, body), runs in engine.runs_of.items():
             for (first, _), (second, _) in itertools.pairwise(runs if tariff == b"save" else ()):
                 apart = (sent[second] - sent[first]) / 1e6
                 if apart <= WINDOW:
-                    return f"{self.node.name}: {body!r} ran again, sent {apart:.2f} s after the one that ran"
+                    return f"{self.node.name}: {body!r} ran again, sent {apart:.2f} s after the last attempt"
         told: dict[bytes, set[bytes]] = {}
         for each in self.caller.said:
             if len(each.answers) > 1:
                 return f"{self.node.name}: {each.ident!r} was answered {len(each.answers)} times"
             for word, _, result, _ in each.answers:
                 if word == b"200" and result not in engine.made.get((each.tariff, each.body), []):
-                    return f"{self.node.name}: {each.body!r} was honoured with what no run made"
+                    return f"{self.node.name}: {each.body!r} was served with a result that no run produced"
                 if word == b"200" and each.tariff == b"save":
                     told.setdefault(each.body, set()).add(result)
         return next(
-            (f"{body!r} was told {results}" for body, results in told.items() if len(results) > 1), None
+            (
+                f"{body!r} was served with different results: {results}"
+                for body, results in told.items()
+                if len(results) > 1
+            ),
+            None,
         )
 
 
 class Fleet:
-    """Owns rig, nodes, loads and dependency; all are given back in `close`."""
+    """Owns the rig, nodes, loads and dependency; `close` ends all of them."""
 
     def __init__(
         self,
@@ -93,7 +108,11 @@
         open_: int = OPEN,
         work: float = 0.01,
     ) -> None:
-        """`returns`: by plan; else a node serves once it is up. `forgets`, `work`: see `peers.Engine`."""
+        """Start all processes, wait until all nodes accept all requests, and start the load.
+
+        `returns`: whether restarted nodes follow the rollout plan, instead of serving as soon as they are up;
+        `forgets`, `work`: see `peers.Engine`; `open_`: attempts without an answer at each node.
+        """
         self.rig = rig = Rig(path)
         self.returns, self.count = returns, nodes
         self.nodes: dict[str, RigNode] = {}
@@ -130,17 +149,21 @@
         self.loads = [Load(rig, each, open_) for each in self.nodes.values()]
 
     def command(self, *words: str) -> tuple[int, str]:
+        """Run a command of the program; returns its exit code and its output."""
         return self.rig.command(*words)
 
     def status(self) -> dict[str, dict]:
+        """Return the rollout status of each node, or nothing if the command fails."""
         code, said = self.command("fleet", "status", self.file, "--json")
         return {each["node"]: each for each in json.loads(said)} if code == 0 else {}
 
     def epoch(self) -> int:
+        """Return the epoch of the rollout plan, or 0 if the command fails."""
         code, said = self.command("fleet", "plan", self.file, "--json")
         return json.loads(said)["epoch"] if code == 0 else 0
 
     def until_open(self) -> None:
+        """Wait until the rollout has ended and all nodes accept all requests; fail after BACK seconds."""
         if not self.returns:
             return
         end = time.monotonic() + BACK
@@ -149,10 +172,12 @@
             if sum(each["share"] >= 1.0 for each in known.values()) == self.count and not self.under_way():
                 return
         said = self.command("fleet", "status", self.file)[1]
-        raise AssertionError(f"not open again after {BACK:g} s:\n{said}\n{self.rig.logs()}")
+        raise AssertionError(
+            f"not all nodes accept all requests after {BACK:g} s:\n{said}\n{self.rig.logs()}"
+        )
 
     def takes_no_part(self, name: str) -> None:
-        """From its next start on it is as one of a version that knows of no fleet's return."""
+        """Let the next processes of a node run without the rollout plan, like those of an older version."""
         node = self.nodes[name]
         chosen = yaml.safe_load(node.file.read_text())
         if chosen["fleet"]["revive"]:
@@ -161,11 +186,12 @@
             self.count -= 1
 
     def under_way(self) -> bool:
+        """Whether a rollout is in progress, or the command that shows the plan fails."""
         code, said = self.command("fleet", "plan", self.file, "--json")
         return code != 0 or json.loads(said)["under_way"]
 
     def cut(self, nodes: list[str], voters: list[str]) -> None:
-        """Their power goes at one moment."""
+        """Kill these nodes and voters at the same moment, as a power loss does."""
         for name in nodes:
             self.nodes[name].signal(9)
         for name in voters:
@@ -176,12 +202,14 @@
             self.rig.voters[name].ended()
 
     def come_back(self, nodes: list[str], voters: list[str]) -> None:
+        """Start these voters, then these nodes."""
         for name in voters:
             self.rig.voters[name].start()
         for name in nodes:
             self.nodes[name].start()
 
     def work(self, count: int = 5) -> None:
+        """Wait until each node has served `count` more attempts."""
         before = [each.honoured() for each in self.loads]
         wait_until(
             lambda: all(each.honoured() >= had + count for each, had in zip(self.loads, before, strict=True)),
@@ -190,13 +218,15 @@
         )
 
     def judge(self) -> str | None:
+        """Return a description of the first violated guarantee, or None; see also `Load.judge`."""
         if self.below.over_limit:
-            return f"{self.below.most} in hand below, and the limit is {self.below.limit}"
+            return f"the dependency had {self.below.most} calls in flight, limit {self.below.limit}"
         return self.rig.relays.call(
             lambda: next((wrong for each in self.loads if (wrong := each.judge())), None)
         )
 
     def close(self) -> None:
+        """Stop the load and end all processes and stand-ins."""
         for each in self.loads:
             each.on = False
         for each in self.nodes.values():
--- a/lichencleat/testkit/cluster/heldback.py
+++ b/lichencleat/testkit/cluster/heldback.py
@@ -1,8 +1,8 @@
-"""A real directory whose unflushed bytes stay in the process: a SIGKILL is then a cut of power.
+"""A disk with a volatile write cache: unflushed writes stay in the process, so SIGKILL acts as a power loss.
 
-What is appended is written to the file only when that is flushed, and names, renames and removals only with
-the directory. So what a kill leaves behind is exactly what was promised to survive, and nothing that the
-machine's memory would have saved.
+Appended bytes reach the real file only when the file is flushed. New names, renames and removals reach the
+real directory only when the directory is flushed. After a kill the directory therefore holds exactly the
+flushed data, and nothing that the page cache of the operating system would have saved.
 """
 
 from __future__ import annotations
@@ -13,12 +13,12 @@
 
 from lichencleat.store.disk import RealDisk
 
-FULL = ".full"  # a file beside the directory: while it is there, the disk is full
-HELD = ".held"  # how a file is called whose name was not flushed yet
+FULL = ".full"  # suffix of the marker file next to the directory: while the marker exists, the disk is full
+HELD = ".held"  # suffix of the real name of a file until the directory is flushed
 
 
 class Held:
-    """One open file: what is on the disk, and what waits."""
+    """An open file: the handle of the real file and the bytes that are not flushed yet."""
 
     __slots__ = ("file", "name", "waiting")
 
@@ -27,12 +27,14 @@
 
 
 class HeldBackDisk(RealDisk):
+    """Directory of real files that keeps unflushed bytes, names, renames and removals in memory."""
+
     def __init__(self, path: str, create: bool = False) -> None:
         super().__init__(path, create)
-        for name in os.listdir(self.directory):  # of a life before: nobody flushed their names
+        for name in os.listdir(self.directory):  # left by an earlier process that did not flush the names
             if name.endswith(HELD):
                 os.unlink(name, dir_fd=self.directory)
-        self.view = {name: name for name in os.listdir(self.directory)}  # name as seen -> on the disk
+        self.view = {name: name for name in os.listdir(self.directory)}  # visible name -> real name
         self.open_names: dict[str, Held] = {}
 
     def names(self) -> list[str]:
@@ -56,7 +58,7 @@
         known = self.open_names.get(at)
         held = Held(super().open(at), name)
         if known is not None:
-            held.waiting = known.waiting  # what another handle has written is seen through this one
+            held.waiting = known.waiting  # unflushed bytes of another handle are visible through this handle
         return held
 
     def append(self, file: Held, data: bytes) -> None:  # type: ignore[override]
@@ -75,7 +77,7 @@
     def flush(self, file: Held) -> None:  # type: ignore[override]
         data = bytes(file.waiting)
         super().append(file.file, data)
-        file.waiting.clear()  # the machine's own power is not cut: what the kernel has is safe from a kill
+        file.waiting.clear()  # no fsync needed: a kill does not lose bytes that the kernel already has
 
     def flush_directory(self) -> None:
         on_disk = set(os.listdir(self.directory))
--- a/lichencleat/testkit/cluster/mistakes.py
+++ b/lichencleat/testkit/cluster/mistakes.py
@@ -1,6 +1,6 @@
-"""Mistakes that a watcher can be started with, to show that the judges find them; none is in the product.
+"""Injected bugs of a watcher, to show that the checkers find them. The product contains none of these bugs.
 
-Each is a subclass that leaves out one thing that the real one takes care of.
+Most of them are subclasses of `WatchedCopy` that leave out one safeguard of the real subscriber's copy.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from lichencleat.config_distribution.terms import PAGES, Batch, Digests
 from lichencleat.testkit.cluster.watcher import WatchedCopy
 
-LATER = 0.05  # s from one turn to the other, or from the word to the deed
+LATER = 0.05  # s between the two halves of a batch, or between an acknowledgement and the change in force
 
 
 class InTwoTurns(WatchedCopy):
-    """A batch is taken in two turns of the reactor."""
+    """Applies a batch in two turns of the reactor, so a reader can see half of the batch."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
@@ -40,6 +40,7 @@
         return super().take()
 
     def other_half(self) -> None:
+        """Apply the pages that the first turn left out."""
         for number, page, digest in self.rest:
             self.table.pages[number], self.table.page_digests[number] = page, digest
         self.rest = []
@@ -51,7 +52,7 @@
 
 
 class OlderFollowed(WatchedCopy):
-    """At each new relay it begins anew, so it takes whatever that has."""
+    """Starts with an empty table at each new relay, so an older version of the relay is accepted."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
@@ -62,6 +63,7 @@
         return self.table if self.table.version else self.old
 
     def at_new_relay(self) -> None:
+        """Forget the present table, and show the old one until the new relay has sent a version."""
         if self.table.version:
             self.old = self.table
         self.rebuild, self.staging, self.going, self.waiting = None, None, False, {}
@@ -69,7 +71,7 @@
 
 
 class LostChange(WatchedCopy):
-    """The first batch after a snapshot loses a change, and no digest is looked at."""
+    """Drops the first change of the first batch after a snapshot, and checks no digest."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
@@ -91,7 +93,7 @@
 
 
 class EarlyWord(WatchedCopy):
-    """What was staged is acknowledged as if it were in force; that comes later."""
+    """Acknowledges a staged version at once, and puts the version in force only later."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
@@ -115,6 +117,7 @@
         return staging.batches
 
     def deed(self) -> None:
+        """Put in force what has been acknowledged already."""
         if self.claims and self.staging is not None:
             self.claims = None
             super().take()
@@ -142,12 +145,13 @@
 
 
 def copy_of(mistake: str, reactor: Any, table: Table, mark: bytes) -> WatchedCopy:
+    """Return a copy with the named bug, or the correct copy if the bug is not one of a copy."""
     made = COPIES.get(mistake)
     return WatchedCopy(table, mark) if made is None else made(reactor, table, mark)
 
 
 def arrange(mistake: str, subscriber: Subscriber) -> None:
-    """What a mistake needs of the host."""
+    """Install the part of an injected bug that lies in the subscriber instead of in its copy."""
     copy = subscriber.copy
     if isinstance(copy, OlderFollowed):
         opened = subscriber.opened
@@ -160,7 +164,7 @@
 
 
 def trusted(kept: Kept, head: Any) -> Any:
-    """As if the head's digest were that of whatever pages are there."""
+    """Return the head with its digest replaced by the digest of the pages that are stored, torn or not."""
     total = 0
     for number in range(PAGES):
         data = kept.store.engine.get(page_key(number, slot_of(head.slots, number)))
@@ -169,7 +173,7 @@
 
 
 def load(kept: Kept, mistake: str) -> Any:
-    """What is kept, by the real way or by one that trusts whatever is there."""
+    """Load the stored table; with the bug "torn file", accept stored pages that do not match their head."""
     if mistake == "torn file":
         real = keeping.decode_head
         keeping.decode_head = lambda data: trusted(kept, real(data))
--- a/lichencleat/testkit/cluster/nodes.py
+++ b/lichencleat/testkit/cluster/nodes.py
@@ -1,4 +1,4 @@
-"""Real nodes on the rig: each the program under its own configuration and operators' file, with stand-ins."""
+"""Real nodes of the cluster harness: processes with a configuration, an operators' file and stub peers."""
 
 from __future__ import annotations
 
@@ -16,19 +16,23 @@
 from lichencleat.testkit.cluster.relay import LOCAL
 from lichencleat.testkit.cluster.rig import PROGRAM, Rig, Signalled, free_port
 
-HARD_LIMIT = 6_000_000  # µs, of both tariffs
+HARD_LIMIT = 6_000_000  # µs: deadline of both request classes
 ROOT = Path(__file__).resolve().parents[3]
 
 
 def unix_time() -> int:
-    """µs."""
+    """Return the Unix time in µs."""
     return time.time_ns() // 1000
 
 
 def settings(
     cores: int = 4, calls: tuple[bool, bool] = (False, False), window: float = 10.0
 ) -> dict[str, Any]:
-    """`look` is pure, `save` is receipted."""
+    """Return settings with two request classes: `look` is idempotent, `save` carries an idempotency key.
+
+    `calls`: whether a run of each class calls the dependency; `window`: how long an
+    idempotency key is remembered, in seconds.
+    """
     return {
         "classes": [
             {"name": "look", "aim": 2.0, "deadline": HARD_LIMIT / 1e6, "effect": "free", "worth": 1.0},
@@ -61,7 +65,7 @@
 
 
 class RigNode(Signalled):
-    """One process of the node; its engine, directory and log outlive it."""
+    """A node that can be restarted: its engine, directory and log stay when the process ends."""
 
     def __init__(
         self,
@@ -72,7 +76,11 @@
         told: dict[str, Any] | None = None,
         **engine: Any,
     ) -> None:
-        """`chosen`: the operators' file; `told`: the settings; `engine`: of the stand-in, see `Engine`."""
+        """Create the node's stand-ins and write its files; `start` starts the process.
+
+        `chosen`: content of the operators' file; `told`: settings of the platform, by default `settings()`;
+        `engine`: arguments of the interpreter's stand-in, see `Engine`.
+        """
         self.rig, self.name = rig, name
         self.log = rig.path / f"{name}.log"
         self.running: subprocess.Popen | None = None
@@ -99,6 +107,7 @@
         self.callers: list[Caller] = []
 
     def start(self) -> None:
+        """Start a process of the node; its log is appended to the node's log file."""
         variables = {"BALANCER_CONFIG": str(self.config), "LICHENCLEAT_FILE": str(self.file)}
         with open(self.log, "ab") as log:
             self.running = subprocess.Popen(
@@ -110,6 +119,7 @@
         self.rig.children.append(self.running)
 
     def caller(self, number: int = 1) -> Caller:
+        """Return a new caller of this node."""
         reactor = self.rig.relays.reactor
         made = self.rig.relays.call(Caller, reactor, (LOCAL, self.port), unix_time, number)
         made.on_answer = lambda asked: self.engine.request_over(asked.ident)
@@ -117,9 +127,10 @@
         return made
 
     def said(self) -> str:
+        """Return the text of the log of all processes of the node so far."""
         return self.log.read_text() if self.log.exists() else ""
 
     def close(self) -> None:
-        """Its stand-ins; the process is the rig's."""
+        """Close the stand-ins; the rig ends the process."""
         for each in (*self.callers, self.engine, self.listed):
             self.rig.relays.call(each.close)
--- a/lichencleat/testkit/cluster/older_voter.py
+++ b/lichencleat/testkit/cluster/older_voter.py
@@ -1,8 +1,7 @@
-"""A voter as of a version that knows fewer parts: `python -m lichencleat.testkit.cluster.older_voter PARTS
-quorum run
-FILE`; PARTS are those that it does not know, with commas between.
+"""Run a voter as an older version of the program that lacks some parts of the replicated state.
 
-It says which it knows, as each version from landing 6 on does.
+Usage: `python -m lichencleat.testkit.cluster.older_voter PARTS quorum run FILE`, where PARTS are the missing
+parts, separated by commas. The voter announces the parts that it supports, as a current voter does.
 """
 
 from __future__ import annotations
@@ -16,6 +15,7 @@
 
 
 def without(names: set[str]) -> None:
+    """Remove the named parts from the replicated state of this process."""
     known = states.make_control_plane_states
 
     def parts() -> dict[str, ReplicatedState]:
@@ -25,6 +25,7 @@
 
 
 def main() -> int:
+    """Run the command line without the missing parts; returns its exit code."""
     missing, *words = sys.argv[1:]
     install_faults()
     without(set(missing.split(",")))
--- a/lichencleat/testkit/cluster/peers.py
+++ b/lichencleat/testkit/cluster/peers.py
@@ -1,7 +1,8 @@
-"""Stand-ins for what a node talks to, on the rig's reactor: they outlive the nodes, and count what happened.
+"""Stand-ins of the platform's parties that a node talks to. They keep running when a node's process ends.
 
-`Engine` runs requests, `Dependency` takes calls below, `Callers` send requests and write down every answer.
-None of them decides anything; each owns its port, given back in `close`.
+`Engine` is the interpreter and runs requests. `Dependency` answers the calls that runs make. `MembershipStub`
+receives health reports. `Caller` sends requests and records every answer. All run on the rig's reactor. Each
+stand-in that listens owns its port and closes the port in `close`.
 """
 
 from __future__ import annotations
@@ -19,12 +20,15 @@
 from lichencleat.node.resp import ArrayReader, array
 
 LOCAL = "127.0.0.1"
-NOTICES_MOST = 4_000  # kept for a link that comes again
+NOTICES_MOST = 4_000  # notices kept for an engine connection that is opened again
 SECOND = 1_000_000  # µs
 
 
 class LineLink(Protocol):
-    """One accepted connection of lines; `bodies`: first words of lines that a counted body follows."""
+    """An accepted connection of the line protocol, whose lines go to the owner.
+
+    `bodies`: first words of the lines that are followed by a body of a given length.
+    """
 
     bodies: tuple[bytes, ...] = ()
 
@@ -47,6 +51,8 @@
 
 
 class Listening(Factory):
+    """Factory that makes a protocol for each accepted connection."""
+
     noisy = False
 
     def __init__(self, make: Callable[[], Protocol]) -> None:
@@ -60,22 +66,29 @@
 
 
 class EngineLink(LineLink):
+    """Connection of a node to the engine."""
+
     bodies = (b"APPLY", b"RESOLVE")
 
 
 @dataclass(slots=True)
 class EngineRun:
+    """A run of one attempt at the engine."""
+
     ident: bytes
     tariff: bytes
     body: bytes
-    began: int
-    calls: bool
-    waiting: bool = False  # at its call
+    began: int  # µs on the reactor's clock
+    calls: bool  # whether the run calls the dependency
+    waiting: bool = False  # whether the run waits for the reply to its call of the dependency
     timer: Any = None
 
 
 class Engine:
-    """Each run takes a drawn time, with a call in its middle where its tariff has one."""
+    """Stand-in of the interpreter: a run takes a random time.
+
+    A run of a request class that calls the dependency makes the call after half of its work.
+    """
 
     def __init__(
         self,
@@ -86,15 +99,18 @@
         cores: int = 4,
         forgets: bool = False,
     ) -> None:
-        """`work`: mean of a run's seconds; `forgets`: a node's new life hears nothing of the runs before."""
+        """`work`: mean duration of a run in seconds; `calling`: classes whose runs call the dependency;
+        `forgets`: a restarted node gets no notices of earlier runs.
+        """
         self.reactor, self.rng, self.work, self.calling = reactor, rng, work, calling
         self.cores, self.forgets = cores, forgets
         self.runs: dict[bytes, EngineRun] = {}
         self.notices: list[bytes] = []
         self.link: EngineLink | None = None
-        self.begun: Counter[tuple[bytes, bytes]] = Counter()  # runs by tariff and body
-        self.made: dict[tuple[bytes, bytes], list[bytes]] = {}  # their results
-        self.runs_of: dict[tuple[bytes, bytes], list[tuple[bytes, int]]] = {}  # which tries ran, and when
+        self.begun: Counter[tuple[bytes, bytes]] = Counter()  # runs by class and body
+        self.made: dict[tuple[bytes, bytes], list[bytes]] = {}  # results of runs
+        # Ids and start times (µs) of the attempts that ran, by request class and body.
+        self.runs_of: dict[tuple[bytes, bytes], list[tuple[bytes, int]]] = {}
         self.on_run: Callable[[EngineRun], None] = lambda run: None
         self.on_end: Callable[[EngineRun], None] = lambda run: None
         self.port = reactor.listenTCP(0, Listening(lambda: EngineLink(self)), interface=LOCAL)
@@ -104,9 +120,11 @@
         return f"{LOCAL}:{self.port.getHost().port}"
 
     def now(self) -> int:
+        """Return the time of the reactor in µs."""
         return int(self.reactor.seconds() * SECOND)
 
     def take(self, link: EngineLink, words: list[bytes], body: bytes) -> None:
+        """Handle a line from the node."""
         if words[0] == b"CONNECT":
             self.connect(link, int(words[1]))
         elif words[0] == b"TOP":
@@ -125,6 +143,7 @@
             self.go_on(self.runs[words[1]], self.end)
 
     def connect(self, link: EngineLink, after: int) -> None:
+        """Replace the connection of the node, and send the notices after the given number again."""
         if after == 0 and self.forgets:
             self.notices = []
         self.link, old = link, self.link
@@ -133,10 +152,12 @@
         link.transport.write(b"BANNER LOADED 5000\r\n" + b"".join(self.notices[after:]))
 
     def lost(self, link: EngineLink) -> None:
+        """Forget a connection that has ended."""
         if link is self.link:
             self.link = None
 
     def apply(self, ident: bytes, tariff: bytes, body: bytes) -> None:
+        """Start a run, unless the attempt with this id is running already."""
         if ident in self.runs:
             return
         run = EngineRun(ident, tariff, body, self.now(), tariff in self.calling)
@@ -147,21 +168,24 @@
         self.go_on(run, self.waits if run.calls else self.end)
 
     def go_on(self, run: EngineRun, then: Callable[[EngineRun], None]) -> None:
+        """Let the run work for a random time, and call `then` afterwards."""
         span = self.rng.expovariate(1 / self.work) * (0.5 if run.calls else 1.0)
         run.timer = self.reactor.callLater(span, then, run)
 
     def request_over(self, ident: bytes) -> None:
-        """Its caller has an answer, or is gone: a run that stands at its call ends there."""
+        """End a run that waits for its call, because its caller has an answer or is disconnected."""
         run = self.runs.get(ident)
         if run is not None and run.waiting:
             del self.runs[ident]
             self.over(run, b"KILLED", b"")
 
     def waits(self, run: EngineRun) -> None:
+        """Ask the node to make the call of a run, and wait for the reply."""
         run.waiting = True
         self.notice([b"AWAIT", run.ident], b"call of " + run.body)
 
     def end(self, run: EngineRun) -> None:
+        """Finish a run with a result that names its class, its body and the number of runs of both."""
         self.runs.pop(run.ident, None)
         result = b"%s %s %d" % (run.tariff, run.body, self.begun[run.tariff, run.body])
         self.made.setdefault((run.tariff, run.body), []).append(result)
@@ -169,10 +193,12 @@
         self.on_end(run)
 
     def over(self, run: EngineRun, how: bytes, result: bytes) -> None:
+        """Send the outcome of a run to the node."""
         took = (self.now() - run.began) // 1000
         self.notice([b"VALUE", run.ident, how, b"%d" % took], result)
 
     def notice(self, words: list[bytes], body: bytes) -> None:
+        """Number a notice, keep it for later connections, and send it if a node is connected."""
         kind, *rest = words
         said = line_with_body(kind, b"%d" % (len(self.notices) + 1), *rest, body=body)
         self.notices.append(b"".join(said))
@@ -188,27 +214,34 @@
             self.link.transport.abortConnection()
 
 
-# -- calls below -------------------------------------------------------------------------------------
+# -- the dependency ----------------------------------------------------------------------------------
 
 
 class DependencyLink(LineLink):
+    """Connection of a node to the dependency."""
+
     bodies = (b"FETCH",)
 
     def __init__(self, owner: Any) -> None:
         super().__init__(owner)
-        self.calls: dict[bytes, Any] = {}  # id -> the timer of its end
+        self.calls: dict[bytes, Any] = {}  # request id -> timer for the end of the call
 
 
 class Dependency:
-    """Shared by all nodes: each call takes a drawn time, and ends when it was told to. Counts them."""
+    """Stand-in of the dependency that all nodes share: it counts the calls, and those in flight.
+
+    A call takes a random time, but ends at its deadline at the latest.
+    """
 
     def __init__(
         self, reactor: Any, rng: random.Random, takes: float = 0.1, limit: int | None = None
     ) -> None:
-        """`takes`: mean of a call's seconds. `limit`: what it survives; beyond that it only counts."""
+        """`takes`: mean duration of a call in seconds; `limit`: number of calls in flight that the dependency
+        allows. Calls above the limit are served and counted in `over_limit`.
+        """
         self.reactor, self.rng, self.takes, self.limit = reactor, rng, takes, limit
         self.in_hand = self.most = self.taken = self.over_limit = 0
-        self.stuck = 0.0  # this share of the calls takes for ever
+        self.stuck = 0.0  # fraction of the calls that do not finish before their deadline
         self.links: dict[DependencyLink, None] = {}
         self.port = reactor.listenTCP(0, Listening(lambda: DependencyLink(self)), interface=LOCAL)
 
@@ -217,11 +250,12 @@
         return f"{LOCAL}:{self.port.getHost().port}"
 
     def take(self, link: DependencyLink, words: list[bytes], body: bytes) -> None:
+        """Handle a line from a node: start or cancel a call."""
         self.links[link] = None
         if words[0] == b"QUIT":
             self.end(link, words[1], None)
         elif words[0] == b"FETCH":
-            self.end(link, words[1], None)  # a second call for the same request gives up the first
+            self.end(link, words[1], None)  # a second call for the same request cancels the first
             told = int(words[2]) / 1000
             takes = 3600.0 if self.rng.random() < self.stuck else self.rng.expovariate(1 / self.takes)
             self.taken += 1
@@ -237,6 +271,7 @@
             link.calls[words[1]] = self.reactor.callLater(min(told, takes), self.end, link, words[1], reply)
 
     def end(self, link: DependencyLink, ident: bytes, reply: list[bytes] | None) -> None:
+        """End a call, with a reply or, where that is None, silently."""
         timer = link.calls.pop(ident, None)
         if timer is None:
             return
@@ -247,6 +282,7 @@
             link.transport.writeSequence(reply)
 
     def lost(self, link: DependencyLink) -> None:
+        """End all calls of a connection that has ended."""
         self.links.pop(link, None)
         for ident in list(link.calls):
             self.end(link, ident, None)
@@ -258,7 +294,7 @@
 
 
 class Listed(DatagramProtocol):
-    """The membership service, as far as a node sees it: it hears reports."""
+    """Stand-in of the membership service: it counts the health reports that it receives."""
 
     noisy = False
 
@@ -282,19 +318,22 @@
 
 @dataclass(slots=True)
 class Asked:
-    """One try of a request, and all that came back for it."""
+    """An attempt of a request, with all its answers."""
 
     ident: bytes
     tariff: bytes
     body: bytes
     key: bytes
     sent: int  # µs of Unix time
-    due: int
-    answers: list[tuple[bytes, bytes, bytes, int]] = field(default_factory=list)  # word, fields, result, when
-    lost: bool = False  # its connection ended first
+    due: int  # µs of Unix time: deadline of the attempt
+    # Status, fields and result of each answer, and µs of Unix time when it came.
+    answers: list[tuple[bytes, bytes, bytes, int]] = field(default_factory=list)
+    lost: bool = False  # whether the connection ended before an answer
 
 
 class CallerLink(Protocol):
+    """Connection of a caller to a node or a router."""
+
     def __init__(self, caller: Caller) -> None:
         self.caller = caller
         self.reader = ArrayReader()
@@ -307,6 +346,7 @@
         self.caller.linked(self)
 
     def send(self, asked: Asked, fields: dict[str, Any]) -> None:
+        """Send an attempt under the next tag of this connection."""
         self.tag += 1
         self.open[self.tag] = asked
         text = ",".join(f"{name}={value}" for name, value in fields.items())
@@ -343,16 +383,16 @@
 
 
 class Caller:
-    """Sends tries to one node over one connection at a time, opened again whenever it is gone."""
+    """Sends attempts to one node or router, over a connection that is opened again after a loss."""
 
-    OPEN_MOST = 24  # tries on a connection: under what the protocol allows
+    OPEN_MOST = 24  # attempts on a connection: fewer than the protocol allows
 
     def __init__(
         self, reactor: Any, address: tuple[str, int], clock: Callable[[], int], number: int = 1
     ) -> None:
         self.reactor, self.address, self.clock, self.number = reactor, address, clock, number
         self.links: list[CallerLink] = []
-        self.waiting = 0  # tries without an answer
+        self.waiting = 0  # number of attempts without an answer
         self.said: list[Asked] = []
         self.on_answer: Callable[[Asked], None] = lambda asked: None
         self.dialling = 0
@@ -360,6 +400,7 @@
         self.made = 0
 
     def linked(self, link: CallerLink) -> None:
+        """Use a connection that has been established."""
         self.dialling -= 1
         if self.closed:
             link.transport.abortConnection()
@@ -367,19 +408,26 @@
             self.links.append(link)
 
     def link_goes(self, link: CallerLink) -> None:
+        """Send nothing more on a connection that has ended or received a goaway."""
         if link in self.links:
             self.links.remove(link)
 
     def answered(self, asked: Asked) -> None:
+        """Report that an attempt was answered or lost its connection."""
         self.on_answer(asked)
 
     def failed(self) -> None:
+        """Allow another connection attempt after a failed one."""
         self.dialling -= 1
 
     def ask(
         self, tariff: bytes, body: bytes, hard_limit: int, rng: random.Random, key: bytes = b"", **more: Any
     ) -> Asked | None:
-        """Sends a try; None where no connection has room yet (one is opened then)."""
+        """Send an attempt and return it.
+
+        Returns None if no connection is free for another attempt; a new connection is opened then. `more`:
+        further fields of the request.
+        """
         link = next((each for each in self.links if len(self.open_on(each)) < self.OPEN_MOST), None)
         if link is None:
             if not self.dialling and not self.closed:
@@ -399,8 +447,9 @@
 
     @staticmethod
     def open_on(link: CallerLink) -> list[Asked]:
+        """Return the attempts on a connection that have no answer yet."""
         for tag in [tag for tag, each in link.open.items() if each.answers]:
-            if len(link.open) > 4 * Caller.OPEN_MOST:  # answered ones stay a while, to see second answers
+            if len(link.open) > 4 * Caller.OPEN_MOST:  # kept for a while, to notice second answers
                 del link.open[tag]
         return [each for each in link.open.values() if not each.answers]
 
@@ -411,6 +460,8 @@
 
 
 class Dial(ClientFactory):
+    """Opens a connection of a caller."""
+
     noisy = False
 
     def __init__(self, caller: Caller) -> None:
@@ -424,12 +475,19 @@
 
 
 class ColdDependency(Dependency):
-    """Survives a third of its limit at first, more as it works; beyond that it falls, and comes back cold."""
+    """A dependency that is cold after a power loss and fails under overload.
+
+    The cold dependency serves a third of its limit; its capacity rises linearly while it works. When the
+    calls in flight exceed 1.15 times the present capacity, the dependency fails all calls, refuses new ones
+    for 3 s and is cold afterwards.
+    """
 
-    COLD, FALL, BACK = 1 / 3, 1.15, 3.0  # of the limit; times what it survives; s
+    # Capacity when cold as a fraction of the limit; calls in flight that cause a failure as a multiple of the
+    # present capacity; s for which calls are refused after a failure.
+    COLD, FALL, BACK = 1 / 3, 1.15, 3.0
 
     def __init__(self, reactor: Any, rng: random.Random, takes: float, limit: int, warm: float) -> None:
-        """`warm`: s of work until it is whole."""
+        """`warm`: seconds of work from a cold start to the full limit."""
         super().__init__(reactor, rng, takes, limit)
         self.warm = warm
         self.whole = 1.0
@@ -438,6 +496,7 @@
         self.falls = 0
 
     def survives(self) -> float:
+        """Return the present capacity, in calls in flight, after counting the work since the last call."""
         now = self.reactor.seconds()
         if self.in_hand and now > self.down_until:
             self.whole = min(1.0, self.whole + (1 - self.COLD) * (now - self.since) / self.warm)
@@ -446,7 +505,7 @@
         return self.whole * self.limit
 
     def cut_power(self) -> None:
-        """It is cold again, and up."""
+        """Make the dependency cold, but let it accept calls at once."""
         self.survives()
         self.whole, self.down_until = self.COLD, 0.0
 
@@ -465,5 +524,6 @@
                     self.end(each, ident, line(ident, b"FAULT"))
 
     def refuse(self, link: DependencyLink, ident: bytes) -> None:
+        """Answer a call with a fault."""
         if link.transport is not None:
             link.transport.writeSequence(line(ident, b"FAULT"))
--- a/lichencleat/testkit/cluster/process_faults.py
+++ b/lichencleat/testkit/cluster/process_faults.py
@@ -1,6 +1,7 @@
 """Faults that a process of the test kit installs in itself: a clock that drifts and a volatile write cache.
 
-The environment variable of `clock.py` names the file that controls the clocks; without it they run well.
+The environment variable that `clock.py` defines names the file that controls the clocks. Without the variable
+the clocks are correct.
 """
 
 from __future__ import annotations
@@ -12,12 +13,12 @@
 from lichencleat.store.disk_kinds import register_disk_kind
 from lichencleat.testkit.cluster.clock import CLOCK_FILE_VARIABLE, RigClock
 
-VOLATILE_DISK_KIND = "held back"  # as it stands in the settings
+VOLATILE_DISK_KIND = "held back"  # name of the disk in the settings
 
 
 def open_volatile_disk(directory: str) -> Disk:
     """Open a directory whose unflushed bytes a kill loses."""
-    from lichencleat.testkit.cluster.heldback import HeldBackDisk  # few of the processes use one
+    from lichencleat.testkit.cluster.heldback import HeldBackDisk  # few of the processes use this disk
 
     return HeldBackDisk(directory, create=True)
 
--- a/lichencleat/testkit/cluster/receiver.py
+++ b/lichencleat/testkit/cluster/receiver.py
@@ -1,5 +1,6 @@
-"""Whoever acts on the work of owners: looks at each act's token, and tells the judge what it accepted and
-when.
+"""Stand-in of a resource that lease holders act on.
+
+The receiver checks the fencing token of each act and reports to the checker which acts it accepted, and when.
 """
 
 from __future__ import annotations
@@ -16,6 +17,8 @@
 
 
 class Act(LineOnlyReceiver):
+    """Connection of a lease holder; each line is an act: the job, the fencing token and the holder's name."""
+
     delimiter = b"\r\n"
 
     def lineReceived(self, line: bytes) -> None:
@@ -24,17 +27,18 @@
 
 
 class Receiver(Factory):
-    """Lives on the relays' reactor."""
+    """Accepts or rejects acts by their fencing tokens; runs on the relays' reactor."""
 
     protocol = Act
     noisy = False
 
     def __init__(self, reactor: Any) -> None:
         self.fence, self.watch = Fence(), OwnersWatch()
-        self.last: dict[str, str] = {}  # job -> who acted last
+        self.last: dict[str, str] = {}  # job -> lease holder whose act was accepted last
         self.port = reactor.listenTCP(0, self, interface=LOCAL)
 
     def acts(self, job: str, token: int, who: str) -> None:
+        """Check the token of an act, and record the outcome."""
         accepted = self.fence.accept(job, token)
         self.watch.acts(job, token, who, accepted, time.monotonic_ns() // 1000)
         if accepted:
--- a/lichencleat/testkit/cluster/relay.py
+++ b/lichencleat/testkit/cluster/relay.py
@@ -1,9 +1,8 @@
-"""What lies before each member: every connection to it passes here, and can be held, slowed or broken by who
-calls.
+"""TCP relays in front of the members, which block, delay or reset connections depending on the caller.
 
-A caller is known by the name in its greeting. A held link keeps its bytes and gives them out late, as a
-partition does that ends before TCP gives up; a broken one is reset. Runs on a reactor of its own in a
-thread; `Relays` is called from the test's.
+A relay reads the caller's name from the greeting. Bytes in a blocked direction are kept and delivered when
+the block ends, like in a network partition that ends before TCP gives up. The relays run on a reactor of
+their own in a thread; `Relays` is called from the thread of the test.
 """
 
 from __future__ import annotations
@@ -20,21 +19,22 @@
 from lichencleat.transport.frames import Greeting, decode_frame
 
 LOCAL = "127.0.0.1"
-CLIENT = "client"  # who greets without a name
+CLIENT = "client"  # name used for callers whose greeting has no name
 
 
 class Link:
-    """One connection, both ways: who calls, what is held."""
+    """A relayed connection: its caller, and the bytes that wait in both directions."""
 
     def __init__(self, relay: Relay, inner: Inward) -> None:
         self.relay, self.inner = relay, inner
         self.outer: Outward | None = None
         self.caller = ""
-        self.head = b""  # bytes until the caller is known
+        self.head = b""  # bytes received before the caller is known
         self.to_server: list[bytes] = []
         self.to_caller: list[bytes] = []
 
     def from_caller(self, data: bytes) -> None:
+        """Forward bytes to the member; connect to the member once the caller is known."""
         if not self.caller:
             self.head += data
             name = self.relay.caller or caller_of(self.head)
@@ -46,10 +46,12 @@
         self.flush()
 
     def from_server(self, data: bytes) -> None:
+        """Forward bytes to the caller."""
         self.to_caller.append(data)
         self.flush()
 
     def flush(self) -> None:
+        """Forward the waiting bytes of each direction that is not blocked."""
         relays, name = self.relay.relays, self.relay.name
         if self.outer is not None and not relays.holds(self.caller, name):
             self.write(self.outer, self.to_server, self.caller, name)
@@ -57,6 +59,7 @@
             self.write(self.inner, self.to_caller, name, self.caller)
 
     def write(self, to: Any, waiting: list[bytes], sender: str, receiver: str) -> None:
+        """Send the waiting bytes of one direction, after the delay of that direction."""
         data, waiting[:] = b"".join(waiting), []
         if not data:
             return
@@ -67,10 +70,12 @@
             self.late(to, data)
 
     def late(self, to: Any, data: bytes) -> None:
+        """Write bytes if the connection is still open."""
         if to.transport is not None and to.connected:
             to.transport.write(data)
 
     def over(self) -> None:
+        """Reset both sides of the connection."""
         self.relay.links.pop(self, None)
         for each in (self.inner, self.outer):
             if each is not None and each.connected:
@@ -78,6 +83,8 @@
 
 
 class Inward(Protocol):
+    """The caller's side of a relayed connection."""
+
     def __init__(self, relay: Relay) -> None:
         self.link = Link(relay, self)
 
@@ -92,6 +99,8 @@
 
 
 class Outward(Protocol):
+    """The member's side of a relayed connection."""
+
     def __init__(self, link: Link) -> None:
         self.link = link
 
@@ -107,6 +116,8 @@
 
 
 class Dial(ClientFactory):
+    """Connects a relayed connection to the member."""
+
     noisy = False
 
     def __init__(self, link: Link) -> None:
@@ -120,12 +131,12 @@
 
 
 class Relay(Factory):
-    """Before one member."""
+    """Listens in front of one member and relays the connections to it."""
 
     noisy = False
 
     def __init__(self, relays: Relays, name: str, to: int, caller: str = "") -> None:
-        """`caller`: who calls, where all that call are one; else their greetings tell."""
+        """`to`: port of the member; `caller`: name of the only caller, or "" to read names from greetings."""
         self.relays, self.name, self.to, self.caller = relays, name, to, caller
         self.links: dict[Link, None] = {}
         self.port = relays.reactor.listenTCP(0, self, interface=LOCAL)
@@ -134,25 +145,27 @@
         return Inward(self)
 
     def connect(self, link: Link) -> None:
+        """Connect to the member."""
         self.relays.reactor.connectTCP(LOCAL, self.to, Dial(link), timeout=2)
 
 
 class Relays:
-    """Owns the reactor's thread, the relays and what is cut; all are given back in `close`."""
+    """Owns the relays and the thread of their reactor; `close` ends both. Blocks and delays are set here."""
 
     def __init__(self) -> None:
         self.reactor: Any = EPollReactor()
         self.by_name: dict[str, Relay] = {}
-        self.held: set[tuple[str, str]] = set()  # (from, to)
-        self.delays: dict[tuple[str, str], float] = {}  # s
+        self.held: set[tuple[str, str]] = set()  # blocked directions: (sender, receiver)
+        self.delays: dict[tuple[str, str], float] = {}  # s, by (sender, receiver)
         self.thread = threading.Thread(target=self.reactor.run, args=(False,), daemon=True)
         self.thread.start()
 
     def call(self, what: Callable[..., Any], *args: Any) -> Any:
+        """Call a function in the reactor's thread, wait for its Deferred, and return the result."""
         return blockingCallFromThread(self.reactor, what, *args)
 
     def before(self, name: str, to: int, caller: str = "") -> int:
-        """A port whose connections go to that one; `caller`: see `Relay`."""
+        """Start a relay to the port of a member, and return the port of the relay. `caller`: see `Relay`."""
 
         def make() -> int:
             self.by_name[name] = Relay(self, name, to, caller)
@@ -161,14 +174,15 @@
         return self.call(make)
 
     def holds(self, sender: str, receiver: str) -> bool:
+        """Whether the direction from the sender to the receiver is blocked."""
         return (sender, receiver) in self.held
 
     def hold(self, pairs: set[tuple[str, str]]) -> None:
-        """From now on nothing passes from the first to the second; connections stand, and new ones hang."""
+        """Block each direction (sender, receiver). Connections stay open; new ones get no answer."""
         self.call(self.held.update, pairs)
 
     def release(self, pairs: set[tuple[str, str]]) -> None:
-        """What was held arrives now."""
+        """Unblock the directions and deliver the bytes that were kept."""
 
         def go() -> None:
             self.held -= pairs
@@ -179,10 +193,11 @@
         self.call(go)
 
     def slow(self, pairs: set[tuple[str, str]], delay: float) -> None:
+        """Delay each direction (sender, receiver) by so many seconds; 0 ends the delay."""
         self.call(self.delays.update, dict.fromkeys(pairs, delay))
 
     def reset(self, name: str) -> None:
-        """Every connection to that member is broken."""
+        """Reset every connection to a member."""
         self.call(lambda: [each.over() for each in list(self.by_name[name].links)])
 
     def close(self) -> None:
@@ -191,7 +206,7 @@
 
 
 def caller_of(head: bytes) -> str | None:
-    """The name in the first frame, once that is whole."""
+    """Return the caller's name from the greeting, or None while the first frame is incomplete."""
     if len(head) < 4 or len(head) < 4 + (size := int.from_bytes(head[:4], "big")):
         return None
     try:
--- a/lichencleat/testkit/cluster/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -1,5 +1,6 @@
-"""Starts real voters, each with a directory and a log of its own, a relay before each, and ends them whatever
-happens.
+"""Base of the cluster harness: a group of real voters behind relays.
+
+Each voter has a directory and a log of its own. `Rig.close` ends all processes, also after a failed test.
 """
 
 from __future__ import annotations
@@ -27,16 +28,18 @@
 
 PROGRAM = "lichencleat.testkit.cluster.run_program"
 OLDER = "lichencleat.testkit.cluster.older_voter"
-PATIENCE = 10.0  # s: only a failing test waits so long
+PATIENCE = 10.0  # s: time limit of a wait
+# Intervals that are shorter than the defaults, so that elections take less time.
 FAST = {"beat_ms": 30, "election_ms": 180, "spread_ms": 180, "transfer_ms": 400}
 GROUP = "rig"
-PORTS = random.SystemRandom()  # rigs side by side draw apart; no test hangs on which port it is
+PORTS = random.SystemRandom()  # unseeded, so that concurrent rigs try different ports
 
 
 def free_port(reserved: list[socket.socket] | None = None) -> int:
-    """Below what the kernel gives out by itself: no relay or connection made meanwhile takes it.
+    """Return a free port below the kernel's ephemeral ports, so that no connection gets it.
 
-    `reserved`: takes a UDP socket of that number, so that no other rig draws it while its process is down.
+    `reserved`: receives a UDP socket bound to the same number. While that socket is open, no other rig
+    chooses the port, even when the process that listens on the port is down.
     """
     while True:
         port = PORTS.randrange(20_000, 32_000)
@@ -45,7 +48,7 @@
             held.bind((LOCAL, port))
             with socket.create_server((LOCAL, port)):
                 pass
-        except OSError:  # somebody's
+        except OSError:  # the port is in use
             held.close()
             continue
         if reserved is None:
@@ -58,7 +61,11 @@
 def wait_until(
     holds: Callable[[], Any], what: str, more: Callable[[], str] = lambda: "", patience: float = PATIENCE
 ) -> Any:
-    """What it gives, once that is true; fails after so many seconds, and tells what it waited for."""
+    """Wait until a condition is true, and return its value.
+
+    Raises AssertionError after `patience` seconds. Its message names `what` was expected, and ends with the
+    text of `more`.
+    """
     end = time.monotonic() + patience
     while time.monotonic() < end:
         found = holds()
@@ -69,36 +76,40 @@
 
 
 class Signalled:
-    """A process that is ended, stopped and woken by signals; `running` is the last one that was started."""
+    """Control of a process by signals; `running` is the process that was started last."""
 
     running: subprocess.Popen | None = None
 
     def up(self) -> bool:
+        """Whether the process is running."""
         return self.running is not None and self.running.poll() is None
 
     def signal(self, number: int) -> None:
+        """Send a signal to the process if it is running."""
         if self.running is not None and self.running.poll() is None:
             os.kill(self.running.pid, number)
 
     def kill(self) -> None:
-        """Where its disk holds back what was not flushed, this is a cut of power."""
+        """Kill the process and wait for its end. With a volatile write cache this acts as a power loss."""
         self.signal(signal.SIGKILL)
         self.ended()
 
     def stop(self) -> None:
+        """Pause the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def go_on(self) -> None:
+        """Resume the paused process with SIGCONT."""
         self.signal(signal.SIGCONT)
 
     def ended(self) -> int:
-        """Its exit code, once it has ended."""
+        """Wait for the end of the process, and return its exit code."""
         assert self.running is not None
         return self.running.wait(PATIENCE)
 
 
 class Voter(Signalled):
-    """One process of the program; its directory outlives it."""
+    """A voter that can be restarted: its directory and log stay when the process ends."""
 
     def __init__(self, rig: Rig, name: str, disk: str) -> None:
         self.rig, self.name = rig, name
@@ -108,7 +119,9 @@
         self.file = rig.path / f"{name}.yaml"
         self.log = rig.path / f"{name}.log"
         self.running: subprocess.Popen | None = None
-        self.lacks: tuple[str, ...] = ()  # parts that it does not know from its next start on
+        self.lacks: tuple[
+            str, ...
+        ] = ()  # parts of the replicated state that the next process does not support
         self.chosen = {
             "group": GROUP,
             "name": name,
@@ -125,10 +138,12 @@
         return f"{LOCAL}:{self.relay}"
 
     def write_file(self) -> None:
+        """Write the settings, with the present voters as members."""
         self.chosen["members"] = [each.address for each in self.rig.voters.values()]
         self.file.write_text(yaml.safe_dump({"quorum": self.chosen}))
 
     def start(self) -> None:
+        """Start a process of the voter, as an older version if `lacks` is set."""
         self.write_file()
         with open(self.log, "ab") as log:
             words, more = ["quorum", "run", str(self.file)], {"stderr": log}
@@ -137,19 +152,20 @@
             self.running = self.rig.program(words, env=self.rig.variables(self.name), **more)
 
     def fill_disk(self) -> None:
-        """Nothing more goes onto its disk until `empty_disk`."""
+        """Make every write of the voter fail for lack of space until `empty_disk` is called."""
         (self.rig.path / f"{self.name}{FULL}").touch()
 
     def empty_disk(self) -> None:
+        """Let the voter write to its disk again."""
         (self.rig.path / f"{self.name}{FULL}").unlink(missing_ok=True)
 
     def status(self) -> dict[str, Any] | None:
-        """What it says of itself; None where it does not answer."""
+        """Return the status that the voter reports, or None if the voter does not answer."""
         return self.rig.status(self)
 
 
 class Rig:
-    """Owns the processes, the relays, the clients; all are given back in `close`, also when a test fails."""
+    """Owns the voters, other processes, relays and clients of a test; `close` ends all of them."""
 
     def __init__(
         self,
@@ -170,30 +186,32 @@
             self.voters[name] = Voter(self, name, disk)
 
     def program(self, words: list[str], module: str = PROGRAM, **more: Any) -> subprocess.Popen:
+        """Start a process of the program with these arguments. `more`: arguments of Popen."""
         root = Path(__file__).resolve().parents[3]
         child = subprocess.Popen([sys.executable, "-m", module, *words], cwd=root, **more)
         self.children.append(child)
         return child
 
     def variables(self, name: str) -> dict[str, str]:
-        """The environment of the process of that name: its clocks run by the rig's word."""
+        """Return the environment of the named process, with the path of its clock file."""
         return {**os.environ, clock.CLOCK_FILE_VARIABLE: self.clock_file(name)}
 
     def clock_file(self, name: str) -> str:
+        """Return the path of the file that controls the clocks of the named process."""
         return str(self.path / f"{name}.clock")
 
     def clock(self, name: str, rate: float = 1.0, ahead: float = 0.0) -> None:
-        """From now on its clocks run at that rate, and Unix time is ahead by so many seconds."""
+        """Set the rate of both clocks of a process, and the seconds by which its Unix time is ahead."""
         clock.write(self.clock_file(name), rate, ahead)
 
     def command(self, *words: str) -> tuple[int, str]:
-        """Exit code and output of a command of the program."""
+        """Run a command of the program; returns its exit code and its output."""
         made = self.program(list(words), stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
-        said, _ = made.communicate(timeout=2 * PATIENCE)  # it gives up by itself after one
+        said, _ = made.communicate(timeout=2 * PATIENCE)  # the program itself gives up after PATIENCE
         return made.returncode, said
 
     def form(self) -> None:
-        """Founds the group with the first voter and adds the others."""
+        """Found the group with the first voter and add the others."""
         first, *others = self.voters.values()
         for each in self.voters.values():
             each.write_file()
@@ -206,6 +224,7 @@
             self.add(each)
 
     def add(self, voter: Voter) -> None:
+        """Add a running voter as a learner, and promote it as soon as it has caught up."""
         client = self.client()
         self.until(lambda: voter.status() is not None, f"{voter.name} to answer")
         new = voter.status()
@@ -222,9 +241,10 @@
 
         self.until(promoted, f"{voter.name} to catch up")
 
-    # -- looking -------------------------------------------------------------------------------------
+    # -- observation -------------------------------------------------------------------------------------
 
     def client(self) -> GroupClient:
+        """Return a new client of the group, connected through the relays."""
         addresses = [(LOCAL, each.relay) for each in self.voters.values()]
         made = self.relays.call(
             GroupClient, self.relays.reactor, GROUP, addresses, random.Random(len(self.clients))
@@ -233,15 +253,16 @@
         return made
 
     def ask(self, call: Callable[..., Any], *args: Any) -> Any:
-        """Does a client's call on the relays' reactor and waits for it. Raises RequestFailedError."""
+        """Make a client's call on the relays' reactor and return its answer. Raises RequestFailedError."""
         return self.relays.call(call, *args)
 
     def status(self, voter: Voter) -> dict[str, Any] | None:
+        """Return the status that a voter reports, or None if the voter does not answer within 1 s."""
         if voter.running is None or voter.running.poll() is not None:
             return None
         made = self.relays.call(
             GroupClient, self.relays.reactor, GROUP, [(LOCAL, voter.port)], random.Random(1)
-        )  # past the relay: a look is no traffic
+        )  # not through the relay, so that injected faults do not affect the status request
         try:
             return self.ask(made.call, "status", None, 1.0)
         except RequestFailedError:
@@ -250,16 +271,17 @@
             self.relays.call(made.close)
 
     def leader(self, among: list[Voter] | None = None) -> Voter | None:
-        """Who leads in the newest term, of those that answer."""
+        """Return the leader of the highest term among the voters that answer, or None."""
         said = {each: each.status() for each in among or self.voters.values()}
         leading = {each: told for each, told in said.items() if told and told["role"] == "leader"}
         return max(leading, key=lambda each: leading[each]["term"], default=None)
 
     def until(self, holds: Callable[[], Any], what: str) -> Any:
+        """Wait for a condition, see `wait_until`; a failure shows the logs."""
         return wait_until(holds, what, self.logs, self.patience)
 
     def logs(self) -> str:
-        """The last lines of every process."""
+        """Return the last 12 lines of the log of every process."""
         return "\n".join(
             f"{log.stem}: {line[:200]}"
             for log in sorted(self.path.glob("*.log"))
@@ -267,7 +289,7 @@
         )
 
     def worker(self, name: str, zone: str, receiver: int) -> subprocess.Popen:
-        """A process that wants jobs; its log is NAME.log."""
+        """Start a candidate for the leases of jobs; its log is NAME.log. `receiver`: port of the receiver."""
         file = next(iter(self.voters.values())).file
         words = [
             sys.executable,
@@ -287,7 +309,10 @@
     # -- faults --------------------------------------------------------------------------------------
 
     def apart(self, here: list[Voter], clients: bool = True) -> set[tuple[str, str]]:
-        """Cuts these voters off from the others, both ways; `clients`: those stay with the others."""
+        """Block the traffic between these voters and the others, in both directions.
+
+        `clients`: whether clients can reach only the other voters. Returns the blocked directions.
+        """
         inside = {each.name for each in here}
         outside = set(self.voters) - inside | ({CLIENT} if clients else set())
         pairs = {(a, b) for a in inside for b in outside}
@@ -296,9 +321,11 @@
         return pairs
 
     def heal(self, pairs: set[tuple[str, str]]) -> None:
+        """Unblock directions."""
         self.relays.release(pairs)
 
     def close(self) -> None:
+        """End all processes, clients and relays, and release the ports."""
         for made in self.clients:
             self.relays.reactor.callFromThread(made.close)
         for child in self.children:
@@ -314,7 +341,7 @@
 
 
 class Writer:
-    """A client that puts, puts over and reads facts as long as it is told to, and writes down what it saw."""
+    """A client that reads, sets and conditionally sets keys until `on` is false, and records the history."""
 
     def __init__(self, rig: Rig, name: str, facts: int = 2) -> None:
         self.rig, self.name, self.facts = rig, name, facts
@@ -327,9 +354,11 @@
         rig.relays.reactor.callFromThread(self.step)
 
     def now(self) -> int:
+        """Return the time of the relays' reactor in µs."""
         return int(self.rig.relays.reactor.seconds() * 1e6)
 
     def step(self) -> None:
+        """Make one random call, and schedule the next after its answer."""
         if not self.on:
             return
         name = f"f{self.rng.randrange(self.facts)}"
@@ -351,6 +380,7 @@
         told.addBoth(lambda _: self.rig.relays.reactor.callLater(self.rng.uniform(0.002, 0.02), self.step))
 
     def answered(self, told: Any, call: Call) -> None:
+        """Record the answer of a call, and the value and revision that are known now."""
         call.returned = self.now()
         name = call.what[1]
         if call.what[0] == "get":
@@ -364,4 +394,5 @@
             self.known[name] = call.what[2], answer.revision
 
     def count(self) -> int:
+        """Return the number of calls that were answered."""
         return sum(each.returned < 1 << 61 for each in self.history)
--- a/lichencleat/testkit/cluster/routers.py
+++ b/lichencleat/testkit/cluster/routers.py
@@ -1,5 +1,7 @@
-"""Zones of real nodes behind real routers, with voters that know the order of zones: all processes of the
-program, with relays before the voters, and before each node one for the routers of each zone.
+"""Zones of real nodes behind real routers, with voters that compute the routing plan.
+
+Nodes, routers and voters are processes of the program. There is a relay in front of each voter, and in front
+of each node one relay for the routers of each zone.
 """
 
 from __future__ import annotations
@@ -18,13 +20,13 @@
 from lichencleat.testkit.cluster.relay import LOCAL
 from lichencleat.testkit.cluster.rig import GROUP, Rig, Signalled, free_port
 
-CARRIES = 400.0  # requests a second that a zone is said to carry
-FAR = 5.0  # ms
-WINDOW = 60.0  # s: longer than a test
+CARRIES = 400.0  # configured capacity of a zone in requests per second
+FAR = 5.0  # ms: configured latency between two zones
+WINDOW = 60.0  # s for which an idempotency key is remembered: longer than a test
 
 
 class RouterProcess(Signalled):
-    """One process of the router; what it is told outlives it."""
+    """A router that can be restarted: its file and log stay when the process ends."""
 
     def __init__(self, zones: Zones, name: str, zone: str, candidate: bool) -> None:
         self.zones, self.name, self.zone = zones, name, zone
@@ -44,6 +46,7 @@
         }
 
     def write_file(self) -> None:
+        """Write the configuration file, with the present nodes of all zones."""
         self.chosen["zones"] = {
             name: {
                 "far_ms": 0.0 if name == self.zone else FAR,
@@ -54,6 +57,7 @@
         self.file.write_text(yaml.safe_dump({"router": self.chosen}))
 
     def start(self) -> None:
+        """Start a process of the router; its log is appended to the router's log file."""
         self.write_file()
         rig = self.zones.rig
         with open(self.log, "ab") as log:
@@ -61,9 +65,11 @@
             self.running = rig.program(words, stderr=log, env=rig.variables(self.name))
 
     def said(self) -> str:
+        """Return the text of the log of all processes of the router so far."""
         return self.log.read_text() if self.log.exists() else ""
 
     def caller(self, number: int = 1) -> Caller:
+        """Return a new caller of this router."""
         made = self.zones.rig.relays.call(
             Caller, self.zones.rig.relays.reactor, (LOCAL, self.port), unix_time, number
         )
@@ -72,7 +78,7 @@
 
 
 class Zones:
-    """Owns rig, nodes, routers and callers; all are given back in `close`."""
+    """Owns the rig, nodes, routers and callers; `close` ends all of them."""
 
     def __init__(
         self,
@@ -83,7 +89,10 @@
         work: float = 0.01,
         keyed: bool = False,
     ) -> None:
-        """So many nodes and routers a zone; `keyed`: the nodes' receipts outlive them."""
+        """Start the voters, define the zones, and start `nodes` nodes and `routers` routers in each zone.
+
+        `work`: mean duration of a run in seconds; `keyed`: whether nodes store idempotency records on disk.
+        """
         told = settings(window=WINDOW)
         self.rig = rig = Rig(path)
         self.count = routers * len(names)
@@ -112,27 +121,31 @@
             each.start()
 
     def kept(self, name: str) -> dict[str, Any]:
+        """Return the part of the operators' file that makes a node store idempotency records."""
         return {"keyed": {"directory": str(self.rig.path / f"{name}.keyed"), "disk": "held back"}}
 
     def relay_of(self, node: str, zone: str) -> int:
-        """The port at which routers of that zone reach the node: a link of its own, so that it can be cut."""
+        """Return the port of the relay from the routers of a zone to a node; each link can be cut alone."""
         key = (node, zone)
         if key not in self.relays_of:
             self.relays_of[key] = self.rig.relays.before(f"{node}<{zone}", self.nodes[node].port, zone)
         return self.relays_of[key]
 
     def command(self, *words: str) -> tuple[int, str]:
+        """Run a command of the program; returns its exit code and its output."""
         return self.rig.command(*words)
 
     def status(self) -> dict[str, dict[str, Any]]:
+        """Return the status of each zone, or nothing if the command fails."""
         code, said = self.command("zones", "status", self.file, "--json")
         return {each["zone"]: each for each in json.loads(said)} if code == 0 else {}
 
     def until(self, holds: Callable[[], Any], what: str) -> Any:
+        """Wait for a condition, see `Rig.until`."""
         return self.rig.until(holds, what)
 
     def ask(self, caller: Caller, tariff: bytes, body: bytes, rng: random.Random, **more: Any) -> Asked:
-        """Sends one try, as soon as a connection is there."""
+        """Send one attempt as soon as a connection is established, and return the attempt."""
         key = more.pop("key", b"")
 
         def ask() -> Asked | None:
@@ -141,17 +154,23 @@
         return self.until(ask, "a connection to the router")
 
     def answer(self, caller: Caller, tariff: bytes, body: bytes, rng: random.Random, **more: Any) -> Asked:
+        """Send one attempt, wait for its answer or the loss of its connection, and return the attempt."""
         asked = self.ask(caller, tariff, body, rng, **more)
         self.until(lambda: asked.answers or asked.lost, "an answer")
         return asked
 
     def runs(self, tariff: bytes, body: bytes) -> dict[str, int]:
-        """How often it ran, by node."""
+        """Return the number of runs of a request by node; nodes without a run are left out."""
         return {
             name: count for name, each in self.nodes.items() if (count := each.engine.begun[tariff, body])
         }
 
     def judge(self) -> str | None:
+        """Return a description of the first violated guarantee in the answers of all callers, or None.
+
+        Guarantees: each attempt is answered exactly once, or loses its connection; a served result comes from
+        a run; no answer is more than 50 ms after the deadline.
+        """
         made: dict[tuple[bytes, bytes], set[bytes]] = {}
         for node in self.nodes.values():
             for what, results in node.engine.made.items():
@@ -164,12 +183,13 @@
                     return f"{each.body!r} was not answered"
                 for word, _, result, when in each.answers:
                     if word == b"200" and result not in made.get((each.tariff, each.body), set()):
-                        return f"{each.body!r} was honoured with what no run made"
+                        return f"{each.body!r} was served with a result that no run produced"
                     if when > each.due + 50_000:
-                        return f"{each.body!r} was answered {when - each.due} µs late"
+                        return f"{each.body!r} was answered {when - each.due} µs after its deadline"
         return None
 
     def close(self) -> None:
+        """End all processes and stand-ins."""
         for each in self.callers:
             self.rig.relays.call(each.close)
         for node in self.nodes.values():
--- a/lichencleat/testkit/cluster/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -1,5 +1,4 @@
-"""A process that wants jobs and does nothing but act: each act is a line to a receiver that looks at the
-token.
+"""A candidate for leases of jobs; while it holds a lease, it sends acts with its fencing token to a receiver.
 
 python -m lichencleat.testkit.cluster.worker FILE NAME ZONE RECEIVER_PORT
 """
@@ -27,7 +26,7 @@
 
 
 class Acts(ReconnectingClientFactory):
-    """The link to the receiver."""
+    """Connection to the receiver, opened again after a loss."""
 
     noisy = False
     link: Any = None
@@ -41,20 +40,25 @@
 
 
 class Worker:
+    """Acts on each job whose lease it holds."""
+
     def __init__(self, reactor: Any, name: str, acts: Acts) -> None:
         self.reactor, self.name, self.acts = reactor, name, acts
         self.running: dict[str, Any] = {}
         self.lease_client: LeaseClient | None = None
 
     def on_lease_acquired(self, job: str, fencing_token: int) -> None:
+        """Start to act on a job."""
         self.running[job] = self.reactor.callLater(0, self.act, job)
 
     def on_lease_lost(self, job: str, reason: str) -> None:
+        """Stop acting on a job."""
         timer = self.running.pop(job, None)
         if timer is not None and timer.active():
             timer.cancel()
 
     def act(self, job: str) -> None:
+        """Send one act on a job if its lease is valid, and schedule the next."""
         assert self.lease_client is not None
         token = self.lease_client.fencing_token(job)
         if token is not None and self.acts.link is not None and self.acts.link.transport is not None:
@@ -63,6 +67,7 @@
 
 
 def main() -> None:
+    """Run the candidate until SIGTERM, which gives its leases up."""
     install_faults()
     reactor = make_reactor()
     path, name, zone, port = sys.argv[1:]
