--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -209,7 +209,7 @@
         self.rig = rig
         self.words = rig.words()
         self.at = time.monotonic()
-        self.relays = {name: cpu(each.running.pid) for name, each in rig.feeding.items() if each.up()}
+        self.relays = {name: cpu(each.running.pid) for name, each in rig.feeding.items() if each.is_up()}
         self.voters = {name: cpu(each.running.pid) for name, each in rig.voters.items()}
 
     def ends(self) -> dict[str, Any]:
--- a/benchmarks/keyed.py
+++ b/benchmarks/keyed.py
@@ -71,7 +71,7 @@
     def answered(self, asked) -> None:
         due = self.waiting.pop(asked.ident, None)
         if due is not None and asked.answers and asked.answers[0][0] == b"200":
-            self.took[asked.tariff].append((time.monotonic() - due) * 1000)
+            self.took[asked.request_class].append((time.monotonic() - due) * 1000)
 
 
 def quantile(values: list[float], share: float) -> float:
@@ -85,9 +85,9 @@
         node = RigNode(rig, "n1", chosen, None, settings(window=WINDOW), work=WORK)
         try:
             node.start()
-            wait_until(lambda: "LOADED" in node.said(), "the node", node.said)
+            wait_until(lambda: "LOADED" in node.read_log(), "the node", node.read_log)
             if on:
-                wait_until(lambda: "index loaded" in node.said(), "the index", node.said)
+                wait_until(lambda: "index loaded" in node.read_log(), "the index", node.read_log)
             load = Load(rig, node, seconds, {b"save": rate, b"look": PURE_RATE})
             time.sleep(seconds + 0.5)
             save, look = load.took[b"save"], load.took[b"look"]
@@ -142,7 +142,7 @@
 
             def answered(asked) -> None:
                 if asked.answers and asked.answers[0][0] == b"200":
-                    first.setdefault(asked.tariff, time.monotonic() - began)
+                    first.setdefault(asked.request_class, time.monotonic() - began)
 
             def ask() -> None:
                 for tariff, caller in callers.items():
@@ -156,7 +156,7 @@
             for each in callers.values():
                 each.on_answer = answered
             rig.relays.reactor.callFromThread(ask)
-            wait_until(lambda: len(first) == 2, "the first answers", node.said)
+            wait_until(lambda: len(first) == 2, "the first answers", node.read_log)
             time.sleep(1.0)
             return {
                 "pure s": first[b"look"],
--- a/benchmarks/owners.py
+++ b/benchmarks/owners.py
@@ -40,13 +40,13 @@
     for number in range(3):
         child = rig.worker(f"w{number}", "", port)
         workers[f"w{number}-{child.pid}"] = child
-    rig.until(lambda: JOB in receiver.last, "the first act")
+    rig.until(lambda: JOB in receiver.last_holder, "the first act")
     found = []
     for number in range(kills):
-        old = receiver.last[JOB]
+        old = receiver.last_holder[JOB]
         begun = time.monotonic()
         os.kill(workers.pop(old).pid, signal.SIGKILL)
-        while receiver.last[JOB] == old:
+        while receiver.last_holder[JOB] == old:
             time.sleep(0.001)
         found.append((time.monotonic() - begun) * 1000)
         child = rig.worker(f"x{number}", "", port)
--- a/benchmarks/revive.py
+++ b/benchmarks/revive.py
@@ -22,7 +22,7 @@
 
 
 def counted(fleet: Fleet) -> int:
-    return sum(each.honoured() for each in fleet.loads)
+    return sum(each.count_served() for each in fleet.loads)
 
 
 def one(policy: str, nodes: int, span: float, warm: float, seed: int) -> dict[str, float]:
@@ -32,45 +32,45 @@
             Path(folder),
             nodes=nodes,
             limit=LIMIT,
-            returns=policy == "plan",
+            uses_rollout=policy == "plan",
             dependency=lambda reactor: ColdDependency(reactor, random.Random(seed), TAKES, LIMIT, warm),
             open_=10,
         )
         try:
-            fleet.work(20)
+            fleet.wait_for_answers(20)
             time.sleep(3.0)
             had, began = counted(fleet), time.monotonic()
             time.sleep(BEFORE)
             usual = (counted(fleet) - had) / (time.monotonic() - began)
             everyone, voters = list(fleet.nodes), list(fleet.rig.voters)
-            fleet.cut(everyone, voters)
-            fleet.rig.relays.call(fleet.below.cut_power)
-            fleet.below.most = 0
+            fleet.cut_power(everyone, voters)
+            fleet.rig.relays.call(fleet.dependency.cut_power)
+            fleet.dependency.max_in_flight = 0
             back = time.monotonic()
-            fleet.come_back([], voters)
+            fleet.start_again([], voters)
             if policy == "delays":
                 pending = list(everyone)
             else:
                 pending = []
-                fleet.come_back(everyone, [])
+                fleet.start_again(everyone, [])
             rates, had = [], counted(fleet)
             while (now := time.monotonic() - back) < span:
                 while pending and now > APART * (len(everyone) - len(pending)):
-                    fleet.come_back([pending.pop(0)], [])
+                    fleet.start_again([pending.pop(0)], [])
                 time.sleep(LOOK)
                 count = counted(fleet)
                 rates.append((count - had) / (time.monotonic() - back - now) / usual)
                 had = count
             per_second = [statistics.mean(rates[at : at + 4]) for at in range(0, len(rates) - 3, 4)]
             under = [at for at, rate in enumerate(per_second) if rate < 0.9]
-            wrong = next((said for each in fleet.loads if (said := each.judge())), None)
+            wrong = next((said for each in fleet.loads if (said := each.find_violation())), None)
             assert wrong is None, wrong
             return {
                 "usual": usual,
                 "lost": statistics.mean(max(0.0, 1 - rate) for rate in per_second),
                 "to 90%": float(under[-1] + 1 if under else 0),
-                "falls": float(fleet.below.falls),
-                "most": fleet.below.most / LIMIT,
+                "falls": float(fleet.dependency.failures),
+                "most": fleet.dependency.max_in_flight / LIMIT,
             }
         finally:
             fleet.close()
--- a/benchmarks/router.py
+++ b/benchmarks/router.py
@@ -22,7 +22,7 @@
 
 from lichencleat.node.resp import ArrayReader, array
 from lichencleat.testkit.cluster.nodes import HARD_LIMIT, settings, unix_time
-from lichencleat.testkit.cluster.peers import Asked, Caller
+from lichencleat.testkit.cluster.peers import Attempt, Caller
 from lichencleat.testkit.cluster.relay import LOCAL, Relays
 from lichencleat.testkit.cluster.rig import free_port, wait_until
 
@@ -59,13 +59,13 @@
         self.caller: Caller = relays.call(Caller, relays.reactor, (LOCAL, port), unix_time)
         self.rng = random.Random(1)
 
-    def send(self) -> Asked | None:
+    def send(self) -> Attempt | None:
         return self.caller.ask(b"look", b"x" * 200, HARD_LIMIT, self.rng)
 
     def paced(self, rate: float, span: float) -> list[float]:
         """ms from each try to its answer."""
         wait_until(lambda: self.relays.call(self.send), "a connection")
-        self.relays.call(self.caller.said.clear)
+        self.relays.call(self.caller.attempts.clear)
 
         def go(left: int) -> Any:
             self.send()
@@ -73,12 +73,12 @@
 
         self.relays.call(go, int(rate * span))
         wait_until(lambda: not self.caller.waiting, "the last answers")
-        return [(each.answers[0][3] - each.sent) / 1000 for each in self.caller.said if each.answers]
+        return [(each.answers[0][3] - each.sent) / 1000 for each in self.caller.attempts if each.answers]
 
     def flat_out(self, span: float) -> float:
         """Answers a second."""
         wait_until(lambda: self.relays.call(self.send), "a connection")
-        self.relays.call(self.caller.said.clear)
+        self.relays.call(self.caller.attempts.clear)
         self.on = True
 
         def again(_: Any) -> None:
@@ -93,7 +93,7 @@
         began = time.monotonic()
         self.relays.call(go)
         time.sleep(span)
-        count = sum(bool(each.answers) for each in list(self.caller.said))
+        count = sum(bool(each.answers) for each in list(self.caller.attempts))
         took = time.monotonic() - began
         self.on = False
         wait_until(lambda: not self.caller.waiting, "the last answers")
--- a/lichencleat/testkit/cluster/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -79,7 +79,7 @@
     """The only one of another group."""
 
     def write_file(self) -> None:
-        self.file.write_text(yaml.safe_dump({"quorum": self.chosen}))
+        self.file.write_text(yaml.safe_dump({"quorum": self.settings}))
 
 
 class DistributionRig(Rig):
@@ -120,7 +120,7 @@
         for voter in self.voters.values():
             if direct:
                 voter.relay = voter.port
-            voter.chosen |= {"distribution": True, "address": voter.address}
+            voter.settings |= {"distribution": True, "address": voter.address}
         source = [each.address for each in self.voters.values()]
         for zone in zones:
             region = self.relay(f"r{zone}", "", [source])
@@ -244,7 +244,7 @@
         def lacking() -> list[str]:
             self.hear()
             chosen = self.watchers if names is None else names
-            up = [name for name in chosen if self.watchers[name].up()]
+            up = [name for name in chosen if self.watchers[name].is_up()]
             return [name for name in up if self.watchers[name].last.get("version", 0) < version]
 
         try:
@@ -259,7 +259,7 @@
 
         def all_have(holds: Callable[[Watcher], Any]) -> bool:
             self.hear()
-            return all(holds(each) for each in asked.values() if each.up())
+            return all(holds(each) for each in asked.values() if each.is_up())
 
         # who has said nothing yet is not ready for the signal
         self.until(lambda: all_have(lambda each: each.last), f"the first word of {', '.join(asked)}")
@@ -267,7 +267,7 @@
         for each in asked.values():
             each.signal(signal.SIGUSR1)
         self.until(lambda: all_have(lambda each: each.answer(since)), f"a word of {', '.join(asked)}")
-        return {name: each.answer(since) for name, each in asked.items() if each.up()}
+        return {name: each.answer(since) for name, each in asked.items() if each.is_up()}
 
     def relays_of(self, names: Iterable[str]) -> dict[str, str]:
         """The relay that each of these watchers follows, by name; "" where it follows none."""
@@ -287,7 +287,7 @@
     def form_other_group(self) -> RelayProcess:
         """Another group of the same name, with a relay and records of its own; nobody is told of it."""
         voter = OtherVoter(self, "w1", self.disk)
-        voter.chosen["distribution"] = True
+        voter.settings["distribution"] = True
         voter.write_file()
         code, said = self.command("quorum", "found", str(voter.file))
         assert code == 0, said
@@ -310,7 +310,7 @@
         """At that relay's address answers whoever listens at the port."""
 
         def go() -> None:
-            self.relays.by_name[relay.name].to = port
+            self.relays.by_name[relay.name].member_port = port
 
         self.relays.call(go)
         self.relays.reset(relay.name)
@@ -327,5 +327,5 @@
         """Nothing passes between these and all others until `heal`; connections stand."""
         others = {*self.voters, *self.feeding, *self.watchers, CLIENT} - here
         pairs = set(itertools.product(here, others)) | set(itertools.product(others, here))
-        self.relays.hold(pairs)
+        self.relays.block(pairs)
         return pairs
--- a/lichencleat/testkit/cluster/distribution_parts.py
+++ b/lichencleat/testkit/cluster/distribution_parts.py
@@ -19,14 +19,14 @@
 from lichencleat.store.disk import RealDisk
 from lichencleat.store.engine import Engine
 from lichencleat.store.errors import StoreError
-from lichencleat.testkit.cluster.heldback import FULL
+from lichencleat.testkit.cluster.heldback import FULL_DISK_SUFFIX
 from lichencleat.testkit.cluster.relay import LOCAL
-from lichencleat.testkit.cluster.rig import GROUP, PROGRAM, Signalled, free_port
+from lichencleat.testkit.cluster.rig import GROUP, PROGRAM, ControlledProcess, free_port
 
 ROOT = Path(__file__).resolve().parents[3]
 
 
-class Child(Signalled):
+class Child(ControlledProcess):
     """A process of the rig behind a tapped link, with a directory and a log that outlive it."""
 
     def __init__(self, rig: Any, name: str, zone: str) -> None:
@@ -42,15 +42,18 @@
     def start(self) -> None:
         with open(self.log, "ab") as log:
             self.running = subprocess.Popen(
-                [sys.executable, "-m", *self.words()], cwd=ROOT, stderr=log, env=self.rig.variables(self.name)
+                [sys.executable, "-m", *self.words()],
+                cwd=ROOT,
+                stderr=log,
+                env=self.rig.environment(self.name),
             )
         self.rig.children.append(self.running)
 
     def fill_disk(self) -> None:
-        (self.rig.path / f"{self.name}{FULL}").touch()
+        (self.rig.path / f"{self.name}{FULL_DISK_SUFFIX}").touch()
 
     def empty_disk(self) -> None:
-        (self.rig.path / f"{self.name}{FULL}").unlink(missing_ok=True)
+        (self.rig.path / f"{self.name}{FULL_DISK_SUFFIX}").unlink(missing_ok=True)
 
     def copy_directory(self) -> Path:
         """As it is at one moment; the process stands still meanwhile."""
@@ -58,7 +61,7 @@
         to = self.rig.path / f"{self.name}.copy{self.copies}"
         self.stop()
         shutil.copytree(self.directory, to)
-        self.go_on()
+        self.resume()
         return to
 
     def put_back(self, copy: Path) -> None:
@@ -119,7 +122,7 @@
     def __init__(self, rig: Any, name: str, zone: str, sources: list[list[str]], keeps: bool = True) -> None:
         super().__init__(rig, name, zone)
         self.port = free_port(rig.reserved)
-        self.before = self.port if rig.direct else rig.relays.before(name, self.port)
+        self.before = self.port if rig.direct else rig.relays.add_relay(name, self.port)
         self.chosen = {
             "group": GROUP,
             "name": name,
--- a/lichencleat/testkit/cluster/fleet.py
+++ b/lichencleat/testkit/cluster/fleet.py
@@ -21,20 +21,20 @@
 from lichencleat.testkit.cluster.rig import Rig, wait_until
 
 # Calls in flight that the dependency allows; floor of each node's grant, in calls; s that a grant is valid.
-LIMIT, FLOOR, TERM = 24, 1, 1.0
+LIMIT, FLOOR, GRANT_TERM = 24, 1, 1.0
 # Number of nodes; attempts without an answer at each node; idempotency keys in use at each node.
-NODES, OPEN, KEYS = 8, 6, 12
+NODES, OPEN_ATTEMPTS, KEY_COUNT = 8, 6, 12
 WINDOW = 60.0  # s for which an idempotency key is remembered: longer than most schedules
-BACK = 30.0  # s within which all nodes must accept all requests again
+RETURN_TIMEOUT = 30.0  # s within which all nodes must accept all requests again
 
 
 class Load:
     """Load of one node: idempotent requests that call the dependency, and keyed requests with a few keys."""
 
-    def __init__(self, rig: Rig, node: RigNode, open_: int = OPEN) -> None:
+    def __init__(self, rig: Rig, node: RigNode, open_: int = OPEN_ATTEMPTS) -> None:
         self.rig, self.node, self.open, self.on = rig, node, open_, True
         self.rng = random.Random(node.name)
-        self.keys = [b"%032x" % self.rng.getrandbits(128) for _ in range(KEYS)]
+        self.keys = [b"%032x" % self.rng.getrandbits(128) for _ in range(KEY_COUNT)]
         self.made = 0
         self.caller = node.caller()
         rig.relays.reactor.callFromThread(self.step)
@@ -47,47 +47,47 @@
             self.made += 1
             if self.rng.random() < 0.4:
                 key = self.rng.choice(self.keys)
-                asked = self.caller.ask(b"save", b"body " + key, HARD_LIMIT, self.rng, key)
+                attempt = self.caller.ask(b"save", b"body " + key, HARD_LIMIT, self.rng, key)
             else:
-                asked = self.caller.ask(b"look", b"b%d" % self.made, HARD_LIMIT, self.rng)
-            if asked is None:
+                attempt = self.caller.ask(b"look", b"b%d" % self.made, HARD_LIMIT, self.rng)
+            if attempt is None:
                 break
         self.rig.relays.reactor.callLater(self.rng.uniform(0.01, 0.04), self.step)
 
     def new_keys(self) -> None:
         """Replace the idempotency keys; the earlier keys are not used any more."""
-        self.keys = [b"%032x" % self.rng.getrandbits(128) for _ in range(KEYS)]
+        self.keys = [b"%032x" % self.rng.getrandbits(128) for _ in range(KEY_COUNT)]
 
-    def honoured(self) -> int:
+    def count_served(self) -> int:
         """Return the number of served attempts."""
-        return sum(bool(each.answers) and each.answers[0][0] == b"200" for each in list(self.caller.said))
+        return sum(bool(each.answers) and each.answers[0][0] == b"200" for each in list(self.caller.attempts))
 
-    def judge(self) -> str | None:
+    def find_violation(self) -> str | None:
         """Return a description of the first violated guarantee at this node, or None.
 
         Guarantees: a key that ran does not run again for an attempt sent within WINDOW; each attempt is
         answered at most once; a served result comes from a run; all served answers of a key are the same.
         """
         engine = self.node.engine
-        sent = {each.ident: each.sent for each in self.caller.said}
-        for (tariff, body), runs in engine.runs_of.items():
-            for (first, _), (second, _) in itertools.pairwise(runs if tariff == b"save" else ()):
+        sent = {each.ident: each.sent for each in self.caller.attempts}
+        for (request_class, body), runs in engine.run_starts.items():
+            for (first, _), (second, _) in itertools.pairwise(runs if request_class == b"save" else ()):
                 apart = (sent[second] - sent[first]) / 1e6
                 if apart <= WINDOW:
                     return f"{self.node.name}: {body!r} ran again, sent {apart:.2f} s after the last attempt"
-        told: dict[bytes, set[bytes]] = {}
-        for each in self.caller.said:
+        served_results: dict[bytes, set[bytes]] = {}
+        for each in self.caller.attempts:
             if len(each.answers) > 1:
                 return f"{self.node.name}: {each.ident!r} was answered {len(each.answers)} times"
-            for word, _, result, _ in each.answers:
-                if word == b"200" and result not in engine.made.get((each.tariff, each.body), []):
+            for status, _, result, _ in each.answers:
+                if status == b"200" and result not in engine.results.get((each.request_class, each.body), []):
                     return f"{self.node.name}: {each.body!r} was served with a result that no run produced"
-                if word == b"200" and each.tariff == b"save":
-                    told.setdefault(each.body, set()).add(result)
+                if status == b"200" and each.request_class == b"save":
+                    served_results.setdefault(each.body, set()).add(result)
         return next(
             (
                 f"{body!r} was served with different results: {results}"
-                for body, results in told.items()
+                for body, results in served_results.items()
                 if len(results) > 1
             ),
             None,
@@ -103,126 +103,140 @@
         forgets: bool = False,
         nodes: int = NODES,
         limit: int = LIMIT,
-        returns: bool = True,
+        uses_rollout: bool = True,
         dependency: Callable[[Any], Dependency] | None = None,
-        open_: int = OPEN,
+        open_: int = OPEN_ATTEMPTS,
         work: float = 0.01,
     ) -> None:
         """Start all processes, wait until all nodes accept all requests, and start the load.
 
-        `returns`: whether restarted nodes follow the rollout plan, instead of serving as soon as they are up;
+        `uses_rollout`: whether restarted nodes follow the rollout plan, instead of serving at once when up;
         `forgets`, `work`: see `peers.Engine`; `open_`: attempts without an answer at each node.
         """
         self.rig = rig = Rig(path)
-        self.returns, self.count = returns, nodes
+        self.uses_rollout, self.count = uses_rollout, nodes
         self.nodes: dict[str, RigNode] = {}
         self.loads: list[Load] = []
         rig.form()
         self.file = str(rig.voters["v1"].file)
-        words = ["--limit", str(limit), "--nodes", str(nodes), "--floor", str(FLOOR), "--term", str(TERM)]
-        assert self.command("shares", "define", self.file, "below", *words)[0] == 0
-        if returns:
+        arguments = [
+            "--limit",
+            str(limit),
+            "--nodes",
+            str(nodes),
+            "--floor",
+            str(FLOOR),
+            "--term",
+            str(GRANT_TERM),
+        ]
+        assert self.command("shares", "define", self.file, "below", *arguments)[0] == 0
+        if uses_rollout:
             assert self.command("owners", "define", self.file, "revive")[0] == 0
         reactor = rig.relays.reactor
         make = dependency or (lambda reactor: Dependency(reactor, random.Random(1), 0.03, limit))
-        self.below: Dependency = rig.relays.call(make, reactor)
+        self.dependency: Dependency = rig.relays.call(make, reactor)
         for number in range(1, nodes + 1):
             name, zone = f"n{number}", "xy"[number % 2]
-            chosen = {
+            operator_settings = {
                 "fleet": {
                     "group": "rig",
                     "members": [each.address for each in rig.voters.values()],
                     "zone": zone,
                     "candidate": number <= 4,
-                    "revive": returns,
-                    "shares": {"pool": "below", "floor": FLOOR, "term_s": TERM},
+                    "revive": uses_rollout,
+                    "shares": {"pool": "below", "floor": FLOOR, "term_s": GRANT_TERM},
                 },
                 "keyed": {"directory": str(path / f"{name}.keyed"), "disk": "held back"},
                 "log": {},
             }
-            told = settings(calls=(True, False), window=WINDOW)
+            platform_settings = settings(calls=(True, False), window=WINDOW)
             engine = {"work": work, "calling": frozenset([b"look"]), "forgets": forgets}
-            made = RigNode(rig, name, chosen, self.below, told, **engine)
-            self.nodes[name] = made
-            made.start()
-        self.until_open()
+            node = RigNode(rig, name, operator_settings, self.dependency, platform_settings, **engine)
+            self.nodes[name] = node
+            node.start()
+        self.wait_until_open()
         self.loads = [Load(rig, each, open_) for each in self.nodes.values()]
 
-    def command(self, *words: str) -> tuple[int, str]:
+    def command(self, *arguments: str) -> tuple[int, str]:
         """Run a command of the program; returns its exit code and its output."""
-        return self.rig.command(*words)
+        return self.rig.command(*arguments)
 
     def status(self) -> dict[str, dict]:
         """Return the rollout status of each node, or nothing if the command fails."""
-        code, said = self.command("fleet", "status", self.file, "--json")
-        return {each["node"]: each for each in json.loads(said)} if code == 0 else {}
+        code, output = self.command("fleet", "status", self.file, "--json")
+        return {each["node"]: each for each in json.loads(output)} if code == 0 else {}
 
     def epoch(self) -> int:
         """Return the epoch of the rollout plan, or 0 if the command fails."""
-        code, said = self.command("fleet", "plan", self.file, "--json")
-        return json.loads(said)["epoch"] if code == 0 else 0
+        code, output = self.command("fleet", "plan", self.file, "--json")
+        return json.loads(output)["epoch"] if code == 0 else 0
 
-    def until_open(self) -> None:
+    def wait_until_open(self) -> None:
         """Wait until the rollout has ended and all nodes accept all requests; fail after BACK seconds."""
-        if not self.returns:
+        if not self.uses_rollout:
             return
-        end = time.monotonic() + BACK
+        end = time.monotonic() + RETURN_TIMEOUT
         while time.monotonic() < end:
-            known = self.status()
-            if sum(each["share"] >= 1.0 for each in known.values()) == self.count and not self.under_way():
+            status_by_node = self.status()
+            if (
+                sum(each["share"] >= 1.0 for each in status_by_node.values()) == self.count
+                and not self.is_rollout_active()
+            ):
                 return
-        said = self.command("fleet", "status", self.file)[1]
+        output = self.command("fleet", "status", self.file)[1]
         raise AssertionError(
-            f"not all nodes accept all requests after {BACK:g} s:\n{said}\n{self.rig.logs()}"
+            f"not all nodes accept all requests after {RETURN_TIMEOUT:g} s:\n{output}\n{self.rig.logs()}"
         )
 
-    def takes_no_part(self, name: str) -> None:
+    def leave_rollout(self, name: str) -> None:
         """Let the next processes of a node run without the rollout plan, like those of an older version."""
         node = self.nodes[name]
-        chosen = yaml.safe_load(node.file.read_text())
-        if chosen["fleet"]["revive"]:
-            chosen["fleet"]["revive"] = False
-            node.file.write_text(yaml.safe_dump(chosen))
+        operator_settings = yaml.safe_load(node.file.read_text())
+        if operator_settings["fleet"]["revive"]:
+            operator_settings["fleet"]["revive"] = False
+            node.file.write_text(yaml.safe_dump(operator_settings))
             self.count -= 1
 
-    def under_way(self) -> bool:
+    def is_rollout_active(self) -> bool:
         """Whether a rollout is in progress, or the command that shows the plan fails."""
-        code, said = self.command("fleet", "plan", self.file, "--json")
-        return code != 0 or json.loads(said)["under_way"]
+        code, output = self.command("fleet", "plan", self.file, "--json")
+        return code != 0 or json.loads(output)["under_way"]
 
-    def cut(self, nodes: list[str], voters: list[str]) -> None:
+    def cut_power(self, nodes: list[str], voters: list[str]) -> None:
         """Kill these nodes and voters at the same moment, as a power loss does."""
         for name in nodes:
             self.nodes[name].signal(9)
         for name in voters:
             self.rig.voters[name].signal(9)
         for name in nodes:
-            self.nodes[name].ended()
+            self.nodes[name].wait_for_exit()
         for name in voters:
-            self.rig.voters[name].ended()
+            self.rig.voters[name].wait_for_exit()
 
-    def come_back(self, nodes: list[str], voters: list[str]) -> None:
+    def start_again(self, nodes: list[str], voters: list[str]) -> None:
         """Start these voters, then these nodes."""
         for name in voters:
             self.rig.voters[name].start()
         for name in nodes:
             self.nodes[name].start()
 
-    def work(self, count: int = 5) -> None:
+    def wait_for_answers(self, count: int = 5) -> None:
         """Wait until each node has served `count` more attempts."""
-        before = [each.honoured() for each in self.loads]
+        before = [each.count_served() for each in self.loads]
         wait_until(
-            lambda: all(each.honoured() >= had + count for each, had in zip(self.loads, before, strict=True)),
+            lambda: all(
+                each.count_served() >= had + count for each, had in zip(self.loads, before, strict=True)
+            ),
             "answers of all nodes",
             self.rig.logs,
         )
 
-    def judge(self) -> str | None:
-        """Return a description of the first violated guarantee, or None; see also `Load.judge`."""
-        if self.below.over_limit:
-            return f"the dependency had {self.below.most} calls in flight, limit {self.below.limit}"
+    def find_violation(self) -> str | None:
+        """Return a description of the first violated guarantee, or None; see also `Load.find_violation`."""
+        if self.dependency.over_limit:
+            return f"the dependency had {self.dependency.max_in_flight} calls, limit {self.dependency.limit}"
         return self.rig.relays.call(
-            lambda: next((wrong for each in self.loads if (wrong := each.judge())), None)
+            lambda: next((wrong for each in self.loads if (wrong := each.find_violation())), None)
         )
 
     def close(self) -> None:
@@ -231,5 +245,5 @@
             each.on = False
         for each in self.nodes.values():
             each.close()
-        self.rig.relays.call(self.below.close)
+        self.rig.relays.call(self.dependency.close)
         self.rig.close()
--- a/lichencleat/testkit/cluster/heldback.py
+++ b/lichencleat/testkit/cluster/heldback.py
@@ -13,93 +13,101 @@
 
 from lichencleat.store.disk import RealDisk
 
-FULL = ".full"  # suffix of the marker file next to the directory: while the marker exists, the disk is full
-HELD = ".held"  # suffix of the real name of a file until the directory is flushed
+FULL_DISK_SUFFIX = (
+    ".full"  # suffix of the marker file next to the directory: while the marker exists, the disk is full
+)
+UNFLUSHED_SUFFIX = ".held"  # suffix of the real name of a file until the directory is flushed
 
 
-class Held:
+class OpenFile:
     """An open file: the handle of the real file and the bytes that are not flushed yet."""
 
-    __slots__ = ("file", "name", "waiting")
+    __slots__ = ("file", "name", "unflushed")
 
     def __init__(self, file: int, name: str) -> None:
-        self.file, self.name, self.waiting = file, name, bytearray()
+        self.file, self.name, self.unflushed = file, name, bytearray()
 
 
-class HeldBackDisk(RealDisk):
+class VolatileDisk(RealDisk):
     """Directory of real files that keeps unflushed bytes, names, renames and removals in memory."""
 
     def __init__(self, path: str, create: bool = False) -> None:
         super().__init__(path, create)
         for name in os.listdir(self.directory):  # left by an earlier process that did not flush the names
-            if name.endswith(HELD):
+            if name.endswith(UNFLUSHED_SUFFIX):
                 os.unlink(name, dir_fd=self.directory)
-        self.view = {name: name for name in os.listdir(self.directory)}  # visible name -> real name
-        self.open_names: dict[str, Held] = {}
+        self.real_names = {name: name for name in os.listdir(self.directory)}  # visible name -> real name
+        self.open_files: dict[str, OpenFile] = {}
 
     def names(self) -> list[str]:
-        return sorted(self.view)
+        return sorted(self.real_names)
 
     def open(self, name: str, create: bool = False) -> Any:
         if create:
-            if name in self.view:
+            if name in self.real_names:
                 raise FileExistsError(17, "File exists", name)
-            at, number = name + HELD, 0
-            while at in self.view.values() or os.path.lexists(f"{self.path}/{at}"):
+            real_name, number = name + UNFLUSHED_SUFFIX, 0
+            while real_name in self.real_names.values() or os.path.lexists(f"{self.path}/{real_name}"):
                 number += 1
-                at = f"{name}.{number}{HELD}"
-            self.view[name] = at
-            held = Held(super().open(at, create=True), name)
-            self.open_names[at] = held
+                real_name = f"{name}.{number}{UNFLUSHED_SUFFIX}"
+            self.real_names[name] = real_name
+            held = OpenFile(super().open(real_name, create=True), name)
+            self.open_files[real_name] = held
             return held
-        if name not in self.view:
+        if name not in self.real_names:
             raise FileNotFoundError(2, "No such file or directory", name)
-        at = self.view[name]
-        known = self.open_names.get(at)
-        held = Held(super().open(at), name)
-        if known is not None:
-            held.waiting = known.waiting  # unflushed bytes of another handle are visible through this handle
+        real_name = self.real_names[name]
+        other = self.open_files.get(real_name)
+        held = OpenFile(super().open(real_name), name)
+        if other is not None:
+            held.unflushed = (
+                other.unflushed
+            )  # unflushed bytes of another handle are visible through this handle
         return held
 
-    def append(self, file: Held, data: bytes) -> None:  # type: ignore[override]
-        if os.path.exists(f"{self.path}{FULL}"):
+    def append(self, file: OpenFile, data: bytes) -> None:  # type: ignore[override]
+        if os.path.exists(f"{self.path}{FULL_DISK_SUFFIX}"):
             raise OSError(errno.ENOSPC, os.strerror(errno.ENOSPC))
-        file.waiting += data
+        file.unflushed += data
 
-    def read(self, file: Held, offset: int, length: int) -> bytes:  # type: ignore[override]
+    def read(self, file: OpenFile, offset: int, length: int) -> bytes:  # type: ignore[override]
         written = super().size(file.file)
         data = super().read(file.file, offset, length) if offset < written else b""
         if len(data) < length:
             begin = max(0, offset - written)
-            data += bytes(file.waiting[begin : begin + length - len(data)])
+            data += bytes(file.unflushed[begin : begin + length - len(data)])
         return data
 
-    def flush(self, file: Held) -> None:  # type: ignore[override]
-        data = bytes(file.waiting)
+    def flush(self, file: OpenFile) -> None:  # type: ignore[override]
+        data = bytes(file.unflushed)
         super().append(file.file, data)
-        file.waiting.clear()  # no fsync needed: a kill does not lose bytes that the kernel already has
+        file.unflushed.clear()  # no fsync needed: a kill does not lose bytes that the kernel already has
 
     def flush_directory(self) -> None:
         on_disk = set(os.listdir(self.directory))
-        for name, at in list(self.view.items()):
-            if at != name:
-                os.rename(at, name, src_dir_fd=self.directory, dst_dir_fd=self.directory)
-                self.view[name] = name
-                if at in self.open_names:
-                    self.open_names[name] = self.open_names.pop(at)
-        for name in on_disk - set(self.view) - {at for at in on_disk if at.endswith(HELD)}:
+        for name, real_name in list(self.real_names.items()):
+            if real_name != name:
+                os.rename(real_name, name, src_dir_fd=self.directory, dst_dir_fd=self.directory)
+                self.real_names[name] = name
+                if real_name in self.open_files:
+                    self.open_files[name] = self.open_files.pop(real_name)
+        for name in (
+            on_disk
+            - set(self.real_names)
+            - {real_name for real_name in on_disk if real_name.endswith(UNFLUSHED_SUFFIX)}
+        ):
             os.unlink(name, dir_fd=self.directory)
 
     def rename(self, old: str, new: str) -> None:
-        self.view[new] = self.view.pop(old)
+        self.real_names[new] = self.real_names.pop(old)
 
     def remove(self, name: str) -> None:
-        if name not in self.view:
+        if name not in self.real_names:
             raise FileNotFoundError(2, "No such file or directory", name)
-        del self.view[name]
+        del self.real_names[name]
 
-    def size(self, file: Held) -> int:  # type: ignore[override]
-        return super().size(file.file) + len(file.waiting)
+    def size(self, file: OpenFile) -> int:  # type: ignore[override]
+        return super().size(file.file) + len(file.unflushed)
 
-    def close(self, file: Held) -> None:  # type: ignore[override]
+    def close(self, file: OpenFile) -> None:  # type: ignore[override]
         super().close(file.file)
--- a/lichencleat/testkit/cluster/mistakes.py
+++ b/lichencleat/testkit/cluster/mistakes.py
@@ -18,10 +18,10 @@
 from lichencleat.config_distribution.terms import PAGES, Batch, Digests
 from lichencleat.testkit.cluster.watcher import WatchedCopy
 
-LATER = 0.05  # s between the two halves of a batch, or between an acknowledgement and the change in force
+DELAY = 0.05  # s between the two halves of a batch, or between an acknowledgement and the change in force
 
 
-class InTwoTurns(WatchedCopy):
+class SplitBatchCopy(WatchedCopy):
     """Applies a batch in two turns of the reactor, so a reader can see half of the batch."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
@@ -36,10 +36,10 @@
         numbers = sorted(staging.new)
         half = numbers[len(numbers) // 2 :]
         self.rest = [(number, staging.new.pop(number), staging.digests.pop(number)) for number in half]
-        self.reactor.callLater(LATER, self.other_half)
+        self.reactor.callLater(DELAY, self.apply_rest)
         return super().take()
 
-    def other_half(self) -> None:
+    def apply_rest(self) -> None:
         """Apply the pages that the first turn left out."""
         for number, page, digest in self.rest:
             self.table.pages[number], self.table.page_digests[number] = page, digest
@@ -47,11 +47,11 @@
         self.on_call()
 
     def stage(self, batches: Sequence[Batch]) -> None:
-        self.other_half()
+        self.apply_rest()
         super().stage(batches)
 
 
-class OlderFollowed(WatchedCopy):
+class RollbackCopy(WatchedCopy):
     """Starts with an empty table at each new relay, so an older version of the relay is accepted."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
@@ -62,7 +62,7 @@
     def shown(self) -> Table:
         return self.table if self.table.version else self.old
 
-    def at_new_relay(self) -> None:
+    def on_new_relay(self) -> None:
         """Forget the present table, and show the old one until the new relay has sent a version."""
         if self.table.version:
             self.old = self.table
@@ -70,7 +70,7 @@
         self.table = Table()
 
 
-class LostChange(WatchedCopy):
+class LostChangeCopy(WatchedCopy):
     """Drops the first change of the first batch after a snapshot, and checks no digest."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
@@ -92,78 +92,78 @@
         self.staging = Staging(self.table, (first, *others), checks=False)
 
 
-class EarlyWord(WatchedCopy):
+class EarlyAcknowledgementCopy(WatchedCopy):
     """Acknowledges a staged version at once, and puts the version in force only later."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
         self.reactor = reactor
-        self.claims: tuple[int, bytes] | None = None
+        self.acknowledged: tuple[int, bytes] | None = None
 
     @property
     def version(self) -> int:
-        return self.claims[0] if self.claims else self.table.version
+        return self.acknowledged[0] if self.acknowledged else self.table.version
 
     @property
     def digest(self) -> bytes:
-        return self.claims[1] if self.claims else self.table.digest
+        return self.acknowledged[1] if self.acknowledged else self.table.digest
 
     def take(self) -> tuple[Batch, ...]:
         staging = self.staging
         if staging is None:
             return super().take()
-        self.claims = staging.version, staging.batches[-1].digest
-        self.reactor.callLater(LATER, self.deed)
+        self.acknowledged = staging.version, staging.batches[-1].digest
+        self.reactor.callLater(DELAY, self.put_in_force)
         return staging.batches
 
-    def deed(self) -> None:
+    def put_in_force(self) -> None:
         """Put in force what has been acknowledged already."""
-        if self.claims and self.staging is not None:
-            self.claims = None
+        if self.acknowledged and self.staging is not None:
+            self.acknowledged = None
             super().take()
 
     def stage(self, batches: Sequence[Batch]) -> None:
-        self.deed()
+        self.put_in_force()
         super().stage(batches)
 
     def begin(self, head: Digests) -> None:
-        self.deed()
+        self.put_in_force()
         super().begin(head)
 
     def drop(self) -> None:
-        self.deed()
+        self.put_in_force()
         super().drop()
 
 
 COPIES = {
-    "two turns": InTwoTurns,
-    "older relay": OlderFollowed,
-    "lost change": LostChange,
-    "early word": EarlyWord,
+    "two turns": SplitBatchCopy,
+    "older relay": RollbackCopy,
+    "lost change": LostChangeCopy,
+    "early word": EarlyAcknowledgementCopy,
 }
 MISTAKES = [*COPIES, "torn file"]
 
 
-def copy_of(mistake: str, reactor: Any, table: Table, mark: bytes) -> WatchedCopy:
+def make_copy(mistake: str, reactor: Any, table: Table, mark: bytes) -> WatchedCopy:
     """Return a copy with the named bug, or the correct copy if the bug is not one of a copy."""
-    made = COPIES.get(mistake)
-    return WatchedCopy(table, mark) if made is None else made(reactor, table, mark)
+    copy_class = COPIES.get(mistake)
+    return WatchedCopy(table, mark) if copy_class is None else copy_class(reactor, table, mark)
 
 
-def arrange(mistake: str, subscriber: Subscriber) -> None:
+def install_in_host(mistake: str, subscriber: Subscriber) -> None:
     """Install the part of an injected bug that lies in the subscriber instead of in its copy."""
     copy = subscriber.copy
-    if isinstance(copy, OlderFollowed):
+    if isinstance(copy, RollbackCopy):
         opened = subscriber.opened
 
-        def at_new_relay(*way: Any) -> None:
-            copy.at_new_relay()
-            opened(*way)
+        def on_new_relay(*args: Any) -> None:
+            copy.on_new_relay()
+            opened(*args)
 
-        subscriber.opened = at_new_relay  # type: ignore[method-assign]
+        subscriber.opened = on_new_relay  # type: ignore[method-assign]
 
 
-def trusted(kept: Kept, head: Any) -> Any:
+def trust_stored_pages(kept: Kept, head: Any) -> Any:
     """Return the head with its digest replaced by the digest of the pages that are stored, torn or not."""
     total = 0
     for number in range(PAGES):
@@ -176,5 +176,5 @@
     """Load the stored table; with the bug "torn file", accept stored pages that do not match their head."""
     if mistake == "torn file":
         real = keeping.decode_head
-        keeping.decode_head = lambda data: trusted(kept, real(data))
+        keeping.decode_head = lambda data: trust_stored_pages(kept, real(data))
     return kept.load()
--- a/lichencleat/testkit/cluster/nodes.py
+++ b/lichencleat/testkit/cluster/nodes.py
@@ -12,9 +12,9 @@
 
 import yaml
 
-from lichencleat.testkit.cluster.peers import Caller, Dependency, Engine, Listed
+from lichencleat.testkit.cluster.peers import Caller, Dependency, Engine, MembershipStub
 from lichencleat.testkit.cluster.relay import LOCAL
-from lichencleat.testkit.cluster.rig import PROGRAM, Rig, Signalled, free_port
+from lichencleat.testkit.cluster.rig import PROGRAM, ControlledProcess, Rig, free_port
 
 HARD_LIMIT = 6_000_000  # µs: deadline of both request classes
 ROOT = Path(__file__).resolve().parents[3]
@@ -64,21 +64,21 @@
     }
 
 
-class RigNode(Signalled):
+class RigNode(ControlledProcess):
     """A node that can be restarted: its engine, directory and log stay when the process ends."""
 
     def __init__(
         self,
         rig: Rig,
         name: str,
-        chosen: dict[str, Any],
+        operator_settings: dict[str, Any],
         dependency: Dependency | None = None,
-        told: dict[str, Any] | None = None,
+        platform_settings: dict[str, Any] | None = None,
         **engine: Any,
     ) -> None:
         """Create the node's stand-ins and write its files; `start` starts the process.
 
-        `chosen`: content of the operators' file; `told`: settings of the platform, by default `settings()`;
+        `operator_settings`: content of the operators' file; `platform_settings`: by default `settings()`;
         `engine`: arguments of the interpreter's stand-in, see `Engine`.
         """
         self.rig, self.name = rig, name
@@ -87,23 +87,23 @@
         reactor = rig.relays.reactor
         rng = random.Random(name)
         self.engine: Engine = rig.relays.call(lambda: Engine(reactor, rng, **engine))
-        self.listed: Listed = rig.relays.call(lambda: Listed(reactor))
+        self.membership: MembershipStub = rig.relays.call(lambda: MembershipStub(reactor))
         self.port = free_port(rig.reserved)
         self.config, self.file = rig.path / f"{name}.json", rig.path / f"{name}.node.yaml"
-        known = {
+        configuration = {
             "name": name,
             "listen": f"{LOCAL}:{self.port}",
             "seed": name,
             "stop_ms": 3000,
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
             "vm": self.engine.address,
-            "members": self.listed.address,
-            "settings": told or settings(),
+            "members": self.membership.address,
+            "settings": platform_settings or settings(),
         }
         if dependency is not None:
-            known["catalog"] = dependency.address
-        self.config.write_text(json.dumps(known))
-        self.file.write_text(yaml.safe_dump(chosen))
+            configuration["catalog"] = dependency.address
+        self.config.write_text(json.dumps(configuration))
+        self.file.write_text(yaml.safe_dump(operator_settings))
         self.callers: list[Caller] = []
 
     def start(self) -> None:
@@ -113,7 +113,7 @@
             self.running = subprocess.Popen(
                 [sys.executable, "-m", PROGRAM],
                 cwd=ROOT,
-                env={**self.rig.variables(self.name), **variables},
+                env={**self.rig.environment(self.name), **variables},
                 stderr=log,
             )
         self.rig.children.append(self.running)
@@ -121,16 +121,16 @@
     def caller(self, number: int = 1) -> Caller:
         """Return a new caller of this node."""
         reactor = self.rig.relays.reactor
-        made = self.rig.relays.call(Caller, reactor, (LOCAL, self.port), unix_time, number)
-        made.on_answer = lambda asked: self.engine.request_over(asked.ident)
-        self.callers.append(made)
-        return made
+        new_caller = self.rig.relays.call(Caller, reactor, (LOCAL, self.port), unix_time, number)
+        new_caller.on_answer = lambda attempt: self.engine.end_waiting_run(attempt.ident)
+        self.callers.append(new_caller)
+        return new_caller
 
-    def said(self) -> str:
+    def read_log(self) -> str:
         """Return the text of the log of all processes of the node so far."""
         return self.log.read_text() if self.log.exists() else ""
 
     def close(self) -> None:
         """Close the stand-ins; the rig ends the process."""
-        for each in (*self.callers, self.engine, self.listed):
+        for each in (*self.callers, self.engine, self.membership):
             self.rig.relays.call(each.close)
--- a/lichencleat/testkit/cluster/older_voter.py
+++ b/lichencleat/testkit/cluster/older_voter.py
@@ -14,7 +14,7 @@
 from lichencleat.testkit.cluster.process_faults import install_faults
 
 
-def without(names: set[str]) -> None:
+def remove_parts(names: set[str]) -> None:
     """Remove the named parts from the replicated state of this process."""
     known = states.make_control_plane_states
 
@@ -26,10 +26,10 @@
 
 def main() -> int:
     """Run the command line without the missing parts; returns its exit code."""
-    missing, *words = sys.argv[1:]
+    missing_parts, *arguments = sys.argv[1:]
     install_faults()
-    without(set(missing.split(",")))
-    return run(words)
+    remove_parts(set(missing_parts.split(",")))
+    return run(arguments)
 
 
 if __name__ == "__main__":
--- a/lichencleat/testkit/cluster/process_faults.py
+++ b/lichencleat/testkit/cluster/process_faults.py
@@ -11,16 +11,16 @@
 from lichencleat.reactor import install_clock
 from lichencleat.store.disk import Disk
 from lichencleat.store.disk_kinds import register_disk_kind
-from lichencleat.testkit.cluster.clock import CLOCK_FILE_VARIABLE, RigClock
+from lichencleat.testkit.cluster.clock import CLOCK_FILE_VARIABLE, ControlledClock
 
 VOLATILE_DISK_KIND = "held back"  # name of the disk in the settings
 
 
 def open_volatile_disk(directory: str) -> Disk:
     """Open a directory whose unflushed bytes a kill loses."""
-    from lichencleat.testkit.cluster.heldback import HeldBackDisk  # few of the processes use this disk
+    from lichencleat.testkit.cluster.heldback import VolatileDisk  # few of the processes use this disk
 
-    return HeldBackDisk(directory, create=True)
+    return VolatileDisk(directory, create=True)
 
 
 def install_faults() -> None:
@@ -28,4 +28,4 @@
     register_disk_kind(VOLATILE_DISK_KIND, open_volatile_disk)
     clock_file = os.environ.get(CLOCK_FILE_VARIABLE)
     if clock_file:
-        install_clock(RigClock(clock_file))
+        install_clock(ControlledClock(clock_file))
--- a/lichencleat/testkit/cluster/receiver.py
+++ b/lichencleat/testkit/cluster/receiver.py
@@ -16,30 +16,30 @@
 from lichencleat.testkit.cluster.relay import LOCAL
 
 
-class Act(LineOnlyReceiver):
+class ActLink(LineOnlyReceiver):
     """Connection of a lease holder; each line is an act: the job, the fencing token and the holder's name."""
 
     delimiter = b"\r\n"
 
     def lineReceived(self, line: bytes) -> None:
-        job, token, who = line.decode().split(" ")
-        self.factory.acts(job, int(token), who)
+        job, token, holder = line.decode().split(" ")
+        self.factory.on_act(job, int(token), holder)
 
 
 class Receiver(Factory):
     """Accepts or rejects acts by their fencing tokens; runs on the relays' reactor."""
 
-    protocol = Act
+    protocol = ActLink
     noisy = False
 
     def __init__(self, reactor: Any) -> None:
         self.fence, self.watch = Fence(), OwnersWatch()
-        self.last: dict[str, str] = {}  # job -> lease holder whose act was accepted last
+        self.last_holder: dict[str, str] = {}  # job -> lease holder whose act was accepted last
         self.port = reactor.listenTCP(0, self, interface=LOCAL)
 
-    def acts(self, job: str, token: int, who: str) -> None:
+    def on_act(self, job: str, token: int, holder: str) -> None:
         """Check the token of an act, and record the outcome."""
         accepted = self.fence.accept(job, token)
-        self.watch.acts(job, token, who, accepted, time.monotonic_ns() // 1000)
+        self.watch.acts(job, token, holder, accepted, time.monotonic_ns() // 1000)
         if accepted:
-            self.last[job] = who
+            self.last_holder[job] = holder
--- a/lichencleat/testkit/cluster/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -21,16 +21,16 @@
 from lichencleat.consensus.key_value import KeyValueEntry, SetResult
 from lichencleat.testkit.checkers.linear import Call
 from lichencleat.testkit.cluster import clock
-from lichencleat.testkit.cluster.heldback import FULL
+from lichencleat.testkit.cluster.heldback import FULL_DISK_SUFFIX
 from lichencleat.testkit.cluster.relay import CLIENT, LOCAL, Relays
 from lichencleat.transport.errors import RequestFailedError
 from lichencleat.transport.group_client import GroupClient
 
 PROGRAM = "lichencleat.testkit.cluster.run_program"
-OLDER = "lichencleat.testkit.cluster.older_voter"
+OLDER_PROGRAM = "lichencleat.testkit.cluster.older_voter"
 PATIENCE = 10.0  # s: time limit of a wait
 # Intervals that are shorter than the defaults, so that elections take less time.
-FAST = {"beat_ms": 30, "election_ms": 180, "spread_ms": 180, "transfer_ms": 400}
+FAST_TIMES = {"beat_ms": 30, "election_ms": 180, "spread_ms": 180, "transfer_ms": 400}
 GROUP = "rig"
 PORTS = random.SystemRandom()  # unseeded, so that concurrent rigs try different ports
 
@@ -59,7 +59,7 @@
 
 
 def wait_until(
-    holds: Callable[[], Any], what: str, more: Callable[[], str] = lambda: "", patience: float = PATIENCE
+    condition: Callable[[], Any], what: str, more: Callable[[], str] = lambda: "", patience: float = PATIENCE
 ) -> Any:
     """Wait until a condition is true, and return its value.
 
@@ -68,19 +68,19 @@
     """
     end = time.monotonic() + patience
     while time.monotonic() < end:
-        found = holds()
+        found = condition()
         if found:
             return found
         time.sleep(0.01)
     raise AssertionError(f"waited {patience:g} s for {what}\n{more()}")
 
 
-class Signalled:
+class ControlledProcess:
     """Control of a process by signals; `running` is the process that was started last."""
 
     running: subprocess.Popen | None = None
 
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether the process is running."""
         return self.running is not None and self.running.poll() is None
 
@@ -92,37 +92,37 @@
     def kill(self) -> None:
         """Kill the process and wait for its end. With a volatile write cache this acts as a power loss."""
         self.signal(signal.SIGKILL)
-        self.ended()
+        self.wait_for_exit()
 
     def stop(self) -> None:
         """Pause the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
         """Resume the paused process with SIGCONT."""
         self.signal(signal.SIGCONT)
 
-    def ended(self) -> int:
+    def wait_for_exit(self) -> int:
         """Wait for the end of the process, and return its exit code."""
         assert self.running is not None
         return self.running.wait(PATIENCE)
 
 
-class Voter(Signalled):
+class Voter(ControlledProcess):
     """A voter that can be restarted: its directory and log stay when the process ends."""
 
     def __init__(self, rig: Rig, name: str, disk: str) -> None:
         self.rig, self.name = rig, name
         self.port = free_port(rig.reserved)
-        self.relay = rig.relays.before(name, self.port)
+        self.relay = rig.relays.add_relay(name, self.port)
         self.directory = rig.path / name
         self.file = rig.path / f"{name}.yaml"
         self.log = rig.path / f"{name}.log"
         self.running: subprocess.Popen | None = None
-        self.lacks: tuple[
+        self.missing_parts: tuple[
             str, ...
         ] = ()  # parts of the replicated state that the next process does not support
-        self.chosen = {
+        self.settings = {
             "group": GROUP,
             "name": name,
             "listen": f"{LOCAL}:{self.port}",
@@ -139,25 +139,25 @@
 
     def write_file(self) -> None:
         """Write the settings, with the present voters as members."""
-        self.chosen["members"] = [each.address for each in self.rig.voters.values()]
-        self.file.write_text(yaml.safe_dump({"quorum": self.chosen}))
+        self.settings["members"] = [each.address for each in self.rig.voters.values()]
+        self.file.write_text(yaml.safe_dump({"quorum": self.settings}))
 
     def start(self) -> None:
         """Start a process of the voter, as an older version if `lacks` is set."""
         self.write_file()
         with open(self.log, "ab") as log:
-            words, more = ["quorum", "run", str(self.file)], {"stderr": log}
-            if self.lacks:
-                words, more["module"] = [",".join(self.lacks), *words], OLDER
-            self.running = self.rig.program(words, env=self.rig.variables(self.name), **more)
+            arguments, more = ["quorum", "run", str(self.file)], {"stderr": log}
+            if self.missing_parts:
+                arguments, more["module"] = [",".join(self.missing_parts), *arguments], OLDER_PROGRAM
+            self.running = self.rig.start_program(arguments, env=self.rig.environment(self.name), **more)
 
     def fill_disk(self) -> None:
         """Make every write of the voter fail for lack of space until `empty_disk` is called."""
-        (self.rig.path / f"{self.name}{FULL}").touch()
+        (self.rig.path / f"{self.name}{FULL_DISK_SUFFIX}").touch()
 
     def empty_disk(self) -> None:
         """Let the voter write to its disk again."""
-        (self.rig.path / f"{self.name}{FULL}").unlink(missing_ok=True)
+        (self.rig.path / f"{self.name}{FULL_DISK_SUFFIX}").unlink(missing_ok=True)
 
     def status(self) -> dict[str, Any] | None:
         """Return the status that the voter reports, or None if the voter does not answer."""
@@ -175,7 +175,7 @@
         times: dict | None = None,
         relays: Relays | None = None,
     ) -> None:
-        self.path, self.times, self.patience = path, times or FAST, PATIENCE
+        self.path, self.times, self.patience = path, times or FAST_TIMES, PATIENCE
         self.relays: Any = relays or Relays()
         self.children: list[subprocess.Popen] = []
         self.reserved: list[socket.socket] = []
@@ -185,14 +185,14 @@
             name = f"v{number}"
             self.voters[name] = Voter(self, name, disk)
 
-    def program(self, words: list[str], module: str = PROGRAM, **more: Any) -> subprocess.Popen:
+    def start_program(self, arguments: list[str], module: str = PROGRAM, **more: Any) -> subprocess.Popen:
         """Start a process of the program with these arguments. `more`: arguments of Popen."""
         root = Path(__file__).resolve().parents[3]
-        child = subprocess.Popen([sys.executable, "-m", module, *words], cwd=root, **more)
+        child = subprocess.Popen([sys.executable, "-m", module, *arguments], cwd=root, **more)
         self.children.append(child)
         return child
 
-    def variables(self, name: str) -> dict[str, str]:
+    def environment(self, name: str) -> dict[str, str]:
         """Return the environment of the named process, with the path of its clock file."""
         return {**os.environ, clock.CLOCK_FILE_VARIABLE: self.clock_file(name)}
 
@@ -200,23 +200,25 @@
         """Return the path of the file that controls the clocks of the named process."""
         return str(self.path / f"{name}.clock")
 
-    def clock(self, name: str, rate: float = 1.0, ahead: float = 0.0) -> None:
+    def clock(self, name: str, rate: float = 1.0, unix_offset: float = 0.0) -> None:
         """Set the rate of both clocks of a process, and the seconds by which its Unix time is ahead."""
-        clock.write(self.clock_file(name), rate, ahead)
+        clock.write(self.clock_file(name), rate, unix_offset)
 
-    def command(self, *words: str) -> tuple[int, str]:
+    def command(self, *arguments: str) -> tuple[int, str]:
         """Run a command of the program; returns its exit code and its output."""
-        made = self.program(list(words), stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
-        said, _ = made.communicate(timeout=2 * PATIENCE)  # the program itself gives up after PATIENCE
-        return made.returncode, said
+        child = self.start_program(
+            list(arguments), stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True
+        )
+        output, _ = child.communicate(timeout=2 * PATIENCE)  # the program itself gives up after PATIENCE
+        return child.returncode, output
 
     def form(self) -> None:
         """Found the group with the first voter and add the others."""
         first, *others = self.voters.values()
         for each in self.voters.values():
             each.write_file()
-        code, said = self.command("quorum", "found", str(first.file))
-        assert code == 0, said
+        code, output = self.command("quorum", "found", str(first.file))
+        assert code == 0, output
         for each in self.voters.values():
             each.start()
         self.until(lambda: self.leader() is not None, "a leader")
@@ -227,14 +229,14 @@
         """Add a running voter as a learner, and promote it as soon as it has caught up."""
         client = self.client()
         self.until(lambda: voter.status() is not None, f"{voter.name} to answer")
-        new = voter.status()
-        assert new is not None
-        who = [new["seat"], voter.name, LOCAL, voter.relay, ""]
-        self.ask(client.call, "add", [*who, False], PATIENCE)
+        status = voter.status()
+        assert status is not None
+        member = [status["seat"], voter.name, LOCAL, voter.relay, ""]
+        self.ask(client.call, "add", [*member, False], PATIENCE)
 
         def promoted() -> bool:
             try:
-                self.ask(client.call, "add", [*who, True], PATIENCE)
+                self.ask(client.call, "add", [*member, True], PATIENCE)
             except RequestFailedError:
                 return False
             return True
@@ -246,11 +248,11 @@
     def client(self) -> GroupClient:
         """Return a new client of the group, connected through the relays."""
         addresses = [(LOCAL, each.relay) for each in self.voters.values()]
-        made = self.relays.call(
+        client = self.relays.call(
             GroupClient, self.relays.reactor, GROUP, addresses, random.Random(len(self.clients))
         )
-        self.clients.append(made)
-        return made
+        self.clients.append(client)
+        return client
 
     def ask(self, call: Callable[..., Any], *args: Any) -> Any:
         """Make a client's call on the relays' reactor and return its answer. Raises RequestFailedError."""
@@ -260,25 +262,25 @@
         """Return the status that a voter reports, or None if the voter does not answer within 1 s."""
         if voter.running is None or voter.running.poll() is not None:
             return None
-        made = self.relays.call(
+        client = self.relays.call(
             GroupClient, self.relays.reactor, GROUP, [(LOCAL, voter.port)], random.Random(1)
         )  # not through the relay, so that injected faults do not affect the status request
         try:
-            return self.ask(made.call, "status", None, 1.0)
+            return self.ask(client.call, "status", None, 1.0)
         except RequestFailedError:
             return None
         finally:
-            self.relays.call(made.close)
+            self.relays.call(client.close)
 
     def leader(self, among: list[Voter] | None = None) -> Voter | None:
         """Return the leader of the highest term among the voters that answer, or None."""
-        said = {each: each.status() for each in among or self.voters.values()}
-        leading = {each: told for each, told in said.items() if told and told["role"] == "leader"}
+        statuses = {each: each.status() for each in among or self.voters.values()}
+        leading = {each: status for each, status in statuses.items() if status and status["role"] == "leader"}
         return max(leading, key=lambda each: leading[each]["term"], default=None)
 
-    def until(self, holds: Callable[[], Any], what: str) -> Any:
+    def until(self, condition: Callable[[], Any], what: str) -> Any:
         """Wait for a condition, see `wait_until`; a failure shows the logs."""
-        return wait_until(holds, what, self.logs, self.patience)
+        return wait_until(condition, what, self.logs, self.patience)
 
     def logs(self) -> str:
         """Return the last 12 lines of the log of every process."""
@@ -291,7 +293,7 @@
     def worker(self, name: str, zone: str, receiver: int) -> subprocess.Popen:
         """Start a candidate for the leases of jobs; its log is NAME.log. `receiver`: port of the receiver."""
         file = next(iter(self.voters.values())).file
-        words = [
+        arguments = [
             sys.executable,
             "-m",
             "lichencleat.testkit.cluster.worker",
@@ -302,13 +304,13 @@
         ]
         with open(self.path / f"{name}.log", "ab") as log:
             root = Path(__file__).resolve().parents[3]
-            child = subprocess.Popen(words, cwd=root, stderr=log, env=self.variables(name))
+            child = subprocess.Popen(arguments, cwd=root, stderr=log, env=self.environment(name))
         self.children.append(child)
         return child
 
     # -- faults --------------------------------------------------------------------------------------
 
-    def apart(self, here: list[Voter], clients: bool = True) -> set[tuple[str, str]]:
+    def isolate(self, here: list[Voter], clients: bool = True) -> set[tuple[str, str]]:
         """Block the traffic between these voters and the others, in both directions.
 
         `clients`: whether clients can reach only the other voters. Returns the blocked directions.
@@ -317,17 +319,17 @@
         outside = set(self.voters) - inside | ({CLIENT} if clients else set())
         pairs = {(a, b) for a in inside for b in outside}
         pairs |= {(b, a) for a, b in pairs}
-        self.relays.hold(pairs)
+        self.relays.block(pairs)
         return pairs
 
     def heal(self, pairs: set[tuple[str, str]]) -> None:
         """Unblock directions."""
-        self.relays.release(pairs)
+        self.relays.unblock(pairs)
 
     def close(self) -> None:
         """End all processes, clients and relays, and release the ports."""
-        for made in self.clients:
-            self.relays.reactor.callFromThread(made.close)
+        for client in self.clients:
+            self.relays.reactor.callFromThread(client.close)
         for child in self.children:
             if child.poll() is None:
                 os.kill(child.pid, signal.SIGKILL)
@@ -343,8 +345,8 @@
 class Writer:
     """A client that reads, sets and conditionally sets keys until `on` is false, and records the history."""
 
-    def __init__(self, rig: Rig, name: str, facts: int = 2) -> None:
-        self.rig, self.name, self.facts = rig, name, facts
+    def __init__(self, rig: Rig, name: str, key_count: int = 2) -> None:
+        self.rig, self.name, self.key_count = rig, name, key_count
         self.rng = random.Random(name)
         self.client = rig.client()
         self.history: list[Call] = []
@@ -361,7 +363,7 @@
         """Make one random call, and schedule the next after its answer."""
         if not self.on:
             return
-        name = f"f{self.rng.randrange(self.facts)}"
+        name = f"f{self.rng.randrange(self.key_count)}"
         kind = self.rng.choice(["put", "cas", "get"])
         value, revision = self.known.get(name, (None, 0))
         self.made += 1
@@ -372,26 +374,26 @@
         call = Call(self.name, what, self.now())
         self.history.append(call)
         if kind == "get":
-            told = self.client.read("facts", name, PATIENCE)
+            answer = self.client.read("facts", name, PATIENCE)
         else:
-            wanted = ["set", name, new, None if kind == "put" else revision]
-            told = self.client.propose("facts", wanted, PATIENCE)
-        told.addCallbacks(self.answered, lambda failure: None, callbackArgs=(call,))
-        told.addBoth(lambda _: self.rig.relays.reactor.callLater(self.rng.uniform(0.002, 0.02), self.step))
+            command = ["set", name, new, None if kind == "put" else revision]
+            answer = self.client.propose("facts", command, PATIENCE)
+        answer.addCallbacks(self.on_answer, lambda failure: None, callbackArgs=(call,))
+        answer.addBoth(lambda _: self.rig.relays.reactor.callLater(self.rng.uniform(0.002, 0.02), self.step))
 
-    def answered(self, told: Any, call: Call) -> None:
+    def on_answer(self, answer: Any, call: Call) -> None:
         """Record the answer of a call, and the value and revision that are known now."""
         call.returned = self.now()
         name = call.what[1]
         if call.what[0] == "get":
-            fact = KeyValueEntry(*told) if told else None
-            self.known[name] = (fact.value, fact.revision) if fact else (None, 0)
+            entry = KeyValueEntry(*answer) if answer else None
+            self.known[name] = (entry.value, entry.revision) if entry else (None, 0)
             call.told = self.known[name][0]
             return
-        answer = SetResult(*told)
-        call.told = answer.is_applied
-        if answer.is_applied:
-            self.known[name] = call.what[2], answer.revision
+        result = SetResult(*answer)
+        call.told = result.is_applied
+        if result.is_applied:
+            self.known[name] = call.what[2], result.revision
 
     def count(self) -> int:
         """Return the number of calls that were answered."""
--- a/lichencleat/testkit/cluster/tap.py
+++ b/lichencleat/testkit/cluster/tap.py
@@ -14,7 +14,7 @@
 from lichencleat.config_distribution.terms import FOLLOW, decode_follow
 from lichencleat.decode_errors import UNDECODABLE
 from lichencleat.testkit.checkers.distribution import Acknowledged
-from lichencleat.testkit.cluster.relay import Inward, Link, Relay, Relays
+from lichencleat.testkit.cluster.relay import CallerSide, Link, Relay, Relays
 from lichencleat.transport.frames import MAX_FRAME_BYTES, ClientRequest, Greeting, decode_frame
 
 ASKED_MOST = 200_000  # questions kept: an hour of fifty processes
@@ -36,7 +36,7 @@
 
 
 class TappedLink(Link):
-    def __init__(self, relay: Relay, inner: Inward) -> None:
+    def __init__(self, relay: Relay, inner: CallerSide) -> None:
         super().__init__(relay, inner)
         self.heard = bytearray()
         self.listens = True
@@ -84,7 +84,7 @@
 
 
 class TappedRelay(Relay):
-    def buildProtocol(self, address: Any) -> Inward:
+    def buildProtocol(self, address: Any) -> CallerSide:
         made = super().buildProtocol(address)
         made.link = TappedLink(self, made)
         return made
@@ -99,7 +99,7 @@
         self.spoilt = 0
         super().__init__()
 
-    def before(self, name: str, to: int) -> int:
+    def add_relay(self, name: str, to: int) -> int:
         def make() -> int:
             self.by_name[name] = TappedRelay(self, name, to)
             return self.by_name[name].port.getHost().port
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -32,7 +32,7 @@
 from lichencleat.log.structured import create_logger
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.store.errors import StoreError
-from lichencleat.testkit.cluster.heldback import HeldBackDisk
+from lichencleat.testkit.cluster.heldback import VolatileDisk
 from lichencleat.testkit.cluster.process_faults import install_faults
 from lichencleat.testkit.cluster.tap import moment
 
@@ -105,13 +105,13 @@
         if chosen.get("directory"):
             held_back = chosen.get("disk") == "held back"
             try:
-                disk = HeldBackDisk(chosen["directory"], create=True) if held_back else None
+                disk = VolatileDisk(chosen["directory"], create=True) if held_back else None
                 self.kept = yield open_kept(self.reactor, chosen["directory"], unix_time, self.rng, disk=disk)
                 table, mark, _ = yield mistakes.load(self.kept, self.mistake)
                 self.trouble = self.kept.trouble
             except (StoreError, OSError) as wrong:
                 self.trouble = str(wrong)
-        self.copy = mistakes.copy_of(self.mistake, self.reactor, table, mark)
+        self.copy = mistakes.make_copy(self.mistake, self.reactor, table, mark)
         self.copy.on_call = self.look
         now = lambda: int(self.reactor.seconds() * 1e6)  # noqa: E731
         times = replace(Times(), **{key: tuple(span) for key, span in chosen["times"].items()})
@@ -129,7 +129,7 @@
             self.taken,
             self.told,
         )
-        mistakes.arrange(self.mistake, self.subscriber)
+        mistakes.install_in_host(self.mistake, self.subscriber)
         self.log.info("started", version=table.version, trouble=self.trouble)
         self.look("started")
         self.subscriber.start()
--- a/lichencleat/testkit/cluster/worker.py
+++ b/lichencleat/testkit/cluster/worker.py
@@ -22,10 +22,10 @@
 from lichencleat.testkit.cluster.process_faults import install_faults
 from lichencleat.transport.group_client import GroupClient
 
-ACT = 0.01  # s between two acts on a job
+ACT_INTERVAL = 0.01  # s between two acts on a job
 
 
-class Acts(ReconnectingClientFactory):
+class ActConnector(ReconnectingClientFactory):
     """Connection to the receiver, opened again after a loss."""
 
     noisy = False
@@ -33,17 +33,17 @@
 
     def buildProtocol(self, address: Any) -> LineOnlyReceiver:
         self.resetDelay()
-        made = LineOnlyReceiver()
-        made.lineReceived = lambda line: None  # type: ignore[method-assign]
-        self.link = made
-        return made
+        link = LineOnlyReceiver()
+        link.lineReceived = lambda line: None  # type: ignore[method-assign]
+        self.link = link
+        return link
 
 
 class Worker:
     """Acts on each job whose lease it holds."""
 
-    def __init__(self, reactor: Any, name: str, acts: Acts) -> None:
-        self.reactor, self.name, self.acts = reactor, name, acts
+    def __init__(self, reactor: Any, name: str, connector: ActConnector) -> None:
+        self.reactor, self.name, self.connector = reactor, name, connector
         self.running: dict[str, Any] = {}
         self.lease_client: LeaseClient | None = None
 
@@ -61,9 +61,13 @@
         """Send one act on a job if its lease is valid, and schedule the next."""
         assert self.lease_client is not None
         token = self.lease_client.fencing_token(job)
-        if token is not None and self.acts.link is not None and self.acts.link.transport is not None:
-            self.acts.link.sendLine(f"{job} {token} {self.name}-{os.getpid()}".encode())
-        self.running[job] = self.reactor.callLater(ACT, self.act, job)
+        if (
+            token is not None
+            and self.connector.link is not None
+            and self.connector.link.transport is not None
+        ):
+            self.connector.link.sendLine(f"{job} {token} {self.name}-{os.getpid()}".encode())
+        self.running[job] = self.reactor.callLater(ACT_INTERVAL, self.act, job)
 
 
 def main() -> None:
@@ -71,15 +75,15 @@
     install_faults()
     reactor = make_reactor()
     path, name, zone, port = sys.argv[1:]
-    chosen = read_quorum_settings(path)
+    settings = read_quorum_settings(path)
     rng = random.Random(os.urandom(16))
-    log = create_logger(unix_time, process=name, role="candidate", group=chosen.group)
-    client = GroupClient(reactor, chosen.group, [parse_address(each) for each in chosen.members], rng)
-    acts = Acts()
-    acts.maxDelay = 0.2
-    worker = Worker(reactor, name, acts)
+    log = create_logger(unix_time, process=name, role="candidate", group=settings.group)
+    client = GroupClient(reactor, settings.group, [parse_address(each) for each in settings.members], rng)
+    connector = ActConnector()
+    connector.maxDelay = 0.2
+    worker = Worker(reactor, name, connector)
     worker.lease_client = LeaseClient(reactor, client, name, zone, worker, rng, log)
-    reactor.connectTCP("127.0.0.1", int(port), acts)
+    reactor.connectTCP("127.0.0.1", int(port), connector)
     reactor.callWhenRunning(worker.lease_client.start)
 
     def leave() -> None:
--- a/tests/fleet/distribution.py
+++ b/tests/fleet/distribution.py
@@ -85,7 +85,7 @@
 
     @staticmethod
     def again(each: Child) -> None:
-        if not each.up():
+        if not each.is_up():
             each.start()
 
     def begin(self) -> None:
@@ -100,7 +100,7 @@
             self.later(lambda: self.again(each))
         elif kind == "stop":
             each.stop()
-            self.later(each.go_on)
+            self.later(each.resume)
         elif kind.startswith("kill voter"):
             cut = voters if kind == "kill voters" else voters[:1]
             for one in cut:
@@ -108,7 +108,7 @@
             self.later(lambda: [one.start() for one in cut if one.running.poll() is not None])
         elif kind == "stop voter":
             voters[0].stop()
-            self.later(voters[0].go_on)
+            self.later(voters[0].resume)
         elif kind.startswith("cut") or kind == "one way":
             self.cuts(kind, each, voters[0].name)
         elif kind in ("slow", "reset", "spoilt link"):
@@ -127,7 +127,7 @@
         rig = self.rig
         if kind == "one way":
             pairs = {(each.name, name) for name in (*rig.feeding, *rig.voters)}
-            rig.relays.hold(pairs)
+            rig.relays.block(pairs)
         else:
             zone = self.rng.choice(rig.zones)
             here = {"cut region": rig.inside(zone), "cut": {each.name}, "cut voter": {voter}}[kind]
@@ -143,8 +143,8 @@
         elif kind == "spoilt link":
             rig.relays.spoil(pairs)
         else:
-            rig.relays.slow(pairs, self.rng.uniform(0.01, 0.4))
-            self.later(lambda: rig.relays.slow(pairs, 0.0))
+            rig.relays.set_delay(pairs, self.rng.uniform(0.01, 0.4))
+            self.later(lambda: rig.relays.set_delay(pairs, 0.0))
 
     def disks(self, kind: str, each: Child) -> None:
         rng = self.rng
@@ -152,7 +152,7 @@
             each.fill_disk()
             self.later(each.empty_disk)
         elif kind == "old copy" and each.name not in self.copies:
-            if each.up() and each.directory.exists():
+            if each.is_up() and each.directory.exists():
                 self.copies[each.name] = each.copy_directory()
                 self.later(lambda: self.puts_back(each))
         else:
@@ -166,7 +166,7 @@
             self.later(lambda: self.again(each))
 
     def puts_back(self, each: Child) -> None:
-        if each.up():
+        if each.is_up():
             each.kill()
             each.put_back(self.copies.pop(each.name))
             self.again(each)
--- a/tests/fleet/revive.py
+++ b/tests/fleet/revive.py
@@ -1,11 +1,14 @@
 """Power losses of a whole fleet of real processes: `python -m tests.fleet.revive --seeds 200`.
 
-Three voters, eight nodes in two zones with receipts on held-back disks, engines and one dependency that
-outlive the cut, callers that ask again and again. Power goes for all, a zone, all twice; links are cut while
-they return. Judged: no receipted request runs twice on a node, nothing is honoured that no run made, nothing
-is answered twice, the dependency never has more than its limit; and every node is open again, or the fleet
-says what it waits for. Some wake with a wrong clock, an empty disk, a copy of theirs, or as an older version;
-voters that do stop by themselves and are put up later.
+The fleet has three voters and eight nodes in two zones that store idempotency records on disks with a
+volatile write cache. Engines, the dependency and the callers keep running during a power loss. Power losses
+hit all processes, a zone, some nodes, most voters or the lease holder of the rollout plan; links are cut
+during the restart. Some nodes restart with a wrong clock, an empty disk, a copied disk, or as an older
+version. Voters of an older version exit and are upgraded later.
+
+Checked: no keyed request runs twice on a node; a served result comes from a run; no attempt is answered
+twice; the calls at the dependency never exceed its limit; and every node accepts all requests again, or the
+fleet reports what it waits for.
 """
 
 from __future__ import annotations
@@ -24,18 +27,23 @@
 
 
 @dataclass
-class Ran:
+class ScheduleResult:
+    """Outcome of a schedule: violation, power losses, and the numbers of attempts, runs and epochs."""
+
     seed: int
     wrong: str | None = None
     cuts: list[str] = field(default_factory=list)
     tries: int = 0
     runs: int = 0
     epochs: int = 0
-    took: float = 0.0  # s until all were open after the last cut
+    took: float = 0.0  # s from the last power loss until all nodes accepted all requests
+
 
+def damage_node(fleet: Fleet, nodes: list[str], rng: random.Random) -> tuple[str, list]:
+    """Inject a random fault, or none, at one node that has lost its power.
 
-def hurts(fleet: Fleet, nodes: list[str], rng: random.Random) -> tuple[str, list]:
-    """Something more that befalls one node; what is to be undone before all can be open again."""
+    Returns the description of the fault, and the functions that undo it before all nodes can serve again.
+    """
     name = rng.choice(nodes)
     node = fleet.nodes[name]
     load = next(each for each in fleet.loads if each.node is node)
@@ -44,55 +52,60 @@
     if kind == "clock":
         fleet.rig.clock(name, 1.0, rng.choice([3600.0, -3600.0, -1.7e9]))
 
-        def set_right() -> None:
-            """And started again: within a life a node's Unix time never goes back."""
+        def correct_clock() -> None:
+            """Correct the clock and restart the node: in a running node the Unix time never goes back."""
             fleet.rig.clock(name)
             node.kill()
             node.start()
 
-        return f", {name} with a wrong clock", [set_right]
+        return f", {name} with a wrong clock", [correct_clock]
     if kind == "empty disk":
         shutil.rmtree(directory)
-        load.new_keys()  # nothing proves what ran: an operator waits for the longest window
+        # No record shows which keys ran. New keys stand for an operator who waits for the longest window.
+        load.new_keys()
         return f", {name} with an empty disk", []
     if kind == "copy":
         shutil.copytree(directory, f"{directory}.copy")
         shutil.rmtree(directory)
         shutil.move(f"{directory}.copy", directory)
         node.start()
-        assert node.ended() == 2 and "copied or moved" in node.said(), node.said()[-500:]
+        assert node.wait_for_exit() == 2 and "copied or moved" in node.read_log(), node.read_log()[-500:]
         shutil.rmtree(directory)
         load.new_keys()
         return f", {name} with a copy", []
     if kind == "older":
-        fleet.takes_no_part(name)
+        fleet.leave_rollout(name)
         return f", {name} of an older version", []
     return "", []
 
 
-def older_voters(fleet: Fleet, lost: list[str], rng: random.Random) -> tuple[str, list]:
-    """Some of them return as a version that knows of no fleet's return: each stops by itself. What puts them
-    up again.
+def make_voters_older(fleet: Fleet, lost: list[str], rng: random.Random) -> tuple[str, list]:
+    """Let some voters restart as a version without the rollout plan; each of these exits.
+
+    Returns the description, and the functions that upgrade these voters.
     """
     if not lost or rng.random() < 0.7:
         return "", []
-    older = rng.sample(lost, rng.randint(1, min(2, len(lost))))  # three would never hear what is committed
+    older = rng.sample(
+        lost, rng.randint(1, min(2, len(lost)))
+    )  # if all three were older, none would learn the commit index and exit
     for name in older:
-        fleet.rig.voters[name].lacks = ("revive", "zones")
+        fleet.rig.voters[name].missing_parts = ("revive", "zones")
 
-    def put_up() -> None:
+    def upgrade() -> None:
         for name in older:
             voter = fleet.rig.voters[name]
-            assert voter.ended() == 3, f"{name} goes on as an older version"
-            voter.lacks = ()
+            assert voter.wait_for_exit() == 3, f"{name} keeps running as an older version"
+            voter.missing_parts = ()
             voter.start()
 
-    return f", {', '.join(older)} as an older version", [put_up]
+    return f", {', '.join(older)} as an older version", [upgrade]
 
 
-def play(fleet: Fleet, rng: random.Random, ran: Ran) -> None:
+def play(fleet: Fleet, rng: random.Random, result: ScheduleResult) -> None:
+    """Cut the power one to three times under load, and wait until all nodes serve again."""
     everyone, voters = list(fleet.nodes), list(fleet.rig.voters)
-    fleet.work()
+    fleet.wait_for_answers()
     for _ in range(rng.randint(1, 3)):
         kind = rng.choice(["all", "all", "all", "zone", "nodes", "most voters", "owner of the plan"])
         nodes, lost = everyone, voters
@@ -105,53 +118,54 @@
         elif kind == "owner of the plan":
             said = fleet.command("owners", "explain", fleet.file, "revive")[1]
             nodes, lost = [name for name in everyone if f"{name} owns it" in said], []
-        ran.cuts.append(kind)
+        result.cuts.append(kind)
         time.sleep(rng.uniform(0, 0.6))
-        fleet.cut(nodes, lost)
-        more, undo = hurts(fleet, nodes, rng) if nodes else ("", [])
-        older, put_up = older_voters(fleet, lost, rng)
-        ran.cuts[-1] += more + older
-        undo += put_up
+        fleet.cut_power(nodes, lost)
+        more, undo = damage_node(fleet, nodes, rng) if nodes else ("", [])
+        older, upgrade = make_voters_older(fleet, lost, rng)
+        result.cuts[-1] += more + older
+        undo += upgrade
         pairs = set()
-        if rng.random() < 0.3:  # one node hears nobody while the others return
+        if rng.random() < 0.3:  # one node is cut off from the voters while the others restart
             name = rng.choice(everyone)
             pairs = {(name, each) for each in voters} | {(each, name) for each in voters}
-            fleet.rig.relays.hold(pairs)
-            ran.cuts[-1] += f", {name} cut off"
+            fleet.rig.relays.block(pairs)
+            result.cuts[-1] += f", {name} cut off"
         began = time.monotonic()
         order = rng.sample(nodes, len(nodes))
         late = order[: rng.randint(0, len(order) // 2)]
-        fleet.come_back([name for name in order if name not in late], lost)
+        fleet.start_again([name for name in order if name not in late], lost)
         time.sleep(rng.uniform(0, 2.0))
-        fleet.come_back(late, [])
+        fleet.start_again(late, [])
         fleet.rig.heal(pairs)
         for each in undo:
             each()
-        if rng.random() < 0.6:  # else the next cut comes in the middle of the return
-            fleet.until_open()
-            ran.took = time.monotonic() - began
-    fleet.until_open()
-    fleet.work()
+        if rng.random() < 0.6:  # otherwise the next power loss interrupts the rollout
+            fleet.wait_until_open()
+            result.took = time.monotonic() - began
+    fleet.wait_until_open()
+    fleet.wait_for_answers()
 
 
-def run(seed: int) -> Ran:
-    ran = Ran(seed)
+def run(seed: int) -> ScheduleResult:
+    """Play the schedule of a seed."""
+    result = ScheduleResult(seed)
     rng = random.Random(f"revive {seed}")
     with tempfile.TemporaryDirectory() as folder:
         fleet = None
         try:
             fleet = Fleet(Path(folder), forgets=rng.random() < 0.5)
-            play(fleet, rng, ran)
-            ran.wrong = fleet.judge()
-            ran.epochs = fleet.epoch()
-            ran.tries = sum(len(each.caller.said) for each in fleet.loads)
-            ran.runs = sum(sum(each.node.engine.begun.values()) for each in fleet.loads)
+            play(fleet, rng, result)
+            result.wrong = fleet.find_violation()
+            result.epochs = fleet.epoch()
+            result.tries = sum(len(each.caller.attempts) for each in fleet.loads)
+            result.runs = sum(sum(each.node.engine.run_counts.values()) for each in fleet.loads)
         except AssertionError as wrong:
-            ran.wrong = str(wrong)
+            result.wrong = str(wrong)
         finally:
             if fleet is not None:
                 fleet.close()
-    return ran
+    return result
 
 
 @click.command()
@@ -159,16 +173,16 @@
 @click.option("--first", default=1, show_default=True)
 @click.option("--side-by-side", default=2, show_default=True, help="Rigs at once; each has eleven processes.")
 def main(seeds: int, first: int, side_by_side: int) -> None:
-    """Plays drawn losses of power, and tells what broke."""
+    """Play random power losses and print the violations."""
     wrong, cuts, tries, runs, epochs, took = [], 0, 0, 0, 0, []
     with ProcessPoolExecutor(side_by_side) as pool:
-        for ran in pool.map(run, range(first, first + seeds)):
-            cuts, tries, runs = cuts + len(ran.cuts), tries + ran.tries, runs + ran.runs
-            epochs += max(0, ran.epochs - 1)
-            took += [ran.took] if ran.took else []
-            if ran.wrong is not None:
-                wrong.append(ran)
-                click.echo(f"seed {ran.seed}: {'; '.join(ran.cuts)}\n{ran.wrong}", nl=True)
+        for result in pool.map(run, range(first, first + seeds)):
+            cuts, tries, runs = cuts + len(result.cuts), tries + result.tries, runs + result.runs
+            epochs += max(0, result.epochs - 1)
+            took += [result.took] if result.took else []
+            if result.wrong is not None:
+                wrong.append(result)
+                click.echo(f"seed {result.seed}: {'; '.join(result.cuts)}\n{result.wrong}", nl=True)
     took.sort()
     middle = (
         f", all open after {took[len(took) // 2]:.1f} s in the middle, {took[-1]:.1f} s at the most"
--- a/tests/fleet/shares_drawn.py
+++ b/tests/fleet/shares_drawn.py
@@ -1,8 +1,8 @@
-"""Real nodes that share a dependency, through drawn faults: `python -m tests.fleet.shares_drawn --seeds 100`.
+"""Random faults among nodes that share a dependency: `python -m tests.fleet.shares_drawn --seeds 100`.
 
-Three voters, four nodes that are candidates too, each under load; faults drawn by the seed, some at once; in
-the end all is healed. Judged: the dependency never has more in hand than the limit, nothing is answered
-twice, and every node works again.
+Three voters and four nodes, which are also candidates for the allocator's lease, run as real processes; each
+node is under load. Faults, chosen by the seed, may overlap; in the end all are undone. Checked: the calls in
+flight at the dependency never exceed the limit, no attempt is answered twice, and every node serves again.
 """
 
 from __future__ import annotations
@@ -21,8 +21,11 @@
 from lichencleat.testkit.cluster.peers import Dependency
 from lichencleat.testkit.cluster.rig import Rig
 
+# Calls in flight that the dependency allows; floor of a grant in calls; number of nodes in the definition of
+# the pool; s that a grant is valid.
 LIMIT, FLOOR, NODES, TERM = 12, 1, 5, 1.0
-FAULTS, SPAN, BETWEEN = (2, 6), (0.1, 3.0), 0.8  # how many; s that each lasts; s from one to the next
+# Range of the number of faults; range of s that a fault lasts; longest time between two faults in s.
+FAULTS, SPAN, BETWEEN = (2, 6), (0.1, 3.0), 0.8
 KINDS = [
     "kill",
     "kill",
@@ -36,11 +39,14 @@
     "clock",
     "slow below",
 ]
-RATES, STEP = (0.95, 1.05), 30.0  # clocks run wrong within the stated drift; Unix time steps back by s
+RATES, STEP = (
+    (0.95, 1.05),
+    30.0,
+)  # range of clock rates within the tolerated drift; largest step back of Unix time in s
 
 
 class Load:
-    """Keeps so many pure requests with a call open at a node."""
+    """Load of one node: keeps `open_` attempts that call the dependency without an answer."""
 
     def __init__(self, rig: Rig, node: RigNode, open_: int) -> None:
         self.rig, self.node, self.open = rig, node, open_
@@ -51,6 +57,7 @@
         rig.relays.reactor.callFromThread(self.step)
 
     def step(self) -> None:
+        """Send attempts up to the limit, and schedule the next step."""
         if not self.on:
             return
         while self.caller.waiting < self.open:
@@ -59,25 +66,26 @@
                 break
         self.rig.relays.reactor.callLater(0.01, self.step)
 
-    def honoured(self) -> int:
-        return sum(bool(each.answers) and each.answers[0][0] == b"200" for each in list(self.caller.said))
+    def count_served(self) -> int:
+        """Return the number of served attempts."""
+        return sum(bool(each.answers) and each.answers[0][0] == b"200" for each in list(self.caller.attempts))
 
 
 class Fleet:
-    """Owns rig, nodes, loads, dependency; all are given back in `close`."""
+    """Owns the rig, nodes, loads and dependency; `close` ends all of them."""
 
     def __init__(self, path: Path) -> None:
         self.rig = rig = Rig(path)
         self.nodes: dict[str, RigNode] = {}
         self.loads: dict[str, Load] = {}
-        self.below: Dependency | None = None
+        self.dependency: Dependency | None = None
         rig.form()
         self.file = str(rig.voters["v1"].file)
         words = ["--limit", str(LIMIT), "--nodes", str(NODES), "--floor", str(FLOOR), "--term", str(TERM)]
         code, said = rig.command("shares", "define", self.file, "below", *words)
         assert code == 0, said
         reactor = rig.relays.reactor
-        self.below = rig.relays.call(lambda: Dependency(reactor, random.Random(1), 0.05, LIMIT))
+        self.dependency = rig.relays.call(lambda: Dependency(reactor, random.Random(1), 0.05, LIMIT))
         chosen = {
             "fleet": {
                 "group": "rig",
@@ -89,36 +97,41 @@
         }
         for name in ("n1", "n2", "n3", "n4"):
             told = settings(calls=(True, False))
-            made = RigNode(rig, name, chosen, self.below, told, work=0.01, calling=frozenset([b"look"]))
+            made = RigNode(rig, name, chosen, self.dependency, told, work=0.01, calling=frozenset([b"look"]))
             self.nodes[name] = made
             made.start()
             self.loads[name] = Load(rig, made, 10)
 
     def owner(self) -> str | None:
+        """Return the node that holds the allocator's lease, or None if it is unknown."""
         code, said = self.rig.command("owners", "explain", self.file, "shares/below")
         if code != 0:  # no majority answers
             return None
         return next((name for name in self.nodes if f"{name} owns it" in said), None)
 
-    def more(self, names, count: int = 20) -> None:
-        before = {name: self.loads[name].honoured() for name in names}
+    def wait_for_answers(self, names, count: int = 20) -> None:
+        """Wait until each of these nodes has served `count` more attempts."""
+        before = {name: self.loads[name].count_served() for name in names}
         self.rig.until(
-            lambda: all(self.loads[name].honoured() >= had + count for name, had in before.items()),
+            lambda: all(self.loads[name].count_served() >= had + count for name, had in before.items()),
             f"answers of {', '.join(names)}",
         )
 
     def close(self) -> None:
+        """Stop the load and end all processes and stand-ins."""
         for load in self.loads.values():
             load.on = False
         for each in self.nodes.values():
             each.close()
-        if self.below is not None:
-            self.rig.relays.call(self.below.close)
+        if self.dependency is not None:
+            self.rig.relays.call(self.dependency.close)
         self.rig.close()
 
 
 @dataclass
-class Ran:
+class ScheduleResult:
+    """Outcome of a schedule: violation, faults, number of calls, and the most calls in flight at once."""
+
     seed: int
     wrong: str | None = None
     faults: list[str] = field(default_factory=list)
@@ -127,20 +140,25 @@
 
 
 class Schedule:
-    def __init__(self, fleet: Fleet, rng: random.Random, ran: Ran) -> None:
-        self.fleet, self.rng, self.ran = fleet, rng, ran
+    """Injects random faults, and undoes each after a random time."""
+
+    def __init__(self, fleet: Fleet, rng: random.Random, result: ScheduleResult) -> None:
+        self.fleet, self.rng, self.result = fleet, rng, result
         self.undo: list[tuple[float, object]] = []
 
-    def later(self, undo) -> None:
+    def schedule_undo(self, undo) -> None:
+        """Call a function that undoes a fault after a random time."""
         self.undo.append((time.monotonic() + self.rng.uniform(*SPAN), undo))
 
-    def due(self) -> None:
+    def run_due_undos(self) -> None:
+        """Undo the faults whose time has passed."""
         for each in list(self.undo):
             if each[0] <= time.monotonic():
                 self.undo.remove(each)
                 each[1]()
 
-    def begin(self) -> None:
+    def inject_fault(self) -> None:
+        """Inject a random fault."""
         fleet, rng = self.fleet, self.rng
         kind = rng.choice(KINDS)
         name = (
@@ -150,61 +168,62 @@
         )
         node = fleet.nodes.get(name or "")
         voters = rng.sample(list(fleet.rig.voters.values()), 2)
-        self.ran.faults.append(f"{kind} {name}")
-        if kind.startswith("kill") and node is not None and node.up():
+        self.result.faults.append(f"{kind} {name}")
+        if kind.startswith("kill") and node is not None and node.is_up():
             node.kill()
-            self.later(lambda: None if node.up() else node.start())
+            self.schedule_undo(lambda: None if node.is_up() else node.start())
         elif kind.startswith("stop") and node is not None:
             node.signal(signal.SIGSTOP)
-            self.later(lambda: node.signal(signal.SIGCONT))
+            self.schedule_undo(lambda: node.signal(signal.SIGCONT))
         elif kind.startswith("voter"):
             cut = voters if kind == "voters" else voters[:1]
             for each in cut:
                 each.kill()
-            self.later(lambda: [each.start() for each in cut if each.running.poll() is not None])
+            self.schedule_undo(lambda: [each.start() for each in cut if each.running.poll() is not None])
         elif kind == "cut":
             pairs = {(name, each) for each in fleet.rig.voters}
             pairs |= {(b, a) for a, b in pairs}
-            fleet.rig.relays.hold(pairs)
-            self.later(lambda: fleet.rig.heal(pairs))
+            fleet.rig.relays.block(pairs)
+            self.schedule_undo(lambda: fleet.rig.heal(pairs))
         elif kind == "clock":
             fleet.rig.clock(name, rng.uniform(*RATES), rng.uniform(-STEP, 0) if rng.random() < 0.5 else 0.0)
         elif kind == "slow below":
-            fleet.below.stuck = 0.3
-            self.later(lambda: setattr(fleet.below, "stuck", 0.0))
+            fleet.dependency.stuck_fraction = 0.3
+            self.schedule_undo(lambda: setattr(fleet.dependency, "stuck_fraction", 0.0))
 
 
-def run(seed: int) -> Ran:
-    ran = Ran(seed)
+def run(seed: int) -> ScheduleResult:
+    """Play the schedule of a seed."""
+    result = ScheduleResult(seed)
     rng = random.Random(f"shares {seed}")
     with tempfile.TemporaryDirectory() as folder:
         fleet = None
         try:
             fleet = Fleet(Path(folder))
-            fleet.more(fleet.nodes, 5)
-            schedule = Schedule(fleet, rng, ran)
+            fleet.wait_for_answers(fleet.nodes, 5)
+            schedule = Schedule(fleet, rng, result)
             for _ in range(rng.randint(*FAULTS)):
-                schedule.begin()
+                schedule.inject_fault()
                 time.sleep(rng.uniform(0, BETWEEN))
-                schedule.due()
+                schedule.run_due_undos()
             while schedule.undo:
                 time.sleep(0.05)
-                schedule.due()
-            for name in fleet.nodes:  # a caller whose clock is the node's own: the steps are over
+                schedule.run_due_undos()
+            for name in fleet.nodes:  # correct all clocks, so that nodes and callers agree on deadlines again
                 fleet.rig.clock(name)
-            fleet.more(fleet.nodes)
-            ran.calls, ran.most = fleet.below.taken, fleet.below.most
-            if fleet.below.over_limit:
-                ran.wrong = f"{fleet.below.most} in hand below, and the limit is {LIMIT}"
+            fleet.wait_for_answers(fleet.nodes)
+            result.calls, result.most = fleet.dependency.received, fleet.dependency.max_in_flight
+            if fleet.dependency.over_limit:
+                result.wrong = f"the dependency had {fleet.dependency.max_in_flight} calls, limit {LIMIT}"
             for load in fleet.loads.values():
-                if any(len(each.answers) > 1 for each in load.caller.said):
-                    ran.wrong = f"a request of {load.node.name} was answered twice"
+                if any(len(each.answers) > 1 for each in load.caller.attempts):
+                    result.wrong = f"a request of {load.node.name} was answered twice"
         except AssertionError as wrong:
-            ran.wrong = str(wrong)
+            result.wrong = str(wrong)
         finally:
             if fleet is not None:
                 fleet.close()
-    return ran
+    return result
 
 
 @click.command()
@@ -212,14 +231,14 @@
 @click.option("--first", default=1, show_default=True)
 @click.option("--side-by-side", default=2, show_default=True, help="Rigs at once; each has seven processes.")
 def main(seeds: int, first: int, side_by_side: int) -> None:
-    """Plays drawn schedules, and tells what broke."""
+    """Play random schedules and print the violations."""
     wrong, faults, calls, most = [], 0, 0, 0
     with ProcessPoolExecutor(side_by_side) as pool:
-        for ran in pool.map(run, range(first, first + seeds)):
-            faults, calls, most = faults + len(ran.faults), calls + ran.calls, max(most, ran.most)
-            if ran.wrong is not None:
-                wrong.append(ran)
-                click.echo(f"seed {ran.seed}: {', '.join(ran.faults)}\n{ran.wrong}")
+        for result in pool.map(run, range(first, first + seeds)):
+            faults, calls, most = faults + len(result.faults), calls + result.calls, max(most, result.most)
+            if result.wrong is not None:
+                wrong.append(result)
+                click.echo(f"seed {result.seed}: {', '.join(result.faults)}\n{result.wrong}")
     click.echo(
         f"{seeds} schedules, {faults} faults, {calls} calls, at the most {most} of {LIMIT} in hand, "
         f"{len(wrong)} wrong"
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -82,7 +82,7 @@
         rig.publish()
     rig.all_have()
     assert stopped not in rig.relays_of([n for n, relay in before.items() if relay == stopped]).values()
-    rig.feeding[stopped].go_on()
+    rig.feeding[stopped].resume()
     rig.publish()
     rig.all_have()
     rig.until(lambda: rig.at_home(before), "all to come home")
@@ -113,7 +113,7 @@
     other.kill()
     old.put_back(copy)
     pairs = {(old.name, name) for name in ("ra", *rig.voters)}  # it stays as old as it is
-    rig.relays.hold(pairs)
+    rig.relays.block(pairs)
     since = moment()
     old.start()
     rig.until(lambda: asked_since(rig, since, of="a1"), "a question at the old one")
@@ -187,7 +187,7 @@
 def test_one_that_follows_an_older_relay_is_found(rig):
     new, old = rig.feeding["b1"], rig.feeding["b2"]
     pairs = {(above, old.name) for above in ("rb", *rig.voters)}
-    rig.relays.hold(pairs)
+    rig.relays.block(pairs)
     rig.publish()
     rig.all_have()
     made = rig.wrong_one("older relay", "b", [[new.address], [old.address]])
@@ -195,7 +195,7 @@
     rig.until(lambda: version_of(rig, made) == rig.version, "it to have the newest")
     assert rig.judged(made.name) is None
     apart = {(new.name, made.name), (made.name, new.name)}
-    rig.relays.hold(apart)
+    rig.relays.block(apart)
     rig.relays.reset(new.name)
     rig.until(lambda: rig.judged(made.name), "it to go back")
     assert "goes back" in rig.judged(made.name)
@@ -265,8 +265,8 @@
         rig.heal(pairs)
     finally:
         for each in ("a1", "a2"):
-            if not rig.feeding[each].up():
+            if not rig.feeding[each].is_up():
                 rig.feeding[each].start()
-        if node.up():
+        if node.is_up():
             node.kill()
         node.close()
--- a/tests/fleet/test_members.py
+++ b/tests/fleet/test_members.py
@@ -1,4 +1,4 @@
-"""Five instances of the real program: one is killed, one stopped and gone on with, one leaves."""
+"""Membership by gossip among five real processes: one is killed, one is paused and resumed, one leaves."""
 
 import os
 import signal
@@ -34,7 +34,7 @@
             child.wait(10)
 
 
-def test_the_others_hear_of_a_kill_a_pause_and_a_leave(fleet):
+def test_all_members_learn_of_a_kill_a_pause_and_a_leave(fleet):
     children, log = fleet
 
     def all_say(what, of, but=()):
@@ -59,7 +59,7 @@
         lambda: all(
             log(each).rfind("event=alive") > log(each).rfind("event=dead") for each in ("n0", "n1", "n2")
         ),
-        "n3 to be back everywhere",
+        "n3 to be alive again at all members",
     )
     children["n2"].send_signal(signal.SIGTERM)
     all_say("left", "n2", but=["n4"])
--- a/tests/fleet/test_publishing.py
+++ b/tests/fleet/test_publishing.py
@@ -12,7 +12,7 @@
 def rig(tmp_path):
     made = Rig(tmp_path)
     for each in made.voters.values():
-        each.chosen["distribution"] = True
+        each.settings["distribution"] = True
     try:
         made.form()
         yield made
@@ -82,7 +82,7 @@
     with pytest.raises(RequestFailedError, match="does not know 'owners'"):
         rig.ask(client.propose, "owners", ["define", "job", ""], 1.0)
     rig.voters["v1"].signal(15)
-    assert rig.voters["v1"].ended() == 0
+    assert rig.voters["v1"].wait_for_exit() == 0
 
 
 def test_a_voter_whose_file_says_something_else_is_not_taken_in_and_does_not_start(rig):
@@ -95,6 +95,6 @@
     other.kill()
     changed = rig.voters["v2"]
     changed.kill()
-    changed.chosen["distribution"] = False
+    changed.settings["distribution"] = False
     changed.start()
-    assert changed.ended() == 2 and "set quorum.distribution as it was" in changed.log.read_text()
+    assert changed.wait_for_exit() == 2 and "set quorum.distribution as it was" in changed.log.read_text()
--- a/tests/fleet/test_quorum.py
+++ b/tests/fleet/test_quorum.py
@@ -1,5 +1,6 @@
-"""Three voters of the real program, with faults between them; each test waits for an event, and ends its
-children.
+"""Three voters as real processes, under faults.
+
+Each test waits for events instead of fixed times, and its fixture ends all processes.
 """
 
 import signal
@@ -20,81 +21,81 @@
         made.close()
 
 
-def more(rig, writers, count=15):
-    """Each writer is answered so many more times."""
+def wait_for_answers(rig, writers, count=15):
+    """Wait until each writer has `count` more answers."""
     before = [each.count() for each in writers]
     rig.until(
         lambda: all(each.count() >= had + count for each, had in zip(writers, before, strict=True)), "answers"
     )
 
 
-def judged(rig, writers):
+def check_history(rig, writers):
     for each in writers:
         each.on = False
     rig.until(lambda: all(each.client.is_idle for each in writers), "the last calls")
     assert judge_facts([call for each in writers for call in each.history]) is None
 
 
-def test_a_leader_that_is_cut_off_loses_nothing_and_another_leads(rig):
+def test_isolated_leader_is_replaced_and_no_write_is_lost(rig):
     writers = [Writer(rig, f"w{n}") for n in range(3)]
-    more(rig, writers)
+    wait_for_answers(rig, writers)
     old = rig.leader()
-    rig.apart([old])
+    rig.isolate([old])
     others = [each for each in rig.voters.values() if each is not old]
     rig.until(lambda: rig.leader(others), "another leader")
-    more(rig, writers)
-    rig.until(lambda: (old.status() or {}).get("role") != "leader", "the old leader to notice")
-    rig.heal(set(rig.relays.held))
-    more(rig, writers)
-    judged(rig, writers)
+    wait_for_answers(rig, writers)
+    rig.until(lambda: (old.status() or {}).get("role") != "leader", "the old leader to step down")
+    rig.heal(set(rig.relays.blocked))
+    wait_for_answers(rig, writers)
+    check_history(rig, writers)
 
 
-def test_power_cuts_of_one_of_most_and_of_all_keep_what_was_confirmed(rig):
+def test_power_losses_of_one_of_two_and_of_all_voters_keep_confirmed_writes(rig):
     writers = [Writer(rig, f"w{n}") for n in range(3)]
     for count in (1, 2, 3):
-        more(rig, writers)
+        wait_for_answers(rig, writers)
         cut = [rig.leader(), *[each for each in rig.voters.values() if each is not rig.leader()]][:count]
         for each in cut:
             each.signal(signal.SIGKILL)
         for each in cut:
-            each.ended()
+            each.wait_for_exit()
             each.start()
-    more(rig, writers)
-    judged(rig, writers)
+    wait_for_answers(rig, writers)
+    check_history(rig, writers)
     assert all(each.status()["start"] > 1 for each in rig.voters.values() if each.status())
 
 
-def test_a_leader_stopped_for_many_elections_wakes_and_answers_nothing_old(rig):
+def test_leader_resumed_after_many_election_timeouts_serves_no_stale_reads(rig):
     writers = [Writer(rig, f"w{n}") for n in range(3)]
-    more(rig, writers)
+    wait_for_answers(rig, writers)
     old = rig.leader()
     old.stop()
     others = [each for each in rig.voters.values() if each is not old]
     rig.until(lambda: rig.leader(others), "another leader")
-    more(rig, writers)
-    old.go_on()
-    more(rig, writers)
-    judged(rig, writers)
+    wait_for_answers(rig, writers)
+    old.resume()
+    wait_for_answers(rig, writers)
+    check_history(rig, writers)
 
 
-def test_a_directory_put_back_from_a_copy_leaves_and_says_why(rig, tmp_path):
+def test_voter_with_a_directory_restored_from_a_copy_exits_with_the_reason(rig, tmp_path):
     import shutil
 
     voter = next(each for each in rig.voters.values() if each is not rig.leader())
     voter.signal(signal.SIGTERM)
-    assert voter.ended() == 0
+    assert voter.wait_for_exit() == 0
     shutil.copytree(voter.directory, tmp_path / "copy")
     voter.start()
-    rig.until(lambda: (voter.status() or {}).get("role") == "follower", "it to take part")
+    rig.until(lambda: (voter.status() or {}).get("role") == "follower", "the restarted voter to follow")
     voter.kill()
     shutil.rmtree(voter.directory)
     shutil.copytree(tmp_path / "copy", voter.directory)
     voter.start()
-    assert voter.ended() == 3
+    assert voter.wait_for_exit() == 3
     assert "restored from a copy" in voter.log.read_text()
 
 
-def test_an_empty_directory_is_another_member_until_it_is_added(rig):
+def test_voter_with_an_empty_directory_is_a_new_member_that_must_be_added(rig):
     import shutil
 
     voter = next(each for each in rig.voters.values() if each is not rig.leader())
@@ -102,16 +103,18 @@
     voter.kill()
     shutil.rmtree(voter.directory)
     voter.start()
-    rig.until(lambda: voter.status(), "it to answer")
+    rig.until(lambda: voter.status(), "the voter to answer")
     status = voter.status()
     assert status["seat"] != seat and status["last"] == 0 and status["members"] == []
     code, said = rig.command("quorum", "remove", str(voter.file), voter.name)
     assert code == 0, said
     rig.add(voter)
-    rig.until(lambda: len(voter.status()["members"]) == 3 and voter.status()["commit"], "it to follow")
+    rig.until(
+        lambda: len(voter.status()["members"]) == 3 and voter.status()["commit"], "the added voter to follow"
+    )
 
 
-def test_commands_show_set_transfer_and_refuse(rig):
+def test_commands_read_and_set_keys_transfer_leadership_and_reject_errors(rig):
     file = str(rig.voters["v1"].file)
     assert rig.command("quorum", "set", file, "a", "x", "--only-if", "0")[0] == 0
     assert rig.command("quorum", "set", file, "a", "y", "--only-if", "0")[0] == 1
@@ -125,7 +128,7 @@
     assert code == 2 and said.count("\n") == 1
     assert rig.command("quorum", "remove", file, "v9")[0] == 2
     heir.signal(signal.SIGTERM)
-    assert heir.ended() == 0
+    assert heir.wait_for_exit() == 0
     rig.until(lambda: rig.leader(), "another leader")
 
 
@@ -141,7 +144,7 @@
         ),
     ],
 )
-def test_a_wrong_file_is_one_line_and_exit_code_2(tmp_path, text, said):
+def test_invalid_file_prints_one_error_and_exits_with_2(tmp_path, text, said):
     from click.testing import CliRunner
 
     from lichencleat.cli.consensus import group
--- a/tests/idempotency/kills.py
+++ b/tests/idempotency/kills.py
@@ -77,7 +77,9 @@
             node.start()
             self.caller = node.caller()
             before = sum(self.count_answers().values())
-            wait_until(lambda had=before: sum(self.count_answers().values()) > had, "an answer", node.said)
+            wait_until(
+                lambda had=before: sum(self.count_answers().values()) > had, "an answer", node.read_log
+            )
             time.sleep(self.rng.uniform(0, 0.25))
             node.kill()
             self.result.kills += 1
@@ -100,16 +102,18 @@
             return True
 
         self.is_sending = False
-        wait_until(lambda: self.rig.relays.call(ask_all), "room on the connection", self.node.said)
+        wait_until(lambda: self.rig.relays.call(ask_all), "room on the connection", self.node.read_log)
         wait_until(
-            lambda: all(each.answers or each.lost for each in requests), "the last answers", self.node.said
+            lambda: all(each.answers or each.lost for each in requests),
+            "the last answers",
+            self.node.read_log,
         )
         self.result.fault = "a request was lost" if any(each.lost for each in requests) else None
 
     def count_answers(self) -> Counter:
         found: Counter = Counter()
         for caller in self.node.callers:
-            for each in list(caller.said):
+            for each in list(caller.attempts):
                 if each.answers:
                     found[each.answers[0][0]] += 1
         return found
@@ -117,11 +121,11 @@
     def judge(self) -> RoundResult:
         """Counts answers and runs, and keeps the first violation of a check."""
         result, engine = self.result, self.node.engine
-        sent_requests = [each for caller in self.node.callers for each in caller.said]
+        sent_requests = [each for caller in self.node.callers for each in caller.attempts]
         result.answers = self.count_answers()
-        result.runs = sum(engine.begun.values())
+        result.runs = sum(engine.run_counts.values())
         result.attempts = len(sent_requests)
-        for (_, body), count in engine.begun.items():
+        for (_, body), count in engine.run_counts.items():
             if count > 1:
                 self.note_fault(f"{body!r} ran {count} times")
         results_by_body: dict[bytes, set[bytes]] = {}
@@ -131,7 +135,7 @@
             for status, _, result_bytes, _ in each.answers:
                 if status == b"200":
                     results_by_body.setdefault(each.body, set()).add(result_bytes)
-                    if result_bytes not in engine.made.get((b"save", each.body), []):
+                    if result_bytes not in engine.results.get((b"save", each.body), []):
                         self.note_fault(f"{each.body!r} was served a result of no run: {result_bytes!r}")
         for body, results in results_by_body.items():
             if len(results) > 1:
--- a/tests/idempotency/test_kills.py
+++ b/tests/idempotency/test_kills.py
@@ -27,13 +27,13 @@
         for name in ("n1", "n2"):
             nodes.append(RigNode(rig, name, operator_file, None, settings()))
         nodes[0].start()
-        rig.until(lambda: "index loaded" in nodes[0].said(), "the index")
+        rig.until(lambda: "index loaded" in nodes[0].read_log(), "the index")
         nodes[1].start()
-        assert nodes[1].ended() == 2 and "can't start: keyed.directory" in nodes[1].said()
+        assert nodes[1].wait_for_exit() == 2 and "can't start: keyed.directory" in nodes[1].read_log()
         nodes[0].signal(15)
-        assert nodes[0].ended() == 0
+        assert nodes[0].wait_for_exit() == 0
         nodes[1].start()
-        assert nodes[1].ended() == 2 and "belongs to the node 'n1'" in nodes[1].said()
+        assert nodes[1].wait_for_exit() == 2 and "belongs to the node 'n1'" in nodes[1].read_log()
 
         def command(*words):
             completed = subprocess.run(
