--- a/lichencleat/testkit/cluster/heldback.py
+++ b/lichencleat/testkit/cluster/heldback.py
@@ -60,9 +60,7 @@
         other = self.open_files.get(real_name)
         held = OpenFile(super().open(real_name), name)
         if other is not None:
-            held.unflushed = (
-                other.unflushed
-            )  # unflushed bytes of another handle are visible through this handle
+            held.unflushed = other.unflushed  # both handles see the same unflushed bytes
         return held
 
     def append(self, file: OpenFile, data: bytes) -> None:  # type: ignore[override]
--- a/lichencleat/testkit/cluster/rig.py
+++ b/lichencleat/testkit/cluster/rig.py
@@ -119,9 +119,8 @@
         self.file = rig.path / f"{name}.yaml"
         self.log = rig.path / f"{name}.log"
         self.running: subprocess.Popen | None = None
-        self.missing_parts: tuple[
-            str, ...
-        ] = ()  # parts of the replicated state that the next process does not support
+        # Parts of the replicated state that the next process does not support.
+        self.missing_parts: tuple[str, ...] = ()
         self.settings = {
             "group": GROUP,
             "name": name,
@@ -143,7 +142,7 @@
         self.file.write_text(yaml.safe_dump({"quorum": self.settings}))
 
     def start(self) -> None:
-        """Start a process of the voter, as an older version if `lacks` is set."""
+        """Start a process of the voter, as an older version if `missing_parts` is set."""
         self.write_file()
         with open(self.log, "ab") as log:
             arguments, more = ["quorum", "run", str(self.file)], {"stderr": log}
@@ -262,9 +261,10 @@
         """Return the status that a voter reports, or None if the voter does not answer within 1 s."""
         if voter.running is None or voter.running.poll() is not None:
             return None
+        # Connects without the relay, so that injected faults do not affect the status request.
         client = self.relays.call(
             GroupClient, self.relays.reactor, GROUP, [(LOCAL, voter.port)], random.Random(1)
-        )  # not through the relay, so that injected faults do not affect the status request
+        )
         try:
             return self.ask(client.call, "status", None, 1.0)
         except RequestFailedError:
--- a/tests/fleet/owners.py
+++ b/tests/fleet/owners.py
@@ -26,10 +26,8 @@
 BETWEEN = 0.6  # s: longest time between two faults
 KINDS = ["power", "power", "power of most", "power of all", "stop voter", "apart", "one way", "slow", "reset"]
 KINDS += ["kill owner", "stop owner", "stop owner", "voter's clock", "owner's clock", "disk full"]
-RATES, STEP = (
-    (0.95, 1.05),
-    30.0,
-)  # range of clock rates within the tolerated drift; largest step of Unix time in s
+# Range of clock rates within the tolerated drift; largest step of Unix time in s.
+RATES, STEP = (0.95, 1.05), 30.0
 
 
 @dataclass
--- a/tests/fleet/revive.py
+++ b/tests/fleet/revive.py
@@ -86,9 +86,8 @@
     """
     if not lost or rng.random() < 0.7:
         return "", []
-    older = rng.sample(
-        lost, rng.randint(1, min(2, len(lost)))
-    )  # if all three were older, none would learn the commit index and exit
+    # If all three were older, none would learn the commit index and exit.
+    older = rng.sample(lost, rng.randint(1, min(2, len(lost))))
     for name in older:
         fleet.rig.voters[name].missing_parts = ("revive", "zones")
 
--- a/tests/fleet/shares_drawn.py
+++ b/tests/fleet/shares_drawn.py
@@ -39,10 +39,8 @@
     "clock",
     "slow below",
 ]
-RATES, STEP = (
-    (0.95, 1.05),
-    30.0,
-)  # range of clock rates within the tolerated drift; largest step back of Unix time in s
+# Range of clock rates within the tolerated drift; largest step back of Unix time in s.
+RATES, STEP = (0.95, 1.05), 30.0
 
 
 class Load:
--- a/tests/fleet/test_older_voters.py
+++ b/tests/fleet/test_older_voters.py
@@ -97,9 +97,8 @@
         for name in voters[1:]:
             fleet.rig.voters[name].missing_parts = MISSING_PARTS
         fleet.start_again(list(fleet.nodes), voters)
-        for name in voters[
-            1:
-        ]:  # two of three voters exit, so no majority is left; the nodes serve without a plan
+        # Two of three voters exit, so no majority is left; the nodes serve without a plan.
+        for name in voters[1:]:
             assert fleet.rig.voters[name].wait_for_exit() == 3
         fleet.wait_for_answers(1)
         for name in voters[1:]:
