--- a/lichencleat/testkit/cluster/mistakes.py
+++ b/lichencleat/testkit/cluster/mistakes.py
@@ -1,6 +1,6 @@
-"""Mistakes that a watcher can be started with, to show that the judges find them; none is in the product.
+"""Injected bugs of a watcher, to show that the checkers find them. The product contains none of these bugs.
 
-Each is a subclass that leaves out one thing that the real one takes care of.
+Most of them are subclasses of `WatchedCopy` that leave out one safeguard of the real subscriber's copy.
 """
 
 from __future__ import annotations
@@ -18,11 +18,11 @@
 from lichencleat.config_distribution.terms import PAGE_COUNT, Batch, SnapshotHead
 from lichencleat.testkit.cluster.watcher import WatchedCopy
 
-LATER = 0.05  # s from one turn to the other, or from the word to the deed
+DELAY = 0.05  # s between the two halves of a batch, or between an acknowledgement and the change in force
 
 
-class InTwoTurns(WatchedCopy):
-    """A batch is taken in two turns of the reactor."""
+class SplitBatchCopy(WatchedCopy):
+    """Applies a batch in two turns of the reactor, so a reader can see half of the batch."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
@@ -36,22 +36,23 @@
         numbers = sorted(staging.new_pages)
         half = numbers[len(numbers) // 2 :]
         self.rest = [(number, staging.new_pages.pop(number), staging.digests.pop(number)) for number in half]
-        self.reactor.callLater(LATER, self.other_half)
+        self.reactor.callLater(DELAY, self.apply_rest)
         return super().take()
 
-    def other_half(self) -> None:
+    def apply_rest(self) -> None:
+        """Apply the pages that the first turn left out."""
         for number, page, digest in self.rest:
             self.table.pages[number], self.table.page_digests[number] = page, digest
         self.rest = []
         self.on_call()
 
     def stage(self, batches: Sequence[Batch]) -> None:
-        self.other_half()
+        self.apply_rest()
         super().stage(batches)
 
 
-class OlderFollowed(WatchedCopy):
-    """At each new relay it begins anew, so it takes whatever that has."""
+class RollbackCopy(WatchedCopy):
+    """Starts with an empty table at each new relay, so an older version of the relay is accepted."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
@@ -61,15 +62,16 @@
     def shown(self) -> Table:
         return self.table if self.table.version else self.old
 
-    def at_new_relay(self) -> None:
+    def on_new_relay(self) -> None:
+        """Forget the present table, and show the old one until the new relay has sent a version."""
         if self.table.version:
             self.old = self.table
         self.rebuild, self.staging, self.snapshot_active, self.unchecked_pages = None, None, False, {}
         self.table = Table()
 
 
-class LostChange(WatchedCopy):
-    """The first batch after a snapshot loses a change, and no digest is looked at."""
+class LostChangeCopy(WatchedCopy):
+    """Drops the first change of the first batch after a snapshot, and checks no digest."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
@@ -90,77 +92,79 @@
         self.staging = Staging(self.table, (first, *others), checks=False)
 
 
-class EarlyWord(WatchedCopy):
-    """What was staged is acknowledged as if it were in force; that comes later."""
+class EarlyAcknowledgementCopy(WatchedCopy):
+    """Acknowledges a staged version at once, and puts the version in force only later."""
 
     def __init__(self, reactor: Any, table: Table, mark: bytes) -> None:
         super().__init__(table, mark)
         self.reactor = reactor
-        self.claims: tuple[int, bytes] | None = None
+        self.acknowledged: tuple[int, bytes] | None = None
 
     @property
     def version(self) -> int:
-        return self.claims[0] if self.claims else self.table.version
+        return self.acknowledged[0] if self.acknowledged else self.table.version
 
     @property
     def digest(self) -> bytes:
-        return self.claims[1] if self.claims else self.table.digest
+        return self.acknowledged[1] if self.acknowledged else self.table.digest
 
     def take(self) -> tuple[Batch, ...]:
         staging = self.staging
         if staging is None:
             return super().take()
-        self.claims = staging.version, staging.batches[-1].digest
-        self.reactor.callLater(LATER, self.deed)
+        self.acknowledged = staging.version, staging.batches[-1].digest
+        self.reactor.callLater(DELAY, self.put_in_force)
         return staging.batches
 
-    def deed(self) -> None:
-        if self.claims and self.staging is not None:
-            self.claims = None
+    def put_in_force(self) -> None:
+        """Put in force what has been acknowledged already."""
+        if self.acknowledged and self.staging is not None:
+            self.acknowledged = None
             super().take()
 
     def stage(self, batches: Sequence[Batch]) -> None:
-        self.deed()
+        self.put_in_force()
         super().stage(batches)
 
     def begin(self, head: SnapshotHead) -> None:
-        self.deed()
+        self.put_in_force()
         super().begin(head)
 
     def drop(self) -> None:
-        self.deed()
+        self.put_in_force()
         super().drop()
 
 
 COPIES = {
-    "two turns": InTwoTurns,
-    "older relay": OlderFollowed,
-    "lost change": LostChange,
-    "early word": EarlyWord,
+    "two turns": SplitBatchCopy,
+    "older relay": RollbackCopy,
+    "lost change": LostChangeCopy,
+    "early word": EarlyAcknowledgementCopy,
 }
 MISTAKES = [*COPIES, "torn file"]
 
 
-def copy_of(mistake: str, reactor: Any, table: Table, mark: bytes) -> WatchedCopy:
-    made = COPIES.get(mistake)
-    return WatchedCopy(table, mark) if made is None else made(reactor, table, mark)
+def make_copy(mistake: str, reactor: Any, table: Table, mark: bytes) -> WatchedCopy:
+    """Return a copy with the named bug, or the correct copy if the bug is not one of a copy."""
+    copy_class = COPIES.get(mistake)
+    return WatchedCopy(table, mark) if copy_class is None else copy_class(reactor, table, mark)
 
 
-def arrange(mistake: str, subscriber: Subscriber) -> None:
-    """What a mistake needs of the host."""
+def install_in_host(mistake: str, subscriber: Subscriber) -> None:
+    """Install the part of an injected bug that lies in the subscriber instead of in its copy."""
     copy = subscriber.copy
-    if isinstance(copy, OlderFollowed):
+    if isinstance(copy, RollbackCopy):
         opened = subscriber.on_opened
 
-        def at_new_relay(*way: Any) -> None:
-            copy.at_new_relay()
-            opened(*way)
+        def on_new_relay(*args: Any) -> None:
+            copy.on_new_relay()
+            opened(*args)
 
-        subscriber.on_opened = at_new_relay  # type: ignore[method-assign]
+        subscriber.on_opened = on_new_relay  # type: ignore[method-assign]
 
 
-def trusted(kept: PersistedTable, head: Any) -> Any:
-    """As if the head's digest were that of whatever pages are there."""
+def trust_stored_pages(kept: PersistedTable, head: Any) -> Any:
+    """Return the head with its digest replaced by the digest of the pages that are stored, torn or not."""
     total = 0
     for number in range(PAGE_COUNT):
         data = kept.store.engine.get(page_key(number, slot_of(head.slots, number)))
@@ -169,8 +173,8 @@
 
 
 def load(kept: PersistedTable, mistake: str) -> Any:
-    """What is kept, by the real way or by one that trusts whatever is there."""
+    """Load the stored table; with the bug "torn file", accept stored pages that do not match their head."""
     if mistake == "torn file":
         real = keeping.decode_head
-        keeping.decode_head = lambda data: trusted(kept, real(data))
+        keeping.decode_head = lambda data: trust_stored_pages(kept, real(data))
     return kept.load()
