--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -1,14 +1,17 @@
-"""What each subscriber is sent next, decided without I/O; the same at the voters and at every relay.
+"""Decides what each subscriber is sent next; no I/O. Voters and relays use the same code.
 
 Inputs only update the state; the host then pulls decisions. A subscriber has at most one open request, and a
-subscriber that lags costs no more state than that. A `follow` waits for news, at most for its hold. All
-requests that waited at one version get the same answer object, so that the host encodes it once. A subscriber
-that is too far behind fetches a snapshot, a bounded number of them at a time, from views that are kept while
-they are in use.
+subscriber that lags needs no further state. A `follow` request without news is held open, at most for the
+hold that the request names. All requests held at one version get the same answer object, so that the host
+encodes the answer once. A subscriber that is too far behind for the window of batches fetches a snapshot. The
+number of subscribers that fetch at the same time is bounded. Snapshots are read from views (a view is the
+table as it was at one version), which are kept while they are in use.
 
 Answers refer to the version of the last `on_applied`; the table itself may be one turn of the host ahead.
-The age in an answer is the age at the time it was made. News may have been made at any time after the
-request; "nothing newer" is answered only when the hold is over. `follow.py` relies on both.
+
+`follow.py` relies on two rules for the age in an answer: it is the age at the time when the answer was made;
+and an answer with news may be made at any time after the request, but "nothing newer" is answered only when
+the hold is over.
 """
 
 from __future__ import annotations
@@ -51,24 +54,24 @@
 )
 from lichencleat.config_distribution.window import VersionHistory, Window
 
-BEHIND_HOLD_US = 250_000  # µs that a subscriber with more than this relay waits for it to catch up
-MAX_FETCHERS = 8  # snapshots fetched at once: some 20 MB each, so each gets 2 MB/s of the budget below
-# bytes a µs (16 MB/s) of all snapshots: an eighth of a 1 Gb/s link; news is not limited
+BEHIND_HOLD_US = 250_000  # µs that a request with a version above this relay's is held
+MAX_FETCHERS = 8  # maximum of snapshots fetched at once: some 20 MB each, at 2 MB/s each
+# bytes per µs (16 MB/s) for all snapshots together: an eighth of a 1 Gb/s link; batches are not limited
 FETCH_BYTES_PER_US = 16
-FETCH_BURST_BYTES = 2 * MAX_ANSWER_BYTES  # bytes that may be sent ahead of that rate
-MAX_PAGES_PER_ANSWER = 16  # pages in an answer; compressing them takes some 0.3 ms of the relay's time each
+FETCH_BURST_BYTES = 2 * MAX_ANSWER_BYTES  # bytes of snapshots sent in a burst before that rate applies
+MAX_PAGES_PER_ANSWER = 16  # maximum of pages in an answer; compressing a page takes the relay some 0.3 ms
 FETCH_IDLE_US = 3_000_000  # µs without a request from a fetching subscriber, after which it loses its slot
 VIEW_IDLE_US = 10_000_000  # µs that a view is kept after the last request for it
-VIEW_SHARED_US = 30_000_000  # µs that new fetchers share a view: the window has the batches since then
-# µs without a request from a subscriber that followed, after which its link counts as dead
+VIEW_SHARED_US = 30_000_000  # µs that a view is shared with new fetchers: the window has the later batches
+# µs without a request, after which the link of a subscriber that has sent a `follow` counts as dead
 SUBSCRIBER_IDLE_US = 60_000_000
-# bytes of all batches up to which an empty subscriber gets them instead of a snapshot
+# A subscriber with an empty table gets all batches of the window, not a snapshot, up to this size in bytes.
 MAX_INITIAL_BATCH_BYTES = MAX_ANSWER_BYTES
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The content of the answer to request `number` of the subscriber."""
+    """Sends `content` as the answer to request `number` of a subscriber."""
 
     subscriber_id: int
     number: int
@@ -77,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decline:
-    """The rejection of a request, with its reason."""
+    """Rejects request `number` of a subscriber, with a reason."""
 
     subscriber_id: int
     number: int
@@ -86,10 +89,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Drop:
-    """Nothing was received from a subscriber for `SUBSCRIBER_IDLE_US`: its link is to be closed.
-
-    No request is open.
-    """
+    """Closes the link of a subscriber that had no open request and sent none for `SUBSCRIBER_IDLE_US`."""
 
     subscriber_id: int
     number: int = -1
@@ -110,7 +110,7 @@
 
 
 class Table(Protocol):
-    """The table as this module uses it."""
+    """The methods and attributes of the table that this module uses."""
 
     version: int
     digest: bytes
@@ -127,41 +127,41 @@
     number: int
     what: str
     content: Any
-    asked_at: int  # µs
-    hold_until: int  # µs: end of its hold
-    wake_at: int  # µs: the request is looked at then, even without news
+    asked_at: int  # µs: when the request arrived
+    hold_until: int  # µs: end of the time for which the answer may be held
+    wake_at: int  # µs: when the request is decided on again, even without news
     queued_wake_at: int = -1  # the `wake_at` that is in the heap
 
 
 @dataclass(slots=True)
 class SubscriberState:
-    """What is known of one subscriber."""
+    """The state of one subscriber."""
 
-    last_request_at: int  # µs: its last request
-    followed: bool = False
-    version: int = 0
-    counts: tuple[Count, ...] = ()
+    last_request_at: int  # µs: when the last request arrived
+    followed: bool = False  # the subscriber has sent a `follow` request
+    version: int = 0  # version in the last `follow` request
+    counts: tuple[Count, ...] = ()  # version counts in the last `follow` request
     open_request: OpenRequest | None = None
-    fetched_version: int | None = None  # version of the view that it fetches
+    fetched_version: int | None = None  # version of the snapshot that the subscriber fetches
 
 
 @dataclass(slots=True)
 class SharedView:
-    """A view that is kept for its fetchers."""
+    """A view, kept for the subscribers that fetch a snapshot from it."""
 
     view: View
-    opened_at: int  # µs
-    used_at: int  # µs: the last request for it
-    age: int  # age of its version when it was opened
+    opened_at: int  # µs: when the view was made
+    used_at: int  # µs: when the view was last requested
+    age: int  # age in µs of the version when the view was made
 
 
 class Publisher:
     """Owns the subscribers and their open requests, the window of batches and the views."""
 
     def __init__(self, name: str, zone: str, table: Table, now: int, recent: Sequence[Batch] = ()) -> None:
-        """`now`: µs on the monotonic clock, as in all calls. The table is replaced by its owner alone.
+        """`now`: µs on the monotonic clock, in all calls. Only the table's owner changes the table.
 
-        `recent`: persisted batches in order; they are used if they lead to the table's version.
+        `recent`: persisted batches in order, used only if the last batch leads to the table's version.
         """
         self.name, self.zone, self.table = name, zone, table
         self.counters: dict[str, int] = {}
@@ -170,15 +170,15 @@
             self.window.restart(recent[0].version, recent[0].digest)
             self.add_to_window(recent[1:])
         self.version_history = VersionHistory(now, table.version)
-        self.age_report: tuple[int, int] | None = None  # when the age was reported, and that age
+        self.age_report: tuple[int, int] | None = None  # moment when the age was reported, and the age, in µs
         self.subscribers: dict[int, SubscriberState] = {}
-        self.decisions: deque[Decision] = deque()  # decisions made, at most one per request
-        self.ready: deque[int] = deque()  # subscribers whose request is to be looked at
-        self.wake_heap: list[tuple[int, int, int]] = []  # heap: wake time, subscriber, number
+        self.decisions: deque[Decision] = deque()  # decisions not pulled yet, at most one per request
+        self.ready: deque[int] = deque()  # ids of subscribers whose open request has to be decided on
+        self.wake_heap: list[tuple[int, int, int]] = []  # heap of (wake time, subscriber id, request number)
         self.views: list[SharedView] = []  # oldest first
-        self.fetchers: dict[int, None] = {}
+        self.fetchers: dict[int, None] = {}  # ids of the subscribers that fetch a snapshot, as an ordered set
         self.credit, self.credit_at = FETCH_BURST_BYTES, now  # bytes of snapshots that may be sent
-        # outcome, version -> when the answer was made, answer
+        # (outcome, version of the request) -> (moment when the answer was made, answer)
         self.shared_answers: dict[tuple[int, int], tuple[int, FollowAnswer]] = {}
         self.next_cleanup_at = now + FETCH_IDLE_US
 
@@ -205,17 +205,18 @@
         try:
             for each in batches:
                 self.window.add(each)
-        except ValueError:  # the batches don't follow: subscribers that lag fetch the pages that differ
+        except ValueError:  # a gap between batches: subscribers that lag have to fetch a snapshot
             self.count("windows begun anew")
             self.window.restart(self.table.version, self.table.digest)
 
     def set_age(self, now: int, age: int) -> None:
         """Sets the age: µs since the source was known to have nothing newer than the table."""
-        if self.table.version == self.window.version:  # else the age is that of a version not served yet
+        # if the versions differ, the age belongs to a version that is not served yet
+        if self.table.version == self.window.version:
             self.age_report = (now, min(MAX_AGE_US, max(0, age)))
 
     def age(self, now: int) -> int:
-        """The current age; `MAX_AGE_US`, not 0, if the source was never heard from."""
+        """The table's age in µs; `MAX_AGE_US` if the age was never reported."""
         return (
             MAX_AGE_US if self.age_report is None else age_after(self.age_report[1], now - self.age_report[0])
         )
@@ -234,7 +235,7 @@
         self.fetchers.pop(subscriber_id, None)
 
     def on_request(self, now: int, subscriber_id: int, number: int, what: str, content: Any) -> None:
-        """A request with decoded content. An invalid one is declined."""
+        """Handles a request with decoded content. An invalid request is declined."""
         if what == IN_FORCE:
             self.decisions.append(Answer(subscriber_id, number, self.in_force(now)))
             return
@@ -265,7 +266,7 @@
         self.ready.append(subscriber_id)
 
     def decline(self, subscriber_id: int, number: int, why: str) -> None:
-        """Declines a request that was never open."""
+        """Declines a request that was not recorded as an open request."""
         self.count(f"declined: {why}")
         self.decisions.append(Decline(subscriber_id, number, why))
 
@@ -294,7 +295,7 @@
                     self.wake_heap,
                     (subscriber.open_request.wake_at, subscriber_id, subscriber.open_request.number),
                 )
-            # drops entries of requests answered since
+            # drops the entries of requests that have been answered
             if len(self.wake_heap) > 2 * len(self.subscribers) + 64:
                 self.wake_heap = [each for each in self.wake_heap if self.is_current(each)]
                 heapq.heapify(self.wake_heap)
@@ -310,7 +311,7 @@
         )
 
     def deadline(self) -> int | None:
-        """µs: when decisions have to be pulled again even without input; None: never."""
+        """µs on the monotonic clock: when decisions have to be pulled even without input; None: never."""
         while self.wake_heap and not self.is_current(self.wake_heap[0]):
             heapq.heappop(self.wake_heap)
         moments = [self.wake_heap[0][0]] if self.wake_heap else []
@@ -321,7 +322,7 @@
     def decide(
         self, now: int, subscriber_id: int, subscriber: SubscriberState, request: OpenRequest
     ) -> Decision | None:
-        """The decision on an open request; None: it waits until `request.wake_at`."""
+        """The decision on an open request; None: the request waits until `request.wake_at`."""
         if isinstance(request.content, FollowRequest):
             answer = self.answer_follow(now, request.content, request)
             return None if answer is None else Answer(subscriber_id, request.number, answer)
@@ -332,10 +333,11 @@
     # -- news --------------------------------------------------------------------------------------------
 
     def answer_follow(self, now: int, has: FollowRequest, request: OpenRequest) -> FollowAnswer | None:
-        """The answer to a `follow`; None: it waits until `request.wake_at`."""
+        """The answer to a `follow` request; None: the request waits until `request.wake_at`."""
         outcome, since = self.choose_outcome(has), request.asked_at
         if outcome == FollowOutcome.SAME:
-            request.wake_at = since = request.hold_until  # the subscriber counts the age from that moment
+            # the subscriber counts the age from the end of the hold
+            request.wake_at = since = request.hold_until
         elif outcome == FollowOutcome.BEHIND:
             request.wake_at = since = min(request.hold_until, request.asked_at + BEHIND_HOLD_US)
         if now < since:
@@ -353,7 +355,7 @@
         return answer
 
     def choose_outcome(self, has: FollowRequest) -> FollowOutcome:
-        """The outcome for a subscriber at that version; SAME also means "nothing yet"."""
+        """The outcome for the version and digest of a `follow`; also SAME while the answer is held."""
         here = self.window.version
         if has.version > here:
             return FollowOutcome.BEHIND
@@ -392,7 +394,10 @@
         return Decline(subscriber_id, request.number, why)
 
     def open_view(self, now: int) -> SharedView:
-        """The newest view that the window still continues, else a new one in place of the least used."""
+        """A view for a new snapshot fetch: the newest view if it is recent, otherwise a new view.
+
+        At the maximum number of views, the new view replaces the view with the fewest fetchers.
+        """
         if self.views and now - self.views[-1].opened_at < VIEW_SHARED_US:
             self.views[-1].used_at = now
             return self.views[-1]
@@ -413,7 +418,7 @@
         request: OpenRequest,
         wanted: PagesRequest,
     ) -> Decision | None:
-        """The answer to a request for pages; None: it waits for the rate limit."""
+        """The answer to a request for pages; None: the request waits, because of the rate limit."""
         if not wanted.numbers or not all(0 <= each < PAGE_COUNT for each in wanted.numbers):
             return self.decline_open(subscriber_id, request, "unfit")
         kept = next((each for each in self.views if each.view.version == wanted.version), None)
@@ -474,7 +479,7 @@
     # -- status ------------------------------------------------------------------------------------------
 
     def subscriber_counts(self, now: int) -> Iterator[Count]:
-        """Counts of all subscribers that were heard from recently."""
+        """Version counts of all subscribers with an open request, or with one within `COUNT_EXPIRY_US`."""
         needed = self.version_history.version_at(now - LATE_AFTER_US)
         for subscriber in self.subscribers.values():
             if subscriber.counts and (
@@ -485,11 +490,11 @@
                 )
 
     def counts(self, now: int) -> tuple[Count, ...]:
-        """Counts of all nodes below, by zone."""
+        """Version counts of all nodes below this process in the relay tree, by zone."""
         return merge_counts(self.subscriber_counts(now))
 
     def in_force(self, now: int) -> dict[str, Any]:
-        """The content for `status`; ages in µs, -1 if the source was never heard from."""
+        """The content for `status`; ages in µs, -1 if the age is not known."""
         age = self.age(now)
         return {
             "name": self.name,
@@ -516,7 +521,10 @@
         }
 
     def answer_find(self, subscriber_id: int, number: int, wanted: RecordRequest) -> Decision:
-        """The answer with a record as it is now, or as it was at a version that the window covers."""
+        """The answer with a record as it is now, or as it was at a version that the window covers.
+
+        The request is declined if the window doesn't have the record's value at that version.
+        """
         value = self.table.find(wanted.kind, wanted.name)
         if not wanted.version or wanted.version >= self.table.version:
             return Answer(subscriber_id, number, value)
@@ -529,9 +537,9 @@
             if (change.kind, change.name) == (wanted.kind, wanted.name)
         ]
         before = [each for each in named if each[0] <= wanted.version]
-        if len(before) == len(named):  # unchanged since
+        if len(before) == len(named):  # the record has not changed since that version
             return Answer(subscriber_id, number, value)
         if before:
             return Answer(subscriber_id, number, before[-1][1])
-        # changed since; its previous value is not in the window
+        # the record has changed since that version, and its earlier value is not in the window
         return Decline(subscriber_id, number, "not kept")
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -1,19 +1,25 @@
-"""Which relay is followed and what it is asked; no I/O. What may be applied: `taking.py`.
-
-Inputs only update the state; the host then pulls decisions. One request is open at a time, and the next one
-is sent only when the update from the last one is applied, so a request acknowledges nothing else.
-
-Age: "nothing newer" is answered when the hold is over, so the answer was made no earlier than that; news may
-have been made at any time after the request. The age counts from that moment, not from when the answer was
-read: a process that was stopped with an answer in its receive buffer doesn't take the answer for a recent
-one. An age that is not known yet is `MAX_AGE_US`.
-
-Diverging histories: a relay that answers OTHER, or whose batch has another digest, is left; either side may
-be the one that is wrong. Only if relays of several tiers disagree with this process (with one tier: two
-relays), its own copy is in doubt, which is logged in capital letters. It then fetches a snapshot of a higher
-version than the one in force, so that nobody ever sees two contents under one version, and keeps its copy
-until there is one. Pages that a change touched differ in that snapshot, so a page corrupted in memory is
-fetched as a whole.
+"""Decides which relay a process follows and which requests it sends to that relay; no I/O.
+
+The rules for what may be applied are in `taking.py`. A process follows one relay: it sends `follow` requests
+to that relay and applies the updates in the answers.
+
+Inputs only update the state; the host then pulls decisions. One request is open at a time. The next `follow`
+request is sent only after the update from the previous answer is applied or discarded, so the version in a
+`follow` request is always the version in force.
+
+Age: the time since the source was known to have nothing newer than the version in force. A relay answers
+"nothing newer" only when the hold of the request is over, so that answer is made no earlier than the end of
+the hold; an answer with news may be made at any time after the request. The age counts from the earliest
+moment at which the answer can have been made, not from the moment when the answer was read. Otherwise a
+process that was stopped with an old answer in its receive buffer would take that answer for a recent one. An
+age that is not known yet is `MAX_AGE_US`.
+
+Diverging histories: if a relay answers OTHER, or sends a batch whose digest differs from the digest computed
+here, either the relay or this process has wrong data. The process leaves that relay. If relays of several
+tiers (two relays, if there is only one tier) disagree with this process, its own copy is in doubt, which is
+logged in capital letters. The process then fetches a snapshot of a version higher than the version in force,
+so that no version ever has two contents, and keeps its copy until that snapshot is complete. A page corrupted
+in memory is fetched as a whole with that snapshot if a change has touched the page since.
 """
 
 from __future__ import annotations
@@ -46,25 +52,26 @@
 
 __all__ = ["Action", "Decision", "RelayFollower", "Timing"]
 
-MAX_DROPPED_SNAPSHOTS = 8  # snapshots in a row that the relay dropped during the fetch, before it is left
-MAX_BUSY_ANSWERS = 4  # times in a row that a snapshot is declined, before another relay of the tier is asked
+MAX_DROPPED_SNAPSHOTS = 8  # a relay that drops more snapshots in a row during a fetch is left
+# snapshot requests declined in a row, after which another relay of the same tier is asked
+MAX_BUSY_ANSWERS = 4
 IDLE_WAKE_US = 60_000_000  # µs between wake-ups when nothing is pending
-MAX_LOG_CHARS = 200  # characters of a log line
+MAX_LOG_CHARS = 200  # maximum length of a log line, in characters
 
 
 @dataclass(slots=True)
 class SentRequest:
-    """The open request."""
+    """The open request to the followed relay."""
 
-    what: str
-    sent_at: int  # µs: when it was sent
-    deadline: int  # µs: its relay counts as silent after that
-    hold: int = 0
-    extended: bool = False  # its deadline was extended, as this process was stopped
+    what: str  # operation: FOLLOW, DIGESTS or PAGES_OF
+    sent_at: int  # µs: when the request was sent
+    deadline: int  # µs: without an answer by then the relay is left
+    hold: int = 0  # µs that the relay may hold the answer while there is no news
+    extended: bool = False  # the deadline was extended once, because this process had been stopped
 
 
 class RelayFollower:
-    """Decides which relay a node or relay follows, what it asks and which updates it applies."""
+    """Decides which relay this process (a node or a relay) follows, what to request and what to apply."""
 
     def __init__(
         self,
@@ -76,29 +83,29 @@
         zone: str,
         times: Timing | None = None,
     ) -> None:
-        """`tiers`: addresses, nearest first; `now`: µs on the monotonic clock, as in all calls."""
+        """`tiers`: relay addresses by tier, nearest first; `now`: µs on the monotonic clock, in all calls."""
         self.copy, self.is_node, self.zone = copy, is_node, zone
         self.times = times or Timing()
         self.selector = RelaySelector(tiers, rng, self.times)
         self.prober = RelayProber(self.selector, self.times)
         self.pending = PendingUpdate(copy)
-        self.relay: str | None = None  # the relay that is followed: its link is open
-        self.mark = b""  # the group's mark, as that relay reported it
+        self.relay: str | None = None  # the followed relay, whose link is open
+        self.mark = b""  # the group's identifier as the followed relay reported it; b"": not known yet
         self.counts_below: tuple[Count, ...] = ()  # counts of all nodes below this process
-        self.decisions: deque[Decision] = deque()  # a few per input
-        # the relay whose link is being opened, and the deadline for it
+        self.decisions: deque[Decision] = deque()  # decisions that the host has not pulled yet
+        # the relay whose link is being opened, and the deadline for opening the link, in µs
         self.opening: tuple[str, int] | None = None
-        self.open_at: int | None = None  # µs: `next_relay` is opened then
+        self.open_at: int | None = None  # µs: when to open the link to `next_relay`
         self.next_relay: str | None = None
         self.request: SentRequest | None = None
-        self.pause_until: int | None = None  # µs: the relay is asked again then
-        self.stepping = False  # the host has to call `on_stepped`
-        self.dropped_snapshots = self.busy_answers = 0  # counted in a row
-        self.behind_since: int | None = None
-        self.known_at: int | None = None  # µs: the source had nothing newer than the version in force then
-        self.diverging_relays: set[str] = set()  # relays with another history
-        self.corrupt_relays: set[str] = set()  # relays whose batch led to another digest here
-        # the own copy is in doubt: a snapshot is needed even if the digests match
+        self.pause_until: int | None = None  # µs: when to send the next request to the relay
+        self.stepping = False  # the host is processing a slice and has to call `on_stepped`
+        self.dropped_snapshots = self.busy_answers = 0  # numbers in a row
+        self.behind_since: int | None = None  # µs: since when the relay has a lower version than the copy
+        self.known_at: int | None = None  # µs: last moment when the source is known to have had nothing newer
+        self.diverging_relays: set[str] = set()  # relays with another digest at the version in force
+        self.corrupt_relays: set[str] = set()  # relays whose batch led to a wrong digest here
+        # the own copy is in doubt: a snapshot of a higher version has to replace it
         self.needs_snapshot = False
         self.last_seen_at = now
         self.counters: dict[str, int] = {}
@@ -122,7 +129,7 @@
         return MAX_AGE_US if self.known_at is None else age_after(0, now - self.known_at)
 
     def advance_known_at(self, moment: int | None) -> None:
-        """Moves the start of the age forward."""
+        """Sets `known_at`, from which the age counts, to a later moment; ignores None and earlier moments."""
         if moment is not None and (self.known_at is None or moment > self.known_at):
             self.known_at = moment
 
@@ -132,7 +139,7 @@
         return self.decisions.popleft() if self.decisions else None
 
     def deadline(self) -> int:
-        """µs: `on_timer` has to be called at that time at the latest."""
+        """µs on the monotonic clock: the latest time at which `on_timer` has to be called."""
         moments = [self.open_at, self.pause_until]
         if self.opening is not None:
             moments.append(self.opening[1])
@@ -176,7 +183,7 @@
         self.open_at = now + span
 
     def open_next_relay(self, now: int) -> None:
-        """Opens the scheduled relay."""
+        """Opens the link to the scheduled relay."""
         self.open_at = None
         if self.next_relay is None:
             self.schedule_next_relay(now)
@@ -185,7 +192,7 @@
         self.decide(Action.OPEN, self.next_relay)
 
     def on_link_opened(self, now: int, relay: str, mark: bytes) -> None:
-        """The link to a relay is open. `mark`: of its group; b"" if the relay doesn't know it yet."""
+        """The link to a relay is open. `mark`: identifier of the relay's group; b"": not known yet."""
         probe = self.prober.probe
         if probe is not None and relay == probe.relay and probe.asked_at < 0:
             if self.is_foreign(now, relay, mark):
@@ -200,7 +207,7 @@
             self.decide(Action.CLOSE, relay)
 
     def is_foreign(self, now: int, relay: str, mark: bytes) -> bool:
-        """Whether the relay belongs to another group; it is then excluded, which is logged."""
+        """Whether the relay belongs to another group. If so, the relay is excluded, which is logged."""
         if not mark or not self.copy.mark or mark == self.copy.mark:
             return False
         self.count("of another group")
@@ -209,7 +216,7 @@
         return True
 
     def start_following(self, now: int, relay: str, mark: bytes) -> None:
-        """Follows the relay, whose link is open."""
+        """Starts to follow a relay whose link is open."""
         self.relay, self.mark = relay, mark
         self.request = self.pause_until = self.behind_since = None
         self.busy_answers = self.dropped_snapshots = 0
@@ -219,7 +226,7 @@
             self.ask(now)
 
     def on_link_lost(self, now: int, relay: str, why: str) -> None:
-        """The relay's link has ended, or could not be opened."""
+        """The link to a relay has ended, or could not be opened."""
         probe = self.prober.probe
         if probe is not None and relay == probe.relay:
             self.fail_probe(now, probe, closed=True)
@@ -229,12 +236,12 @@
     def exclude_and_leave(
         self, now: int, relay: str, why: str, span: DelayRange, closed: bool = False
     ) -> None:
-        """Excludes the relay for a while and moves on to another one."""
+        """Excludes the relay for a random time within `span`, leaves it and schedules another relay."""
         self.selector.exclude(now, relay, span)
         self.leave(now, relay, why, closed)
 
     def leave(self, now: int, relay: str, why: str, closed: bool = False) -> None:
-        """Closes the relay's link and schedules another relay."""
+        """Closes the link to the relay, unless it is `closed` already, and schedules another relay."""
         self.count("left")
         self.log(f"leaving relay {relay}: {why}")
         if not closed:
@@ -249,7 +256,7 @@
     # -- requests ----------------------------------------------------------------------------------------
 
     def ask(self, now: int) -> None:
-        """Asks the relay for what is newer than the version in force."""
+        """Sends a `follow` request: asks the relay for batches after the version in force."""
         relay, self.pause_until = self.relay, None
         if relay is None or self.request is not None:
             return
@@ -268,16 +275,16 @@
         )
 
     def send_request(self, now: int, what: str, content: Any, hold: int = 0) -> None:
-        """Sends a request, with the deadline for its answer."""
+        """Sends a request to the followed relay and sets the deadline for the answer."""
         assert self.relay is not None
         timeout = self.times.answer_timeout + (hold if what == FOLLOW else MAX_HOLD_US)
         self.request = SentRequest(what, now, now + timeout, hold)
         self.decide(Action.ASK, self.relay, what, content)
 
     def on_answer(self, now: int, relay: str, what: str, content: Any, why: str = "") -> None:
-        """An answer from a relay. `content` None: declined, `why` if known.
+        """Handles an answer from a relay. `content` None: the relay declined the request; `why`: the reason.
 
-        Without a request it is ignored.
+        An answer without an open request is ignored.
         """
         probe = self.prober.probe
         if probe is not None and relay == probe.relay:
@@ -300,7 +307,7 @@
             self.on_invalid_answer(now, relay, "its answer does not match the request")
 
     def on_declined(self, now: int, relay: str, what: str, why: str) -> None:
-        """Leaves a relay that declines, or waits for a slot where only the snapshot is declined."""
+        """Leaves a relay that declined a request, or waits and retries if it has no free snapshot slot."""
         self.count("declined")
         if what == FOLLOW or why in ("nothing here", "unfit"):
             self.exclude_and_leave(now, relay, why or "it declined the request", self.times.failed_exclusion)
@@ -345,7 +352,7 @@
             self.on_invalid_answer(now, relay, "its answer has an unknown outcome")
 
     def on_same(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
-        """The relay has nothing newer."""
+        """The relay answered that it has nothing newer."""
         if answer.version != self.copy.version or (answer.version and answer.digest != self.copy.digest):
             self.on_invalid_answer(now, relay, "it reported no news for another version or digest")
             return
@@ -360,11 +367,11 @@
         if held and request.hold:
             self.ask(now)
         else:
-            # limits the rate of requests to a relay that doesn't hold them
+            # the pause limits the rate of requests to a relay that doesn't hold its answers
             self.pause_until = now + self.times.retry_delay
 
     def on_news(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
-        """Stages the batches of the answer."""
+        """Stages the batches of an answer with news."""
         self.behind_since = None
         self.prober.on_age(now, answer.age)
         known = request.sent_at - max(0, answer.age) if answer.age < MAX_AGE_US else None
@@ -375,7 +382,7 @@
             self.step()
 
     def on_behind(self, now: int, relay: str, answer: FollowAnswer) -> None:
-        """The relay has less than this process. It may be catching up, so it gets some time."""
+        """The relay has a lower version than this process. It is left if that lasts for `max_behind`."""
         if answer.version >= self.copy.version:
             self.on_invalid_answer(now, relay, "it reported a lower version, but its version is not lower")
             return
@@ -402,7 +409,7 @@
         self.check_own_copy()
 
     def record_other_history(self, now: int, relay: str) -> None:
-        """Records that the relay's history differs, and excludes it."""
+        """Records that the relay has another digest at the version in force, and excludes the relay."""
         self.count("another history")
         self.log(f"relay {relay} has another history at version {self.copy.version}")
         self.diverging_relays.add(relay)
@@ -424,7 +431,7 @@
     # -- snapshots ---------------------------------------------------------------------------------------
 
     def begin_snapshot(self, now: int, relay: str, request: SentRequest, head: SnapshotHead) -> None:
-        """Starts the snapshot whose head was received."""
+        """Starts to fetch the snapshot whose head was received."""
         if head.version <= self.copy.version and self.needs_snapshot:
             self.pause_until = now + self.selector.draw(self.times.busy_retry_delay)
             return
@@ -438,16 +445,16 @@
         self.request_pages(now)
 
     def request_pages(self, now: int) -> None:
-        """Requests the next pages of the snapshot."""
+        """Requests the next missing pages of the snapshot, unless a request is open."""
         if self.relay is not None and self.request is None:
             wanted = self.pending.pages()
             if wanted is not None:
                 self.send_request(now, PAGES_OF, wanted)
 
     def on_pages(self, now: int, relay: str, pages: PagesAnswer) -> None:
-        """Handles pages of the snapshot."""
+        """Handles the answer to a request for pages of the snapshot."""
         if not pages.pages and self.pending.head is not None:
-            # the relay dropped that snapshot: a newer one is requested, fetched pages stay
+            # the relay dropped that snapshot: a newer snapshot continues the fetch, and fetched pages stay
             self.dropped_snapshots += 1
             if self.dropped_snapshots > MAX_DROPPED_SNAPSHOTS:
                 self.exclude_and_leave(
@@ -467,13 +474,13 @@
     # -- staging -----------------------------------------------------------------------------------------
 
     def step(self) -> None:
-        """Has the host process the next slice."""
+        """Has the host process the next slice of the staged update."""
         if not self.stepping:
             self.stepping = True
             self.decide(Action.STEP)
 
     def on_stepped(self, now: int, ready: bool | None) -> None:
-        """The result of copy.step(); None: what was staged is corrupt."""
+        """Handles the result of `copy.step()`. `ready`: the update can be applied; None: it is corrupt."""
         self.stepping = False
         pending = self.pending
         if not pending.what:
@@ -500,7 +507,7 @@
         self.discard_update(now, relay)
 
     def discard_update(self, now: int, relay: str) -> None:
-        """Discards what is staged and leaves the relay that sent it."""
+        """Discards the staged update and excludes the relay that sent it; leaves that relay if followed."""
         self.pending.drop()
         self.selector.exclude(now, relay, self.times.wrong_exclusion)
         if relay == self.relay:
@@ -509,7 +516,7 @@
             self.ask(now)
 
     def apply_update(self, now: int) -> None:
-        """Applies what is staged."""
+        """Applies the staged update and sends the next request."""
         pending = self.pending
         snapshot, known = pending.what == "snapshot", pending.known_at
         try:
@@ -531,18 +538,18 @@
     # -- probes of other relays --------------------------------------------------------------------------
 
     def end_probe(self, probe: Probe, closed: bool = False) -> None:
-        """Ends the probe."""
+        """Ends the probe and closes its link, unless the link is `closed` already."""
         if not closed:
             self.decide(Action.CLOSE, probe.relay)
         self.prober.probe = None
 
     def fail_probe(self, now: int, probe: Probe, closed: bool = False) -> None:
-        """Ends the probe and excludes its relay for a while."""
+        """Ends the probe and excludes the probed relay for a random time."""
         self.selector.exclude(now, probe.relay, self.times.failed_exclusion)
         self.end_probe(probe, closed)
 
     def on_probe_answer(self, now: int, probe: Probe, answer: Any) -> None:
-        """Handles the answer to the probe: moves to its relay if that is justified."""
+        """Handles the answer to a probe: starts to follow the probed relay if that is justified."""
         if not isinstance(answer, FollowAnswer):
             self.fail_probe(now, probe)
             return
--- a/lichencleat/config_distribution/rebuild.py
+++ b/lichencleat/config_distribution/rebuild.py
@@ -1,7 +1,7 @@
-"""A snapshot being fetched into a table: the pages that differ, in any order, from any relay; no I/O.
+"""A snapshot that is being fetched to replace a table: the differing pages, in any order; no I/O.
 
-A page is identified by its digest, so a fetched page stays valid when another relay's snapshot continues the
-fetch. Pages that differ are held beside the table until `take`: up to the table's own size again.
+A page is identified by its digest, so a fetched page stays valid when a snapshot from another relay continues
+the fetch. Fetched pages are held beside the table until `take`; they need up to as much memory as the table.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 
 def decode_page_digests(head: SnapshotHead) -> list[int]:
-    """The digest of each page. Raises CorruptTableError if they don't match the head's digest."""
+    """The page digests in a snapshot's head. Raises CorruptTableError if its table digest differs."""
     if len(head.pages) != PAGE_COUNT * DIGEST_BYTES:
         raise CorruptTableError(
             f"a snapshot has {PAGE_COUNT} page digests of {DIGEST_BYTES} bytes, not {len(head.pages)} bytes"
@@ -42,21 +42,23 @@
 
 
 def find_differing_pages(digests: Sequence[int], others: Sequence[int]) -> list[int]:
-    """Numbers of the pages whose digests differ; some 150 µs."""
+    """Numbers of the pages whose digests differ between two lists of page digests. Takes some 150 µs."""
     return list(compress(range(PAGE_COUNT), map(ne, digests, others)))
 
 
 class SnapshotStaging:
-    """`put` the pages that `missing` names, `step` until it returns True, then `take`.
+    """A snapshot staged beside the table.
 
-    Dropping it changes nothing.
+    Usage: `put` the pages that `missing` names, call `step` until it returns True, then `take`. The table
+    does not change before `take`.
     """
 
     def __init__(self, table: Table, head: SnapshotHead, past: SnapshotStaging | None = None) -> None:
-        """`past`: a snapshot of the same version of the table to continue. Some 500 µs: 4,096 digests.
+        """`past`: an unfinished snapshot, staged over the same version of the table, whose pages are reused.
 
-        Raises CorruptTableError, or ChainError if the snapshot is older than the version in force, or differs
-        from it.
+        Takes some 500 µs for 4,096 page digests. Raises CorruptTableError if the head is inconsistent,
+        ChainError if the snapshot is older than the table's version, or has the same version and another
+        digest.
         """
         if head.version < table.version:
             raise ChainError(
@@ -91,7 +93,10 @@
         return 0 <= number < PAGE_COUNT and self.wanted[number] == 1
 
     def put(self, number: int, packed: bytes) -> bool:
-        """Adds a page by zlib, some 150 µs; False if it is corrupt. A page not wanted is ignored."""
+        """Adds a page compressed by zlib, in some 150 µs. Returns False if the page is corrupt.
+
+        A page that is not to be fetched is ignored.
+        """
         if not self.is_wanted(number):
             return True
         try:
@@ -104,7 +109,7 @@
         return True
 
     def replace_page(self, number: int, page: bytes) -> None:
-        """Puts the page in its place and updates the totals."""
+        """Stages a fetched page and updates the numbers of records and bytes."""
         old = self.pages[number]
         self.records += pages.record_count(page) - pages.record_count(old)
         self.bytes += len(page) - len(old)
@@ -112,14 +117,17 @@
         self.fetched[number], self.wanted[number] = 1, 0
 
     def reset_changed_pages(self, past: list[int]) -> None:
-        """Resets pages whose digest differs in the snapshot before this one."""
+        """Discards pages fetched for the previous snapshot whose digest differs in this snapshot.
+
+        `past`: page digests of the previous snapshot.
+        """
         for number in find_differing_pages(self.digests, past):
             if self.fetched[number]:
                 self.restore_page(number)
             self.wanted[number] = self.digests[number] != self.table.page_digests[number]
 
     def restore_page(self, number: int) -> None:
-        """Restores the table's own page."""
+        """Replaces a fetched page by the table's page."""
         page, own = self.pages[number], self.table.pages[number]
         self.records += pages.record_count(own) - pages.record_count(page)
         self.bytes += len(own) - len(page)
@@ -127,7 +135,7 @@
         self.fetched[number] = 0
 
     def step(self) -> bool:
-        """True once all pages are there. Raises CorruptTableError if they exceed the table's bounds."""
+        """True once all pages are fetched. Raises CorruptTableError if the pages exceed a table's bounds."""
         if 1 in self.wanted:
             return False
         if self.records > MAX_RECORDS or self.bytes > MAX_TABLE_BYTES:
@@ -139,7 +147,8 @@
     def take(self) -> None:
         """Applies the snapshot in one step. Raises ChainError if pages are missing or the table has changed.
 
-        Afterwards `pages` are the replaced ones: freeing 4,096 at once would take a millisecond.
+        Afterwards `pages` holds the replaced pages for the caller to free in slices: freeing 4,096 pages at
+        once would take a millisecond.
         """
         table = self.table
         if 1 in self.wanted:
@@ -151,8 +160,9 @@
         table.records, table.bytes, table.version = self.records, self.bytes, self.version
 
     def continue_with(self, head: SnapshotHead) -> SnapshotStaging:
-        """Continues with another snapshot: fetched pages stay if their digest matches.
+        """A staging of another snapshot that keeps the fetched pages whose digest matches.
 
-        Raises as the constructor does, and then this one is unchanged, as it is if the table has changed.
+        If the table has changed since this staging began, no page is kept. Raises CorruptTableError or
+        ChainError as the constructor does. This staging is not changed in any case.
         """
         return SnapshotStaging(self.table, head, self if self.base == self.table.version else None)
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -1,12 +1,15 @@
-"""The source of configuration: a part of a group's state that turns each accepted entry into a batch; no I/O.
-
-A batch's version is the index of its entry. A rejected command changes nothing, and every member rejects the
-same ones, as that depends on the table and the command alone. The last batches are kept with the values that
-they replaced, so that a record is known at every version since then; a member's dump includes them.
-
-A dump at 560,000 records must not delay a leader's heartbeats, so it only copies bytes. Pages are compressed
-a few at each entry, lowest number first; a page not compressed yet at a dump is included as it is. Which
-pages those are depends on the entries alone, and the dump records it.
+"""The source of configuration: a part of a group's replicated state that turns each accepted log entry into a
+batch; no I/O.
+
+A batch's version is the index of its log entry. A rejected command changes nothing. Every member rejects the
+same commands, because the rejection depends only on the table and the command. The source keeps the last
+batches with the values that they replaced, so that a record's value is known at every version since the
+oldest kept batch. A dump (the source's part of a snapshot of the group's state) includes the kept batches.
+
+A dump of 560,000 records must not delay a leader's heartbeats, so `dump` only copies bytes. Changed pages are
+compressed beforehand: a few at each entry, lowest number first. A dump contains a page that is not compressed
+yet in uncompressed form, and lists the numbers of these pages. The list depends only on the entries, so all
+members make the same dump.
 """
 
 from __future__ import annotations
@@ -35,69 +38,69 @@
 )
 from lichencleat.decode_errors import UNDECODABLE
 
-PAGES_COMPRESSED_PER_ENTRY = 16  # pages compressed per entry, some 300 µs each: keeps up with small batches
-# bytes of a kept batch with the values it replaced
+PAGES_COMPRESSED_PER_ENTRY = 16  # some 300 µs each; enough to keep up with small batches
+# maximum size in bytes of a kept batch, encoded with the values that it replaced
 MAX_KEPT_BATCH_BYTES = MAX_BATCH_BYTES + MAX_BATCH_CHANGES * (MAX_VALUE_BYTES + 16)
-MAX_DIFF_CHANGES = 4_096  # changes in one answer: some ms
-MAX_DIFF_BYTES = 512 << 10  # bytes of their names and values: half of a frame
-MAX_UNCOMPRESSED_BYTES = 1_024  # bytes of a kept batch up to which it is not compressed
-RECORD_OVERHEAD_BYTES = 16  # bytes of a record in an answer beside its strings
+MAX_DIFF_CHANGES = 4_096  # maximum of changes in a `DiffResult`, which takes some ms
+MAX_DIFF_BYTES = 512 << 10  # bytes of the names and values in a `DiffResult`: half of a frame
+MAX_UNCOMPRESSED_BYTES = 1_024  # kept batches up to this size in bytes are not compressed
+RECORD_OVERHEAD_BYTES = 16  # bytes of a record in a `DiffResult` besides name and values
 
 
 class PublishCommand(msgspec.Struct, frozen=True, array_like=True, tag_field="do", tag="publish"):
-    """The only command of this part."""
+    """Sets and removes records. This is the only command of the source."""
 
     changes: tuple[Change, ...]
-    only_if: int | None = None  # the version that must be in force; 0: the table must be empty
+    only_if: int | None = None  # the version that must be in force; 0: no version yet; None: any version
 
 
 class PublishResult(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to `PublishCommand`: whether it was done, and the version in force now."""
+    """The answer to `PublishCommand`: whether the changes were applied, and the version in force."""
 
     done: bool
     version: int
-    changed: int = 0  # records; changes to a value that the record has already don't count
+    changed: int = 0  # number of records whose value differs from the value before
     why: str = ""
 
 
 class FindQuery(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="find"):
-    """Asks for a record."""
+    """Asks for the value of a record at a version."""
 
     kind: str
     name: str
-    version: int = 0  # the version; 0: the one in force
+    version: int = 0  # 0: the version in force
 
 
 class FindResult(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to `Find`."""
+    """The answer to `FindQuery`."""
 
-    version: int  # in force
+    version: int  # the version in force
     since: int  # lowest version at which records are known
-    known: bool
-    value: bytes | None = None  # None = None | None: there is no such record
+    known: bool  # whether records are known at the version asked for
+    value: bytes | None = None  # None: there was no such record
 
 
 class DiffQuery(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="diff"):
-    """Asks for the changes after version `a` up to version `b`: as many as fit in one answer."""
+    """Asks for the changes after `from_version` up to `to_version`, as many as fit in one answer."""
 
     from_version: int
     to_version: int
-    skip_changes: int = 0  # changes of the first batch after `a` that were sent already
+    skip_changes: int = 0  # changes of the first batch after `from_version` to leave out: already sent
 
 
 RecordDifference = tuple[str, str, bytes | None, bytes | None]
-"""Kind, name, value before and after."""
+"""A changed record: kind, name, value before and value after the change; None: no such record."""
 
 
 class DiffResult(msgspec.Struct, frozen=True, array_like=True):
-    """The answer to `Diff`."""
+    """The answer to `DiffQuery`."""
 
-    version: int
-    since: int
-    known: bool
+    version: int  # the version in force
+    since: int  # lowest version at which records are known
+    known: bool  # whether both versions asked for are known
     changes: tuple[RecordDifference, ...] = ()  # in order; a record may occur several times
-    next_version: int = 0  # where the next request continues; `b`: the answer is complete
-    skip_changes: int = 0
+    next_version: int = 0  # `from_version` of the next query; equal to `to_version`: no more changes
+    skip_changes: int = 0  # `skip_changes` of the next query
 
 
 class StatusQuery(msgspec.Struct, frozen=True, array_like=True, tag_field="ask", tag="stands"):
@@ -107,8 +110,8 @@
 class StatusResult(msgspec.Struct, frozen=True, array_like=True):
     """The answer to `StatusQuery`."""
 
-    version: int
-    since: int
+    version: int  # the version in force
+    since: int  # lowest version at which records are known
     digest: bytes
     records: int
     bytes: int
@@ -125,19 +128,19 @@
 
     batch: Batch
     replaced: Replaced
-    dumped: bytes  # both, as stored in a dump
-    size: int  # bytes of both, encoded
+    dumped: bytes  # batch and replaced values, as stored in a dump
+    size: int  # size in bytes of batch and replaced values, encoded and not compressed
 
 
 class SourceDump(msgspec.Struct, array_like=True):
-    """The dump of the source."""
+    """The state of the source, as part of a snapshot of the group's state."""
 
     version: int
     digest: bytes
     pages: list[bytes]  # each by zlib, or uncompressed
     plain: list[int]  # numbers of the uncompressed pages
     since: tuple[int, bytes]  # version and digest before the first kept batch
-    window: list[tuple[bool, bytes]]  # whether it is compressed, and the batch with the replaced values
+    window: list[tuple[bool, bytes]]  # kept batches: whether compressed, and the encoded bytes
 
 
 decode_source_dump = msgspec.msgpack.Decoder(SourceDump).decode
@@ -151,19 +154,20 @@
     def __init__(
         self, window_batches: int = MAX_WINDOW_BATCHES, window_bytes: int = MAX_WINDOW_BYTES
     ) -> None:
-        """The bounds of the kept batches, replaced values included."""
+        """Bounds of the kept batches: their number, and their bytes including replaced values."""
         self.window_batches, self.window_bytes = window_batches, window_bytes
         self.table = Table()
         self.window: deque[KeptBatch] = deque()
-        self.window_bytes_used = 0  # bytes of the window
+        self.window_bytes_used = 0  # bytes of all batches in the window, with replaced values
+        # version and digest before the oldest kept batch
         self.since: tuple[int, bytes] = (0, self.table.digest)
-        self.compressed_pages: list[bytes] = [b""] * len(self.table.pages)  # pages as a dump stores them
-        self.uncompressed_pages: set[int] = set()  # pages not compressed since their last change
+        self.compressed_pages: list[bytes] = [b""] * len(self.table.pages)  # pages by zlib
+        self.uncompressed_pages: set[int] = set()  # numbers of pages changed since last compressed
 
     # -- commands ----------------------------------------------------------------------------------------
 
     def apply(self, index: int, command: msgspec.Raw) -> PublishResult:
-        """Applies a `PublishCommand` command as the entry `index`."""
+        """Applies a `PublishCommand` as the log entry `index`."""
         try:
             wanted = decode_publish(command)
         except UNDECODABLE:
@@ -192,7 +196,10 @@
         return PublishResult(False, self.table.version, 0, why)
 
     def keep_batch(self, before: tuple[int, bytes], batch: Batch, replaced: Replaced) -> None:
-        """Keeps a batch. `before`: version and digest that it follows."""
+        """Keeps a batch, and drops the oldest kept batches above the bounds.
+
+        `before`: version and digest before the batch.
+        """
         if not self.window:
             self.since = before
         self.add_to_window(encode((batch, replaced)), batch, replaced)
@@ -208,7 +215,7 @@
         self.window_bytes_used += len(data)
 
     def compress_pages(self) -> None:
-        """Compresses some of the changed pages."""
+        """Compresses a few of the changed pages, lowest numbers first."""
         for number in heapq.nsmallest(PAGES_COMPRESSED_PER_ENTRY, self.uncompressed_pages):
             self.uncompressed_pages.remove(number)
             self.compressed_pages[number] = zlib.compress(self.table.pages[number], ZLIB_LEVEL)
@@ -216,7 +223,7 @@
     # -- queries -----------------------------------------------------------------------------------------
 
     def read(self, query: Any) -> Any:
-        """Answers a query; None: it is invalid."""
+        """The answer to a query; None if the query is invalid."""
         try:
             wanted = msgspec.convert(query, Query)
         except msgspec.ValidationError:
@@ -229,11 +236,11 @@
         return StatusResult(table.version, self.since[0], table.digest, table.records, table.bytes)
 
     def is_known(self, version: int) -> bool:
-        """Whether records are known at that version."""
+        """Whether the values of records are known at a version."""
         return self.since[0] <= version <= self.table.version
 
     def find_record(self, wanted: FindQuery) -> FindResult:
-        """The record as it was at the version."""
+        """The value of a record at the version asked for."""
         version = self.table.version
         at = wanted.version or version
         if not self.is_known(at):
@@ -246,11 +253,11 @@
         return FindResult(version, self.since[0], True, self.table.find(*key))
 
     def after(self, version: int) -> Iterator[KeptBatch]:
-        """The kept batches above the version, oldest first."""
+        """The kept batches with a higher version than `version`, oldest first."""
         return (each for each in self.window if each.batch.version > version)
 
     def list_changes(self, wanted: DiffQuery) -> DiffResult:
-        """The changes between two versions; some ms at most, as a leader's heartbeats wait meanwhile."""
+        """The changes between two versions. Takes some ms at most: a leader's heartbeats wait meanwhile."""
         version, since = self.table.version, self.since[0]
         if not (self.is_known(wanted.from_version) and self.is_known(wanted.to_version)):
             return DiffResult(version, since, False)
@@ -274,7 +281,7 @@
     # -- dumps -------------------------------------------------------------------------------------------
 
     def dump(self) -> SourceDump:
-        """The state for a group's snapshot."""
+        """The state of the source, for a snapshot of the group's state."""
         pages, plain = list(self.compressed_pages), sorted(self.uncompressed_pages)
         for number in plain:
             pages[number] = self.table.pages[number]
@@ -304,7 +311,10 @@
 
 
 def net_changes(changes: Iterable[RecordDifference]) -> list[RecordDifference]:
-    """The total effect of the changes, sorted by kind and name."""
+    """The net effect of successive changes: one change per record, sorted by kind and name.
+
+    Records that end with the value that they began with are left out.
+    """
     old: dict[tuple[str, str], bytes | None] = {}
     new: dict[tuple[str, str], bytes | None] = {}
     for kind, name, before, after in changes:
@@ -314,7 +324,7 @@
 
 
 def inflate(data: bytes, most: int = MAX_PAGE_BYTES) -> bytes:
-    """The data without compression. Raises msgspec.ValidationError."""
+    """Decompresses data, to at most `most` bytes. Raises msgspec.ValidationError if the data is invalid."""
     if not data:
         return b""
     made = zlib.decompressobj()
--- a/lichencleat/config_distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -1,11 +1,13 @@
-"""All records of a version in 4,096 packed pages, and the batches that lead to the next version; no I/O.
+"""A table: all records of one version in 4,096 packed pages. Batches lead to higher versions; no I/O.
 
-Guarantees: the same records make the same bytes and the same digest, whatever batches led to them; a batch is
-applied as a whole or not at all; none of it is visible before `take`; the version never decreases. The digest
-is the sum of the pages' digests modulo 2**128, so a change costs only the pages that it touches.
+Guarantees: the same records make the same pages, byte for byte, whatever batches led to them, and the same
+digest at the same version; a batch is applied as a whole or not at all; no change of a batch is visible
+before `take`; the version never decreases. The table's digest is made from the sum of the page digests modulo
+2**128, so a change costs only the pages that it touches.
 
-Memory: the bytes of kind, name and value, 10 more per record and some 50 more per page. Staged pages add to
-that until they are applied: the pages that the batches touch, or all that differ in a snapshot.
+Memory: the bytes of each record's kind, name and value, 10 more bytes per record and some 50 more per page.
+Until an update is applied, its staged pages need memory too: the pages that the batches touch, or all pages
+that differ in a snapshot.
 """
 
 from __future__ import annotations
@@ -31,8 +33,8 @@
     encode,
 )
 
-MAX_SLICE_BYTES = 96 << 10  # bytes of the pages rewritten in one slice, at least one page: some 200 µs
-PAGE_OVERHEAD_BYTES = 4 << 10  # bytes added to each page's size in a slice: the fixed cost of a small page
+MAX_SLICE_BYTES = 96 << 10  # bytes of pages rewritten in one slice (at least one page): some 200 µs
+PAGE_OVERHEAD_BYTES = 4 << 10  # the fixed cost of rewriting a page, as bytes added to the page's size
 MAX_SLICE_CHANGES = 128  # changes assigned to pages in one slice: some 200 µs
 
 __all__ = [
@@ -47,7 +49,7 @@
 
 
 def find_change_fault(change: Change) -> str:
-    """Why the change exceeds a bound; "" if it doesn't."""
+    """The reason why a change is invalid; "" if the change is valid."""
     if not 0 < len(change.kind) <= MAX_KIND_CHARS:
         return f"a kind has 1 to {MAX_KIND_CHARS} characters"
     try:
@@ -63,9 +65,9 @@
 
 
 def find_batch_fault(changes: Sequence[Change]) -> str:
-    """Why the changes can't be a batch; "" if they can.
+    """The reason why the changes are not a valid batch; "" if they are.
 
-    The table's totals are checked when they are applied.
+    The maximum size of a table is not checked here, but when the changes are applied.
     """
     if not 0 < len(changes) <= MAX_BATCH_CHANGES:
         return f"a batch has 1 to {MAX_BATCH_CHANGES} changes, not {len(changes)}"
@@ -82,23 +84,26 @@
 
 
 class View:
-    """The table as it was at one version, for snapshots; it keeps the pages alive that changed since."""
+    """The table as it was at one version, for snapshots. Keeps pages in memory that were replaced since."""
 
     def __init__(self, table: Table) -> None:
         self.version, self.digest = table.version, table.digest
         self.records, self.bytes = table.records, table.bytes
         self.pages, self.page_digests = list(table.pages), list(table.page_digests)
-        # shared by all views of the table: each page as the newest view compressed it
+        # shared by all views of the table: for each page the newest compressed form
         self.shared = table.deflated
-        self.requested_pages: dict[int, bytes] = {}  # number -> page by zlib, if it was requested
+        self.requested_pages: dict[int, bytes] = {}  # page number -> requested page, compressed by zlib
 
     def head(self, age: int) -> SnapshotHead:
-        """The snapshot's head; `age`: µs, sent with it."""
+        """The snapshot's head, with the given age in µs."""
         digests = b"".join(each.to_bytes(DIGEST_BYTES, "little") for each in self.page_digests)
         return SnapshotHead(self.version, self.digest, digests, age)
 
     def packed(self, number: int) -> bytes:
-        """The page by zlib, compressed once: some 300 µs the first time. Raises IndexError."""
+        """The page `number`, compressed by zlib. The first call takes some 300 µs; the result is kept.
+
+        Raises IndexError if there is no such page.
+        """
         data = self.requested_pages.get(number)
         if data is not None:
             return data
@@ -114,7 +119,7 @@
 
 
 class Table:
-    """The version in force. One owner changes it, by `Staging`, `SnapshotStaging` or `apply`."""
+    """The version in force. Only one owner changes a table, by `Staging`, `SnapshotStaging` or `apply`."""
 
     def __init__(self) -> None:
         self.version = 0
@@ -125,15 +130,17 @@
         self.bytes = 0
         # values that the changes of the last `apply` replaced, in order
         self.replaced_values: list[bytes | None] = []
-        self.deflated: dict[int, tuple[int, bytes, int]] = {}  # number -> digest, page by zlib, its version
+        self.deflated: dict[
+            int, tuple[int, bytes, int]
+        ] = {}  # page number -> (page digest, page by zlib, version of the view)
 
     @property
     def digest(self) -> bytes:
-        """The digest of the whole table at its version."""
+        """The digest of all records and the version."""
         return pages.table_digest(self.total, self.version)
 
     def find(self, kind: str, name: str) -> bytes | None:
-        """The record's value, or None; a few µs."""
+        """The value of a record, or None if there is no such record. Takes a few µs."""
         try:
             key = pages.encode_key(kind, name)
         except ValueError:  # no record has a name that is not UTF-8 or is too long
@@ -147,28 +154,29 @@
             yield from pages.iterate_records(self.pages[number])
 
     def stage(self, batches: Sequence[Batch]) -> Staging:
-        """Batches to be applied.
+        """A staging of batches to be applied to this table.
 
-        Raises ChainError if they don't follow the version in force or one another.
+        Raises ChainError if the first batch doesn't follow the version in force, or a batch the one before.
         """
         return Staging(self, batches)
 
     def rebuild(self, head: SnapshotHead) -> SnapshotStaging:
-        """Starts a snapshot.
+        """A staging of the snapshot with this head, to replace the table's records.
 
-        Raises CorruptTableError if the head is inconsistent, ChainError if it is older.
+        Raises CorruptTableError if the head is inconsistent, ChainError if the snapshot is older than the
+        table, or has the same version and another digest.
         """
         return SnapshotStaging(self, head)
 
     def view(self) -> View:
-        """A view of this version: some 20 µs; it keeps the version's pages alive."""
+        """A view of the version in force. Takes some 20 µs; the view keeps the version's pages in memory."""
         return View(self)
 
     def apply(self, version: int, changes: Sequence[Change]) -> Batch:
-        """Applies the changes at once and returns them as a batch, for the source of batches.
+        """Applies the changes as `version` in one call and returns them as a batch; for the source.
 
-        Raises InvalidBatchError or ChainError and changes nothing. Errors depend on the table and the changes
-        alone, so that every voter rejects the same batches.
+        Raises InvalidBatchError or ChainError, without any change to the table. Errors depend only on the
+        table, the version and the changes, so every voter rejects the same batches.
         """
         fault = find_batch_fault(changes)
         if fault:
@@ -184,7 +192,7 @@
 
     @staticmethod
     def assembled(version: int, page_bytes: list[bytes], digests: list[int], records: int) -> Table:
-        """A table of pages that were checked before, with their digests and total number of records."""
+        """A table of checked pages, with the pages' digests and the total number of records."""
         table = Table()
         table.version, table.pages, table.page_digests = version, list(page_bytes), list(digests)
         table.total = sum(digests) & pages.SUM_MASK
@@ -193,7 +201,7 @@
 
     @staticmethod
     def loaded(version: int, page_bytes: Sequence[bytes]) -> Table:
-        """A table of unchecked pages. Raises CorruptTableError if one of them is no valid page."""
+        """A table of unchecked pages. Raises CorruptTableError if a page is invalid or pages are missing."""
         if len(page_bytes) != PAGE_COUNT:
             raise CorruptTableError(f"a table has {PAGE_COUNT} pages, not {len(page_bytes)}")
         for number, page in enumerate(page_bytes):
@@ -205,13 +213,16 @@
 
 
 class Staging:
-    """Batches staged beside the table: `step` until it returns True, then `take`.
+    """Batches staged beside the table.
 
-    Dropping it changes nothing.
+    Usage: call `step` until it returns True, then `take`. The table does not change before `take`.
     """
 
     def __init__(self, table: Table, batches: Sequence[Batch], checks: bool = True) -> None:
-        """Without `checks` the digests are not compared: for the process that makes the batch."""
+        """`checks`: compare the digests of the batches; False in the process that makes the batch.
+
+        Raises ChainError if the first batch doesn't follow the version in force, or a batch the one before.
+        """
         self.table, self.batches, self.checks = table, tuple(batches), checks
         self.base = version = table.version
         for batch in self.batches:
@@ -222,17 +233,20 @@
         self.new_pages: dict[int, bytes] = {}  # page number -> rewritten page
         self.digests: dict[int, int] = {}
         self.total, self.records, self.bytes = table.total, table.records, table.bytes
-        self.replaced_values: list[bytes | None] = []  # values that the changes replace, in their order
-        self.batch_index = 0  # index of the batch under way
-        self.assigned = 0  # how many of its changes are assigned to their page
-        self.by_page: dict[int, list[pages.PageChange]] = {}
-        self.order: dict[int, list[int]] = {}  # page number -> indexes of its changes in `replaced_values`
-        self.first_change = 0  # index of the batch's first change in `replaced_values`
+        self.replaced_values: list[
+            bytes | None
+        ] = []  # values that the changes replace, in the order of changes
+        self.batch_index = 0  # index of the batch that is being staged
+        self.assigned = 0  # number of changes of that batch that are assigned to a page
+        self.by_page: dict[int, list[pages.PageChange]] = {}  # page number -> changes not yet staged
+        self.order: dict[int, list[int]] = {}  # page number -> indexes of the changes in `replaced_values`
+        self.first_change = 0  # index in `replaced_values` of the first change of the batch
 
     def step(self) -> bool:
-        """Processes one slice, some 200 µs; True once all is staged and each digest matches.
+        """Processes one slice, in some 200 µs. True once all batches are staged and each digest matches.
 
-        Raises CorruptTableError for a wrong digest or an exceeded bound; without `checks` InvalidBatchError.
+        Raises CorruptTableError for an invalid change, a wrong digest or an exceeded bound; without `checks`
+        InvalidBatchError for an exceeded bound.
         """
         if self.batch_index == len(self.batches):
             return True
@@ -248,7 +262,7 @@
         return self.batch_index == len(self.batches)
 
     def assign_to_pages(self, changes: Sequence[Change]) -> None:
-        """Assigns one slice of the changes to their pages."""
+        """Assigns the next changes, `MAX_SLICE_CHANGES` at most, to the pages that hold their records."""
         begin = self.assigned
         for at, change in enumerate(changes[begin : begin + MAX_SLICE_CHANGES], begin):
             fault = find_change_fault(change) if self.checks else ""
@@ -262,7 +276,7 @@
         self.replaced_values += [None] * (self.assigned - begin)
 
     def rewrite_page(self, number: int, puts: list[pages.PageChange]) -> int:
-        """Rewrites one page and returns its size in bytes."""
+        """Stages a page with the given changes and returns the size of the new page in bytes."""
         old = self.new_pages[number] if number in self.new_pages else self.table.pages[number]
         page, before = pages.rewrite_page(old, puts)
         for at, value in zip(self.order.pop(number), before, strict=True):
@@ -280,7 +294,7 @@
         return len(page)
 
     def finish_batch(self, batch: Batch) -> None:
-        """Checks the totals and the digest after a batch and moves on to the next one."""
+        """Checks the table's size and digest after a batch and moves on to the next batch."""
         if self.records > MAX_RECORDS:
             self.raise_bound_error(f"there would be {self.records} records, {MAX_RECORDS} at the most")
         if self.bytes > MAX_TABLE_BYTES:
@@ -291,11 +305,14 @@
         self.assigned, self.first_change = 0, len(self.replaced_values)
 
     def raise_bound_error(self, why: str) -> None:
-        """Raises the error for an exceeded bound."""
+        """Raises CorruptTableError, without `checks` InvalidBatchError, for an exceeded bound."""
         raise CorruptTableError(why) if self.checks else InvalidBatchError(why)
 
     def take(self) -> None:
-        """Applies what is staged in one step. Raises ChainError if the table has changed meanwhile."""
+        """Applies the staged batches in one step.
+
+        Raises ChainError if a batch is not staged completely, or the table has changed since staging began.
+        """
         if self.batch_index < len(self.batches):
             raise ChainError("not staged yet")
         if self.table.version != self.base:
