--- a/lichencleat/config_distribution/acts.py
+++ b/lichencleat/config_distribution/acts.py
@@ -1,4 +1,4 @@
-"""The decisions of a follower, which its host carries out; no I/O."""
+"""The decisions of a `RelayFollower`, which the follower's host carries out; no I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Action(Enum):
-    """What the host has to do."""
+    """What the host has to do, with fields of the `Decision`."""
 
     OPEN = 1  # open a link to `relay`
     CLOSE = 2  # close the link to `relay`, also while it is being opened
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """One action for the host; the fields that an action doesn't need stay empty."""
+    """One action for the host, with its parameters; parameters that the action doesn't need are empty."""
 
     act: Action
     relay: str = ""
--- a/lichencleat/config_distribution/choice.py
+++ b/lichencleat/config_distribution/choice.py
@@ -1,8 +1,8 @@
-"""Relay selection: which relay is tried next, and which relays are excluded for now; no I/O.
+"""Relay selection: decides which relay is tried next, and which relays are excluded temporarily; no I/O.
 
-Each process draws its own order within each tier once, so the load of a tier is even, and a process that
-leaves its first choice returns to it later. A relay that failed is tried again after a random delay; no relay
-is excluded for good.
+Each process shuffles the relays of each tier once at the start. So the load is even within a tier, and a
+process that had to leave the first relay of its order, its first choice, returns to that relay later. A relay
+that failed is tried again after a random delay; no relay is excluded permanently.
 """
 
 from __future__ import annotations
@@ -20,33 +20,38 @@
 class Timing:
     """Durations in µs.
 
-    Pairs are bounds of a random draw, so that many processes don't act at the same moment.
+    A `DelayRange` holds the bounds of a random delay; the delay is random so that many processes don't act at
+    the same moment.
     """
 
-    hold: int = MAX_HOLD_US  # how long a node's request may be held while there is no news
-    relay_hold: int = 400_000  # the same for a relay; shorter, because ages add up from tier to tier
-    answer_timeout: int = 1_000_000  # time for an answer on top of the hold, until a relay counts as silent
-    connect_timeout: int = 1_000_000  # time for a link to open
-    # a timer this late means that this process was stopped: answers get more time
+    hold: int = MAX_HOLD_US  # how long the answer to a node may be held while there is no newer version
+    relay_hold: int = 400_000  # the hold of a relay's request; shorter, because ages add up over the tiers
+    answer_timeout: int = 1_000_000  # time for an answer, after the hold; a relay without an answer is left
+    connect_timeout: int = 1_000_000  # maximum time for a link to open
+    # A timer that fires later than this shows that the process was stopped: the answer timeout starts again.
     max_timer_delay: int = 300_000
-    # age above which a fresher relay is sought: twice the holds and delays of two tiers
+    # if the followed relay reports a higher age, other relays are probed for a lower age; the limit is twice
+    # the holds and delays of two tiers
     stale_age: int = 2_000_000
-    min_age_gain: int = 1_000_000  # how much younger another relay's age must be to justify a move
-    # before another relay is opened: spreads the subscribers of a lost relay
+    min_age_gain: int = 1_000_000  # a move needs a relay whose age is lower by more than this
+    # delay before the link to another relay is opened: spreads the subscribers of a lost relay over time
     open_delay: DelayRange = (0, 500_000)
-    # until the first choice is probed again
+    # interval between probes of relays earlier in the order than the followed relay
     first_choice_probe_interval: DelayRange = (30_000_000, 90_000_000)
-    # until a relay without a free snapshot slot is asked again
+    # delay before the next request to a relay that had no free snapshot slot
     busy_retry_delay: DelayRange = (1_000_000, 4_000_000)
-    max_behind: int = 1_500_000  # how long a relay may lag behind its subscriber: several requests
-    retry_delay: int = 100_000  # before a relay that is behind is asked again
-    # how long a failed relay is excluded, as long as there are others
+    # a relay whose version is lower than its subscriber's for this long, several requests, is left
+    max_behind: int = 1_500_000
+    retry_delay: int = 100_000  # delay before the next request to a relay that had a lower version
+    # how long a failed relay is excluded while other relays are available
     failed_exclusion: DelayRange = (5_000_000, 15_000_000)
-    # the same for a relay of another group, or with corrupt data or another history
+    # how long a relay of another group, or with corrupt data or a diverging history, is excluded
     wrong_exclusion: DelayRange = (30_000_000, 90_000_000)
-    # backoff where all relays failed: doubled from the first to the second, times 0.5 to 1.5
+    # minimum and maximum of the backoff while all relays are excluded: the backoff doubles each time, and a
+    # delay is the backoff times a random factor of 0.5 to 1.5
     backoff: DelayRange = (500_000, 8_000_000)
-    # between probes for a fresher relay: doubled after each round of all relays
+    # minimum and maximum of the interval between probes for a relay with a lower age: the interval doubles
+    # after each round of all relays
     probe_interval: DelayRange = (500_000, 30_000_000)
 
 
@@ -54,7 +59,7 @@
     """Owns the order of the relays and the time until which each is excluded."""
 
     def __init__(self, tiers: Sequence[Sequence[str]], rng: random.Random, times: Timing) -> None:
-        """`tiers`: nearest first. A relay that is named in two tiers belongs to the nearer one."""
+        """`tiers`: relay addresses, nearest tier first. A relay in two tiers belongs to the nearer tier."""
         self.rng, self.times = rng, times
         self.tier: dict[str, int] = {}
         for number, tier in enumerate(tiers):
@@ -62,10 +67,10 @@
             rng.shuffle(drawn)
             for each in drawn[: MAX_RELAYS - len(self.tier)]:
                 self.tier[each] = number
-        self.order = list(self.tier)  # the order of this process
-        self.excluded_until: dict[str, int] = {}  # relay -> excluded until, µs
+        self.order = list(self.tier)  # all relays, in this process's order of preference
+        self.excluded_until: dict[str, int] = {}  # relay -> µs: end of the exclusion
         self.backoff = times.backoff[0]
-        self.probe_index = 0  # index of the next probe within the round
+        self.probe_index = 0  # index of the next relay in the round of probes
         self.probe_interval = times.probe_interval[0]
 
     def draw(self, span: DelayRange) -> int:
@@ -73,12 +78,12 @@
         return self.rng.randint(*span)
 
     def on_success(self, relay: str) -> None:
-        """Ends the relay's exclusion and resets the backoff, after a valid answer."""
+        """Ends the exclusion of a relay that sent a valid answer, and resets the backoff."""
         self.excluded_until.pop(relay, None)
         self.backoff = self.times.backoff[0]
 
     def exclude(self, now: int, relay: str, span: DelayRange) -> None:
-        """Excludes the relay for a random time."""
+        """Excludes a relay for a random time within `span`; a longer exclusion in force stays."""
         self.excluded_until[relay] = max(self.excluded_until.get(relay, 0), now + self.draw(span))
 
     def available(self, now: int, relays: Iterable[str]) -> list[str]:
@@ -86,9 +91,9 @@
         return [each for each in relays if self.excluded_until.get(each, 0) <= now]
 
     def choose_next(self, now: int, past: str | None = None) -> tuple[str | None, int]:
-        """The relay to open and the delay before that (µs).
+        """The relay to open next (None: no relay is known), and the delay before opening the link, in µs.
 
-        `past`: the relay to avoid while there is another one. None: no relay is known.
+        `past`: a relay that is chosen only if no other relay is available.
         """
         fit = self.available(now, self.order)
         others = [each for each in fit if each != past] or fit
@@ -101,23 +106,23 @@
         return min(self.order, key=lambda each: self.excluded_until.get(each, 0)), span
 
     def same_tier_alternative(self, now: int, relay: str) -> str | None:
-        """Another available relay of the same tier."""
+        """The first other relay of the same tier that is not excluded, or None."""
         tier = self.tier.get(relay)
         same = [each for each in self.order if self.tier[each] == tier and each != relay]
         return next(iter(self.available(now, same)), None)
 
     def earlier_choice(self, now: int, relay: str) -> str | None:
-        """The first available relay that precedes this one in the order."""
+        """The first relay before `relay` in the order that is not excluded, or None."""
         return next(iter(self.available(now, self.order[: self.order.index(relay)])), None)
 
     def is_first_choice(self, relay: str) -> bool:
-        """Whether this relay is the first choice."""
+        """Whether the relay is the first in the order."""
         return not self.order or self.order[0] == relay
 
     # -- probes for a fresher relay ----------------------------------------------------------------------
 
     def reset_probe_interval(self) -> None:
-        """Resets the probe interval, as the followed relay is fresh."""
+        """Resets the probe interval: the age of the followed relay is below the limit."""
         self.probe_index, self.probe_interval = 0, self.times.probe_interval[0]
 
     def draw_probe_delay(self) -> int:
@@ -125,7 +130,7 @@
         return self.rng.randint(self.probe_interval // 4, self.probe_interval)
 
     def next_to_probe(self, now: int, relay: str) -> str | None:
-        """The next relay to probe; the interval doubles after each round of all relays."""
+        """The next relay to probe, or None. The probe interval doubles after each round of all relays."""
         others = self.available(now, [each for each in self.order if each != relay])
         if self.probe_index >= len(others):
             self.probe_index, self.probe_interval = (
@@ -138,7 +143,7 @@
         return others[self.probe_index - 1]
 
     def are_independent(self, relays: Iterable[str]) -> bool:
-        """Whether the relays are independent: from two tiers or, where there is only one tier, two relays."""
+        """Whether the relays are of at least two tiers or, if there is only one tier, at least two relays."""
         named = [each for each in relays if each in self.tier]
         places = {self.tier[each] for each in named}
         one_tier = len(set(self.tier.values())) == 1
--- a/lichencleat/config_distribution/counts.py
+++ b/lichencleat/config_distribution/counts.py
@@ -1,10 +1,11 @@
 """Version counts: how many nodes of each zone have which version, added up along the relay tree; no I/O.
 
-Counts hold sums and extremes, and no names except that of the relay that serves the lowest version. A node
-counts itself once and its relay adds it to the others of its zone; each report of a relay replaces its last
-one as a whole. A subscriber counts while its link is open and its last request is no older than
-`COUNT_EXPIRY_US`. So a subscriber that moved without closing its link is in two sums for at most that long,
-and each tier above learns of the move within one request (`MAX_HOLD_US`).
+A count holds sums and extremes over the nodes of a zone, and the name of the relay that serves the lowest
+version, but no names of nodes. A node reports itself as one node, and its relay adds the node to the count of
+the node's zone. Each report of a relay replaces the previous report of that relay as a whole. The counts of a
+subscriber are included while its link is open and its last request is no older than `COUNT_EXPIRY_US`. So a
+subscriber that moved to another relay without closing its link is included twice for at most
+`COUNT_EXPIRY_US`; each higher tier learns of the move within one request (`MAX_HOLD_US`).
 """
 
 from __future__ import annotations
@@ -13,15 +14,16 @@
 
 from lichencleat.config_distribution.terms import MAX_ZONES, Count
 
-MAX_NODES = 1 << 20  # per count; far above any fleet, so that sums fit the integers of the wire format
-MAX_NAME_CHARS = 64  # characters of a zone's or relay's name
-# µs after the last request; longer than any hold, answer timeout or wait for a snapshot slot
+MAX_NODES = 1 << 20  # maximum in a received count: far above any fleet; sums fit the wire format's integers
+MAX_NAME_CHARS = 64  # maximum length of the name of a zone or relay, in characters
+# µs after a subscriber's last request until its counts are left out; longer than any hold, answer timeout or
+# wait for a snapshot slot
 COUNT_EXPIRY_US = 5_000_000
-MAX_AGE_US = 1 << 53  # µs; upper bound of an age, and the age of a source never heard from; exact in JSON
+MAX_AGE_US = 1 << 53  # µs: upper bound of an age; also stands for an unknown age; exact in JSON
 
 
 def age_after(age: int, passed: int) -> int:
-    """The age `passed` µs later."""
+    """An age in µs after `passed` more µs, at most `MAX_AGE_US`."""
     return min(MAX_AGE_US, age + max(0, passed))
 
 
@@ -36,7 +38,7 @@
         self.lowest_relay = ""
 
     def add(self, count: Count) -> None:
-        """Adds the count of one subscriber."""
+        """Adds one count of a subscriber."""
         self.nodes += count.nodes
         self.late_nodes += count.late_nodes
         self.max_age = max(self.max_age, count.max_age)
@@ -48,9 +50,9 @@
 
 
 def merge_counts(counts: Iterable[Count], most: int = MAX_ZONES) -> tuple[Count, ...]:
-    """One count per zone, sorted by name.
+    """Merges counts into one count per zone, sorted by the zone's name.
 
-    Zones above the bound are merged into one count with the name "".
+    If there are more than `most` zones, further zones are merged into one count with the zone "".
     """
     sums: dict[str, ZoneSum] = {}
     for each in counts:
@@ -71,11 +73,11 @@
 def adjust_counts(
     counts: Iterable[Count], relay: str, version: int, needed: int, passed: int
 ) -> Iterable[Count]:
-    """A subscriber's counts, adjusted for the sum of its relay.
+    """A subscriber's counts, adjusted for the sum at `relay`, the relay that it follows.
 
-    `version`: applied by the subscriber; `needed`: the version that this relay has had for LATE_AFTER_US;
-    `passed`: µs since the counts were sent. All nodes below a relay that is itself late are late. Numbers out
-    of range are clamped.
+    `version`: version applied by the subscriber; `needed`: version that `relay` has had for LATE_AFTER_US;
+    `passed`: µs since the counts were received. If the subscriber lacks the needed version, all nodes in its
+    counts are late. Numbers out of range are clamped.
     """
     for each in counts:
         nodes = min(MAX_NODES, max(0, each.nodes))
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -1,18 +1,20 @@
-"""Persists the last version on a disk, in the project's store, so that a start fetches only what is newer.
+"""Persists the version in force on a disk, in the project's store, so that a restarted process fetches only
+what is newer.
 
-The disk holds the pages, by zlib, and a head with version, digest and the group's mark, and also the newest
-batches, which a relay sends to subscribers that lag a little. A change writes the pages that it touches and
-the head in one commit, so there is always one complete version. A snapshot that doesn't fit one commit is
-written beside the old version: each page has two slots, and the head says which one is valid.
+The disk holds the pages, compressed by zlib, and a head with the version, the table digest and the identifier
+of the group (its mark). The disk also holds the newest batches, which a relay sends to subscribers that lag a
+little. One commit writes the pages that a change touches and the head, so the disk always has one complete
+version. A snapshot that doesn't fit one commit is written beside the old version: each page has two slots,
+and the head says which slot is valid.
 
-After a power cut the version of the last confirmed commit is there, complete. The disk lags the table by the
-write under way; while the disk is slow, all later changes are written at once in their latest state, so no
-queue builds up. Nothing depends on the disk: a node without it, or with an older version, fetches what it
-lacks.
+After a power cut the disk has the complete version of the last confirmed commit. The disk lags the table by
+the write in progress. Changes that are made during a write are written together afterwards, in their latest
+state, so that a slow disk builds up no queue. The disk is not needed for operation: a node without a disk, or
+with an older version on the disk, fetches the missing data from a relay.
 
-Torn or corrupt data, or data of another group, is detected at the start (each page's digest, their sum, the
-chain of batches) and not used: the table is then empty, `problem` has the reason, and the next version
-overwrites it.
+Torn or corrupt data is detected when the stored version is loaded (by the digest of each page, the sum of the
+page digests and the chain of batches). A corrupt version is not used: the table is then empty, `problem`
+holds the reason, and the next version overwrites the stored one. A directory of another group is not opened.
 
 Reading, compression and writing run in the store's threads, in calls that hold the interpreter's lock for at
 most a millisecond; loaded pages are checked in slices.
@@ -41,19 +43,20 @@
 from lichencleat.store.errors import CannotOpenError, CorruptDataError, StoreError
 from lichencleat.store.store import Store, open_store
 
-FORMAT = 1
-# batches kept beside the pages for subscribers that lag a little: half an hour of changes
+FORMAT = 1  # version of the format of the stored data
+# maximum of batches stored for subscribers that lag a little: half an hour of changes
 MAX_RECENT_BATCHES = 1_024
-MAX_RECENT_BYTES = 1 << 20  # bytes of these, and of those to be written
-# bytes of pages compressed in one call of a thread, and of a snapshot in one commit
+MAX_RECENT_BYTES = 1 << 20  # maximum size of the stored batches, and of the batches to be written
+# maximum bytes of pages compressed in one call in a thread; a snapshot is committed in chunks of this size
 MAX_CHUNK_BYTES = 128 << 10
-MAX_CHUNK_PAGES = 8  # pages of these; compressing one holds the interpreter's lock for some 80 µs
-# bytes of pages that one commit writes in place; more are written beside the old ones
+MAX_CHUNK_PAGES = 8  # maximum of pages in a chunk; compressing a page holds the interpreter lock for 80 µs
+# up to this many bytes of pages are written in one commit, in place; more are written beside the old pages
 MAX_IN_PLACE_BYTES = 256 << 10
-PAGES_PER_READ = 8  # pages read in one call of a thread: some 300 µs
+PAGES_PER_READ = 8  # pages read in one call in a thread: some 300 µs
 PAGES_PER_CHECK = 2  # pages checked in one slice: some 300 µs
-RETRY_DELAY_S = 10.0  # s until a write is retried after a failure
-STORE_LIMITS = StoreLimits(  # a full table of incompressible values, twice, with reserve for compaction
+RETRY_DELAY_S = 10.0  # s between a failed write and the retry
+# room for two full tables of incompressible values (each page has two slots), and a reserve for compaction
+STORE_LIMITS = StoreLimits(
     segment_bytes=4 << 20,
     max_disk_bytes=512 << 20,
     max_entries=16_384,
@@ -68,11 +71,11 @@
     """The stored description of the version on the disk."""
 
     format: int
-    group: str  # "": not known
-    mark: bytes
+    group: str  # name of the group; "": not known
+    mark: bytes  # identifier of the group; b"": not known
     version: int
     digest: bytes
-    slots: bytes  # one bit per page: its valid slot
+    slots: bytes  # one bit per page: the valid slot of the page
     first: int  # number of the oldest batch stored
     next: int  # number of the next batch to be stored
 
@@ -81,31 +84,34 @@
 
 
 def slot_of(slots: bytes | bytearray, number: int) -> int:
-    """The page's valid slot, 0 or 1."""
+    """The valid slot of a page, 0 or 1. `slots`: one bit per page."""
     return slots[number >> 3] >> (number & 7) & 1
 
 
 def page_key(number: int, slot: int) -> bytes:
-    """The store's key of a page's slot."""
+    """The key of a page slot in the store."""
     return PAGE_KEY_PREFIX + number.to_bytes(2, "big") + bytes((slot,))
 
 
 def batch_key(number: int) -> bytes:
-    """The store's key of a batch; keys repeat, so a new batch overwrites one that is no longer needed."""
+    """The key of a batch in the store. Keys repeat: a new batch overwrites one that is too old to keep."""
     return BATCH_KEY_PREFIX + (number % MAX_RECENT_BATCHES).to_bytes(2, "big")
 
 
 @dataclass(slots=True)
 class WritePlan:
-    """The work of one write."""
+    """The plan of one write to the disk."""
 
-    pieces: list[list[int]]  # page numbers that differ, grouped
-    slots: bytes  # valid slots after the write
-    beside: bool  # the pages are written into the slots that are not valid
+    pieces: list[list[int]]  # numbers of the pages to write, in chunks
+    slots: bytes  # one bit per page: the valid slot after the write
+    beside: bool  # the pages are written to the slots that are not valid, in several commits
 
 
 def plan_write(view: View, digests: Sequence[int], slots: bytes) -> WritePlan:
-    """Compares 4,096 pages with those on the disk; runs in a thread."""
+    """Plans the write of a view. `digests`, `slots`: page digests and valid slots on the disk.
+
+    Compares the digests of 4,096 pages; runs in a thread.
+    """
     numbers = find_differing_pages(view.page_digests, digests)
     if sum(len(view.pages[number]) for number in numbers) <= MAX_IN_PLACE_BYTES:
         return WritePlan(split_into_chunks(view, numbers, MAX_CHUNK_BYTES), slots, False)
@@ -125,7 +131,7 @@
 
 
 def unpack_page(number: int, data: bytes | None) -> tuple[bytes, int]:
-    """The page and its digest, from its stored form. Raises CorruptTableError."""
+    """A page and its digest, from the stored form (None: an empty page). Raises CorruptTableError."""
     if data is None:
         return b"", pages.EMPTY_PAGE_DIGESTS[number]
     page = pages.inflate_page(data[DIGEST_BYTES:])
@@ -139,7 +145,7 @@
 
 
 def split_into_chunks(view: View, numbers: Sequence[int], most: int) -> list[list[int]]:
-    """Groups of at most `most` bytes, or one page, and of at most `MAX_CHUNK_PAGES` pages."""
+    """Page numbers in chunks of at most `most` bytes (or one larger page) and `MAX_CHUNK_PAGES` pages."""
     made: list[list[int]] = []
     room = 0
     for number in numbers:
@@ -153,7 +159,10 @@
 
 
 def find_batch_chain(batches: Sequence[bytes], version: int, digest: bytes) -> list[Batch]:
-    """The batches at the end that lead to that version one after another."""
+    """The longest chain of encoded batches, in order, that ends with `version` and `digest`.
+
+    Empty if the last batch can't be decoded or doesn't lead to `version` and `digest`.
+    """
     found: list[Batch] = []
     for data in reversed(batches):
         try:
@@ -168,34 +177,39 @@
 
 
 class PersistedTable:
-    """Owns the store. `load` comes first; the host then reports changes by the `on_applied` methods."""
+    """Owns the store. The host calls `load` first, then reports each update of the table.
+
+    Updates are reported by `on_batches_applied` and `on_snapshot_applied`.
+    """
 
     def __init__(self, reactor: Any, store: Store, group: str, report: Callable[[str], None]) -> None:
         self.reactor, self.store, self.group, self.report = reactor, store, group, report
         self.problem = ""  # why the stored version was not used, or the disk's last error
         self.counts = {"writes": 0, "writes failed": 0, "pages written": 0, "bytes written": 0}
         self.table: Table | None = None  # the table to be persisted
-        self.group_mark = b""
-        self.version = 0  # on the disk
-        self.digests = list(pages.EMPTY_PAGE_DIGESTS)  # of the pages on the disk; -1: unknown
-        self.slots = bytes(PAGE_COUNT // 8)
+        self.group_mark = b""  # identifier of the group; b"": not known
+        self.version = 0  # version on the disk
+        self.digests = list(pages.EMPTY_PAGE_DIGESTS)  # digests of the pages on the disk; -1: unknown
+        self.slots = bytes(PAGE_COUNT // 8)  # one bit per page: the valid slot on the disk
         self.recent: deque[int] = deque()  # size in bytes of each batch on the disk
-        self.next = 0  # number of the next batch
+        self.next = 0  # number of the next batch to be stored
         self.pending: deque[bytes] = deque()  # encoded batches to be written
-        self.batches_invalid = False  # the batches on the disk don't lead to the table's version
-        self.has_changes = False  # there are changes since the last write began
+        # the stored batches don't lead to the table's version: a snapshot was applied or the data is corrupt
+        self.batches_invalid = False
+        self.has_changes = False  # there are changes that the last write did not include
         self.writing = False
-        self.failing = False
-        self.timer: Any = None
+        self.failing = False  # the last write failed
+        self.timer: Any = None  # for the retry of a failed write
         self.closing: Deferred[None] | None = None
-        self.write_waiters: list[Deferred[None]] = []  # fired at the end of the write under way
+        self.write_waiters: list[Deferred[None]] = []  # fired at the end of the current write
 
     # -- loading -----------------------------------------------------------------------------------------
 
     @inlineCallbacks
     def load(self) -> Any:
-        """The table, the group's mark and the batches that led to it; an empty table if `problem` has a
-        reason.
+        """Loads the stored table, the identifier of the group and the last batches that led to the table.
+
+        If the stored data is corrupt, returns an empty table and sets `problem`.
         """
         try:
             return (yield from self.read())
@@ -206,7 +220,7 @@
             return Table(), b"", []
 
     def read(self) -> Any:
-        """Reads and checks the stored version."""
+        """Reads and checks the stored version. Raises the errors that `load` handles."""
         head = decode_head((yield self.store.submit_read(self.store.engine.get, HEAD_KEY)))
         if len(head.slots) != PAGE_COUNT // 8 or not 0 <= head.next - head.first <= MAX_RECENT_BATCHES:
             raise CorruptTableError("its head is invalid")
@@ -232,7 +246,7 @@
         return table, head.mark, find_batch_chain(data, head.version, head.digest)
 
     def read_batches(self, numbers: Sequence[int]) -> list[bytes]:
-        """Runs in a thread; b"" for a batch that can't be read."""
+        """The stored batches with these numbers, b"" for a batch that can't be read. Runs in a thread."""
         found: list[bytes] = []
         for number in numbers:
             try:
@@ -242,12 +256,12 @@
         return found
 
     def read_pages(self, numbers: Sequence[int]) -> list[bytes | None]:
-        """Runs in a thread."""
+        """The stored pages with these numbers, None for an empty page. Runs in a thread."""
         get = self.store.engine.get
         return [get(page_key(number, slot_of(self.slots, number))) for number in numbers]
 
     def next_turn(self) -> Deferred[None]:
-        """Fires in a later turn of the reactor."""
+        """A Deferred that fires in a later turn of the reactor."""
         turn: Deferred[None] = Deferred()
         self.reactor.callLater(0, turn.callback, None)
         return turn
@@ -255,7 +269,7 @@
     # -- changes -----------------------------------------------------------------------------------------
 
     def on_batches_applied(self, table: Table, batches: Sequence[Batch]) -> None:
-        """The table applied these batches."""
+        """Handles batches that the table has applied."""
         self.table = table
         for each in batches:
             self.pending.append(encode(each))
@@ -263,19 +277,19 @@
         self.schedule_write()
 
     def on_snapshot_applied(self, table: Table) -> None:
-        """The table applied a snapshot."""
+        """Handles a snapshot that the table has applied."""
         self.table, self.batches_invalid = table, True
         self.pending.clear()
         self.schedule_write()
 
     def set_group_mark(self, mark: bytes) -> None:
-        """Sets the group's mark."""
+        """Sets the identifier of the group and writes it if it has changed."""
         if mark != self.group_mark:
             self.group_mark = mark
             self.schedule_write()
 
     def trim_pending(self) -> None:
-        """Drops the oldest batches above the bounds."""
+        """Drops the oldest batches to be written that exceed the bounds."""
         size = sum(map(len, self.pending))
         while self.pending and (len(self.pending) > MAX_RECENT_BATCHES or size > MAX_RECENT_BYTES):
             size -= len(self.pending.popleft())
@@ -283,13 +297,13 @@
     # -- writing -----------------------------------------------------------------------------------------
 
     def schedule_write(self) -> None:
-        """Starts a write, unless one is under way, due or impossible."""
+        """Starts a write, unless a write is in progress, a retry is scheduled or the store is closing."""
         self.has_changes = True
         if not self.writing and self.timer is None and self.closing is None:
             self.write()
 
     def write(self) -> Deferred[None]:
-        """Writes all changes; fires when it has ended, also after a failure."""
+        """Writes all changes. The Deferred fires at the end of the write, also after a failure."""
         self.has_changes, self.writing = False, True
         pending, anew = list(self.pending), self.batches_invalid
         self.pending.clear()
@@ -305,7 +319,7 @@
         return self.write_all(pending, anew).addCallbacks(self.on_written, failed)
 
     def on_written(self, _: Any) -> None:
-        """Ends a successful write and starts the next one if there are changes."""
+        """Ends a successful write and starts the next write if there are changes."""
         self.writing = False
         if self.table is not None:
             self.problem = ""
@@ -317,13 +331,13 @@
         self.fire_write_waiters()
 
     def fire_write_waiters(self) -> None:
-        """Fires what waits for the end of the write."""
+        """Fires the Deferreds that wait for the end of the write."""
         done, self.write_waiters = self.write_waiters, []
         for each in done:
             each.callback(None)
 
     def on_write_failed(self, why: Failure) -> None:
-        """Reports the failure once and schedules a retry."""
+        """Schedules a retry of a failed write. Reports only the first of several failures in a row."""
         self.writing, self.has_changes = False, True
         self.counts["writes failed"] += 1
         message = why.getErrorMessage() if why.check(StoreError) else f"{why.type.__name__}: {why.value}"
@@ -342,8 +356,11 @@
 
     @inlineCallbacks
     def write_all(self, pending: list[bytes], anew: bool) -> Any:
-        """Writes whatever differs from the disk, in its latest state."""
-        if self.table is None:  # only the mark is known: it is written with the first table
+        """Writes the pages that differ from the disk, the batches in `pending` and the head.
+
+        `anew`: delete all stored batches first.
+        """
+        if self.table is None:  # the group's identifier is written together with the first table
             return
         view, past = self.table.view(), self.slots
         planned = yield self.store.submit_read(plan_write, view, self.digests, past)
@@ -364,7 +381,7 @@
             yield from self.delete_replaced_pages(planned.pieces, past)
 
     def encode_head(self, view: View, slots: bytes, number: int, batches: int) -> bytes:
-        """The encoded head. `number`: of the next batch; `batches`: how many are stored before it."""
+        """The encoded head. `number`: number of the next batch; `batches`: how many batches are stored."""
         return encode(
             StoredHead(
                 FORMAT,
@@ -379,7 +396,7 @@
         )
 
     def delete_replaced_pages(self, numbers: Sequence[Sequence[int]], slots: bytes) -> Any:
-        """Deletes the replaced pages. After a failure a later snapshot overwrites them."""
+        """Deletes the replaced pages, in chunks. After a failure, a later snapshot overwrites the rest."""
         for piece in numbers:
             batch = stored.Batch()
             for number in piece:
@@ -390,7 +407,10 @@
                 return
 
     def add_batches(self, batch: stored.Batch, pending: list[bytes], anew: bool) -> deque[int]:
-        """Adds new batches to the write and deletes old ones; returns the stored batches' sizes."""
+        """Adds new batches to a commit and deletes old batches. Returns the sizes of the batches then stored.
+
+        `anew`: delete all stored batches.
+        """
         recent = self.recent.copy()
         size = sum(recent)
         for number, data in enumerate([*pending, b""], self.next):  # b"": enforces the bounds at the end
@@ -407,7 +427,7 @@
         return recent
 
     def commit(self, batch: stored.Batch) -> Deferred[None]:
-        """Counts the batch and commits it."""
+        """Commits a batch to the store and counts the write."""
         self.counts["writes"] += 1
         self.counts["bytes written"] += batch.bytes
         return self.store.commit(batch)
@@ -415,7 +435,7 @@
     # -- shutdown ----------------------------------------------------------------------------------------
 
     def close(self) -> Deferred[None]:
-        """Writes pending changes if the disk works. Fires when the store is closed."""
+        """Writes pending changes if the disk works. The Deferred fires when the store is closed."""
         if self.closing is None:
             self.closing = Deferred()
             if self.timer is not None:
@@ -428,7 +448,7 @@
 
     @inlineCallbacks
     def shut_down(self) -> Any:
-        """Waits for the write under way, writes pending changes and closes the store."""
+        """Waits for the current write, writes pending changes and closes the store."""
         if self.writing:
             under_way: Deferred[None] = Deferred()
             self.write_waiters.append(under_way)
@@ -440,7 +460,10 @@
 
 
 def check_owner(store: Store, group: str) -> bool:
-    """Whether there is stored data, in a thread. Raises CannotOpenError if it is not this program's."""
+    """Whether the store has a head. Runs in a thread.
+
+    Raises CannotOpenError if the store has data of another kind, format or group.
+    """
     data = store.engine.get(HEAD_KEY)
     if data is None:
         if store.stat()["entries"]:
@@ -465,7 +488,7 @@
 
 @inlineCallbacks
 def make_persisted_table(reactor: Any, store: Store, group: str, report: Callable[[str], None]) -> Any:
-    """The persistence of an opened store; writes the first head into an empty one."""
+    """A PersistedTable for an opened store. Writes a head if the store is empty."""
     kept = PersistedTable(reactor, store, group, report)
     try:
         if not (yield store.submit_read(check_owner, store, group)):
@@ -487,10 +510,12 @@
     group: str = "",
     report: Callable[[str], None] = lambda text: None,
 ) -> Deferred[PersistedTable]:
-    """Opens the directory, or creates it. Fails with a StoreError: in use, damaged, full, of another program.
+    """Opens or creates the directory.
 
-    `clock`: µs of Unix time; `report` gets a line when the disk's state changes; `group`: its name, to detect
-    the directory of another group.
+    Fails with a StoreError if the directory is in use, damaged or full, or has data of another program or
+    group.
+    `clock`: µs of Unix time; `report`: called with a line of text when the state of the disk changes;
+    `group`: the group's name, to detect the directory of another group.
     """
     opened = open_store(reactor, directory, clock, rng, STORE_LIMITS, disk=disk)
     return opened.addCallback(lambda store: make_persisted_table(reactor, store, group, report))
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -1,9 +1,9 @@
-"""The host of a `Publisher`: reads requests of subscribers from their links and writes the answers.
+"""The host of a `Publisher`: reads the requests of subscribers from links and writes the answers.
 
-For relays and voters alike. In each turn of the reactor all requests that were read are passed on, then
-decisions are pulled once; an answer to many subscribers is encoded once. A subscriber has at most one open
-request, so at most one answer waits to be written to it; a subscriber that doesn't read it is dropped after a
-while and counted.
+Relays and voters use the same code. In each turn of the reactor all received requests are passed to the
+publisher, then its decisions are pulled once; an answer to many subscribers is encoded once. A subscriber has
+at most one open request, so at most one answer waits to be written to a subscriber. A subscriber that doesn't
+read an answer for `UNREAD_TIMEOUT_US` is disconnected and counted.
 """
 
 from __future__ import annotations
@@ -30,9 +30,9 @@
 from lichencleat.log.interfaces import EventLogger
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
 
-# answers written in one turn of the reactor, so that new requests don't wait for all
+# maximum of answers written in one turn of the reactor, so that new requests don't wait for all answers
 MAX_ANSWERS_PER_TURN = 64
-# µs that an answer may remain unread; at 13 KB a second the largest one gets through
+# µs that an answer may remain unread: at 13 KB per second the largest answer gets through in time
 UNREAD_TIMEOUT_US = 10_000_000
 UNREAD_CHECK_INTERVAL_US = 1_000_000  # µs between checks of the links with an unread answer
 SECOND = 1_000_000  # µs
@@ -42,13 +42,13 @@
     PAGES_OF: decode_pages_request,
     FIND: decode_record_request,
 }
-# operations that make the link count as a subscriber
+# operations whose sender is registered as a subscriber
 SUBSCRIBER_OPERATIONS = frozenset([FOLLOW, DIGESTS, PAGES_OF])
 OPERATIONS = SUBSCRIBER_OPERATIONS | {IN_FORCE, FIND}
 
 
 class Link(Protocol):
-    """The link of a request, as `transport.inbound.InboundConnection`."""
+    """The connection to a subscriber; implemented by `transport.inbound.InboundConnection`."""
 
     transport: Any
 
@@ -58,15 +58,15 @@
 
 
 class LinkState:
-    """A link that has sent a request."""
+    """The state of a link over which a request was received."""
 
     __slots__ = ("link", "open_request", "is_subscriber", "unread_since")
 
     def __init__(self, link: Link) -> None:
         self.link = link
-        self.open_request: int | None = None  # of its open request
-        self.is_subscriber = False  # the publisher counts it among its subscribers
-        self.unread_since: int | None = None  # µs: an answer has waited to be written since then
+        self.open_request: int | None = None  # number of the open request
+        self.is_subscriber = False  # the link is registered as a subscriber
+        self.unread_since: int | None = None  # µs: since when an answer waits to be written
 
 
 class PublisherHost:
@@ -81,19 +81,19 @@
         status_fields: Callable[[], dict[str, Any]] = dict,
         answers_per_turn: int = MAX_ANSWERS_PER_TURN,
     ) -> None:
-        """`now`: µs on the monotonic clock; `status_fields`: further content for `status`;
-        `answers_per_turn`: answers in one turn.
+        """`now`: µs on the monotonic clock; `status_fields`: returns further content for `status`;
+        `answers_per_turn`: maximum of answers in one turn of the reactor.
         """
         self.reactor, self.publisher, self.now, self.log = reactor, publisher, now, log
         self.status_fields, self.answers_per_turn = status_fields, answers_per_turn
-        self.links: dict[int, LinkState] = {}
-        self.numbers: dict[Link, int] = {}
-        self.last = 0  # the last number given to a link
+        self.links: dict[int, LinkState] = {}  # subscriber id -> link
+        self.numbers: dict[Link, int] = {}  # link -> subscriber id
+        self.last = 0  # the last subscriber id given to a link
         self.pull_scheduled = self.closed = False
         self.timer: Any = None  # for the publisher's deadline
-        self.unread_timer: Any = None  # while an answer waits to be written
+        self.unread_timer: Any = None  # set while an answer waits to be written
         self.counts: dict[str, int] = {}
-        # id of a content -> content, encoded; of this pull
+        # id() of an answer's content -> (content, encoded content); emptied after each pull
         self.encoded: dict[int, tuple[Any, msgspec.Raw]] = {}
 
     def count(self, what: str) -> None:
@@ -102,11 +102,11 @@
     # -- events ------------------------------------------------------------------------------------------
 
     def handles(self, what: str) -> bool:
-        """Whether the operation belongs to the distribution."""
+        """Whether an operation is one of the configuration distribution."""
         return what in OPERATIONS
 
     def on_request(self, link: Link, request: ClientRequest) -> None:
-        """A request from a link."""
+        """Handles a request received over a link."""
         if self.closed:
             return
         subscriber_id = self.numbers.get(link)
@@ -116,7 +116,7 @@
             self.links[subscriber_id] = LinkState(link)
         link_state = self.links[subscriber_id]
         if link_state.open_request is not None or link.unsent_bytes():
-            # its last answer is open or unread: at most one answer may wait for a subscriber
+            # the last request is open or the last answer unread: at most one answer may wait for a subscriber
             self.count("asked again before the answer")
             link.transport.abortConnection()
             return
@@ -137,7 +137,7 @@
         self.schedule_pull()
 
     def on_disconnected(self, link: Link) -> None:
-        """The link has ended."""
+        """Removes the state of a link that has ended."""
         subscriber_id = self.numbers.pop(link, None)
         if subscriber_id is None:
             return
@@ -148,7 +148,7 @@
                 self.schedule_pull()
 
     def schedule_pull(self) -> None:
-        """Has decisions pulled in the next turn, once, after new input to the publisher."""
+        """Schedules `pull` for the next turn of the reactor, unless it is scheduled already."""
         if not self.pull_scheduled and not self.closed:
             self.pull_scheduled = True
             self.reactor.callLater(0, self.pull)
@@ -177,7 +177,7 @@
                     self.answer(link_state, True, self.encode_once(extended))
                 else:
                     self.answer(link_state, False, encode_raw(decision.why))
-        except Exception:  # a voter has to keep leading and confirming whatever happens to subscribers
+        except Exception:  # an error here must not stop a voter from leading and confirming
             self.count("errors")
             self.log.warning(
                 "cannot answer subscribers", trace=traceback.format_exc(limit=-3).replace("\n", " | ")
@@ -188,7 +188,7 @@
         self.set_timer()
 
     def encode_once(self, content: Any) -> msgspec.Raw:
-        """The encoded content, from the same pull if it was encoded before."""
+        """The encoded content of an answer. Content that was encoded in this pull is not encoded again."""
         known = self.encoded.get(id(content))
         if known is None:
             # keeps the content alive, so that its id is not reused
@@ -208,7 +208,7 @@
                 )
 
     def check_unread(self) -> None:
-        """Drops subscribers that don't read, as their answers occupy this process's memory."""
+        """Disconnects subscribers that don't read an answer, because unread answers occupy memory."""
         self.unread_timer = None
         now, some = self.now(), False
         for link_state in list(self.links.values()):
@@ -239,7 +239,7 @@
         self.pull()
 
     def close(self) -> None:
-        """Stops answering; the links belong to the listener."""
+        """Stops answering. The links stay open; the listener closes them."""
         self.closed = True
         for timer in (self.timer, self.unread_timer):
             if timer is not None and timer.active():
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -1,8 +1,8 @@
 """The host of a `RelayFollower`: opens links to relays, sends requests, and has updates staged in slices and
 applied.
 
-One slice per turn of the reactor, so that a node's clients don't wait for all of it. An answer that can't be
-decoded ends its link and is counted.
+One slice of an update is staged per turn of the reactor, so that a node's clients don't wait for the whole
+update. An answer that can't be decoded ends the link to its relay and is counted.
 """
 
 from __future__ import annotations
@@ -43,9 +43,9 @@
 )
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
-# s for a connection to open; the follower's own limit is shorter and includes the greeting
+# s for a TCP connection to open; the follower's own limit is shorter and includes the greeting
 CONNECT_TIMEOUT_S = 1.5
-RETRY_DELAY_S = 0.1  # s until decisions are pulled again after an error
+RETRY_DELAY_S = 0.1  # s between an error while decisions are carried out and the next pull
 SECOND = 1_000_000  # µs
 
 ANSWER_DECODERS: dict[str, Callable[[bytes], Any]] = {
@@ -57,7 +57,7 @@
 
 
 class RelayLink(FramedProtocol):
-    """The link to a relay."""
+    """The connection to a relay."""
 
     def __init__(self, attempt: RelayAttempt) -> None:
         self.attempt = attempt
@@ -90,17 +90,17 @@
 class RelayAttempt(ClientFactory):
     """One attempt at one relay, from opening the link to its end.
 
-    It has no timer: the follower gives up relays that don't open the link or don't answer.
+    The attempt has no timer: the follower leaves relays whose link doesn't open or that don't answer.
     """
 
     noisy = False
 
     def __init__(self, host: Subscriber, relay: str) -> None:
         self.host, self.relay = host, relay
-        self.link: RelayLink | None = None  # once the relay has accepted the greeting
-        self.mark = b""  # the group's mark, as the relay reported it
-        self.number = 0  # of the last request
-        self.open_operation = ""  # of the open request
+        self.link: RelayLink | None = None  # set when the relay has accepted the greeting
+        self.mark = b""  # identifier of the group, as the relay reported it; b"": not known yet
+        self.number = 0  # number of the last request
+        self.open_operation = ""  # operation of the open request; "": no request is open
         self.ended = False
         where, port = parse_address(relay)
         self.connector = host.reactor.connectTCP(where, port, self, timeout=CONNECT_TIMEOUT_S)
@@ -112,7 +112,7 @@
         self.end("the connection could not be opened")
 
     def on_greeting_response(self, link: RelayLink, answer: GreetingResponse) -> None:
-        """The relay has answered the greeting."""
+        """Handles the relay's first response to the greeting."""
         if answer.result != GreetingResult.ACCEPTED:
             self.end("it belongs to another group", "turned away")
             return
@@ -120,7 +120,7 @@
         self.host.on_opened(self)
 
     def on_group_learned(self, answer: GreetingResponse) -> None:
-        """The relay didn't know its group's mark when the link was opened, and now does."""
+        """Handles the second greeting response of a relay that learned its group after the first."""
         if (
             answer.result != GreetingResult.ACCEPTED
             or (self.host.copy.mark or answer.cluster_id) != answer.cluster_id
@@ -131,14 +131,14 @@
         self.host.on_group_learned(self)
 
     def ask(self, what: str, content: Any) -> None:
-        """Sends a request."""
+        """Sends a request to the relay."""
         assert self.link is not None
         self.number += 1
         self.open_operation = what
         self.link.send(ClientRequest(self.number, what, encode_raw(content)))
 
     def on_response(self, reply: ClientResponse) -> None:
-        """The relay has answered a request."""
+        """Decodes the relay's answer to the open request and passes it to the host."""
         if reply.number != self.number or not self.open_operation:
             self.end("it sent an answer without a request", "frames out of place")
             return
@@ -155,7 +155,10 @@
         self.host.on_answer(self, what, content, why)
 
     def end(self, why: str, counted: str = "") -> None:
-        """Ends the attempt and reports that once to the host."""
+        """Closes the link and reports the end of the attempt to the host, once.
+
+        `counted`: name of the counter to increase, "" for none.
+        """
         if self.ended:
             return
         if counted:
@@ -164,7 +167,7 @@
         self.host.on_lost(self, why)
 
     def drop(self) -> None:
-        """Closes the link without a report: the follower has decided it."""
+        """Closes the link without a report to the host, for a decision of the follower."""
         self.ended = True
         if self.link is not None:
             self.link.transport.abortConnection()
@@ -189,22 +192,22 @@
         on_answered: Callable[[], None] = lambda: None,
         before_pull: Callable[[], None] = lambda: None,
     ) -> None:
-        """`group`: its name; `caller_name`: this process's name in the relays' logs; `now`: µs on the
+        """`group`: the group's name; `caller_name`: this process's name in the relays' logs; `now`: µs on the
         monotonic clock.
 
-        Callbacks: `on_applied` after an update was applied, with its batches, () for a snapshot;
-        `on_answered` after each answer; `before_pull` before decisions are pulled, to update the counts
-        below.
+        Callbacks: `on_applied` after an update was applied, with the update's batches, () for a snapshot;
+        `on_answered` after each answer; `before_pull` before decisions are pulled, to update the version
+        counts of the nodes below this process.
         """
         self.reactor, self.group, self.caller_name, self.rng, self.log = reactor, group, caller_name, rng, log
         self.follower, self.copy = follower, copy
         self.now = now or (lambda: int(reactor.seconds() * SECOND))
         self.on_applied, self.on_answered, self.before_pull = on_applied, on_answered, before_pull
-        self.attempts: dict[str, RelayAttempt] = {}
+        self.attempts: dict[str, RelayAttempt] = {}  # by relay address
         self.counts: dict[str, int] = {}
         self.started = self.stopped = self.pull_scheduled = False
-        self.timer: Any = None
-        self.stepping: Any = None
+        self.timer: Any = None  # for the follower's deadline
+        self.stepping: Any = None  # the scheduled call of `step`
 
     def count(self, what: str) -> None:
         self.counts[what] = self.counts.get(what, 0) + 1
@@ -228,33 +231,33 @@
     # -- events ------------------------------------------------------------------------------------------
 
     def on_opened(self, attempt: RelayAttempt) -> None:
-        """The attempt's link is open and accepted."""
+        """Handles that the relay of an attempt has accepted the link."""
         if self.attempts.get(attempt.relay) is attempt:
             self.follower.on_link_opened(self.now(), attempt.relay, attempt.mark)
             self.schedule_pull()
 
     def on_group_learned(self, attempt: RelayAttempt) -> None:
-        """The followed relay has reported its group's mark."""
+        """Handles that the followed relay has reported the identifier of its group."""
         if self.attempts.get(attempt.relay) is attempt and self.follower.relay == attempt.relay:
             self.follower.mark = attempt.mark
             self.on_answered()
 
     def on_answer(self, attempt: RelayAttempt, what: str, content: Any, why: str) -> None:
-        """The attempt's relay has answered."""
+        """Passes an answer of the attempt's relay to the follower."""
         if self.attempts.get(attempt.relay) is attempt:
             self.follower.on_answer(self.now(), attempt.relay, what, content, why)
             self.on_answered()
             self.schedule_pull()
 
     def on_lost(self, attempt: RelayAttempt, why: str) -> None:
-        """The attempt has ended."""
+        """Handles the end of an attempt."""
         if self.attempts.get(attempt.relay) is attempt:
             del self.attempts[attempt.relay]
             self.follower.on_link_lost(self.now(), attempt.relay, why)
             self.schedule_pull()
 
     def on_timer(self) -> None:
-        """The follower's deadline has passed."""
+        """Handles that the follower's deadline has passed."""
         self.timer = None
         self.follower.on_timer(self.now())
         self.schedule_pull()
@@ -271,10 +274,10 @@
             self.log_error()
             ready = None
         self.follower.on_stepped(self.now(), ready)
-        self.pull()  # in this turn: an applied update is reported before anything else is read
+        self.pull()  # in the same turn, so that an applied update is reported before other input is handled
 
     def schedule_pull(self) -> None:
-        """Has decisions pulled in the next turn, once."""
+        """Schedules `pull` for the next turn of the reactor, unless it is scheduled already."""
         if self.started and not self.pull_scheduled and not self.stopped:
             self.pull_scheduled = True
             self.reactor.callLater(0, self.pull)
@@ -290,7 +293,7 @@
             self.before_pull()
             while not self.stopped and (decision := self.follower.next_decision(self.now())) is not None:
                 self.carry_out(decision)
-        except Exception:  # the node keeps its version
+        except Exception:  # the node keeps running with its version
             self.log_error()
             self.set_timer(RETRY_DELAY_S)
             return
@@ -306,7 +309,7 @@
         )
 
     def set_timer(self, span: float) -> None:
-        """Sets the timer for the next pull; `span` in seconds."""
+        """Sets the timer for the follower's deadline, `span` seconds from now."""
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
         self.timer = self.reactor.callLater(span, self.on_timer)
@@ -332,7 +335,7 @@
             self.log.info(decision.text)
 
     def drop(self, relay: str) -> None:
-        """Ends the attempt at that relay, if there is one."""
+        """Ends the attempt at a relay, if there is one."""
         attempt = self.attempts.pop(relay, None)
         if attempt is not None:
             attempt.drop()
@@ -340,7 +343,7 @@
     # -- state -------------------------------------------------------------------------------------------
 
     def describe_state(self) -> str:
-        """Version, age and relay in one line."""
+        """One line with the version in force, the age and the followed relay."""
         age = self.follower.age(self.now())
         age_text = f"{age / SECOND:.1f} s" if age < MAX_AGE_US else "unknown"
         return f"version {self.copy.version}, age {age_text}, relay {self.follower.relay or 'none'}"
--- a/lichencleat/config_distribution/terms.py
+++ b/lichencleat/config_distribution/terms.py
@@ -1,8 +1,8 @@
 """Messages among the source, relays and subscribers, and their bounds; no I/O.
 
-They travel as the content of `ClientRequest` and `ClientResponse` (`transport/frames.py`): a subscriber asks
-and the process above it answers. The answer to a `follow` may be held until there is news, for at most
-`MAX_HOLD_US`.
+The messages are sent as the content of `ClientRequest` and `ClientResponse` (`transport/frames.py`): a
+subscriber sends a request, and the relay or voter that it follows answers. The answer to a `follow` request
+may be held until there is a newer version, for at most `MAX_HOLD_US`.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 
 import msgspec
 
-PAGE_COUNT = 4_096  # pages of a table: a change rewrites one, a snapshot sends and digests whole pages
-DIGEST_BYTES = 16  # bytes
-
-MAX_KIND_CHARS = 16  # characters of a record's kind: "route", "tenant"
-MAX_NAME_BYTES = 128  # bytes of a record's name, as UTF-8
-MAX_VALUE_BYTES = 4_096  # bytes of a record's value
-MAX_BATCH_CHANGES = 512  # changes in a batch; bounds what is staged beside the table
-MAX_BATCH_BYTES = 128 << 10  # bytes of a batch's changes, encoded: any batch fits one answer
-MAX_RECORDS = 1_000_000  # records of a table; the target has 560,000
-MAX_TABLE_BYTES = 128 << 20  # bytes of a table's pages
-MAX_ANSWER_BYTES = 128 << 10  # bytes of batches or pages in one answer, unless a single one is larger
-MAX_WINDOW_BATCHES = 8_192  # batches kept for subscribers that lag: four hours of a day with 47,000 changes
-MAX_WINDOW_BYTES = 16 << 20  # bytes of the batches kept
-MAX_ZONES = 64  # zones with a count of their own; further ones are counted under ""
-MAX_RELAYS = 32  # addresses that a subscriber may be given
-MAX_SUBSCRIBERS = 512  # of one relay; each costs it some 100 µs a second
-MAX_VIEWS = 3  # versions of which a relay keeps a snapshot for subscribers that fetch one
+PAGE_COUNT = 4_096  # pages of a table: a change rewrites one page, a snapshot sends whole pages
+DIGEST_BYTES = 16  # size of a digest in bytes
+
+MAX_KIND_CHARS = 16  # maximum length of a record's kind ("route", "tenant"), in characters
+MAX_NAME_BYTES = 128  # maximum size of a record's name in UTF-8, in bytes
+MAX_VALUE_BYTES = 4_096  # maximum size of a record's value, in bytes
+MAX_BATCH_CHANGES = 512  # maximum of changes in a batch; bounds the memory for staged pages
+MAX_BATCH_BYTES = 128 << 10  # maximum size of a batch's encoded changes, so that any batch fits one answer
+MAX_RECORDS = 1_000_000  # maximum of records in a table; the target is 560,000
+MAX_TABLE_BYTES = 128 << 20  # maximum size of a table's pages, in bytes
+MAX_ANSWER_BYTES = 128 << 10  # bytes of batches or pages in an answer; a single larger one is sent alone
+MAX_WINDOW_BATCHES = 8_192  # recent batches kept for subscribers that lag: four hours at 47,000 a day
+MAX_WINDOW_BYTES = 16 << 20  # maximum size of the recent batches kept, in bytes
+MAX_ZONES = 64  # maximum of zones with a separate count; further zones are counted under ""
+MAX_RELAYS = 32  # maximum of relay addresses in a subscriber's settings
+MAX_SUBSCRIBERS = 512  # maximum per relay; a subscriber costs the relay some 100 µs a second
+MAX_VIEWS = 3  # maximum of versions whose snapshots a relay keeps at the same time
 
 MAX_HOLD_US = 1_000_000  # µs that an answer may be held while there is no news
 # operations of a `ClientRequest`
@@ -35,7 +35,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """Sets or removes one record."""
+    """Sets or removes a record, which is identified by kind and name."""
 
     kind: str
     name: str
@@ -45,20 +45,20 @@
 class Batch(msgspec.Struct, frozen=True, array_like=True):
     """Changes that are applied as a whole or not at all. Each record is named at most once."""
 
-    version: int  # index of the log entry that made it; not dense
-    previous: int  # the version that it follows; applied on top of that one alone
-    digest: bytes  # of the whole table after the batch
+    version: int  # index of the log entry that made the batch; versions have gaps
+    previous: int  # the batch is applied only to a table at this version
+    digest: bytes  # digest of the whole table after the batch
     changes: tuple[Change, ...]
 
 
 class Count(msgspec.Struct, frozen=True, array_like=True):
-    """Counts of one zone's nodes, added up along the tree: sums and extremes, and the name of one relay."""
+    """Version counts of the nodes of one zone, added up along the relay tree."""
 
     zone: str
-    nodes: int
+    nodes: int  # number of nodes
     lowest_version: int  # lowest version applied by any of the nodes
-    max_age: int  # µs: highest age of any of the nodes
-    late_nodes: int  # nodes without a version that their relay has had for `LATE_AFTER_US`
+    max_age: int  # µs: highest age of the configuration at any of the nodes
+    late_nodes: int  # number of nodes that lack a version that their relay has had for `LATE_AFTER_US`
     lowest_relay: str  # name of the relay that serves the node with the lowest version
 
 
@@ -66,11 +66,12 @@
 
 
 class FollowRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Asks for what is newer than `version`, and acknowledges that `version` is applied."""
+    """Asks for batches after `version`, and acknowledges that the subscriber has applied `version`."""
 
     version: int  # 0: the subscriber's table is empty
-    digest: bytes
-    counts: tuple[Count, ...]  # of all nodes below this subscriber, itself included if it is a node
+    digest: bytes  # digest of the subscriber's table
+    # version counts of all nodes below the subscriber in the relay tree; a node includes itself
+    counts: tuple[Count, ...]
     hold: int = MAX_HOLD_US  # µs that the answer may be held while there is no news
 
 
@@ -79,17 +80,17 @@
 
     NEWS = 1  # `batches` follow the subscriber's version, in order
     SAME = 2  # the answering process has nothing newer
-    SNAPSHOT = 3  # the subscriber is too far behind for the window: it has to request the digests
-    BEHIND = 4  # the answering process has less than the subscriber
-    OTHER = 5  # the digests differ at the subscriber's version: one of the two has corrupt data
+    SNAPSHOT = 3  # the batches after the subscriber's version are not kept: a snapshot has to be fetched
+    BEHIND = 4  # the answering process has a lower version than the subscriber
+    OTHER = 5  # another digest or history at the subscriber's version: one side has wrong data
 
 
 class FollowAnswer(msgspec.Struct, frozen=True, array_like=True):
     """The answer to a `FollowRequest`."""
 
-    outcome: int  # a `Say`
-    version: int  # of the answering process
-    digest: bytes
+    outcome: int  # a `FollowOutcome`
+    version: int  # version of the answering process
+    digest: bytes  # table digest of the answering process
     age: int  # µs since the source was known to have nothing newer than `version`
     batches: tuple[Batch, ...] = ()
 
@@ -98,27 +99,27 @@
     """A snapshot's head: version, digest and the digest of each page."""
 
     version: int
-    digest: bytes
-    pages: bytes  # DIGEST_BYTES bytes of each page, in order; `digest` covers their sum and the version
-    age: int
+    digest: bytes  # table digest: covers the sum of the page digests, and the version
+    pages: bytes  # the digests of all pages in order, DIGEST_BYTES each
+    age: int  # µs since the source was known to have nothing newer than `version`
 
 
 class PagesRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Requests pages of that version's snapshot."""
+    """Requests pages of the snapshot of a version."""
 
     version: int
-    numbers: tuple[int, ...]
+    numbers: tuple[int, ...]  # page numbers
 
 
 class PagesAnswer(msgspec.Struct, frozen=True, array_like=True):
-    """The first of the requested pages that fit; none if that snapshot is no longer kept."""
+    """The first requested pages, as many as fit; no pages if the version's snapshot is no longer kept."""
 
     version: int
-    pages: tuple[tuple[int, bytes], ...]  # each page's number, and its bytes by zlib
+    pages: tuple[tuple[int, bytes], ...]  # page number, and the page's bytes compressed by zlib
 
 
 class RecordRequest(msgspec.Struct, frozen=True, array_like=True):
-    """Requests one record as it was at a version (0: now)."""
+    """Requests the value of a record at a version (0: the version in force)."""
 
     kind: str
     name: str
--- a/lichencleat/config_distribution/voting.py
+++ b/lichencleat/config_distribution/voting.py
@@ -1,10 +1,11 @@
-"""A voter as a source for subscribers: it answers from the entries that it has applied, leader or follower.
-
-Applied entries are committed, so no answer is ever revoked. The age counts from the last moment at which this
-voter knew that it had all committed entries: a leader confirms its leadership with a majority several times a
-second, and the age counts from before that; at a follower it counts from a message of the leader whose commit
-is applied by now. That message may come from a leader that has just lost its majority and doesn't know it
-yet, for at most an election timeout.
+"""Publishes the configuration at a voter. Leaders and followers answer subscribers from the applied entries.
+
+Applied entries are committed, so no answer is ever revoked. The age in an answer counts from the last moment
+at which this voter is known to have had all committed entries. A leader confirms its leadership with a
+majority several times a second; at a leader the age counts from the start of the last confirmation. At a
+follower the age counts from the arrival of the last message of the leader whose commit index the follower has
+applied. For at most an election timeout, the sender of that message may be a leader that has lost its
+majority and doesn't know it yet; the age is then too low.
 """
 
 from __future__ import annotations
@@ -20,29 +21,34 @@
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode_raw
 from lichencleat.transport.inbound import InboundConnection
 
-STATE_PART = "distribution"  # the name of this part of the group's state
-# s between a leader's confirmations of its leadership: one more message to each voter
+STATE_PART = "distribution"  # the name of the source within the group's replicated state
+# s between two confirmations of leadership; each costs one more message to each voter
 CONFIRM_INTERVAL_S = 0.1
-# µs without a message, of which even a learner gets two a second: this process was stopped
+# µs without a message of the leader, above which this process counts as having been stopped: even a learner
+# gets two messages a second
 PAUSE_THRESHOLD_US = 1_000_000
-# µs after that in which messages may be old ones from the receive buffer, which is then read
+# µs after such a pause for which messages are ignored: they may be old ones from the receive buffer
 IGNORE_AFTER_PAUSE_US = 400_000
 NOT_READY_REASON = "nothing here"
 SECOND = 1_000_000  # µs
 
 
 class CommitFreshness:
-    """Since when a member knows that it has all committed entries; no I/O."""
+    """Tracks the last moment at which a member is known to have had all committed entries; no I/O."""
 
     def __init__(self) -> None:
-        self.known_at: int | None = None  # µs: the last such moment
-        self.last_message_at: int | None = None  # µs: the last message
-        self.ignored_until = 0  # µs: messages before it are ignored
-        # when a message arrived whose commit is not applied yet, and that commit
+        self.known_at: int | None = None  # µs: the last such moment, None: none known
+        self.last_message_at: int | None = None  # µs: when the last message of the leader arrived
+        self.ignored_until = 0  # µs: messages of the leader that arrive earlier are ignored
+        # a message whose commit index is not applied yet: when it arrived (µs), and the commit index
         self.waiting: tuple[int, int] | None = None
 
     def on_leader_message(self, now: int, commit: int, applied: int) -> None:
-        """A message of the leader. After a pause many arrive at once, and none shows when it was sent."""
+        """Handles a message of the leader with the index `commit`.
+
+        Messages are ignored for a while after a pause: many then arrive at once, and a message doesn't show
+        when it was sent.
+        """
         if self.last_message_at is None or now - self.last_message_at > PAUSE_THRESHOLD_US:
             self.ignored_until, self.waiting = now + IGNORE_AFTER_PAUSE_US, None
         self.last_message_at = now
@@ -54,18 +60,18 @@
             self.waiting = (now, commit)
 
     def on_applied(self, index: int) -> None:
-        """The member has applied the entries up to `index`."""
+        """Handles that the member has applied the entries up to `index`."""
         if self.waiting is not None and self.waiting[1] <= index:
             self.known_at, self.waiting = self.waiting[0], None
 
     def on_leadership_confirmed(self, asked: int) -> None:
-        """The member led at some moment after `asked`, and has applied all entries committed by then."""
+        """The member led at a moment after `asked`, and has applied all entries committed by that moment."""
         self.known_at = asked if self.known_at is None else max(self.known_at, asked)
         self.waiting = None
 
 
 class VoterPublisher:
-    """Publishes a voter's table. `consensus.process.MemberProcess` calls it; `close` releases everything."""
+    """Publishes a voter's table, for `consensus.process.MemberProcess`; `close` releases all resources."""
 
     def __init__(
         self,
@@ -75,20 +81,20 @@
         log: Any,
         host: Callable[..., Any] = PublisherHost,
     ) -> None:
-        """`host`: carries out a publisher's decisions, as `serving.PublisherHost`."""
+        """`host`: makes the object that carries out a publisher's decisions (`serving.PublisherHost`)."""
         self.reactor, self.name, self.zone, self.log, self.host = reactor, name, zone, log, host
         self.freshness = CommitFreshness()
         self.member: MemberView | None = None
-        self.source: Source | None = None  # the source in the last state seen
-        self.version = 0  # the publisher's version
-        self.index = 0  # of the last entry applied
+        self.source: Source | None = None  # the source in the member's last applied state
+        self.version = 0  # version that was last passed to the publisher
+        self.index = 0  # index of the last entry applied
         self.publisher: Publisher | None = None
         self.serving: Any = None
         self.timer: Any = None
         self.ended = False
 
     def start(self, member: MemberView) -> None:
-        """The member is ready to confirm its leadership."""
+        """Sets the member, which is ready to confirm its leadership."""
         self.member = member
 
     def now(self) -> int:
@@ -99,7 +105,7 @@
     # -- events of the member ----------------------------------------------------------------------------
 
     def on_applied(self, state: StateMachine) -> None:
-        """The member has applied entries, or loaded a snapshot."""
+        """Handles that the member has applied entries or loaded a snapshot."""
         self.index = state.applied
         self.freshness.on_applied(state.applied)
         source = state.states[STATE_PART]
@@ -111,7 +117,7 @@
         self.report_age()
 
     def use_source(self, source: Source) -> None:
-        """Uses another state object: at the start, or after a snapshot."""
+        """Publishes from another source object: at the start, or after the member loaded a snapshot."""
         now, table = self.now(), source.table
         self.source, self.version = source, table.version
         if self.publisher is None:
@@ -120,13 +126,13 @@
             self.confirm_leadership()
         self.publisher.table = table
         kept = tuple(each.batch for each in source.window)
-        if kept:  # subscribers can be sent the batches that the dump includes
+        if kept:  # the batches that the source has kept can be sent to subscribers
             self.publisher.window.restart(*source.since)
         self.publisher.on_applied(now, kept)
         self.serving.schedule_pull()
 
     def publish_batches(self, source: Source) -> None:
-        """Passes new batches to the publisher."""
+        """Passes the batches since the last published version to the publisher."""
         new = []
         for past in reversed(source.window):
             if past.batch.version <= self.version:
@@ -138,18 +144,21 @@
         self.serving.schedule_pull()
 
     def on_leader_commit(self, commit: int) -> None:
-        """A message of the leader with its commit index has arrived."""
+        """Handles a message of the leader with the leader's commit index."""
         self.freshness.on_leader_message(self.now(), commit, self.index)
         self.report_age()
 
     def report_age(self) -> None:
-        """Passes the age to the publisher."""
+        """Passes the table's age to the publisher, if the age is known."""
         if self.publisher is not None and self.freshness.known_at is not None:
             now = self.now()
             self.publisher.set_age(now, now - self.freshness.known_at)
 
     def confirm_leadership(self) -> None:
-        """Confirms the leadership, again and again; at a member that doesn't lead that fails at once."""
+        """Starts a confirmation of leadership and schedules the next one after the result.
+
+        At a member that doesn't lead, the confirmation fails at once.
+        """
         asked = self.now()
 
         def on_result(done: bool) -> None:
@@ -166,24 +175,24 @@
     # -- requests ----------------------------------------------------------------------------------------
 
     def handles(self, what: str) -> bool:
-        """Whether the operation belongs to the distribution."""
+        """Whether an operation is one of the configuration distribution."""
         return what in OPERATIONS
 
     def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
-        """Passes a request on, or declines it before the member takes part."""
-        # the member doesn't take part yet: its state may still be restored from a copy
+        """Passes a request to the publisher's host. Declines it if the member doesn't take part yet."""
+        # before the member takes part, its state may still be restored from a copy
         if self.serving is None:
             link.reply(ClientResponse(request.number, False, encode_raw(NOT_READY_REASON)))
         else:
             self.serving.on_request(link, request)
 
     def on_disconnected(self, link: InboundConnection) -> None:
-        """Forgets the link."""
+        """Removes the state of a link that has ended."""
         if self.serving is not None:
             self.serving.on_disconnected(link)
 
     def close(self) -> None:
-        """Stops the timer and the answers."""
+        """Stops the confirmations of leadership and the answers to subscribers."""
         self.ended = True
         if self.timer is not None and self.timer.active():
             self.timer.cancel()
