--- a/lichencleat/config_distribution/copy.py
+++ b/lichencleat/config_distribution/copy.py
@@ -1,7 +1,7 @@
 """The copy of the table that a follower keeps, and the update staged for it; no I/O.
 
-The follower uses the methods of `Copy` alone, so that hollow followers can share one table
-(`testkit/hollow.py`).
+The follower uses only the methods of `Copy`, so that in load tests many followers without a table of their
+own can share one table (`testkit/hollow.py`).
 """
 
 from __future__ import annotations
@@ -14,58 +14,60 @@
 from lichencleat.config_distribution.table import Staging, Table
 from lichencleat.config_distribution.terms import Batch, PagesAnswer, SnapshotHead
 
-PAGES_FREED_PER_SLICE = 256  # replaced pages freed in one slice: some 100 µs
+PAGES_FREED_PER_SLICE = 256  # replaced pages freed in one slice, which takes some 100 µs
 
 
 class Copy(Protocol):
-    """The table as a follower sees it."""
+    """The interface between a follower and its table."""
 
     version: int
     digest: bytes
-    mark: bytes  # the group's mark; b"": not known yet
+    mark: bytes  # identifier of the group; b"": not known yet
 
     def stage(self, batches: Sequence[Batch]) -> None:
         """Stages batches. Raises ChainError if they don't follow the version in force."""
 
     def begin(self, head: SnapshotHead) -> None:
-        """Starts a snapshot, or continues one with a newer head.
+        """Starts a snapshot, or continues an unfinished snapshot with a newer head.
 
-        `step` reports what is wrong with the head.
+        An error in the head is raised by the next `step`.
         """
 
     def missing(self, most: int) -> list[int]:
-        """Numbers of at most `most` pages that are still to be fetched."""
+        """The numbers of pages that are still to be fetched, at most `most`."""
 
     def put(self, pages: PagesAnswer) -> bool:
-        """Adds fetched pages; `step` checks them. False: of another snapshot, or not requested."""
+        """Adds fetched pages, which `step` checks. False: of another snapshot, or a page is not needed."""
 
     def step(self) -> bool:
-        """Processes one slice, under 1 ms. True: ready to be applied.
+        """Processes one slice of the staged update, in under 1 ms. True: the update can be applied.
 
-        Raises CorruptTableError, ChainError.
+        Raises CorruptTableError or ChainError if the update can't be applied.
         """
 
     def take(self) -> tuple[Batch, ...]:
-        """Applies the staged update; returns its batches, () for a snapshot. Raises ChainError."""
+        """Applies the staged update and returns the batches, () for a snapshot.
+
+        Raises ChainError if no complete update is staged.
+        """
 
     def drop(self) -> None:
-        """Discards the staged update; fetched pages of a snapshot stay for its continuation."""
+        """Discards the staged update. Fetched pages of a snapshot are kept for a later snapshot."""
 
 
 class TableCopy:
-    """A copy that owns its table."""
+    """A `Copy` that owns its table."""
 
     def __init__(self, table: Table | None = None, mark: bytes = b"") -> None:
         self.table = Table() if table is None else table
         self.mark = mark
-        self.staging: Staging | None = None
-        self.rebuild: SnapshotStaging | None = None
-        self.snapshot_active = False  # the snapshot is under way, not only kept for its pages
-        self.head_error: Exception | None = None  # the error in the snapshot's head
-        self.unchecked_pages: dict[
-            int, bytes
-        ] = {}  # number -> page by zlib that is not checked yet; at most a table's pages
-        self.replaced_pages: list[bytes] = []  # pages that a snapshot replaced; freed slice by slice
+        self.staging: Staging | None = None  # staged batches
+        self.rebuild: SnapshotStaging | None = None  # the staged snapshot
+        self.snapshot_active = False  # `rebuild` is in progress; False: only its pages are kept
+        self.head_error: Exception | None = None  # the error in the head of the snapshot, for `step` to raise
+        # page number -> page by zlib that is not checked yet; at most the pages of one table
+        self.unchecked_pages: dict[int, bytes] = {}
+        self.replaced_pages: list[bytes] = []  # pages that a snapshot replaced, to be freed in slices
 
     @property
     def version(self) -> int:
@@ -76,7 +78,7 @@
         return self.table.digest
 
     def find(self, kind: str, name: str) -> bytes | None:
-        """The record's value, or None."""
+        """The value of a record, or None if there is no such record."""
         return self.table.find(kind, name)
 
     def stage(self, batches: Sequence[Batch]) -> None:
@@ -142,7 +144,7 @@
         if self.staging is not None:
             staging, self.staging = self.staging, None
             staging.take()
-            self.rebuild, self.unchecked_pages = None, {}  # pages of a snapshot that is not needed any more
+            self.rebuild, self.unchecked_pages = None, {}  # pages of an unfinished snapshot, no longer needed
             return staging.batches
         if (
             self.rebuild is None
--- a/lichencleat/config_distribution/errors.py
+++ b/lichencleat/config_distribution/errors.py
@@ -1,20 +1,21 @@
-"""Errors of the table; each message states the cause in one line."""
+"""Errors of the configuration table. Each message states the cause in one line."""
 
 
 class TableError(Exception):
-    """Base of all errors of the table; the table is unchanged when one is raised."""
+    """Base class of the table's errors. An operation that raises such an error leaves the table unchanged."""
 
 
 class ChainError(TableError):
-    """The version does not follow the one in force."""
+    """An update does not follow the version in force."""
 
 
 class CorruptTableError(TableError):
-    """Data does not match its digest, or can't be part of a table."""
+    """Received or stored data does not match its digest, or is not valid in a table."""
 
 
 class InvalidBatchError(TableError):
-    """Changes exceed a bound.
+    """Changes are invalid or exceed a bound.
 
-    Every member raises it alike, as it depends on the table and the changes alone.
+    The error depends only on the table and the changes, so every member of the group raises it for the same
+    changes.
     """
--- a/lichencleat/config_distribution/pages.py
+++ b/lichencleat/config_distribution/pages.py
@@ -1,12 +1,14 @@
-"""A page: some hundred records in one bytes object, found by bisection; no I/O.
+"""A page: some hundred records in one bytes object. Records are found by bisection; no I/O.
 
-Layout, all numbers little-endian: number of records (4 bytes), the hash position of each (4 bytes,
-ascending), the end offset of each (4 bytes), the records. A record is: length of the kind and of the name (1
-byte each), kind, name, value. Records of the same position are sorted by their bytes. So the same records
-make the same bytes, in whatever order they were written. A page without records has no bytes.
+Layout, all numbers little-endian: the number of records (4 bytes), the hash position of each record (4 bytes
+each, ascending), the end offset of each record (4 bytes each), then the records. A record consists of the
+length of the kind and the length of the name (1 byte each), kind, name and value. Records of the same
+position are sorted by their bytes. So the same records make the same bytes, in whatever order they were
+written. A page without records has no bytes.
 
-Page number and position are different bits of one hash of kind and name. Names with the same hash are
-distinguished by their bytes, which are always compared in full.
+A record's key is its encoded kind and name, with their lengths. The page number and the position of a record
+are different bits of one hash of the key. Keys with the same hash are distinguished by their bytes, which are
+always compared in full.
 """
 
 from __future__ import annotations
@@ -23,9 +25,9 @@
 from lichencleat.config_distribution.errors import CorruptTableError
 from lichencleat.config_distribution.terms import DIGEST_BYTES, PAGE_COUNT
 
-# bytes of a page, and of what is inflated at once; four times the mean of a full table
+# maximum size of a page, and limit of decompression, in bytes; four times the mean page size of a full table
 MAX_PAGE_BYTES = 128 << 10
-RECORD_HEADER_BYTES = 2  # bytes of the two lengths
+RECORD_HEADER_BYTES = 2  # bytes for the lengths of kind and name at the start of a record
 PAGE_SHIFT = 64 - (PAGE_COUNT - 1).bit_length()  # the page number is the upper bits of the hash
 POSITION_MASK = 0xFFFF_FFFF  # the position within the page is the lower bits
 SUM_MASK = (1 << 8 * DIGEST_BYTES) - 1
@@ -35,17 +37,17 @@
     raise ImportError("lichencleat.config_distribution needs a little-endian machine")
 
 PageChange = tuple[int, bytes, bytes | None]
-"""A change within a page: position, key, and the value or None."""
+"""A change within a page: position, key and new value; None removes the record."""
 
 
 def encode_key(kind: str, name: str) -> bytes:
-    """The encoded kind and name that a record starts with. Raises ValueError if they can't be encoded."""
+    """The key of a record: encoded kind and name. Raises ValueError if kind or name can't be encoded."""
     kind_bytes, name_bytes = kind.encode(), name.encode()
     return bytes((len(kind_bytes), len(name_bytes))) + kind_bytes + name_bytes
 
 
 def hash_key(key: bytes) -> int:
-    """The hash that gives a key its page and position."""
+    """The 64-bit hash that determines the page and position of a key."""
     return xxh3_64_intdigest(key)
 
 
@@ -56,7 +58,7 @@
 
 
 def page_digest(number: int, page: bytes) -> int:
-    """The digest of a page; it covers the page number."""
+    """The digest of a page's number and content."""
     return xxh3_128_intdigest(page, number)
 
 
@@ -65,20 +67,20 @@
 
 
 def table_digest(total: int, version: int) -> bytes:
-    """The digest of a table; `total` is the sum of its pages' digests.
+    """The digest of a table. `total`: the sum of the page digests.
 
-    It covers the version, so that a version number corrupted on its way is detected.
+    The digest covers the version, so that a version number corrupted in transit is detected.
     """
     known = xxh3_128_intdigest(version.to_bytes(9, "little", signed=True), PAGE_COUNT) if version else 0
     return (total + known & SUM_MASK).to_bytes(DIGEST_BYTES, "little")
 
 
 def find_value(page: bytes, position: int, key: bytes) -> bytes | None:
-    """The value of the key's record, or None."""
+    """The value of the record with this position and key, or None if the page has no such record."""
     if not page:
         return None
     count = int.from_bytes(page[:4], "little")
-    heads = memoryview(page)[4 : 4 + 8 * count].cast("I")  # places, then ends
+    heads = memoryview(page)[4 : 4 + 8 * count].cast("I")  # positions, then end offsets
     at = bisect_left(heads, position, 0, count)
     while at < count and heads[at] == position:
         begin = heads[count + at - 1] if at else 4 + 8 * count
@@ -89,12 +91,12 @@
 
 
 def record_count(page: bytes) -> int:
-    """How many records the page has."""
+    """The number of records in a page."""
     return int.from_bytes(page[:4], "little")
 
 
 def unpack_records(page: bytes) -> tuple[list[int], list[bytes]]:
-    """Positions and records, in order."""
+    """The positions and the records of a page, in order."""
     if not page:
         return [], []
     count = int.from_bytes(page[:4], "little")
@@ -104,7 +106,7 @@
 
 
 def pack_records(positions: list[int], records: list[bytes]) -> bytes:
-    """The page of these positions and records, which are in order."""
+    """The page that consists of these records and their positions, both in the page's order."""
     if not records:
         return b""
     count = len(records)
@@ -133,7 +135,7 @@
 
 
 def iterate_records(page: bytes) -> Iterator[tuple[str, str, bytes]]:
-    """Kind, name and value of each record."""
+    """Kind, name and value of each record of a page."""
     for record in unpack_records(page)[1]:
         middle = RECORD_HEADER_BYTES + record[0]
         end = middle + record[1]
@@ -141,7 +143,10 @@
 
 
 def find_page_fault(number: int, page: bytes) -> str:
-    """Why the bytes can't be that page, whatever their digest is; "" if they can. Some 100 µs."""
+    """The reason why `page` is not a valid page with this number; "" if it is valid.
+
+    The digest is not checked. Takes some 100 µs.
+    """
     if not page:
         return ""
     if len(page) > MAX_PAGE_BYTES:
@@ -172,14 +177,14 @@
 
 
 def deflate_page(page: bytes) -> bytes:
-    """The page by zlib."""
+    """A page compressed by zlib."""
     return zlib.compress(page, ZLIB_LEVEL)
 
 
 def inflate_page(data: bytes) -> bytes:
-    """The page of its zlib bytes.
+    """Decompresses a page, to at most `MAX_PAGE_BYTES`.
 
-    Raises CorruptTableError if it is invalid or above the bound, which limits inflation.
+    Raises CorruptTableError if the compressed data is invalid or the page is larger.
     """
     stream = zlib.decompressobj()
     try:
--- a/lichencleat/config_distribution/program.py
+++ b/lichencleat/config_distribution/program.py
@@ -1,4 +1,4 @@
-"""`lichencleat distribution run`: runs one relay from its file, with its disk, signals and exit code."""
+"""`lichencleat distribution run`: runs one relay with the settings of a file."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 from lichencleat.store.disk_kinds import open_disk
 from lichencleat.store.errors import StoreError
 
-STOP_TIMEOUT_S = 5.0  # s for the disk to write pending changes during a shutdown
+STOP_TIMEOUT_S = 5.0  # maximum time of a shutdown, in which the disk writes pending changes, in s
 
 
 class RelayProgram:
-    """Starts a relay on the reactor, and stops it on a signal."""
+    """Starts a relay on the reactor, and stops the relay on a signal."""
 
     def __init__(self, reactor: Any, settings: RelaySettings) -> None:
         self.reactor, self.settings = reactor, settings
@@ -50,7 +50,7 @@
             )
 
             try:
-                # the real disk is opened by the store's own thread, as that may block
+                # a real disk is opened in the store's own thread, because opening may block
                 disk = None if settings.disk == "real" else open_disk(settings.disk, settings.directory)
                 kept = yield open_persisted_table(
                     self.reactor,
@@ -62,7 +62,7 @@
                     self.log_disk_state,
                 )
                 table, mark, recent = yield kept.load()
-            # the relay works without the disk: it fetches what it lacks
+            # the relay works without a disk: it fetches the whole table from a process above
             except (StoreError, OSError) as error:
                 self.log_disk_state(f"{error}; the relay runs without it")
                 if kept is not None:
@@ -91,13 +91,13 @@
         if self.stopping:
             return
         self.stopping = True
-        # ends the process even if the disk hangs
+        # the timer ends the process even if the disk hangs
         self.reactor.callLater(STOP_TIMEOUT_S, self.stop, EXIT_STOPPED)
         if self.relay is not None:
             self.relay.stop().addBoth(lambda _: self.stop(EXIT_STOPPED))
 
     def stop(self, code: int, reason: str = "") -> None:
-        """Logs the end and stops the reactor."""
+        """Logs the exit and stops the reactor. `reason`: why the relay could not start."""
         if self.stopped:
             return
         self.stopped, self.exit_code = True, code
@@ -110,6 +110,6 @@
 
 
 def run(settings: RelaySettings) -> int:
-    """Runs the relay. Returns the exit code: 0 after a stop signal, 2 if it could not start."""
+    """Runs the relay. Returns the exit code: 0 after a stop signal, 2 if the relay could not start."""
     reactor = make_reactor()
     return run_daemon(reactor, RelayProgram(reactor, settings))
--- a/lichencleat/config_distribution/published.py
+++ b/lichencleat/config_distribution/published.py
@@ -1,7 +1,9 @@
-"""Files of changes to publish: JSON Lines with one record a line, or YAML for a few; errors name the line.
+"""Files of changes to publish: JSON Lines with one record per line, or YAML for a few records.
 
-A file is checked to its end before any of it is used. Values are stored as JSON in a canonical form (keys
-sorted, no spaces), so that the same value has the same bytes whoever wrote it.
+Errors name the line.
+
+A file is checked to its end before any record in the file is used. Values are stored as JSON in a canonical
+form (keys sorted, no spaces), so that equal values have the same bytes, whoever wrote the file.
 """
 
 from __future__ import annotations
@@ -33,13 +35,13 @@
 )
 
 JSON_LINES_SUFFIX = ".jsonl"
-# bytes of a line: a value of `MAX_VALUE_BYTES` with each character escaped, and its name
+# maximum size of a line in bytes: a value of `MAX_VALUE_BYTES` with each character escaped, and a name
 MAX_LINE_BYTES = 64 << 10
-BATCH_HEADER_BYTES = 8  # bytes of a batch beside its changes
+BATCH_HEADER_BYTES = 8  # bytes of an encoded batch besides the changes
 
 
 class Record(Struct, forbid_unknown_fields=True, frozen=True):
-    """A record to be published: with a value, or removed."""
+    """A record to be published: `value` sets the record, `gone` removes it."""
 
     kind: Annotated[str, Meta(min_length=1, max_length=MAX_KIND_CHARS)]
     name: Annotated[str, Meta(min_length=1, max_length=MAX_NAME_BYTES)]
@@ -48,7 +50,7 @@
 
 
 class RecordsFile(Struct, forbid_unknown_fields=True, frozen=True):
-    """The whole YAML file."""
+    """The content of a YAML file."""
 
     records: list[Record]
 
@@ -58,19 +60,19 @@
 
 
 class DuplicateKeyError(ValueError):
-    """A duplicate key in one object."""
+    """A duplicate key in a JSON object."""
 
 
 @dataclass(slots=True)
 class Summary:
-    """The content of a file in figures."""
+    """Totals of the records in a file."""
 
-    set: int = 0  # records with a value
-    gone: int = 0  # records to be removed
-    bytes: int = 0  # of all changes, encoded
+    set: int = 0  # number of records with a value
+    gone: int = 0  # number of records to be removed
+    bytes: int = 0  # size of all changes, encoded
     batches: int = 0  # the number of batches needed
-    kinds: Counter[str] = field(default_factory=Counter)
-    changes: tuple[Change, ...] = ()  # of the first batch; all changes if there is only one batch
+    kinds: Counter[str] = field(default_factory=Counter)  # number of records of each kind
+    changes: tuple[Change, ...] = ()  # changes of the first batch; all changes if there is only one batch
 
     @property
     def records(self) -> int:
@@ -78,7 +80,7 @@
 
 
 def check_file(path: str) -> Summary:
-    """Checks the whole file. Raises InvalidConfigError, one line, for the first error."""
+    """Checks a whole file and returns its totals. The first error raises a one-line InvalidConfigError."""
     summary = Summary()
 
     def counted() -> Iterator[Change]:
@@ -111,7 +113,7 @@
 
 
 def split(changes: Iterable[Change]) -> Iterator[tuple[Change, ...]]:
-    """Batches of as many changes as fit, in order."""
+    """Splits changes into batches of as many changes as fit, in order."""
     batch: list[Change] = []
     size = BATCH_HEADER_BYTES
     for change in changes:
@@ -126,7 +128,7 @@
 
 
 def read_changes(path: str) -> Iterator[tuple[int, Change]]:
-    """Line number, from 1, and change. Raises InvalidConfigError if the file is invalid."""
+    """The changes of a file, each with its line number, from 1. Raises InvalidConfigError for an error."""
     return read_lines(path) if path.endswith(JSON_LINES_SUFFIX) else read_yaml(path)
 
 
@@ -134,7 +136,7 @@
 
 
 def read_lines(path: str) -> Iterator[tuple[int, Change]]:
-    """The changes of a JSON Lines file."""
+    """The changes of a JSON Lines file, each with its line number."""
     number = 0
     try:
         with open(path, "rb") as file:
@@ -151,7 +153,7 @@
 
 
 def parse_line(path: str, number: int, line: bytes) -> Change:
-    """The change of one line."""
+    """The change that a line of a JSON Lines file describes."""
     place = f"{path}, line {number}"
     try:
         record = decode_line(line)
@@ -166,14 +168,14 @@
 
 
 def reject_duplicate_keys(pairs: list[tuple[str, Any]]) -> None:
-    """Rejects duplicate keys, of which JSON decoders silently take the last."""
+    """Raises DuplicateKeyError for a duplicate key, of which JSON decoders silently take the last value."""
     if len({key for key, _ in pairs}) < len(pairs):
         key = next(key for key, count in Counter(key for key, _ in pairs).items() if count > 1)
         raise DuplicateKeyError(f"duplicate key {key!r}; remove one")
 
 
 def format_validation_error(fault: str) -> str:
-    """msgspec's message with the place first."""
+    """The text of a msgspec.ValidationError, with the place of the error first."""
     what, _, where = fault.partition(" - at `")
     where = where.rstrip("`").removeprefix("$").lstrip(".")
     return f"{where or 'the record'}: {what}"
@@ -183,7 +185,7 @@
 
 
 def read_yaml(path: str) -> Iterator[tuple[int, Change]]:
-    """The changes of a YAML file."""
+    """The changes of a YAML file, each with its line number."""
     chosen, place = parse_config(path, read_config_text(path), RecordsFile)
     for at, record in enumerate(chosen.records):
         where = f"$.records[{at}]"
@@ -198,14 +200,15 @@
 
 
 def value_line(place: YamlDocument, where: str, line: int) -> int:
-    """The line of the record's value, or else `line`."""
+    """The line number of the value of the record at `where`; `line` if the value's line is not known."""
     return place.line_of(f"{where}.value") or line
 
 
 def find_json_fault(value: Any, parts_left: list[int]) -> str:
-    """Why the value has no JSON form; "" if it has one.
+    """The reason why a value can't be written as JSON; "" if it can.
 
-    `parts_left`: how many parts it may have, as YAML can refer to one part many times.
+    `parts_left`: a list with one number, which is reduced for each part of the value. The number limits the
+    parts, because YAML can refer to one part many times.
     """
     parts_left[0] -= 1
     if parts_left[0] < 0:
@@ -228,7 +231,7 @@
 
 
 def make_change(place: str, where: str, record: Record) -> Change:
-    """The change that a record describes."""
+    """The change that a record describes. Raises InvalidConfigError if the record is invalid."""
     if record.gone == (record.value is not UNSET):
         raise InvalidConfigError(f"{place}: {where}value: give a value or 'gone: true', not both")
     try:
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -1,8 +1,11 @@
-"""A relay process: a `Subscriber` above and a `PublisherHost` below one table, and its last version on a
-disk.
+"""A relay process: one table, kept up to date from above and served to subscribers below in the relay tree.
 
-It serves its version as soon as that is checked, with its age. After a start the age is unknown, which counts
-as older than any limit, until a process above has answered; subscribers prefer other relays until then.
+A `Subscriber` follows a process above, and a `PublisherHost` answers the subscribers. The last version may be
+kept on a disk.
+
+After a start the relay serves the version from the disk as soon as that version is checked. The age of the
+version is unknown until a process above has answered. An unknown age counts as higher than any limit, so
+subscribers prefer other relays until then.
 """
 
 from __future__ import annotations
@@ -37,7 +40,8 @@
 if TYPE_CHECKING:
     from lichencleat.config_distribution.kept import PersistedTable  # imported only if needed, to save memory
 
-COUNT_INTERVAL_US = 200_000  # µs between sums of the counts below; they are sent once a second
+# µs between sums of the version counts of the nodes below; a sum is sent about once a second
+COUNT_INTERVAL_US = 200_000
 SWEEP_INTERVAL_S = 5.0  # s between checks for links without a greeting
 SECOND = 1_000_000  # µs
 
@@ -56,13 +60,16 @@
         recent: Sequence[Batch] = (),
         kept: PersistedTable | None = None,
     ) -> None:
-        """`table`, `mark`, `recent`: from the disk. Raises CannotListenError."""
+        """`table`, `mark`, `recent`: table, group identifier and last batches, as loaded from the disk.
+
+        Raises CannotListenError if the listening address can't be used.
+        """
         self.reactor, self.settings, self.log, self.kept = reactor, settings, log, kept
         self.table, self.mark, self.persisted_mark = table, mark, mark
         self.copy = TableCopy(table, mark)
         self.counts: dict[str, int] = {}
         self.silent: set[InboundConnection] = set()  # links without a greeting at the last check
-        self.counted_at = 0
+        self.counted_at = 0  # µs: when the version counts were last summed
         self.stopped = False
         now = self.now()
         self.publisher = Publisher(settings.name, settings.zone, table, now, recent)
@@ -90,11 +97,11 @@
         return int(self.reactor.seconds() * SECOND)
 
     def start(self) -> None:
-        """Opens the first link above."""
+        """Starts to follow a process above."""
         self.subscriber.start()
 
     def stop(self) -> Deferred[None]:
-        """Stops asking and answering; fires once the disk has the pending changes."""
+        """Stops requests and answers. The Deferred fires once the disk has the pending changes."""
         if self.stopped:
             return succeed(None)
         self.stopped = True
@@ -107,20 +114,20 @@
     # -- events from above -------------------------------------------------------------------------------
 
     def update_counts(self) -> None:
-        """Updates the counts of what is below, before a request is sent above."""
+        """Updates the version counts of the nodes below, for the next request to a process above."""
         now = self.now()
         if now - self.counted_at >= COUNT_INTERVAL_US:
             self.counted_at = now
             self.follower.counts_below = self.publisher.counts(now)
 
     def on_answer(self) -> None:
-        """An answer from above changed the age or reported the group's mark."""
+        """Handles an answer from a process above: the age or the group's identifier may have changed."""
         now = self.now()
         self.publisher.set_age(now, self.follower.age(now))
         self.adopt_group_mark()
 
     def on_applied(self, batches: tuple[Batch, ...]) -> None:
-        """The table applied these batches; (): a snapshot."""
+        """Handles that the table has applied batches; (): a snapshot."""
         now = self.now()
         self.adopt_group_mark()
         self.publisher.on_applied(now, batches)
@@ -139,10 +146,10 @@
         self.serving.schedule_pull()
 
     def adopt_group_mark(self) -> None:
-        """Adopts the group's mark: that of its table, or before that of the relay above.
+        """Adopts the group's identifier (mark): the table's mark or, if unknown, that of the relay above.
 
-        Links accepted without a mark get a second greeting, so that nobody has to reconnect at a first start;
-        links that were given another mark are closed.
+        Links that were accepted while the mark was unknown get a second greeting response, so that
+        subscribers don't have to reconnect at a first start. Links that were given another mark are closed.
         """
         if self.copy.mark != self.persisted_mark:
             self.persisted_mark = self.copy.mark
@@ -159,13 +166,13 @@
                 link.send(self.greeting_response(GreetingResult.ACCEPTED))
 
     def greeting_response(self, welcome: GreetingResult) -> GreetingResponse:
-        """The response to a greeting."""
+        """The response to a greeting, with the given result."""
         return GreetingResponse(welcome, self.mark, 0, self.settings.name, Incarnation(0, 0))
 
     # -- events of the listener --------------------------------------------------------------------------
 
     def on_greeting(self, link: InboundConnection, greeting: Greeting) -> None:
-        """Accepts links of its own group and closes others."""
+        """Accepts links of this relay's group and closes others."""
         mine = (
             greeting.format_version == FORMAT_VERSION
             and greeting.cluster_name == self.settings.group
@@ -183,7 +190,7 @@
             link.transport.loseConnection()
 
     def on_request(self, link: InboundConnection, request: ClientRequest) -> None:
-        """Passes requests for the distribution on and declines others."""
+        """Passes requests of the configuration distribution to the publisher's host and declines others."""
         if self.serving.handles(request.operation):
             self.serving.on_request(link, request)
         else:
@@ -191,7 +198,7 @@
             link.reply(ClientResponse(request.number, False, encode_raw("unfit")))
 
     def on_disconnected(self, link: InboundConnection, member_id: int) -> None:
-        """Forgets the link."""
+        """Removes the state of a link that has ended."""
         self.silent.discard(link)
         self.serving.on_disconnected(link)
 
@@ -199,11 +206,11 @@
         self.counts[what] = self.counts.get(what, 0) + 1
 
     def on_peer_message(self, message: object) -> None:
-        """Counts a frame that no relay expects."""
+        """Counts a message between group members, which a relay doesn't expect."""
         self.count("frames out of place")
 
     def close_silent_links(self) -> None:
-        """Closes links without a greeting since the last check, as the listener's places are few."""
+        """Closes links without a greeting since the last check, because the number of links is limited."""
         for link in self.silent:
             self.count("silent callers")
             link.transport.abortConnection()
@@ -211,7 +218,7 @@
         self.sweeping = self.reactor.callLater(SWEEP_INTERVAL_S, self.close_silent_links)
 
     def counters(self) -> dict[str, int]:
-        """All counters of this process: of its listener, of the answers below and of the requests above."""
+        """All counters of this process: of the listener, the answers to subscribers and the own requests."""
         totals = dict(self.counts)
         for part in (self.publisher.counters, self.serving.counts, self.subscriber.counters()):
             for what, number in part.items():
@@ -219,5 +226,5 @@
         return totals
 
     def status_fields(self) -> dict[str, Any]:
-        """What `status` shows beside the publisher's state."""
+        """The fields that `status` shows besides the publisher's state."""
         return {"above": self.follower.relay or "", "counters": dict(sorted(self.counters().items()))}
--- a/lichencleat/config_distribution/window.py
+++ b/lichencleat/config_distribution/window.py
@@ -1,6 +1,7 @@
-"""The recent batches that a publisher keeps for subscribers that lag, the digest after each of them, and
-which version the publisher had some time ago; no I/O. Bounded by number and by bytes, however far a
-subscriber lags.
+"""The window of recent batches that a publisher keeps for subscribers that lag, with the digest after each
+batch, and a history of the versions that the publisher had; no I/O.
+
+The window is bounded by the number of batches and by bytes, however far a subscriber lags.
 """
 
 from __future__ import annotations
@@ -18,14 +19,15 @@
 
 # bytes of an encoded batch without its changes: three numbers, a digest, array headers
 BATCH_OVERHEAD_BYTES = 64
-# bytes of an encoded change beside its strings: the headers of an array, two strings and bytes
+# bytes of an encoded change besides kind, name and value: the headers of an array, two strings and bytes
 CHANGE_OVERHEAD_BYTES = 12
-SLOT_US = 100_000  # µs; versions within one slot count as one, so lateness shows at most that much later
-MAX_SLOTS = LATE_AFTER_US // SLOT_US + 2  # slots kept: enough to look back by LATE_AFTER_US
+# µs: versions within one slot count as one version, so a late node is detected at most this much later
+SLOT_US = 100_000
+MAX_SLOTS = LATE_AFTER_US // SLOT_US + 2  # maximum of slots kept: enough to look back by LATE_AFTER_US
 
 
 def max_encoded_size(batch: Batch) -> int:
-    """Upper bound of the batch's encoded size in bytes."""
+    """An upper bound of the encoded size of a batch, in bytes."""
     size = BATCH_OVERHEAD_BYTES
     for kind, name, value in ((each.kind, each.name, each.value) for each in batch.changes):
         size += CHANGE_OVERHEAD_BYTES + len(kind.encode()) + len(name.encode()) + len(value or b"")
@@ -33,7 +35,7 @@
 
 
 class Window:
-    """The last batches in order, each following the one before, from a version that the table had."""
+    """The last batches in order, each of which follows the one before; `base`: version before the first."""
 
     def __init__(
         self,
@@ -42,25 +44,28 @@
         max_batches: int = MAX_WINDOW_BATCHES,
         max_bytes: int = MAX_WINDOW_BYTES,
     ):
-        """`max_batches`: number of batches kept; `max_bytes`: of them, encoded."""
+        """`version`, `digest`: of the table at the start; `max_batches`: maximum number of batches kept;
+        `max_bytes`: maximum encoded size of all batches kept.
+        """
         self.max_batches, self.max_bytes = max_batches, max_bytes
         self.restart(version, digest)
 
     def restart(self, version: int, digest: bytes) -> None:
-        """Empties the window at this version: a snapshot replaced the table."""
+        """Empties the window; `version`, `digest`: of the table, for example after a snapshot replaced it."""
         self.base, self.version, self.digest = version, version, digest
         self.batches: deque[Batch] = deque()
         self.sizes: deque[int] = deque()
         self.bytes = 0
-        # version -> digest after it, for each version with batches to follow
+        # version -> table digest, for `base` and the version of each batch kept
         self.digests: dict[int, bytes] = {version: digest}
-        self.places: dict[int, int] = {version: 0}  # version -> number of the batch that follows it
-        self.dropped = 0  # batches dropped so far: the number of the first one kept
+        # version -> number of the next batch, counted since `restart`
+        self.places: dict[int, int] = {version: 0}
+        self.dropped = 0  # batches dropped since `restart`: the number of the first batch kept
 
     def add(self, batch: Batch) -> None:
-        """Adds a batch and drops the oldest above the bounds.
+        """Adds a batch and drops the oldest batches above the bounds.
 
-        Raises ValueError if it doesn't follow the newest.
+        Raises ValueError if the batch doesn't follow the newest version.
         """
         if batch.previous != self.version or batch.version <= self.version:
             raise ValueError(
@@ -81,9 +86,9 @@
             self.base = gone.version
 
     def after(self, version: int, max_bytes: int = MAX_ANSWER_BYTES) -> tuple[Batch, ...] | None:
-        """The batches that follow the version, in order, as many as fit into `max_bytes`, at least one.
+        """The batches after `version`, in order: as many as fit into `max_bytes`, but at least one.
 
-        None if the window doesn't reach back to that version; empty if there is nothing newer.
+        None if the window doesn't have all batches after that version; empty if there is no newer version.
         """
         place = self.places.get(version)
         if place is None:
@@ -101,14 +106,17 @@
 
 
 class VersionHistory:
-    """Which version was in force some time ago: a node that still lacks it after `LATE_AFTER_US` is late."""
+    """The versions in force during the last `LATE_AFTER_US`, in slots of `SLOT_US`.
+
+    A node that lacks the version that was in force `LATE_AFTER_US` ago is late.
+    """
 
     def __init__(self, now: int, version: int) -> None:
-        # per slot: first moment, last moment, version
+        # per slot: µs of the first and the last record in the slot, last version
         self.slots: deque[list[int]] = deque([[now, now, version]])
 
     def record(self, now: int, version: int) -> None:
-        """Records that the version is in force now."""
+        """Records that `version` is in force from `now` (µs) on."""
         last = self.slots[-1]
         if now - last[0] < SLOT_US:
             last[1:] = [now, version]
@@ -118,7 +126,7 @@
             self.slots.popleft()
 
     def version_at(self, moment: int) -> int:
-        """The version that was certainly in force at that moment (µs); 0 if it is not known."""
+        """The version known to have been in force at a moment (µs); 0 if none is known."""
         while len(self.slots) > 1 and self.slots[1][1] <= moment:
             self.slots.popleft()
         first = self.slots[0]
