--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -60,8 +60,8 @@
 FETCH_BYTES_PER_US = 16
 FETCH_BURST_BYTES = 2 * MAX_ANSWER_BYTES  # bytes of snapshots sent in a burst before that rate applies
 MAX_PAGES_PER_ANSWER = 16  # maximum of pages in an answer; compressing a page takes the relay some 0.3 ms
-FETCH_IDLE_US = 3_000_000  # µs without a request from a fetching subscriber, after which it loses its slot
-VIEW_IDLE_US = 10_000_000  # µs that a view is kept after the last request for it
+FETCH_IDLE_US = 3_000_000  # µs without a request from a fetching subscriber, until its slot is freed
+VIEW_IDLE_US = 10_000_000  # µs that a view is kept after the last request for the view
 VIEW_SHARED_US = 30_000_000  # µs that a view is shared with new fetchers: the window has the later batches
 # µs without a request, after which the link of a subscriber that has sent a `follow` counts as dead
 SUBSCRIBER_IDLE_US = 60_000_000
@@ -188,7 +188,7 @@
     # -- inputs ------------------------------------------------------------------------------------------
 
     def on_applied(self, now: int, batches: tuple[Batch, ...]) -> None:
-        """The table applied these batches; (): a snapshot replaced it, so the window is emptied."""
+        """Handles that the table has applied batches; (): a snapshot instead, which empties the window."""
         if not batches:
             self.window.restart(self.table.version, self.table.digest)
         else:
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -125,7 +125,7 @@
     # -- state -------------------------------------------------------------------------------------------
 
     def age(self, now: int) -> int:
-        """µs since the source was known to have nothing newer; `MAX_AGE_US` if it never was."""
+        """µs since the source was known to have nothing newer; `MAX_AGE_US` if that was never known."""
         return MAX_AGE_US if self.known_at is None else age_after(0, now - self.known_at)
 
     def advance_known_at(self, moment: int | None) -> None:
@@ -307,7 +307,7 @@
             self.on_invalid_answer(now, relay, "its answer does not match the request")
 
     def on_declined(self, now: int, relay: str, what: str, why: str) -> None:
-        """Leaves a relay that declined a request, or waits and retries if it has no free snapshot slot."""
+        """Leaves a relay that declined a request, or waits and retries if no snapshot slot is free."""
         self.count("declined")
         if what == FOLLOW or why in ("nothing here", "unfit"):
             self.exclude_and_leave(now, relay, why or "it declined the request", self.times.failed_exclusion)
@@ -382,7 +382,7 @@
             self.step()
 
     def on_behind(self, now: int, relay: str, answer: FollowAnswer) -> None:
-        """The relay has a lower version than this process. It is left if that lasts for `max_behind`."""
+        """The relay has a lower version than this process. After `max_behind` the relay is left."""
         if answer.version >= self.copy.version:
             self.on_invalid_answer(now, relay, "it reported a lower version, but its version is not lower")
             return
@@ -416,7 +416,7 @@
         self.selector.exclude(now, relay, self.times.wrong_exclusion)
 
     def check_own_copy(self) -> None:
-        """Puts the own copy in doubt if independent relays disagree with it."""
+        """Marks this process's copy as in doubt if several independent relays disagree with the copy."""
         if not self.needs_snapshot and (
             self.selector.are_independent(self.diverging_relays)
             or self.selector.are_independent(self.corrupt_relays)
@@ -480,7 +480,7 @@
             self.decide(Action.STEP)
 
     def on_stepped(self, now: int, ready: bool | None) -> None:
-        """Handles the result of `copy.step()`. `ready`: the update can be applied; None: it is corrupt."""
+        """Handles the result of `copy.step()`. `ready`: the update can be applied; None: corrupt data."""
         self.stepping = False
         pending = self.pending
         if not pending.what:
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -283,7 +283,7 @@
         self.schedule_write()
 
     def set_group_mark(self, mark: bytes) -> None:
-        """Sets the identifier of the group and writes it if it has changed."""
+        """Sets the identifier of the group and schedules a write if the identifier has changed."""
         if mark != self.group_mark:
             self.group_mark = mark
             self.schedule_write()
--- a/lichencleat/config_distribution/rebuild.py
+++ b/lichencleat/config_distribution/rebuild.py
@@ -29,7 +29,7 @@
 
 
 def decode_page_digests(head: SnapshotHead) -> list[int]:
-    """The page digests in a snapshot's head. Raises CorruptTableError if its table digest differs."""
+    """The page digests in a snapshot's head. Raises CorruptTableError if the head is inconsistent."""
     if len(head.pages) != PAGE_COUNT * DIGEST_BYTES:
         raise CorruptTableError(
             f"a snapshot has {PAGE_COUNT} page digests of {DIGEST_BYTES} bytes, not {len(head.pages)} bytes"
@@ -71,9 +71,9 @@
         self.total = sum(self.digests) & pages.SUM_MASK
         if past is None:
             self.pages, self.records, self.bytes = list(table.pages), table.records, table.bytes
-            # per page: 1 if it is still to be fetched
+            # per page: 1 if the page is still to be fetched
             self.wanted = bytearray(map(ne, self.digests, table.page_digests))
-            self.fetched = bytearray(PAGE_COUNT)  # per page: 1 if it was fetched
+            self.fetched = bytearray(PAGE_COUNT)  # per page: 1 if the page was fetched
         else:
             self.pages, self.records, self.bytes = list(past.pages), past.records, past.bytes
             self.wanted, self.fetched = past.wanted.copy(), past.fetched.copy()
--- a/lichencleat/config_distribution/relay.py
+++ b/lichencleat/config_distribution/relay.py
@@ -47,7 +47,7 @@
 
 
 class RelayProcess:
-    """Owns the listener, the links above, the timers and the disk; `stop` releases them."""
+    """Owns the listener, the links to processes above, the timers and the disk; `stop` releases all."""
 
     def __init__(
         self,
--- a/lichencleat/config_distribution/serving.py
+++ b/lichencleat/config_distribution/serving.py
@@ -191,7 +191,7 @@
         """The encoded content of an answer. Content that was encoded in this pull is not encoded again."""
         known = self.encoded.get(id(content))
         if known is None:
-            # keeps the content alive, so that its id is not reused
+            # the entry keeps the content alive, so that its id() is not reused for other content
             known = self.encoded[id(content)] = (content, msgspec.Raw(encode(content)))
         return known[1]
 
--- a/lichencleat/config_distribution/source.py
+++ b/lichencleat/config_distribution/source.py
@@ -124,7 +124,7 @@
 
 
 class KeptBatch(NamedTuple):
-    """A kept batch, with the value that each of its changes replaced."""
+    """A kept batch, with the value that each change of the batch replaced."""
 
     batch: Batch
     replaced: Replaced
@@ -149,7 +149,7 @@
 
 
 class Source:
-    """The table of a group, its kept batches and its compressed pages."""
+    """The table of a group, the kept batches and the compressed pages for dumps."""
 
     def __init__(
         self, window_batches: int = MAX_WINDOW_BATCHES, window_bytes: int = MAX_WINDOW_BYTES
@@ -289,7 +289,7 @@
         return SourceDump(self.table.version, self.table.digest, pages, plain, self.since, window)
 
     def load(self, dumped: msgspec.Raw) -> None:
-        """Restores a dump. Raises msgspec.MsgspecError if it is invalid or incomplete."""
+        """Restores a dump. Raises msgspec.MsgspecError if the dump is invalid or incomplete."""
         found = decode_source_dump(dumped)
         plain = set(found.plain)
         pages = [each if at in plain else inflate(each) for at, each in enumerate(found.pages)]
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -88,7 +88,7 @@
 
 
 class RelayAttempt(ClientFactory):
-    """One attempt at one relay, from opening the link to its end.
+    """One attempt to use a relay, from opening the link to the end of the link.
 
     The attempt has no timer: the follower leaves relays whose link doesn't open or that don't answer.
     """
--- a/lichencleat/config_distribution/table.py
+++ b/lichencleat/config_distribution/table.py
@@ -149,7 +149,7 @@
         return pages.find_value(self.pages[number], position, key)
 
     def items(self) -> Iterator[tuple[str, str, bytes]]:
-        """Kind, name and value of all records, page by page; each page as it is when it is reached."""
+        """Kind, name and value of all records, page by page. A page is read only when its turn comes."""
         for number in range(PAGE_COUNT):
             yield from pages.iterate_records(self.pages[number])
 
