--- a/benchmarks/distribution.py
+++ b/benchmarks/distribution.py
@@ -31,7 +31,7 @@
 from lichencleat.testkit.cluster.hollow_nodes import rss
 from lichencleat.testkit.cluster.relay import LOCAL
 from lichencleat.testkit.cluster.rig import GROUP
-from lichencleat.testkit.cluster.tap import moment
+from lichencleat.testkit.cluster.tap import monotonic_us
 from lichencleat.transport.errors import RequestFailedError
 from lichencleat.transport.group_client import GroupClient
 
@@ -98,10 +98,12 @@
         self.tiers: dict[str, list[list[str]]] = {}
         source = [each.address for each in self.voters.values()]
         for region in range(REGIONS):
-            above = [self.relay(f"r{region}{at}", "", [source]) for at in range(RELAYS_EACH)]
+            above = [self.add_relay_process(f"r{region}{at}", "", [source]) for at in range(RELAYS_EACH)]
             for zone in (f"z{region}{at}" for at in range(zones)):
                 tiers = [[each.address for each in above], source]
-                self.near[zone] = [self.relay(f"{zone}-{at}", zone, tiers) for at in range(RELAYS_EACH)]
+                self.near[zone] = [
+                    self.add_relay_process(f"{zone}-{at}", zone, tiers) for at in range(RELAYS_EACH)
+                ]
                 self.tiers[zone] = [[each.address for each in self.near[zone]], *tiers]
 
     def fill(self, records: int) -> None:
@@ -114,7 +116,7 @@
     def feed(self) -> None:
         """Starts the relays, a tier after the other, and waits until each has what there is."""
         for far in (True, False):
-            tier = [each for name, each in self.feeding.items() if name.startswith("r") is far]
+            tier = [each for name, each in self.relay_processes.items() if name.startswith("r") is far]
             for each in tier:
                 each.start()
             for each in tier:
@@ -159,7 +161,7 @@
 
     def subscribers(self, words: list[dict[str, Any]]) -> dict[str, int]:
         """Nodes that follow each relay, by the nodes' own word; `words`: one of each process."""
-        named = {each.address: each.name for each in self.feeding.values()}
+        named = {each.address: each.name for each in self.relay_processes.values()}
         found: dict[str, int] = {}
         for word in words:
             for address, count in word["relays"].items():
@@ -209,7 +211,9 @@
         self.rig = rig
         self.words = rig.words()
         self.at = time.monotonic()
-        self.relays = {name: cpu(each.running.pid) for name, each in rig.feeding.items() if each.is_up()}
+        self.relays = {
+            name: cpu(each.running.pid) for name, each in rig.relay_processes.items() if each.is_up()
+        }
         self.voters = {name: cpu(each.running.pid) for name, each in rig.voters.items()}
 
     def ends(self) -> dict[str, Any]:
@@ -231,7 +235,7 @@
                 name: {
                     "subscribers": subscribers.get(name, 0),
                     "cpu_percent": 100 * (after.relays[name] - used_before) / span,
-                    "rss_mb": rss(self.rig.feeding[name].running.pid) / 1e6,
+                    "rss_mb": rss(self.rig.relay_processes[name].running.pid) / 1e6,
                 }
                 for name, used_before in self.relays.items()
                 if name in after.relays
@@ -248,8 +252,8 @@
     window = Window(rig)
     published = []
     for _ in range(count):
-        begun = moment()
-        published.append((rig.publish(small(rng, records)), begun, moment()))
+        begun = monotonic_us()
+        published.append((rig.publish(small(rng, records)), begun, monotonic_us()))
         time.sleep(rest)
     words = rig.all_at(rig.version, 30)
     ended = window.ends()
@@ -269,9 +273,9 @@
 def burst(rig: BenchRig, records: int, rng: random.Random, count: int = 50) -> dict[str, Any]:
     """All at once: until the last of them is in force everywhere, from its own confirmation's begin."""
     rig.words()
-    begun = moment()
+    begun = monotonic_us()
     for _ in range(count):
-        at = moment()
+        at = monotonic_us()
         rig.publish(small(rng, records))
     words = rig.all_at(rig.version, 60)
     takes = first_takes(words, rig.version, at)
@@ -289,7 +293,7 @@
     before = rig.subscribers(rig.words()).get(lost.name, 0)
     window = Window(rig)
     lost.kill()
-    begun = moment()
+    begun = monotonic_us()
     version = rig.publish(small(rng, records))
     words = rig.all_at(version, 60)
     ended = window.ends()
--- a/lichencleat/testkit/cluster/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -33,16 +33,16 @@
 from lichencleat.testkit.cluster.distribution_parts import RelayProcess, Watcher
 from lichencleat.testkit.cluster.relay import CLIENT, LOCAL
 from lichencleat.testkit.cluster.rig import GROUP, PATIENCE, Rig, Voter
-from lichencleat.testkit.cluster.tap import TappedRelays, moment
+from lichencleat.testkit.cluster.tap import TappedRelays, monotonic_us
 from lichencleat.transport.errors import RequestFailedError
 from lichencleat.transport.group_client import GroupClient
 
-PAIRS, TENANTS = 8, 8  # numbers of record pairs and of tenant records that each node reports
+PAIR_COUNT, TENANT_COUNT = 8, 8  # numbers of record pairs and of tenant records that each node reports
 # number of routes, and of routes changed by a batch: so many changes need several slices
-BULK, BULK_EACH = 2_000, 60
-FILLED = 400  # records of each batch that fills the table at the start
-SERIAL = "serial/all"  # name of the record that holds the number of the last batch
-TIMES = {  # ranges in µs: seconds instead of the minutes of production, to keep tests short
+ROUTE_COUNT, ROUTES_PER_BATCH = 2_000, 60
+FILL_BATCH_SIZE = 400  # records of each batch that fills the table at the start
+BATCH_NUMBER_RECORD = "serial/all"  # name of the record that holds the number of the last batch
+SUBSCRIBER_TIMES = {  # ranges in µs: seconds instead of the minutes of production, to keep tests short
     "first_choice_probe_interval": (500_000, 1_500_000),
     "failed_exclusion": (500_000, 1_500_000),
     "wrong_exclusion": (1_000_000, 3_000_000),
@@ -54,34 +54,34 @@
 encode_value = msgspec.json.Encoder(order="sorted").encode
 
 
-def change(name: str, value: Any) -> Change:
+def make_change(name: str, value: Any) -> Change:
     """Return the change that sets the record "kind/name" to a value, or deletes the record if it is None."""
     kind, _, rest = name.partition("/")
     return Change(kind, rest, None if value is None else encode_value(value))
 
 
-def looked_at() -> list[str]:
+def observed_records() -> list[str]:
     """Return the names of the records that each node reports."""
-    pairs = [f"{PAIR}/{side}{number}" for number in range(PAIRS) for side in (LEFT, RIGHT)]
-    return [*pairs, *(f"{TENANT}/t{number}" for number in range(TENANTS)), SERIAL]
+    pairs = [f"{PAIR}/{side}{number}" for number in range(PAIR_COUNT) for side in (LEFT, RIGHT)]
+    return [*pairs, *(f"{TENANT}/t{number}" for number in range(TENANT_COUNT)), BATCH_NUMBER_RECORD]
 
 
-def batch_of(number: int, rng: random.Random) -> dict[str, Any]:
+def make_batch(number: int, rng: random.Random) -> dict[str, Any]:
     """Return the records of a batch: both records of a pair, three tenants, many routes and the batch number.
 
     A node must apply either all of these records or none.
     """
     pair = {"n": number} if number % 7 else None  # every seventh batch deletes both records of the pair
-    made: dict[str, Any] = {f"{PAIR}/{side}{number % PAIRS}": pair for side in (LEFT, RIGHT)}
-    for each in rng.sample(range(TENANTS), 3):
+    made: dict[str, Any] = {f"{PAIR}/{side}{number % PAIR_COUNT}": pair for side in (LEFT, RIGHT)}
+    for each in rng.sample(range(TENANT_COUNT), 3):
         made[f"{TENANT}/t{each}"] = {"tenant": f"t{each}", "n": number}
-    for each in rng.sample(range(BULK), BULK_EACH):
+    for each in rng.sample(range(ROUTE_COUNT), ROUTES_PER_BATCH):
         made[f"route/r{each}"] = {"n": number, "to": "x" * rng.randrange(40, 160)}
-    made[SERIAL] = {"n": number}
+    made[BATCH_NUMBER_RECORD] = {"n": number}
     return made
 
 
-class OtherVoter(Voter):
+class OtherGroupVoter(Voter):
     """The only voter of another group, with a settings file that lists no other voter."""
 
     def write_file(self) -> None:
@@ -107,21 +107,21 @@
         self.direct = direct
         self.rng = random.Random(f"distribution {seed}")
         self.disk = disk
-        self.watchers_times = dict(TIMES)
-        self.looks_at = looked_at()
+        self.watcher_times = dict(SUBSCRIBER_TIMES)
+        self.observed_names = observed_records()
         super().__init__(path, disk=disk, relays=TappedRelays(self.rng))
         self.watch = DistributionWatch()
         self.history: list[Said] = []
         self.acknowledged: list[Acknowledged] = []
-        self.judged_to = (0, 0)  # numbers of entries of `history` and `acknowledged` that were checked
+        self.checked_counts = (0, 0)  # numbers of entries of `history` and `acknowledged` that were checked
         self.number = 0  # number of the last batch made
         self.version = 0  # highest version confirmed
-        # records and result of each batch published by `publishes_on`
-        self.results: list[tuple[dict[str, Any], Any]] = []
-        self.under_way = False
-        self.feeding: dict[str, RelayProcess] = {}
+        # records and result of each batch published by `publish_in_background`
+        self.publish_results: list[tuple[dict[str, Any], Any]] = []
+        self.publish_pending = False
+        self.relay_processes: dict[str, RelayProcess] = {}
         self.watchers: dict[str, Watcher] = {}
-        self.wrong_ones: dict[str, Watcher] = {}  # watchers with an injected bug, checked separately
+        self.faulty_watchers: dict[str, Watcher] = {}  # watchers with an injected bug, checked separately
         self.zones = tuple(zones)
         self.publisher: Any = None
         for voter in self.voters.values():
@@ -130,35 +130,35 @@
             voter.settings |= {"distribution": True, "address": voter.address}
         source = [each.address for each in self.voters.values()]
         for zone in zones:
-            region = self.relay(f"r{zone}", "", [source])
+            region = self.add_relay_process(f"r{zone}", "", [source])
             for at in (1, 2):
-                self.relay(f"{zone}{at}", zone, [[region.address], source])
+                self.add_relay_process(f"{zone}{at}", zone, [[region.address], source])
             for number in range(1, nodes + 1):
                 keeps = number < nodes or nodes == 1  # the last of several nodes in a zone has no disk
-                self.watcher(f"{zone}-n{number}", zone, self.sources(zone), keeps=keeps)
+                self.add_watcher(f"{zone}-n{number}", zone, self.sources(zone), keeps=keeps)
 
-    def relay(self, name: str, zone: str, sources: list[list[str]], **more: Any) -> RelayProcess:
+    def add_relay_process(self, name: str, zone: str, sources: list[list[str]], **more: Any) -> RelayProcess:
         """Add a relay process without starting it. `sources`: addresses by tier, the preferred tier first."""
-        self.feeding[name] = RelayProcess(self, name, zone, sources, **more)
-        return self.feeding[name]
+        self.relay_processes[name] = RelayProcess(self, name, zone, sources, **more)
+        return self.relay_processes[name]
 
-    def watcher(self, name: str, zone: str, sources: list[list[str]], **more: Any) -> Watcher:
+    def add_watcher(self, name: str, zone: str, sources: list[list[str]], **more: Any) -> Watcher:
         """Add a watcher without starting it. `sources`: addresses by tier, the preferred tier first."""
         self.watchers[name] = Watcher(self, name, zone, sources, **more)
         return self.watchers[name]
 
-    def wrong_one(self, mistake: str, zone: str, sources: list[list[str]] | None = None) -> Watcher:
+    def add_faulty_watcher(self, mistake: str, zone: str, sources: list[list[str]] | None = None) -> Watcher:
         """Add a watcher with the named injected bug without starting it."""
         name = f"wrong-{mistake.replace(' ', '-')}"
         made = Watcher(self, name, zone, sources or self.sources(zone), mistake=mistake)
-        self.wrong_ones[name] = made
+        self.faulty_watchers[name] = made
         return made
 
     def sources(self, zone: str) -> list[list[str]]:
         """Return three tiers of addresses: the zone's relays, its region's relay, and the voters."""
         source = [each.address for each in self.voters.values()]
-        near = [self.feeding[f"{zone}{at}"].address for at in (1, 2)]
-        return [near, [self.feeding[f"r{zone}"].address], source]
+        near = [self.relay_processes[f"{zone}{at}"].address for at in (1, 2)]
+        return [near, [self.relay_processes[f"r{zone}"].address], source]
 
     def start(self) -> None:
         """Found the group, start all processes and fill the table.
@@ -167,88 +167,88 @@
         """
         self.form()
         self.publisher = self.client()
-        for each in (*self.feeding.values(), *self.watchers.values()):
+        for each in (*self.relay_processes.values(), *self.watchers.values()):
             each.start()
-        for begin in range(0, BULK, FILLED):
-            filled = {f"route/r{at}": {"n": 0, "to": "x"} for at in range(begin, begin + FILLED)}
+        for begin in range(0, ROUTE_COUNT, FILL_BATCH_SIZE):
+            filled = {f"route/r{at}": {"n": 0, "to": "x"} for at in range(begin, begin + FILL_BATCH_SIZE)}
             self.publish(filled)
         self.publish()
-        self.all_have()
+        self.wait_for_version()
 
     # -- publishing ----------------------------------------------------------------------------------
 
     def publish(self, records: dict[str, Any] | None = None) -> int:
         """Publish these records or a random batch, and return the version. Raises RequestFailedError."""
         self.number += 1
-        records = batch_of(self.number, self.rng) if records is None else records
-        changes = [change(name, value) for name, value in records.items()]
+        records = make_batch(self.number, self.rng) if records is None else records
+        changes = [make_change(name, value) for name, value in records.items()]
         told = self.ask(self.publisher.propose, STATE_PART, PublishCommand(tuple(changes)), PATIENCE)
         published = PublishResult(*told)
         assert published.done, published.why
-        self.confirms(published.version, records)
+        self.record_confirmed(published.version, records)
         return published.version
 
-    def publishes_on(self, patience: float = 3.0) -> None:
+    def publish_in_background(self, patience: float = 3.0) -> None:
         """Start to publish a random batch without waiting, unless an earlier batch has no result yet.
 
         The results that came since the last call are recorded first.
         """
-        while self.results:
-            records, told = self.results.pop(0)
-            self.under_way = False
+        while self.publish_results:
+            records, told = self.publish_results.pop(0)
+            self.publish_pending = False
             if told is not None and PublishResult(*told).done:
-                self.confirms(PublishResult(*told).version, records)
-        if self.under_way:
+                self.record_confirmed(PublishResult(*told).version, records)
+        if self.publish_pending:
             return
-        self.under_way = True
+        self.publish_pending = True
         self.number += 1
-        records = batch_of(self.number, self.rng)
-        changes = tuple(change(name, value) for name, value in records.items())
+        records = make_batch(self.number, self.rng)
+        changes = tuple(make_change(name, value) for name, value in records.items())
 
         def begin() -> None:
             made = self.publisher.propose(STATE_PART, PublishCommand(changes), patience)
             made.addErrback(lambda failure: failure.trap(RequestFailedError) and None)
-            made.addCallback(lambda told: self.results.append((records, told)))
+            made.addCallback(lambda told: self.publish_results.append((records, told)))
 
         self.relays.reactor.callFromThread(begin)
 
-    def confirms(self, version: int, records: dict[str, Any]) -> None:
+    def record_confirmed(self, version: int, records: dict[str, Any]) -> None:
         """Record that a batch was confirmed with this version."""
         self.version = max(version, self.version)
-        self.watch.publishes(version, {name: records[name] for name in looked_at() if name in records})
+        self.watch.publishes(version, {name: records[name] for name in observed_records() if name in records})
 
     # -- checking ------------------------------------------------------------------------------------
 
-    def listen(self) -> None:
+    def read_output(self) -> None:
         """Read the acknowledgements so far, and then the lines of all watchers.
 
         In this order the line of every acknowledged version is among the lines that were read.
         """
-        told = self.relays.told()
-        for name, watcher in (*self.watchers.items(), *self.wrong_ones.items()):
+        told = self.relays.take_acknowledged()
+        for name, watcher in (*self.watchers.items(), *self.faulty_watchers.items()):
             self.history += [
                 Said(line["at"], name, line["life"], line["version"], line["digest"], line["answers"])
-                for line in watcher.hear()
+                for line in watcher.read_lines()
             ]
         self.acknowledged += told
 
-    def hear(self) -> None:
+    def check_output(self) -> None:
         """Read and check all lines and acknowledgements so far. Raises AssertionError for a violation."""
-        self.listen()
-        said, told = self.judged_to
+        self.read_output()
+        said, told = self.checked_counts
         for each in self.history[said:]:
             if each.who in self.watchers:
                 self.watch.in_force(each)
         self.watch.acknowledges(each for each in self.acknowledged[told:] if each.who in self.watchers)
-        self.judged_to = len(self.history), len(self.acknowledged)
+        self.checked_counts = len(self.history), len(self.acknowledged)
         assert self.watch.wrong is None, self.watch.wrong
 
-    def judged(self, name: str) -> str | None:
+    def check_faulty_watcher(self, name: str) -> str | None:
         """Read all lines so far, and return the violation of a watcher with an injected bug, or None."""
-        self.hear()
-        return self.beside(name)
+        self.check_output()
+        return self.find_violation(name)
 
-    def beside(self, name: str) -> str | None:
+    def find_violation(self, name: str) -> str | None:
         """Check the named watcher together with all correct watchers; return the first violation or None."""
         watch = DistributionWatch()
         for version, answers in self.watch.published.items():
@@ -259,48 +259,51 @@
         watch.acknowledges(each for each in self.acknowledged if each.who == name)
         return watch.wrong
 
-    def all_have(self, version: int = 0, names: Iterable[str] | None = None) -> None:
+    def wait_for_version(self, version: int = 0, names: Iterable[str] | None = None) -> None:
         """Wait until all running watchers have a version, by default the newest confirmed version."""
         version = version or self.version
 
-        def lacking() -> list[str]:
-            self.hear()
+        def names_behind() -> list[str]:
+            self.check_output()
             chosen = self.watchers if names is None else names
             up = [name for name in chosen if self.watchers[name].is_up()]
             return [name for name in up if self.watchers[name].last.get("version", 0) < version]
 
         try:
-            self.until(lambda: not lacking(), f"all watchers to have version {version}")
+            self.until(lambda: not names_behind(), f"all watchers to have version {version}")
         except AssertionError as wrong:
-            lack = {name: self.watchers[name].last.get("version") for name in lacking()}
+            lack = {name: self.watchers[name].last.get("version") for name in names_behind()}
             raise AssertionError(f"{wrong}\nwatchers with an older version: {lack}") from wrong
 
-    def look(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
+    def request_lines(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
         """Request a line from each of these watchers, and return the lines of those that are up, by name."""
         asked = {name: self.watchers[name] for name in (self.watchers if names is None else names)}
 
-        def all_have(holds: Callable[[Watcher], Any]) -> bool:
-            self.hear()
-            return all(holds(each) for each in asked.values() if each.is_up())
+        def all_match(matches: Callable[[Watcher], Any]) -> bool:
+            self.check_output()
+            return all(matches(each) for each in asked.values() if each.is_up())
 
         # a watcher that has written no line yet may not handle the signal
-        self.until(lambda: all_have(lambda each: each.last), f"the first line of {', '.join(asked)}")
-        since = moment()
+        self.until(lambda: all_match(lambda each: each.last), f"the first line of {', '.join(asked)}")
+        since = monotonic_us()
         for each in asked.values():
             each.signal(signal.SIGUSR1)
         self.until(
-            lambda: all_have(lambda each: each.answer(since)), f"a requested line of {', '.join(asked)}"
+            lambda: all_match(lambda each: each.requested_line(since)),
+            f"a requested line of {', '.join(asked)}",
         )
-        return {name: each.answer(since) for name, each in asked.items() if each.is_up()}
+        return {name: each.requested_line(since) for name, each in asked.items() if each.is_up()}
 
-    def relays_of(self, names: Iterable[str]) -> dict[str, str]:
+    def followed_relays(self, names: Iterable[str]) -> dict[str, str]:
         """Return the name of the relay or voter that each watcher follows, "" if the watcher follows none."""
-        named = {each.address: each.name for each in (*self.feeding.values(), *self.voters.values())}
-        return {name: named.get(said.get("relay") or "", "") for name, said in self.look(names).items()}
+        named = {each.address: each.name for each in (*self.relay_processes.values(), *self.voters.values())}
+        return {
+            name: named.get(said.get("relay") or "", "") for name, said in self.request_lines(names).items()
+        }
 
-    def at_home(self, names: Iterable[str]) -> bool:
+    def all_follow_first_choice(self, names: Iterable[str]) -> bool:
         """Whether each of these watchers follows the relay of its first choice."""
-        return all(said.get("relay") == said["home"] for said in self.look(names).values())
+        return all(said.get("relay") == said["home"] for said in self.request_lines(names).values())
 
     def distribution_status(self) -> dict[str, Any] | None:
         """Return the answer of the status command, or None if the command fails."""
@@ -314,7 +317,7 @@
 
         No process of the first group has the address of the other group.
         """
-        voter = OtherVoter(self, "w1", self.disk)
+        voter = OtherGroupVoter(self, "w1", self.disk)
         voter.settings["distribution"] = True
         voter.write_file()
         code, said = self.command("quorum", "found", str(voter.file))
@@ -326,15 +329,15 @@
         )
         self.clients.append(client)
         for _ in range(3):
-            records = batch_of(9_000, random.Random("other")) | {"tenant/t1": {"tenant": "other", "n": 0}}
-            records[f"route/{self.relays.call(moment)}"] = {"n": 0}
-            changes = tuple(change(name, value) for name, value in records.items())
+            records = make_batch(9_000, random.Random("other")) | {"tenant/t1": {"tenant": "other", "n": 0}}
+            records[f"route/{self.relays.call(monotonic_us)}"] = {"n": 0}
+            changes = tuple(make_change(name, value) for name, value in records.items())
             self.ask(client.propose, STATE_PART, PublishCommand(changes), PATIENCE)
         other = RelayProcess(self, "x1", "", [[voter.address]])
         other.start()
         return other
 
-    def exchange(self, relay: RelayProcess, port: int) -> None:
+    def redirect(self, relay: RelayProcess, port: int) -> None:
         """Redirect the connections to a relay's address to another port."""
 
         def go() -> None:
@@ -343,20 +346,20 @@
         self.relays.call(go)
         self.relays.reset(relay.name)
 
-    def inside(self, zone: str) -> set[str]:
+    def processes_in_region(self, zone: str) -> set[str]:
         """Return the names of the relays and watchers in the region of a zone."""
         return {
             name
-            for name in (*self.feeding, *self.watchers)
-            if name == f"r{zone}" or (self.feeding.get(name) or self.watchers[name]).zone == zone
+            for name in (*self.relay_processes, *self.watchers)
+            if name == f"r{zone}" or (self.relay_processes.get(name) or self.watchers[name]).zone == zone
         }
 
-    def cut(self, here: set[str]) -> set[tuple[str, str]]:
+    def block_traffic(self, here: set[str]) -> set[tuple[str, str]]:
         """Block the traffic between these processes and all others; connections stay open.
 
         Returns the blocked directions, for `heal`.
         """
-        others = {*self.voters, *self.feeding, *self.watchers, CLIENT} - here
+        others = {*self.voters, *self.relay_processes, *self.watchers, CLIENT} - here
         pairs = set(itertools.product(here, others)) | set(itertools.product(others, here))
         self.relays.block(pairs)
         return pairs
--- a/lichencleat/testkit/cluster/distribution_parts.py
+++ b/lichencleat/testkit/cluster/distribution_parts.py
@@ -39,7 +39,7 @@
         self.running: subprocess.Popen | None = None
         self.copies = 0
 
-    def words(self) -> list[str]:
+    def command_arguments(self) -> list[str]:
         """Return the module to run and its arguments."""
         raise NotImplementedError
 
@@ -47,7 +47,7 @@
         """Start a process; its standard error is appended to the log."""
         with open(self.log, "ab") as log:
             self.running = subprocess.Popen(
-                [sys.executable, "-m", *self.words()],
+                [sys.executable, "-m", *self.command_arguments()],
                 cwd=ROOT,
                 stderr=log,
                 env=self.rig.environment(self.name),
@@ -71,19 +71,19 @@
         self.resume()
         return to
 
-    def put_back(self, copy: Path) -> None:
+    def restore_directory(self, copy: Path) -> None:
         """Replace the directory by a copy of it. The process must be down."""
         shutil.rmtree(self.directory)
         shutil.copytree(copy, self.directory)
 
-    def kept_files(self) -> list[Path]:
+    def stored_files(self) -> list[Path]:
         """Return the files of the directory that are not empty, sorted by path."""
         there = self.directory.rglob("*")
         return sorted(each for each in there if each.is_file() and each.stat().st_size)
 
-    def spoil_file(self, rng: random.Random) -> str:
+    def corrupt_file(self, rng: random.Random) -> str:
         """Change one byte of a stored file, and return file and offset as text. The process must be down."""
-        files = self.kept_files()
+        files = self.stored_files()
         if not files:
             return "nothing kept"
         file = rng.choices(files, [each.stat().st_size for each in files])[0]
@@ -93,20 +93,20 @@
         file.write_bytes(data)
         return f"{self.name}/{file.name} at {at} of {len(data)}"
 
-    def tear_file(self, rng: random.Random) -> None:
+    def truncate_file(self, rng: random.Random) -> None:
         """Truncate a stored file at a random offset. The process must be down."""
-        files = self.kept_files()
+        files = self.stored_files()
         if files:
             file = rng.choice(files)
             os.truncate(file, rng.randrange(file.stat().st_size))
 
-    def take_over(self, other: Child) -> None:
+    def copy_files_of(self, other: Child) -> None:
         """Copy the directory of another process to this one. Both processes must be down."""
         shutil.copytree(other.directory, self.directory)
 
-    def half_a_write(self, rng: random.Random) -> int:
+    def delete_half_of_pages(self, rng: random.Random) -> int:
         """Delete half of the stored pages but not the head; return their number. The process must be down."""
-        if not self.kept_files():
+        if not self.stored_files():
             return 0
         try:
             engine = Engine.open(RealDisk(str(self.directory)), unix_time, rng, STORE_LIMITS)
@@ -130,8 +130,8 @@
     def __init__(self, rig: Any, name: str, zone: str, sources: list[list[str]], keeps: bool = True) -> None:
         super().__init__(rig, name, zone)
         self.port = free_port(rig.reserved)
-        self.before = self.port if rig.direct else rig.relays.add_relay(name, self.port)
-        self.chosen = {
+        self.relay_port = self.port if rig.direct else rig.relays.add_relay(name, self.port)
+        self.settings = {
             "group": GROUP,
             "name": name,
             "zone": zone,
@@ -139,15 +139,15 @@
             "sources": sources,
         }
         if keeps:
-            self.chosen |= {"directory": str(self.directory), "disk": rig.disk}
-        self.file.write_text(yaml.safe_dump({"distribution": self.chosen}))
+            self.settings |= {"directory": str(self.directory), "disk": rig.disk}
+        self.file.write_text(yaml.safe_dump({"distribution": self.settings}))
 
     @property
     def address(self) -> str:
         """The address at which other processes call the relay."""
-        return f"{LOCAL}:{self.before}"
+        return f"{LOCAL}:{self.relay_port}"
 
-    def words(self) -> list[str]:
+    def command_arguments(self) -> list[str]:
         return [PROGRAM, "distribution", "run", str(self.file)]
 
 
@@ -164,8 +164,8 @@
         mistake: str = "",
     ) -> None:
         super().__init__(rig, name, zone)
-        self.said = rig.path / f"{name}.said"
-        self.read = 0  # bytes of the file `said` that were read
+        self.output = rig.path / f"{name}.said"
+        self.bytes_read = 0  # bytes of the output file that were read
         self.lines: list[dict[str, Any]] = []
         self.mistake = mistake
         chosen = {
@@ -173,27 +173,27 @@
             "name": name,
             "zone": zone,
             "sources": sources,
-            "said": str(self.said),
-            "looks_at": rig.looks_at,
-            "times": {key: list(value) for key, value in rig.watchers_times.items()},
+            "said": str(self.output),
+            "looks_at": rig.observed_names,
+            "times": {key: list(value) for key, value in rig.watcher_times.items()},
         }
         if keeps:
             chosen |= {"directory": str(self.directory), "disk": rig.disk}
         self.file.write_text(json.dumps(chosen))
 
-    def words(self) -> list[str]:
+    def command_arguments(self) -> list[str]:
         more = ["--mistake", self.mistake] if self.mistake else []
         return ["lichencleat.testkit.cluster.watcher", str(self.file), *more]
 
-    def hear(self) -> list[dict[str, Any]]:
+    def read_lines(self) -> list[dict[str, Any]]:
         """Read and return the lines that were completed since the last call."""
-        if not self.said.exists():
+        if not self.output.exists():
             return []
-        with open(self.said, "rb") as file:
-            file.seek(self.read)
+        with open(self.output, "rb") as file:
+            file.seek(self.bytes_read)
             data = file.read()
         whole = data.rfind(b"\n") + 1
-        self.read += whole
+        self.bytes_read += whole
         new = [json.loads(line) for line in data[:whole].splitlines() if line]
         self.lines += new
         return new
@@ -205,7 +205,7 @@
             return self.lines[-1]
         return {}
 
-    def answer(self, since: int) -> dict[str, Any]:
+    def requested_line(self, since: int) -> dict[str, Any]:
         """Return the last line that the present process wrote on request since that time (µs), or {}."""
         for line in reversed(self.lines):
             if line["at"] < since:
--- a/lichencleat/testkit/cluster/hollow_nodes.py
+++ b/lichencleat/testkit/cluster/hollow_nodes.py
@@ -31,22 +31,22 @@
 from lichencleat.log.structured import create_logger
 from lichencleat.reactor import make_reactor, unix_time
 from lichencleat.testkit.cluster.process_faults import install_faults
-from lichencleat.testkit.cluster.tap import moment
+from lichencleat.testkit.cluster.tap import monotonic_us
 from lichencleat.testkit.hollow import Shared, SharedCopy
 
-TAKES_MOST = 2_000_000  # entries kept between two lines: enough for 300 nodes and some thousand batches
-passed = {"in": 0, "out": 0}  # bytes received and sent on all links
+MAX_TAKES = 2_000_000  # entries kept between two lines: enough for 300 nodes and some thousand batches
+link_bytes = {"in": 0, "out": 0}  # bytes received and sent on all links
 
 
-class CountedUpward(RelayLink):
+class CountingLink(RelayLink):
     """A link to a relay that counts the bytes received and sent."""
 
     def dataReceived(self, data: bytes) -> None:
-        passed["in"] += len(data)
+        link_bytes["in"] += len(data)
         super().dataReceived(data)
 
     def sendString(self, string: bytes) -> None:
-        passed["out"] += len(string) + 4
+        link_bytes["out"] += len(string) + 4
         super().sendString(string)
 
 
@@ -62,7 +62,7 @@
         """
         self.reactor, self.chosen = reactor, chosen
         self.log = create_logger(unix_time, process=chosen["name"], role="hollow", group=chosen["group"])
-        self.said = os.open(chosen["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
+        self.output = os.open(chosen["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
         self.shared: Shared | None = None
         # node number, version put in force, µs of the machine's monotonic clock
         self.takes: list[tuple[int, int, int]] = []
@@ -80,22 +80,26 @@
         copy = TableCopy()
         first: list[Subscriber] = []
 
-        def taken(batches: tuple[Batch, ...]) -> None:
+        def on_applied(batches: tuple[Batch, ...]) -> None:
             if copy.version >= self.chosen["version"] and copy.mark:
                 self.reactor.callLater(0, first[0].stop)
                 self.start_all(copy.table, copy.mark)
 
-        first.append(self.subscriber("first", copy, taken))
+        first.append(self.subscriber("first", copy, on_applied))
         first[0].start()
 
-    def subscriber(self, name: str, copy: Copy, taken: Callable[[tuple[Batch, ...]], None]) -> Subscriber:
-        """Return a subscriber with a follower of its own. `taken`: called after each version put in force."""
+    def subscriber(
+        self, name: str, copy: Copy, on_applied: Callable[[tuple[Batch, ...]], None]
+    ) -> Subscriber:
+        """Return a subscriber with its own follower. `on_applied`: called after each version put in force."""
         chosen = self.chosen
         rng = random.Random(f"{chosen['name']} {name}")
         tiers = tuple(map(tuple, chosen["sources"]))
         follower = RelayFollower(tiers, copy, rng, self.now(), True, chosen["zone"], Timing())
         who = f"{chosen['name']}-{name}"
-        return Subscriber(self.reactor, chosen["group"], who, follower, copy, rng, self.log, self.now, taken)
+        return Subscriber(
+            self.reactor, chosen["group"], who, follower, copy, rng, self.log, self.now, on_applied
+        )
 
     def start_all(self, table: Table, mark: bytes) -> None:
         """Start all nodes with this table, over `spread` seconds. Does nothing after the first call."""
@@ -105,15 +109,15 @@
         for number in range(self.chosen["nodes"]):
             copy = SharedCopy(self.shared, mark)
 
-            def taken(batches: tuple[Batch, ...], number: int = number, copy: SharedCopy = copy) -> None:
-                if len(self.takes) < TAKES_MOST:
-                    self.takes.append((number, copy.version, moment()))
+            def on_applied(batches: tuple[Batch, ...], number: int = number, copy: SharedCopy = copy) -> None:
+                if len(self.takes) < MAX_TAKES:
+                    self.takes.append((number, copy.version, monotonic_us()))
 
-            made = self.subscriber(str(number), copy, taken)
+            made = self.subscriber(str(number), copy, on_applied)
             self.nodes.append(made)
             self.reactor.callLater(made.rng.uniform(0, self.chosen["spread"]), made.start)
 
-    def tell(self) -> None:
+    def write_line(self) -> None:
         """Write a line with the versions put in force since the last line, and with the totals so far."""
         used = resource.getrusage(resource.RUSAGE_SELF)
         takes, self.takes = self.takes, []
@@ -123,19 +127,19 @@
             counts.update(each.counts)
             counts.update(each.follower.counters)
         line = {
-            "at": moment(),
+            "at": monotonic_us(),
             "zone": self.chosen["zone"],
             "nodes": len(self.nodes),
             "cpu": used.ru_utime + used.ru_stime,
             "rss": rss(os.getpid()),
-            "bytes": dict(passed),
+            "bytes": dict(link_bytes),
             "takes": takes,
             "versions": dict(Counter(each.copy.version for each in self.nodes)),
             "relays": dict(Counter(each.follower.relay or "" for each in self.nodes)),
             "oldest": max((each.follower.age(now) for each in self.nodes), default=0),
             "counts": dict(counts),
         }
-        os.write(self.said, json.dumps(line).encode() + b"\n")
+        os.write(self.output, json.dumps(line).encode() + b"\n")
 
 
 def rss(pid: int) -> int:
@@ -148,10 +152,10 @@
     """Run the hollow nodes that the settings file describes."""
     install_faults()
     reactor = make_reactor()
-    subscribing.RelayLink = CountedUpward  # type: ignore[misc]
+    subscribing.RelayLink = CountingLink  # type: ignore[misc]
     with open(sys.argv[1]) as file:
         chosen = json.load(file)
-    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(lambda: nodes.tell()))
+    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(lambda: nodes.write_line()))
     nodes = HollowNodes(reactor, chosen)  # creates the output file, which shows that SIGUSR1 is handled
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(reactor.stop))
     reactor.callWhenRunning(nodes.start)
--- a/lichencleat/testkit/cluster/tap.py
+++ b/lichencleat/testkit/cluster/tap.py
@@ -18,23 +18,24 @@
 from lichencleat.testkit.cluster.relay import CallerSide, Link, Relay, Relays
 from lichencleat.transport.frames import MAX_FRAME_BYTES, ClientRequest, Greeting, decode_frame
 
-ASKED_MOST = 200_000  # recorded requests that are kept: enough for an hour of fifty processes
-LEAST = 400  # bytes: smaller chunks are not corrupted, as they are answers without records
+MAX_RECORDED_REQUESTS = 200_000  # recorded requests that are kept: enough for an hour of fifty processes
+# smaller chunks of an answer are not corrupted, as they hold no records
+MIN_CORRUPTED_CHUNK_BYTES = 400
 
 
-def moment() -> int:
+def monotonic_us() -> int:
     """Return the µs of the machine's monotonic clock, which is the same in every process."""
     return time.monotonic_ns() // 1000
 
 
 @dataclass(frozen=True, slots=True)
-class Asked:
+class RecordedRequest:
     """A request of a subscriber, recorded as it passed a relay."""
 
     at: int  # µs of the machine's monotonic clock
-    who: str  # name of the calling process
-    of: str  # name of the called process
-    what: str  # operation
+    caller: str  # name of the calling process
+    server: str  # name of the called process
+    operation: str  # one of the operations in `config_distribution.terms`
     version: int = 0  # version in force at the caller; 0 except for a `follow` request
 
 
@@ -43,48 +44,54 @@
 
     def __init__(self, relay: Relay, inner: CallerSide) -> None:
         super().__init__(relay, inner)
-        self.heard = bytearray()
-        self.listens = True
+        self.buffer = bytearray()
+        self.is_decoding = True
 
     def from_caller(self, data: bytes) -> None:
-        if self.listens:
-            self.heard += data
-            self.listen()
+        if self.is_decoding:
+            self.buffer += data
+            self.decode_frames()
         super().from_caller(data)
 
-    def listen(self) -> None:
+    def decode_frames(self) -> None:
         """Decode the whole frames of the buffer, and record those that are client requests."""
-        heard = self.heard
-        while len(heard) >= 4 and len(heard) >= 4 + (size := int.from_bytes(heard[:4], "big")):
+        buffer = self.buffer
+        while len(buffer) >= 4 and len(buffer) >= 4 + (size := int.from_bytes(buffer[:4], "big")):
             try:
-                frame = decode_frame(bytes(heard[4 : 4 + size]))
+                frame = decode_frame(bytes(buffer[4 : 4 + size]))
             except UNDECODABLE:
                 frame = None
-            del heard[: 4 + size]
+            del buffer[: 4 + size]
             if isinstance(frame, ClientRequest):
-                self.asks(frame)
+                self.record_request(frame)
             elif not isinstance(frame, Greeting) or frame.member_id:
-                self.listens = False  # traffic among members of the group is not recorded
-                heard.clear()
-        if len(heard) > MAX_FRAME_BYTES:
-            self.listens = False
-            heard.clear()
+                self.is_decoding = False  # traffic among members of the group is not recorded
+                buffer.clear()
+        if len(buffer) > MAX_FRAME_BYTES:
+            self.is_decoding = False
+            buffer.clear()
 
-    def asks(self, frame: ClientRequest) -> None:
+    def record_request(self, frame: ClientRequest) -> None:
         """Record a client request, and for a `follow` request the acknowledged version."""
         relays: Any = self.relay.relays
         version = 0
         if frame.operation == FOLLOW:
             follow = decode_follow_request(frame.content)
             version = follow.version
-            relays.acknowledged.append(Acknowledged(moment(), self.caller, version, follow.digest.hex()))
-        relays.asked.append(Asked(moment(), self.caller, self.relay.name, frame.operation, version))
+            relays.acknowledged.append(
+                Acknowledged(monotonic_us(), self.caller, version, follow.digest.hex())
+            )
+        relays.requests.append(
+            RecordedRequest(monotonic_us(), self.caller, self.relay.name, frame.operation, version)
+        )
 
     def from_server(self, data: bytes) -> None:
         relays: Any = self.relay.relays
-        if (self.relay.name, self.caller) in relays.spoils and len(data) >= LEAST:
-            relays.spoils.discard((self.relay.name, self.caller))
-            relays.spoilt += 1
+        if (self.relay.name, self.caller) in relays.corruption_targets and len(
+            data
+        ) >= MIN_CORRUPTED_CHUNK_BYTES:
+            relays.corruption_targets.discard((self.relay.name, self.caller))
+            relays.corrupted_bytes += 1
             at = relays.rng.randrange(len(data))
             data = data[:at] + bytes([data[at] ^ relays.rng.randrange(1, 256)]) + data[at + 1 :]
         super().from_server(data)
@@ -104,10 +111,11 @@
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
-        self.acknowledged: deque[Acknowledged] = deque(maxlen=ASKED_MOST)
-        self.asked: deque[Asked] = deque(maxlen=ASKED_MOST)
-        self.spoils: set[tuple[str, str]] = set()  # (from, to): one byte of the next large answer is changed
-        self.spoilt = 0  # number of bytes changed so far
+        self.acknowledged: deque[Acknowledged] = deque(maxlen=MAX_RECORDED_REQUESTS)
+        self.requests: deque[RecordedRequest] = deque(maxlen=MAX_RECORDED_REQUESTS)
+        # (answering process, caller): one byte of the next large answer is changed
+        self.corruption_targets: set[tuple[str, str]] = set()
+        self.corrupted_bytes = 0  # number of bytes changed so far
         super().__init__()
 
     def add_relay(self, name: str, to: int) -> int:
@@ -119,11 +127,11 @@
 
         return self.call(make)
 
-    def spoil(self, pairs: set[tuple[str, str]]) -> None:
+    def corrupt_next_answer(self, pairs: set[tuple[str, str]]) -> None:
         """Corrupt one byte of the next large answer for each pair of answering and calling process."""
-        self.call(self.spoils.update, pairs)
+        self.call(self.corruption_targets.update, pairs)
 
-    def told(self) -> list[Acknowledged]:
+    def take_acknowledged(self) -> list[Acknowledged]:
         """Return the acknowledgements recorded since the last call."""
 
         def take() -> list[Acknowledged]:
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -36,7 +36,7 @@
 from lichencleat.store.errors import StoreError
 from lichencleat.testkit.cluster.heldback import VolatileDisk
 from lichencleat.testkit.cluster.process_faults import install_faults
-from lichencleat.testkit.cluster.tap import moment
+from lichencleat.testkit.cluster.tap import monotonic_us
 
 
 class WatchedCopy(TableCopy):
@@ -83,20 +83,20 @@
         self.on_call()
 
 
-class Watching:
+class WatcherProcess:
     """Owns the output file, the copy of the table, the subscriber and the disk of a watcher."""
 
     def __init__(self, reactor: Any, chosen: dict[str, Any], mistake: str) -> None:
         self.reactor, self.chosen, self.mistake = reactor, chosen, mistake
         self.rng = random.Random(os.urandom(16))
         self.log = create_logger(unix_time, process=chosen["name"], role="watcher", group=chosen["group"])
-        self.said = os.open(chosen["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
-        self.looks_at = [tuple(name.partition("/")[::2]) for name in chosen["looks_at"]]
-        self.last: tuple[Any, ...] = ()
+        self.output = os.open(chosen["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
+        self.observed_names = [tuple(name.partition("/")[::2]) for name in chosen["looks_at"]]
+        self.last_state: tuple[Any, ...] = ()
         self.copy: WatchedCopy | None = None
         self.subscriber: Subscriber | None = None
         self.kept: Any = None
-        self.trouble = ""
+        self.storage_problem = ""
 
     @inlineCallbacks
     def start(self) -> Any:
@@ -113,11 +113,11 @@
                     self.reactor, chosen["directory"], unix_time, self.rng, disk=disk
                 )
                 table, mark, _ = yield mistakes.load(self.kept, self.mistake)
-                self.trouble = self.kept.problem
+                self.storage_problem = self.kept.problem
             except (StoreError, OSError) as wrong:
-                self.trouble = str(wrong)
+                self.storage_problem = str(wrong)
         self.copy = mistakes.make_copy(self.mistake, self.reactor, table, mark)
-        self.copy.on_call = self.look
+        self.copy.on_call = self.write_line
         now = lambda: int(self.reactor.seconds() * 1e6)  # noqa: E731
         times = replace(Timing(), **{key: tuple(span) for key, span in chosen["times"].items()})
         tiers = tuple(map(tuple, chosen["sources"]))
@@ -131,15 +131,15 @@
             self.rng,
             self.log,
             now,
-            self.taken,
-            self.told,
+            self.on_applied,
+            self.on_answered,
         )
         mistakes.install_in_host(self.mistake, self.subscriber)
-        self.log.info("started", version=table.version, trouble=self.trouble)
-        self.look("started")
+        self.log.info("started", version=table.version, trouble=self.storage_problem)
+        self.write_line("started")
         self.subscriber.start()
 
-    def taken(self, batches: tuple[Batch, ...]) -> None:
+    def on_applied(self, batches: tuple[Batch, ...]) -> None:
         """Store the version put in force. `batches`: the applied batches, empty after a snapshot."""
         assert self.copy is not None
         if self.kept is not None and batches:
@@ -147,36 +147,36 @@
         elif self.kept is not None:
             self.kept.on_snapshot_applied(self.copy.table)
 
-    def told(self) -> None:
+    def on_answered(self) -> None:
         """Store the mark of the group if it changed."""
         if self.kept is not None and self.copy is not None and self.copy.mark != getattr(self, "mark", b""):
             self.mark = self.copy.mark
             self.kept.set_group_mark(self.mark)
 
-    def answers(self) -> dict[str, Any]:
+    def observed_values(self) -> dict[str, Any]:
         """Return the values of the observed records, None for a record that does not exist."""
         assert self.copy is not None
         table = self.copy.shown
         found = {}
-        for kind, name in self.looks_at:
+        for kind, name in self.observed_names:
             value = table.find(kind, name)
             found[f"{kind}/{name}"] = None if value is None else msgspec.json.decode(value)
         return found
 
-    def look(self, why: str = "") -> None:
+    def write_line(self, why: str = "") -> None:
         """Write a line if the state changed since the last line, or if `why` gives another reason."""
         copy = self.copy
         if copy is None:
             return
         table = copy.shown
-        seen = (table.version, table.total, answers := self.answers())
-        if seen == self.last and not why:
+        seen = (table.version, table.total, answers := self.observed_values())
+        if seen == self.last_state and not why:
             return
-        self.last = seen
+        self.last_state = seen
         total = sum(page_digest(number, page) for number, page in enumerate(table.pages))
         digest = table_digest(total, table.version)
         line = {
-            "at": moment(),
+            "at": monotonic_us(),
             "life": os.getpid(),
             "version": table.version,
             "digest": digest.hex(),
@@ -187,8 +187,8 @@
             follower = self.subscriber.follower
             line["relay"], line["age"] = follower.relay, follower.age(self.subscriber.now())
             line["home"] = follower.selector.order[0]
-            line["counts"], line["trouble"] = self.subscriber.counts, self.trouble
-        os.write(self.said, json.dumps(line).encode() + b"\n")
+            line["counts"], line["trouble"] = self.subscriber.counts, self.storage_problem
+        os.write(self.output, json.dumps(line).encode() + b"\n")
 
 
 def main() -> None:
@@ -198,17 +198,17 @@
     path, *more = sys.argv[1:]
     mistake = more[1] if more[:1] == ["--mistake"] else ""
     with open(path) as file:
-        watching = Watching(reactor, json.load(file), mistake)
-    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(watching.look, "asked"))
+        watcher = WatcherProcess(reactor, json.load(file), mistake)
+    signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(watcher.write_line, "asked"))
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(reactor.stop))
 
-    def fails(failure: Any) -> None:
-        watching.log.warning(
+    def on_start_failed(failure: Any) -> None:
+        watcher.log.warning(
             "watcher failed to start", trace=failure.getBriefTraceback().replace("\n", " | ")[-600:]
         )
         reactor.stop()
 
-    reactor.callWhenRunning(lambda: watching.start().addErrback(fails))
+    reactor.callWhenRunning(lambda: watcher.start().addErrback(on_start_failed))
     reactor.run(installSignalHandlers=False)
 
 
--- a/tests/fleet/distribution.py
+++ b/tests/fleet/distribution.py
@@ -23,11 +23,12 @@
 from lichencleat.testkit.cluster.distribution_parts import Child, RelayProcess
 
 # range of the number of faults; range of a fault's duration in s; most s between the starts of two faults
-FAULTS, SPAN, BETWEEN = (3, 9), (0.2, 4.0), 1.0
-BEAT = 0.05  # s between two checks of the output
+FAULT_COUNT, FAULT_DURATION, MAX_FAULT_INTERVAL = (3, 9), (0.2, 4.0), 1.0
+CHECK_INTERVAL = 0.05  # s between two checks of the output
 # s in which all nodes must reach the newest version after the faults; relays use the delays of production
-WELL = 30.0
-RATES, STEP = (0.95, 1.05), 30.0  # rates of clocks, within the allowed drift; largest step of Unix time in s
+RECOVERY_TIMEOUT = 30.0
+# range of the rates of clocks, within the allowed drift; largest step of Unix time in s
+CLOCK_RATES, MAX_CLOCK_STEP = (0.95, 1.05), 30.0
 KINDS = ["kill", "kill", "kill", "stop", "stop", "cut region", "cut", "cut", "one way", "slow", "reset"]
 KINDS += [
     "spoilt link",
@@ -43,17 +44,17 @@
 
 
 @dataclass
-class Ran:
+class ScheduleResult:
     """Faults and result of one schedule."""
 
     seed: int
-    wrong: str | None = None  # the failure, None if the schedule passed
+    failure: str | None = None  # the failure, None if the schedule passed
     faults: list[str] = field(default_factory=list)
-    said: int = 0  # lines written by nodes
-    told: int = 0  # acknowledgements of nodes
+    lines: int = 0  # lines written by nodes
+    acknowledgements: int = 0  # acknowledgements of nodes
     batches: int = 0  # confirmed batches
-    well: float = 0.0  # s from the end of faults until all nodes had the newest version
-    spoilt: int = 0  # bytes changed on network links
+    recovery_time: float = 0.0  # s from the end of faults until all nodes had the newest version
+    corrupted_bytes: int = 0  # bytes changed on network links
     snapshots: int = 0  # requests that begin a snapshot
 
 
@@ -61,93 +62,100 @@
     """Injects random faults and ends each one after a random time."""
 
     def __init__(
-        self, rig: DistributionRig, other: RelayProcess, rng: random.Random, ran: Ran, kinds: list[str]
+        self,
+        rig: DistributionRig,
+        other: RelayProcess,
+        rng: random.Random,
+        result: ScheduleResult,
+        kinds: list[str],
     ) -> None:
-        self.rig, self.other, self.rng, self.ran, self.kinds = rig, other, rng, ran, kinds
+        self.rig, self.other, self.rng, self.result, self.kinds = rig, other, rng, result, kinds
         self.undo: list[tuple[float, Any]] = []
         self.copies: dict[str, Path] = {}
 
-    def later(self, undo: Any) -> None:
+    def undo_later(self, undo: Any) -> None:
         """Schedule the end of a fault after a random duration."""
-        self.undo.append((time.monotonic() + self.rng.uniform(*SPAN), undo))
+        self.undo.append((time.monotonic() + self.rng.uniform(*FAULT_DURATION), undo))
 
-    def due(self) -> None:
+    def end_due_faults(self) -> None:
         """End the faults whose duration has passed."""
         for each in list(self.undo):
             if each[0] <= time.monotonic():
                 self.undo.remove(each)
                 each[1]()
 
-    def passes(self, span: float) -> None:
+    def run_for(self, span: float) -> None:
         """Wait `span` seconds; meanwhile publish batches, check the output and end faults that are due."""
         end = time.monotonic() + span
         while True:
-            self.rig.publishes_on()
-            self.due()
-            self.rig.hear()
+            self.rig.publish_in_background()
+            self.end_due_faults()
+            self.rig.check_output()
             if time.monotonic() >= end:
                 return
-            time.sleep(BEAT)
+            time.sleep(CHECK_INTERVAL)
 
     def coin(self) -> int:
         """Return 0 or 1 at random."""
         return self.rng.randrange(2)
 
     @staticmethod
-    def again(each: Child) -> None:
+    def ensure_started(each: Child) -> None:
         """Start a process unless it is running."""
         if not each.is_up():
             each.start()
 
-    def begin(self) -> None:
+    def inject_fault(self) -> None:
         """Inject a random fault."""
         rig, rng = self.rig, self.rng
         kind = rng.choice(self.kinds)
-        group: list[Child] = list((rig.feeding, rig.watchers)[self.coin()].values())
+        group: list[Child] = list((rig.relay_processes, rig.watchers)[self.coin()].values())
         each = rng.choice(group)
         voters = rng.sample(list(rig.voters.values()), 2)
-        self.ran.faults.append(f"{kind} {voters[0].name if 'voter' in kind else each.name}")
+        self.result.faults.append(f"{kind} {voters[0].name if 'voter' in kind else each.name}")
         if kind == "kill":
             each.kill()
-            self.later(lambda: self.again(each))
+            self.undo_later(lambda: self.ensure_started(each))
         elif kind == "stop":
             each.stop()
-            self.later(each.resume)
+            self.undo_later(each.resume)
         elif kind.startswith("kill voter"):
             cut = voters if kind == "kill voters" else voters[:1]
             for one in cut:
                 one.kill()
-            self.later(lambda: [one.start() for one in cut if one.running.poll() is not None])
+            self.undo_later(lambda: [one.start() for one in cut if one.running.poll() is not None])
         elif kind == "stop voter":
             voters[0].stop()
-            self.later(voters[0].resume)
+            self.undo_later(voters[0].resume)
         elif kind.startswith("cut") or kind == "one way":
-            self.cuts(kind, each, voters[0].name)
+            self.inject_network_fault(kind, each, voters[0].name)
         elif kind in ("slow", "reset", "spoilt link"):
-            self.links(kind, rng.choice([*rig.feeding.values(), voters[0]]).name)
+            self.inject_link_fault(kind, rng.choice([*rig.relay_processes.values(), voters[0]]).name)
         elif kind == "other group":
-            relay = rng.choice(list(rig.feeding.values()))
-            rig.exchange(relay, self.other.port)
-            self.later(lambda: rig.exchange(relay, relay.port))
+            relay = rng.choice(list(rig.relay_processes.values()))
+            rig.redirect(relay, self.other.port)
+            self.undo_later(lambda: rig.redirect(relay, relay.port))
         elif kind == "clock":
             name = rng.choice([each.name, voters[0].name])
-            rig.clock(name, rng.uniform(*RATES), rng.uniform(-STEP, STEP))
+            rig.clock(name, rng.uniform(*CLOCK_RATES), rng.uniform(-MAX_CLOCK_STEP, MAX_CLOCK_STEP))
         else:
-            self.disks(kind, each)
+            self.inject_disk_fault(kind, each)
 
-    def cuts(self, kind: str, each: Child, voter: str) -> None:
+    def inject_network_fault(self, kind: str, each: Child, voter: str) -> None:
         """Block network traffic of a process, a voter or a region."""
         rig = self.rig
         if kind == "one way":
-            pairs = {(each.name, name) for name in (*rig.feeding, *rig.voters)}
+            pairs = {(each.name, name) for name in (*rig.relay_processes, *rig.voters)}
             rig.relays.block(pairs)
         else:
             zone = self.rng.choice(rig.zones)
-            here = {"cut region": rig.inside(zone), "cut": {each.name}, "cut voter": {voter}}[kind]
-            pairs = rig.cut(here)
-        self.later(lambda: rig.heal(pairs))
+            here = {"cut region": rig.processes_in_region(zone), "cut": {each.name}, "cut voter": {voter}}[
+                kind
+            ]
+            pairs = rig.block_traffic(here)
+        self.undo_later(lambda: rig.heal(pairs))
 
-    def links(self, kind: str, name: str) -> None:
+    def inject_link_fault(self, kind: str, name: str) -> None:
         """Reset, corrupt or delay the connections to the named process."""
         rig = self.rig
         callers = {link.caller for link in list(rig.relays.by_name[name].links)} - set(rig.voters)
@@ -155,85 +163,85 @@
         if kind == "reset":
             rig.relays.reset(name)
         elif kind == "spoilt link":
-            rig.relays.spoil(pairs)
+            rig.relays.corrupt_next_answer(pairs)
         else:
             rig.relays.set_delay(pairs, self.rng.uniform(0.01, 0.4))
-            self.later(lambda: rig.relays.set_delay(pairs, 0.0))
+            self.undo_later(lambda: rig.relays.set_delay(pairs, 0.0))
 
-    def disks(self, kind: str, each: Child) -> None:
+    def inject_disk_fault(self, kind: str, each: Child) -> None:
         """Inject a fault of a process's disk or stored files."""
         rng = self.rng
         if kind == "disk full":
             each.fill_disk()
-            self.later(each.empty_disk)
+            self.undo_later(each.empty_disk)
         elif kind == "old copy" and each.name not in self.copies:
             if each.is_up() and each.directory.exists():
                 self.copies[each.name] = each.copy_directory()
-                self.later(lambda: self.puts_back(each))
+                self.undo_later(lambda: self.restore_old_copy(each))
         else:
             each.kill()
             if kind == "half a write":
-                each.half_a_write(rng)
+                each.delete_half_of_pages(rng)
             elif kind == "torn file":
-                each.tear_file(rng)
+                each.truncate_file(rng)
             elif kind == "spoilt file":
-                self.ran.faults[-1] += f" ({each.spoil_file(rng)})"
-            self.later(lambda: self.again(each))
+                self.result.faults[-1] += f" ({each.corrupt_file(rng)})"
+            self.undo_later(lambda: self.ensure_started(each))
 
-    def puts_back(self, each: Child) -> None:
+    def restore_old_copy(self, each: Child) -> None:
         """Restart a running process with the copy of its directory that was made earlier."""
         if each.is_up():
             each.kill()
-            each.put_back(self.copies.pop(each.name))
-            self.again(each)
+            each.restore_directory(self.copies.pop(each.name))
+            self.ensure_started(each)
 
-    def heals(self) -> None:
+    def end_faults(self) -> None:
         """End all faults, and wait until all nodes have the newest version. Raises AssertionError."""
         rig = self.rig
         while self.undo:
-            self.passes(BEAT)
-        for each in (*rig.feeding.values(), *rig.watchers.values()):
+            self.run_for(CHECK_INTERVAL)
+        for each in (*rig.relay_processes.values(), *rig.watchers.values()):
             rig.clock(each.name)
-            self.again(each)
+            self.ensure_started(each)
         for voter in rig.voters.values():
             rig.clock(voter.name)
             if voter.running.poll() is not None:
                 voter.start()
-        rig.relays.call(rig.relays.spoils.clear)
+        rig.relays.call(rig.relays.corruption_targets.clear)
         begun = time.monotonic()
         rig.until(lambda: rig.leader() is not None, "a leader")
         rig.publish()
-        rig.patience = WELL
-        rig.all_have()
-        self.ran.well = time.monotonic() - begun
+        rig.patience = RECOVERY_TIMEOUT
+        rig.wait_for_version()
+        self.result.recovery_time = time.monotonic() - begun
 
 
-def run(seed: int, nodes: int, kinds: list[str], most: int) -> Ran:
+def run(seed: int, nodes: int, kinds: list[str], most: int) -> ScheduleResult:
     """Run the schedule of a seed with up to `most` faults of these kinds, and return its result."""
-    ran = Ran(seed)
+    result = ScheduleResult(seed)
     rng = random.Random(f"distribution {seed}")
     with tempfile.TemporaryDirectory() as folder:
         rig = None
         try:
             rig = DistributionRig(Path(folder), nodes=nodes, seed=seed)
             rig.start()
-            schedule = Schedule(rig, rig.form_other_group(), rng, ran, kinds)
-            for _ in range(rng.randint(FAULTS[0], most)):
-                schedule.begin()
-                schedule.passes(rng.uniform(0, BETWEEN))
-            schedule.heals()
+            schedule = Schedule(rig, rig.form_other_group(), rng, result, kinds)
+            for _ in range(rng.randint(FAULT_COUNT[0], most)):
+                schedule.inject_fault()
+                schedule.run_for(rng.uniform(0, MAX_FAULT_INTERVAL))
+            schedule.end_faults()
         except AssertionError as wrong:
-            ran.wrong = str(wrong)
+            result.failure = str(wrong)
         finally:
             if rig is not None:
-                ran.said, ran.told = rig.watch.heard, rig.watch.acknowledged
-                ran.batches, ran.spoilt = len(rig.watch.published), rig.relays.spoilt
-                ran.snapshots = sum(each.what == "digests" for each in rig.relays.asked)
+                result.lines, result.acknowledgements = rig.watch.heard, rig.watch.acknowledged
+                result.batches, result.corrupted_bytes = len(rig.watch.published), rig.relays.corrupted_bytes
+                result.snapshots = sum(each.operation == "digests" for each in rig.relays.requests)
                 rig.close()
-    return ran
+    return result
 
 
-def seeds_of(text: str) -> range:
+def parse_seeds(text: str) -> range:
     """Parse a range of seeds such as "3-7", or one seed such as "3"."""
     first, _, last = text.partition("-")
     return range(int(first), int(last or first) + 1)
@@ -245,29 +253,31 @@
 @click.option(
     "--only", type=click.Choice(sorted(set(KINDS))), multiple=True, help="Inject only faults of this kind."
 )
-@click.option("--most", default=FAULTS[1], show_default=True, help="Maximum number of faults in a schedule.")
+@click.option(
+    "--most", default=FAULT_COUNT[1], show_default=True, help="Maximum number of faults in a schedule."
+)
 @click.option("--side-by-side", default=1, show_default=True, help="Schedules that run in parallel.")
 def main(seeds: str, nodes: int, only: tuple[str, ...], most: int, side_by_side: int) -> None:
     """Run random fault schedules and report the failures."""
-    drawn = seeds_of(seeds)
+    drawn = parse_seeds(seeds)
     kinds = list(only) or KINDS
-    done: list[Ran] = []
+    done: list[ScheduleResult] = []
     with ProcessPoolExecutor(side_by_side) as pool:
         told = ([each] * len(drawn) for each in (nodes, kinds, most))
-        for ran in pool.map(run, drawn, *told):
-            done.append(ran)
-            if ran.wrong is not None:
-                click.echo(f"seed {ran.seed}: {', '.join(ran.faults)}\n{ran.wrong}")
-    words = (each.partition(" (")[0].rpartition(" ")[0] for ran in done for each in ran.faults)
+        for result in pool.map(run, drawn, *told):
+            done.append(result)
+            if result.failure is not None:
+                click.echo(f"seed {result.seed}: {', '.join(result.faults)}\n{result.failure}")
+    words = (each.partition(" (")[0].rpartition(" ")[0] for result in done for each in result.faults)
     click.echo(", ".join(f"{kind} {count}" for kind, count in sorted(Counter(words).items())))
-    wrong = [each for each in done if each.wrong is not None]
-    well = sorted(each.well for each in done if each.wrong is None)
+    wrong = [each for each in done if each.failure is not None]
+    well = sorted(each.recovery_time for each in done if each.failure is None)
     click.echo(
         f"{len(done)} schedules of {2 * nodes} nodes, {sum(len(each.faults) for each in done)} faults, "
-        f"{sum(each.batches for each in done)} batches, {sum(each.said for each in done)} words of nodes, "
-        f"{sum(each.told for each in done)} acknowledgements, "
+        f"{sum(each.batches for each in done)} batches, {sum(each.lines for each in done)} words of nodes, "
+        f"{sum(each.acknowledgements for each in done)} acknowledgements, "
         f"{sum(each.snapshots for each in done)} snapshots begun, "
-        f"{sum(each.spoilt for each in done)} bytes spoilt; well again after "
+        f"{sum(each.corrupted_bytes for each in done)} bytes spoilt; well again after "
         f"{well[len(well) // 2] if well else 0:.1f} s at the median, "
         f"{well[-1] if well else 0:.1f} s at the most; {len(wrong)} wrong"
     )
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -10,7 +10,7 @@
 from lichencleat.config_distribution.terms import DIGESTS, FOLLOW, PAGES_OF
 from lichencleat.testkit.cluster.distribution import DistributionRig
 from lichencleat.testkit.cluster.rig import GROUP
-from lichencleat.testkit.cluster.tap import moment
+from lichencleat.testkit.cluster.tap import monotonic_us
 
 
 @pytest.fixture(scope="module")
@@ -24,136 +24,148 @@
 
 
 @pytest.fixture(autouse=True)
-def judged(rig):
+def check_after_test(rig):
     """Check after each test that all watchers get the newest version and that no report violates a rule."""
     yield
     rig.publish()
-    rig.all_have()
+    rig.wait_for_version()
 
 
 def names(rig, zone):
     return [name for name, each in rig.watchers.items() if each.zone == zone]
 
 
-def asked_since(rig, since, who=None, of=None):
+def requests_since(rig, since, caller=None, server=None):
     return [
         each
-        for each in list(rig.relays.asked)
-        if each.at >= since and who in (None, each.who) and of in (None, each.of)
+        for each in list(rig.relays.requests)
+        if each.at >= since and caller in (None, each.caller) and server in (None, each.server)
     ]
 
 
 def version_of(rig, each):
-    rig.listen()
+    rig.read_output()
     return each.last.get("version", 0)
 
 
 def test_published_version_reaches_all_watchers_through_both_tiers(rig):
     version = rig.publish()
-    rig.all_have(version)
+    rig.wait_for_version(version)
     assert rig.watch.heard and rig.watch.wrong is None
     rig.until(
-        lambda: rig.at_home(rig.watchers), "all watchers to follow their first choice"
+        lambda: rig.all_follow_first_choice(rig.watchers), "all watchers to follow their first choice"
     )  # some watchers started before their relay
-    since = moment()
+    since = monotonic_us()
     rig.publish()
-    rig.all_have()
-    rig.until(lambda: len({each.who for each in asked_since(rig, since)}) >= 12, "a request of each process")
-    callers = {of: {each.who for each in asked_since(rig, since, of=of)} for of in rig.feeding}
+    rig.wait_for_version()
+    rig.until(
+        lambda: len({each.caller for each in requests_since(rig, since)}) >= 12, "a request of each process"
+    )
+    callers = {
+        server: {each.caller for each in requests_since(rig, since, server=server)}
+        for server in rig.relay_processes
+    }
     assert callers["ra"] <= {"a1", "a2"} and callers["a1"] | callers["a2"] >= set(names(rig, "a"))
 
 
 def test_nodes_of_a_killed_relay_move_to_another_and_return_after_its_restart(rig):
-    rig.until(lambda: rig.at_home(names(rig, "a")), "all to be at home")
-    before = rig.relays_of(names(rig, "a"))
+    rig.until(
+        lambda: rig.all_follow_first_choice(names(rig, "a")),
+        "all watchers of the zone to follow their first choice",
+    )
+    before = rig.followed_relays(names(rig, "a"))
     killed = max(("a1", "a2"), key=list(before.values()).count)
     there = [name for name, relay in before.items() if relay == killed]
-    rig.feeding[killed].kill()
+    rig.relay_processes[killed].kill()
     rig.publish()
-    rig.all_have()
-    assert killed not in rig.relays_of(there).values()
-    rig.feeding[killed].start()
+    rig.wait_for_version()
+    assert killed not in rig.followed_relays(there).values()
+    rig.relay_processes[killed].start()
     rig.until(
-        lambda: set(rig.relays_of(there).values()) == {killed}, f"{there} to return to the restarted relay"
+        lambda: set(rig.followed_relays(there).values()) == {killed},
+        f"{there} to return to the restarted relay",
     )
 
 
 def test_a_resumed_relay_does_not_move_nodes_back_to_an_older_version(rig):
-    rig.until(lambda: rig.at_home(names(rig, "b")), "all to be at home")
-    before = rig.relays_of(names(rig, "b"))
+    rig.until(
+        lambda: rig.all_follow_first_choice(names(rig, "b")),
+        "all watchers of the zone to follow their first choice",
+    )
+    before = rig.followed_relays(names(rig, "b"))
     stopped = max(("b1", "b2"), key=list(before.values()).count)
-    rig.feeding[stopped].stop()
+    rig.relay_processes[stopped].stop()
     for _ in range(3):
         rig.publish()
-    rig.all_have()
-    assert stopped not in rig.relays_of([n for n, relay in before.items() if relay == stopped]).values()
-    rig.feeding[stopped].resume()
+    rig.wait_for_version()
+    assert stopped not in rig.followed_relays([n for n, relay in before.items() if relay == stopped]).values()
+    rig.relay_processes[stopped].resume()
     rig.publish()
-    rig.all_have()
-    rig.until(lambda: rig.at_home(before), "all watchers to return to their first choice")
+    rig.wait_for_version()
+    rig.until(lambda: rig.all_follow_first_choice(before), "all watchers to return to their first choice")
 
 
 def test_a_node_started_from_its_disk_requests_only_newer_versions(rig):
     name = "a-n1"
     node = rig.watchers[name]
-    had = rig.look([name])[name]["version"]
+    had = rig.request_lines([name])[name]["version"]
     node.kill()
     rig.publish()
-    since = moment()
+    since = monotonic_us()
     node.start()
-    rig.all_have()
+    rig.wait_for_version()
     (began,) = [each for each in node.lines if each["why"] == "started" and each["at"] >= since]
     assert 0 < began["version"] <= had and not began["trouble"]
-    asked = asked_since(rig, since, who=name)
-    assert asked[0].what == FOLLOW and asked[0].version == began["version"]
-    assert not [each for each in asked if each.what in (DIGESTS, PAGES_OF)]
+    requests = requests_since(rig, since, caller=name)
+    assert requests[0].operation == FOLLOW and requests[0].version == began["version"]
+    assert not [each for each in requests if each.operation in (DIGESTS, PAGES_OF)]
 
 
 def test_a_relay_restored_from_an_old_copy_is_not_followed(rig):
-    old, other = rig.feeding["a1"], rig.feeding["a2"]
+    old, other = rig.relay_processes["a1"], rig.relay_processes["a2"]
     copy = old.copy_directory()
     rig.publish()
-    rig.all_have()
+    rig.wait_for_version()
     old.kill()
     other.kill()
-    old.put_back(copy)
+    old.restore_directory(copy)
     pairs = {(old.name, name) for name in ("ra", *rig.voters)}  # the restored relay can't catch up
     rig.relays.block(pairs)
-    since = moment()
+    since = monotonic_us()
     old.start()
-    rig.until(lambda: asked_since(rig, since, of="a1"), "a request to the restored relay")
+    rig.until(lambda: requests_since(rig, since, server="a1"), "a request to the restored relay")
     rig.publish()
-    rig.all_have()
+    rig.wait_for_version()
     rig.until(
-        lambda: set(rig.relays_of(names(rig, "a")).values()) == {"ra"},
+        lambda: set(rig.followed_relays(names(rig, "a")).values()) == {"ra"},
         "all watchers of the zone to follow the region's relay",
     )
     rig.heal(pairs)
     other.start()
     rig.until(
-        lambda: "ra" not in rig.relays_of(names(rig, "a")).values(),
+        lambda: "ra" not in rig.followed_relays(names(rig, "a")).values(),
         "all watchers of the zone to follow the zone's relays",
     )
 
 
 def test_a_partitioned_region_reports_the_age_of_its_version_and_catches_up(rig):
     rig.publish()
-    rig.all_have()
+    rig.wait_for_version()
     here, version = names(rig, "a"), rig.version
-    pairs = rig.cut(rig.inside("a"))
+    pairs = rig.block_traffic(rig.processes_in_region("a"))
     rig.publish()
-    rig.all_have(names=names(rig, "b"))
+    rig.wait_for_version(names=names(rig, "b"))
 
     def old() -> bool:
-        said = rig.look(here).values()
+        said = rig.request_lines(here).values()
         assert all(each["version"] == version for each in said)
         return all(each["age"] > 2_000_000 for each in said)
 
     rig.until(old, "the region's nodes to report an age above 2 s")
     rig.heal(pairs)
-    rig.all_have()
+    rig.wait_for_version()
     rig.until(
-        lambda: all(each["age"] < 3_000_000 for each in rig.look(here).values()),
+        lambda: all(each["age"] < 3_000_000 for each in rig.request_lines(here).values()),
         "the region's nodes to report an age below 3 s",
     )
 
@@ -182,62 +194,65 @@
         "lost change": ("half a batch", "two digests", "not as published", "two answers"),
         "early word": ("acknowledged before",),
     }
-    made = {rig.wrong_one(mistake, "b").name: told for mistake, told in wrong.items()}
+    made = {rig.add_faulty_watcher(mistake, "b").name: told for mistake, told in wrong.items()}
     for name in made:
-        rig.wrong_ones[name].start()
+        rig.faulty_watchers[name].start()
     rig.until(
-        lambda: all(version_of(rig, rig.wrong_ones[name]) for name in made),
+        lambda: all(version_of(rig, rig.faulty_watchers[name]) for name in made),
         "the watchers with a bug to have a version",
     )
 
     def found() -> bool:
         rig.publish()
-        rig.all_have()
-        return all(rig.judged(name) for name in made)
+        rig.wait_for_version()
+        return all(rig.check_faulty_watcher(name) for name in made)
 
     rig.until(found, "the checkers to find each bug")
     for name, told in made.items():
-        said = rig.judged(name)
+        said = rig.check_faulty_watcher(name)
         assert name in said and any(each in said for each in told), said
-        rig.wrong_ones[name].kill()
+        rig.faulty_watchers[name].kill()
 
 
 def test_checkers_find_a_watcher_that_follows_an_older_relay(rig):
-    new, old = rig.feeding["b1"], rig.feeding["b2"]
+    new, old = rig.relay_processes["b1"], rig.relay_processes["b2"]
     pairs = {(above, old.name) for above in ("rb", *rig.voters)}
     rig.relays.block(pairs)
     rig.publish()
-    rig.all_have()
-    made = rig.wrong_one("older relay", "b", [[new.address], [old.address]])
+    rig.wait_for_version()
+    made = rig.add_faulty_watcher("older relay", "b", [[new.address], [old.address]])
     made.start()
     rig.until(lambda: version_of(rig, made) == rig.version, "the watcher to have the newest version")
-    assert rig.judged(made.name) is None
+    assert rig.check_faulty_watcher(made.name) is None
     apart = {(new.name, made.name), (made.name, new.name)}
     rig.relays.block(apart)
     rig.relays.reset(new.name)
-    rig.until(lambda: rig.judged(made.name), "the watcher to go back to the older version")
-    assert "goes back" in rig.judged(made.name)
+    rig.until(lambda: rig.check_faulty_watcher(made.name), "the watcher to go back to the older version")
+    assert "goes back" in rig.check_faulty_watcher(made.name)
     made.kill()
     rig.heal(pairs | apart)
 
 
 def test_a_half_written_table_is_not_used_and_checkers_find_a_watcher_that_uses_it(rig):
-    right, wrong = rig.watchers["b-n1"], rig.wrong_one("torn file", "b")
+    right, wrong = rig.watchers["b-n1"], rig.add_faulty_watcher("torn file", "b")
     rig.publish()
-    rig.all_have()
+    rig.wait_for_version()
     right.kill()
-    assert right.half_a_write(rig.rng)
-    wrong.take_over(right)
-    since = moment()
+    assert right.delete_half_of_pages(rig.rng)
+    wrong.copy_files_of(right)
+    since = monotonic_us()
     right.start()
     wrong.start()
-    rig.all_have()
+    rig.wait_for_version()
     (began,) = [each for each in right.lines if each["why"] == "started" and each["at"] >= since]
     assert began["version"] == 0 and "corrupt" in began["trouble"]
     rig.until(
-        lambda: rig.judged(wrong.name), "the checkers to find the watcher that uses the half-written table"
+        lambda: rig.check_faulty_watcher(wrong.name),
+        "the checkers to find the watcher that uses the half-written table",
+    )
+    assert "two digests" in rig.check_faulty_watcher(wrong.name) or "two answers" in rig.check_faulty_watcher(
+        wrong.name
     )
-    assert "two digests" in rig.judged(wrong.name) or "two answers" in rig.judged(wrong.name)
     wrong.kill()
 
 
@@ -256,7 +271,7 @@
     rng = random.Random(1)
 
     def answer(tenant):
-        """Return the HTTP status for a tenant. A refusal closes the connection, so retry until one is open."""
+        """Return the HTTP status for a tenant. Retries, as a refusal closes the connection."""
 
         def ask():
             asked = rig.relays.call(lambda: caller.ask(b"look", b"x", HARD_LIMIT, rng, t=tenant))
@@ -275,18 +290,18 @@
         node.start()
         rig.until(lambda: knows("acme", "nobody"), "the first tenant to be in force at the node")
         for each in ("a1", "a2"):
-            rig.feeding[each].kill()
+            rig.relay_processes[each].kill()
         rig.publish({"tenant/acme": None, "tenant/other": {"tenant": "other"}})
         rig.until(lambda: knows("other", "acme"), "the next version to be in force at the node")
         node.kill()
-        pairs = rig.cut({"node"})
+        pairs = rig.block_traffic({"node"})
         node.start()
         rig.until(lambda: knows("other", "acme"), "the restarted node to use the version on its disk")
         rig.heal(pairs)
     finally:
         for each in ("a1", "a2"):
-            if not rig.feeding[each].is_up():
-                rig.feeding[each].start()
+            if not rig.relay_processes[each].is_up():
+                rig.relay_processes[each].start()
         if node.is_up():
             node.kill()
         node.close()
