--- a/lichencleat/testkit/cluster/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -102,6 +102,7 @@
     ) -> None:
         """Prepare one region with a relay for each zone, and two relays and `nodes` watchers in each zone.
 
+        `disk`: "held back" for a volatile write cache, which loses unflushed writes at a kill, or "real".
         `direct`: processes call each other without network relays, whose delay would distort measurements.
         """
         self.direct = direct
@@ -128,14 +129,14 @@
             if direct:
                 voter.relay = voter.port
             voter.settings |= {"distribution": True, "address": voter.address}
-        source = [each.address for each in self.voters.values()]
+        voters = [each.address for each in self.voters.values()]
         for zone in zones:
-            region = self.add_relay_process(f"r{zone}", "", [source])
+            region = self.add_relay_process(f"r{zone}", "", [voters])
             for at in (1, 2):
-                self.add_relay_process(f"{zone}{at}", zone, [[region.address], source])
+                self.add_relay_process(f"{zone}{at}", zone, [[region.address], voters])
             for number in range(1, nodes + 1):
-                keeps = number < nodes or nodes == 1  # the last of several nodes in a zone has no disk
-                self.add_watcher(f"{zone}-n{number}", zone, self.sources(zone), keeps=keeps)
+                has_disk = number < nodes or nodes == 1  # the last of several nodes in a zone has no disk
+                self.add_watcher(f"{zone}-n{number}", zone, self.sources(zone), has_disk=has_disk)
 
     def add_relay_process(self, name: str, zone: str, sources: list[list[str]], **more: Any) -> RelayProcess:
         """Add a relay process without starting it. `sources`: addresses by tier, the preferred tier first."""
@@ -156,9 +157,9 @@
 
     def sources(self, zone: str) -> list[list[str]]:
         """Return three tiers of addresses: the zone's relays, its region's relay, and the voters."""
-        source = [each.address for each in self.voters.values()]
+        voters = [each.address for each in self.voters.values()]
         near = [self.relay_processes[f"{zone}{at}"].address for at in (1, 2)]
-        return [near, [self.relay_processes[f"r{zone}"].address], source]
+        return [near, [self.relay_processes[f"r{zone}"].address], voters]
 
     def start(self) -> None:
         """Found the group, start all processes and fill the table.
@@ -182,8 +183,8 @@
         self.number += 1
         records = make_batch(self.number, self.rng) if records is None else records
         changes = [make_change(name, value) for name, value in records.items()]
-        told = self.ask(self.publisher.propose, STATE_PART, PublishCommand(tuple(changes)), PATIENCE)
-        published = PublishResult(*told)
+        answer = self.ask(self.publisher.propose, STATE_PART, PublishCommand(tuple(changes)), PATIENCE)
+        published = PublishResult(*answer)
         assert published.done, published.why
         self.record_confirmed(published.version, records)
         return published.version
@@ -194,10 +195,10 @@
         The results that came since the last call are recorded first.
         """
         while self.publish_results:
-            records, told = self.publish_results.pop(0)
+            records, answer = self.publish_results.pop(0)
             self.publish_pending = False
-            if told is not None and PublishResult(*told).done:
-                self.record_confirmed(PublishResult(*told).version, records)
+            if answer is not None and PublishResult(*answer).done:
+                self.record_confirmed(PublishResult(*answer).version, records)
         if self.publish_pending:
             return
         self.publish_pending = True
@@ -208,7 +209,7 @@
         def begin() -> None:
             made = self.publisher.propose(STATE_PART, PublishCommand(changes), patience)
             made.addErrback(lambda failure: failure.trap(RequestFailedError) and None)
-            made.addCallback(lambda told: self.publish_results.append((records, told)))
+            made.addCallback(lambda answer: self.publish_results.append((records, answer)))
 
         self.relays.reactor.callFromThread(begin)
 
@@ -224,22 +225,24 @@
 
         In this order the line of every acknowledged version is among the lines that were read.
         """
-        told = self.relays.take_acknowledged()
+        acknowledged = self.relays.take_acknowledged()
         for name, watcher in (*self.watchers.items(), *self.faulty_watchers.items()):
             self.history += [
                 Said(line["at"], name, line["life"], line["version"], line["digest"], line["answers"])
                 for line in watcher.read_lines()
             ]
-        self.acknowledged += told
+        self.acknowledged += acknowledged
 
     def check_output(self) -> None:
         """Read and check all lines and acknowledgements so far. Raises AssertionError for a violation."""
         self.read_output()
-        said, told = self.checked_counts
-        for each in self.history[said:]:
+        checked_lines, checked_acknowledgements = self.checked_counts
+        for each in self.history[checked_lines:]:
             if each.who in self.watchers:
                 self.watch.in_force(each)
-        self.watch.acknowledges(each for each in self.acknowledged[told:] if each.who in self.watchers)
+        self.watch.acknowledges(
+            each for each in self.acknowledged[checked_acknowledgements:] if each.who in self.watchers
+        )
         self.checked_counts = len(self.history), len(self.acknowledged)
         assert self.watch.wrong is None, self.watch.wrong
 
@@ -272,8 +275,8 @@
         try:
             self.until(lambda: not names_behind(), f"all watchers to have version {version}")
         except AssertionError as wrong:
-            lack = {name: self.watchers[name].last.get("version") for name in names_behind()}
-            raise AssertionError(f"{wrong}\nwatchers with an older version: {lack}") from wrong
+            versions = {name: self.watchers[name].last.get("version") for name in names_behind()}
+            raise AssertionError(f"{wrong}\nwatchers with an older version: {versions}") from wrong
 
     def request_lines(self, names: Iterable[str] | None = None) -> dict[str, dict[str, Any]]:
         """Request a line from each of these watchers, and return the lines of those that are up, by name."""
@@ -307,8 +310,8 @@
 
     def distribution_status(self) -> dict[str, Any] | None:
         """Return the answer of the status command, or None if the command fails."""
-        code, said = self.command("distribution", "status", str(self.voters["v1"].file), "--json")
-        return json.loads(said) if code == 0 else None
+        code, output = self.command("distribution", "status", str(self.voters["v1"].file), "--json")
+        return json.loads(output) if code == 0 else None
 
     # -- faults --------------------------------------------------------------------------------------
 
@@ -320,8 +323,8 @@
         voter = OtherGroupVoter(self, "w1", self.disk)
         voter.settings["distribution"] = True
         voter.write_file()
-        code, said = self.command("quorum", "found", str(voter.file))
-        assert code == 0, said
+        code, output = self.command("quorum", "found", str(voter.file))
+        assert code == 0, output
         voter.start()
         self.until(lambda: self.leader([voter]) is not None, "the other group's leader")
         client = self.relays.call(
@@ -340,10 +343,10 @@
     def redirect(self, relay: RelayProcess, port: int) -> None:
         """Redirect the connections to a relay's address to another port."""
 
-        def go() -> None:
+        def set_port() -> None:
             self.relays.by_name[relay.name].member_port = port
 
-        self.relays.call(go)
+        self.relays.call(set_port)
         self.relays.reset(relay.name)
 
     def processes_in_region(self, zone: str) -> set[str]:
--- a/lichencleat/testkit/cluster/distribution_parts.py
+++ b/lichencleat/testkit/cluster/distribution_parts.py
@@ -105,7 +105,10 @@
         shutil.copytree(other.directory, self.directory)
 
     def delete_half_of_pages(self, rng: random.Random) -> int:
-        """Delete half of the stored pages but not the head; return their number. The process must be down."""
+        """Delete half of the stored pages but not the head, as after a partial write.
+
+        Returns the number of deleted pages. The process must be down.
+        """
         if not self.stored_files():
             return 0
         try:
@@ -127,7 +130,9 @@
 class RelayProcess(Child):
     """A relay of the real program: `lichencleat distribution run`."""
 
-    def __init__(self, rig: Any, name: str, zone: str, sources: list[list[str]], keeps: bool = True) -> None:
+    def __init__(
+        self, rig: Any, name: str, zone: str, sources: list[list[str]], has_disk: bool = True
+    ) -> None:
         super().__init__(rig, name, zone)
         self.port = free_port(rig.reserved)
         self.relay_port = self.port if rig.direct else rig.relays.add_relay(name, self.port)
@@ -138,7 +143,7 @@
             "listen": f"{LOCAL}:{self.port}",
             "sources": sources,
         }
-        if keeps:
+        if has_disk:
             self.settings |= {"directory": str(self.directory), "disk": rig.disk}
         self.file.write_text(yaml.safe_dump({"distribution": self.settings}))
 
@@ -160,7 +165,7 @@
         name: str,
         zone: str,
         sources: list[list[str]],
-        keeps: bool = True,
+        has_disk: bool = True,
         mistake: str = "",
     ) -> None:
         super().__init__(rig, name, zone)
@@ -168,7 +173,7 @@
         self.bytes_read = 0  # bytes of the output file that were read
         self.lines: list[dict[str, Any]] = []
         self.mistake = mistake
-        chosen = {
+        settings = {
             "group": GROUP,
             "name": name,
             "zone": zone,
@@ -177,9 +182,9 @@
             "looks_at": rig.observed_names,
             "times": {key: list(value) for key, value in rig.watcher_times.items()},
         }
-        if keeps:
-            chosen |= {"directory": str(self.directory), "disk": rig.disk}
-        self.file.write_text(json.dumps(chosen))
+        if has_disk:
+            settings |= {"directory": str(self.directory), "disk": rig.disk}
+        self.file.write_text(json.dumps(settings))
 
     def command_arguments(self) -> list[str]:
         more = ["--mistake", self.mistake] if self.mistake else []
--- a/lichencleat/testkit/cluster/hollow_nodes.py
+++ b/lichencleat/testkit/cluster/hollow_nodes.py
@@ -34,7 +34,8 @@
 from lichencleat.testkit.cluster.tap import monotonic_us
 from lichencleat.testkit.hollow import Shared, SharedCopy
 
-MAX_TAKES = 2_000_000  # entries kept between two lines: enough for 300 nodes and some thousand batches
+# entries kept between two lines: enough for 300 nodes and some thousand batches
+MAX_APPLIED_ENTRIES = 2_000_000
 link_bytes = {"in": 0, "out": 0}  # bytes received and sent on all links
 
 
@@ -53,19 +54,19 @@
 class HollowNodes:
     """Owns the nodes of one zone, and the file with the lines that the process writes."""
 
-    def __init__(self, reactor: Any, chosen: dict[str, Any]) -> None:
-        """`chosen` has the keys group, zone, name, nodes, sources, said, and these:
+    def __init__(self, reactor: Any, settings: dict[str, Any]) -> None:
+        """`settings` has the keys group, zone, name, nodes, sources, said, and these:
 
         `spread`: seconds over which the starts of the nodes are spread;
         `cold`: whether the nodes start with an empty table;
         `version`: unless `cold` is set, the version that the first follower must reach before others start.
         """
-        self.reactor, self.chosen = reactor, chosen
-        self.log = create_logger(unix_time, process=chosen["name"], role="hollow", group=chosen["group"])
-        self.output = os.open(chosen["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
+        self.reactor, self.settings = reactor, settings
+        self.log = create_logger(unix_time, process=settings["name"], role="hollow", group=settings["group"])
+        self.output = os.open(settings["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
         self.shared: Shared | None = None
         # node number, version put in force, µs of the machine's monotonic clock
-        self.takes: list[tuple[int, int, int]] = []
+        self.applied: list[tuple[int, int, int]] = []
         self.nodes: list[Subscriber] = []
 
     def now(self) -> int:
@@ -74,14 +75,14 @@
 
     def start(self) -> None:
         """Start all nodes, at once if the start is cold, else after one follower has fetched the table."""
-        if self.chosen["cold"]:
+        if self.settings["cold"]:
             self.start_all(Table(), b"")
             return
         copy = TableCopy()
         first: list[Subscriber] = []
 
         def on_applied(batches: tuple[Batch, ...]) -> None:
-            if copy.version >= self.chosen["version"] and copy.mark:
+            if copy.version >= self.settings["version"] and copy.mark:
                 self.reactor.callLater(0, first[0].stop)
                 self.start_all(copy.table, copy.mark)
 
@@ -92,13 +93,13 @@
         self, name: str, copy: Copy, on_applied: Callable[[tuple[Batch, ...]], None]
     ) -> Subscriber:
         """Return a subscriber with its own follower. `on_applied`: called after each version put in force."""
-        chosen = self.chosen
-        rng = random.Random(f"{chosen['name']} {name}")
-        tiers = tuple(map(tuple, chosen["sources"]))
-        follower = RelayFollower(tiers, copy, rng, self.now(), True, chosen["zone"], Timing())
-        who = f"{chosen['name']}-{name}"
+        settings = self.settings
+        rng = random.Random(f"{settings['name']} {name}")
+        tiers = tuple(map(tuple, settings["sources"]))
+        follower = RelayFollower(tiers, copy, rng, self.now(), True, settings["zone"], Timing())
+        caller_name = f"{settings['name']}-{name}"
         return Subscriber(
-            self.reactor, chosen["group"], who, follower, copy, rng, self.log, self.now, on_applied
+            self.reactor, settings["group"], caller_name, follower, copy, rng, self.log, self.now, on_applied
         )
 
     def start_all(self, table: Table, mark: bytes) -> None:
@@ -106,21 +107,21 @@
         if self.nodes:
             return
         self.shared = Shared(table)
-        for number in range(self.chosen["nodes"]):
+        for number in range(self.settings["nodes"]):
             copy = SharedCopy(self.shared, mark)
 
             def on_applied(batches: tuple[Batch, ...], number: int = number, copy: SharedCopy = copy) -> None:
-                if len(self.takes) < MAX_TAKES:
-                    self.takes.append((number, copy.version, monotonic_us()))
+                if len(self.applied) < MAX_APPLIED_ENTRIES:
+                    self.applied.append((number, copy.version, monotonic_us()))
 
             made = self.subscriber(str(number), copy, on_applied)
             self.nodes.append(made)
-            self.reactor.callLater(made.rng.uniform(0, self.chosen["spread"]), made.start)
+            self.reactor.callLater(made.rng.uniform(0, self.settings["spread"]), made.start)
 
     def write_line(self) -> None:
         """Write a line with the versions put in force since the last line, and with the totals so far."""
         used = resource.getrusage(resource.RUSAGE_SELF)
-        takes, self.takes = self.takes, []
+        applied, self.applied = self.applied, []
         now = self.now()
         counts: Counter[str] = Counter()
         for each in self.nodes:
@@ -128,12 +129,12 @@
             counts.update(each.follower.counters)
         line = {
             "at": monotonic_us(),
-            "zone": self.chosen["zone"],
+            "zone": self.settings["zone"],
             "nodes": len(self.nodes),
             "cpu": used.ru_utime + used.ru_stime,
             "rss": rss(os.getpid()),
             "bytes": dict(link_bytes),
-            "takes": takes,
+            "takes": applied,
             "versions": dict(Counter(each.copy.version for each in self.nodes)),
             "relays": dict(Counter(each.follower.relay or "" for each in self.nodes)),
             "oldest": max((each.follower.age(now) for each in self.nodes), default=0),
@@ -154,9 +155,9 @@
     reactor = make_reactor()
     subscribing.RelayLink = CountingLink  # type: ignore[misc]
     with open(sys.argv[1]) as file:
-        chosen = json.load(file)
+        settings = json.load(file)
     signal.signal(signal.SIGUSR1, lambda *_: reactor.callFromThread(lambda: nodes.write_line()))
-    nodes = HollowNodes(reactor, chosen)  # creates the output file, which shows that SIGUSR1 is handled
+    nodes = HollowNodes(reactor, settings)  # creates the output file, which shows that SIGUSR1 is handled
     signal.signal(signal.SIGTERM, lambda *_: reactor.callFromThread(reactor.stop))
     reactor.callWhenRunning(nodes.start)
     reactor.run(installSignalHandlers=False)
--- a/lichencleat/testkit/cluster/tap.py
+++ b/lichencleat/testkit/cluster/tap.py
@@ -42,8 +42,8 @@
 class TappedLink(Link):
     """A connection whose client requests are decoded and recorded."""
 
-    def __init__(self, relay: Relay, inner: CallerSide) -> None:
-        super().__init__(relay, inner)
+    def __init__(self, relay: Relay, caller_side: CallerSide) -> None:
+        super().__init__(relay, caller_side)
         self.buffer = bytearray()
         self.is_decoding = True
 
--- a/lichencleat/testkit/cluster/watcher.py
+++ b/lichencleat/testkit/cluster/watcher.py
@@ -86,16 +86,16 @@
 class WatcherProcess:
     """Owns the output file, the copy of the table, the subscriber and the disk of a watcher."""
 
-    def __init__(self, reactor: Any, chosen: dict[str, Any], mistake: str) -> None:
-        self.reactor, self.chosen, self.mistake = reactor, chosen, mistake
+    def __init__(self, reactor: Any, settings: dict[str, Any], mistake: str) -> None:
+        self.reactor, self.settings, self.mistake = reactor, settings, mistake
         self.rng = random.Random(os.urandom(16))
-        self.log = create_logger(unix_time, process=chosen["name"], role="watcher", group=chosen["group"])
-        self.output = os.open(chosen["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
-        self.observed_names = [tuple(name.partition("/")[::2]) for name in chosen["looks_at"]]
+        self.log = create_logger(unix_time, process=settings["name"], role="watcher", group=settings["group"])
+        self.output = os.open(settings["said"], os.O_WRONLY | os.O_APPEND | os.O_CREAT, 0o644)
+        self.observed_names = [tuple(name.partition("/")[::2]) for name in settings["looks_at"]]
         self.last_state: tuple[Any, ...] = ()
         self.copy: WatchedCopy | None = None
         self.subscriber: Subscriber | None = None
-        self.kept: Any = None
+        self.persisted_table: Any = None
         self.storage_problem = ""
 
     @inlineCallbacks
@@ -103,29 +103,29 @@
         """Load the stored table and start the subscriber with it."""
         from lichencleat.testkit.cluster import mistakes
 
-        chosen = self.chosen
+        settings = self.settings
         table, mark = Table(), b""
-        if chosen.get("directory"):
-            held_back = chosen.get("disk") == "held back"
+        if settings.get("directory"):
+            is_volatile = settings.get("disk") == "held back"
             try:
-                disk = VolatileDisk(chosen["directory"], create=True) if held_back else None
-                self.kept = yield open_persisted_table(
-                    self.reactor, chosen["directory"], unix_time, self.rng, disk=disk
+                disk = VolatileDisk(settings["directory"], create=True) if is_volatile else None
+                self.persisted_table = yield open_persisted_table(
+                    self.reactor, settings["directory"], unix_time, self.rng, disk=disk
                 )
-                table, mark, _ = yield mistakes.load(self.kept, self.mistake)
-                self.storage_problem = self.kept.problem
+                table, mark, _ = yield mistakes.load(self.persisted_table, self.mistake)
+                self.storage_problem = self.persisted_table.problem
             except (StoreError, OSError) as wrong:
                 self.storage_problem = str(wrong)
         self.copy = mistakes.make_copy(self.mistake, self.reactor, table, mark)
         self.copy.on_call = self.write_line
         now = lambda: int(self.reactor.seconds() * 1e6)  # noqa: E731
-        times = replace(Timing(), **{key: tuple(span) for key, span in chosen["times"].items()})
-        tiers = tuple(map(tuple, chosen["sources"]))
-        follower = RelayFollower(tiers, self.copy, self.rng, now(), True, chosen["zone"], times)
+        times = replace(Timing(), **{key: tuple(span) for key, span in settings["times"].items()})
+        tiers = tuple(map(tuple, settings["sources"]))
+        follower = RelayFollower(tiers, self.copy, self.rng, now(), True, settings["zone"], times)
         self.subscriber = Subscriber(
             self.reactor,
-            chosen["group"],
-            chosen["name"],
+            settings["group"],
+            settings["name"],
             follower,
             self.copy,
             self.rng,
@@ -142,16 +142,20 @@
     def on_applied(self, batches: tuple[Batch, ...]) -> None:
         """Store the version put in force. `batches`: the applied batches, empty after a snapshot."""
         assert self.copy is not None
-        if self.kept is not None and batches:
-            self.kept.on_batches_applied(self.copy.table, batches)
-        elif self.kept is not None:
-            self.kept.on_snapshot_applied(self.copy.table)
+        if self.persisted_table is not None and batches:
+            self.persisted_table.on_batches_applied(self.copy.table, batches)
+        elif self.persisted_table is not None:
+            self.persisted_table.on_snapshot_applied(self.copy.table)
 
     def on_answered(self) -> None:
         """Store the mark of the group if it changed."""
-        if self.kept is not None and self.copy is not None and self.copy.mark != getattr(self, "mark", b""):
+        if (
+            self.persisted_table is not None
+            and self.copy is not None
+            and self.copy.mark != getattr(self, "mark", b"")
+        ):
             self.mark = self.copy.mark
-            self.kept.set_group_mark(self.mark)
+            self.persisted_table.set_group_mark(self.mark)
 
     def observed_values(self) -> dict[str, Any]:
         """Return the values of the observed records, None for a record that does not exist."""
@@ -169,10 +173,10 @@
         if copy is None:
             return
         table = copy.shown
-        seen = (table.version, table.total, answers := self.observed_values())
-        if seen == self.last_state and not why:
+        state = (table.version, table.total, answers := self.observed_values())
+        if state == self.last_state and not why:
             return
-        self.last_state = seen
+        self.last_state = state
         total = sum(page_digest(number, page) for number, page in enumerate(table.pages))
         digest = table_digest(total, table.version)
         line = {
--- a/tests/fleet/distribution.py
+++ b/tests/fleet/distribution.py
@@ -29,6 +29,7 @@
 RECOVERY_TIMEOUT = 30.0
 # range of the rates of clocks, within the allowed drift; largest step of Unix time in s
 CLOCK_RATES, MAX_CLOCK_STEP = (0.95, 1.05), 30.0
+# kinds of faults; a kind is drawn more often if it is listed several times
 KINDS = ["kill", "kill", "kill", "stop", "stop", "cut region", "cut", "cut", "one way", "slow", "reset"]
 KINDS += [
     "spoilt link",
@@ -120,10 +121,10 @@
             each.stop()
             self.undo_later(each.resume)
         elif kind.startswith("kill voter"):
-            cut = voters if kind == "kill voters" else voters[:1]
-            for one in cut:
+            killed = voters if kind == "kill voters" else voters[:1]
+            for one in killed:
                 one.kill()
-            self.undo_later(lambda: [one.start() for one in cut if one.running.poll() is not None])
+            self.undo_later(lambda: [one.start() for one in killed if one.running.poll() is not None])
         elif kind == "stop voter":
             voters[0].stop()
             self.undo_later(voters[0].resume)
@@ -263,25 +264,25 @@
     kinds = list(only) or KINDS
     done: list[ScheduleResult] = []
     with ProcessPoolExecutor(side_by_side) as pool:
-        told = ([each] * len(drawn) for each in (nodes, kinds, most))
-        for result in pool.map(run, drawn, *told):
+        arguments = ([each] * len(drawn) for each in (nodes, kinds, most))
+        for result in pool.map(run, drawn, *arguments):
             done.append(result)
             if result.failure is not None:
                 click.echo(f"seed {result.seed}: {', '.join(result.faults)}\n{result.failure}")
-    words = (each.partition(" (")[0].rpartition(" ")[0] for result in done for each in result.faults)
-    click.echo(", ".join(f"{kind} {count}" for kind, count in sorted(Counter(words).items())))
-    wrong = [each for each in done if each.failure is not None]
-    well = sorted(each.recovery_time for each in done if each.failure is None)
+    kinds_injected = (each.partition(" (")[0].rpartition(" ")[0] for result in done for each in result.faults)
+    click.echo(", ".join(f"{kind} {count}" for kind, count in sorted(Counter(kinds_injected).items())))
+    failed = [each for each in done if each.failure is not None]
+    recovery_times = sorted(each.recovery_time for each in done if each.failure is None)
     click.echo(
         f"{len(done)} schedules of {2 * nodes} nodes, {sum(len(each.faults) for each in done)} faults, "
         f"{sum(each.batches for each in done)} batches, {sum(each.lines for each in done)} words of nodes, "
         f"{sum(each.acknowledgements for each in done)} acknowledgements, "
         f"{sum(each.snapshots for each in done)} snapshots begun, "
         f"{sum(each.corrupted_bytes for each in done)} bytes spoilt; well again after "
-        f"{well[len(well) // 2] if well else 0:.1f} s at the median, "
-        f"{well[-1] if well else 0:.1f} s at the most; {len(wrong)} wrong"
+        f"{recovery_times[len(recovery_times) // 2] if recovery_times else 0:.1f} s at the median, "
+        f"{recovery_times[-1] if recovery_times else 0:.1f} s at the most; {len(failed)} wrong"
     )
-    raise SystemExit(1 if wrong else 0)
+    raise SystemExit(1 if failed else 0)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_distribution.py
+++ b/tests/fleet/test_distribution.py
@@ -114,10 +114,10 @@
     since = monotonic_us()
     node.start()
     rig.wait_for_version()
-    (began,) = [each for each in node.lines if each["why"] == "started" and each["at"] >= since]
-    assert 0 < began["version"] <= had and not began["trouble"]
+    (start_line,) = [each for each in node.lines if each["why"] == "started" and each["at"] >= since]
+    assert 0 < start_line["version"] <= had and not start_line["trouble"]
     requests = requests_since(rig, since, caller=name)
-    assert requests[0].operation == FOLLOW and requests[0].version == began["version"]
+    assert requests[0].operation == FOLLOW and requests[0].version == start_line["version"]
     assert not [each for each in requests if each.operation in (DIGESTS, PAGES_OF)]
 
 
@@ -156,12 +156,12 @@
     rig.publish()
     rig.wait_for_version(names=names(rig, "b"))
 
-    def old() -> bool:
+    def ages_are_high() -> bool:
         said = rig.request_lines(here).values()
         assert all(each["version"] == version for each in said)
         return all(each["age"] > 2_000_000 for each in said)
 
-    rig.until(old, "the region's nodes to report an age above 2 s")
+    rig.until(ages_are_high, "the region's nodes to report an age above 2 s")
     rig.heal(pairs)
     rig.wait_for_version()
     rig.until(
@@ -173,7 +173,7 @@
 def test_status_reports_the_version_in_force_in_each_zone(rig):
     version = rig.publish()
 
-    def told() -> bool:
+    def status_is_current() -> bool:
         said = rig.distribution_status()
         zones = {each["zone"]: each for each in said["zones"]} if said else {}
         return said and all(
@@ -183,7 +183,7 @@
             for zone in rig.zones
         )
 
-    rig.until(told, "status to report the newest version at all nodes of both zones")
+    rig.until(status_is_current, "status to report the newest version at all nodes of both zones")
 
 
 def test_checkers_find_watchers_with_an_injected_bug(rig):
@@ -202,12 +202,12 @@
         "the watchers with a bug to have a version",
     )
 
-    def found() -> bool:
+    def all_found() -> bool:
         rig.publish()
         rig.wait_for_version()
         return all(rig.check_faulty_watcher(name) for name in made)
 
-    rig.until(found, "the checkers to find each bug")
+    rig.until(all_found, "the checkers to find each bug")
     for name, told in made.items():
         said = rig.check_faulty_watcher(name)
         assert name in said and any(each in said for each in told), said
@@ -244,8 +244,8 @@
     right.start()
     wrong.start()
     rig.wait_for_version()
-    (began,) = [each for each in right.lines if each["why"] == "started" and each["at"] >= since]
-    assert began["version"] == 0 and "corrupt" in began["trouble"]
+    (start_line,) = [each for each in right.lines if each["why"] == "started" and each["at"] >= since]
+    assert start_line["version"] == 0 and "corrupt" in start_line["trouble"]
     rig.until(
         lambda: rig.check_faulty_watcher(wrong.name),
         "the checkers to find the watcher that uses the half-written table",
--- a/tests/fleet/test_publishing.py
+++ b/tests/fleet/test_publishing.py
@@ -20,17 +20,17 @@
         made.close()
 
 
-def run(rig, command, *words):
+def run(rig, command, *arguments):
     file = next(iter(rig.voters.values())).file
-    return rig.command("distribution", command, *([str(file)] if command != "check" else []), *words)
+    return rig.command("distribution", command, *([str(file)] if command != "check" else []), *arguments)
 
 
 def ages(rig):
     """Return version and age in µs by voter, for each voter that answers."""
-    code, said = run(rig, "status", "--json")
+    code, output = run(rig, "status", "--json")
     return {
         each["name"]: (each["version"], each["age_us"])
-        for each in json.loads(said.splitlines()[0])["members"].values()
+        for each in json.loads(output.splitlines()[0])["members"].values()
         if isinstance(each, dict)
     }
 
@@ -47,29 +47,29 @@
     with open(wrong, "w") as file:
         file.write('{"kind": "tenant", "name": "t2", "value": 1}\n{"kind": "tenant"}\n')
     assert run(rig, "check", small)[0] == 0
-    code, said = run(rig, "publish", small, "--json", "--only-if", "0")
-    first = json.loads(said)["version"]
+    code, output = run(rig, "publish", small, "--json", "--only-if", "0")
+    first = json.loads(output)["version"]
     assert code == 0 and first
-    code, said = run(rig, "publish", large, "--in-batches", "--json")
-    assert code == 0 and json.loads(said.splitlines()[-1])["batches"] == 3, said
-    code, said = run(rig, "publish", wrong)
-    assert code == 2 and f"{wrong}, line 2: " in said
+    code, output = run(rig, "publish", large, "--in-batches", "--json")
+    assert code == 0 and json.loads(output.splitlines()[-1])["batches"] == 3, output
+    code, output = run(rig, "publish", wrong)
+    assert code == 2 and f"{wrong}, line 2: " in output
     with open(small, "w") as file:
         file.write("records:\n- {kind: tenant, name: t1, gone: true}\n")
     rig.leader().kill()
-    code, said = run(rig, "publish", small, "--json")
-    assert code == 0, said
-    last = json.loads(said)["version"]
+    code, output = run(rig, "publish", small, "--json")
+    assert code == 0, output
+    last = json.loads(output)["version"]
     for each in rig.voters.values():
         each.kill()
     for each in rig.voters.values():
         each.start()
     rig.until(lambda: rig.leader(), "a leader after the restart")
-    code, said = run(rig, "show", "tenant", "t1", "--at", str(first), "--json")
-    assert (code, json.loads(said)["value"]) == (0, {"rate": 5})
+    code, output = run(rig, "show", "tenant", "t1", "--at", str(first), "--json")
+    assert (code, json.loads(output)["value"]) == (0, {"rate": 5})
     assert run(rig, "show", "tenant", "t1")[0] == 1 and run(rig, "show", "tenant", "t2")[0] == 1
-    code, said = run(rig, "diff", str(first), str(last), "--json")
-    assert code == 0 and len(json.loads(said)) == 1_501
+    code, output = run(rig, "diff", str(first), str(last), "--json")
+    assert code == 0 and len(json.loads(output)) == 1_501
     rig.until(
         lambda: (
             len(found := ages(rig)) == 3
@@ -90,8 +90,8 @@
     rig.voters["v4"] = other  # a voter without the setting quorum.distribution
     other.start()
     rig.until(other.status, "the fourth voter to answer")
-    code, said = rig.command("quorum", "add", str(rig.voters["v1"].file), other.address)
-    assert code == 2 and "set quorum.distribution to the same value" in said
+    code, output = rig.command("quorum", "add", str(rig.voters["v1"].file), other.address)
+    assert code == 2 and "set quorum.distribution to the same value" in output
     other.kill()
     changed = rig.voters["v2"]
     changed.kill()
