--- a/lichencleat/testkit/checkers/distribution.py
+++ b/lichencleat/testkit/checkers/distribution.py
@@ -1,7 +1,8 @@
-"""What must hold of processes that have a configuration in force, whatever fails: judged from what each of
-them said that it answers, and from what they told the ones above. No I/O.
+"""Checker of the configuration distribution: the guarantees that hold whatever fails. No I/O.
 
-Times are µs of the machine's one monotonic clock, also where a process's own clocks run wrong.
+The checker uses two kinds of reports: the records that a process answers at a moment, and the versions that
+a process acknowledges to its relay. Times are in µs on the monotonic clock of the machine, even where the
+clocks of a process are wrong.
 """
 
 from __future__ import annotations
@@ -10,13 +11,13 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-PAIR, TENANT = "pair", "tenant"  # kinds of the records that are looked at
-LEFT, RIGHT = "a", "b"  # how the names of a pair begin: only ever changed together
+PAIR, TENANT = "pair", "tenant"  # kinds of the records that are checked
+LEFT, RIGHT = "a", "b"  # name prefixes of the two records of a pair, which each batch changes together
 
 
 @dataclass(frozen=True, slots=True)
 class Said:
-    """What one process has in force at a moment: the records looked at, None where there is no such one."""
+    """A report of one process: the version in force and the checked records; None for a missing record."""
 
     at: int
     who: str
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """A process told the one above it that this is in force; `at`: when that was seen on its link."""
+    """A process acknowledged a version to its relay; `at`: when the acknowledgement was seen on the link."""
 
     at: int
     who: str
@@ -40,26 +41,28 @@
 
 
 class DistributionWatch:
-    """Hears of all that was said, of each process in its order; keeps the first thing that is wrong."""
+    """Checks all reports, those of each process in order, and keeps the first violation."""
 
     def __init__(self) -> None:
-        self.last: dict[str, Said] = {}  # by process
-        self.by_version: dict[int, Said] = {}  # the first that said this version
-        self.had: dict[tuple[str, int, str], int] = {}  # who, version, digest -> when first
-        self.published: dict[int, dict[str, Any]] = {}  # version -> what its batch set
-        self.heard = self.acknowledged = 0
-        self.wrong: str | None = None
+        self.last: dict[str, Said] = {}  # process -> its latest report
+        self.by_version: dict[int, Said] = {}  # version -> the first report of that version
+        self.had: dict[tuple[str, int, str], int] = {}  # process, version, digest -> µs of the first report
+        self.published: dict[int, dict[str, Any]] = {}  # version -> the records that its batch set
+        self.heard = self.acknowledged = 0  # reports, acknowledgements checked
+        self.wrong: str | None = None  # the first violation
 
     def says(self, wrong: str) -> None:
+        """Record a violation unless there was an earlier one."""
         self.wrong = self.wrong or wrong
 
     def publishes(self, version: int, answers: Mapping[str, Any]) -> None:
-        """A batch was confirmed: at exactly that version these records are so."""
+        """Record a committed batch: the values that these records have at exactly this version."""
         self.published[version] = dict(answers)
         if version in self.by_version:
             self.content(self.by_version[version])
 
     def in_force(self, said: Said) -> None:
+        """Check one report against all earlier reports and published batches."""
         self.heard += 1
         before = self.last.get(said.who)
         if before is not None and before.life == said.life and said.version < before.version:
@@ -80,6 +83,7 @@
         self.content(said)
 
     def whole(self, said: Said) -> None:
+        """Check that both records of each pair have the same value."""
         begin = f"{PAIR}/{LEFT}"
         for name, value in said.answers.items():
             other = f"{PAIR}/{RIGHT}{name.removeprefix(begin)}"
@@ -87,18 +91,20 @@
                 self.says(f"half a batch: {said}: {name} is {value}, {other} is {said.answers[other]}")
 
     def tenants(self, said: Said) -> None:
+        """Check that each tenant's record belongs to that tenant."""
         for name, value in said.answers.items():
             kind, _, tenant = name.partition("/")
             if kind == TENANT and value is not None and value.get("tenant") != tenant:
                 self.says(f"another tenant's: {said}: asked for {tenant}, answered {value}")
 
     def content(self, said: Said) -> None:
+        """Check the records against the batch published as the reported version."""
         for name, value in self.published.get(said.version, {}).items():
             if name in said.answers and said.answers[name] != value:
                 self.says(f"not as published: {said}: {name} is {said.answers[name]}, published {value}")
 
     def acknowledges(self, told: Iterable[Acknowledged]) -> None:
-        """Once all that was said until then has been heard."""
+        """Check acknowledgements; `in_force` must already have received all reports up to their times."""
         for each in told:
             self.acknowledged += 1
             since = self.had.get((each.who, each.version, each.digest))
@@ -109,7 +115,7 @@
                 )
 
     def behind(self, names: Iterable[str], version: int) -> list[str]:
-        """Those whose last word is older than that."""
+        """Describe the processes whose latest report has an older version, or that sent none."""
         return [
             f"{name} has {self.last[name].version}" if name in self.last else f"{name} said nothing"
             for name in names
--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -1,10 +1,11 @@
-"""The configuration's distribution at full size, in simulated time: `python -m
+"""Simulates the distribution of the configuration to a full-size fleet: `python -m
 lichencleat.testkit.simulation.distribution`.
 
-Feeder, Follower, Table, Staging and View are the real ones; the network, cores, machines and the group of
-voters are models (`distribution_world.py`, `distribution_source.py`), tables are shared
-(`distribution_table.py`). Each scene is judged at every step (`distribution_judge.py`). Left out: the
-reactor, sockets and disks themselves, loss of single packets, clocks that drift, memory.
+Publisher, RelayFollower, Table, Staging and View are the production classes. The network, processor cores,
+machines and the group of voters are models (`distribution_world.py`, `distribution_source.py`), and the
+simulated processes share their tables (`distribution_table.py`). A checker verifies each node after every
+step of its copy (`distribution_judge.py`). Not simulated: the reactor, sockets and disks, the loss of single
+packets, clock drift, memory usage.
 """
 
 from __future__ import annotations
@@ -29,16 +30,18 @@
 from lichencleat.testkit.simulation.distribution_world import REGIONS, SECOND, ZONES, Costs, Meter, Site
 from lichencleat.testkit.simulation.many import run_many
 
-AIM = 5_000  # ms from publishing until in force at all that are reached
-DAY = 86_400  # s
-STARTS = 6  # of a node in a day
-BUDGET = 4_096  # bytes a second of a node
-MOVED = 3_000_000  # µs that the tiers above may need to hear of a node that moved
-COUNTS = 8  # looks at the voters' counts, half a second apart, at the end
+AIM = 5_000  # ms: a change must be in force at all reachable nodes this soon after it was published
+DAY_S = 86_400
+STARTS_PER_DAY = 6  # starts of one node in a day
+BYTE_BUDGET = 4_096  # bytes a second that one node may send and receive on average
+COUNT_DELAY_US = 3_000_000  # the tiers above may count a node at its old relay for this long after it moved
+COUNT_CHECKS = 8  # checks of the voters' node counts before the end of a run, half a second apart
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
+    """The parameters of one simulation run."""
+
     event: str
     seed: int
     size: Size
@@ -47,19 +50,21 @@
 
 @dataclass(slots=True)
 class Ran:
+    """The result of one simulation run."""
+
     job: Job
     figures: dict[str, Any] = field(default_factory=dict)
-    spent: float = 0.0  # s of real time
+    spent: float = 0.0  # s of real time that the run took
 
     @property
     def wrong(self) -> str | None:
-        """What must hold and did not; None: nothing."""
+        """The first violation that the checker found; None if it found none."""
         found = self.figures["wrong"]
         return found[0] if found else None
 
 
 class Run:
-    """One scene from its start to its end."""
+    """Runs one scene from its start to its end and collects its figures."""
 
     def __init__(
         self,
@@ -72,14 +77,15 @@
         rng = random.Random(f"distribution {job.event} {job.seed}")
         self.fleet = Fleet(rng, job.size, job.costs, feeder, follower, copy)
         self.scene = Scene(self.fleet, job.event, random.Random(rng.getrandbits(60)))
-        self.begun: dict[str, int] = {}  # bytes of a node when it started
-        self.start_bytes: dict[str, list[int]] = {}
-        self.counted: set[str] = set()  # zones whose counts were right at the voters
-        self.miscounted: dict[str, str] = {}
+        self.begun: dict[str, int] = {}  # node -> bytes that its meter showed at its latest start
+        self.start_bytes: dict[str, list[int]] = {}  # kind of start -> bytes that each start took
+        self.counted: set[str] = set()  # zones whose node counts at the voters were right at least once
+        self.miscounted: dict[str, str] = {}  # zone -> description of its latest wrong count
         self.fleet.judge.caught = self.caught
         self.fleet.judge.began = self.began
 
     def play(self) -> dict[str, Any]:
+        """Run the scene and return its figures; meters and time spans count from the end of the warm-up."""
         fleet = self.fleet
         fleet.begins()
         fleet.world.clockwork.run(WARM * SECOND)
@@ -87,16 +93,18 @@
             site.meter = Meter()
         fleet.judge.since = fleet.world.clockwork.now
         end = round(self.scene.until * SECOND)
-        for before in range(COUNTS, 0, -1):
+        for before in range(COUNT_CHECKS, 0, -1):
             fleet.world.clockwork.run(end - before * SECOND // 2)
             self.counts_fit()
         fleet.world.clockwork.run(end)
         return self.told()
 
     def began(self, name: str) -> None:
+        """Record the bytes on a node's meter when the node starts."""
         self.begun[name] = self.fleet.world.sites[name].meter.bytes
 
     def caught(self, name: str, kind: str) -> None:
+        """Record the bytes that a restarted node needed to catch up."""
         if kind in ("cold", "disk") and self.fleet.world.clockwork.now > WARM * SECOND:
             spent = self.fleet.world.sites[name].meter.bytes - self.begun[name]
             self.start_bytes.setdefault(kind, []).append(spent)
@@ -104,6 +112,7 @@
     # -- figures ---------------------------------------------------------------------------------------
 
     def told(self) -> dict[str, Any]:
+        """Return the figures of the run; the keys are those of the JSON file."""
         fleet, span = self.fleet, self.scene.until - WARM
         self.count_wrongs()
         tiers: dict[str, list[Site]] = {}
@@ -127,15 +136,17 @@
         }
 
     def slowest(self) -> list[tuple[int, int, int]]:
-        """Version, ms when it was handed in, ms until the last one had it: the three that took longest."""
+        """Return (version, ms when it was published, ms until the last node had it) of the slowest three."""
         judge = self.fleet.judge
         longest = sorted(judge.by_version.items(), key=lambda each: (-each[1], each[0]))[:3]
         return [(version, judge.published[version] // 1_000, span // 1_000) for version, span in longest]
 
     def counts_fit(self) -> None:
-        """What the voters have been told: each node once, and nobody behind. One that has moved of late may
-        be missed or counted twice until the tiers above have heard of it; an answer under way makes it stale,
-        so it has to fit at one of some looks.
+        """Check that the voters count each running node once and all nodes at the newest version.
+
+        A node that recently moved to another relay may be missing or counted twice until the tiers above
+        know of the move. Counts also lag behind while a report is in transit, so the counts of a zone must be
+        right in only one of the checks.
         """
         fleet, now = self.fleet, self.fleet.world.clockwork.now
         up = [voter.host.feeder for voter in fleet.source.voters if voter.up]
@@ -143,7 +154,7 @@
         sums = {
             each.zone: each for each in merge_counts(count for feeder in up for count in feeder.counts(now))
         }
-        moved = Counter(site.zone for site in fleet.nodes if site.host.opened_at > now - MOVED)
+        moved = Counter(site.zone for site in fleet.nodes if site.host.opened_at > now - COUNT_DELAY_US)
         for zone, nodes in Counter(site.zone for site in fleet.nodes if site.up).items():
             found = sums.get(zone)
             fits = (
@@ -157,6 +168,7 @@
                 self.miscounted[zone] = f"{found} counted, {nodes} nodes at {newest}, {moved[zone]} moved"
 
     def count_wrongs(self) -> None:
+        """Report the zones whose counts were never right, unless some node lacks the newest version."""
         if not self.fleet.judge.missing():
             for zone, told in sorted(self.miscounted.items()):
                 if zone not in self.counted:
@@ -164,7 +176,7 @@
 
 
 def costs_of(sites: Sequence[Site], span: float) -> dict[str, Any]:
-    """Means and the highest of any: bytes and processor time a second, jobs waiting, µs until their turn."""
+    """Return mean and highest byte rates and core usages, the longest queue and the longest wait (ms)."""
     meters = [site.meter for site in sites]
     work = [each.work / span / SECOND for each in meters]
     return {
@@ -181,7 +193,7 @@
 
 
 def counters_of(sites: Sequence[Site]) -> dict[str, int]:
-    """Of those that run at the end."""
+    """Return the sums of the counters of all processes that run at the end."""
     sums: Counter[str] = Counter()
     for site in sites:
         for part in (site.host.feeder, site.host.follower):
@@ -191,6 +203,7 @@
 
 
 def ages_of(fleet: Fleet) -> dict[str, int]:
+    """Return the median and highest age (ms) of the nodes' configuration, and the number of unknown ages."""
     now = fleet.world.clockwork.now
     ages = sorted(site.host.follower.age(now) for site in fleet.nodes if site.up and not site.paused)
     known = [age for age in ages if age < MAX_AGE_US]
@@ -202,6 +215,7 @@
 
 
 def run_one(job: Job) -> Ran:
+    """Run one simulation and measure its real time."""
     begin = time.monotonic()
     ran = Ran(job, Run(job).play())
     ran.spent = time.monotonic() - begin
@@ -209,21 +223,22 @@
 
 
 def day_of(runs: Sequence[Ran]) -> dict[str, Any]:
-    """Bytes a second of a node on a day's average: what it costs in calm, and six starts."""
+    """Return a node's bytes a second, averaged over a day: traffic without faults plus six starts."""
     by_event = {ran.job.event: ran.figures for ran in runs}
     if "calm" not in by_event:
         return {}
     calm = by_event["calm"]["costs"]["node"]["bytes_a_second"]
-    told = {"calm": calm, "budget": BUDGET}
+    told = {"calm": calm, "budget": BYTE_BUDGET}
     for kind in ("cold", "disk"):
         starts = [ran.figures["start_bytes"][kind] for ran in runs if kind in ran.figures["start_bytes"]]
         if starts:
             told[f"start_{kind}"] = max(starts)
-            told[f"day_{kind}"] = round(calm + STARTS * max(starts) / DAY)
+            told[f"day_{kind}"] = round(calm + STARTS_PER_DAY * max(starts) / DAY_S)
     return told
 
 
 def line_of(ran: Ran) -> str:
+    """Format one run as a line of the table under `HEAD`."""
     figures = ran.figures
     in_force, node = figures["in_force"], figures["costs"]["node"]
     relay = figures["costs"]["zone relay"]
@@ -241,7 +256,7 @@
 
 
 def writes(path: str, size: Size, costs: Costs, runs: Sequence[Ran]) -> None:
-    """All figures so far."""
+    """Write the figures of all finished runs to a JSON file."""
     told = {
         "cores": os.cpu_count(),
         "size": {name: getattr(size, name) for name in Size.__slots__},
@@ -265,23 +280,43 @@
 @click.option("--regions", default=REGIONS, show_default=True)
 @click.option("--zone-relays", default=2, show_default=True)
 @click.option("--records", default=560_000, show_default=True)
-@click.option("--event", "events", multiple=True, type=click.Choice(list(EVENTS)), help="All unless named.")
+@click.option(
+    "--event",
+    "events",
+    multiple=True,
+    type=click.Choice(list(EVENTS)),
+    help="Event to run; default: all events.",
+)
 @click.option("--seed", default=1, show_default=True)
 @click.option(
-    "--drawn", "draws", default=3, show_default=True, help="Drawn schedules, each with the next seed."
+    "--drawn",
+    "draws",
+    default=3,
+    show_default=True,
+    help="Drawn schedules to run; each uses the next seed.",
 )
 @click.option("--cores", default=1, show_default=True)
 @click.option(
-    "--question", default=Costs().question, show_default=True, help="µs of a relay, answer included."
+    "--question",
+    default=Costs().question,
+    show_default=True,
+    help="Relay core time: µs for a request and its answer.",
+)
+@click.option(
+    "--kilobyte", default=Costs().kilobyte, show_default=True, help="Relay core time: µs for each KiB sent."
+)
+@click.option(
+    "--pack",
+    default=Costs().pack,
+    show_default=True,
+    help="Relay core time: µs to compress a page, once.",
 )
-@click.option("--kilobyte", default=Costs().kilobyte, show_default=True, help="µs of a relay.")
-@click.option("--pack", default=Costs().pack, show_default=True, help="µs of a relay, of a page, once.")
-@click.option("--json", "path", default="", help="File for all figures.")
+@click.option("--json", "path", default="", help="JSON file to write all figures to.")
 def main(
     nodes: int, zones: int, regions: int, zone_relays: int, records: int, events: tuple[str, ...], seed: int,
     draws: int, cores: int, question: int, kilobyte: float, pack: int, path: str,
 ) -> None:  # fmt: skip
-    """Each event in a fleet of its own. Ends with 1 if something that must hold did not."""
+    """Simulate each event in a fleet of its own. Exits with 1 if the checker found a violation."""
     size = Size(nodes, zones, regions, zone_relays, records)
     costs = replace(Costs(), question=question, kilobyte=kilobyte, pack=pack)
     jobs = [
--- a/lichencleat/testkit/simulation/distribution_events.py
+++ b/lichencleat/testkit/simulation/distribution_events.py
@@ -1,4 +1,4 @@
-"""What happens to the simulated fleet: the load of changes, and one scene for each event with its storm."""
+"""Scenes of the simulated fleet: each one schedules its faults and the load of configuration changes."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from lichencleat.testkit.simulation.distribution_table import drawn_changes
 from lichencleat.testkit.simulation.distribution_world import SECOND, Site
 
-WARM = 12  # s until all have come and figures begin
-BEGIN = 20  # s: what happens begins
-QUIET = 7  # s before the end without changes: all of them are to be in force by then
-SINGLES = 0.27  # changes a second that come one by one; as many come in bursts: 0.54 in all
-BURST, BURSTS = 50, 185  # changes in one, and s between two on average
-RACK = 40
-SLOW = 40  # times as long for all that a slow process does
+WARM = 12  # s: by then all processes have started, and measurement begins
+BEGIN = 20  # s: the time of the first fault
+QUIET = 7  # s without changes at the end of a scene, so that every change can come into force
+SINGLES = 0.27  # single changes a second; bursts add about as many: 0.54 in all
+BURST, BURSTS = 50, 185  # changes in a burst, mean s between bursts
+RACK = 40  # nodes in a rack
+SLOW = 40  # factor on the processor time of a slow relay
 
 
 class Scene:
-    """Schedules everything before the first event. Times in s."""
+    """Schedules all faults and changes of one event before the simulation starts. Times are in s."""
 
     def __init__(self, fleet: Fleet, event: str, rng: random.Random) -> None:
         self.fleet, self.event, self.rng = fleet, event, rng
@@ -31,12 +31,13 @@
         self.load()
 
     def at(self, seconds: float, call: Callable[..., Any], *args: Any) -> None:
+        """Schedule a call `seconds` from the current simulated time."""
         self.fleet.world.clockwork.after(round(seconds * SECOND), call, *args)
 
     # -- changes ---------------------------------------------------------------------------------------
 
     def load(self) -> None:
-        """Drawn singles and bursts, and one burst more in the midst of what happens."""
+        """Schedule drawn single changes and bursts, and one more burst shortly after the first fault."""
         last, moment = self.until - QUIET, 6.0
         while (moment := moment + self.rng.expovariate(SINGLES)) < last:
             self.at(moment, self.publish, 1)
@@ -46,7 +47,7 @@
         self.burst(BEGIN + self.rng.uniform(0.2, 2.0))
 
     def burst(self, moment: float) -> None:
-        """As one batch, or as many single ones within a second."""
+        """Schedule a burst: one batch, or the same number of single changes within a second."""
         if self.rng.random() < 0.5:
             self.at(moment, self.publish, BURST)
         else:
@@ -54,6 +55,7 @@
                 self.at(moment + self.rng.random(), self.publish, 1)
 
     def publish(self, count: int) -> None:
+        """Publish a batch of `count` drawn changes."""
         self.fleet.source.publish(drawn_changes(self.fleet.rng, self.records, count))
 
     # -- faults ----------------------------------------------------------------------------------------
@@ -67,7 +69,11 @@
         silent: bool = True,
         spread: float = 1.0,
     ) -> None:
-        """They end, and come again at `end`, over `spread` s, with what their disks have, or with nothing."""
+        """End these processes at `begin` and restart them within `spread` s after `end`.
+
+        `disk`: they restart with the version that they had; otherwise with an empty table.
+        `silent`: the machine loses power; otherwise only the process ends.
+        """
 
         def goes(site: Site) -> None:
             if site.up:
@@ -82,27 +88,30 @@
             self.at(begin, goes, site)
 
     def slow(self, site: Site, begin: float, end: float) -> None:
+        """Multiply the processor time of this process's work by `SLOW`."""
         self.at(begin, setattr, site, "slow", SLOW)
         self.at(end, setattr, site, "slow", 1)
 
     def stop(self, sites: Sequence[Site], begin: float, end: float) -> None:
-        """SIGSTOP, and woken late."""
+        """Pause these processes at `begin`, as SIGSTOP does, and resume them at `end`."""
         for site in sites:
             self.at(begin, self.stops, site)
             self.at(end, self.wakes, site)
 
     def stops(self, site: Site) -> None:
+        """Pause one process; the checker counts a paused node as unreachable."""
         self.fleet.world.stops(site)
         if site.tier == "node":
             self.fleet.judge.cut_off(site.name)
 
     def wakes(self, site: Site) -> None:
+        """Resume one process; a node counts as reachable again unless its region is cut off."""
         if site.tier == "node" and site.region not in self.fleet.world.cut:
             self.fleet.judge.back_on(self.fleet.world.clockwork.now, site.name)
         self.fleet.world.wakes(site)
 
     def cut(self, region: int, begin: float, end: float) -> None:
-        """Nothing between that region and the others."""
+        """Block all traffic between this region and the others."""
         world, judge = self.fleet.world, self.fleet.judge
         nodes = [site for site in self.fleet.nodes if site.region == region]
 
@@ -121,7 +130,7 @@
         self.at(end, heals)
 
     def sever(self, site: Site, begin: float, end: float) -> None:
-        """A relay reaches none of those above it; its subscribers reach it."""
+        """Block traffic between this relay and all relays above it; its subscribers still reach it."""
         world = self.fleet.world
         above = [name for tier in self.fleet.tiers[site.name] for name in tier]
         pairs = {(site.name, name) for name in above} | {(name, site.name) for name in above}
@@ -129,7 +138,7 @@
         self.at(end, world.severed.difference_update, pairs)
 
     def old(self, site: Site, begin: float, end: float) -> None:
-        """Put back with the version that all began with; until `end` it reaches nobody above."""
+        """Restart this relay with version 1 and no link to relays above; at `end`, again with such links."""
         fleet = self.fleet
 
         def put_back() -> None:
@@ -146,7 +155,7 @@
         self.at(end, found)
 
     def leader(self, call: Callable[[Site], None], begin: float) -> None:
-        """Whoever it is then."""
+        """Call `call` at `begin` with the voter that leads at that time, if any."""
 
         def does() -> None:
             if self.fleet.source.leader is not None:
@@ -154,19 +163,21 @@
 
         self.at(begin, does)
 
-    # -- who -------------------------------------------------------------------------------------------
+    # -- choice of targets -----------------------------------------------------------------------------
 
     def zone(self) -> str:
+        """Draw a zone."""
         return self.rng.choice(sorted(self.fleet.zones))
 
     def relay(self, tier: str) -> Site:
-        """One that has subscribers."""
+        """Draw a relay of this tier in a region that has nodes."""
         regions = {site.region for site in self.fleet.nodes}
         return self.rng.choice(
             [site for site in self.fleet.relays if site.tier == tier and site.region in regions]
         )
 
     def region(self) -> int:
+        """Draw a region that has nodes."""
         return self.rng.choice(sorted({site.region for site in self.fleet.nodes}))
 
 
@@ -174,11 +185,11 @@
 
 
 def calm(scene: Scene) -> None:
-    pass
+    """No faults."""
 
 
 def replaced(scene: Scene) -> None:
-    """One node goes each 4 s, and another one comes in its place with nothing."""
+    """A node ends every 4 s and is replaced by one with an empty table."""
     scene.until = 140
     for number, site in enumerate(scene.rng.sample(scene.fleet.nodes, min(25, len(scene.fleet.nodes) // 2))):
         begin = BEGIN + 4 * number
@@ -186,13 +197,14 @@
 
 
 def rack(scene: Scene, disk: bool) -> None:
+    """Up to `RACK` nodes of one zone lose power for 25 s."""
     nodes = scene.fleet.zones[scene.zone()]
     scene.off(scene.rng.sample(nodes, min(RACK, len(nodes) // 2)), BEGIN, BEGIN + 25, disk)
     scene.until = 130
 
 
 def zone(scene: Scene, disk: bool) -> None:
-    """With its relays, whose disks have what they had."""
+    """All nodes and relays of a zone lose power for 30 s; the relays keep their disks."""
     lost = scene.zone()
     relays = [site for site in scene.fleet.relays if site.zone == lost]
     scene.off(relays, BEGIN, BEGIN + 30)
@@ -201,7 +213,7 @@
 
 
 def power(scene: Scene, disk: bool) -> None:
-    """All machines; voters and relays come first, as they have less to do before."""
+    """All machines lose power; voters and relays restart first, as they have less to do at boot."""
     fleet = scene.fleet
     scene.off(fleet.source.voters, BEGIN, BEGIN + 20, spread=2)
     scene.off(fleet.relays, BEGIN, BEGIN + 20, spread=4)
@@ -210,12 +222,13 @@
 
 
 def region_cut(scene: Scene) -> None:
+    """A region is cut off from the others for 300 s."""
     scene.cut(scene.region(), BEGIN, BEGIN + 300)
     scene.until = BEGIN + 300 + 35
 
 
 def taken_back(scene: Scene) -> None:
-    """A bad change of as many records as fit a batch, and 20 s later the batch that takes it back."""
+    """A bad batch changes as many records as fit; 20 s later another batch restores the earlier values."""
     fleet = scene.fleet
     changes = drawn_changes(scene.rng, scene.records, min(MAX_BATCH_CHANGES, scene.records // 2))
 
@@ -234,30 +247,37 @@
 
 
 def lost(scene: Scene, tier: str, silent: bool) -> None:
+    """A relay is down for 15 s."""
     scene.off([scene.relay(tier)], BEGIN, BEGIN + 15, silent=silent)
 
 
 def lost_both(scene: Scene) -> None:
-    """All relays of a zone."""
+    """All relays of a zone lose power for 25 s."""
     lost = scene.zone()
     scene.off([site for site in scene.fleet.relays if site.zone == lost], BEGIN, BEGIN + 25)
 
 
 def slow(scene: Scene, tier: str) -> None:
+    """A relay is slow for 35 s."""
     scene.slow(scene.relay(tier), BEGIN, BEGIN + 35)
 
 
 def stopped(scene: Scene, tier: str) -> None:
+    """A relay is paused for 25 s."""
     scene.stop([scene.relay(tier)], BEGIN, BEGIN + 25)
 
 
 def severed(scene: Scene, tier: str) -> None:
+    """A relay is cut off from the relays above it for 30 s, and a change is published meanwhile."""
     scene.sever(scene.relay(tier), BEGIN, BEGIN + 30)
     scene.at(BEGIN + 0.1, scene.publish, 1)
 
 
 def old_copy(scene: Scene, tier: str) -> None:
-    """While those that left it are to come back, the other ones of its place go."""
+    """A relay restarts with an old copy; later, the other relays of its zone or region end.
+
+    Its former subscribers then have to connect to the relay with the old copy.
+    """
     old = scene.relay(tier)
     scene.old(old, BEGIN, BEGIN + 25)
     beside = [site for site in scene.fleet.relays if site.tier == tier and site is not old]
@@ -267,15 +287,17 @@
 
 
 def leader_killed(scene: Scene) -> None:
+    """The leader's process ends and restarts 20 s later."""
     scene.leader(lambda site: scene.off([site], 0, 20, silent=False), BEGIN)
 
 
 def leader_stopped(scene: Scene) -> None:
+    """The leader is paused for 15 s."""
     scene.leader(lambda site: scene.stop([site], 0, 15), BEGIN)
 
 
 def drawn(scene: Scene) -> None:
-    """Several faults at once, all over in 35 s."""
+    """Three to eight drawn faults that may overlap, all within about 35 s."""
     rng, fleet = scene.rng, scene.fleet
     last = BEGIN + 35
     scene.until = last + 40
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -1,6 +1,7 @@
-"""What runs in the places of the simulated fleet: the real `Feeder` and `Follower`, hosts like the real ones.
+"""The processes of the simulated fleet: the production `Publisher` and `RelayFollower` in simulated hosts.
 
-A relay that starts from its disk feeds those behind from the batches that the disk still tells of, as real.
+As in production, a relay that starts from its disk sends subscribers with an older version the batches that
+the disk still has.
 """
 
 from __future__ import annotations
@@ -32,11 +33,12 @@
 )
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode
 
-MARK = b"the group's mark"
-CALL = 1_500_000  # µs for a link to be opened and greeted, as the real host waits
-COUNT = 200_000  # µs between sums of what is below, as in the real relay
-RECENT = 1_000  # batches that a disk tells of
+MARK = b"the group's mark"  # mark of the voters' group that every greeting carries
+CONNECT_TIMEOUT_US = 1_500_000  # for a link to be opened and greeted; the same as in the production host
+COUNT_INTERVAL_US = 200_000  # between sums of the subscribers' node counts; as in the production relay
+RECENT_BATCHES = 1_000  # newest batches that a disk holds
 NIL = msgspec.Raw(b"\xc0")
+# Encoded bytes of a response and of a request without their content.
 SMALL_ANSWER, SMALL_QUESTION = (
     len(encode(ClientResponse(1_000, True, NIL))) - 1,
     len(encode(ClientRequest(1_000, "", NIL))) - 1,
@@ -45,6 +47,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Size:
+    """The size of the simulated fleet; `zone_relays` is the number of relays in each zone."""
+
     nodes: int = 3_300
     zones: int = ZONES
     regions: int = REGIONS
@@ -53,7 +57,7 @@
 
 
 class Host:
-    """What runs in one process: a feeder, a follower, or both."""
+    """The program of one process: a feeder (`Publisher`), a follower (`RelayFollower`) or both."""
 
     __slots__ = ("fleet", "world", "site", "copy", "feeder", "follower", "joined", "packed", "silent",
                  "budget", "feeds_at", "follows_at", "counted_at", "opened_at", "content",
@@ -64,21 +68,23 @@
         self.copy: Any = None
         self.feeder: Publisher | None = None
         self.follower: RelayFollower | None = None
-        self.silent = False  # the machine is without power: it does not even refuse a connection
+        self.silent = False  # True: the machine has no power and does not even refuse connections
         self.clear()
 
     def clear(self) -> None:
-        self.joined: set[int] = set()  # links that the feeder knows; only asked whether one is in it
-        self.packed: dict[int, bytes] = {}  # pages that this process has packed
-        self.budget = 0  # slices that the core has been charged for
-        self.feeds_at: int | None = None
-        self.follows_at: int | None = None
-        self.counted_at = 0
-        self.opened_at = 0  # µs: a link to a relay
-        self.content: Any = None  # the last answer: one that goes to many is encoded once
-        self.size = 0
+        """Reset all state that a process loses when it ends."""
+        self.joined: set[int] = set()  # numbers of the links added as subscribers; never iterated
+        self.packed: dict[int, bytes] = {}  # page number -> packed page whose compression was charged
+        self.budget = 0  # slices of staging that are charged to the core and not yet taken
+        self.feeds_at: int | None = None  # µs: the feeder's next timer
+        self.follows_at: int | None = None  # µs: the follower's next timer
+        self.counted_at = 0  # µs: when the node counts of the subscribers were last summed
+        self.opened_at = 0  # µs: when the latest link to a relay was opened
+        self.content: Any = None  # the last answer, so that an answer to many subscribers is encoded once
+        self.size = 0  # bytes of the encoded last answer
 
     def starts(self, copy: Any, tiers: Sequence[Sequence[str]]) -> None:
+        """Start the process with a copy of the configuration; `tiers`: the relays above, none at a voter."""
         site, now = self.site, self.world.clockwork.now
         self.world.starts(site)
         self.clear()
@@ -92,16 +98,18 @@
             self.pump()
 
     def recent(self) -> tuple[Batch, ...]:
-        """The last batches, as they are on its disk."""
+        """Return the newest batches up to the version of the copy, as the disk holds them."""
         source = self.fleet.source
-        return tuple(source.committed[: source.place.get(self.copy.version, 0)][-RECENT:])
+        return tuple(source.committed[: source.place.get(self.copy.version, 0)][-RECENT_BATCHES:])
 
-    # -- the side that answers -------------------------------------------------------------------------
+    # -- feeder --------------------------------------------------------------------------------------
 
     def asked(self, link: Link, number: int, what: str, content: Any) -> None:
+        """Queue a subscriber's request that has arrived."""
         self.world.work(self.site, self.fleet.costs.question // 2, self.reads, link, number, what, content)
 
     def reads(self, link: Link, number: int, what: str, content: Any) -> None:
+        """Pass a request to the feeder; the first request on a link adds the subscriber."""
         if not link.called_on:
             return
         feeder, now = self.feeder, self.world.clockwork.now
@@ -115,6 +123,7 @@
         self.pull()
 
     def caller_left(self, link: Link) -> None:
+        """Remove the subscriber of a closed link."""
         assert self.feeder is not None
         if link.number in self.joined:
             self.joined.discard(link.number)
@@ -122,6 +131,7 @@
             self.pull()
 
     def pull(self) -> None:
+        """Carry out the feeder's decisions and set its timer."""
         feeder, now, links = self.feeder, self.world.clockwork.now, self.site.links
         assert feeder is not None
         while (decision := feeder.next_decision(now)) is not None:
@@ -141,11 +151,13 @@
             self.world.after(self.site, self.feeds_at - now, self.feeder_wakes, self.feeds_at)
 
     def feeder_wakes(self, at: int) -> None:
+        """Run the feeder's timer, unless an earlier timer has replaced it."""
         if self.feeds_at == at:
             self.feeds_at = None
             self.pull()
 
     def answers(self, link: Link, number: int, done: bool, content: Any) -> None:
+        """Send an answer and charge its processor time; `done`: whether the request was accepted."""
         if content is not self.content:
             self.content, self.size = content, len(encode(content)) + SMALL_ANSWER
         costs, site = self.fleet.costs, self.site
@@ -160,12 +172,13 @@
             link, True, size_of(self.size), site.busy, link.caller.host.replied, number, done, content
         )
 
-    # -- the side that asks ----------------------------------------------------------------------------
+    # -- follower ---------------------------------------------------------------------------------------
 
     def pump(self) -> None:
+        """Carry out the follower's decisions and set its timer."""
         follower, now = self.follower, self.world.clockwork.now
         assert follower is not None
-        if self.feeder is not None and now - self.counted_at >= COUNT:
+        if self.feeder is not None and now - self.counted_at >= COUNT_INTERVAL_US:
             self.counted_at = now
             follower.counts_below = self.feeder.counts(now)
         while (decision := follower.next_decision(now)) is not None:
@@ -176,7 +189,7 @@
             self.world.after(self.site, self.follows_at - now, self.follower_wakes, self.follows_at)
 
     def follower_wakes(self, at: int) -> None:
-        """Timers that a later question has put off are only set again."""
+        """Run the follower's timer; if its deadline was postponed, only set the timer again."""
         if self.follows_at != at:
             return
         self.follows_at = None
@@ -187,6 +200,7 @@
         self.pump()
 
     def does(self, decision: Decision) -> None:
+        """Carry out one decision of the follower."""
         act, site, now = decision.act, self.site, self.world.clockwork.now
         if act is Action.ASK:
             link = site.calls.get(decision.relay)
@@ -197,7 +211,7 @@
         elif act is Action.OPEN:
             self.drops(decision.relay)
             link = self.world.opens(site, self.fleet.world.sites[decision.relay])
-            self.world.after(site, CALL, self.gives_up, link)
+            self.world.after(site, CONNECT_TIMEOUT_US, self.gives_up, link)
         elif act is Action.CLOSE:
             self.drops(decision.relay)
         elif act is Action.APPLIED:
@@ -206,37 +220,45 @@
             self.fleet.tells(now, site, decision.text)
 
     def drops(self, relay: str) -> None:
+        """Close the link to a relay, if there is one."""
         link = self.site.calls.get(relay)
         if link is not None:
             self.world.closes(link, by_caller=True)
 
     def gives_up(self, link: Link) -> None:
+        """Close a link that was not opened within the connect timeout."""
         if link.caller_on and not link.opened:
             self.world.closes(link, by_caller=True)
             self.link_lost(link)
 
     def asks(self, link: Link, what: str, content: Any) -> None:
+        """Send a request to a relay; the checker verifies the version that a node acknowledges."""
         link.asked += 1
         link.what = what
         if self.site.tier == "node" and what == FOLLOW and isinstance(content, FollowRequest):
             self.fleet.judge.acknowledges(
                 self.world.clockwork.now, self.site.name, self.copy, content.version
             )
-        size = size_of(len(encode(content)) + len(what) + SMALL_QUESTION) + 66  # acknowledged by itself
+        size = (
+            size_of(len(encode(content)) + len(what) + SMALL_QUESTION) + 66
+        )  # bytes of a separate TCP acknowledgement
         self.world.sends(link, False, size, 0, link.called.host.asked, link.asked, what, content)
 
     def link_opened(self, link: Link) -> None:
+        """Report an opened link to the follower."""
         assert self.follower is not None
         self.opened_at = self.world.clockwork.now
         self.follower.on_link_opened(self.opened_at, link.called.name, MARK)
         self.pump()
 
     def link_lost(self, link: Link) -> None:
+        """Report a lost link to the follower."""
         assert self.follower is not None
         self.follower.on_link_lost(self.world.clockwork.now, link.called.name, "the connection ended")
         self.pump()
 
     def replied(self, link: Link, number: int, done: bool, content: Any) -> None:
+        """Process an answer that has arrived: at once at a node, in the job queue at a relay."""
         costs = self.fleet.costs
         if self.feeder is None:
             self.site.meter.works(self.world.clockwork.now, costs.node_message)
@@ -245,6 +267,7 @@
             self.world.work(self.site, costs.question // 2, self.told, link, number, done, content)
 
     def told(self, link: Link, number: int, done: bool, content: Any) -> None:
+        """Pass an answer to the follower; an answer to an earlier request is dropped."""
         if not link.caller_on or number != link.asked:
             return
         follower, now = self.follower, self.world.clockwork.now
@@ -259,10 +282,10 @@
         self.looked_at()
         self.pump()
 
-    # -- taking over -----------------------------------------------------------------------------------
+    # -- staging ---------------------------------------------------------------------------------------
 
     def steps(self) -> None:
-        """As many slices as are due are charged at once, and taken one after another when they are over."""
+        """Charge all counted slices to the core at once, then take one slice for each step decision."""
         if self.budget > 0:
             self.budget -= 1
             self.step()
@@ -279,10 +302,12 @@
             self.world.work(self.site, count * costs.slice, self.step_and_pump)
 
     def step_and_pump(self) -> None:
+        """Take one slice and carry out the follower's decisions."""
         self.step()
         self.pump()
 
     def step(self) -> None:
+        """Take one slice of staging and report the result to the follower."""
         follower, now = self.follower, self.world.clockwork.now
         assert follower is not None
         try:
@@ -293,10 +318,12 @@
         self.looked_at()
 
     def looked_at(self) -> None:
+        """Let the checker verify the copy, if this process is a node."""
         if self.feeder is None:
             self.fleet.judge.looks_at(self.world.clockwork.now, self.site.name, self.copy, self.copy.batches)
 
     def taken(self, now: int, batches: tuple[Batch, ...]) -> None:
+        """Pass batches that came into force here to the feeder."""
         self.looked_at()
         if self.feeder is not None:
             assert self.follower is not None
@@ -306,6 +333,8 @@
 
 
 class Fleet:
+    """All processes of the simulated fleet, with the checker and the source of changes."""
+
     def __init__(
         self,
         rng: random.Random,
@@ -315,7 +344,7 @@
         follower: Callable[..., Any] = RelayFollower,
         copy: Callable[..., Any] = SharedCopy,
     ) -> None:
-        """`feeder`, `follower`, `copy`: the real ones, or variants with a planted mistake."""
+        """`feeder`, `follower`, `copy`: the production classes, or variants with an injected bug."""
         self.rng, self.size, self.costs = rng, size, costs
         self.feeder, self.follower, self.copy = feeder, follower, copy
         self.world = World(random.Random(rng.getrandbits(60)), costs)
@@ -323,20 +352,22 @@
         table = self.shared.versions[1]
         self.judge = Judge(1, table.digest, table.items())
         self.source = Source(self)
-        self.lines: list[str] = []  # the first ones that were told
-        self.told = 0
-        self.tiers: dict[str, tuple[tuple[str, ...], ...]] = {}
-        self.zones: dict[str, list[Site]] = {}
+        self.lines: list[str] = []  # the first log lines of the followers
+        self.told = 0  # number of log lines of all followers
+        self.tiers: dict[str, tuple[tuple[str, ...], ...]] = {}  # site -> relays above, by tier
+        self.zones: dict[str, list[Site]] = {}  # zone -> its nodes
         self.nodes: list[Site] = []
         self.relays: list[Site] = []
         self.build()
 
     def tells(self, now: int, site: Site, text: str) -> None:
+        """Count a log line of a follower and keep the first ones."""
         self.told += 1
         if len(self.lines) < 200:
             self.lines.append(f"{now / SECOND:.3f} {site.name}: {text}")
 
     def build(self) -> None:
+        """Create the sites of all voters, relays and nodes."""
         size, world = self.size, self.world
         for number in range(VOTERS):
             site = self.place(f"v{number + 1}", number % size.regions, f"voters {number}", "voter")
@@ -367,15 +398,17 @@
             site.host = Host(self, site)
 
     def far(self, one: int, other: int) -> int:
+        """Return the lowest one-way delay between two regions in µs."""
         return 0 if one == other else self.world.trips[one, other][0]
 
     def place(self, name: str, region: int, zone: str, tier: str) -> Site:
+        """Create a site."""
         return self.world.add(name, region, zone, tier)
 
     # -- starts and ends -------------------------------------------------------------------------------
 
     def begins(self) -> None:
-        """All have version 1, from their disks; nodes come over some seconds."""
+        """Start all processes with version 1 from their disks: relays within 1 s, nodes from 1 s to 5 s."""
         for voter in self.source.voters:
             voter.host.starts(self.copy(self.shared, 1, MARK), ())
         self.source.begins()
@@ -387,7 +420,7 @@
             )
 
     def starts(self, site: Site, version: int, kind: str) -> None:
-        """With what its disk has: 0 is nothing."""
+        """Start a process with the version that its disk has; version 0 means that the disk is empty."""
         if site.up:
             return
         copy = self.copy(self.shared, version, MARK if version else b"")
@@ -398,7 +431,7 @@
             self.judge.cut_off(site.name)
 
     def ends(self, site: Site, silent: bool = True) -> int:
-        """The version that it had."""
+        """End a process and return the version that it had."""
         if not site.up:
             return site.host.copy.version if site.host.copy is not None else 0
         self.world.ends(site, silent)
--- a/lichencleat/testkit/simulation/distribution_judge.py
+++ b/lichencleat/testkit/simulation/distribution_judge.py
@@ -1,7 +1,7 @@
-"""What must hold at every step of the simulated distribution, and how long each change took; no I/O.
+"""Checker of the simulated configuration distribution; measures how long each change takes. No I/O.
 
-It knows what was published and nothing of how it travels: each record's values by version, and the digest
-after each version. A node is asked as its callers would ask it.
+The checker knows only what was published: the values of each record by version, and the table's digest after
+each version. It reads a node's records through the interface that the node's callers use.
 """
 
 from __future__ import annotations
@@ -13,36 +13,42 @@
 
 from lichencleat.config_distribution.terms import Batch
 
-WRONGS_MOST = 20  # told of a run: the first ones say what is wrong
-COMPARED_MOST = 4_000_000  # records, of tables that are compared whole: each is one for all that share it
+MAX_REPORTED_VIOLATIONS = 20  # violations reported with a text; the first ones show the cause
+# Records compared in whole tables during a run. A table that several nodes share is compared once.
+MAX_COMPARED_RECORDS = 4_000_000
 MILLISECOND = 1_000  # µs
 
 
 class Held(Protocol):
-    """What a node holds, as its callers see it."""
+    """The interface to a node's copy of the configuration that the node's callers use."""
 
     version: int
     digest: bytes
 
-    def find(self, kind: str, name: str) -> bytes | None: ...
+    def find(self, kind: str, name: str) -> bytes | None:
+        """Return the value of a record; None if the record does not exist."""
+        ...
 
-    def items(self) -> Iterable[tuple[str, str, bytes]]: ...
+    def items(self) -> Iterable[tuple[str, str, bytes]]:
+        """Return kind, name and value of every record."""
+        ...
 
     def whole(self) -> Any:
-        """What stands for all of it: the same object only where it is the same."""
+        """Return the table object; two copies return the same object only if their contents are equal."""
 
 
 class Spans:
-    """Spans in whole milliseconds, counted."""
+    """A histogram of time spans in whole milliseconds."""
 
     def __init__(self) -> None:
         self.counts: Counter[int] = Counter()
 
     def add(self, span: int) -> None:
+        """Count one time span, given in µs."""
         self.counts[span // MILLISECOND] += 1
 
     def at(self, part: float) -> int | None:
-        """ms within which that part of them was over; None without any."""
+        """Return the quantile `part` (0 to 1) of the spans in ms; None without any spans."""
         left = part * self.counts.total()
         for span, count in sorted(self.counts.items()):
             left -= count
@@ -51,55 +57,63 @@
         return None
 
     def told(self) -> dict[str, int | None]:
+        """Return the quantiles and the number of spans, under the keys of the JSON file."""
         return {"p50_ms": self.at(0.5), "p99_ms": self.at(0.99), "all_ms": self.at(1.0),
                 "count": self.counts.total()}  # fmt: skip
 
 
 class Life:
-    """One node from a start to its end."""
+    """One run of a node's process, from its start to its end."""
 
     __slots__ = ("version", "start", "kind", "reached", "goal", "serves")
 
     def __init__(self, version: int, start: int, kind: str, goal: int) -> None:
         self.version = version
-        self.start = start  # µs: since when it was to be reached
-        self.kind = kind  # "running", or what it comes back from: "cold", "disk", "back"
-        self.reached = True
-        self.goal = goal  # the version at `start`: has it that, it runs
-        self.serves = start if version else None  # µs: since when it has anything in force
+        self.start = start  # µs: since when the node has been reachable
+        self.kind = kind  # "running", or what the node recovers from: "cold", "disk", "back"
+        self.reached = True  # whether the node is reachable: neither cut off nor paused
+        self.goal = goal  # newest version at `start`: with this version the node has caught up
+        self.serves = start if version else None  # µs: since when the node has had a version in force
 
 
 class Judge:
+    """Compares each node's configuration with what was published and measures the delays."""
+
     def __init__(self, version: int, digest: bytes, items: Iterable[tuple[str, str, bytes]]) -> None:
-        """What all begin with."""
+        """`version`, `digest`, `items`: the table that all processes start with."""
         self.versions = [version]
-        self.published = {version: 0}  # version -> µs when it was handed to a voter
+        self.published = {version: 0}  # version -> µs when its changes were submitted to a voter
         self.digests = {0: bytes(16), version: digest}
         self.batches: dict[int, Batch] = {}
         self.values: dict[tuple[str, str], tuple[list[int], list[bytes | None]]] = {
             (kind, name): ([version], [value]) for kind, name, value in items
         }
         self.lives: dict[str, Life] = {}
-        self.whole: dict[int, tuple[Any, int]] = {}  # id -> what was compared (kept: its id stays its own)
+        self.whole: dict[
+            int, tuple[Any, int]
+        ] = {}  # id -> table compared, its version; held so that its id is not reused
         self.wrong: list[str] = []
         self.looks = self.wrongs = self.compared = 0
-        self.since = 0  # µs from which on spans count
-        self.in_force = Spans()  # from publishing to in force, at nodes that have something in force
-        self.starting = Spans()  # the same at those that had nothing: they answer no callers meanwhile
-        self.by_version: dict[int, int] = {}  # longest such span
+        self.since = 0  # µs: spans of changes submitted earlier are not counted
+        self.in_force = (
+            Spans()
+        )  # from submission until in force, at nodes that already have a version in force
+        self.starting = Spans()  # the same at nodes without a version: they answer no callers meanwhile
+        self.by_version: dict[int, int] = {}  # version -> longest span in `in_force`, in µs
         self.back: dict[str, Spans] = {"cold": Spans(), "disk": Spans(), "back": Spans()}
-        self.began: Callable[[str], None] = lambda name: None  # told of a start
-        self.caught: Callable[[str, str], None] = lambda name, kind: None  # told that it has what it lacked
+        self.began: Callable[[str], None] = lambda name: None  # called when a node starts
+        self.caught: Callable[[str, str], None] = lambda name, kind: None  # called when a node has caught up
 
     def says(self, now: int, what: str) -> None:
+        """Record a violation; only the first ones keep their text."""
         self.wrongs += 1
-        if len(self.wrong) < WRONGS_MOST:
+        if len(self.wrong) < MAX_REPORTED_VIOLATIONS:
             self.wrong.append(f"{now / 1_000_000:.3f} s: {what}")
 
-    # -- what was published ----------------------------------------------------------------------------
+    # -- published versions ------------------------------------------------------------------------------
 
     def publishes(self, batch: Batch, handed: int) -> None:
-        """Confirmed; `handed`: µs when it was handed in."""
+        """Record a committed batch; `handed`: µs when its changes were submitted."""
         self.versions.append(batch.version)
         self.published[batch.version] = handed
         self.digests[batch.version] = batch.digest
@@ -110,6 +124,7 @@
             values.append(change.value)
 
     def value(self, kind: str, name: str, version: int) -> bytes | None:
+        """Return the value that a record has at a version; None if the record does not exist there."""
         versions, values = self.values.get((kind, name), ([], []))
         place = bisect_right(versions, version)
         return values[place - 1] if place else None
@@ -117,6 +132,7 @@
     # -- a node's life ---------------------------------------------------------------------------------
 
     def starts(self, now: int, name: str, held: Held, kind: str) -> None:
+        """Record the start of a node's process and check the table that the node starts with."""
         self.lives[name] = Life(held.version, now, kind, self.versions[-1])
         self.began(name)
         if held.version:
@@ -124,13 +140,16 @@
         self.catches_up(now, name, held.version)
 
     def ends(self, name: str) -> None:
+        """Record the end of a node's process."""
         self.lives.pop(name, None)
 
     def cut_off(self, name: str) -> None:
+        """Record that a node is unreachable: it has no deadline for changes meanwhile."""
         if name in self.lives:
             self.lives[name].reached = False
 
     def back_on(self, now: int, name: str) -> None:
+        """Record that a node is reachable again, and start to measure how long it takes to catch up."""
         life = self.lives.get(name)
         if life is not None and not life.reached:
             life.reached, life.start, life.goal = True, now, self.versions[-1]
@@ -138,7 +157,7 @@
             self.catches_up(now, name, life.version)
 
     def looks_at(self, now: int, name: str, held: Held, batches: tuple[Batch, ...] = ()) -> None:
-        """After a step of a node that stages these: what it answers is that of the version it says."""
+        """Check a node after a step: its records must match its version; `batches` are those it stages."""
         life = self.lives[name]
         self.looks += 1
         if held.version != life.version:
@@ -155,7 +174,7 @@
                 self.asks(now, name, held, change.kind, change.name)
 
     def acknowledges(self, now: int, name: str, held: Held, version: int) -> None:
-        """It tells the one above that this is in force here."""
+        """Check a node that reports to its relay that `version` is in force."""
         if version != held.version:
             self.says(now, f"{name} acknowledges {version} and holds {held.version}")
         self.looks_at(now, name, held)
@@ -164,12 +183,13 @@
             self.asks(now, name, held, change.kind, change.name)
 
     def asks(self, now: int, name: str, held: Held, kind: str, record: str) -> None:
+        """Compare one record of a node with the value published for the node's version."""
         found, right = held.find(kind, record), self.value(kind, record, held.version)
         if found != right:
             self.says(now, f"{name} at {held.version} answers {found!r} for {record}, not {right!r}")
 
     def compare(self, now: int, name: str, held: Held) -> None:
-        """The same version means the same digest, and the same records: all of them, once for each table."""
+        """Compare a node's digest with the published one, and all records once for each table object."""
         if held.digest != self.digests.get(held.version):
             self.says(now, f"{name} at {held.version} has another digest")
         whole = held.whole()
@@ -179,7 +199,7 @@
         batch = self.batches.get(held.version)
         for change in batch.changes[:1] + batch.changes[-1:] if batch is not None else ():
             self.asks(now, name, held, change.kind, change.name)
-        if known is None and self.compared < COMPARED_MOST:
+        if known is None and self.compared < MAX_COMPARED_RECORDS:
             self.whole[id(whole)] = (whole, held.version)
             records = 0
             for kind, record, value in held.items():
@@ -193,15 +213,17 @@
             self.compared += records
 
     def records(self, version: int) -> int:
+        """Return the number of records at a version."""
         count = 0
         for versions, values in self.values.values():
             place = bisect_right(versions, version)
             count += bool(place and values[place - 1] is not None)
         return count
 
-    # -- how long it took ------------------------------------------------------------------------------
+    # -- delays ---------------------------------------------------------------------------------------
 
     def reaches(self, now: int, name: str, life: Life, version: int) -> None:
+        """Add the delays of all versions that came into force at a node with this step."""
         for place in range(bisect_right(self.versions, life.version), bisect_right(self.versions, version)):
             came = self.versions[place]
             handed = self.published[came]
@@ -217,6 +239,7 @@
         self.catches_up(now, name, version)
 
     def catches_up(self, now: int, name: str, version: int) -> None:
+        """Add the recovery time of a node once `version` is at least the version that it had to reach."""
         life = self.lives[name]
         if life.kind != "running" and life.reached and version >= life.goal:
             self.back[life.kind].add(now - life.start)
@@ -224,11 +247,12 @@
             life.kind = "running"
 
     def missing(self) -> list[str]:
-        """Nodes to be reached that have not the newest version."""
+        """Return the reachable nodes that lack the newest version."""
         newest = self.versions[-1]
         return [name for name, life in self.lives.items() if life.reached and life.version < newest]
 
     def told(self) -> dict[str, Any]:
+        """Return the violations and delays, under the keys of the JSON file."""
         return {
             "wrong": self.wrong,
             "wrongs": self.wrongs,
--- a/lichencleat/testkit/simulation/distribution_source.py
+++ b/lichencleat/testkit/simulation/distribution_source.py
@@ -1,8 +1,9 @@
-"""A model of the group of voters that the simulated fleet's configuration comes from.
+"""A model of the group of voters that commits the simulated fleet's configuration changes.
 
-The group itself is not run here (it has its own simulation): one of them leads, a change is confirmed after a
-drawn way there and back to a majority, the others hear of it with the next word of the leader, and a new one
-leads some time after the last was lost. What was handed in and not confirmed is handed in again.
+The consensus protocol is not run here (it has its own simulation). One voter leads; a change is committed
+after a drawn round trip to a majority; the other voters learn of the commit with the leader's next message; a
+new leader is elected some time after the last one was lost. Submitted changes that are not committed by then
+are proposed again by the new leader.
 """
 
 from __future__ import annotations
@@ -16,35 +17,40 @@
 if TYPE_CHECKING:
     from lichencleat.testkit.simulation.distribution_fleet import Fleet
 
-BEAT = 100_000  # µs between words of the leader
-ELECTION = (400_000, 900_000)  # µs without a leader once it is lost
+HEARTBEAT_US = 100_000  # interval of the leader's heartbeats
+ELECTION_US = (400_000, 900_000)  # range of the time without a leader after the leader is lost
 
 
 class Source:
-    """The voters' group, as a model."""
+    """Model of the group of voters: commits changes and passes them to each voter's host."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self.world = fleet, fleet.world
         self.voters: list[Site] = []
         self.leader: Site | None = None
         self.term = 0
-        self.open: deque[tuple[int, tuple[Change, ...]]] = deque()  # handed in, not confirmed
+        self.open: deque[tuple[int, tuple[Change, ...]]] = (
+            deque()
+        )  # µs when submitted, changes: not yet committed
         self.committed: list[Batch] = []
-        self.place: dict[int, int] = {}  # version -> number of batches up to it
-        self.last_commit = 0
-        self.none_at = 0  # µs: when there was last no majority; nothing can be published then
+        self.place: dict[int, int] = {}  # version -> number of committed batches up to that version
+        self.last_commit = 0  # µs when the newest proposal is committed; commits keep the order of proposals
+        # µs: when an election last found no majority. Delays of changes count from this time at the earliest.
+        self.none_at = 0
 
     def begins(self) -> None:
+        """Make the first voter the leader and start the heartbeats."""
         self.leader = self.voters[0]
         self.place[self.fleet.shared.table.version] = 0
         self.beat()
 
     def publish(self, changes: tuple[Change, ...]) -> None:
+        """Submit changes that are to be committed as one batch."""
         self.open.append((self.world.clockwork.now, changes))
         self.proposes(1)
 
     def proposes(self, count: int) -> None:
-        """The last `count` that are open go to the voters."""
+        """Propose the last `count` uncommitted submissions to the voters."""
         if self.leader is None:
             return
         world = self.world
@@ -60,6 +66,7 @@
             world.after(self.leader, self.last_commit - world.clockwork.now, self.commits, self.term)
 
     def commits(self, term: int) -> None:
+        """Commit the oldest uncommitted submission, unless the term is over."""
         if term != self.term or not self.open:
             return
         handed, changes = self.open.popleft()
@@ -72,18 +79,20 @@
         self.words()
 
     def beat(self) -> None:
-        self.world.clockwork.after(BEAT, self.beat)
+        """Send heartbeats, and end the term if the leader has lost its majority."""
+        self.world.clockwork.after(HEARTBEAT_US, self.beat)
         self.words()
         able = self.able()
         if self.leader is not None and (self.leader not in able or len(able) <= VOTERS // 2):
             self.loses_leader()
 
     def able(self) -> list[Site]:
-        """Those that reach each other."""
+        """Return the voters that can reach each other."""
         cut = self.world.cut
         return [each for each in self.voters if each.up and not each.paused and each.region not in cut]
 
     def words(self) -> None:
+        """Send the number of committed batches from the leader to all voters."""
         leader, world = self.leader, self.world
         if leader is None or not leader.up or leader.paused:
             return
@@ -95,6 +104,7 @@
                 world.after(voter, span, self.hears, voter, count, now)
 
     def hears(self, voter: Site, count: int, sent: int) -> None:
+        """Apply the committed batches up to `count` at a voter; the leader sent the message at `sent` µs."""
         host, now = voter.host, self.world.clockwork.now
         feeder = host.feeder
         place = self.place[host.copy.version]
@@ -109,18 +119,19 @@
             host.pull()
 
     def loses_leader(self) -> None:
-        """A majority of those left chooses another one, after a while."""
+        """End the term and schedule an election among the remaining voters."""
         self.leader = None
         self.term += 1
-        self.world.clockwork.after(self.world.rng.randint(*ELECTION), self.elects, self.term)
+        self.world.clockwork.after(self.world.rng.randint(*ELECTION_US), self.elects, self.term)
 
     def elects(self, term: int) -> None:
+        """Elect a leader and repeat the open proposals; without a majority, try again later."""
         if term != self.term or self.leader is not None:
             return
         able = self.able()
         if len(able) <= VOTERS // 2:
             self.none_at = self.world.clockwork.now
-            self.world.clockwork.after(self.world.rng.randint(*ELECTION), self.elects, term)
+            self.world.clockwork.after(self.world.rng.randint(*ELECTION_US), self.elects, term)
             return
         self.leader = self.world.rng.choice(able)
         self.last_commit = self.world.clockwork.now
--- a/lichencleat/testkit/simulation/distribution_world.py
+++ b/lichencleat/testkit/simulation/distribution_world.py
@@ -1,7 +1,8 @@
-"""The fleet that the simulated distribution runs in: places, processes, connections and what they cost.
+"""The simulated environment of the fleet: regions, zones, processes, connections and their costs.
 
-Connections keep order, end with their process, and say nothing more once a cut or a machine without power
-has met them. A process has one core: what comes waits its turn. A machine's bytes leave one after another.
+A connection delivers frames in order and ends with either process. After a frame is lost to a network cut or
+to a machine without power, the connection delivers nothing more and neither side is notified. A process has
+one core with a queue of jobs. A machine's network card sends one frame at a time.
 """
 
 from __future__ import annotations
@@ -18,13 +19,14 @@
 
 SECOND = 1_000_000  # µs
 REGIONS, ZONES, VOTERS = 6, 17, 5
-WITHIN_ZONE, WITHIN_REGION = (100, 1_500), (1_000, 3_000)  # µs that a message takes
-BETWEEN_REGIONS, JITTER = (10_000, 80_000), 1_000  # µs, drawn for a pair; and up to so much more each time
-FRAME, SEGMENT, HEADERS = 4, 1_448, 66  # bytes: a frame's length, a segment's payload and what goes round it
-HANDSHAKE = 3 * HEADERS  # bytes to open a connection, and as many to close it
-FIRST_WINDOW = 10 * SEGMENT  # bytes sent before the first acknowledgement; twice as many each time after
-IDLE = 300_000  # µs without a byte, after which a connection begins with the first window again
-NOTICE = (200_000, 30_000_000)  # µs until the kernel sends again into a connection that is dead on one side
+WITHIN_ZONE, WITHIN_REGION = (100, 1_500), (1_000, 3_000)  # µs: ranges of the one-way delay of a message
+# µs: range of the lowest one-way delay between two regions, and the most that jitter adds to this delay
+BETWEEN_REGIONS, JITTER = (10_000, 80_000), 1_000
+FRAME, SEGMENT, HEADERS = 4, 1_448, 66  # bytes: a frame's length prefix, a segment's payload and headers
+HANDSHAKE = 3 * HEADERS  # bytes to open a connection, and the same number to close a connection
+FIRST_WINDOW = 10 * SEGMENT  # bytes sent before the first acknowledgement; doubles with each round trip
+IDLE = 300_000  # µs without traffic after which a connection's send window is reset to the first window
+NOTICE = (200_000, 30_000_000)  # µs until the kernel retransmits on a connection whose other side is gone
 GREETING = (
     len(encode(Greeting(FORMAT_VERSION, b"m" * 16, "configuration", 0, 0, Incarnation(0, 0), "z00.n000")))
     + FRAME
@@ -36,20 +38,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Costs:
-    """Processor time in µs; each is a parameter, to be set from measured slopes."""
-
-    question: int = 120  # of a relay or voter, its answer included
-    kilobyte: float = 5.0  # written
-    pack: int = 300  # of one page, once
-    opening: int = 300  # of a connection, at the relay
-    slice: int = 200  # of staging, at a relay
-    node_message: int = 100  # of a node: a question and its answer
-    node_slice: int = 200
+    """Processor time of each operation in µs, and the network bandwidth."""
+
+    question: int = 120  # a request at a relay or voter, including the answer
+    kilobyte: float = 5.0  # each KiB that a relay or voter sends
+    pack: int = 300  # compression of a page, once for each page at a relay or voter
+    opening: int = 300  # acceptance of a connection at a relay or voter
+    slice: int = 200  # a slice of staging at a relay or voter
+    node_message: int = 100  # a request of a node and its answer, at the node
+    node_slice: int = 200  # a slice of staging at a node
     bandwidth: int = 125  # bytes a µs: 1 Gbit/s
 
 
 class Meter:
-    """Bytes, processor time and the longest queue of one process."""
+    """Traffic, processor time and the longest job queue of one process, with peaks over whole seconds."""
 
     __slots__ = (
         "bytes",
@@ -68,6 +70,7 @@
         self.work = self.work_second = self.work_peak = self.queue = self.waited = 0
 
     def sends(self, now: int, size: int) -> None:
+        """Count bytes that were sent or received."""
         self.bytes += size
         second = now // SECOND
         if second != self.second:
@@ -77,6 +80,7 @@
             self.peak = self.in_second
 
     def works(self, now: int, span: int) -> None:
+        """Count `span` µs of processor time."""
         self.work += span
         second = now // SECOND
         if second != self.second:
@@ -87,7 +91,7 @@
 
 
 class Site:
-    """One process: a voter, a relay or a node. `host` is what runs in it."""
+    """One process on a machine of its own: a voter, a relay or a node. `host` is its program."""
 
     __slots__ = ("name", "region", "zone", "tier", "up", "paused", "life", "slow", "busy", "out", "jobs",
                  "waiting", "held", "links", "calls", "meter", "host")  # fmt: skip
@@ -95,20 +99,22 @@
     def __init__(self, name: str, region: int, zone: str, tier: str) -> None:
         self.name, self.region, self.zone, self.tier = name, region, zone, tier
         self.up, self.paused = False, False
-        self.life = 0  # of the process: what was meant for an earlier one is dropped
-        self.slow = 1  # times as long for all it does
-        self.busy = self.out = 0  # µs until when its core and its network card have work
+        self.life = 0  # changes with each start and end; calls scheduled for an earlier number are dropped
+        self.slow = 1  # factor on all processor time
+        self.busy = self.out = 0  # µs: when the core and the network card become free
         self.jobs: deque[tuple[int, Callable[..., None], tuple[Any, ...]]] = deque()
-        self.waiting = False  # a call for the next job is made
-        self.held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []  # came while it was stopped
-        self.links: dict[int, Link] = {}  # by number: of callers
-        self.calls: dict[str, Link] = {}  # by relay: opened from here
+        self.waiting = False  # whether the next job is already scheduled
+        self.held: list[
+            tuple[Callable[..., None], tuple[Any, ...]]
+        ] = []  # calls deferred while the process is paused
+        self.links: dict[int, Link] = {}  # link number -> link that a caller opened to this process
+        self.calls: dict[str, Link] = {}  # relay -> link that this process opened
         self.meter = Meter()
         self.host: Any = None
 
 
 class Link:
-    """One connection. A side that has closed it, or has died, hears nothing more of it."""
+    """One connection. A side that closed the connection, or whose process ended, receives nothing more."""
 
     __slots__ = ("number", "caller", "called", "caller_on", "called_on", "opened", "dead", "trip", "last",
                  "window", "used", "asked", "what")  # fmt: skip
@@ -117,18 +123,20 @@
         self.number, self.caller, self.called, self.trip = number, caller, called, trip
         self.caller_on, self.called_on = True, False
         self.opened = self.dead = False
-        self.last = [0, 0]  # µs when the newest byte arrives: at the called one, at the caller
+        self.last = [0, 0]  # µs: arrival of the latest frame at the called side, at the caller
         self.window, self.used = FIRST_WINDOW, 0
-        self.asked, self.what = 0, ""  # number of the last question, and what the open one asks
+        self.asked, self.what = 0, ""  # number of the last request, method of the open request
 
 
 def size_of(payload: int) -> int:
-    """Bytes on the wire of one frame."""
+    """Return the bytes on the wire of a frame with this payload, including headers."""
     payload += FRAME
     return payload + HEADERS * -(-payload // SEGMENT)
 
 
 class World:
+    """All sites, the links between them and the simulated clock."""
+
     def __init__(self, rng: random.Random, costs: Costs) -> None:
         self.rng, self.costs = rng, costs
         self.clockwork = Clockwork()
@@ -138,20 +146,25 @@
             for other in range(one):
                 base = rng.randint(*BETWEEN_REGIONS)
                 self.trips[one, other] = self.trips[other, one] = (base, base + JITTER)
-        self.cut: set[int] = set()  # regions that others do not reach
-        self.severed: set[tuple[str, str]] = set()  # sites that do not reach each other, in both orders
+        self.cut: set[int] = set()  # regions that are cut off from all others
+        self.severed: set[tuple[str, str]] = (
+            set()
+        )  # pairs of sites that cannot reach each other, in both orders
         self.number = self.events = 0
 
     def add(self, name: str, region: int, zone: str, tier: str) -> Site:
+        """Create a site; its process is not started yet."""
         site = self.sites[name] = Site(name, region, zone, tier)
         return site
 
     def trip(self, one: Site, other: Site) -> tuple[int, int]:
+        """Return the range of the one-way delay between two sites in µs."""
         if one.zone == other.zone:
             return WITHIN_ZONE
         return WITHIN_REGION if one.region == other.region else self.trips[one.region, other.region]
 
     def blocked(self, one: Site, other: Site) -> bool:
+        """Return whether a network fault separates two sites."""
         if self.severed and (one.name, other.name) in self.severed:
             return True
         return one.region != other.region and (one.region in self.cut or other.region in self.cut)
@@ -159,13 +172,18 @@
     # -- processes -------------------------------------------------------------------------------------
 
     def starts(self, site: Site) -> None:
+        """Start a process."""
         site.life += 1
         site.up, site.paused, site.slow = True, False, 1
         site.busy = site.out = self.clockwork.now
         site.waiting = False
 
     def ends(self, site: Site, silent: bool) -> None:
-        """`silent`: the machine goes, and nobody is told; else the kernel ends its connections."""
+        """End a process.
+
+        `silent`: the machine loses power and its peers are not notified; otherwise the kernel closes the
+        connections of the process.
+        """
         site.up = site.paused = False
         site.life += 1
         site.jobs.clear()
@@ -189,7 +207,7 @@
         site.links.clear()
 
     def notices(self, link: Link, life: int) -> None:
-        """The kernel of the called one has sent again: told that there is no such connection, or nothing."""
+        """Retransmit from the called side: the caller's machine resets the connection, or no answer comes."""
         if not link.called_on:
             return
         if link.caller.up and not self.blocked(link.caller, link.called):
@@ -198,10 +216,11 @@
             self.clockwork.after(self.rng.randint(*NOTICE), self.notices, link, life)
 
     def stops(self, site: Site) -> None:
+        """Pause a process."""
         site.paused = True
 
     def wakes(self, site: Site) -> None:
-        """All that came meanwhile is there at once."""
+        """Resume a paused process and run all calls that were deferred meanwhile."""
         if not site.paused:
             return
         site.paused = False
@@ -211,7 +230,7 @@
             call(*args)
 
     def guarded(self, site: Site, life: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
-        """A call of that process's own: not if it has ended, and later if it is stopped."""
+        """Run a call of a process: drop the call after the process has ended, defer it during a pause."""
         if site.life != life:
             return
         if site.paused:
@@ -220,12 +239,13 @@
             call(*args)
 
     def after(self, site: Site, span: int, call: Callable[..., None], *args: Any) -> None:
+        """Schedule a call of a process in `span` µs."""
         self.clockwork.after(span, self.guarded, site, site.life, call, args)
 
-    # -- a core ----------------------------------------------------------------------------------------
+    # -- processor ------------------------------------------------------------------------------------
 
     def work(self, site: Site, cost: int, call: Callable[..., None], *args: Any) -> None:
-        """In its turn: at once where the core is free, and then it is busy for that long."""
+        """Run a job that occupies the core for `cost` µs: at once on a free core, else after queued jobs."""
         now = self.clockwork.now
         if site.busy <= now and not site.jobs:
             self.charge(site, cost)
@@ -239,6 +259,7 @@
             self.after(site, site.busy - now, self.next_job, site)
 
     def next_job(self, site: Site) -> None:
+        """Run queued jobs until the core is busy."""
         site.waiting = False
         now = self.clockwork.now
         while site.jobs and site.busy <= now:
@@ -250,6 +271,7 @@
             self.after(site, site.busy - now, self.next_job, site)
 
     def charge(self, site: Site, cost: int) -> None:
+        """Occupy the core for `cost` µs, multiplied by the factor of a slow process."""
         now = self.clockwork.now
         cost *= site.slow
         site.busy = max(site.busy, now) + cost
@@ -260,7 +282,10 @@
     # -- connections -----------------------------------------------------------------------------------
 
     def opens(self, caller: Site, called: Site) -> Link:
-        """Greeted after two ways there and back; a machine that is down says nothing, a process refuses."""
+        """Open a connection, which takes two round trips.
+
+        A machine without power doesn't answer; a machine whose process has ended refuses the connection.
+        """
         self.number += 1
         link = Link(self.number, caller, called, self.trip(caller, called))
         caller.calls[called.name] = link
@@ -274,12 +299,14 @@
         return link
 
     def greets(self, link: Link) -> None:
+        """Queue the greeting at the called process."""
         called = link.called
         if not link.caller_on or not called.up or self.blocked(link.caller, called):
             return
         self.work(called, self.costs.opening, self.greeted, link)
 
     def greeted(self, link: Link) -> None:
+        """Accept the connection at the called process."""
         called = link.called
         if called.up and link.caller_on:
             link.called_on = True
@@ -289,12 +316,13 @@
             self.later(link, True, self.open_at_caller)
 
     def open_at_caller(self, link: Link) -> None:
+        """Report the accepted connection to the caller."""
         if link.caller_on:
             link.opened = True
             link.caller.host.link_opened(link)
 
     def closes(self, link: Link, by_caller: bool) -> None:
-        """This side is done with it; the other one is told on its way."""
+        """Close a connection at one side; the other side is notified after the one-way delay."""
         site = link.caller if by_caller else link.called
         site.meter.sends(self.clockwork.now, HANDSHAKE)
         if by_caller:
@@ -314,7 +342,7 @@
                 self.later(link, True, self.closed_above)
 
     def later(self, link: Link, to_caller: bool, call: Callable[..., None]) -> None:
-        """One that is close to nothing in size, in order."""
+        """Schedule the arrival of a control message of negligible size, in order with the frames."""
         now = self.clockwork.now
         at = max(now + self.rng.randint(*link.trip), link.last[to_caller] + 1)
         link.last[to_caller] = at
@@ -322,6 +350,7 @@
         self.clockwork.after(at - now, self.guarded, to, to.life, call, (link,))
 
     def closed_above(self, link: Link) -> None:
+        """Report to the caller that the called side closed or refused the connection."""
         if link.caller_on and link.caller.up:
             link.caller_on = False
             if link.caller.calls.get(link.called.name) is link:
@@ -329,6 +358,7 @@
             link.caller.host.link_lost(link)
 
     def closed_below(self, link: Link) -> None:
+        """Report to the called process that the caller's side of the connection is closed."""
         if link.called_on and link.called.up:
             link.called_on = False
             link.called.links.pop(link.number, None)
@@ -337,7 +367,7 @@
     def sends(
         self, link: Link, to_caller: bool, size: int, ready: int, call: Callable[..., None], *args: Any
     ) -> None:
-        """A frame of `size` bytes with all that goes round it, ready to leave at `ready` µs."""
+        """Send a frame of `size` bytes including headers, not before `ready` µs."""
         if to_caller:
             sender, to = link.called, link.caller
         else:
@@ -362,7 +392,7 @@
         self.clockwork.after(at - now, self.arrives, link, to_caller, to, to.life, call, args)
 
     def rounds(self, link: Link, now: int, size: int) -> int:
-        """Ways there and back that a large answer waits for acknowledgements."""
+        """Return the number of round trips that a large frame waits for acknowledgements."""
         if now - link.used > IDLE:
             link.window = FIRST_WINDOW
         link.used, count, left = now, 0, size - link.window
@@ -381,6 +411,7 @@
         call: Callable[..., None],
         args: tuple[Any, ...],
     ) -> None:
+        """Deliver a frame to a running process; after a cut, drop the frame and mark the link as dead."""
         if to.life != life or not (link.caller_on if to_caller else link.called_on):
             return
         if to.paused:
