--- a/lichencleat/testkit/checkers/distribution.py
+++ b/lichencleat/testkit/checkers/distribution.py
@@ -51,7 +51,7 @@
         self.heard = self.acknowledged = 0  # reports, acknowledgements checked
         self.wrong: str | None = None  # the first violation
 
-    def says(self, wrong: str) -> None:
+    def report(self, wrong: str) -> None:
         """Record a violation unless there was an earlier one."""
         self.wrong = self.wrong or wrong
 
@@ -66,15 +66,15 @@
         self.heard += 1
         before = self.last.get(said.who)
         if before is not None and before.life == said.life and said.version < before.version:
-            self.says(f"goes back: {said}, after version {before.version} in the same life")
+            self.report(f"goes back: {said}, after version {before.version} in the same life")
         self.last[said.who] = said
         self.had.setdefault((said.who, said.version, said.digest), said.at)
         first = self.by_version.setdefault(said.version, said)
         if first.digest != said.digest:
-            self.says(f"one version, two digests: {said}; {first}")
+            self.report(f"one version, two digests: {said}; {first}")
         for name in first.answers.keys() & said.answers.keys():
             if first.answers[name] != said.answers[name]:
-                self.says(
+                self.report(
                     f"one version, two answers for {name}: {said}: {said.answers[name]}; {first}: "
                     f"{first.answers[name]}"
                 )
@@ -88,20 +88,20 @@
         for name, value in said.answers.items():
             other = f"{PAIR}/{RIGHT}{name.removeprefix(begin)}"
             if name.startswith(begin) and other in said.answers and said.answers[other] != value:
-                self.says(f"half a batch: {said}: {name} is {value}, {other} is {said.answers[other]}")
+                self.report(f"half a batch: {said}: {name} is {value}, {other} is {said.answers[other]}")
 
     def tenants(self, said: Said) -> None:
         """Check that each tenant's record belongs to that tenant."""
         for name, value in said.answers.items():
             kind, _, tenant = name.partition("/")
             if kind == TENANT and value is not None and value.get("tenant") != tenant:
-                self.says(f"another tenant's: {said}: asked for {tenant}, answered {value}")
+                self.report(f"another tenant's: {said}: asked for {tenant}, answered {value}")
 
     def content(self, said: Said) -> None:
         """Check the records against the batch published as the reported version."""
         for name, value in self.published.get(said.version, {}).items():
             if name in said.answers and said.answers[name] != value:
-                self.says(f"not as published: {said}: {name} is {said.answers[name]}, published {value}")
+                self.report(f"not as published: {said}: {name} is {said.answers[name]}, published {value}")
 
     def acknowledges(self, told: Iterable[Acknowledged]) -> None:
         """Check acknowledgements; `in_force` must already have received all reports up to their times."""
@@ -109,7 +109,7 @@
             self.acknowledged += 1
             since = self.had.get((each.who, each.version, each.digest))
             if each.version and (since is None or since > each.at):
-                self.says(
+                self.report(
                     f"acknowledged before it is in force: {each.who} version {each.version} at {each.at}, in "
                     f"force {'never' if since is None else f'from {since}'}"
                 )
--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -24,7 +24,7 @@
 from lichencleat.config_distribution.counts import MAX_AGE_US, merge_counts
 from lichencleat.config_distribution.feed import Publisher
 from lichencleat.config_distribution.follow import RelayFollower
-from lichencleat.testkit.simulation.distribution_events import EVENTS, WARM, Scene
+from lichencleat.testkit.simulation.distribution_events import EVENTS, WARM_UP_S, Scene
 from lichencleat.testkit.simulation.distribution_fleet import Fleet, Size
 from lichencleat.testkit.simulation.distribution_table import SharedCopy
 from lichencleat.testkit.simulation.distribution_world import REGIONS, SECOND, ZONES, Costs, Meter, Site
@@ -49,12 +49,12 @@
 
 
 @dataclass(slots=True)
-class Ran:
+class RunResult:
     """The result of one simulation run."""
 
     job: Job
     figures: dict[str, Any] = field(default_factory=dict)
-    spent: float = 0.0  # s of real time that the run took
+    elapsed: float = 0.0  # s of real time that the run took
 
     @property
     def wrong(self) -> str | None:
@@ -77,48 +77,48 @@
         rng = random.Random(f"distribution {job.event} {job.seed}")
         self.fleet = Fleet(rng, job.size, job.costs, feeder, follower, copy)
         self.scene = Scene(self.fleet, job.event, random.Random(rng.getrandbits(60)))
-        self.begun: dict[str, int] = {}  # node -> bytes that its meter showed at its latest start
+        self.bytes_at_start: dict[str, int] = {}  # node -> bytes that its meter showed at its latest start
         self.start_bytes: dict[str, list[int]] = {}  # kind of start -> bytes that each start took
         self.counted: set[str] = set()  # zones whose node counts at the voters were right at least once
         self.miscounted: dict[str, str] = {}  # zone -> description of its latest wrong count
-        self.fleet.judge.caught = self.caught
-        self.fleet.judge.began = self.began
+        self.fleet.judge.on_caught_up = self.on_caught_up
+        self.fleet.judge.on_started = self.on_started
 
     def play(self) -> dict[str, Any]:
         """Run the scene and return its figures; meters and time spans count from the end of the warm-up."""
         fleet = self.fleet
         fleet.begins()
-        fleet.world.clockwork.run(WARM * SECOND)
+        fleet.world.clockwork.run(WARM_UP_S * SECOND)
         for site in fleet.world.sites.values():
             site.meter = Meter()
         fleet.judge.since = fleet.world.clockwork.now
         end = round(self.scene.until * SECOND)
         for before in range(COUNT_CHECKS, 0, -1):
             fleet.world.clockwork.run(end - before * SECOND // 2)
-            self.counts_fit()
+            self.check_counts()
         fleet.world.clockwork.run(end)
-        return self.told()
+        return self.collect_figures()
 
-    def began(self, name: str) -> None:
+    def on_started(self, name: str) -> None:
         """Record the bytes on a node's meter when the node starts."""
-        self.begun[name] = self.fleet.world.sites[name].meter.bytes
+        self.bytes_at_start[name] = self.fleet.world.sites[name].meter.bytes
 
-    def caught(self, name: str, kind: str) -> None:
+    def on_caught_up(self, name: str, kind: str) -> None:
         """Record the bytes that a restarted node needed to catch up."""
-        if kind in ("cold", "disk") and self.fleet.world.clockwork.now > WARM * SECOND:
-            spent = self.fleet.world.sites[name].meter.bytes - self.begun[name]
+        if kind in ("cold", "disk") and self.fleet.world.clockwork.now > WARM_UP_S * SECOND:
+            spent = self.fleet.world.sites[name].meter.bytes - self.bytes_at_start[name]
             self.start_bytes.setdefault(kind, []).append(spent)
 
     # -- figures ---------------------------------------------------------------------------------------
 
-    def told(self) -> dict[str, Any]:
+    def collect_figures(self) -> dict[str, Any]:
         """Return the figures of the run; the keys are those of the JSON file."""
-        fleet, span = self.fleet, self.scene.until - WARM
-        self.count_wrongs()
+        fleet, span = self.fleet, self.scene.until - WARM_UP_S
+        self.report_miscounts()
         tiers: dict[str, list[Site]] = {}
         for site in fleet.world.sites.values():
             tiers.setdefault(site.tier, []).append(site)
-        judged = fleet.judge.told()
+        judged = fleet.judge.figures()
         slowest = judged["in_force"]["all_ms"] or 0
         return {
             "event": self.job.event,
@@ -132,7 +132,7 @@
             "age_ms": ages_of(fleet),
             "slowest": self.slowest(),
             "messages": fleet.world.events,
-            "lines": fleet.told,
+            "lines": fleet.line_count,
         }
 
     def slowest(self) -> list[tuple[int, int, int]]:
@@ -141,7 +141,7 @@
         longest = sorted(judge.by_version.items(), key=lambda each: (-each[1], each[0]))[:3]
         return [(version, judge.published[version] // 1_000, span // 1_000) for version, span in longest]
 
-    def counts_fit(self) -> None:
+    def check_counts(self) -> None:
         """Check that the voters count each running node once and all nodes at the newest version.
 
         A node that recently moved to another relay may be missing or counted twice until the tiers above
@@ -167,12 +167,12 @@
             else:
                 self.miscounted[zone] = f"{found} counted, {nodes} nodes at {newest}, {moved[zone]} moved"
 
-    def count_wrongs(self) -> None:
+    def report_miscounts(self) -> None:
         """Report the zones whose counts were never right, unless some node lacks the newest version."""
         if not self.fleet.judge.missing():
-            for zone, told in sorted(self.miscounted.items()):
+            for zone, description in sorted(self.miscounted.items()):
                 if zone not in self.counted:
-                    self.fleet.judge.says(self.fleet.world.clockwork.now, f"{zone}: {told}")
+                    self.fleet.judge.report(self.fleet.world.clockwork.now, f"{zone}: {description}")
 
 
 def costs_of(sites: Sequence[Site], span: float) -> dict[str, Any]:
@@ -214,30 +214,30 @@
     }
 
 
-def run_one(job: Job) -> Ran:
+def run_one(job: Job) -> RunResult:
     """Run one simulation and measure its real time."""
     begin = time.monotonic()
-    ran = Ran(job, Run(job).play())
-    ran.spent = time.monotonic() - begin
+    ran = RunResult(job, Run(job).play())
+    ran.elapsed = time.monotonic() - begin
     return ran
 
 
-def day_of(runs: Sequence[Ran]) -> dict[str, Any]:
+def day_of(runs: Sequence[RunResult]) -> dict[str, Any]:
     """Return a node's bytes a second, averaged over a day: traffic without faults plus six starts."""
     by_event = {ran.job.event: ran.figures for ran in runs}
     if "calm" not in by_event:
         return {}
     calm = by_event["calm"]["costs"]["node"]["bytes_a_second"]
-    told = {"calm": calm, "budget": BYTE_BUDGET}
+    rates = {"calm": calm, "budget": BYTE_BUDGET}
     for kind in ("cold", "disk"):
         starts = [ran.figures["start_bytes"][kind] for ran in runs if kind in ran.figures["start_bytes"]]
         if starts:
-            told[f"start_{kind}"] = max(starts)
-            told[f"day_{kind}"] = round(calm + STARTS_PER_DAY * max(starts) / DAY_S)
-    return told
+            rates[f"start_{kind}"] = max(starts)
+            rates[f"day_{kind}"] = round(calm + STARTS_PER_DAY * max(starts) / DAY_S)
+    return rates
 
 
-def line_of(ran: Ran) -> str:
+def line_of(ran: RunResult) -> str:
     """Format one run as a line of the table under `HEAD`."""
     figures = ran.figures
     in_force, node = figures["in_force"], figures["costs"]["node"]
@@ -251,13 +251,13 @@
         f"{figures['event']:<21}{ran.job.seed:>4} {times:>17} {figures['not_in_force_at_the_end']:>5} "
         f"{node['bytes_a_second']:>7} {node['peak_second'] / 1e6:>7.2f} {relay['peak_second'] / 1e6:>7.1f} "
         f"{node['core_percent']:>6.3f} {relay['core_percent']:>6.2f} {relay['core_peak_second']:>6.2f} "
-        f"{relay['queue']:>6} {figures['wrongs']:>5}  {back}  ({ran.spent:.0f} s)"
+        f"{relay['queue']:>6} {figures['wrongs']:>5}  {back}  ({ran.elapsed:.0f} s)"
     )
 
 
-def writes(path: str, size: Size, costs: Costs, runs: Sequence[Ran]) -> None:
+def write_figures(path: str, size: Size, costs: Costs, runs: Sequence[RunResult]) -> None:
     """Write the figures of all finished runs to a JSON file."""
-    told = {
+    content = {
         "cores": os.cpu_count(),
         "size": {name: getattr(size, name) for name in Size.__slots__},
         "costs": {name: getattr(costs, name) for name in Costs.__slots__},
@@ -265,7 +265,7 @@
         "runs": [ran.figures for ran in runs],
     }
     with open(path, "w") as file:
-        json.dump(told, file, indent=1)
+        json.dump(content, file, indent=1)
 
 
 HEAD = (
@@ -325,14 +325,14 @@
         for number in range(draws if event == "drawn" else 1)
     ]
     click.echo(HEAD)
-    runs: list[Ran] = []
+    runs: list[RunResult] = []
     for ran in run_many(run_one, jobs, cores, len(jobs), chunk=1):
         runs.append(ran)
         click.echo(line_of(ran))
         for wrong in ran.figures["wrong"][:3]:
             click.echo(f"    {wrong}")
         if path:
-            writes(path, size, costs, runs)
+            write_figures(path, size, costs, runs)
     day = day_of(runs)
     if day:
         click.echo(f"a node's bytes a second on a day's average: {json.dumps(day)}")
--- a/lichencleat/testkit/simulation/distribution_events.py
+++ b/lichencleat/testkit/simulation/distribution_events.py
@@ -11,13 +11,13 @@
 from lichencleat.testkit.simulation.distribution_table import drawn_changes
 from lichencleat.testkit.simulation.distribution_world import SECOND, Site
 
-WARM = 12  # s: by then all processes have started, and measurement begins
-BEGIN = 20  # s: the time of the first fault
-QUIET = 7  # s without changes at the end of a scene, so that every change can come into force
-SINGLES = 0.27  # single changes a second; bursts add about as many: 0.54 in all
-BURST, BURSTS = 50, 185  # changes in a burst, mean s between bursts
-RACK = 40  # nodes in a rack
-SLOW = 40  # factor on the processor time of a slow relay
+WARM_UP_S = 12  # s: by then all processes have started, and measurement begins
+FIRST_FAULT_S = 20  # s: the time of the first fault
+QUIET_S = 7  # s without changes at the end of a scene, so that every change can come into force
+SINGLE_RATE = 0.27  # single changes a second; bursts add about as many: 0.54 in all
+BURST_CHANGES, BURST_INTERVAL_S = 50, 185  # changes in a burst, mean s between bursts
+RACK_NODES = 40  # nodes in a rack
+SLOW_FACTOR = 40  # factor on the processor time of a slow relay
 
 
 class Scene:
@@ -38,20 +38,20 @@
 
     def load(self) -> None:
         """Schedule drawn single changes and bursts, and one more burst shortly after the first fault."""
-        last, moment = self.until - QUIET, 6.0
-        while (moment := moment + self.rng.expovariate(SINGLES)) < last:
+        last, moment = self.until - QUIET_S, 6.0
+        while (moment := moment + self.rng.expovariate(SINGLE_RATE)) < last:
             self.at(moment, self.publish, 1)
         moment = 0.0
-        while (moment := moment + self.rng.expovariate(1 / BURSTS)) < last - 1:
+        while (moment := moment + self.rng.expovariate(1 / BURST_INTERVAL_S)) < last - 1:
             self.burst(moment + 6.0)
-        self.burst(BEGIN + self.rng.uniform(0.2, 2.0))
+        self.burst(FIRST_FAULT_S + self.rng.uniform(0.2, 2.0))
 
     def burst(self, moment: float) -> None:
         """Schedule a burst: one batch, or the same number of single changes within a second."""
         if self.rng.random() < 0.5:
-            self.at(moment, self.publish, BURST)
+            self.at(moment, self.publish, BURST_CHANGES)
         else:
-            for _ in range(BURST):
+            for _ in range(BURST_CHANGES):
                 self.at(moment + self.rng.random(), self.publish, 1)
 
     def publish(self, count: int) -> None:
@@ -88,8 +88,8 @@
             self.at(begin, goes, site)
 
     def slow(self, site: Site, begin: float, end: float) -> None:
-        """Multiply the processor time of this process's work by `SLOW`."""
-        self.at(begin, setattr, site, "slow", SLOW)
+        """Multiply the processor time of this process's work by `SLOW_FACTOR`."""
+        self.at(begin, setattr, site, "slow", SLOW_FACTOR)
         self.at(end, setattr, site, "slow", 1)
 
     def stop(self, sites: Sequence[Site], begin: float, end: float) -> None:
@@ -192,14 +192,16 @@
     """A node ends every 4 s and is replaced by one with an empty table."""
     scene.until = 140
     for number, site in enumerate(scene.rng.sample(scene.fleet.nodes, min(25, len(scene.fleet.nodes) // 2))):
-        begin = BEGIN + 4 * number
+        begin = FIRST_FAULT_S + 4 * number
         scene.off([site], begin, begin + scene.rng.uniform(1, 3), disk=False)
 
 
 def rack(scene: Scene, disk: bool) -> None:
-    """Up to `RACK` nodes of one zone lose power for 25 s."""
+    """Up to `RACK_NODES` nodes of one zone lose power for 25 s."""
     nodes = scene.fleet.zones[scene.zone()]
-    scene.off(scene.rng.sample(nodes, min(RACK, len(nodes) // 2)), BEGIN, BEGIN + 25, disk)
+    scene.off(
+        scene.rng.sample(nodes, min(RACK_NODES, len(nodes) // 2)), FIRST_FAULT_S, FIRST_FAULT_S + 25, disk
+    )
     scene.until = 130
 
 
@@ -207,24 +209,24 @@
     """All nodes and relays of a zone lose power for 30 s; the relays keep their disks."""
     lost = scene.zone()
     relays = [site for site in scene.fleet.relays if site.zone == lost]
-    scene.off(relays, BEGIN, BEGIN + 30)
-    scene.off(scene.fleet.zones[lost], BEGIN, BEGIN + 30, disk, spread=3)
-    scene.until = BEGIN + 60 if disk else BEGIN + 270
+    scene.off(relays, FIRST_FAULT_S, FIRST_FAULT_S + 30)
+    scene.off(scene.fleet.zones[lost], FIRST_FAULT_S, FIRST_FAULT_S + 30, disk, spread=3)
+    scene.until = FIRST_FAULT_S + 60 if disk else FIRST_FAULT_S + 270
 
 
 def power(scene: Scene, disk: bool) -> None:
     """All machines lose power; voters and relays restart first, as they have less to do at boot."""
     fleet = scene.fleet
-    scene.off(fleet.source.voters, BEGIN, BEGIN + 20, spread=2)
-    scene.off(fleet.relays, BEGIN, BEGIN + 20, spread=4)
-    scene.off(fleet.nodes, BEGIN, BEGIN + 22, disk, spread=5)
-    scene.until = BEGIN + 70 if disk else BEGIN + 270
+    scene.off(fleet.source.voters, FIRST_FAULT_S, FIRST_FAULT_S + 20, spread=2)
+    scene.off(fleet.relays, FIRST_FAULT_S, FIRST_FAULT_S + 20, spread=4)
+    scene.off(fleet.nodes, FIRST_FAULT_S, FIRST_FAULT_S + 22, disk, spread=5)
+    scene.until = FIRST_FAULT_S + 70 if disk else FIRST_FAULT_S + 270
 
 
 def region_cut(scene: Scene) -> None:
     """A region is cut off from the others for 300 s."""
-    scene.cut(scene.region(), BEGIN, BEGIN + 300)
-    scene.until = BEGIN + 300 + 35
+    scene.cut(scene.region(), FIRST_FAULT_S, FIRST_FAULT_S + 300)
+    scene.until = FIRST_FAULT_S + 300 + 35
 
 
 def taken_back(scene: Scene) -> None:
@@ -242,35 +244,35 @@
         fleet.source.publish(changes)
 
     bad: list[int] = []
-    scene.at(BEGIN, bad_one)
-    scene.at(BEGIN + 20, back)
+    scene.at(FIRST_FAULT_S, bad_one)
+    scene.at(FIRST_FAULT_S + 20, back)
 
 
 def lost(scene: Scene, tier: str, silent: bool) -> None:
     """A relay is down for 15 s."""
-    scene.off([scene.relay(tier)], BEGIN, BEGIN + 15, silent=silent)
+    scene.off([scene.relay(tier)], FIRST_FAULT_S, FIRST_FAULT_S + 15, silent=silent)
 
 
 def lost_both(scene: Scene) -> None:
     """All relays of a zone lose power for 25 s."""
     lost = scene.zone()
-    scene.off([site for site in scene.fleet.relays if site.zone == lost], BEGIN, BEGIN + 25)
+    scene.off([site for site in scene.fleet.relays if site.zone == lost], FIRST_FAULT_S, FIRST_FAULT_S + 25)
 
 
 def slow(scene: Scene, tier: str) -> None:
     """A relay is slow for 35 s."""
-    scene.slow(scene.relay(tier), BEGIN, BEGIN + 35)
+    scene.slow(scene.relay(tier), FIRST_FAULT_S, FIRST_FAULT_S + 35)
 
 
 def stopped(scene: Scene, tier: str) -> None:
     """A relay is paused for 25 s."""
-    scene.stop([scene.relay(tier)], BEGIN, BEGIN + 25)
+    scene.stop([scene.relay(tier)], FIRST_FAULT_S, FIRST_FAULT_S + 25)
 
 
 def severed(scene: Scene, tier: str) -> None:
     """A relay is cut off from the relays above it for 30 s, and a change is published meanwhile."""
-    scene.sever(scene.relay(tier), BEGIN, BEGIN + 30)
-    scene.at(BEGIN + 0.1, scene.publish, 1)
+    scene.sever(scene.relay(tier), FIRST_FAULT_S, FIRST_FAULT_S + 30)
+    scene.at(FIRST_FAULT_S + 0.1, scene.publish, 1)
 
 
 def old_copy(scene: Scene, tier: str) -> None:
@@ -279,35 +281,35 @@
     Its former subscribers then have to connect to the relay with the old copy.
     """
     old = scene.relay(tier)
-    scene.old(old, BEGIN, BEGIN + 25)
+    scene.old(old, FIRST_FAULT_S, FIRST_FAULT_S + 25)
     beside = [site for site in scene.fleet.relays if site.tier == tier and site is not old]
     same = [site for site in beside if (site.zone if tier == "zone relay" else site.region) == (
         old.zone if tier == "zone relay" else old.region)]  # fmt: skip
-    scene.off(same, BEGIN + 12, BEGIN + 30, silent=False)
+    scene.off(same, FIRST_FAULT_S + 12, FIRST_FAULT_S + 30, silent=False)
 
 
 def leader_killed(scene: Scene) -> None:
     """The leader's process ends and restarts 20 s later."""
-    scene.leader(lambda site: scene.off([site], 0, 20, silent=False), BEGIN)
+    scene.leader(lambda site: scene.off([site], 0, 20, silent=False), FIRST_FAULT_S)
 
 
 def leader_stopped(scene: Scene) -> None:
     """The leader is paused for 15 s."""
-    scene.leader(lambda site: scene.stop([site], 0, 15), BEGIN)
+    scene.leader(lambda site: scene.stop([site], 0, 15), FIRST_FAULT_S)
 
 
 def drawn(scene: Scene) -> None:
     """Three to eight drawn faults that may overlap, all within about 35 s."""
     rng, fleet = scene.rng, scene.fleet
-    last = BEGIN + 35
+    last = FIRST_FAULT_S + 35
     scene.until = last + 40
 
     def span() -> tuple[float, float]:
-        begin = rng.uniform(BEGIN, last - 8)
+        begin = rng.uniform(FIRST_FAULT_S, last - 8)
         return begin, rng.uniform(begin + 1, last)
 
     def some_nodes() -> list[Site]:
-        return rng.sample(fleet.nodes, min(RACK, len(fleet.nodes) // 4))
+        return rng.sample(fleet.nodes, min(RACK_NODES, len(fleet.nodes) // 4))
 
     tiers = ("zone relay", "region relay")
     faults: list[Callable[[], Any]] = [
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -36,7 +36,7 @@
 MARK = b"the group's mark"  # mark of the voters' group that every greeting carries
 CONNECT_TIMEOUT_US = 1_500_000  # for a link to be opened and greeted; the same as in the production host
 COUNT_INTERVAL_US = 200_000  # between sums of the subscribers' node counts; as in the production relay
-RECENT_BATCHES = 1_000  # newest batches that a disk holds
+RECENT_BATCHES = 1_000  # number of newest batches that a disk holds
 NIL = msgspec.Raw(b"\xc0")
 # Encoded bytes of a response and of a request without their content.
 SMALL_ANSWER, SMALL_QUESTION = (
@@ -60,7 +60,7 @@
     """The program of one process: a feeder (`Publisher`), a follower (`RelayFollower`) or both."""
 
     __slots__ = ("fleet", "world", "site", "copy", "feeder", "follower", "joined", "packed", "silent",
-                 "budget", "feeds_at", "follows_at", "counted_at", "opened_at", "content",
+                 "budget", "feeder_due", "follower_due", "counts_summed_at", "opened_at", "content",
                  "size")  # fmt: skip
 
     def __init__(self, fleet: Fleet, site: Site) -> None:
@@ -76,9 +76,9 @@
         self.joined: set[int] = set()  # numbers of the links added as subscribers; never iterated
         self.packed: dict[int, bytes] = {}  # page number -> packed page whose compression was charged
         self.budget = 0  # slices of staging that are charged to the core and not yet taken
-        self.feeds_at: int | None = None  # µs: the feeder's next timer
-        self.follows_at: int | None = None  # µs: the follower's next timer
-        self.counted_at = 0  # µs: when the node counts of the subscribers were last summed
+        self.feeder_due: int | None = None  # µs: the feeder's next timer
+        self.follower_due: int | None = None  # µs: the follower's next timer
+        self.counts_summed_at = 0  # µs: when the node counts of the subscribers were last summed
         self.opened_at = 0  # µs: when the latest link to a relay was opened
         self.content: Any = None  # the last answer, so that an answer to many subscribers is encoded once
         self.size = 0  # bytes of the encoded last answer
@@ -104,11 +104,13 @@
 
     # -- feeder --------------------------------------------------------------------------------------
 
-    def asked(self, link: Link, number: int, what: str, content: Any) -> None:
+    def receive_request(self, link: Link, number: int, what: str, content: Any) -> None:
         """Queue a subscriber's request that has arrived."""
-        self.world.work(self.site, self.fleet.costs.question // 2, self.reads, link, number, what, content)
+        self.world.work(
+            self.site, self.fleet.costs.question // 2, self.process_request, link, number, what, content
+        )
 
-    def reads(self, link: Link, number: int, what: str, content: Any) -> None:
+    def process_request(self, link: Link, number: int, what: str, content: Any) -> None:
         """Pass a request to the feeder; the first request on a link adds the subscriber."""
         if not link.called_on:
             return
@@ -116,7 +118,7 @@
         assert feeder is not None
         if link.number not in self.joined:
             if not feeder.add_subscriber(now, link.number):
-                self.answers(link, number, False, "full")
+                self.send_answer(link, number, False, "full")
                 return
             self.joined.add(link.number)
         feeder.on_request(now, link.number, number, what, content)
@@ -139,24 +141,24 @@
             if link is None:
                 continue
             if isinstance(decision, Answer):
-                self.answers(link, decision.number, True, decision.content)
+                self.send_answer(link, decision.number, True, decision.content)
             elif isinstance(decision, Decline):
-                self.answers(link, decision.number, False, decision.why)
+                self.send_answer(link, decision.number, False, decision.why)
             else:
                 self.joined.discard(link.number)
                 self.world.closes(link, by_caller=False)
         due = feeder.deadline()
-        if due is not None and (self.feeds_at is None or due < self.feeds_at):
-            self.feeds_at = max(due, now + 1)
-            self.world.after(self.site, self.feeds_at - now, self.feeder_wakes, self.feeds_at)
+        if due is not None and (self.feeder_due is None or due < self.feeder_due):
+            self.feeder_due = max(due, now + 1)
+            self.world.after(self.site, self.feeder_due - now, self.feeder_wakes, self.feeder_due)
 
     def feeder_wakes(self, at: int) -> None:
         """Run the feeder's timer, unless an earlier timer has replaced it."""
-        if self.feeds_at == at:
-            self.feeds_at = None
+        if self.feeder_due == at:
+            self.feeder_due = None
             self.pull()
 
-    def answers(self, link: Link, number: int, done: bool, content: Any) -> None:
+    def send_answer(self, link: Link, number: int, done: bool, content: Any) -> None:
         """Send an answer and charge its processor time; `done`: whether the request was accepted."""
         if content is not self.content:
             self.content, self.size = content, len(encode(content)) + SMALL_ANSWER
@@ -169,7 +171,7 @@
                     cost += costs.pack
         self.world.charge(site, cost)
         self.world.sends(
-            link, True, size_of(self.size), site.busy, link.caller.host.replied, number, done, content
+            link, True, size_of(self.size), site.busy, link.caller.host.receive_answer, number, done, content
         )
 
     # -- follower ---------------------------------------------------------------------------------------
@@ -178,71 +180,72 @@
         """Carry out the follower's decisions and set its timer."""
         follower, now = self.follower, self.world.clockwork.now
         assert follower is not None
-        if self.feeder is not None and now - self.counted_at >= COUNT_INTERVAL_US:
-            self.counted_at = now
+        if self.feeder is not None and now - self.counts_summed_at >= COUNT_INTERVAL_US:
+            self.counts_summed_at = now
             follower.counts_below = self.feeder.counts(now)
         while (decision := follower.next_decision(now)) is not None:
-            self.does(decision)
+            self.execute(decision)
         due = follower.deadline()
-        if self.follows_at is None or due < self.follows_at:
-            self.follows_at = max(due, now + 1)
-            self.world.after(self.site, self.follows_at - now, self.follower_wakes, self.follows_at)
+        if self.follower_due is None or due < self.follower_due:
+            self.follower_due = max(due, now + 1)
+            self.world.after(self.site, self.follower_due - now, self.follower_wakes, self.follower_due)
 
     def follower_wakes(self, at: int) -> None:
         """Run the follower's timer; if its deadline was postponed, only set the timer again."""
-        if self.follows_at != at:
+        if self.follower_due != at:
             return
-        self.follows_at = None
+        self.follower_due = None
         follower, now = self.follower, self.world.clockwork.now
         assert follower is not None
         if follower.deadline() <= now:
             follower.on_timer(now)
         self.pump()
 
-    def does(self, decision: Decision) -> None:
+    def execute(self, decision: Decision) -> None:
         """Carry out one decision of the follower."""
         act, site, now = decision.act, self.site, self.world.clockwork.now
         if act is Action.ASK:
             link = site.calls.get(decision.relay)
             if link is not None and link.opened:
-                self.asks(link, decision.what, decision.content)
+                self.send_request(link, decision.what, decision.content)
         elif act is Action.STEP:
-            self.steps()
+            self.begin_step()
         elif act is Action.OPEN:
-            self.drops(decision.relay)
+            self.close_link(decision.relay)
             link = self.world.opens(site, self.fleet.world.sites[decision.relay])
-            self.world.after(site, CONNECT_TIMEOUT_US, self.gives_up, link)
+            self.world.after(site, CONNECT_TIMEOUT_US, self.on_connect_timeout, link)
         elif act is Action.CLOSE:
-            self.drops(decision.relay)
+            self.close_link(decision.relay)
         elif act is Action.APPLIED:
-            self.taken(now, decision.batches)
+            self.on_applied_batches(now, decision.batches)
         else:
-            self.fleet.tells(now, site, decision.text)
+            self.fleet.log_line(now, site, decision.text)
 
-    def drops(self, relay: str) -> None:
+    def close_link(self, relay: str) -> None:
         """Close the link to a relay, if there is one."""
         link = self.site.calls.get(relay)
         if link is not None:
             self.world.closes(link, by_caller=True)
 
-    def gives_up(self, link: Link) -> None:
+    def on_connect_timeout(self, link: Link) -> None:
         """Close a link that was not opened within the connect timeout."""
         if link.caller_on and not link.opened:
             self.world.closes(link, by_caller=True)
             self.link_lost(link)
 
-    def asks(self, link: Link, what: str, content: Any) -> None:
+    def send_request(self, link: Link, what: str, content: Any) -> None:
         """Send a request to a relay; the checker verifies the version that a node acknowledges."""
-        link.asked += 1
+        link.last_request += 1
         link.what = what
         if self.site.tier == "node" and what == FOLLOW and isinstance(content, FollowRequest):
             self.fleet.judge.acknowledges(
                 self.world.clockwork.now, self.site.name, self.copy, content.version
             )
-        size = (
-            size_of(len(encode(content)) + len(what) + SMALL_QUESTION) + 66
-        )  # bytes of a separate TCP acknowledgement
-        self.world.sends(link, False, size, 0, link.called.host.asked, link.asked, what, content)
+        # A separate TCP acknowledgement of the request takes 66 bytes.
+        size = size_of(len(encode(content)) + len(what) + SMALL_QUESTION) + 66
+        self.world.sends(
+            link, False, size, 0, link.called.host.receive_request, link.last_request, what, content
+        )
 
     def link_opened(self, link: Link) -> None:
         """Report an opened link to the follower."""
@@ -257,18 +260,18 @@
         self.follower.on_link_lost(self.world.clockwork.now, link.called.name, "the connection ended")
         self.pump()
 
-    def replied(self, link: Link, number: int, done: bool, content: Any) -> None:
+    def receive_answer(self, link: Link, number: int, done: bool, content: Any) -> None:
         """Process an answer that has arrived: at once at a node, in the job queue at a relay."""
         costs = self.fleet.costs
         if self.feeder is None:
             self.site.meter.works(self.world.clockwork.now, costs.node_message)
-            self.told(link, number, done, content)
+            self.process_answer(link, number, done, content)
         else:
-            self.world.work(self.site, costs.question // 2, self.told, link, number, done, content)
+            self.world.work(self.site, costs.question // 2, self.process_answer, link, number, done, content)
 
-    def told(self, link: Link, number: int, done: bool, content: Any) -> None:
+    def process_answer(self, link: Link, number: int, done: bool, content: Any) -> None:
         """Pass an answer to the follower; an answer to an earlier request is dropped."""
-        if not link.caller_on or number != link.asked:
+        if not link.caller_on or number != link.last_request:
             return
         follower, now = self.follower, self.world.clockwork.now
         assert follower is not None
@@ -279,12 +282,12 @@
             follower.on_answer(now, link.called.name, what, None, content)
         if self.feeder is not None:
             self.feeder.set_age(now, follower.age(now))
-        self.looked_at()
+        self.check_copy()
         self.pump()
 
     # -- staging ---------------------------------------------------------------------------------------
 
-    def steps(self) -> None:
+    def begin_step(self) -> None:
         """Charge all counted slices to the core at once, then take one slice for each step decision."""
         if self.budget > 0:
             self.budget -= 1
@@ -315,16 +318,16 @@
         except TableError:
             ready = None
         follower.on_stepped(now, ready)
-        self.looked_at()
+        self.check_copy()
 
-    def looked_at(self) -> None:
+    def check_copy(self) -> None:
         """Let the checker verify the copy, if this process is a node."""
         if self.feeder is None:
             self.fleet.judge.looks_at(self.world.clockwork.now, self.site.name, self.copy, self.copy.batches)
 
-    def taken(self, now: int, batches: tuple[Batch, ...]) -> None:
+    def on_applied_batches(self, now: int, batches: tuple[Batch, ...]) -> None:
         """Pass batches that came into force here to the feeder."""
-        self.looked_at()
+        self.check_copy()
         if self.feeder is not None:
             assert self.follower is not None
             self.feeder.on_applied(now, batches)
@@ -353,16 +356,16 @@
         self.judge = Judge(1, table.digest, table.items())
         self.source = Source(self)
         self.lines: list[str] = []  # the first log lines of the followers
-        self.told = 0  # number of log lines of all followers
+        self.line_count = 0  # number of log lines of all followers
         self.tiers: dict[str, tuple[tuple[str, ...], ...]] = {}  # site -> relays above, by tier
         self.zones: dict[str, list[Site]] = {}  # zone -> its nodes
         self.nodes: list[Site] = []
         self.relays: list[Site] = []
         self.build()
 
-    def tells(self, now: int, site: Site, text: str) -> None:
+    def log_line(self, now: int, site: Site, text: str) -> None:
         """Count a log line of a follower and keep the first ones."""
-        self.told += 1
+        self.line_count += 1
         if len(self.lines) < 200:
             self.lines.append(f"{now / SECOND:.3f} {site.name}: {text}")
 
@@ -439,5 +442,5 @@
         if site.tier == "node":
             self.judge.ends(site.name)
         if site is self.source.leader:
-            self.source.loses_leader()
+            self.source.end_term()
         return site.host.copy.version
--- a/lichencleat/testkit/simulation/distribution_judge.py
+++ b/lichencleat/testkit/simulation/distribution_judge.py
@@ -56,7 +56,7 @@
                 return span
         return None
 
-    def told(self) -> dict[str, int | None]:
+    def figures(self) -> dict[str, int | None]:
         """Return the quantiles and the number of spans, under the keys of the JSON file."""
         return {"p50_ms": self.at(0.5), "p99_ms": self.at(0.99), "all_ms": self.at(1.0),
                 "count": self.counts.total()}  # fmt: skip
@@ -81,7 +81,7 @@
 
     def __init__(self, version: int, digest: bytes, items: Iterable[tuple[str, str, bytes]]) -> None:
         """`version`, `digest`, `items`: the table that all processes start with."""
-        self.versions = [version]
+        self.versions = [version]  # all published versions, ascending
         self.published = {version: 0}  # version -> µs when its changes were submitted to a voter
         self.digests = {0: bytes(16), version: digest}
         self.batches: dict[int, Batch] = {}
@@ -89,22 +89,20 @@
             (kind, name): ([version], [value]) for kind, name, value in items
         }
         self.lives: dict[str, Life] = {}
-        self.whole: dict[
-            int, tuple[Any, int]
-        ] = {}  # id -> table compared, its version; held so that its id is not reused
-        self.wrong: list[str] = []
-        self.looks = self.wrongs = self.compared = 0
+        # id of a table object -> the compared table, its version. The reference keeps the id from being reused.
+        self.whole: dict[int, tuple[Any, int]] = {}
+        self.wrong: list[str] = []  # texts of the first violations
+        self.looks = self.wrongs = self.compared = 0  # checks, violations, records compared in whole tables
         self.since = 0  # µs: spans of changes submitted earlier are not counted
-        self.in_force = (
-            Spans()
-        )  # from submission until in force, at nodes that already have a version in force
-        self.starting = Spans()  # the same at nodes without a version: they answer no callers meanwhile
+        # Spans from submission until in force, at nodes that already have a version in force
+        self.in_force = Spans()
+        self.starting = Spans()  # the same spans at nodes that have no version yet and answer no callers
         self.by_version: dict[int, int] = {}  # version -> longest span in `in_force`, in µs
         self.back: dict[str, Spans] = {"cold": Spans(), "disk": Spans(), "back": Spans()}
-        self.began: Callable[[str], None] = lambda name: None  # called when a node starts
-        self.caught: Callable[[str, str], None] = lambda name, kind: None  # called when a node has caught up
+        self.on_started: Callable[[str], None] = lambda name: None  # called when a node starts
+        self.on_caught_up: Callable[[str, str], None] = lambda name, kind: None  # called after recovery
 
-    def says(self, now: int, what: str) -> None:
+    def report(self, now: int, what: str) -> None:
         """Record a violation; only the first ones keep their text."""
         self.wrongs += 1
         if len(self.wrong) < MAX_REPORTED_VIOLATIONS:
@@ -134,10 +132,10 @@
     def starts(self, now: int, name: str, held: Held, kind: str) -> None:
         """Record the start of a node's process and check the table that the node starts with."""
         self.lives[name] = Life(held.version, now, kind, self.versions[-1])
-        self.began(name)
+        self.on_started(name)
         if held.version:
             self.compare(now, name, held)
-        self.catches_up(now, name, held.version)
+        self.check_caught_up(now, name, held.version)
 
     def ends(self, name: str) -> None:
         """Record the end of a node's process."""
@@ -154,7 +152,7 @@
         if life is not None and not life.reached:
             life.reached, life.start, life.goal = True, now, self.versions[-1]
             life.kind = "back" if life.kind == "running" else life.kind
-            self.catches_up(now, name, life.version)
+            self.check_caught_up(now, name, life.version)
 
     def looks_at(self, now: int, name: str, held: Held, batches: tuple[Batch, ...] = ()) -> None:
         """Check a node after a step: its records must match its version; `batches` are those it stages."""
@@ -162,54 +160,54 @@
         self.looks += 1
         if held.version != life.version:
             if held.version < life.version:
-                self.says(now, f"{name} went back from {life.version} to {held.version}")
+                self.report(now, f"{name} went back from {life.version} to {held.version}")
             elif held.version not in self.digests:
-                self.says(now, f"{name} says {held.version}, which was never published")
+                self.report(now, f"{name} says {held.version}, which was never published")
             else:
                 self.compare(now, name, held)
-                self.reaches(now, name, life, held.version)
+                self.add_delays(now, name, life, held.version)
             life.version = held.version
         for batch in batches[:1] + batches[-1:]:
             for change in batch.changes[:1] + batch.changes[-1:]:
-                self.asks(now, name, held, change.kind, change.name)
+                self.check_record(now, name, held, change.kind, change.name)
 
     def acknowledges(self, now: int, name: str, held: Held, version: int) -> None:
         """Check a node that reports to its relay that `version` is in force."""
         if version != held.version:
-            self.says(now, f"{name} acknowledges {version} and holds {held.version}")
+            self.report(now, f"{name} acknowledges {version} and holds {held.version}")
         self.looks_at(now, name, held)
         batch = self.batches.get(version)
         for change in batch.changes[-1:] if batch is not None else ():
-            self.asks(now, name, held, change.kind, change.name)
+            self.check_record(now, name, held, change.kind, change.name)
 
-    def asks(self, now: int, name: str, held: Held, kind: str, record: str) -> None:
+    def check_record(self, now: int, name: str, held: Held, kind: str, record: str) -> None:
         """Compare one record of a node with the value published for the node's version."""
         found, right = held.find(kind, record), self.value(kind, record, held.version)
         if found != right:
-            self.says(now, f"{name} at {held.version} answers {found!r} for {record}, not {right!r}")
+            self.report(now, f"{name} at {held.version} answers {found!r} for {record}, not {right!r}")
 
     def compare(self, now: int, name: str, held: Held) -> None:
         """Compare a node's digest with the published one, and all records once for each table object."""
         if held.digest != self.digests.get(held.version):
-            self.says(now, f"{name} at {held.version} has another digest")
+            self.report(now, f"{name} at {held.version} has another digest")
         whole = held.whole()
         known = self.whole.get(id(whole))
         if known is not None and known[1] != held.version:
-            self.says(now, f"{name} holds the table of {known[1]} as {held.version}")
+            self.report(now, f"{name} holds the table of {known[1]} as {held.version}")
         batch = self.batches.get(held.version)
         for change in batch.changes[:1] + batch.changes[-1:] if batch is not None else ():
-            self.asks(now, name, held, change.kind, change.name)
+            self.check_record(now, name, held, change.kind, change.name)
         if known is None and self.compared < MAX_COMPARED_RECORDS:
             self.whole[id(whole)] = (whole, held.version)
             records = 0
             for kind, record, value in held.items():
                 records += 1
                 if value != self.value(kind, record, held.version):
-                    self.says(now, f"{name} at {held.version} holds something else for {record}")
+                    self.report(now, f"{name} at {held.version} holds something else for {record}")
                     break
             else:
                 if records != self.records(held.version):
-                    self.says(now, f"{name} at {held.version} holds {records} records")
+                    self.report(now, f"{name} at {held.version} holds {records} records")
             self.compared += records
 
     def records(self, version: int) -> int:
@@ -222,7 +220,7 @@
 
     # -- delays ---------------------------------------------------------------------------------------
 
-    def reaches(self, now: int, name: str, life: Life, version: int) -> None:
+    def add_delays(self, now: int, name: str, life: Life, version: int) -> None:
         """Add the delays of all versions that came into force at a node with this step."""
         for place in range(bisect_right(self.versions, life.version), bisect_right(self.versions, version)):
             came = self.versions[place]
@@ -236,14 +234,14 @@
                 self.by_version[came] = max(self.by_version.get(came, 0), now - handed)
         if life.serves is None:
             life.serves = now
-        self.catches_up(now, name, version)
+        self.check_caught_up(now, name, version)
 
-    def catches_up(self, now: int, name: str, version: int) -> None:
+    def check_caught_up(self, now: int, name: str, version: int) -> None:
         """Add the recovery time of a node once `version` is at least the version that it had to reach."""
         life = self.lives[name]
         if life.kind != "running" and life.reached and version >= life.goal:
             self.back[life.kind].add(now - life.start)
-            self.caught(name, life.kind)
+            self.on_caught_up(name, life.kind)
             life.kind = "running"
 
     def missing(self) -> list[str]:
@@ -251,7 +249,7 @@
         newest = self.versions[-1]
         return [name for name, life in self.lives.items() if life.reached and life.version < newest]
 
-    def told(self) -> dict[str, Any]:
+    def figures(self) -> dict[str, Any]:
         """Return the violations and delays, under the keys of the JSON file."""
         return {
             "wrong": self.wrong,
@@ -259,8 +257,8 @@
             "looks": self.looks,
             "tables_compared": len(self.whole),
             "versions": len(self.versions) - 1,
-            "in_force": self.in_force.told(),
-            "starting": self.starting.told(),
-            "back": {kind: spans.told() for kind, spans in self.back.items() if spans.counts},
+            "in_force": self.in_force.figures(),
+            "starting": self.starting.figures(),
+            "back": {kind: spans.figures() for kind, spans in self.back.items() if spans.counts},
             "not_in_force_at_the_end": len(self.missing()),
         }
--- a/lichencleat/testkit/simulation/distribution_source.py
+++ b/lichencleat/testkit/simulation/distribution_source.py
@@ -29,10 +29,9 @@
         self.voters: list[Site] = []
         self.leader: Site | None = None
         self.term = 0
-        self.open: deque[tuple[int, tuple[Change, ...]]] = (
-            deque()
-        )  # µs when submitted, changes: not yet committed
-        self.committed: list[Batch] = []
+        # Submissions that are not yet committed: µs when submitted, changes.
+        self.open: deque[tuple[int, tuple[Change, ...]]] = deque()
+        self.committed: list[Batch] = []  # all committed batches in order
         self.place: dict[int, int] = {}  # version -> number of committed batches up to that version
         self.last_commit = 0  # µs when the newest proposal is committed; commits keep the order of proposals
         # µs: when an election last found no majority. Delays of changes count from this time at the earliest.
@@ -42,14 +41,14 @@
         """Make the first voter the leader and start the heartbeats."""
         self.leader = self.voters[0]
         self.place[self.fleet.shared.table.version] = 0
-        self.beat()
+        self.run_heartbeat()
 
     def publish(self, changes: tuple[Change, ...]) -> None:
         """Submit changes that are to be committed as one batch."""
         self.open.append((self.world.clockwork.now, changes))
-        self.proposes(1)
+        self.propose(1)
 
-    def proposes(self, count: int) -> None:
+    def propose(self, count: int) -> None:
         """Propose the last `count` uncommitted submissions to the voters."""
         if self.leader is None:
             return
@@ -58,14 +57,14 @@
             trips = sorted(
                 world.rng.randint(*world.trip(self.leader, other))
                 + world.rng.randint(*world.trip(self.leader, other))
-                for other in self.able()
+                for other in self.connected_voters()
                 if other is not self.leader
             )
             span = trips[VOTERS // 2 - 1] if len(trips) >= VOTERS // 2 else SECOND
             self.last_commit = max(world.clockwork.now + span, self.last_commit)
-            world.after(self.leader, self.last_commit - world.clockwork.now, self.commits, self.term)
+            world.after(self.leader, self.last_commit - world.clockwork.now, self.commit, self.term)
 
-    def commits(self, term: int) -> None:
+    def commit(self, term: int) -> None:
         """Commit the oldest uncommitted submission, unless the term is over."""
         if term != self.term or not self.open:
             return
@@ -76,34 +75,34 @@
         self.committed.append(batch)
         self.place[batch.version] = len(self.committed)
         self.fleet.judge.publishes(batch, handed)
-        self.words()
+        self.send_heartbeats()
 
-    def beat(self) -> None:
+    def run_heartbeat(self) -> None:
         """Send heartbeats, and end the term if the leader has lost its majority."""
-        self.world.clockwork.after(HEARTBEAT_US, self.beat)
-        self.words()
-        able = self.able()
-        if self.leader is not None and (self.leader not in able or len(able) <= VOTERS // 2):
-            self.loses_leader()
+        self.world.clockwork.after(HEARTBEAT_US, self.run_heartbeat)
+        self.send_heartbeats()
+        connected = self.connected_voters()
+        if self.leader is not None and (self.leader not in connected or len(connected) <= VOTERS // 2):
+            self.end_term()
 
-    def able(self) -> list[Site]:
+    def connected_voters(self) -> list[Site]:
         """Return the voters that can reach each other."""
         cut = self.world.cut
         return [each for each in self.voters if each.up and not each.paused and each.region not in cut]
 
-    def words(self) -> None:
+    def send_heartbeats(self) -> None:
         """Send the number of committed batches from the leader to all voters."""
         leader, world = self.leader, self.world
         if leader is None or not leader.up or leader.paused:
             return
         now, count = world.clockwork.now, len(self.committed)
-        self.hears(leader, count, now)
+        self.receive_heartbeat(leader, count, now)
         for voter in self.voters:
             if voter is not leader and voter.up and not world.blocked(leader, voter):
                 span = world.rng.randint(*world.trip(leader, voter))
-                world.after(voter, span, self.hears, voter, count, now)
+                world.after(voter, span, self.receive_heartbeat, voter, count, now)
 
-    def hears(self, voter: Site, count: int, sent: int) -> None:
+    def receive_heartbeat(self, voter: Site, count: int, sent: int) -> None:
         """Apply the committed batches up to `count` at a voter; the leader sent the message at `sent` µs."""
         host, now = voter.host, self.world.clockwork.now
         feeder = host.feeder
@@ -118,22 +117,22 @@
         if count > place:
             host.pull()
 
-    def loses_leader(self) -> None:
+    def end_term(self) -> None:
         """End the term and schedule an election among the remaining voters."""
         self.leader = None
         self.term += 1
-        self.world.clockwork.after(self.world.rng.randint(*ELECTION_US), self.elects, self.term)
+        self.world.clockwork.after(self.world.rng.randint(*ELECTION_US), self.elect_leader, self.term)
 
-    def elects(self, term: int) -> None:
+    def elect_leader(self, term: int) -> None:
         """Elect a leader and repeat the open proposals; without a majority, try again later."""
         if term != self.term or self.leader is not None:
             return
-        able = self.able()
-        if len(able) <= VOTERS // 2:
+        connected = self.connected_voters()
+        if len(connected) <= VOTERS // 2:
             self.none_at = self.world.clockwork.now
-            self.world.clockwork.after(self.world.rng.randint(*ELECTION_US), self.elects, term)
+            self.world.clockwork.after(self.world.rng.randint(*ELECTION_US), self.elect_leader, term)
             return
-        self.leader = self.world.rng.choice(able)
+        self.leader = self.world.rng.choice(connected)
         self.last_commit = self.world.clockwork.now
-        self.words()
-        self.proposes(len(self.open))
+        self.send_heartbeats()
+        self.propose(len(self.open))
--- a/lichencleat/testkit/simulation/distribution_world.py
+++ b/lichencleat/testkit/simulation/distribution_world.py
@@ -104,9 +104,8 @@
         self.busy = self.out = 0  # µs: when the core and the network card become free
         self.jobs: deque[tuple[int, Callable[..., None], tuple[Any, ...]]] = deque()
         self.waiting = False  # whether the next job is already scheduled
-        self.held: list[
-            tuple[Callable[..., None], tuple[Any, ...]]
-        ] = []  # calls deferred while the process is paused
+        # Calls that are deferred while the process is paused.
+        self.held: list[tuple[Callable[..., None], tuple[Any, ...]]] = []
         self.links: dict[int, Link] = {}  # link number -> link that a caller opened to this process
         self.calls: dict[str, Link] = {}  # relay -> link that this process opened
         self.meter = Meter()
@@ -117,7 +116,7 @@
     """One connection. A side that closed the connection, or whose process ended, receives nothing more."""
 
     __slots__ = ("number", "caller", "called", "caller_on", "called_on", "opened", "dead", "trip", "last",
-                 "window", "used", "asked", "what")  # fmt: skip
+                 "window", "used", "last_request", "what")  # fmt: skip
 
     def __init__(self, number: int, caller: Site, called: Site, trip: tuple[int, int]) -> None:
         self.number, self.caller, self.called, self.trip = number, caller, called, trip
@@ -125,7 +124,7 @@
         self.opened = self.dead = False
         self.last = [0, 0]  # µs: arrival of the latest frame at the called side, at the caller
         self.window, self.used = FIRST_WINDOW, 0
-        self.asked, self.what = 0, ""  # number of the last request, method of the open request
+        self.last_request, self.what = 0, ""  # number of the last request, method of the open request
 
 
 def size_of(payload: int) -> int:
@@ -147,10 +146,9 @@
                 base = rng.randint(*BETWEEN_REGIONS)
                 self.trips[one, other] = self.trips[other, one] = (base, base + JITTER)
         self.cut: set[int] = set()  # regions that are cut off from all others
-        self.severed: set[tuple[str, str]] = (
-            set()
-        )  # pairs of sites that cannot reach each other, in both orders
-        self.number = self.events = 0
+        # Pairs of sites that cannot reach each other, in both orders
+        self.severed: set[tuple[str, str]] = set()
+        self.number = self.events = 0  # links opened, frames sent
 
     def add(self, name: str, region: int, zone: str, tier: str) -> Site:
         """Create a site; its process is not started yet."""
@@ -202,18 +200,18 @@
                 self.later(link, True, self.closed_above)
         for link in list(site.calls.values()):
             if link.dead and link.called_on:
-                self.clockwork.after(self.rng.randint(*NOTICE), self.notices, link, site.life)
+                self.clockwork.after(self.rng.randint(*NOTICE), self.retransmit, link, site.life)
         site.calls.clear()
         site.links.clear()
 
-    def notices(self, link: Link, life: int) -> None:
+    def retransmit(self, link: Link, life: int) -> None:
         """Retransmit from the called side: the caller's machine resets the connection, or no answer comes."""
         if not link.called_on:
             return
         if link.caller.up and not self.blocked(link.caller, link.called):
             self.closed_below(link)
         else:
-            self.clockwork.after(self.rng.randint(*NOTICE), self.notices, link, life)
+            self.clockwork.after(self.rng.randint(*NOTICE), self.retransmit, link, life)
 
     def stops(self, site: Site) -> None:
         """Pause a process."""
@@ -229,18 +227,18 @@
         for call, args in held:
             call(*args)
 
-    def guarded(self, site: Site, life: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
+    def run_if_alive(self, site: Site, life: int, call: Callable[..., None], args: tuple[Any, ...]) -> None:
         """Run a call of a process: drop the call after the process has ended, defer it during a pause."""
         if site.life != life:
             return
         if site.paused:
-            site.held.append((self.guarded, (site, life, call, args)))
+            site.held.append((self.run_if_alive, (site, life, call, args)))
         else:
             call(*args)
 
     def after(self, site: Site, span: int, call: Callable[..., None], *args: Any) -> None:
         """Schedule a call of a process in `span` µs."""
-        self.clockwork.after(span, self.guarded, site, site.life, call, args)
+        self.clockwork.after(span, self.run_if_alive, site, site.life, call, args)
 
     # -- processor ------------------------------------------------------------------------------------
 
@@ -293,19 +291,19 @@
         meter.sends(self.clockwork.now, HANDSHAKE)
         there = sum(self.rng.randint(*link.trip) for _ in range(3))
         life = called.life
-        self.clockwork.after(there, self.guarded, called, life, self.greets, (link,))
+        self.clockwork.after(there, self.run_if_alive, called, life, self.queue_greeting, (link,))
         if not called.up and not called.host.silent:
             self.clockwork.after(there, self.closed_above, link)
         return link
 
-    def greets(self, link: Link) -> None:
+    def queue_greeting(self, link: Link) -> None:
         """Queue the greeting at the called process."""
         called = link.called
         if not link.caller_on or not called.up or self.blocked(link.caller, called):
             return
-        self.work(called, self.costs.opening, self.greeted, link)
+        self.work(called, self.costs.opening, self.accept, link)
 
-    def greeted(self, link: Link) -> None:
+    def accept(self, link: Link) -> None:
         """Accept the connection at the called process."""
         called = link.called
         if called.up and link.caller_on:
@@ -332,7 +330,7 @@
             if link.called_on:
                 if link.dead or self.blocked(link.caller, link.called):
                     link.dead = True
-                    self.clockwork.after(self.rng.randint(*NOTICE), self.notices, link, site.life)
+                    self.clockwork.after(self.rng.randint(*NOTICE), self.retransmit, link, site.life)
                 else:
                     self.later(link, False, self.closed_below)
         else:
@@ -347,7 +345,7 @@
         at = max(now + self.rng.randint(*link.trip), link.last[to_caller] + 1)
         link.last[to_caller] = at
         to = link.caller if to_caller else link.called
-        self.clockwork.after(at - now, self.guarded, to, to.life, call, (link,))
+        self.clockwork.after(at - now, self.run_if_alive, to, to.life, call, (link,))
 
     def closed_above(self, link: Link) -> None:
         """Report to the caller that the called side closed or refused the connection."""
--- a/tests/config_distribution/test_distribution_sim.py
+++ b/tests/config_distribution/test_distribution_sim.py
@@ -91,7 +91,7 @@
     }
     assert min(ages.values()) > 38 * SECOND
     run.fleet.world.clockwork.run(round(run.scene.until * SECOND))
-    figures = run.told()
+    figures = run.collect_figures()
     assert figures["wrong"] == []
     assert figures["back"]["back"]["count"] == len(ages)
     assert figures["back"]["back"]["all_ms"] < AIM
@@ -326,8 +326,8 @@
     made.looks_at(1_250_000, "runs", new)
     made.back_on(9_000_000, "comes back")
     made.looks_at(9_400_000, "comes back", new)
-    assert made.in_force.told() == {"p50_ms": 250, "p99_ms": 250, "all_ms": 250, "count": 1}
-    assert made.back["back"].told()["all_ms"] == 400
+    assert made.in_force.figures() == {"p50_ms": 250, "p99_ms": 250, "all_ms": 250, "count": 1}
+    assert made.back["back"].figures()["all_ms"] == 400
 
 
 def test_parts_of_spans() -> None:
