--- a/lichencleat/testkit/simulation/distribution_judge.py
+++ b/lichencleat/testkit/simulation/distribution_judge.py
@@ -89,7 +89,7 @@
             (kind, name): ([version], [value]) for kind, name, value in items
         }
         self.lives: dict[str, Life] = {}
-        # id of a table object -> the compared table, its version. The reference keeps the id from being reused.
+        # id of a table object -> the compared table, its version. The reference prevents reuse of the id.
         self.whole: dict[int, tuple[Any, int]] = {}
         self.wrong: list[str] = []  # texts of the first violations
         self.looks = self.wrongs = self.compared = 0  # checks, violations, records compared in whole tables
