--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -30,7 +30,7 @@
 from lichencleat.testkit.simulation.distribution_world import REGIONS, SECOND, ZONES, Costs, Meter, Site
 from lichencleat.testkit.simulation.many import run_many
 
-AIM = 5_000  # ms: a change must be in force at all reachable nodes this soon after it was published
+MAX_DELAY_MS = 5_000  # ms: a change must be in force at all reachable nodes this soon after it was published
 DAY_S = 86_400
 STARTS_PER_DAY = 6  # starts of one node in a day
 BYTE_BUDGET = 4_096  # bytes a second that one node may send and receive on average
@@ -87,7 +87,7 @@
     def play(self) -> dict[str, Any]:
         """Run the scene and return its figures; meters and time spans count from the end of the warm-up."""
         fleet = self.fleet
-        fleet.begins()
+        fleet.start_all()
         fleet.world.clockwork.run(WARM_UP_S * SECOND)
         for site in fleet.world.sites.values():
             site.meter = Meter()
@@ -125,7 +125,7 @@
             "seed": self.job.seed,
             "seconds": self.scene.until,
             **judged,
-            "in_time": slowest < AIM and not judged["not_in_force_at_the_end"],
+            "in_time": slowest < MAX_DELAY_MS and not judged["not_in_force_at_the_end"],
             "start_bytes": {kind: sum(each) // len(each) for kind, each in sorted(self.start_bytes.items())},
             "costs": {tier: costs_of(sites, span) for tier, sites in sorted(tiers.items())},
             "counters": {tier: counters_of(sites) for tier, sites in sorted(tiers.items())},
@@ -136,7 +136,7 @@
         }
 
     def slowest(self) -> list[tuple[int, int, int]]:
-        """Return (version, ms when it was published, ms until the last node had it) of the slowest three."""
+        """Return (version, ms when submitted, ms until in force at the last node) of the slowest three."""
         judge = self.fleet.judge
         longest = sorted(judge.by_version.items(), key=lambda each: (-each[1], each[0]))[:3]
         return [(version, judge.published[version] // 1_000, span // 1_000) for version, span in longest]
--- a/lichencleat/testkit/simulation/distribution_events.py
+++ b/lichencleat/testkit/simulation/distribution_events.py
@@ -75,17 +75,17 @@
         `silent`: the machine loses power; otherwise only the process ends.
         """
 
-        def goes(site: Site) -> None:
+        def end_one(site: Site) -> None:
             if site.up:
-                kept = self.fleet.ends(site, silent)
-                self.at(back[site.name], comes, site, kept)
+                kept = self.fleet.end_site(site, silent)
+                self.at(back[site.name], restart_one, site, kept)
 
-        def comes(site: Site, kept: int) -> None:
-            self.fleet.starts(site, kept if disk else 0, "disk" if disk and kept else "cold")
+        def restart_one(site: Site, kept: int) -> None:
+            self.fleet.start_site(site, kept if disk else 0, "disk" if disk and kept else "cold")
 
         back = {site.name: end - begin + self.rng.uniform(0, spread) for site in sites}
         for site in sites:
-            self.at(begin, goes, site)
+            self.at(begin, end_one, site)
 
     def slow(self, site: Site, begin: float, end: float) -> None:
         """Multiply the processor time of this process's work by `SLOW_FACTOR`."""
@@ -95,39 +95,39 @@
     def stop(self, sites: Sequence[Site], begin: float, end: float) -> None:
         """Pause these processes at `begin`, as SIGSTOP does, and resume them at `end`."""
         for site in sites:
-            self.at(begin, self.stops, site)
-            self.at(end, self.wakes, site)
+            self.at(begin, self.pause_site, site)
+            self.at(end, self.resume_site, site)
 
-    def stops(self, site: Site) -> None:
+    def pause_site(self, site: Site) -> None:
         """Pause one process; the checker counts a paused node as unreachable."""
-        self.fleet.world.stops(site)
+        self.fleet.world.pause(site)
         if site.tier == "node":
-            self.fleet.judge.cut_off(site.name)
+            self.fleet.judge.on_unreachable(site.name)
 
-    def wakes(self, site: Site) -> None:
+    def resume_site(self, site: Site) -> None:
         """Resume one process; a node counts as reachable again unless its region is cut off."""
         if site.tier == "node" and site.region not in self.fleet.world.cut:
-            self.fleet.judge.back_on(self.fleet.world.clockwork.now, site.name)
-        self.fleet.world.wakes(site)
+            self.fleet.judge.on_reachable(self.fleet.world.clockwork.now, site.name)
+        self.fleet.world.resume(site)
 
     def cut(self, region: int, begin: float, end: float) -> None:
         """Block all traffic between this region and the others."""
         world, judge = self.fleet.world, self.fleet.judge
         nodes = [site for site in self.fleet.nodes if site.region == region]
 
-        def cuts() -> None:
+        def begin_cut() -> None:
             world.cut.add(region)
             for site in nodes:
-                judge.cut_off(site.name)
+                judge.on_unreachable(site.name)
 
-        def heals() -> None:
+        def end_cut() -> None:
             world.cut.discard(region)
             for site in nodes:
                 if not site.paused:
-                    judge.back_on(world.clockwork.now, site.name)
+                    judge.on_reachable(world.clockwork.now, site.name)
 
-        self.at(begin, cuts)
-        self.at(end, heals)
+        self.at(begin, begin_cut)
+        self.at(end, end_cut)
 
     def sever(self, site: Site, begin: float, end: float) -> None:
         """Block traffic between this relay and all relays above it; its subscribers still reach it."""
@@ -142,26 +142,26 @@
         fleet = self.fleet
 
         def put_back() -> None:
-            fleet.ends(site, silent=False)
+            fleet.end_site(site, silent=False)
             tiers, fleet.tiers[site.name] = fleet.tiers[site.name], ()
-            fleet.starts(site, 1, "disk")
+            fleet.start_site(site, 1, "disk")
             fleet.tiers[site.name] = tiers
 
-        def found() -> None:
-            fleet.ends(site, silent=False)
-            fleet.starts(site, 1, "disk")
+        def restart_with_links() -> None:
+            fleet.end_site(site, silent=False)
+            fleet.start_site(site, 1, "disk")
 
         self.at(begin, put_back)
-        self.at(end, found)
+        self.at(end, restart_with_links)
 
     def leader(self, call: Callable[[Site], None], begin: float) -> None:
         """Call `call` at `begin` with the voter that leads at that time, if any."""
 
-        def does() -> None:
+        def call_leader() -> None:
             if self.fleet.source.leader is not None:
                 call(self.fleet.source.leader)
 
-        self.at(begin, does)
+        self.at(begin, call_leader)
 
     # -- choice of targets -----------------------------------------------------------------------------
 
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -83,10 +83,10 @@
         self.content: Any = None  # the last answer, so that an answer to many subscribers is encoded once
         self.size = 0  # bytes of the encoded last answer
 
-    def starts(self, copy: Any, tiers: Sequence[Sequence[str]]) -> None:
+    def start(self, copy: Any, tiers: Sequence[Sequence[str]]) -> None:
         """Start the process with a copy of the configuration; `tiers`: the relays above, none at a voter."""
         site, now = self.site, self.world.clockwork.now
-        self.world.starts(site)
+        self.world.start(site)
         self.clear()
         self.silent = False
         self.copy = copy
@@ -146,7 +146,7 @@
                 self.send_answer(link, decision.number, False, decision.why)
             else:
                 self.joined.discard(link.number)
-                self.world.closes(link, by_caller=False)
+                self.world.close_link(link, by_caller=False)
         due = feeder.deadline()
         if due is not None and (self.feeder_due is None or due < self.feeder_due):
             self.feeder_due = max(due, now + 1)
@@ -170,7 +170,7 @@
                     self.packed[page] = packed
                     cost += costs.pack
         self.world.charge(site, cost)
-        self.world.sends(
+        self.world.send(
             link, True, size_of(self.size), site.busy, link.caller.host.receive_answer, number, done, content
         )
 
@@ -212,7 +212,7 @@
             self.begin_step()
         elif act is Action.OPEN:
             self.close_link(decision.relay)
-            link = self.world.opens(site, self.fleet.world.sites[decision.relay])
+            link = self.world.open_link(site, self.fleet.world.sites[decision.relay])
             self.world.after(site, CONNECT_TIMEOUT_US, self.on_connect_timeout, link)
         elif act is Action.CLOSE:
             self.close_link(decision.relay)
@@ -225,12 +225,12 @@
         """Close the link to a relay, if there is one."""
         link = self.site.calls.get(relay)
         if link is not None:
-            self.world.closes(link, by_caller=True)
+            self.world.close_link(link, by_caller=True)
 
     def on_connect_timeout(self, link: Link) -> None:
         """Close a link that was not opened within the connect timeout."""
         if link.caller_on and not link.opened:
-            self.world.closes(link, by_caller=True)
+            self.world.close_link(link, by_caller=True)
             self.link_lost(link)
 
     def send_request(self, link: Link, what: str, content: Any) -> None:
@@ -238,12 +238,12 @@
         link.last_request += 1
         link.what = what
         if self.site.tier == "node" and what == FOLLOW and isinstance(content, FollowRequest):
-            self.fleet.judge.acknowledges(
+            self.fleet.judge.on_acknowledged(
                 self.world.clockwork.now, self.site.name, self.copy, content.version
             )
         # A separate TCP acknowledgement of the request takes 66 bytes.
         size = size_of(len(encode(content)) + len(what) + SMALL_QUESTION) + 66
-        self.world.sends(
+        self.world.send(
             link, False, size, 0, link.called.host.receive_request, link.last_request, what, content
         )
 
@@ -264,7 +264,7 @@
         """Process an answer that has arrived: at once at a node, in the job queue at a relay."""
         costs = self.fleet.costs
         if self.feeder is None:
-            self.site.meter.works(self.world.clockwork.now, costs.node_message)
+            self.site.meter.add_work(self.world.clockwork.now, costs.node_message)
             self.process_answer(link, number, done, content)
         else:
             self.world.work(self.site, costs.question // 2, self.process_answer, link, number, done, content)
@@ -299,7 +299,7 @@
         costs = self.fleet.costs
         if self.feeder is None:
             span = count * costs.node_slice
-            self.site.meter.works(self.world.clockwork.now, span)
+            self.site.meter.add_work(self.world.clockwork.now, span)
             self.world.after(self.site, span, self.step_and_pump)
         else:
             self.world.work(self.site, count * costs.slice, self.step_and_pump)
@@ -323,7 +323,9 @@
     def check_copy(self) -> None:
         """Let the checker verify the copy, if this process is a node."""
         if self.feeder is None:
-            self.fleet.judge.looks_at(self.world.clockwork.now, self.site.name, self.copy, self.copy.batches)
+            self.fleet.judge.check_node(
+                self.world.clockwork.now, self.site.name, self.copy, self.copy.batches
+            )
 
     def on_applied_batches(self, now: int, batches: tuple[Batch, ...]) -> None:
         """Pass batches that came into force here to the feeder."""
@@ -410,37 +412,37 @@
 
     # -- starts and ends -------------------------------------------------------------------------------
 
-    def begins(self) -> None:
+    def start_all(self) -> None:
         """Start all processes with version 1 from their disks: relays within 1 s, nodes from 1 s to 5 s."""
         for voter in self.source.voters:
-            voter.host.starts(self.copy(self.shared, 1, MARK), ())
-        self.source.begins()
+            voter.host.start(self.copy(self.shared, 1, MARK), ())
+        self.source.start()
         for site in self.relays:
-            self.world.clockwork.after(self.rng.randrange(SECOND), self.starts, site, 1, "running")
+            self.world.clockwork.after(self.rng.randrange(SECOND), self.start_site, site, 1, "running")
         for site in self.nodes:
             self.world.clockwork.after(
-                self.rng.randrange(SECOND, 5 * SECOND), self.starts, site, 1, "running"
+                self.rng.randrange(SECOND, 5 * SECOND), self.start_site, site, 1, "running"
             )
 
-    def starts(self, site: Site, version: int, kind: str) -> None:
+    def start_site(self, site: Site, version: int, kind: str) -> None:
         """Start a process with the version that its disk has; version 0 means that the disk is empty."""
         if site.up:
             return
         copy = self.copy(self.shared, version, MARK if version else b"")
         if site.tier == "node":
-            self.judge.starts(self.world.clockwork.now, site.name, copy, kind)
-        site.host.starts(copy, self.tiers.get(site.name, ()))
+            self.judge.on_node_started(self.world.clockwork.now, site.name, copy, kind)
+        site.host.start(copy, self.tiers.get(site.name, ()))
         if site.region in self.world.cut:
-            self.judge.cut_off(site.name)
+            self.judge.on_unreachable(site.name)
 
-    def ends(self, site: Site, silent: bool = True) -> int:
+    def end_site(self, site: Site, silent: bool = True) -> int:
         """End a process and return the version that it had."""
         if not site.up:
             return site.host.copy.version if site.host.copy is not None else 0
-        self.world.ends(site, silent)
+        self.world.end(site, silent)
         site.host.silent = silent
         if site.tier == "node":
-            self.judge.ends(site.name)
+            self.judge.on_node_ended(site.name)
         if site is self.source.leader:
             self.source.end_term()
         return site.host.copy.version
--- a/lichencleat/testkit/simulation/distribution_judge.py
+++ b/lichencleat/testkit/simulation/distribution_judge.py
@@ -94,7 +94,7 @@
         self.wrong: list[str] = []  # texts of the first violations
         self.looks = self.wrongs = self.compared = 0  # checks, violations, records compared in whole tables
         self.since = 0  # µs: spans of changes submitted earlier are not counted
-        # Spans from submission until in force, at nodes that already have a version in force
+        # Spans from submission until in force, at nodes that already have a version in force.
         self.in_force = Spans()
         self.starting = Spans()  # the same spans at nodes that have no version yet and answer no callers
         self.by_version: dict[int, int] = {}  # version -> longest span in `in_force`, in µs
@@ -110,7 +110,7 @@
 
     # -- published versions ------------------------------------------------------------------------------
 
-    def publishes(self, batch: Batch, handed: int) -> None:
+    def on_published(self, batch: Batch, handed: int) -> None:
         """Record a committed batch; `handed`: µs when its changes were submitted."""
         self.versions.append(batch.version)
         self.published[batch.version] = handed
@@ -129,7 +129,7 @@
 
     # -- a node's life ---------------------------------------------------------------------------------
 
-    def starts(self, now: int, name: str, held: Held, kind: str) -> None:
+    def on_node_started(self, now: int, name: str, held: Held, kind: str) -> None:
         """Record the start of a node's process and check the table that the node starts with."""
         self.lives[name] = Life(held.version, now, kind, self.versions[-1])
         self.on_started(name)
@@ -137,16 +137,16 @@
             self.compare(now, name, held)
         self.check_caught_up(now, name, held.version)
 
-    def ends(self, name: str) -> None:
+    def on_node_ended(self, name: str) -> None:
         """Record the end of a node's process."""
         self.lives.pop(name, None)
 
-    def cut_off(self, name: str) -> None:
+    def on_unreachable(self, name: str) -> None:
         """Record that a node is unreachable: it has no deadline for changes meanwhile."""
         if name in self.lives:
             self.lives[name].reached = False
 
-    def back_on(self, now: int, name: str) -> None:
+    def on_reachable(self, now: int, name: str) -> None:
         """Record that a node is reachable again, and start to measure how long it takes to catch up."""
         life = self.lives.get(name)
         if life is not None and not life.reached:
@@ -154,7 +154,7 @@
             life.kind = "back" if life.kind == "running" else life.kind
             self.check_caught_up(now, name, life.version)
 
-    def looks_at(self, now: int, name: str, held: Held, batches: tuple[Batch, ...] = ()) -> None:
+    def check_node(self, now: int, name: str, held: Held, batches: tuple[Batch, ...] = ()) -> None:
         """Check a node after a step: its records must match its version; `batches` are those it stages."""
         life = self.lives[name]
         self.looks += 1
@@ -171,11 +171,11 @@
             for change in batch.changes[:1] + batch.changes[-1:]:
                 self.check_record(now, name, held, change.kind, change.name)
 
-    def acknowledges(self, now: int, name: str, held: Held, version: int) -> None:
+    def on_acknowledged(self, now: int, name: str, held: Held, version: int) -> None:
         """Check a node that reports to its relay that `version` is in force."""
         if version != held.version:
             self.report(now, f"{name} acknowledges {version} and holds {held.version}")
-        self.looks_at(now, name, held)
+        self.check_node(now, name, held)
         batch = self.batches.get(version)
         for change in batch.changes[-1:] if batch is not None else ():
             self.check_record(now, name, held, change.kind, change.name)
--- a/lichencleat/testkit/simulation/distribution_source.py
+++ b/lichencleat/testkit/simulation/distribution_source.py
@@ -37,7 +37,7 @@
         # µs: when an election last found no majority. Delays of changes count from this time at the earliest.
         self.none_at = 0
 
-    def begins(self) -> None:
+    def start(self) -> None:
         """Make the first voter the leader and start the heartbeats."""
         self.leader = self.voters[0]
         self.place[self.fleet.shared.table.version] = 0
@@ -74,7 +74,7 @@
         batch = shared.apply(shared.table.version + self.world.rng.randint(1, 3), changes)
         self.committed.append(batch)
         self.place[batch.version] = len(self.committed)
-        self.fleet.judge.publishes(batch, handed)
+        self.fleet.judge.on_published(batch, handed)
         self.send_heartbeats()
 
     def run_heartbeat(self) -> None:
@@ -124,7 +124,7 @@
         self.world.clockwork.after(self.world.rng.randint(*ELECTION_US), self.elect_leader, self.term)
 
     def elect_leader(self, term: int) -> None:
-        """Elect a leader and repeat the open proposals; without a majority, try again later."""
+        """Elect a leader and propose the uncommitted submissions; without a majority, try again later."""
         if term != self.term or self.leader is not None:
             return
         connected = self.connected_voters()
--- a/lichencleat/testkit/simulation/distribution_world.py
+++ b/lichencleat/testkit/simulation/distribution_world.py
@@ -69,7 +69,7 @@
         self.bytes = self.second = self.in_second = self.peak = 0
         self.work = self.work_second = self.work_peak = self.queue = self.waited = 0
 
-    def sends(self, now: int, size: int) -> None:
+    def add_bytes(self, now: int, size: int) -> None:
         """Count bytes that were sent or received."""
         self.bytes += size
         second = now // SECOND
@@ -79,7 +79,7 @@
         if self.in_second > self.peak:
             self.peak = self.in_second
 
-    def works(self, now: int, span: int) -> None:
+    def add_work(self, now: int, span: int) -> None:
         """Count `span` µs of processor time."""
         self.work += span
         second = now // SECOND
@@ -123,8 +123,9 @@
         self.caller_on, self.called_on = True, False
         self.opened = self.dead = False
         self.last = [0, 0]  # µs: arrival of the latest frame at the called side, at the caller
-        self.window, self.used = FIRST_WINDOW, 0
-        self.last_request, self.what = 0, ""  # number of the last request, method of the open request
+        self.window, self.used = FIRST_WINDOW, 0  # send window in bytes, µs when a large frame was last sent
+        # Number of the last request, method of the request that awaits an answer.
+        self.last_request, self.what = 0, ""
 
 
 def size_of(payload: int) -> int:
@@ -169,14 +170,14 @@
 
     # -- processes -------------------------------------------------------------------------------------
 
-    def starts(self, site: Site) -> None:
+    def start(self, site: Site) -> None:
         """Start a process."""
         site.life += 1
         site.up, site.paused, site.slow = True, False, 1
         site.busy = site.out = self.clockwork.now
         site.waiting = False
 
-    def ends(self, site: Site, silent: bool) -> None:
+    def end(self, site: Site, silent: bool) -> None:
         """End a process.
 
         `silent`: the machine loses power and its peers are not notified; otherwise the kernel closes the
@@ -191,13 +192,13 @@
             if silent or self.blocked(site, link.called):
                 link.dead = True
             elif link.called_on:
-                self.later(link, False, self.closed_below)
+                self.send_control(link, False, self.closed_below)
         for link in list(site.links.values()):
             link.called_on = False
             if silent or self.blocked(site, link.caller):
                 link.dead = True
             elif link.caller_on:
-                self.later(link, True, self.closed_above)
+                self.send_control(link, True, self.closed_above)
         for link in list(site.calls.values()):
             if link.dead and link.called_on:
                 self.clockwork.after(self.rng.randint(*NOTICE), self.retransmit, link, site.life)
@@ -213,11 +214,11 @@
         else:
             self.clockwork.after(self.rng.randint(*NOTICE), self.retransmit, link, life)
 
-    def stops(self, site: Site) -> None:
+    def pause(self, site: Site) -> None:
         """Pause a process."""
         site.paused = True
 
-    def wakes(self, site: Site) -> None:
+    def resume(self, site: Site) -> None:
         """Resume a paused process and run all calls that were deferred meanwhile."""
         if not site.paused:
             return
@@ -273,13 +274,13 @@
         now = self.clockwork.now
         cost *= site.slow
         site.busy = max(site.busy, now) + cost
-        site.meter.works(now, cost)
+        site.meter.add_work(now, cost)
         if site.busy - now > site.meter.waited:
             site.meter.waited = site.busy - now
 
     # -- connections -----------------------------------------------------------------------------------
 
-    def opens(self, caller: Site, called: Site) -> Link:
+    def open_link(self, caller: Site, called: Site) -> Link:
         """Open a connection, which takes two round trips.
 
         A machine without power doesn't answer; a machine whose process has ended refuses the connection.
@@ -288,7 +289,7 @@
         link = Link(self.number, caller, called, self.trip(caller, called))
         caller.calls[called.name] = link
         meter = caller.meter
-        meter.sends(self.clockwork.now, HANDSHAKE)
+        meter.add_bytes(self.clockwork.now, HANDSHAKE)
         there = sum(self.rng.randint(*link.trip) for _ in range(3))
         life = called.life
         self.clockwork.after(there, self.run_if_alive, called, life, self.queue_greeting, (link,))
@@ -309,9 +310,9 @@
         if called.up and link.caller_on:
             link.called_on = True
             called.links[link.number] = link
-            called.meter.sends(self.clockwork.now, GREETING + GREETED + 4 * HEADERS)
-            link.caller.meter.sends(self.clockwork.now, GREETING + GREETED + 4 * HEADERS)
-            self.later(link, True, self.open_at_caller)
+            called.meter.add_bytes(self.clockwork.now, GREETING + GREETED + 4 * HEADERS)
+            link.caller.meter.add_bytes(self.clockwork.now, GREETING + GREETED + 4 * HEADERS)
+            self.send_control(link, True, self.open_at_caller)
 
     def open_at_caller(self, link: Link) -> None:
         """Report the accepted connection to the caller."""
@@ -319,10 +320,10 @@
             link.opened = True
             link.caller.host.link_opened(link)
 
-    def closes(self, link: Link, by_caller: bool) -> None:
+    def close_link(self, link: Link, by_caller: bool) -> None:
         """Close a connection at one side; the other side is notified after the one-way delay."""
         site = link.caller if by_caller else link.called
-        site.meter.sends(self.clockwork.now, HANDSHAKE)
+        site.meter.add_bytes(self.clockwork.now, HANDSHAKE)
         if by_caller:
             link.caller_on = False
             if site.calls.get(link.called.name) is link:
@@ -332,14 +333,14 @@
                     link.dead = True
                     self.clockwork.after(self.rng.randint(*NOTICE), self.retransmit, link, site.life)
                 else:
-                    self.later(link, False, self.closed_below)
+                    self.send_control(link, False, self.closed_below)
         else:
             link.called_on = False
             site.links.pop(link.number, None)
             if link.caller_on and not link.dead:
-                self.later(link, True, self.closed_above)
+                self.send_control(link, True, self.closed_above)
 
-    def later(self, link: Link, to_caller: bool, call: Callable[..., None]) -> None:
+    def send_control(self, link: Link, to_caller: bool, call: Callable[..., None]) -> None:
         """Schedule the arrival of a control message of negligible size, in order with the frames."""
         now = self.clockwork.now
         at = max(now + self.rng.randint(*link.trip), link.last[to_caller] + 1)
@@ -362,7 +363,7 @@
             link.called.links.pop(link.number, None)
             link.called.host.caller_left(link)
 
-    def sends(
+    def send(
         self, link: Link, to_caller: bool, size: int, ready: int, call: Callable[..., None], *args: Any
     ) -> None:
         """Send a frame of `size` bytes including headers, not before `ready` µs."""
@@ -371,8 +372,8 @@
         else:
             sender, to = link.caller, link.called
         now = self.clockwork.now
-        sender.meter.sends(now, size)
-        to.meter.sends(now, size)
+        sender.meter.add_bytes(now, size)
+        to.meter.add_bytes(now, size)
         if link.dead or ((self.cut or self.severed) and self.blocked(sender, to)):
             link.dead = True
             return
@@ -387,7 +388,7 @@
         at = max(at, link.last[to_caller] + 1)
         link.last[to_caller] = at
         self.events += 1
-        self.clockwork.after(at - now, self.arrives, link, to_caller, to, to.life, call, args)
+        self.clockwork.after(at - now, self.deliver, link, to_caller, to, to.life, call, args)
 
     def rounds(self, link: Link, now: int, size: int) -> int:
         """Return the number of round trips that a large frame waits for acknowledgements."""
@@ -400,7 +401,7 @@
             left -= link.window
         return count
 
-    def arrives(
+    def deliver(
         self,
         link: Link,
         to_caller: bool,
@@ -413,7 +414,7 @@
         if to.life != life or not (link.caller_on if to_caller else link.called_on):
             return
         if to.paused:
-            to.held.append((self.arrives, (link, to_caller, to, life, call, args)))
+            to.held.append((self.deliver, (link, to_caller, to, life, call, args)))
         elif (self.cut or self.severed) and self.blocked(link.caller, link.called):
             link.dead = True
         else:
--- a/tests/config_distribution/test_distribution_sim.py
+++ b/tests/config_distribution/test_distribution_sim.py
@@ -25,7 +25,7 @@
     FollowOutcome,
     FollowRequest,
 )
-from lichencleat.testkit.simulation.distribution import AIM, Job, Run
+from lichencleat.testkit.simulation.distribution import MAX_DELAY_MS, Job, Run
 from lichencleat.testkit.simulation.distribution_events import EVENTS
 from lichencleat.testkit.simulation.distribution_fleet import Size
 from lichencleat.testkit.simulation.distribution_judge import Judge, Spans
@@ -51,7 +51,7 @@
     figures = play(event, seed)
     assert figures["wrong"] == []
     assert figures["in_force"]["count"] > 100
-    assert figures["in_force"]["all_ms"] < AIM
+    assert figures["in_force"]["all_ms"] < MAX_DELAY_MS
     assert figures["not_in_force_at_the_end"] == 0
     assert figures["age_ms"]["unknown"] == 0
 
@@ -83,7 +83,7 @@
 
 def test_a_region_that_is_cut_off_reports_its_age_and_catches_up() -> None:
     run = Run(Job("region cut", 3, LEAST))
-    run.fleet.begins()
+    run.fleet.start_all()
     run.fleet.world.clockwork.run(60 * SECOND)
     (region,) = run.fleet.world.cut
     ages = {
@@ -94,8 +94,8 @@
     figures = run.collect_figures()
     assert figures["wrong"] == []
     assert figures["back"]["back"]["count"] == len(ages)
-    assert figures["back"]["back"]["all_ms"] < AIM
-    assert figures["age_ms"]["all"] < AIM
+    assert figures["back"]["back"]["all_ms"] < MAX_DELAY_MS
+    assert figures["age_ms"]["all"] < MAX_DELAY_MS
 
 
 def test_a_seed_gives_the_same_bytes_with_any_hash_seed() -> None:
@@ -294,7 +294,7 @@
 
 def judge() -> Judge:
     made = Judge(1, b"1" * 16, [("route", "a", b"old")])
-    made.publishes(Batch(2, 1, b"2" * 16, (Change("route", "a", b"new"),)), 1_000_000)
+    made.on_published(Batch(2, 1, b"2" * 16, (Change("route", "a", b"new"),)), 1_000_000)
     return made
 
 
@@ -311,8 +311,8 @@
 )
 def test_the_new_state_of_a_node_is_compared(held: Held, told: str | None) -> None:
     made = judge()
-    made.starts(0, "n", Held(1, b"1" * 16, {"a": b"old"}), "running")
-    made.looks_at(1_250_000, "n", held)
+    made.on_node_started(0, "n", Held(1, b"1" * 16, {"a": b"old"}), "running")
+    made.check_node(1_250_000, "n", held)
     assert (made.wrong == []) if told is None else (told in made.wrong[0])
     assert made.missing() == ([] if held.version >= 2 else ["n"])
 
@@ -321,11 +321,11 @@
     made = judge()
     old, new = Held(1, b"1" * 16, {"a": b"old"}), Held(2, b"2" * 16, {"a": b"new"})
     for name in ("runs", "comes back"):
-        made.starts(0, name, old, "running")
-    made.cut_off("comes back")
-    made.looks_at(1_250_000, "runs", new)
-    made.back_on(9_000_000, "comes back")
-    made.looks_at(9_400_000, "comes back", new)
+        made.on_node_started(0, name, old, "running")
+    made.on_unreachable("comes back")
+    made.check_node(1_250_000, "runs", new)
+    made.on_reachable(9_000_000, "comes back")
+    made.check_node(9_400_000, "comes back", new)
     assert made.in_force.figures() == {"p50_ms": 250, "p99_ms": 250, "all_ms": 250, "count": 1}
     assert made.back["back"].figures()["all_ms"] == 400
 
@@ -364,8 +364,8 @@
     caller, called = world.add("n", 0, "z", "node"), world.add("a", 1, "y", "zone relay")
     for site in (caller, called):
         site.host = Ends()
-        world.starts(site)
-    link = world.opens(caller, called)
+        world.start(site)
+    link = world.open_link(caller, called)
     world.clockwork.run(2 * SECOND)
     assert caller.host.got == ["opened"]
     return world, caller, called, link
@@ -374,12 +374,12 @@
 def test_frames_stay_in_order_and_large_ones_take_several_trips() -> None:
     world, caller, called, link = pair()
     for number in range(50):
-        world.sends(link, False, 200, 0, called.host.frame, number)
+        world.send(link, False, 200, 0, called.host.frame, number)
     world.clockwork.run(3 * SECOND)
     assert called.host.got == list(range(50))
     small = world.trips[0, 1][0]
     begin = world.clockwork.now
-    world.sends(link, True, 20 * FIRST_WINDOW, 0, lambda link: caller.host.got.append(world.clockwork.now))
+    world.send(link, True, 20 * FIRST_WINDOW, 0, lambda link: caller.host.got.append(world.clockwork.now))
     world.clockwork.run(9 * SECOND)
     assert caller.host.got[-1] - begin > 5 * small
 
@@ -387,17 +387,17 @@
 def test_a_cut_connection_is_silent_and_an_ended_one_is_reported() -> None:
     world, caller, called, link = pair()
     world.cut.add(1)
-    world.sends(link, False, 200, 0, called.host.frame, "lost")
+    world.send(link, False, 200, 0, called.host.frame, "lost")
     world.clockwork.run(3 * SECOND)
     world.cut.clear()
-    world.sends(link, False, 200, 0, called.host.frame, "lost too: the connection is dead")
+    world.send(link, False, 200, 0, called.host.frame, "lost too: the connection is dead")
     world.clockwork.run(4 * SECOND)
     assert called.host.got == []
-    world.closes(link, by_caller=True)
+    world.close_link(link, by_caller=True)
     world.clockwork.run(60 * SECOND)
     assert called.host.got == ["left"]
     world, caller, called, link = pair()
-    world.ends(called, silent=False)
+    world.end(called, silent=False)
     world.clockwork.run(3 * SECOND)
     assert caller.host.got == ["opened", "lost"]
 
@@ -411,11 +411,11 @@
     world.clockwork.run(begin + SECOND)
     assert done == [0, 1_000, 2_000]
     assert called.meter.queue == 2
-    world.stops(called)
-    world.sends(link, False, 200, 0, called.host.frame, "held")
+    world.pause(called)
+    world.send(link, False, 200, 0, called.host.frame, "held")
     world.clockwork.run(begin + 3 * SECOND)
     assert called.host.got == []
-    world.wakes(called)
+    world.resume(called)
     assert called.host.got == ["held"]
 
 
