--- a/lichencleat/testkit/checkers/distribution.py
+++ b/lichencleat/testkit/checkers/distribution.py
@@ -16,8 +16,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Said:
-    """A report of one process: the version in force and the checked records; None for a missing record."""
+class StateReport:
+    """Report of one process: the version in force and the checked records; None for a missing record."""
 
     at: int
     who: str
@@ -44,8 +44,8 @@
     """Checks all reports, those of each process in order, and keeps the first violation."""
 
     def __init__(self) -> None:
-        self.last: dict[str, Said] = {}  # process -> its latest report
-        self.by_version: dict[int, Said] = {}  # version -> the first report of that version
+        self.last: dict[str, StateReport] = {}  # process -> its latest report
+        self.by_version: dict[int, StateReport] = {}  # version -> the first report of that version
         self.had: dict[tuple[str, int, str], int] = {}  # process, version, digest -> µs of the first report
         self.published: dict[int, dict[str, Any]] = {}  # version -> the records that its batch set
         self.heard = self.acknowledged = 0  # reports, acknowledgements checked
@@ -61,7 +61,7 @@
         if version in self.by_version:
             self.content(self.by_version[version])
 
-    def in_force(self, said: Said) -> None:
+    def in_force(self, said: StateReport) -> None:
         """Check one report against all earlier reports and published batches."""
         self.heard += 1
         before = self.last.get(said.who)
@@ -82,7 +82,7 @@
         self.tenants(said)
         self.content(said)
 
-    def whole(self, said: Said) -> None:
+    def whole(self, said: StateReport) -> None:
         """Check that both records of each pair have the same value."""
         begin = f"{PAIR}/{LEFT}"
         for name, value in said.answers.items():
@@ -90,14 +90,14 @@
             if name.startswith(begin) and other in said.answers and said.answers[other] != value:
                 self.report(f"half a batch: {said}: {name} is {value}, {other} is {said.answers[other]}")
 
-    def tenants(self, said: Said) -> None:
+    def tenants(self, said: StateReport) -> None:
         """Check that each tenant's record belongs to that tenant."""
         for name, value in said.answers.items():
             kind, _, tenant = name.partition("/")
             if kind == TENANT and value is not None and value.get("tenant") != tenant:
                 self.report(f"another tenant's: {said}: asked for {tenant}, answered {value}")
 
-    def content(self, said: Said) -> None:
+    def content(self, said: StateReport) -> None:
         """Check the records against the batch published as the reported version."""
         for name, value in self.published.get(said.version, {}).items():
             if name in said.answers and said.answers[name] != value:
--- a/lichencleat/testkit/cluster/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -27,7 +27,7 @@
     TENANT,
     Acknowledged,
     DistributionWatch,
-    Said,
+    StateReport,
 )
 from lichencleat.testkit.cluster.distribution_parts import RelayProcess, Watcher
 from lichencleat.testkit.cluster.relay import CLIENT, LOCAL
@@ -105,7 +105,7 @@
         self.looks_at = looked_at()
         super().__init__(path, disk=disk, relays=TappedRelays(self.rng))
         self.watch = DistributionWatch()
-        self.history: list[Said] = []
+        self.history: list[StateReport] = []
         self.acknowledged: list[Acknowledged] = []
         self.judged_to = (0, 0)  # of these two
         self.number = 0  # of the last batch that was made
@@ -206,7 +206,7 @@
         told = self.relays.told()
         for name, watcher in (*self.watchers.items(), *self.wrong_ones.items()):
             self.history += [
-                Said(line["at"], name, line["life"], line["version"], line["digest"], line["answers"])
+                StateReport(line["at"], name, line["life"], line["version"], line["digest"], line["answers"])
                 for line in watcher.hear()
             ]
         self.acknowledged += told
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -35,7 +35,7 @@
     SnapshotHead,
 )
 from lichencleat.config_distribution.window import Window
-from lichencleat.testkit.checkers.distribution import Acknowledged, DistributionWatch, Said
+from lichencleat.testkit.checkers.distribution import Acknowledged, DistributionWatch, StateReport
 from lichencleat.testkit.tiny_table import MARK, NAMES, Tiny, changes, digest_of, published
 
 SOURCE, NODE = "s", "n"
@@ -440,7 +440,9 @@
         for process in self.processes.values():
             table = process.table
             answers = dict(zip((f"pair/{each}" for each in NAMES), table.content, strict=True))
-            said = Said(self.now, process.name, process.life, table.version, table.digest.hex(), answers)
+            said = StateReport(
+                self.now, process.name, process.life, table.version, table.digest.hex(), answers
+            )
             self.watch.in_force(said)
             self.wrong = self.wrong or self.watch.wrong
             if table.content != published(table.version):
--- a/tests/config_distribution/test_distribution_checkers.py
+++ b/tests/config_distribution/test_distribution_checkers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from lichencleat.testkit.checkers.distribution import Acknowledged, DistributionWatch, Said
+from lichencleat.testkit.checkers.distribution import Acknowledged, DistributionWatch, StateReport
 
 
 def answers(number, tenant="t1"):
@@ -10,7 +10,7 @@
 
 
 def said(at, who, version, digest="", life=1, **more):
-    return Said(at, who, life, version, digest or f"d{version}", answers(version) | more)
+    return StateReport(at, who, life, version, digest or f"d{version}", answers(version) | more)
 
 
 RIGHT = [
@@ -18,7 +18,7 @@
     said(11, "n2", 3),
     said(20, "n1", 5),
     said(25, "n1", 5),
-    Said(30, "n1", 2, 0, "d0", {"pair/a0": None, "pair/b0": None, "tenant/t1": None}),  # a new life
+    StateReport(30, "n1", 2, 0, "d0", {"pair/a0": None, "pair/b0": None, "tenant/t1": None}),  # a new life
     said(31, "n1", 3, life=2),
     said(40, "n2", 5),
 ]
