--- a/lichencleat/testkit/checkers/distribution.py
+++ b/lichencleat/testkit/checkers/distribution.py
@@ -19,9 +19,9 @@
 class StateReport:
     """Report of one process: the version in force and the checked records; None for a missing record."""
 
-    at: int
-    who: str
-    life: int
+    at: int  # µs: when the process answered
+    who: str  # name of the process
+    life: int  # number of the run of the process; versions must not fall within one run
     version: int
     digest: str
     answers: Mapping[str, Any] = field(default_factory=dict)  # "kind/name" -> value
@@ -34,8 +34,8 @@
 class Acknowledged:
     """A process acknowledged a version to its relay; `at`: when the acknowledgement was seen on the link."""
 
-    at: int
-    who: str
+    at: int  # µs
+    who: str  # name of the process
     version: int
     digest: str
 
--- a/lichencleat/testkit/simulation/distribution_fleet.py
+++ b/lichencleat/testkit/simulation/distribution_fleet.py
@@ -33,7 +33,7 @@
 )
 from lichencleat.transport.frames import ClientRequest, ClientResponse, encode
 
-MARK = b"the group's mark"  # mark of the voters' group that every greeting carries
+MARK = b"the group's mark"  # identifies the voters' group; learned when a link opens, kept on disk
 CONNECT_TIMEOUT_US = 1_500_000  # for a link to be opened and greeted; the same as in the production host
 COUNT_INTERVAL_US = 200_000  # between sums of the subscribers' node counts; as in the production relay
 RECENT_BATCHES = 1_000  # number of newest batches that a disk holds
--- a/lichencleat/testkit/simulation/distribution_judge.py
+++ b/lichencleat/testkit/simulation/distribution_judge.py
@@ -83,12 +83,12 @@
         """`version`, `digest`, `items`: the table that all processes start with."""
         self.versions = [version]  # all published versions, ascending
         self.published = {version: 0}  # version -> µs when its changes were submitted to a voter
-        self.digests = {0: bytes(16), version: digest}
-        self.batches: dict[int, Batch] = {}
+        self.digests = {0: bytes(16), version: digest}  # version -> digest of the table
+        self.batches: dict[int, Batch] = {}  # version -> batch that led to this version
         self.values: dict[tuple[str, str], tuple[list[int], list[bytes | None]]] = {
             (kind, name): ([version], [value]) for kind, name, value in items
         }
-        self.lives: dict[str, Life] = {}
+        self.lives: dict[str, Life] = {}  # node -> its current run
         # id of a table object -> the compared table, its version. The reference prevents reuse of the id.
         self.whole: dict[int, tuple[Any, int]] = {}
         self.wrong: list[str] = []  # texts of the first violations
