--- a/lichencleat/testkit/cluster/distribution.py
+++ b/lichencleat/testkit/cluster/distribution.py
@@ -28,7 +28,7 @@
     TENANT,
     Acknowledged,
     DistributionWatch,
-    Said,
+    StateReport,
 )
 from lichencleat.testkit.cluster.distribution_parts import RelayProcess, Watcher
 from lichencleat.testkit.cluster.relay import CLIENT, LOCAL
@@ -112,7 +112,7 @@
         self.observed_names = observed_records()
         super().__init__(path, disk=disk, relays=TappedRelays(self.rng))
         self.watch = DistributionWatch()
-        self.history: list[Said] = []
+        self.history: list[StateReport] = []
         self.acknowledged: list[Acknowledged] = []
         self.checked_counts = (0, 0)  # numbers of entries of `history` and `acknowledged` that were checked
         self.number = 0  # number of the last batch made
@@ -228,7 +228,7 @@
         acknowledged = self.relays.take_acknowledged()
         for name, watcher in (*self.watchers.items(), *self.faulty_watchers.items()):
             self.history += [
-                Said(line["at"], name, line["life"], line["version"], line["digest"], line["answers"])
+                StateReport(line["at"], name, line["life"], line["version"], line["digest"], line["answers"])
                 for line in watcher.read_lines()
             ]
         self.acknowledged += acknowledged
--- a/lichencleat/testkit/simulation/distribution.py
+++ b/lichencleat/testkit/simulation/distribution.py
@@ -1,10 +1,11 @@
-"""The configuration's distribution at full size, in simulated time: `python -m
+"""Simulates the distribution of the configuration to a full-size fleet: `python -m
 lichencleat.testkit.simulation.distribution`.
 
-Feeder, Follower, Table, Staging and View are the real ones; the network, cores, machines and the group of
-voters are models (`distribution_world.py`, `distribution_source.py`), tables are shared
-(`distribution_table.py`). Each scene is judged at every step (`distribution_judge.py`). Left out: the
-reactor, sockets and disks themselves, loss of single packets, clocks that drift, memory.
+Publisher, RelayFollower, Table, Staging and View are the production classes. The network, processor cores,
+machines and the group of voters are models (`distribution_world.py`, `distribution_source.py`), and the
+simulated processes share their tables (`distribution_table.py`). A checker verifies each node after every
+step of its copy (`distribution_judge.py`). Not simulated: the reactor, sockets and disks, the loss of single
+packets, clock drift, memory usage.
 """
 
 from __future__ import annotations
@@ -23,22 +24,24 @@
 from lichencleat.config_distribution.counts import MAX_AGE_US, merge_counts
 from lichencleat.config_distribution.feed import Publisher
 from lichencleat.config_distribution.follow import RelayFollower
-from lichencleat.testkit.simulation.distribution_events import EVENTS, WARM, Scene
+from lichencleat.testkit.simulation.distribution_events import EVENTS, WARM_UP_S, Scene
 from lichencleat.testkit.simulation.distribution_fleet import Fleet, Size
 from lichencleat.testkit.simulation.distribution_table import SharedCopy
 from lichencleat.testkit.simulation.distribution_world import REGIONS, SECOND, ZONES, Costs, Meter, Site
 from lichencleat.testkit.simulation.many import run_many
 
-AIM = 5_000  # ms from publishing until in force at all that are reached
-DAY = 86_400  # s
-STARTS = 6  # of a node in a day
-BUDGET = 4_096  # bytes a second of a node
-MOVED = 3_000_000  # µs that the tiers above may need to hear of a node that moved
-COUNTS = 8  # looks at the voters' counts, half a second apart, at the end
+MAX_DELAY_MS = 5_000  # ms: a change must be in force at all reachable nodes this soon after it was published
+DAY_S = 86_400
+STARTS_PER_DAY = 6  # starts of one node in a day
+BYTE_BUDGET = 4_096  # bytes a second that one node may send and receive on average
+COUNT_DELAY_US = 3_000_000  # the tiers above may count a node at its old relay for this long after it moved
+COUNT_CHECKS = 8  # checks of the voters' node counts before the end of a run, half a second apart
 
 
 @dataclass(frozen=True, slots=True)
 class Job:
+    """The parameters of one simulation run."""
+
     event: str
     seed: int
     size: Size
@@ -46,20 +49,22 @@
 
 
 @dataclass(slots=True)
-class Ran:
+class RunResult:
+    """The result of one simulation run."""
+
     job: Job
     figures: dict[str, Any] = field(default_factory=dict)
-    spent: float = 0.0  # s of real time
+    elapsed: float = 0.0  # s of real time that the run took
 
     @property
     def wrong(self) -> str | None:
-        """What must hold and did not; None: nothing."""
+        """The first violation that the checker found; None if it found none."""
         found = self.figures["wrong"]
         return found[0] if found else None
 
 
 class Run:
-    """One scene from its start to its end."""
+    """Runs one scene from its start to its end and collects its figures."""
 
     def __init__(
         self,
@@ -72,70 +77,76 @@
         rng = random.Random(f"distribution {job.event} {job.seed}")
         self.fleet = Fleet(rng, job.size, job.costs, feeder, follower, copy)
         self.scene = Scene(self.fleet, job.event, random.Random(rng.getrandbits(60)))
-        self.begun: dict[str, int] = {}  # bytes of a node when it started
-        self.start_bytes: dict[str, list[int]] = {}
-        self.counted: set[str] = set()  # zones whose counts were right at the voters
-        self.miscounted: dict[str, str] = {}
-        self.fleet.judge.caught = self.caught
-        self.fleet.judge.began = self.began
+        self.bytes_at_start: dict[str, int] = {}  # node -> bytes that its meter showed at its latest start
+        self.start_bytes: dict[str, list[int]] = {}  # kind of start -> bytes that each start took
+        self.counted: set[str] = set()  # zones whose node counts at the voters were right at least once
+        self.miscounted: dict[str, str] = {}  # zone -> description of its latest wrong count
+        self.fleet.judge.on_caught_up = self.on_caught_up
+        self.fleet.judge.on_started = self.on_started
 
     def play(self) -> dict[str, Any]:
+        """Run the scene and return its figures; meters and time spans count from the end of the warm-up."""
         fleet = self.fleet
-        fleet.begins()
-        fleet.world.clockwork.run(WARM * SECOND)
+        fleet.start_all()
+        fleet.world.clockwork.run(WARM_UP_S * SECOND)
         for site in fleet.world.sites.values():
             site.meter = Meter()
         fleet.judge.since = fleet.world.clockwork.now
         end = round(self.scene.until * SECOND)
-        for before in range(COUNTS, 0, -1):
+        for before in range(COUNT_CHECKS, 0, -1):
             fleet.world.clockwork.run(end - before * SECOND // 2)
-            self.counts_fit()
+            self.check_counts()
         fleet.world.clockwork.run(end)
-        return self.told()
+        return self.collect_figures()
 
-    def began(self, name: str) -> None:
-        self.begun[name] = self.fleet.world.sites[name].meter.bytes
+    def on_started(self, name: str) -> None:
+        """Record the bytes on a node's meter when the node starts."""
+        self.bytes_at_start[name] = self.fleet.world.sites[name].meter.bytes
 
-    def caught(self, name: str, kind: str) -> None:
-        if kind in ("cold", "disk") and self.fleet.world.clockwork.now > WARM * SECOND:
-            spent = self.fleet.world.sites[name].meter.bytes - self.begun[name]
+    def on_caught_up(self, name: str, kind: str) -> None:
+        """Record the bytes that a restarted node needed to catch up."""
+        if kind in ("cold", "disk") and self.fleet.world.clockwork.now > WARM_UP_S * SECOND:
+            spent = self.fleet.world.sites[name].meter.bytes - self.bytes_at_start[name]
             self.start_bytes.setdefault(kind, []).append(spent)
 
     # -- figures ---------------------------------------------------------------------------------------
 
-    def told(self) -> dict[str, Any]:
-        fleet, span = self.fleet, self.scene.until - WARM
-        self.count_wrongs()
+    def collect_figures(self) -> dict[str, Any]:
+        """Return the figures of the run; the keys are those of the JSON file."""
+        fleet, span = self.fleet, self.scene.until - WARM_UP_S
+        self.report_miscounts()
         tiers: dict[str, list[Site]] = {}
         for site in fleet.world.sites.values():
             tiers.setdefault(site.tier, []).append(site)
-        judged = fleet.judge.told()
+        judged = fleet.judge.figures()
         slowest = judged["in_force"]["all_ms"] or 0
         return {
             "event": self.job.event,
             "seed": self.job.seed,
             "seconds": self.scene.until,
             **judged,
-            "in_time": slowest < AIM and not judged["not_in_force_at_the_end"],
+            "in_time": slowest < MAX_DELAY_MS and not judged["not_in_force_at_the_end"],
             "start_bytes": {kind: sum(each) // len(each) for kind, each in sorted(self.start_bytes.items())},
             "costs": {tier: costs_of(sites, span) for tier, sites in sorted(tiers.items())},
             "counters": {tier: counters_of(sites) for tier, sites in sorted(tiers.items())},
             "age_ms": ages_of(fleet),
             "slowest": self.slowest(),
             "messages": fleet.world.events,
-            "lines": fleet.told,
+            "lines": fleet.line_count,
         }
 
     def slowest(self) -> list[tuple[int, int, int]]:
-        """Version, ms when it was handed in, ms until the last one had it: the three that took longest."""
+        """Return (version, ms when submitted, ms until in force at the last node) of the slowest three."""
         judge = self.fleet.judge
         longest = sorted(judge.by_version.items(), key=lambda each: (-each[1], each[0]))[:3]
         return [(version, judge.published[version] // 1_000, span // 1_000) for version, span in longest]
 
-    def counts_fit(self) -> None:
-        """What the voters have been told: each node once, and nobody behind. One that has moved of late may
-        be missed or counted twice until the tiers above have heard of it; an answer under way makes it stale,
-        so it has to fit at one of some looks.
+    def check_counts(self) -> None:
+        """Check that the voters count each running node once and all nodes at the newest version.
+
+        A node that recently moved to another relay may be missing or counted twice until the tiers above
+        know of the move. Counts also lag behind while a report is in transit, so the counts of a zone must be
+        right in only one of the checks.
         """
         fleet, now = self.fleet, self.fleet.world.clockwork.now
         up = [voter.host.feeder for voter in fleet.source.voters if voter.up]
@@ -143,7 +154,7 @@
         sums = {
             each.zone: each for each in merge_counts(count for feeder in up for count in feeder.counts(now))
         }
-        moved = Counter(site.zone for site in fleet.nodes if site.host.opened_at > now - MOVED)
+        moved = Counter(site.zone for site in fleet.nodes if site.host.opened_at > now - COUNT_DELAY_US)
         for zone, nodes in Counter(site.zone for site in fleet.nodes if site.up).items():
             found = sums.get(zone)
             fits = (
@@ -156,15 +167,16 @@
             else:
                 self.miscounted[zone] = f"{found} counted, {nodes} nodes at {newest}, {moved[zone]} moved"
 
-    def count_wrongs(self) -> None:
+    def report_miscounts(self) -> None:
+        """Report the zones whose counts were never right, unless some node lacks the newest version."""
         if not self.fleet.judge.missing():
-            for zone, told in sorted(self.miscounted.items()):
+            for zone, description in sorted(self.miscounted.items()):
                 if zone not in self.counted:
-                    self.fleet.judge.says(self.fleet.world.clockwork.now, f"{zone}: {told}")
+                    self.fleet.judge.report(self.fleet.world.clockwork.now, f"{zone}: {description}")
 
 
 def costs_of(sites: Sequence[Site], span: float) -> dict[str, Any]:
-    """Means and the highest of any: bytes and processor time a second, jobs waiting, µs until their turn."""
+    """Return mean and highest byte rates and core usages, the longest queue and the longest wait (ms)."""
     meters = [site.meter for site in sites]
     work = [each.work / span / SECOND for each in meters]
     return {
@@ -181,7 +193,7 @@
 
 
 def counters_of(sites: Sequence[Site]) -> dict[str, int]:
-    """Of those that run at the end."""
+    """Return the sums of the counters of all processes that run at the end."""
     sums: Counter[str] = Counter()
     for site in sites:
         for part in (site.host.feeder, site.host.follower):
@@ -191,6 +203,7 @@
 
 
 def ages_of(fleet: Fleet) -> dict[str, int]:
+    """Return the median and highest age (ms) of the nodes' configuration, and the number of unknown ages."""
     now = fleet.world.clockwork.now
     ages = sorted(site.host.follower.age(now) for site in fleet.nodes if site.up and not site.paused)
     known = [age for age in ages if age < MAX_AGE_US]
@@ -201,29 +214,31 @@
     }
 
 
-def run_one(job: Job) -> Ran:
+def run_one(job: Job) -> RunResult:
+    """Run one simulation and measure its real time."""
     begin = time.monotonic()
-    ran = Ran(job, Run(job).play())
-    ran.spent = time.monotonic() - begin
+    ran = RunResult(job, Run(job).play())
+    ran.elapsed = time.monotonic() - begin
     return ran
 
 
-def day_of(runs: Sequence[Ran]) -> dict[str, Any]:
-    """Bytes a second of a node on a day's average: what it costs in calm, and six starts."""
+def day_of(runs: Sequence[RunResult]) -> dict[str, Any]:
+    """Return a node's bytes a second, averaged over a day: traffic without faults plus six starts."""
     by_event = {ran.job.event: ran.figures for ran in runs}
     if "calm" not in by_event:
         return {}
     calm = by_event["calm"]["costs"]["node"]["bytes_a_second"]
-    told = {"calm": calm, "budget": BUDGET}
+    rates = {"calm": calm, "budget": BYTE_BUDGET}
     for kind in ("cold", "disk"):
         starts = [ran.figures["start_bytes"][kind] for ran in runs if kind in ran.figures["start_bytes"]]
         if starts:
-            told[f"start_{kind}"] = max(starts)
-            told[f"day_{kind}"] = round(calm + STARTS * max(starts) / DAY)
-    return told
+            rates[f"start_{kind}"] = max(starts)
+            rates[f"day_{kind}"] = round(calm + STARTS_PER_DAY * max(starts) / DAY_S)
+    return rates
 
 
-def line_of(ran: Ran) -> str:
+def line_of(ran: RunResult) -> str:
+    """Format one run as a line of the table under `HEAD`."""
     figures = ran.figures
     in_force, node = figures["in_force"], figures["costs"]["node"]
     relay = figures["costs"]["zone relay"]
@@ -236,13 +251,13 @@
         f"{figures['event']:<21}{ran.job.seed:>4} {times:>17} {figures['not_in_force_at_the_end']:>5} "
         f"{node['bytes_a_second']:>7} {node['peak_second'] / 1e6:>7.2f} {relay['peak_second'] / 1e6:>7.1f} "
         f"{node['core_percent']:>6.3f} {relay['core_percent']:>6.2f} {relay['core_peak_second']:>6.2f} "
-        f"{relay['queue']:>6} {figures['wrongs']:>5}  {back}  ({ran.spent:.0f} s)"
+        f"{relay['queue']:>6} {figures['wrongs']:>5}  {back}  ({ran.elapsed:.0f} s)"
     )
 
 
-def writes(path: str, size: Size, costs: Costs, runs: Sequence[Ran]) -> None:
-    """All figures so far."""
-    told = {
+def write_figures(path: str, size: Size, costs: Costs, runs: Sequence[RunResult]) -> None:
+    """Write the figures of all finished runs to a JSON file."""
+    content = {
         "cores": os.cpu_count(),
         "size": {name: getattr(size, name) for name in Size.__slots__},
         "costs": {name: getattr(costs, name) for name in Costs.__slots__},
@@ -250,7 +265,7 @@
         "runs": [ran.figures for ran in runs],
     }
     with open(path, "w") as file:
-        json.dump(told, file, indent=1)
+        json.dump(content, file, indent=1)
 
 
 HEAD = (
@@ -265,23 +280,43 @@
 @click.option("--regions", default=REGIONS, show_default=True)
 @click.option("--zone-relays", default=2, show_default=True)
 @click.option("--records", default=560_000, show_default=True)
-@click.option("--event", "events", multiple=True, type=click.Choice(list(EVENTS)), help="All unless named.")
+@click.option(
+    "--event",
+    "events",
+    multiple=True,
+    type=click.Choice(list(EVENTS)),
+    help="Event to run; default: all events.",
+)
 @click.option("--seed", default=1, show_default=True)
 @click.option(
-    "--drawn", "draws", default=3, show_default=True, help="Drawn schedules, each with the next seed."
+    "--drawn",
+    "draws",
+    default=3,
+    show_default=True,
+    help="Drawn schedules to run; each uses the next seed.",
 )
 @click.option("--cores", default=1, show_default=True)
 @click.option(
-    "--question", default=Costs().question, show_default=True, help="µs of a relay, answer included."
+    "--question",
+    default=Costs().question,
+    show_default=True,
+    help="Relay core time: µs for a request and its answer.",
+)
+@click.option(
+    "--kilobyte", default=Costs().kilobyte, show_default=True, help="Relay core time: µs for each KiB sent."
+)
+@click.option(
+    "--pack",
+    default=Costs().pack,
+    show_default=True,
+    help="Relay core time: µs to compress a page, once.",
 )
-@click.option("--kilobyte", default=Costs().kilobyte, show_default=True, help="µs of a relay.")
-@click.option("--pack", default=Costs().pack, show_default=True, help="µs of a relay, of a page, once.")
-@click.option("--json", "path", default="", help="File for all figures.")
+@click.option("--json", "path", default="", help="JSON file to write all figures to.")
 def main(
     nodes: int, zones: int, regions: int, zone_relays: int, records: int, events: tuple[str, ...], seed: int,
     draws: int, cores: int, question: int, kilobyte: float, pack: int, path: str,
 ) -> None:  # fmt: skip
-    """Each event in a fleet of its own. Ends with 1 if something that must hold did not."""
+    """Simulate each event in a fleet of its own. Exits with 1 if the checker found a violation."""
     size = Size(nodes, zones, regions, zone_relays, records)
     costs = replace(Costs(), question=question, kilobyte=kilobyte, pack=pack)
     jobs = [
@@ -290,14 +325,14 @@
         for number in range(draws if event == "drawn" else 1)
     ]
     click.echo(HEAD)
-    runs: list[Ran] = []
+    runs: list[RunResult] = []
     for ran in run_many(run_one, jobs, cores, len(jobs), chunk=1):
         runs.append(ran)
         click.echo(line_of(ran))
         for wrong in ran.figures["wrong"][:3]:
             click.echo(f"    {wrong}")
         if path:
-            writes(path, size, costs, runs)
+            write_figures(path, size, costs, runs)
     day = day_of(runs)
     if day:
         click.echo(f"a node's bytes a second on a day's average: {json.dumps(day)}")
