--- a/lichencleat/testkit/__init__.py
+++ b/lichencleat/testkit/__init__.py
@@ -1,6 +1,6 @@
-"""The project's own laboratory. Its job: to cause, in small and in large, what goes wrong between processes,
-and to judge what came of it. It decides nothing about the node; its worlds are its own models.
+"""Test kit: injects faults between processes, in models and in real clusters, and checks the outcome.
 
-`explore.py` tries all orders of a small setting, `sim/` draws faults by seed in one process, `checkers/`
-judge histories, `rig/` starts real processes. Nothing outside `testkit/`, `cli/` and the tests imports it.
+`explore.py` is a model checker that tries all event orders of a small setting. `simulation/` draws faults
+from a seed in one process, `checkers/` check recorded histories, and `cluster/` starts real processes. Only
+`cli/` and the tests import the test kit.
 """
--- a/lichencleat/testkit/explore.py
+++ b/lichencleat/testkit/explore.py
@@ -1,5 +1,5 @@
-"""All orders of what may happen in a small setting, breadth first: the shortest history that breaks a rule
-is found first. States that look the same by their key are gone on from once.
+"""Model checker: tries all event orders of a small setting, breadth first, so that the first violation found
+has the shortest history. States with equal keys are explored once.
 """
 
 from __future__ import annotations
@@ -10,27 +10,35 @@
 
 
 class World(Protocol):
-    """A setting at one moment. `after` leaves it as it is."""
+    """One state of the setting. `after` returns a new state and leaves this one unchanged."""
 
     def actions(self) -> Iterable[Hashable]:
-        """All that may happen next, in an order that is always the same."""
+        """Return all actions that are possible in this state, always in the same order."""
 
-    def after(self, action: Any) -> World: ...
+    def after(self, action: Any) -> World:
+        """Return the state that follows the action."""
+        ...
 
     def key(self) -> Hashable:
-        """Equal for worlds from which the same may follow."""
+        """Return a key; states with equal keys have the same possible futures."""
 
-    def violation(self) -> str | None: ...
+    def violation(self) -> str | None:
+        """Return the description of the rule that this state breaks, or None."""
+        ...
 
 
 @dataclass(slots=True)
 class Explored:
+    """Result of a search: its size, how far it went, and the first violation with its history."""
+
     states: int = 0
     steps: int = 0
-    depth: int = 0  # to which all was tried
-    whole: bool = False  # nothing is left to try at any depth
+    depth: int = 0  # number of actions up to which all orders were tried
+    whole: bool = False  # all reachable states were explored
     violation: str | None = None
-    history: list[Any] = field(default_factory=list)  # the shortest one that leads there
+    history: list[Any] = field(
+        default_factory=list
+    )  # the shortest list of actions that leads to the violation
 
     def __str__(self) -> str:
         reach = "all of them" if self.whole else f"all to depth {self.depth}"
@@ -40,10 +48,10 @@
 def explore(
     start: World, depth: int, most: int, progress: Callable[[int, int], None] | None = None
 ) -> Explored:
-    """Tries everything to that depth, or until `most` states were met; stops at the first violation.
+    """Try all orders of up to `depth` actions, at most `most` states; stop at the first violation.
 
-    States are told apart by the hash of their key (64 bits): of a million of them two are taken for one once
-    in 30 million runs.
+    States are compared by the 64-bit hash of their key. With a million states, a hash collision merges two
+    different states in one of 30 million runs.
     """
     found = Explored(states=1)
     parents: dict[int, tuple[int, Any]] = {hash(start.key()): (0, None)}
@@ -55,9 +63,8 @@
                 after = world.after(action)
                 found.steps += 1
                 found.violation = after.violation()
-                if (
-                    found.violation is not None
-                ):  # before anything else: a wrong step may lead to a known state
+                # The violation is checked before the key because a wrong step may lead to a known state.
+                if found.violation is not None:
                     found.history = [*path(parents, mark), action]
                     return found
                 reached = hash(after.key())
@@ -77,6 +84,7 @@
 
 
 def path(parents: dict[int, tuple[int, Any]], reached: int) -> list[Any]:
+    """Return the actions that lead from the start to the state with the hash `reached`."""
     history = []
     while parents[reached][1] is not None:
         reached, action = parents[reached][0], parents[reached][1]
--- a/lichencleat/testkit/explore_distribution.py
+++ b/lichencleat/testkit/explore_distribution.py
@@ -33,7 +33,7 @@
 from lichencleat.testkit.tiny_distribution import NODE, RELAYS, TICK, Kinds, Limits, World
 from lichencleat.testkit.tiny_table import Tiny, page_digest
 
-STATES_MOST = 60_000  # of one scene: some 40 s, and 300 MB
+MAX_STATES = 60_000  # of one scene: some 40 s, and 300 MB
 
 
 class Moment:
@@ -106,7 +106,7 @@
     return world
 
 
-def play(scene: Scene, kinds: Kinds, depth: int, most: int = STATES_MOST) -> Explored:
+def play(scene: Scene, kinds: Kinds, depth: int, most: int = MAX_STATES) -> Explored:
     begin = begun(scene, kinds)
     if begin.wrong is not None:  # the way there was one of all orders, too
         return Explored(1, violation=begin.wrong)
@@ -261,7 +261,7 @@
 
 @click.command()
 @click.option("--deeper", default=3, show_default=True, help="Steps beyond those that CI tries.")
-@click.option("--most", default=STATES_MOST, show_default=True, help="States of each scene.")
+@click.option("--most", default=MAX_STATES, show_default=True, help="States of each scene.")
 @click.option("--only", default="", help="One scene.")
 def main(deeper: int, most: int, only: str) -> None:
     """Tries everything to that depth, and that each planted mistake is caught."""
--- a/lichencleat/testkit/explore_scenes.py
+++ b/lichencleat/testkit/explore_scenes.py
@@ -1,7 +1,7 @@
-"""Small settings for the explorer, each one in which a certain mistake shows: `python -m
-lichencleat.testkit.explore_scenes`.
+"""Consensus scenes for the model checker. Each scene is a small setting that exposes a certain injected bug.
 
-Some begin after a scripted history, as what follows it is what matters; from there on everything is tried.
+Run them with `python -m lichencleat.testkit.explore_scenes`. Some scenes begin after a scripted history; the
+model checker tries all event orders from there on.
 """
 
 from __future__ import annotations
@@ -18,26 +18,30 @@
 from lichencleat.testkit.explore_quorum import Limits, QuorumWorld, quiet, settled, stood
 from lichencleat.testkit.simulation.variants import VARIANTS
 
-STATES_MOST = 200_000  # of one scene: some 40 s
+MAX_STATES = 200_000  # states explored in one scene; this takes about 40 s
 
 
 def begins(world: QuorumWorld, limits: Limits) -> QuorumWorld:
+    """Set the limits that hold after the scripted history and reset the counts of campaigns and changes."""
     world.limits, world.stood, world.changes = limits, 0, 0
     return world
 
 
 def two_stand(kind: type[RaftNode]) -> QuorumWorld:
-    """1 and 3 stand in one term, and one member is cut."""
+    """Members 1 and 3 campaign in the same term, and one member loses power."""
     return QuorumWorld(kind, 3, Limits(terms=1, cuts=1, proposals=0, stands=(1, 3)))
 
 
 def two_lead(kind: type[RaftNode]) -> QuorumWorld:
-    """1 leads, then 3, who may lack what 1 has committed."""
+    """Member 1 leads, then member 3, whose log may lack entries that member 1 has committed."""
     return QuorumWorld(kind, 3, Limits(terms=2, cuts=0, proposals=0, stands=(1, 3), late_writes=False))
 
 
 def elder_entry(kind: type[RaftNode]) -> QuorumWorld:
-    """Raft's figure 8: 1 has brought its entry of term 1 to a majority in term 3; 3 holds one of term 2."""
+    """Figure 8 of the Raft paper: in term 3, member 1 has replicated its entry of term 1 to a majority.
+
+    Member 3 holds an entry of term 2.
+    """
     world = QuorumWorld(kind, 3, Limits(terms=9, cuts=0, proposals=0, late_writes=False))
     world = quiet(stood(world, 1, 1, (1, 2)))
     world = quiet(stood(world, 3, 2, (2, 3)))
@@ -51,7 +55,7 @@
 
 
 def two_changes(kind: type[RaftNode]) -> QuorumWorld:
-    """1 adds 4 and 5, heard by them alone; 2 and 3 know nothing of it."""
+    """Member 1 adds members 4 and 5, and only they receive the changes; members 2 and 3 do not."""
     changes = (("add", 4), ("add", 5))
     limits = Limits(terms=1, cuts=0, proposals=0, late_writes=False, on_the_way=40, changes=changes)
     world = settled(stood(QuorumWorld(kind, 3, limits, spare=2), 1, 1, (1, 2, 3)), (1, 2, 3))
@@ -60,7 +64,7 @@
 
 
 def first_entry(kind: type[RaftNode], leader_saves: bool) -> QuorumWorld:
-    """1 leads, and 2 has its first entry; one of them is cut before it flushed that."""
+    """Member 1 leads, and member 2 has received the first entry; one of the two has not flushed the entry."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0))
     world = stood(world, 1, 1, (1, 2), leader_saves)
     for message in [m for m in world.flying if m.recipient == 2]:
@@ -72,15 +76,17 @@
 
 
 def leader_cut(kind: type[RaftNode]) -> QuorumWorld:
+    """The leader loses power before it has flushed its first entry."""
     return first_entry(kind, leader_saves=False)
 
 
 def follower_cut(kind: type[RaftNode]) -> QuorumWorld:
+    """A follower loses power before it has flushed the first entry."""
     return first_entry(kind, leader_saves=True)
 
 
 def old_leader_reads(kind: type[RaftNode]) -> QuorumWorld:
-    """1 leads and all agree; 3 takes over while 1 does not know."""
+    """Member 1 leads and all logs agree; member 3 is elected while member 1 still believes it leads."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0, late_writes=False))
     world = settled(stood(world, 1, 1, (1, 2, 3)), (1, 2, 3))
     limits = Limits(terms=2, cuts=0, proposals=0, stands=(3,), late_writes=False, on_the_way=6, reads=1)
@@ -88,7 +94,7 @@
 
 
 def snapshots(kind: type[RaftNode]) -> QuorumWorld:
-    """Who has applied may compact at any time; 3 comes late, and is cut."""
+    """Members may compact applied entries at any time; member 3 lags, and one member loses power."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0, late_writes=False))
     world = settled(stood(world, 1, 1, (1, 2)), (1, 2))
     return begins(world, Limits(terms=1, cuts=1, proposals=1, compactions=2, stands=(1,), on_the_way=3))
@@ -96,10 +102,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Scene:
+    """Start state of a scene, the depth of its search and the injected bug that it must expose."""
+
     make: Callable[[type[RaftNode]], QuorumWorld]
-    depth: int  # at which the mistake shows, or to which it is tried
-    mistake: str = "none"  # the variant that it must catch
-    bytes_most: int = following.MAX_MESSAGE_BYTES  # of entries in a message
+    depth: int  # number of actions after which the injected bug shows; without a bug, depth of the search
+    mistake: str = "none"  # name of the variant whose bug this scene must expose
+    bytes_most: int = following.MAX_MESSAGE_BYTES  # maximum size of the entries in a message
 
 
 SCENES = {
@@ -116,7 +124,8 @@
 }
 
 
-def play(scene: Scene, kind: type[RaftNode], depth: int | None = None, most: int = STATES_MOST) -> Explored:
+def play(scene: Scene, kind: type[RaftNode], depth: int | None = None, most: int = MAX_STATES) -> Explored:
+    """Explore a scene with the given implementation; `most` limits the number of states."""
     usual, following.MAX_MESSAGE_BYTES = following.MAX_MESSAGE_BYTES, scene.bytes_most
     try:
         return explore(scene.make(kind), depth or scene.depth, most)
@@ -125,11 +134,15 @@
 
 
 @click.command()
-@click.option("--depth", type=int, help="Instead of each scene's own.")
-@click.option("--states", default=STATES_MOST, show_default=True, help="At the most, of each scene.")
-@click.option("--mistakes/--no-mistakes", default=True, help="Also with the mistake that each must catch.")
+@click.option("--depth", type=int, help="Depth that replaces the depth of each scene.")
+@click.option(
+    "--states", default=MAX_STATES, show_default=True, help="Maximum number of states in each scene."
+)
+@click.option(
+    "--mistakes/--no-mistakes", default=True, help="Also run each scene with the bug that it must expose."
+)
 def main(depth: int | None, states: int, mistakes: bool) -> None:
-    """Tries everything in each scene, and tells how far it came."""
+    """Explore each scene and print the number of states and the depth that were reached."""
     wrong = 0
     for name, scene in SCENES.items():
         for variant in dict.fromkeys(["none", scene.mistake] if mistakes else ["none"]):
--- a/lichencleat/testkit/faulty_disk.py
+++ b/lichencleat/testkit/faulty_disk.py
@@ -1,9 +1,9 @@
-"""Faulty disk: a disk in memory that fails on demand, for tests that cut the power.
+"""Faulty disk: a disk in memory that fails on demand, for tests that simulate power cuts.
 
-It keeps what was written apart from what was flushed. At a cut, what was not flushed may be there, be absent,
-be torn at any byte, leave a hole where it stood, or have reached the disk in another order than it was
-written; so may names, renames and removals. A flush that fails leaves what it covered readable, and no later
-flush brings it to the disk.
+The disk keeps written data apart from flushed data. After a power cut, each unflushed write may be present,
+absent, torn at any byte, or replaced by a hole, and writes may have reached the disk in another order than
+they were issued. Each unflushed creation, rename or removal of a file is also either kept or lost. After a
+failed flush the data that it covered stays readable, but no later flush makes that data durable.
 """
 
 from __future__ import annotations
@@ -13,35 +13,35 @@
 from collections.abc import Callable, Iterator
 
 Choose = Callable[[int], int]
-"""Gives one of 0 .. n-1: by chance, or in turn by `every_choice`."""
+"""Function that returns a number from 0 to n-1: a random one, or each one in turn (`every_choice`)."""
 
 
 class PowerCutError(Exception):
-    """The machine is off: the call may have been done or not, and nothing after it is."""
+    """The machine is off. The interrupted call may have taken effect or not; later calls have no effect."""
 
 
 class Content:
-    """A file's bytes: what is on the disk, and the writes since, which may reach it or not."""
+    """A file's bytes: the flushed bytes, and the later writes, which may or may not reach the disk."""
 
     def __init__(self, flushed: bytes = b"") -> None:
         self.flushed = flushed
         self.now = bytearray(flushed)
         self.pending: list[tuple[int, bytes]] = []
-        # a flush of these failed: they may have reached it or not, for good
+        # Writes whose flush failed. They may be on the disk or not, and a later flush does not change that.
         self.lost: list[tuple[int, bytes]] = []
 
     def write(self, data: bytes) -> None:
-        """Append, without flushing."""
+        """Append the data without flushing it."""
         self.pending.append((len(self.now), data))
         self.now += data
 
     def flush(self) -> None:
-        """Bring all pending writes to the disk."""
+        """Make all pending writes durable."""
         self.flushed = apply_writes(self.flushed, self.pending)
         self.pending = []
 
     def after_cut(self, choose: Choose) -> bytes:
-        """What the file holds after a power cut; `choose` decides for each pending write."""
+        """Return the file's bytes after a power cut; `choose` decides on each write that is not durable."""
         kept = []
         for at, data in [*self.lost, *self.pending]:
             fate = choose(3)  # absent, whole, or torn
@@ -53,7 +53,7 @@
 
 
 def apply_writes(flushed: bytes, writes: list[tuple[int, bytes]]) -> bytes:
-    """The bytes after these writes, each an offset and data."""
+    """Return the bytes after the writes; each write is an offset and its data."""
     data = bytearray(flushed)
     for at, piece in writes:
         data.extend(bytes(max(0, at + len(piece) - len(data))))  # a hole reads as zeros
@@ -62,9 +62,10 @@
 
 
 class FaultyDisk:
-    """A `lichencleat.store.disk.Disk` with faults.
+    """Implementation of `lichencleat.store.disk.Disk` that injects faults.
 
-    `faults` maps the number of a call, from 0 on, to an errno, or to CUT, CUT_AFTER or SHORT.
+    `faults` maps the number of a call, counted from 0, to an errno, or to CUT (power cut before the call),
+    CUT_AFTER (power cut after the call) or SHORT (only half of the data is appended).
     """
 
     CUT, CUT_AFTER, SHORT = -1, -2, -3
@@ -72,21 +73,22 @@
     def __init__(self, files: dict[str, bytes] | None = None, room: int | None = None) -> None:
         self.flushed_names = {name: Content(data) for name, data in (files or {}).items()}
         self.live_names = dict(self.flushed_names)
-        self.pending_names: list[tuple[str, str, Content]] = []  # (what, name, content), in order
-        self.room = room  # bytes that the disk can hold; None: no limit
+        self.pending_names: list[
+            tuple[str, str, Content]
+        ] = []  # (operation, name, content) of the unflushed changes, in order
+        self.room = room  # capacity of the disk in bytes; None: no limit
         self.faults: dict[int, int] = {}
         self.calls: list[str] = []
         self.off = False
         self.locked = False
-        self.skipped_calls: set[str] = (
-            set()
-        )  # calls that are made to do nothing: a mutant's left-out flush, say
+        # Names of calls that have no effect, such as the flush that an injected bug omits.
+        self.skipped_calls: set[str] = set()
         self.open_files = 0
 
     # -- faults ------------------------------------------------------------------------------------
 
     def begin_call(self, what: str) -> int:
-        """Count the call and let the fault meant for it happen; returns a fault that comes after it."""
+        """Count the call and inject its fault. Return the fault that the call itself must handle, or 0."""
         if self.off:
             raise PowerCutError(what)
         fault = self.faults.get(len(self.calls), 0)
@@ -99,22 +101,22 @@
         return fault
 
     def end_call(self, fault: int) -> None:
-        """Let the fault happen that comes after the call."""
+        """Cut the power if the fault is CUT_AFTER."""
         if fault == self.CUT_AFTER:
             self.off = True
             raise PowerCutError("after")
 
     def used(self) -> int:
-        """Bytes of all files."""
+        """Return the total size of all files in bytes."""
         return sum(len(each.now) for each in set(self.live_names.values()))
 
     def after_cut(self, choose: Choose) -> FaultyDisk:
-        """The disk as the next start finds it after a power cut; everything on it is flushed."""
+        """Return the disk that the next start finds after a power cut; all of its data is flushed."""
         names = dict(self.flushed_names)
         for what, name, content in self.pending_names:
             if choose(2):
                 self._apply(names, what, name, content)
-        found: dict[Content, bytes] = {}  # one content under two names is one file
+        found: dict[Content, bytes] = {}  # content under two names is a single file
         for content in names.values():
             if content not in found:
                 found[content] = content.after_cut(choose)
@@ -129,16 +131,16 @@
             if names.get(name) is content:
                 del names[name]
             return
-        if what == "rename":  # whole or not at all: the old name goes with it
+        if what == "rename":  # a rename is atomic: the old name disappears with it
             for old in [each for each, its in names.items() if its is content and each != name]:
                 del names[old]
         names[name] = content
 
     def image(self) -> dict[str, bytes]:
-        """The bytes of each file, flushed or not."""
+        """Return the bytes of each file, whether flushed or not."""
         return {name: bytes(content.now) for name, content in self.live_names.items()}
 
-    # -- as a Disk ---------------------------------------------------------------------------------
+    # -- methods of Disk ---------------------------------------------------------------------------------
 
     def names(self) -> list[str]:
         """See `Disk`."""
@@ -237,13 +239,13 @@
 
 
 def by_chance(rng: random.Random) -> Choose:
-    """A `Choose` that draws at random."""
+    """Return a `Choose` that draws random numbers."""
     return rng.randrange
 
 
 def every_choice(most: int) -> Iterator[Choose]:
-    """A `Choose` for each way through a few choices, in turn; at most `most` of them."""
-    path: list[list[int]] = []  # [chosen, among], as an odometer
+    """Yield a `Choose` for each possible sequence of choices in turn, at most `most` of them."""
+    path: list[list[int]] = []  # [choice, number of options] of each call; the last one advances first
     for _ in range(most):
         at = 0
 
--- a/lichencleat/testkit/hollow.py
+++ b/lichencleat/testkit/hollow.py
@@ -30,9 +30,9 @@
     SnapshotHead,
 )
 
-TABLES_MOST = 64  # versions that are found again; an older one lives on as long as a follower has it
-WORKS_MOST = 64  # batches under way or applied that are found again
-HEADS_MOST = 8  # snapshots that are found again
+MAX_TABLES = 64  # versions that are found again; an older one lives on as long as a follower has it
+MAX_WORKS = 64  # batches under way or applied that are found again
+MAX_HEADS = 8  # snapshots that are found again
 
 
 class Work:
@@ -110,7 +110,7 @@
 
     def known(self, table: Table) -> Table:
         """The one of that version and digest that others have, too."""
-        table = keep(self.tables, (table.version, table.digest), table, TABLES_MOST)
+        table = keep(self.tables, (table.version, table.digest), table, MAX_TABLES)
         if table.version > self.newest.version:
             self.newest = table
         return table
@@ -122,13 +122,13 @@
         if known is None:
             known = Work(base, batches)
             self.applied += len(batches)
-        return keep(self.works, key, known, WORKS_MOST)
+        return keep(self.works, key, known, MAX_WORKS)
 
     def snapshot(self, head: SnapshotHead) -> Snapshot:
         """Raises SpoiltError."""
         key = head.version, head.digest, head.pages
         known = self.heads.get(key)
-        return keep(self.heads, key, Snapshot(head) if known is None else known, HEADS_MOST)
+        return keep(self.heads, key, Snapshot(head) if known is None else known, MAX_HEADS)
 
     def page(self, number: int, digest: int, page: bytes) -> bytes:
         """The same bytes as others have them, where they do."""
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -41,7 +41,7 @@
 SOURCE, NODE = "s", "n"
 RELAYS = ("A", "B")
 TICK = 1_100_000  # µs: over any hold, so that two of them are over any patience
-WAKES_MOST = 200  # of one process in a tick: more would be a loop
+MAX_WAKES = 200  # of one process in a tick: more would be a loop
 
 
 class TinyTimes(Timing):
@@ -327,7 +327,7 @@
 
     def passes(self, span: int) -> None:
         until = self.now + span
-        for _ in range(WAKES_MOST * len(self.processes)):
+        for _ in range(MAX_WAKES * len(self.processes)):
             due = [(moment, name) for name in self.processes for moment in self.moments(name)]
             moment, name = min(due)
             if moment > until:
--- a/lichencleat/testkit/tiny_table.py
+++ b/lichencleat/testkit/tiny_table.py
@@ -9,7 +9,7 @@
 from lichencleat.config_distribution.terms import Batch, Change, PagesAnswer, SnapshotHead
 
 NAMES = ("a", "b", "c")  # of the records, each on a page of its own; a and b only change together
-AT_ONCE = 2  # pages asked for, so that a snapshot has two pieces
+MAX_PAGES_PER_REQUEST = 2  # pages asked for, so that a snapshot has two pieces
 MARK = b"m" * 16  # of the group
 Content = tuple[bytes, ...]
 
@@ -86,7 +86,7 @@
             there = (self.content[number], self.pages.get(number))
             if all(each is None or page_digest(number, each) != wanted for each in there):
                 found.append(number)
-        return found[: min(most, AT_ONCE)]
+        return found[: min(most, MAX_PAGES_PER_REQUEST)]
 
     def put(self, pages: PagesAnswer) -> bool:
         digests = self.digests()
--- a/tests/config_distribution/test_hollow.py
+++ b/tests/config_distribution/test_hollow.py
@@ -133,8 +133,8 @@
 
 
 def test_the_caches_are_bounded(monkeypatch):
-    monkeypatch.setattr("lichencleat.testkit.hollow.TABLES_MOST", 3)
-    monkeypatch.setattr("lichencleat.testkit.hollow.WORKS_MOST", 3)
+    monkeypatch.setattr("lichencleat.testkit.hollow.MAX_TABLES", 3)
+    monkeypatch.setattr("lichencleat.testkit.hollow.MAX_WORKS", 3)
     source, shared = Source(random.Random(1), 12), Shared()
     ahead, behind = SharedCopy(shared), SharedCopy(shared)
     for copy in (ahead, behind):
