--- a/lichencleat/testkit/explore_quorum.py
+++ b/lichencleat/testkit/explore_quorum.py
@@ -1,8 +1,10 @@
-"""A few voters, their disks and what is on its way between them, for the explorer.
+"""Setting of the model checker for consensus: a few voters, their disks and the messages in flight.
 
-Time is left out: a voter may stand at any moment, whatever it has heard, which allows more than any clock
-does. A message that is never delivered is lost; one that is delivered stays for a second time where repeats
-are allowed. A cut leaves some of the writes that were not confirmed, in their order.
+The model has no clock: a voter may campaign at any moment, even with a live leader, which covers more orders
+than any real timing. A lost message is a message that is never delivered. `Limits.repeats` allows messages
+to be delivered twice. A power cut keeps the first few of the writes that were not confirmed, in their order.
+
+A seat is the member id of a voter, and to stand is to campaign.
 """
 
 from __future__ import annotations
@@ -29,27 +31,29 @@
 from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.consensus.role import Role
 
-SNAPSHOT_STATE = b"the state"  # what it holds is of no matter here
+SNAPSHOT_STATE = b"the state"  # content of every snapshot; no check depends on it
 
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """How much may happen in one history; each one more makes far more states."""
+    """Maximum number of each event in one history. The number of states grows steeply with each limit."""
 
     terms: int = 2
     cuts: int = 1
     proposals: int = 1
     repeats: int = 0
-    on_the_way: int = 8
-    changes: tuple[tuple[str, int], ...] = ()  # ("add" or "remove", seat), in turn
+    max_in_flight: int = 8  # messages in flight; further messages are lost
+    # Configuration changes in order: ("add" or "remove", member id).
+    changes: tuple[tuple[str, int], ...] = ()
     compactions: int = 0
     reads: int = 0
-    stands: tuple[int, ...] = ()  # seats that may stand, in turn; none: any one, any time
-    late_writes: bool = True  # a save may be confirmed after anything else; else at once
+    # Ids of the members that campaign, in this order; empty: any member may campaign at any time.
+    campaigners: tuple[int, ...] = ()
+    late_writes: bool = True  # a write may be confirmed after other events; if False, at once
 
 
 class Timeless:
-    """Mixed into a voter: it heeds no clock."""
+    """Mixin that makes a voter ignore the clock."""
 
     def reset_election_timer(self, now: int) -> None:
         pass
@@ -59,12 +63,13 @@
 
 
 def make_voter(kind: type[RaftNode], seat: int, durable: DurableState) -> RaftNode:
+    """Return a voter of the class `kind` that ignores the clock."""
     timeless = type(f"Timeless{kind.__name__}", (Timeless, kind), {})
     return timeless(seat, durable, Timeouts(), random.Random(seat), 0)
 
 
 class Disk:
-    """What was confirmed, and the saves on their way."""
+    """Disk of a voter: the durable state, and the writes that were not confirmed yet."""
 
     __slots__ = ("durable", "pending")
 
@@ -72,15 +77,15 @@
         self.durable, self.pending = durable, pending
 
     def after(self, count: int) -> DurableState:
-        """With the first `count` of the saves on their way."""
+        """Return the durable state after the first `count` of the unconfirmed writes."""
         found = self.durable
         for save in self.pending[:count]:
-            found = written(found, save)
+            found = apply_write(found, save)
         return found
 
 
-def written(durable: DurableState, save: DurableWrite) -> DurableState:
-    """What the disk holds after that save, as `journal.py` and the store make it."""
+def apply_write(durable: DurableState, save: DurableWrite) -> DurableState:
+    """Return the durable state after the write, as the log storage and the store produce it."""
     old = durable.snapshot.index if durable.snapshot else 0
     log = dict(enumerate(durable.entries, old + 1))
     log.update(enumerate(save.entries, save.first_index))
@@ -89,8 +94,13 @@
 
 
 class QuorumWorld:
+    """State of the setting.
+
+    `wrong` describes a violated rule: one leader in a term, the same entries at all members, no stale reads.
+    """
+
     def __init__(self, kind: type[RaftNode], seats: int, limits: Limits, spare: int = 0) -> None:
-        """`seats` voters, numbered from 1; `spare` more with empty disks that may be added."""
+        """Create `seats` voters, with ids from 1, and `spare` members with empty disks that may be added."""
         self.kind, self.limits = kind, limits
         self.members = {seat: Member(seat, f"v{seat}", "", 0) for seat in range(1, seats + spare + 1)}
         group = Configuration(tuple(self.members[seat] for seat in range(1, seats + 1)))
@@ -100,16 +110,17 @@
             founded = Snapshot(0, 0, group, b"") if seat <= seats else None
             self.disks[seat] = Disk(DurableState(snapshot=founded))
             self.voters[seat] = make_voter(kind, seat, self.disks[seat].durable)
-        self.flying: tuple[Message, ...] = ()
-        self.leaders: dict[int, int] = {}  # term -> seat, of all that ever led
-        self.applied: tuple[Entry, ...] = ()  # by any member, from index 1 on
+        self.messages: tuple[Message, ...] = ()  # messages in flight
+        self.leaders: dict[int, int] = {}  # term -> member id of its leader, for all terms so far
+        self.applied: tuple[Entry, ...] = ()  # entries applied by any member, from index 1 on
         self.cuts = self.proposals = self.repeats = self.changes = self.compactions = 0
-        self.stood = self.reads = 0
-        self.wrong: str | None = None
+        self.campaigns = self.reads = 0
+        self.wrong: str | None = None  # description of the violation
 
-    # -- as a World ----------------------------------------------------------------------------------
+    # -- methods of explore.World --------------------------------------------------------------------
 
     def actions(self) -> Iterator[Hashable]:
+        """Yield all actions that are possible in this state, in a fixed order."""
         limits = self.limits
         for seat, voter in self.voters.items():
             if self.disks[seat].pending:
@@ -128,20 +139,23 @@
             if self.cuts < limits.cuts:
                 for kept in range(len(self.disks[seat].pending) + 1):
                     yield "cut", seat, kept
-        for message in dict.fromkeys(self.flying):
+        for message in dict.fromkeys(self.messages):
             yield "deliver", message
             if self.repeats < limits.repeats:
                 yield "repeat", message
 
     def may_stand(self, seat: int, voter: RaftNode) -> bool:
-        stands = self.limits.stands
+        campaigners = self.limits.campaigners
         return (
             voter.term < self.limits.terms
             and voter.can_campaign()
-            and (not stands or (self.stood < len(stands) and stands[self.stood] == seat))
+            and (
+                not campaigners or (self.campaigns < len(campaigners) and campaigners[self.campaigns] == seat)
+            )
         )
 
     def after(self, action: Any) -> QuorumWorld:
+        """Return the state that follows the action; this state stays unchanged."""
         world = copy.copy(self)
         world.voters, world.disks = dict(self.voters), dict(self.disks)
         world.leaders = dict(self.leaders)
@@ -150,55 +164,68 @@
         return world
 
     def key(self) -> Hashable:
+        """Return a key; states with equal keys have the same possible futures."""
         return (
             tuple(fingerprint(each) for each in self.voters.values()),
             tuple(
                 (each.durable.term, each.durable.vote, tuple(each.durable.entries), len(each.pending))
                 for each in self.disks.values()
             ),
-            frozenset(Counter(self.flying).items()),
+            frozenset(Counter(self.messages).items()),
             tuple(self.leaders.items()),
             self.applied,
-            (self.cuts, self.proposals, self.repeats, self.changes, self.compactions, self.stood, self.reads),
+            (
+                self.cuts,
+                self.proposals,
+                self.repeats,
+                self.changes,
+                self.compactions,
+                self.campaigns,
+                self.reads,
+            ),
         )
 
     def violation(self) -> str | None:
+        """Return the description of the violated rule, or None."""
         return self.wrong
 
-    # -- what happens --------------------------------------------------------------------------------
+    # -- actions --------------------------------------------------------------------------------
 
     def touch(self, seat: int) -> RaftNode:
-        """That voter, to be changed in this world alone."""
-        voter = self.voters[seat] = twin(self.voters[seat])
+        """Replace the voter by a copy, so that its changes do not affect other states; return the copy."""
+        voter = self.voters[seat] = copy_voter(self.voters[seat])
         return voter
 
     def do_saved(self, seat: int) -> None:
+        """Confirm the oldest unconfirmed write of the voter."""
         disk, voter = self.disks[seat], self.touch(seat)
         save, rest = disk.pending[0], disk.pending[1:]
-        self.disks[seat] = Disk(written(disk.durable, save), rest)
+        self.disks[seat] = Disk(apply_write(disk.durable, save), rest)
         voter.on_write_durable(0, save.number)
         self.pull(seat)
 
     def do_stand(self, seat: int) -> None:
-        """A leader that stands has noticed that nobody hears it, and given up before."""
-        self.stood += 1
+        """The voter campaigns. A leader steps down first, as a leader without contact to a majority does."""
+        self.campaigns += 1
         voter = self.touch(seat)
         voter.become_follower(0, voter.term)
         voter.start_election(0, False)
         self.pull(seat)
 
     def do_propose(self, seat: int) -> None:
+        """A client proposes a new entry to the leader."""
         self.proposals += 1
         self.touch(seat).propose(0, None, b"%d" % self.proposals)
         self.pull(seat)
 
     def do_read(self, seat: int) -> None:
-        """What was applied by anyone before the read began must be in its answer."""
+        """A client reads; the answer must include each entry that any member applied before the read."""
         self.reads += 1
         self.touch(seat).read(0, ("read", len(self.applied)))
         self.pull(seat)
 
     def do_change(self, seat: int) -> None:
+        """The leader proposes the next configuration change."""
         what, whom = self.limits.changes[self.changes]
         self.changes += 1
         voter = self.touch(seat)
@@ -208,12 +235,14 @@
         self.pull(seat)
 
     def do_compact(self, seat: int) -> None:
+        """The voter compacts its log up to the last delivered entry."""
         self.compactions += 1
         voter = self.touch(seat)
         voter.compact(voter.delivered_index, SNAPSHOT_STATE)
         self.pull(seat)
 
     def do_cut(self, seat: int, kept: int) -> None:
+        """The voter loses power and restarts; the first `kept` of its unconfirmed writes survive."""
         self.cuts += 1
         found = self.disks[seat].after(kept)
         self.disks[seat] = Disk(found)
@@ -221,18 +250,21 @@
         self.pull(seat)
 
     def do_deliver(self, message: Message) -> None:
-        left = list(self.flying)
+        """Deliver the message and remove it from the messages in flight."""
+        left = list(self.messages)
         left.remove(message)
-        self.flying = tuple(left)
+        self.messages = tuple(left)
         self.touch(message.recipient).receive(0, message)
         self.pull(message.recipient)
 
     def do_repeat(self, message: Message) -> None:
+        """Deliver the message and keep it in flight, so that it can be delivered again."""
         self.repeats += 1
         self.touch(message.recipient).receive(0, message)
         self.pull(message.recipient)
 
     def pull(self, seat: int) -> None:
+        """Carry out the actions that the voter has decided on, and check the rules."""
         voter = self.voters[seat]
         while (decision := voter.next_action()) is not None:
             if decision.action_type is ActionType.WRITE:
@@ -241,12 +273,12 @@
                 if self.limits.late_writes:
                     self.disks[seat] = Disk(disk.durable, (*disk.pending, decision.write))
                 else:
-                    self.disks[seat] = Disk(written(disk.durable, decision.write))
+                    self.disks[seat] = Disk(apply_write(disk.durable, decision.write))
                     voter.on_write_durable(0, decision.write.number)
             elif decision.action_type is ActionType.SEND:
                 assert decision.message is not None
-                if len(self.flying) < self.limits.on_the_way:  # else it is lost
-                    self.flying = (*self.flying, decision.message)
+                if len(self.messages) < self.limits.max_in_flight:  # further messages are lost
+                    self.messages = (*self.messages, decision.message)
             elif decision.action_type is ActionType.APPLY:
                 assert decision.entry is not None
                 self.judge_applied(seat, decision.index, decision.entry)
@@ -258,6 +290,7 @@
             self.wrong = self.wrong or f"{seat} and {self.leaders[voter.term]} lead in term {voter.term}"
 
     def judge_applied(self, seat: int, index: int, entry: Entry) -> None:
+        """Check that all members apply the same entry at each index, in order."""
         if index <= len(self.applied):
             if self.applied[index - 1] != entry:
                 self.wrong = f"{seat} applies {entry} as {index}, another {self.applied[index - 1]}"
@@ -267,8 +300,8 @@
             self.wrong = f"{seat} applies {index} when {len(self.applied)} were applied"
 
 
-def twin(voter: RaftNode) -> RaftNode:
-    """A copy that shares nothing that changes."""
+def copy_voter(voter: RaftNode) -> RaftNode:
+    """Return a copy of the voter that shares no mutable state with it."""
     other = copy.copy(voter)
     other.log = voter.log.copy()
     other.writes = copy.copy(voter.writes)
@@ -288,6 +321,7 @@
 
 
 def fingerprint(voter: RaftNode) -> Hashable:
+    """Return the part of the voter's state that decides its future behavior."""
     lead = voter.leader_state
     return (
         (
@@ -324,40 +358,42 @@
     )
 
 
-def settled(world: QuorumWorld, among: Collection[int]) -> QuorumWorld:
-    """All that is on its way among these seats arrives and is saved, until nothing is; what goes elsewhere is
-    lost.
+def deliver_all(world: QuorumWorld, among: Collection[int]) -> QuorumWorld:
+    """Deliver all messages among these members and confirm their writes until none are left.
+
+    Messages to or from other members are lost.
     """
     while True:
-        flying = [each for each in world.flying if each.sender in among and each.recipient in among]
+        messages = [each for each in world.messages if each.sender in among and each.recipient in among]
         saving = [seat for seat in among if world.disks[seat].pending]
         if saving:
             world = world.after(("saved", saving[0]))
-        elif flying:
-            world = world.after(("deliver", flying[0]))
+        elif messages:
+            world = world.after(("deliver", messages[0]))
         else:
-            return quiet(world)
+            return drop_messages(world)
 
 
-def quiet(world: QuorumWorld) -> QuorumWorld:
-    """Whatever is on its way is lost."""
+def drop_messages(world: QuorumWorld) -> QuorumWorld:
+    """Return the state after the loss of all messages in flight."""
     world = copy.copy(world)
-    world.flying = ()
+    world.messages = ()
     return world
 
 
-def stood(
+def elect(
     world: QuorumWorld, seat: int, times: int, among: Collection[int], saves: bool = True
 ) -> QuorumWorld:
-    """That seat stands so many times, the last time heard by `among` until it leads; nothing it then sends
-    arrives.
+    """Let the member campaign `times` times; the members `among` elect it in the last campaign.
+
+    The messages that the new leader sends are not delivered. `saves` tells whether its writes are confirmed.
     """
     for _ in range(times):
-        world = quiet(world).after(("stand", seat))
+        world = drop_messages(world).after(("stand", seat))
     while world.voters[seat].role is not Role.LEADER:
         saving = [each for each in among if world.disks[each].pending]
-        flying = [each for each in world.flying if each.sender in among and each.recipient in among]
-        world = world.after(("saved", saving[0]) if saving else ("deliver", flying[0]))
+        messages = [each for each in world.messages if each.sender in among and each.recipient in among]
+        world = world.after(("saved", saving[0]) if saving else ("deliver", messages[0]))
     while saves and world.disks[seat].pending:
         world = world.after(("saved", seat))
     return world
--- a/lichencleat/testkit/explore_scenes.py
+++ b/lichencleat/testkit/explore_scenes.py
@@ -15,26 +15,26 @@
 from lichencleat.consensus import progress as following
 from lichencleat.consensus.raft_node import RaftNode
 from lichencleat.testkit.explore import Explored, explore
-from lichencleat.testkit.explore_quorum import Limits, QuorumWorld, quiet, settled, stood
+from lichencleat.testkit.explore_quorum import Limits, QuorumWorld, deliver_all, drop_messages, elect
 from lichencleat.testkit.simulation.variants import VARIANTS
 
 MAX_STATES = 200_000  # states explored in one scene; this takes about 40 s
 
 
-def begins(world: QuorumWorld, limits: Limits) -> QuorumWorld:
+def set_limits(world: QuorumWorld, limits: Limits) -> QuorumWorld:
     """Set the limits that hold after the scripted history and reset the counts of campaigns and changes."""
-    world.limits, world.stood, world.changes = limits, 0, 0
+    world.limits, world.campaigns, world.changes = limits, 0, 0
     return world
 
 
 def two_stand(kind: type[RaftNode]) -> QuorumWorld:
     """Members 1 and 3 campaign in the same term, and one member loses power."""
-    return QuorumWorld(kind, 3, Limits(terms=1, cuts=1, proposals=0, stands=(1, 3)))
+    return QuorumWorld(kind, 3, Limits(terms=1, cuts=1, proposals=0, campaigners=(1, 3)))
 
 
 def two_lead(kind: type[RaftNode]) -> QuorumWorld:
     """Member 1 leads, then member 3, whose log may lack entries that member 1 has committed."""
-    return QuorumWorld(kind, 3, Limits(terms=2, cuts=0, proposals=0, stands=(1, 3), late_writes=False))
+    return QuorumWorld(kind, 3, Limits(terms=2, cuts=0, proposals=0, campaigners=(1, 3), late_writes=False))
 
 
 def elder_entry(kind: type[RaftNode]) -> QuorumWorld:
@@ -43,36 +43,38 @@
     Member 3 holds an entry of term 2.
     """
     world = QuorumWorld(kind, 3, Limits(terms=9, cuts=0, proposals=0, late_writes=False))
-    world = quiet(stood(world, 1, 1, (1, 2)))
-    world = quiet(stood(world, 3, 2, (2, 3)))
-    world = stood(world, 1, 2, (1, 2))
+    world = drop_messages(elect(world, 1, 1, (1, 2)))
+    world = drop_messages(elect(world, 3, 2, (2, 3)))
+    world = elect(world, 1, 2, (1, 2))
     while world.voters[2].log.last_index < 1:
-        world = world.after(("deliver", next(m for m in world.flying if {m.sender, m.recipient} == {1, 2})))
-    for message in [m for m in world.flying if m.sender == 2]:
+        world = world.after(("deliver", next(m for m in world.messages if {m.sender, m.recipient} == {1, 2})))
+    for message in [m for m in world.messages if m.sender == 2]:
         world = world.after(("deliver", message))
-    limits = Limits(terms=4, cuts=0, proposals=0, stands=(3, 3), late_writes=False, on_the_way=4)
-    return begins(quiet(world), limits)
+    limits = Limits(terms=4, cuts=0, proposals=0, campaigners=(3, 3), late_writes=False, max_in_flight=4)
+    return set_limits(drop_messages(world), limits)
 
 
 def two_changes(kind: type[RaftNode]) -> QuorumWorld:
     """Member 1 adds members 4 and 5, and only they receive the changes; members 2 and 3 do not."""
     changes = (("add", 4), ("add", 5))
-    limits = Limits(terms=1, cuts=0, proposals=0, late_writes=False, on_the_way=40, changes=changes)
-    world = settled(stood(QuorumWorld(kind, 3, limits, spare=2), 1, 1, (1, 2, 3)), (1, 2, 3))
-    world = settled(world.after(("change", 1)).after(("change", 1)), (1, 4, 5))
-    return begins(world, Limits(terms=2, cuts=0, proposals=0, stands=(2,), late_writes=False, on_the_way=5))
+    limits = Limits(terms=1, cuts=0, proposals=0, late_writes=False, max_in_flight=40, changes=changes)
+    world = deliver_all(elect(QuorumWorld(kind, 3, limits, spare=2), 1, 1, (1, 2, 3)), (1, 2, 3))
+    world = deliver_all(world.after(("change", 1)).after(("change", 1)), (1, 4, 5))
+    return set_limits(
+        world, Limits(terms=2, cuts=0, proposals=0, campaigners=(2,), late_writes=False, max_in_flight=5)
+    )
 
 
 def first_entry(kind: type[RaftNode], leader_saves: bool) -> QuorumWorld:
     """Member 1 leads, and member 2 has received the first entry; one of the two has not flushed the entry."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0))
-    world = stood(world, 1, 1, (1, 2), leader_saves)
-    for message in [m for m in world.flying if m.recipient == 2]:
+    world = elect(world, 1, 1, (1, 2), leader_saves)
+    for message in [m for m in world.messages if m.recipient == 2]:
         world = world.after(("deliver", message))
     while not leader_saves and world.disks[2].pending:
         world = world.after(("saved", 2))
-    world.flying = tuple(m for m in world.flying if m.sender == 2)
-    return begins(world, Limits(terms=2, cuts=1, proposals=0, stands=(3, 3), on_the_way=4))
+    world.messages = tuple(m for m in world.messages if m.sender == 2)
+    return set_limits(world, Limits(terms=2, cuts=1, proposals=0, campaigners=(3, 3), max_in_flight=4))
 
 
 def leader_cut(kind: type[RaftNode]) -> QuorumWorld:
@@ -88,16 +90,20 @@
 def old_leader_reads(kind: type[RaftNode]) -> QuorumWorld:
     """Member 1 leads and all logs agree; member 3 is elected while member 1 still believes it leads."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0, late_writes=False))
-    world = settled(stood(world, 1, 1, (1, 2, 3)), (1, 2, 3))
-    limits = Limits(terms=2, cuts=0, proposals=0, stands=(3,), late_writes=False, on_the_way=6, reads=1)
-    return begins(world, limits)
+    world = deliver_all(elect(world, 1, 1, (1, 2, 3)), (1, 2, 3))
+    limits = Limits(
+        terms=2, cuts=0, proposals=0, campaigners=(3,), late_writes=False, max_in_flight=6, reads=1
+    )
+    return set_limits(world, limits)
 
 
 def snapshots(kind: type[RaftNode]) -> QuorumWorld:
     """Members may compact applied entries at any time; member 3 lags, and one member loses power."""
     world = QuorumWorld(kind, 3, Limits(terms=1, cuts=0, proposals=0, late_writes=False))
-    world = settled(stood(world, 1, 1, (1, 2)), (1, 2))
-    return begins(world, Limits(terms=1, cuts=1, proposals=1, compactions=2, stands=(1,), on_the_way=3))
+    world = deliver_all(elect(world, 1, 1, (1, 2)), (1, 2))
+    return set_limits(
+        world, Limits(terms=1, cuts=1, proposals=1, compactions=2, campaigners=(1,), max_in_flight=3)
+    )
 
 
 @dataclass(frozen=True, slots=True)
--- a/lichencleat/testkit/faulty_disk.py
+++ b/lichencleat/testkit/faulty_disk.py
@@ -140,7 +140,7 @@
         """Return the bytes of each file, whether flushed or not."""
         return {name: bytes(content.now) for name, content in self.live_names.items()}
 
-    # -- methods of Disk ---------------------------------------------------------------------------------
+    # -- methods of Disk -----------------------------------------------------------------------------
 
     def names(self) -> list[str]:
         """See `Disk`."""
