--- a/lichencleat/testkit/explore_revive.py
+++ b/lichencleat/testkit/explore_revive.py
@@ -1,9 +1,11 @@
-"""Two nodes, their grants, receipts and clocks through cuts and returns in all orders; the real decisions.
+"""Model checking of recovery after power cuts: two nodes with quota grants, idempotency records and clocks.
 
-`python -m lichencleat.testkit.explore_revive` says how far all was tried, and that planted mistakes are
-caught.
-The log is one order, as voters make it (`explore_quorum.py` is about those); what goes to it and back may be
-lost, late, or of an owner that is none any more.
+All orders of power cuts, restarts, requests and changes of the lease holder are tried, with the real logic.
+`python -m lichencleat.testkit.explore_revive` prints the depth that was reached and the bugs that were found.
+
+The consensus log is modelled as a single sequence of commands; `explore_quorum.py` checks consensus itself.
+Requests and replies may be lost or late, and commands may come from an owner that has lost its lease. An
+owner is the holder of the leases for recovery and for quota allocation.
 """
 
 from __future__ import annotations
@@ -30,34 +32,36 @@
 from lichencleat.recovery.state import FleetState
 from lichencleat.testkit.explore import Explored, explore
 
-POOL, LIMIT, FLOOR, TERM = "p", 3, 1, 1_000_000
-TICK = TERM // 2  # µs: one step of time
-KEY, BODY, WINDOW = b"k" * 17, b"b" * 16, 16_000_000  # µs: longer than any history
+POOL, LIMIT, FLOOR, TERM = "p", 3, 1, 1_000_000  # quota pool: limit and floor in calls, grant term in µs
+TICK = TERM // 2  # µs by which the action "tick" advances the clock
+KEY, BODY, WINDOW = b"k" * 17, b"b" * 16, 16_000_000  # WINDOW in µs: longer than any history
 NAMES = ("a", "b")
-TICKS, CUTS, OWNERS, ASKS, STALE = 5, 2, 1, 7, 1  # bounds of the setting
-HOUR = 3_600_000_000  # µs by which the clock of node b is ahead after its first cut
+# Limits of one history: ticks, power cuts, owner changes, quota requests, and late sends by a former owner.
+TICKS, CUTS, OWNERS, ASKS, STALE = 5, 2, 1, 7, 1
+HOUR = 3_600_000_000  # µs: error of the clock of node b, which runs ahead after its first power cut
 
 
 @dataclass
 class Node:
-    """One process, or what it left: its calls below, its disk."""
+    """A node: its process while it is up, and its disk and open calls, which survive the process."""
 
     up: bool = False
     life: int = 0
     grants: QuotaGrant | None = None
-    flying: QuotaReply | None = None  # an answer on its way
-    out: tuple[int, ...] = ()  # ends of its calls, also of lives before
-    mine: int = 0  # of them, of this life
+    reply: QuotaReply | None = None  # quota reply in flight
+    # µs: latest end of each open call, including the calls of earlier processes.
+    open_calls: tuple[int, ...] = ()
+    own_calls: int = 0  # number of open calls that the current process began
     gate: ReadinessGate | None = None
-    book: RecordIndex | None = None
+    records: RecordIndex | None = None
     disk: IdempotencyRecord | None = None
-    own: int = 0  # µs of its own time: it stands still while it is down
-    begun: int = 0  # runs of its key
+    own: int = 0  # µs on the node's own clock, which stops while the node is down
+    begun: int = 0  # runs of the key on this node
 
 
 @dataclass
 class World:
-    """The setting at one moment."""
+    """State of the setting."""
 
     jobs: LeaseState = field(default_factory=LeaseState)
     now: int = 0
@@ -68,18 +72,20 @@
     asks: int = ASKS
     stale_left: int = STALE
     nodes: dict[str, Node] = field(default_factory=lambda: {name: Node() for name in NAMES})
-    dealer: Allocator | None = None
-    stale: tuple[Any, ...] = ()  # proposals of an owner that was stopped before it sent them
-    epoch_token: int = 0  # of the owner that began the epoch
-    opened_by: dict[str, int] = field(default_factory=dict)  # node -> token that opened it
+    allocator: Allocator | None = None
+    stale: tuple[Any, ...] = ()  # proposals of an owner that was paused before it sent them
+    epoch_token: int = 0  # fencing token of the owner that began the epoch
+    opened_by: dict[str, int] = field(
+        default_factory=dict
+    )  # node -> fencing token of the owner that opened the node
     wrong: str | None = None
 
     pools_kind = QuotaState
     fleet_kind = FleetState
     grants_kind = QuotaGrant
-    book_kind = RecordIndex
+    records_kind = RecordIndex
     waits_for_proof = True
-    only = None  # of what may happen, and then to node a alone: that reaches deeper
+    only = None  # actions to explore, on node a alone, for a deeper search; None: all actions on both nodes
 
     def __post_init__(self) -> None:
         self.pools, self.fleet = self.pools_kind(self.jobs), self.fleet_kind(self.jobs)
@@ -87,32 +93,39 @@
         for job in (JOB, allocator_job(POOL)):
             self.enter(self.jobs, DefineJob(job))
         self.enter(self.pools, DefinePool(POOL, LIMIT, FLOOR, len(NAMES), TERM))
-        self.dealer = Allocator(POOL, self.token(allocator_job(POOL)))
+        self.allocator = Allocator(POOL, self.token(allocator_job(POOL)))
         self.epoch_token = self.token(JOB)
         for name in NAMES:
             self.wake(name)
         self.check()
 
     def token(self, job: str) -> int:
+        """Return the current fencing token of the job."""
         return self.jobs.jobs[job].fencing_token
 
     def enter(self, part: Any, what: Any) -> Any:
+        """Apply a command at the next log index to one part of the replicated state; return the answer."""
         self.index += 1
         return part.apply(self.index, msgspec.Raw(msgspec.msgpack.encode(what)))
 
-    # -- as the explorer wants it ----------------------------------------------------------------------
+    # -- methods of explore.World --------------------------------------------------------------------
 
     def after(self, action: Any) -> World:
+        """Return the state that follows the action; this state stays unchanged."""
         twin = copy.deepcopy(self)
         getattr(twin, action[0])(*action[1:])
         twin.check()
         return twin
 
     def violation(self) -> str | None:
+        """Return the description of the violated rule, or None."""
         return self.wrong
 
     def key(self) -> Hashable:
-        """Places in the log only count by their order: histories that differ in nothing else are one."""
+        """Return a key; states with equal keys have the same possible futures.
+
+        Log indexes are replaced by their rank, because only their order matters.
+        """
         seats = self.pools.pools[POOL].node_quotas
         places = {
             self.token(JOB),
@@ -122,8 +135,8 @@
         }
         for seat in seats.values():
             places |= {seat.renewal_index, seat.previous_renewal_index}
-        assert self.dealer is not None
-        places |= {at for _, at in self.dealer.seen_at} | {
+        assert self.allocator is not None
+        places |= {at for _, at in self.allocator.seen_at} | {
             getattr(each, "renewal_index", 0) for each in self.stale
         }
         places |= {each.fencing_token for each in self.stale} | set(self.opened_by.values())
@@ -141,7 +154,9 @@
             )
             for name, each in sorted(seats.items())
         )
-        dealer = tuple(sorted((name, rank[at], since) for (name, at), since in self.dealer.seen_at.items()))
+        allocator_key = tuple(
+            sorted((name, rank[at], since) for (name, at), since in self.allocator.seen_at.items())
+        )
         stale = tuple(
             (type(each).__name__, rank[each.fencing_token], rank.get(getattr(each, "renewal_index", -1)))
             for each in self.stale
@@ -156,17 +171,18 @@
         return (
             left,
             table,
-            dealer,
+            allocator_key,
             stale,
             nodes,
             doors,
             by,
             rank[self.token(JOB)],
-            rank[self.dealer.fencing_token],
+            rank[self.allocator.fencing_token],
         )
 
     @staticmethod
     def node_key(node: Node) -> Hashable:
+        """Return the part of the key that describes one node."""
         grants, gate = node.grants, node.gate
         held = (
             (grants.amount, grants.valid_until, grants.requested_at, grants.request_number, grants.floor_from)
@@ -174,27 +190,28 @@
             else None
         )
         word = (gate.epoch, gate.share, gate.group_answered, gate.clock_offset) if gate else None
-        flying = (node.flying.amount, node.flying.rejection) if node.flying else None
-        book = (node.book.is_loaded, tuple(node.book.rows.items())) if node.book else None
+        reply = (node.reply.amount, node.reply.rejection) if node.reply else None
+        records = (node.records.is_loaded, tuple(node.records.rows.items())) if node.records else None
         return (
             node.up,
             node.life,
             held,
-            flying,
-            node.out,
-            node.mine,
+            reply,
+            node.open_calls,
+            node.own_calls,
             word,
-            book,
+            records,
             node.disk,
             node.own,
             node.begun,
         )
 
     def check(self) -> None:
+        """Check the quota limit, that a key runs once, and that no owner from an earlier epoch opened a node."""
         usable = sum(
             each.grants.usable_calls(self.now) for each in self.nodes.values() if each.up and each.grants
         )
-        out = sum(end > self.now for each in self.nodes.values() for end in each.out)
+        out = sum(end > self.now for each in self.nodes.values() for end in each.open_calls)
         if usable > LIMIT:
             self.wrong = f"{usable} usable of {LIMIT}"
         elif out > LIMIT:
@@ -207,14 +224,16 @@
             if each.status == NodeStatus.OPEN and self.opened_by.get(name, 0) < self.epoch_token:
                 self.wrong = f"{name} is open by the word of an owner from before the epoch"
 
-    # -- what may happen -------------------------------------------------------------------------------
+    # -- actions -------------------------------------------------------------------------------
 
     def actions(self) -> Iterable[Hashable]:
+        """Yield the actions to explore in this state, in a fixed order."""
         for action in self.all_actions():
             if self.only is None or (action[0] in self.only and action[-1] != "b"):
                 yield action
 
     def all_actions(self) -> Iterable[Any]:
+        """Yield all actions that are possible in this state, in a fixed order."""
         if self.ticks:
             yield ("tick",)
         if self.owners:
@@ -229,90 +248,101 @@
             if not node.up:
                 yield ("wake", name)
                 continue
-            assert node.grants is not None and node.book is not None
+            assert node.grants is not None and node.records is not None
             if self.cuts:
                 yield ("cut", name)
-            if node.flying is not None:
+            if node.reply is not None:
                 yield ("hear", name)
                 yield ("lose", name)
             elif self.asks and node.grants.requested_at is None:
                 yield ("ask", name)
-            if node.mine < node.grants.usable_calls(self.now):
+            if node.own_calls < node.grants.usable_calls(self.now):
                 yield ("call", name)
-            if not node.book.is_loaded:
+            if not node.records.is_loaded:
                 yield ("stand", name)
             if self.may_run(node):
                 yield ("run", name)
 
     def tick(self) -> None:
+        """Advance the clock by TICK and end the calls that are due."""
         self.ticks -= 1
         self.now += TICK
         for node in self.nodes.values():
-            ended = [end for end in node.out if end <= self.now]
-            node.out = tuple(end for end in node.out if end > self.now)
-            node.mine = max(0, node.mine - len(ended)) if node.up else 0
+            ended = [end for end in node.open_calls if end <= self.now]
+            node.open_calls = tuple(end for end in node.open_calls if end > self.now)
+            node.own_calls = max(0, node.own_calls - len(ended)) if node.up else 0
             node.own += TICK if node.up else 0
 
     def unix(self, node: Node) -> int:
-        """Of node b, after its first cut, an hour ahead."""
+        """Return the node's Unix time in µs; node b is an hour ahead after its first power cut."""
         return self.now + (HOUR if node is self.nodes["b"] and node.life > 1 else 0)
 
     def time(self, node: Node) -> int:
-        """By which it counts windows."""
+        """Return the time in µs by which the node measures idempotency windows."""
         return node.own
 
     def owner(self) -> None:
-        """Another one; what the old one had on its way may come yet. It finds the power lost: a new epoch."""
+        """A new owner takes the leases and begins a new epoch, because all nodes have lost power.
+
+        Proposals of the former owner may still arrive.
+        """
         self.owners -= 1
         for name, known in list(self.jobs.candidates.items()):
             self.enter(self.jobs, CandidateExpired(name, known.renewal_index))
         self.enter(self.jobs, RenewLease(f"o{self.index}", "", self.index, True, {}))
-        self.dealer = Allocator(POOL, self.token(allocator_job(POOL)))
+        self.allocator = Allocator(POOL, self.token(allocator_job(POOL)))
         if self.enter(self.fleet, NewEpoch(self.token(JOB), self.fleet.epoch)).accepted:
             self.epoch_token = self.token(JOB)
             for node in self.fleet.nodes.values():
-                node.status, node.share = NodeStatus.SHUT, 0.0  # the power was lost by all
+                node.status, node.share = NodeStatus.SHUT, 0.0  # all nodes have lost power
 
     def proposals(self) -> list[Any]:
-        assert self.dealer is not None
-        said: list[Any] = list(self.dealer.decide(self.now, copy.deepcopy(self.pools.pools[POOL])))
+        """Return the proposals of the owner: quota changes, and a batch that opens all shut nodes."""
+        assert self.allocator is not None
+        said: list[Any] = list(self.allocator.decide(self.now, copy.deepcopy(self.pools.pools[POOL])))
         shut = [name for name, each in self.fleet.nodes.items() if each.status == NodeStatus.SHUT]
         return said + (
             [RolloutBatch(self.token(JOB), dict.fromkeys(shut, 1.0), RolloutPlan(9.0))] if shut else []
         )
 
     def look(self) -> None:
+        """The owner reads the state and sends its proposals."""
         self.send(self.proposals())
 
     def stops_before_it_sends(self) -> None:
+        """The owner decides on its proposals and pauses before it sends them."""
         self.stale_left -= 1
         self.stale = tuple(self.proposals())
 
     def sends_late(self) -> None:
+        """The paused owner sends its proposals, possibly after it has lost its lease."""
         said, self.stale = self.stale, ()
         self.send(list(said))
 
     def send(self, said: list[Any]) -> None:
+        """Apply the proposals and note which fencing token opened each node."""
         for each in said:
             part = self.fleet if isinstance(each, RolloutBatch) else self.pools
             done = self.enter(part, each)
             if isinstance(each, RolloutBatch) and done.accepted:
                 self.opened_by |= dict.fromkeys(each.shares, each.fencing_token)
 
-    # -- nodes -----------------------------------------------------------------------------------------
+    # -- nodes ---------------------------------------------------------------------------------------
 
     def wake(self, name: str) -> None:
+        """Start the node and report it to the fleet state."""
         node = self.nodes[name]
-        node.up, node.life, node.mine, node.flying = True, node.life + 1, 0, None
+        node.up, node.life, node.own_calls, node.reply = True, node.life + 1, 0, None
         node.grants = self.grants_kind(POOL, name, node.life, FLOOR, TERM, self.now)
         node.gate = ReadinessGate(name, "", node.life, False, 1, ClockCheck.PLAUSIBLE, self.now)
         node.gate.ready = True
-        node.book = self.book_kind(10, 1 << 20)
+        node.records = self.records_kind(10, 1 << 20)
         if node.life == 1:
-            node.book.is_loaded = True
+            node.records.is_loaded = True
         self.report(node)
 
     def report(self, node: Node) -> None:
+        """Send the report of the node to the fleet state and handle the reply."""
         assert node.gate is not None
         what = NodeReport(
             node.gate.node, "", node.life, False, node.gate.epoch, self.unix(node), True, True, 0.0
@@ -321,67 +351,77 @@
         node.gate.on_reply(self.now, self.enter(self.fleet, what))
 
     def cut(self, name: str) -> None:
+        """The node loses power; its calls continue."""
         self.cuts -= 1
         node = self.nodes[name]
-        node.up, node.mine, node.flying = False, 0, None
+        node.up, node.own_calls, node.reply = False, 0, None
 
     def ask(self, name: str) -> None:
+        """The node requests quota; the reply is in flight afterwards."""
         self.asks -= 1
         node = self.nodes[name]
         assert node.grants is not None
         node.grants.next_request_at = self.now
         node.grants.note_demand(LIMIT)
-        what = node.grants.next_request(self.now, node.mine)
+        what = node.grants.next_request(self.now, node.own_calls)
         assert isinstance(what, QuotaRequest)
-        node.flying = self.enter(self.pools, what)
+        node.reply = self.enter(self.pools, what)
 
     def hear(self, name: str) -> None:
+        """The quota reply in flight arrives."""
         node = self.nodes[name]
-        assert node.grants is not None and node.flying is not None
-        told, node.flying = node.flying, None
+        assert node.grants is not None and node.reply is not None
+        told, node.reply = node.reply, None
         node.grants.on_reply(self.now, told)
 
     def lose(self, name: str) -> None:
+        """The quota reply in flight is lost."""
         node = self.nodes[name]
         assert node.grants is not None
-        node.flying = None
+        node.reply = None
         node.grants.on_failure(self.now)
 
     def call(self, name: str) -> None:
+        """The node begins a call under its quota."""
         node = self.nodes[name]
         assert node.grants is not None
-        node.out = tuple(sorted((*node.out, self.now + node.grants.max_call_duration(self.now))))
-        node.mine += 1
+        node.open_calls = tuple(
+            sorted((*node.open_calls, self.now + node.grants.max_call_duration(self.now)))
+        )
+        node.own_calls += 1
 
     def stand(self, name: str) -> None:
+        """The node loads its idempotency records from disk."""
         node = self.nodes[name]
-        assert node.book is not None
+        assert node.records is not None
         if node.disk is not None:
-            node.book.restore(KEY, node.disk, self.time(node))
-        node.book.is_loaded = True
+            node.records.restore(KEY, node.disk, self.time(node))
+        node.records.is_loaded = True
 
     def may_run(self, node: Node) -> bool:
-        assert node.book is not None
-        if node.begun > 1 or (self.waits_for_proof and not node.book.is_loaded):
+        """Return whether the node would begin a run of the key."""
+        assert node.records is not None
+        if node.begun > 1 or (self.waits_for_proof and not node.records.is_loaded):
             return False
-        return node.book.look_up(KEY, BODY, self.time(node)) is LookupResult.NEW
+        return node.records.look_up(KEY, BODY, self.time(node)) is LookupResult.NEW
 
     def run(self, name: str) -> None:
+        """The node records the key and begins a run."""
         node = self.nodes[name]
-        assert node.book is not None
+        assert node.records is not None
         now = self.time(node)
         node.disk = IdempotencyRecord(
             RecordState.OPEN, "save", now, now + WINDOW, now + WINDOW, b"%d" % node.life, BODY
         )
-        node.book.put(KEY, node.disk)
+        node.records.put(KEY, node.disk)
         node.begun += 1
 
 
-# -- mistakes that must be caught ------------------------------------------------------------------
+# -- injected bugs, which must be found --------------------------------------------------------------
 
 
-class NoGhostPools(QuotaState):
-    """Honours an earlier life's grant no more, though its calls go on."""
+class ReleasesEarlierGrants(QuotaState):
+    """Injected bug: releases the grant of an earlier process although its calls continue."""
 
     def renew(self, index: int, request: QuotaRequest) -> QuotaReply:
         told = super().renew(index, request)
@@ -389,8 +429,8 @@
         return told
 
 
-class AnyOwnerJobs(FleetState):
-    """Takes any owner's plan."""
+class AcceptsAnyOwner(FleetState):
+    """Injected bug: accepts plans from any owner, whatever its fencing token."""
 
     def apply(self, index: int, command: msgspec.Raw) -> Any:
         known = self.jobs.is_current_token
@@ -402,7 +442,7 @@
 
 
 class FloorAtOnce(QuotaGrant):
-    """Counts on its floor from its first moment."""
+    """Injected bug: uses the floor of the quota from the start of the process."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -410,30 +450,38 @@
 
 
 class GrantsOfOne(World):
-    """One node's grants and calls through its cuts, and nothing else: to a depth that a whole life has."""
+    """Only the grants and calls of one node through power cuts, which allows a deeper search."""
 
     only = frozenset(["cut", "wake", "ask", "hear", "look", "call", "tick"])
 
 
 class OldGrant(GrantsOfOne):
+    """Setting with the bug of ReleasesEarlierGrants."""
+
     only = GrantsOfOne.only - {"tick"}
-    pools_kind = NoGhostPools
+    pools_kind = ReleasesEarlierGrants
 
 
 class OldPlan(World):
-    fleet_kind = AnyOwnerJobs
+    """Setting with the bug of AcceptsAnyOwner."""
+
+    fleet_kind = AcceptsAnyOwner
 
 
 class EarlyFloor(World):
+    """Setting with the bug of FloorAtOnce."""
+
     grants_kind = FloorAtOnce
 
 
 class BeforeProof(World):
+    """Injected bug: runs the key before the idempotency records are loaded."""
+
     waits_for_proof = False
 
 
 class WrongClock(World):
-    """Counts windows by the clock that it finds."""
+    """Injected bug: measures idempotency windows by the Unix clock, which may be wrong."""
 
     def time(self, node: Node) -> int:
         return self.unix(node)
@@ -443,7 +491,7 @@
 
 
 def warm(kind: type[World]) -> World:
-    """Begins with node a at all that it may have, and its calls below."""
+    """Return a start state in which node a holds its largest grant and uses all of it for open calls."""
     world = kind()
     for name in ("a", "b", "a"):
         world.look()
@@ -457,16 +505,19 @@
 
 
 def play(kind: type[World], depth: int, most: int = 100_000) -> Explored:
-    """From a start with calls out, and from one with nothing: the first violation, or the last search."""
+    """Explore from a start with open calls and then from an empty start.
+
+    Returns the search that found a violation, or else the second search.
+    """
     found = explore(warm(kind), depth, most)
     return found if found.violation is not None else explore(kind(), depth, most)
 
 
 @click.command()
 @click.option("--depth", default=8, show_default=True)
-@click.option("--most", default=100_000, show_default=True, help="States, from each start.")
+@click.option("--most", default=100_000, show_default=True, help="Maximum number of states from each start.")
 def main(depth: int, most: int) -> None:
-    """Tries everything to that depth, and that each planted mistake is caught."""
+    """Check the implementation in all event orders, and check that each injected bug is found."""
     failed = False
     for right, steps in ((World, depth), (GrantsOfOne, 2 * depth)):
         found = play(right, steps, most)
--- a/lichencleat/testkit/explore_router.py
+++ b/lichencleat/testkit/explore_router.py
@@ -1,8 +1,7 @@
-"""Two routers of two zones, one key, orders that come in any order, cuts and repeats, in all orders; the real
-decisions.
+"""Model checking of the real router logic: two zones with one router each, and requests with a single key.
 
-`python -m lichencleat.testkit.explore_router` says how far all was tried, and that planted mistakes are
-caught.
+All orders of attempts, retries, attempt outcomes, routing plans and router restarts are tried.
+`python -m lichencleat.testkit.explore_router` prints the depth that was reached and the bugs that were found.
 """
 
 from __future__ import annotations
@@ -24,17 +23,18 @@
 SAVE = RequestClass("save", Effect.KEYED, latency_objective=SECOND, deadline=4 * SECOND, window=60 * SECOND)
 NODES = {"a": ["a1", "a2"], "b": ["b1"]}
 GUESTS = {"a": 1_000.0, "b": 1_000.0}
-ORDERS = [
+PLANS = [
     RoutingPlan(1, 1, {}, GUESTS),
     RoutingPlan(2, 1, {"a": ZoneRole.DRAINING}, GUESTS),
     RoutingPlan(3, 1, {"b": ZoneRole.FENCED}, GUESTS),
 ]
-AGAIN, RESTARTS, TOLD = 2, 1, 3  # further tries, lost routers, and words of an order, at the most
+# Limits of one history: retries by the client, router restarts, and deliveries of a routing plan.
+RETRIES, RESTARTS, PLAN_DELIVERIES = 2, 1, 3
 OUTCOMES = (AttemptOutcome.SERVED, AttemptOutcome.DEFERRED, AttemptOutcome.UNSENT, AttemptOutcome.LOST)
 
 
 class First:
-    """In place of chance: the first of those that there are, and always the middle."""
+    """Random number generator without randomness: samples the first items and returns 0.5 for each draw."""
 
     def random(self) -> float:
         return 0.5
@@ -43,7 +43,8 @@
         return of[:count]
 
 
-def made(kind: type[Router], zone: str) -> Router:
+def make_router(kind: type[Router], zone: str) -> Router:
+    """Return a new router of the class `kind` for the zone, with the initial routing plan."""
     ways = {"a": Zone("", 0.0, {"b": 5_000}), "b": Zone("", 0.0, {"a": 5_000})}
     router = kind(zone, ways, NODES, CapacitySignal.NONE, First(), START, 2)  # type: ignore[arg-type]
     router.apply_plan(START, RoutingPlan(0, 1, {}, GUESTS))
@@ -52,31 +53,34 @@
 
 
 class World:
-    """The setting at one moment."""
+    """State of the setting."""
 
     kind: type[Router] = Router
 
     def __init__(self) -> None:
-        self.routers = {zone: made(self.kind, zone) for zone in NODES}
+        self.routers = {zone: make_router(self.kind, zone) for zone in NODES}
         self.now = START
-        self.open: list[tuple[str, RoutedRequest]] = []  # requests that have no answer, and at which router
-        self.tries: dict[int, str] = {}  # of them, by their place: the node of the try under way
-        self.may_run: set[str] = set()  # nodes that the key may have run on
-        self.sent: dict[str, int] = {}  # tries there that may run
-        self.first, self.again, self.restarts, self.told = 1, AGAIN, RESTARTS, TOLD
+        self.open: list[tuple[str, RoutedRequest]] = []  # (zone of the router, request without an answer)
+        self.tries: dict[int, str] = {}  # position in `open` -> node of the attempt in flight; not used
+        self.may_run: set[str] = set()  # nodes that may have run the request with the key; not used
+        self.sent: dict[str, int] = {}  # node -> number of attempts sent there that may run
+        self.first, self.retries, self.restarts, self.plan_deliveries = 1, RETRIES, RESTARTS, PLAN_DELIVERIES
         self.wrong: str | None = None
 
-    # -- as the explorer wants it ------------------------------------------------------------------------
+    # -- methods of explore.World --------------------------------------------------------------------
 
     def after(self, action: Any) -> World:
+        """Return the state that follows the action; this state stays unchanged."""
         twin = copy.deepcopy(self)
         getattr(twin, action[0])(*action[1:])
         return twin
 
     def violation(self) -> str | None:
+        """Return the description of the violated rule, or None."""
         return self.wrong
 
     def key(self) -> Hashable:
+        """Return a key; states with equal keys have the same possible futures."""
         routers = tuple(
             (
                 each.locality.plan.version,
@@ -96,16 +100,17 @@
             (zone, r.is_retry, r.attempts, r.node, tuple(r.attempted_nodes), r.may_have_run)
             for zone, r in self.open
         )
-        left = self.first, self.again, self.restarts, self.told
+        left = self.first, self.retries, self.restarts, self.plan_deliveries
         return routers, open_, tuple(sorted(self.sent.items())), self.now, left
 
     def actions(self) -> Iterable[Hashable]:
+        """Yield all actions that are possible in this state, in a fixed order."""
         if self.first:
             yield from (("asks", zone, False) for zone in NODES)
-        elif self.again:
+        elif self.retries:
             yield from (("asks", zone, True) for zone in NODES)
-        if self.told:
-            yield from (("orders", zone, at) for zone in NODES for at in range(len(ORDERS)))
+        if self.plan_deliveries:
+            yield from (("orders", zone, at) for zone in NODES for at in range(len(PLANS)))
         for at, (_, request) in enumerate(self.open):
             yield from (("comes", at, came) for came in OUTCOMES if request.node)
             yield ("leaves", at)
@@ -114,27 +119,30 @@
         if self.open:
             yield ("time",)
 
-    # -- what happens ------------------------------------------------------------------------------------
+    # -- actions ------------------------------------------------------------------------------------
 
     def asks(self, zone: str, again: bool) -> None:
+        """The client sends its request to the router of the zone; `again` marks a retry."""
         if again:
-            self.again -= 1
+            self.retries -= 1
         else:
             self.first -= 1
-        ident = b"%d" % (self.first + self.again)
+        ident = b"%d" % (self.first + self.retries)
         request = RoutedRequest(SAVE, ident, self.now, self.now + SAVE.deadline, key=b"k", is_retry=again)
         self.open.append((zone, request))
         self.routers[zone].on_request(self.now, request)
         self.pull(zone)
 
     def orders(self, zone: str, at: int) -> None:
-        self.told -= 1
+        """The router of the zone receives the routing plan `PLANS[at]`."""
+        self.plan_deliveries -= 1
         before = self.routers[zone].locality.plan.version
-        self.routers[zone].apply_plan(self.now, ORDERS[at])
+        self.routers[zone].apply_plan(self.now, PLANS[at])
         if self.routers[zone].locality.plan.version < before:
-            self.wrong = f"an older order is followed: {ORDERS[at].version} after {before}"
+            self.wrong = f"an older order is followed: {PLANS[at].version} after {before}"
 
     def comes(self, at: int, came: AttemptOutcome) -> None:
+        """The open request number `at` receives the outcome of its attempt."""
         zone, request = self.open[at]
         node = request.node
         if came in (AttemptOutcome.DEFERRED, AttemptOutcome.UNSENT):
@@ -143,18 +151,20 @@
         self.pull(zone)
 
     def leaves(self, at: int) -> None:
+        """The client cancels the open request number `at`."""
         zone, request = self.open[at]
         self.routers[zone].on_caller_left(self.now, request)
         self.pull(zone)
         self.close(request)
 
     def restarts_at(self, zone: str) -> None:
-        """What it knew is gone, what it had sent may run."""
+        """The router of the zone restarts without its state; the attempts that it sent may still run."""
         self.restarts -= 1
-        self.routers[zone] = made(self.kind, zone)
+        self.routers[zone] = make_router(self.kind, zone)
         self.open = [each for each in self.open if each[0] != zone]
 
     def time(self) -> None:
+        """Advance the clock to the earliest due time of an open request, less the answer margin."""
         self.now = min(request.due for _, request in self.open) - ANSWER_MARGIN_US
         for zone in NODES:
             self.pull(zone)
@@ -162,14 +172,16 @@
         if late:
             self.wrong = self.wrong or "a request that is due is not answered"
 
-    # -- what is decided ---------------------------------------------------------------------------------
+    # -- decisions of the routers --------------------------------------------------------------------
 
     def pull(self, zone: str) -> None:
+        """Carry out all decisions of the router."""
         while (decision := self.routers[zone].next_decision(self.now)) is not None:
             if decision.request is not None:
-                self.takes(decision)
+                self.carry_out(decision)
 
-    def takes(self, decision: Decision) -> None:
+    def carry_out(self, decision: Decision) -> None:
+        """Carry out one decision and check that the key can run on only one node."""
         request, node = decision.request, decision.node
         assert request is not None
         if decision.action is Action.SEND:
@@ -185,13 +197,16 @@
             self.close(request)
 
     def close(self, request: RoutedRequest) -> None:
+        """Remove an answered or cancelled request from the open requests."""
         self.open = [each for each in self.open if each[1] is not request]
 
 
-# -- planted mistakes ----------------------------------------------------------------------------------------
+# -- injected bugs -----------------------------------------------------------------------------------
 
 
 class RepeatsWhatMayHaveRun(Router):
+    """Injected bug: retries attempts that may have run, on any node."""
+
     def acquire_retry(self, now: int, request: RoutedRequest, came: AttemptOutcome, last: bool) -> bool:
         return request.attempts < MAX_ATTEMPTS and request.due - ANSWER_MARGIN_US > now
 
@@ -202,7 +217,7 @@
 
 
 class Forgets(Router):
-    """Where a key ran, once its tries are over."""
+    """Injected bug: forgets the node that ran a key once no attempt is open."""
 
     def route_keyed(self, now: int, request: RoutedRequest) -> Decision:
         known = self.keys.get(now, request.key)
@@ -212,6 +227,8 @@
 
 
 class TrustsFurtherTries(Router):
+    """Injected bug: sends the retry of an unknown key to any node."""
+
     def route_keyed(self, now: int, request: RoutedRequest) -> Decision:
         if self.keys.get(now, request.key) is None:
             return self.route_in_zone(now, request, self.choose_zone(now, request))
@@ -219,6 +236,8 @@
 
 
 class TakesAnyOrder(Router):
+    """Injected bug: applies a routing plan even if the plan is older than the current one."""
+
     def apply_plan(self, now: int, plan: RoutingPlan) -> bool:
         self.locality.plan = plan
         self.locality.refill_spillover(now)
@@ -226,6 +245,8 @@
 
 
 class SaysThatNothingRan(Router):
+    """Injected bug: reports after each attempt that the request cannot have run."""
+
     def finish_attempt(self, now: int, request: RoutedRequest, came: AttemptOutcome, span: int) -> None:
         super().finish_attempt(now, request, came, span)
         request.may_have_run = False
@@ -240,15 +261,16 @@
 
 
 def play(kind: type[Router], depth: int, most: int = 60_000) -> Explored:
+    """Explore all orders of up to `depth` actions, at most `most` states."""
     world = type("Setting", (World,), {"kind": kind})()
     return explore(world, depth, most)
 
 
 @click.command()
 @click.option("--depth", default=8, show_default=True)
-@click.option("--most", default=400_000, show_default=True, help="States that are looked at.")
+@click.option("--most", default=400_000, show_default=True, help="Maximum number of states.")
 def main(depth: int, most: int) -> None:
-    """All orders to that depth, and the planted mistakes."""
+    """Check the router and the injected bugs in all orders of up to `depth` actions."""
     click.echo(f"as it is: {play(Router, depth, most)}")
     for name, (kind, _) in MISTAKES.items():
         found = play(kind, depth, most)
