--- a/lichencleat/testkit/explore_distribution.py
+++ b/lichencleat/testkit/explore_distribution.py
@@ -1,10 +1,8 @@
-"""A source, two relays and a node of the configuration's distribution, in all orders of what may happen.
+"""Model checking of configuration distribution: a source, two relays and a node, in all event orders.
 
-`python -m lichencleat.testkit.explore_distribution` says how far all was tried in each scene, and that
-planted
-mistakes are caught. The setting and what is judged at each state: `tiny_distribution.py`. Most scenes begin
-with one version in force everywhere, and leave some messages to arrive at once, so that what they are about
-is tried further.
+`python -m lichencleat.testkit.explore_distribution` prints for each scene the depth that was reached, and the
+injected bugs that were found. The setting and the rules are in `tiny_distribution.py`. Most scenes begin with
+version 1 in force everywhere and deliver some messages at once, which allows a deeper search.
 """
 
 from __future__ import annotations
@@ -33,11 +31,11 @@
 from lichencleat.testkit.tiny_distribution import NODE, RELAYS, TICK, Kinds, Limits, World
 from lichencleat.testkit.tiny_table import Tiny, page_digest
 
-MAX_STATES = 60_000  # of one scene: some 40 s, and 300 MB
+MAX_STATES = 60_000  # states explored in one scene; this takes about 40 s and 300 MB
 
 
 class Moment:
-    """A world as the explorer wants it: packed, so that some 100,000 of them fit."""
+    """State for the model checker, pickled so that some 100,000 states fit in memory."""
 
     def __init__(self, world: World) -> None:
         self.packed = pickle.dumps(world, pickle.HIGHEST_PROTOCOL)
@@ -46,29 +44,35 @@
         self.wrong = world.wrong
 
     def actions(self) -> Iterable[Hashable]:
+        """Return all actions that are possible in this state, in a fixed order."""
         return self.possible
 
     def after(self, action: Any) -> Moment:
+        """Return the state that follows the action; this state stays unchanged."""
         world: World = pickle.loads(self.packed)
         world.act(action)
         return Moment(world)
 
     def key(self) -> Hashable:
+        """Return a key; states with equal keys have the same possible futures."""
         return self.marked
 
     def violation(self) -> str | None:
+        """Return the description of the violated rule, or None."""
         return self.wrong
 
 
 @dataclass(frozen=True)
 class Scene:
+    """Limits, search depth and start of one scene."""
+
     limits: Limits
-    depth: int  # that is tried in CI
-    warm: bool = True  # begins with version 1 everywhere
-    script: tuple[Any, ...] = ()  # that has happened then
+    depth: int  # number of actions up to which CI explores the scene
+    warm: bool = True  # the scene begins with version 1 in force everywhere
+    script: tuple[Any, ...] = ()  # actions that happen before the search
 
 
-LAGS = (("publish",), ("deliver", NODE, "A"), ("publish",), ("publish",))  # the node's question comes after
+LAGS = (("publish",), ("deliver", NODE, "A"), ("publish",), ("publish",))  # the request of the node follows
 SCENES = {
     "cold": Scene(Limits(versions=2, ticks=2, losses=1, back=0), 5, warm=False),
     "node": Scene(Limits(versions=2, ticks=3, losses=1, back=0, slices=True, slow=(NODE,), loses=(NODE,)), 7),
@@ -93,6 +97,7 @@
 
 
 def begun(scene: Scene, kinds: Kinds) -> World:
+    """Return the state in which the scene begins."""
     if not scene.warm:
         return World(kinds, scene.limits)
     world = World(kinds, replace(scene.limits, versions=1, slow=()))
@@ -107,17 +112,18 @@
 
 
 def play(scene: Scene, kinds: Kinds, depth: int, most: int = MAX_STATES) -> Explored:
+    """Explore all orders of up to `depth` actions from the start of the scene, at most `most` states."""
     begin = begun(scene, kinds)
-    if begin.wrong is not None:  # the way there was one of all orders, too
+    if begin.wrong is not None:  # the scripted start may already break a rule
         return Explored(1, violation=begin.wrong)
     return explore(Moment(begin), depth, most)
 
 
-# -- mistakes, each of which leaves one part out ------------------------------------------------------------
+# -- injected bugs, each of which omits one safeguard ------------------------------------------------
 
 
 class TwoTurns(Tiny):
-    """A batch's first change is in force a turn before the others."""
+    """Injected bug: the first change of a batch is in force before the other changes."""
 
     def take(self) -> tuple[Batch, ...]:
         changes = [change for batch in self.batches for change in batch.changes]
@@ -130,7 +136,7 @@
 
 
 class Lax(PendingUpdate):
-    """Takes a snapshot of any version."""
+    """Injected bug: accepts a snapshot of any version."""
 
     def begin(self, head: SnapshotHead, relay: str, mark: bytes, knows: int | None) -> str:
         self.copy.begin(head)
@@ -140,7 +146,7 @@
 
 
 class OlderRelay(RelayFollower):
-    """Takes what the relay has, also where that is less."""
+    """Injected bug: takes the version of the relay even if the version is older."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -151,7 +157,7 @@
 
 
 class StreamFromNow(RelayFollower):
-    """After a snapshot it asks for what follows the version that made it ask for one."""
+    """Injected bug: after a snapshot, asks for batches after the version of the answer that required it."""
 
     newest = 0
 
@@ -169,9 +175,10 @@
 
 
 class Trusting(Tiny):
-    """Pages that came fit, whatever digest the snapshot's head has for them."""
+    """Base of two injected bugs: accepts fetched pages whatever digests the snapshot head has."""
 
     def trusts(self) -> None:
+        """Replace the digests in the head by those of the fetched pages."""
         assert self.head is not None
         digests = self.digests()
         for number, page in self.pages.items():
@@ -183,7 +190,7 @@
 
 
 class OldPages(Trusting):
-    """A snapshot that goes on elsewhere keeps the pages of the first one."""
+    """Injected bug: a snapshot continued from another relay keeps the pages of the earlier snapshot."""
 
     def begin(self, head: SnapshotHead) -> None:
         super().begin(head)
@@ -191,7 +198,7 @@
 
 
 class SpoiltPiece(Trusting):
-    """Pages are taken as they come."""
+    """Injected bug: accepts fetched pages without a check."""
 
     def put(self, pages: PagesAnswer) -> bool:
         self.pages.update(pages.pages)
@@ -200,14 +207,14 @@
 
 
 class SpoiltBatch(Tiny):
-    """A batch's digest is not compared."""
+    """Injected bug: does not compare the digest of a batch."""
 
     def step(self) -> bool:
         return bool(self.batches) or super().step()
 
 
 class EarlyWord(RelayFollower):
-    """Asks for what follows a batch while that is still staged: it acknowledges it."""
+    """Injected bug: requests the batches after a staged batch, which acknowledges the batch too early."""
 
     def step(self) -> None:
         super().step()
@@ -218,14 +225,14 @@
 
 
 class AgeFromZero(Publisher):
-    """Whatever it hears from above is as of now."""
+    """Injected bug: takes the age of each report from above as zero."""
 
     def set_age(self, now: int, age: int) -> None:
         super().set_age(now, 0)
 
 
 class AgeOfStart(Publisher):
-    """What it has at its start is as of then."""
+    """Injected bug: takes the age of the table as zero at the start of the process."""
 
     def __init__(self, *args: Any) -> None:
         super().__init__(*args)
@@ -233,7 +240,7 @@
 
 
 class AgeWhenHeard(RelayFollower):
-    """An answer's age counts from when it arrived."""
+    """Injected bug: counts the age of an answer from its arrival."""
 
     heard = 0
 
@@ -245,7 +252,7 @@
         super().advance_known_at(moment if moment is None else self.heard)
 
 
-MISTAKES: dict[str, tuple[str, Kinds, int]] = {  # name -> scene, kinds, depth in which it is caught
+MISTAKES: dict[str, tuple[str, Kinds, int]] = {  # bug -> (scene, classes with the bug, depth that finds it)
     "a batch in two turns": ("node", Kinds(table=TwoTurns), 4),
     "an older relay followed": ("put back", Kinds(follower=OlderRelay), 8),
     "a change lost between snapshot and stream": ("snapshot", Kinds(follower=StreamFromNow), 9),
@@ -260,11 +267,11 @@
 
 
 @click.command()
-@click.option("--deeper", default=3, show_default=True, help="Steps beyond those that CI tries.")
-@click.option("--most", default=MAX_STATES, show_default=True, help="States of each scene.")
-@click.option("--only", default="", help="One scene.")
+@click.option("--deeper", default=3, show_default=True, help="Actions beyond the depth that CI explores.")
+@click.option("--most", default=MAX_STATES, show_default=True, help="Maximum number of states in each scene.")
+@click.option("--only", default="", help="Name of the only scene to explore.")
 def main(deeper: int, most: int, only: str) -> None:
-    """Tries everything to that depth, and that each planted mistake is caught."""
+    """Check the implementation in all event orders, and check that each injected bug is found."""
     failed = False
     for name, scene in SCENES.items():
         if only and name != only:
--- a/lichencleat/testkit/explore_revive.py
+++ b/lichencleat/testkit/explore_revive.py
@@ -207,7 +207,7 @@
         )
 
     def check(self) -> None:
-        """Check the quota limit, that a key runs once, and that no owner from an earlier epoch opened a node."""
+        """Check that the quota holds, a key runs once, and no owner of an earlier epoch opened a node."""
         usable = sum(
             each.grants.usable_calls(self.now) for each in self.nodes.values() if each.up and each.grants
         )
--- a/lichencleat/testkit/tiny_distribution.py
+++ b/lichencleat/testkit/tiny_distribution.py
@@ -1,12 +1,10 @@
-"""A source, two relays and a node of the configuration's distribution: the real decisions over a table of
-three records, one step at a time.
-
-Driven through all orders by `explore_distribution.py`, and at random by
-`tests/config_distribution/test_tree.py`. A
-tick is a span in which no message arrives, so silence and late answers are among the orders; so are lost
-links, spoilt answers, and a relay that is put back to what it once had. Judged at each state: no version goes
-back, none is there in part or with other bytes than published, nothing is acknowledged before it is in force,
-and no age is lower than true.
+"""Setting for configuration distribution: a source, two relays, a node, the real logic and three records.
+
+`explore_distribution.py` explores all event orders, `tests/config_distribution/test_tree.py` random orders.
+No message arrives during a tick, so silence and late answers are covered. Links may be lost, answers may be
+corrupted, and a relay may restart from an old copy of its disk. Rules that are checked in each state: no
+version goes back; each version is complete and has the published bytes; no version is acknowledged before the
+version is in force; no reported age is lower than the true age.
 """
 
 from __future__ import annotations
@@ -40,12 +38,12 @@
 
 SOURCE, NODE = "s", "n"
 RELAYS = ("A", "B")
-TICK = 1_100_000  # µs: over any hold, so that two of them are over any patience
-MAX_WAKES = 200  # of one process in a tick: more would be a loop
+TICK = 1_100_000  # µs: longer than a relay holds a request; two ticks are longer than any timeout
+MAX_WAKES = 200  # timer events of one process in a tick; more of them indicate an endless loop
 
 
 class TinyTimes(Timing):
-    """One object for all worlds."""
+    """Timing whose single instance all states share when they are pickled."""
 
     def __reduce__(self) -> Any:
         return tiny_times, ()
@@ -64,7 +62,7 @@
 
 
 class Low(random.Random):
-    """The lowest of each draw: chance is among the orders already."""
+    """Random generator without randomness, because the model checker already tries all event orders."""
 
     def randint(self, a: int, b: int) -> int:
         return a
@@ -88,18 +86,20 @@
 
 @dataclass
 class Process:
+    """A source, relay or node with its table; `life` counts its starts."""
+
     name: str
     table: Tiny
     feeder: Publisher | None = None
     follower: RelayFollower | None = None
     life: int = 1
     stepping: bool = False
-    had: tuple[int, ...] = (0,)  # versions that a copy of its disk may have
+    had: tuple[int, ...] = (0,)  # versions that an old copy of the disk may hold
 
 
 @dataclass
 class Link:
-    """One connection, and the one message that may be on it."""
+    """One connection with at most one message in flight."""
 
     caller: str
     called: str
@@ -109,23 +109,24 @@
 
 @dataclass(frozen=True)
 class Limits:
-    """What may happen, and how often."""
+    """Maximum number of each event in one history, and the parts that may be affected."""
 
     versions: int = 3
     ticks: int = 4
     losses: int = 1
-    back: int = 1  # a relay is put back to an older copy
+    back: int = 1  # restarts of a relay from an older copy of its disk
     spoils: int = 0
-    slow: tuple[str, ...] = (*RELAYS, NODE)  # whose messages arrive in any order; others' at once
-    loses: tuple[str, ...] = (*RELAYS, NODE)  # whose links may be lost
-    window: int = 8  # batches that a feeder keeps
-    slices: bool = False  # of the node: whether its slices are late is among the orders
-    tiers: tuple[tuple[str, ...], ...] = (RELAYS, (SOURCE,))  # of the node
+    # Processes whose messages arrive at any time; the messages of other processes arrive at once.
+    slow: tuple[str, ...] = (*RELAYS, NODE)
+    loses: tuple[str, ...] = (*RELAYS, NODE)  # processes whose links may be lost
+    window: int = 8  # number of batches that a publisher keeps
+    slices: bool = False  # True: slices of the node may be delayed
+    tiers: tuple[tuple[str, ...], ...] = (RELAYS, (SOURCE,))  # upstream processes of the node, by preference
 
 
 @dataclass(frozen=True)
 class Kinds:
-    """The real ones, or one with a mistake."""
+    """Classes of the setting: the real classes or classes with an injected bug."""
 
     feeder: type[Publisher] = Publisher
     follower: type[RelayFollower] = RelayFollower
@@ -133,18 +134,18 @@
 
 
 class World:
-    """The setting at one moment."""
+    """State of the setting."""
 
     def __init__(self, kinds: Kinds, limits: Limits) -> None:
         self.kinds, self.limits = kinds, limits
         self.now = 1_000_000  # µs
         self.left = replace(limits)
-        self.published = {0: self.now}  # version -> when
+        self.published = {0: self.now}  # version -> time of publication in µs
         self.processes: dict[str, Process] = {}
         self.links: dict[tuple[str, str], Link] = {}
         self.watch = DistributionWatch()
         self.wrong: str | None = None
-        self.mute: frozenset[Any] = frozenset()  # links, or processes that are called: nothing arrives
+        self.mute: frozenset[Any] = frozenset()  # links and called processes whose messages do not arrive
         self.begins(SOURCE, Tiny(), ())
         for name in RELAYS:
             self.begins(name, kinds.table(), ((SOURCE,),))
@@ -153,6 +154,7 @@
             self.stir(name)
 
     def begins(self, name: str, table: Tiny, tiers: Sequence[Sequence[str]]) -> None:
+        """Start or restart a process with this table."""
         process = self.processes.get(name) or Process(name, table)
         process.table, process.stepping = table, False
         if name != NODE:
@@ -167,16 +169,17 @@
             process.follower = self.kinds.follower(tiers, table, LOW, self.now, name == NODE, "z", TIMES)
         self.processes[name] = process
 
-    # -- what may happen next --------------------------------------------------------------------------
+    # -- actions --------------------------------------------------------------------------
 
     def actions(self) -> Iterable[Hashable]:
+        """Yield all actions that are possible in this state, in a fixed order."""
         left = self.left
         if self.wrong is not None:
             return
         if left.versions:
             yield ("publish",)
         for key, link in self.links.items():
-            if link.message:  # else it was settled
+            if link.message:  # no message is in flight otherwise
                 yield ("deliver", *key)
                 if left.spoils and self.can_spoil(link):
                     yield ("spoil", *key)
@@ -193,10 +196,11 @@
             yield ("tick",)
 
     def act(self, action: Any) -> None:
+        """Carry out an action, deliver the messages that are due at once, and check the rules."""
         getattr(self, action[0])(*action[1:])
         self.settle()
         self.judge()
-        for process in self.processes.values():  # nothing follows from these
+        for process in self.processes.values():  # these values do not affect later decisions
             if process.feeder is not None:
                 process.feeder.counters.clear()
                 process.feeder.shared_answers.clear()
@@ -206,7 +210,7 @@
                 process.follower.last_seen_at = self.now
 
     def settle(self) -> None:
-        """Messages of those that are not slow arrive at once."""
+        """Deliver all messages of processes that are not slow."""
         while self.wrong is None:
             slow, mute = self.limits.slow, self.mute
             ready = (
@@ -220,18 +224,20 @@
             self.deliver(*key)
 
     def key(self) -> bytes:
-        """Equal for worlds from which the same may follow."""
+        """Return a key; states with equal keys have the same possible futures."""
         links = [self.links[key] for key in sorted(self.links)]
         told = io.BytesIO()
         pickler = pickle.Pickler(told, pickle.HIGHEST_PROTOCOL)
-        pickler.fast = True  # what is there twice is written twice: it does not matter which history it has
+        pickler.fast = True  # no memo: shared objects are written twice, so equal states have equal keys
         pickler.dump((self.now, self.left, self.published, links, self.processes))
         return told.getvalue()
 
     def spend(self, what: str) -> None:
+        """Count one event against its limit."""
         self.left = replace(self.left, **{what: getattr(self.left, what) - 1})
 
     def publish(self) -> None:
+        """The source publishes the next version."""
         self.spend("versions")
         source = self.processes[SOURCE]
         table = source.table
@@ -244,6 +250,7 @@
         self.stir(SOURCE)
 
     def deliver(self, caller: str, called: str) -> None:
+        """Deliver the message on the link."""
         link = self.links[caller, called]
         message, link.message = link.message, ()
         above, below = self.processes[called], self.processes[caller]
@@ -260,10 +267,12 @@
         self.stir(caller)
 
     def lose(self, caller: str, called: str) -> None:
+        """The link is lost; counts against the limit."""
         self.spend("losses")
         self.loses(caller, called)
 
     def loses(self, caller: str, called: str) -> None:
+        """Close the link and report the loss to both ends."""
         self.closes(caller, called)
         follower = self.processes[caller].follower
         assert follower is not None
@@ -271,13 +280,14 @@
         self.stir(caller)
 
     def closes(self, caller: str, called: str) -> None:
+        """Close the link and remove the subscriber from the publisher."""
         link = self.links.pop((caller, called), None)
         feeder = self.processes[called].feeder
         if link is not None and feeder is not None:
             feeder.remove_subscriber(self.now, link.who)
 
     def back(self, name: str, version: int) -> None:
-        """Another machine with an old copy of its disk."""
+        """The relay restarts on another machine from an old copy of its disk."""
         self.spend("back")
         process = self.processes[name]
         process.life += 1
@@ -290,13 +300,14 @@
         self.stir(name)
 
     def can_spoil(self, link: Link) -> bool:
+        """Return whether the link carries an answer with batches or pages."""
         content = link.message[2] if link.message[0] == "answer" else None
         if isinstance(content, FollowAnswer):
             return content.outcome == FollowOutcome.NEWS
         return isinstance(content, PagesAnswer) and bool(content.pages)
 
     def spoil(self, caller: str, called: str) -> None:
-        """Other bytes arrive than were sent."""
+        """Corrupt the answer in flight on the link."""
         self.spend("spoils")
         link = self.links[caller, called]
         kind, what, content = link.message
@@ -310,6 +321,7 @@
         link.message = (kind, what, content)
 
     def step(self, name: str) -> None:
+        """Run one slice of the staged update of the process."""
         process = self.processes[name]
         process.stepping = False
         try:
@@ -321,11 +333,12 @@
         self.stir(name)
 
     def tick(self) -> None:
-        """No message arrives for that long; timers run."""
+        """Advance the clock by TICK without message delivery; timers run."""
         self.spend("ticks")
         self.passes(TICK)
 
     def passes(self, span: int) -> None:
+        """Advance the clock by `span` µs without message delivery; timers run."""
         until = self.now + span
         for _ in range(MAX_WAKES * len(self.processes)):
             due = [(moment, name) for name in self.processes for moment in self.moments(name)]
@@ -341,10 +354,10 @@
                 follower.on_timer(self.now)
             self.stir(name)
             self.judge()
-        raise RuntimeError(f"timers without end at {self.now}")
+        raise RuntimeError(f"timers run in an endless loop at {self.now} µs")
 
     def runs(self, span: int) -> None:
-        """As the world goes on by itself: what is not mute arrives at once, timers run."""
+        """Advance the clock by `span` µs; timers run, and messages arrive at once unless muted."""
         until = self.now + span
         self.settle()
         while self.wrong is None:
@@ -361,6 +374,7 @@
         self.now = until
 
     def moments(self, name: str) -> Iterable[int]:
+        """Yield the times at which timers of the process are due."""
         process = self.processes[name]
         if process.follower is not None:
             yield process.follower.deadline()
@@ -369,14 +383,15 @@
             yield deadline
 
     def source_knows(self) -> None:
+        """Report to the publisher of the source that its table is current."""
         feeder = self.processes[SOURCE].feeder
         assert feeder is not None
         feeder.set_age(self.now, 0)
 
-    # -- a host ----------------------------------------------------------------------------------------
+    # -- host of the processes -----------------------------------------------------------------------
 
     def stir(self, name: str) -> None:
-        """Carries out what that process decides."""
+        """Carry out all decisions of the process."""
         process = self.processes[name]
         if name == SOURCE:
             self.source_knows()
@@ -398,6 +413,7 @@
             self.step(name)
 
     def carry_out(self, process: Process, decision: Any) -> None:
+        """Carry out one decision of a follower."""
         key = (process.name, decision.relay)
         if decision.act is Action.OPEN:
             taken = [link.who for link in self.links.values() if link.called == decision.relay]
@@ -419,12 +435,14 @@
                 self.stir(process.name)
 
     def tells_age(self, process: Process) -> None:
+        """Report the age of the follower to the publisher of the same process."""
         if process.feeder is not None and process.follower is not None:
             process.feeder.set_age(self.now, process.follower.age(self.now))
 
-    # -- what must hold --------------------------------------------------------------------------------
+    # -- rules --------------------------------------------------------------------------------
 
     def asks(self, process: Process, content: Any) -> None:
+        """Check that a request acknowledges only the version in force."""
         if isinstance(content, FollowRequest):
             self.judge()
             told = Acknowledged(self.now, process.name, content.version, content.digest.hex())
@@ -434,9 +452,11 @@
                 self.says(f"{process.name} acknowledges {content.version} and has {table.version}")
 
     def says(self, wrong: str) -> None:
+        """Record the first violation."""
         self.wrong = self.wrong or wrong
 
     def judge(self) -> None:
+        """Check the rules for all processes."""
         for process in self.processes.values():
             table = process.table
             answers = dict(zip((f"pair/{each}" for each in NAMES), table.content, strict=True))
@@ -451,12 +471,13 @@
                 self.judge_age(process.name, process.feeder.window.version, process.feeder.age(self.now))
 
     def judge_age(self, name: str, version: int, age: int) -> None:
-        """At the moment that an age speaks of, nothing newer was published."""
+        """Check that no newer version was published before the moment that the age refers to."""
         newer = self.published.get(version + 1)
         if age < MAX_AGE_US and newer is not None and self.now - age > newer:
             self.says(f"{name} says {age} µs of version {version}, {self.now - newer} µs after the next one")
 
 
 def what_of(content: Any) -> str:
+    """Return the name of the request that the content answers."""
     kinds = {FollowAnswer: "follow", SnapshotHead: "digests", PagesAnswer: "pages"}
     return kinds.get(type(content), "follow")
