--- a/tests/config_distribution/test_serving.py
+++ b/tests/config_distribution/test_serving.py
@@ -1,28 +1,28 @@
-"""The host round a feeder: one answer at most waits for each link, and one that does not read is dropped."""
+"""The host of a publisher: at most one answer waits for each link, and a link that is not read is dropped."""
 
 import msgspec
 import pytest
 from twisted.internet.task import Clock
 
 from lichencleat.config_distribution import serving
-from lichencleat.config_distribution.feed import Feeder
-from lichencleat.config_distribution.serving import Serving
+from lichencleat.config_distribution.feed import Publisher
+from lichencleat.config_distribution.serving import PublisherHost
 from lichencleat.config_distribution.table import Table
 from lichencleat.config_distribution.terms import (
     DIGESTS,
     FIND,
     FOLLOW,
     IN_FORCE,
+    MAX_SUBSCRIBERS,
     PAGES_OF,
-    SUBSCRIBERS_MOST,
     Change,
-    Follow,
-    Say,
-    Wanted,
-    Wanting,
-    decode_digests,
-    decode_fed,
-    decode_pages,
+    FollowOutcome,
+    FollowRequest,
+    PagesRequest,
+    RecordRequest,
+    decode_follow_answer,
+    decode_pages_answer,
+    decode_snapshot_head,
     encode,
 )
 from lichencleat.transport.frames import ClientRequest, encode_raw
@@ -31,7 +31,7 @@
 
 
 class Link:
-    """A called link whose other end reads when it is told to."""
+    """The server's end of a link whose client reads when the test says so."""
 
     def __init__(self):
         self.transport, self.replies, self.kept_waiting, self.aborted = self, [], 0, False
@@ -57,34 +57,38 @@
 
 
 class Host:
-    def __init__(self, turn=serving.ANSWERS_TURN):
+    def __init__(self, turn=serving.MAX_ANSWERS_PER_TURN):
         self.clock, self.table, self.log = Clock(), Table(), Log()
-        self.feeder = Feeder("r1", "north", self.table, 0)
-        self.serving = Serving(
-            self.clock, self.feeder, lambda: int(self.clock.seconds() * SECOND), self.log, turn=turn
+        self.publisher = Publisher("r1", "north", self.table, 0)
+        self.serving = PublisherHost(
+            self.clock,
+            self.publisher,
+            lambda: int(self.clock.seconds() * SECOND),
+            self.log,
+            answers_per_turn=turn,
         )
-        self.feeder.known(0, 0)
+        self.publisher.set_age(0, 0)
         self.number = 0
 
     def publish(self, version, *names):
         batch = self.table.apply(version, [Change("tenant", name, b"{}") for name in names])
-        self.feeder.grew(int(self.clock.seconds() * SECOND), (batch,))
-        self.serving.stir()
+        self.publisher.on_applied(int(self.clock.seconds() * SECOND), (batch,))
+        self.serving.schedule_pull()
 
     def ask(self, link, what, content=None):
         self.number += 1
-        self.serving.asked(link, ClientRequest(self.number, what, encode_raw(content)))
+        self.serving.on_request(link, ClientRequest(self.number, what, encode_raw(content)))
         return self.number
 
     def follow(self, link, version=0, digest=b""):
-        return self.ask(link, FOLLOW, Follow(version, digest, ()))
+        return self.ask(link, FOLLOW, FollowRequest(version, digest, ()))
 
     def pass_by(self, seconds, step=0.05):
         for _ in range(round(seconds / step)):
             self.clock.advance(step)
 
 
-def test_what_all_wait_for_is_decided_in_one_turn_and_encoded_once(monkeypatch):
+def test_a_common_answer_is_decided_in_one_turn_and_encoded_once(monkeypatch):
     made = []
     monkeypatch.setattr(serving, "encode", lambda content: made.append(content) or encode(content))
     host = Host()
@@ -93,15 +97,15 @@
     host.clock.advance(0)
     assert not any(each.replies for each in links)
     host.publish(7, "acme")
-    assert not any(each.replies for each in links)  # pulled in the next turn, after all that was read
+    assert not any(each.replies for each in links)  # pulled in the next turn, after all requests were read
     host.clock.advance(0)
-    answers = [decode_fed(each.replies[0].content) for each in links]
+    answers = [decode_follow_answer(each.replies[0].content) for each in links]
     assert [each.replies[0].number for each in links] == numbers
-    assert {(each.say, each.version) for each in answers} == {(Say.NEWS, 7)}
+    assert {(each.outcome, each.version) for each in answers} == {(FollowOutcome.NEWS, 7)}
     assert len(made) == 1
 
 
-def test_a_turn_answers_a_bounded_number_and_the_next_one_goes_on():
+def test_a_turn_answers_a_bounded_number_and_the_next_one_continues():
     host = Host(turn=4)
     host.publish(7, "acme")
     host.clock.advance(0)
@@ -114,16 +118,16 @@
     assert turns == [4, 8, 10]
 
 
-def test_a_hold_that_is_over_is_answered_by_the_timer():
+def test_the_timer_answers_a_request_at_the_end_of_its_hold():
     host, link = Host(), Link()
     host.follow(link, 0, host.table.digest)
     host.pass_by(0.9)
     assert not link.replies
     host.pass_by(0.2)
-    assert [decode_fed(each.content).say for each in link.replies] == [Say.SAME]
+    assert [decode_follow_answer(each.content).outcome for each in link.replies] == [FollowOutcome.SAME]
 
 
-def test_one_question_at_a_time_and_none_before_the_answer_was_read():
+def test_a_link_has_one_open_request_and_none_before_the_answer_was_read():
     host, hasty, slow, fair = Host(), Link(), Link(), Link()
     host.follow(hasty)
     host.follow(hasty)
@@ -155,7 +159,7 @@
     host.pass_by(2.1)
     assert stuck.aborted and not slow.aborted
     assert host.serving.counts == {"dropped: does not read": 1}
-    assert host.serving.looking is None  # nothing waits: no timer does
+    assert host.serving.unread_timer is None  # no answer waits, so there is no timer
 
 
 def test_a_snapshot_is_fetched_and_the_command_finds_a_record():
@@ -163,35 +167,35 @@
     host.publish(3, *(f"t{n}" for n in range(50)))
     host.ask(link, DIGESTS)
     host.clock.advance(0)
-    head = decode_digests(link.replies[-1].content)
+    head = decode_snapshot_head(link.replies[-1].content)
     assert (head.version, head.digest) == (3, host.table.digest)
     filled = [n for n, page in enumerate(host.table.pages) if page]
-    host.ask(link, PAGES_OF, Wanted(3, tuple(filled[:5])))
+    host.ask(link, PAGES_OF, PagesRequest(3, tuple(filled[:5])))
     host.clock.advance(0)
-    assert [n for n, _ in decode_pages(link.replies[-1].content).pages] == filled[:5]
-    host.ask(link, FIND, Wanting("tenant", "t7"))
+    assert [n for n, _ in decode_pages_answer(link.replies[-1].content).pages] == filled[:5]
+    host.ask(link, FIND, RecordRequest("tenant", "t7"))
     host.clock.advance(0)
     assert link.replies[-1].done and link.replies[-1].content == encode_raw(b"{}")
 
 
-NO_TEXT = msgspec.Raw(encode(Wanting("tenant", "acme")).replace(b"acme", b"ac\xffe"))
+NO_TEXT = msgspec.Raw(encode(RecordRequest("tenant", "acme")).replace(b"acme", b"ac\xffe"))
 
 
 @pytest.mark.parametrize(
     ("what", "content"), [*((each, "no such thing") for each in (FOLLOW, PAGES_OF, FIND)), (FIND, NO_TEXT)]
 )
-def test_a_question_that_can_t_be_read_is_declined_and_counted(what, content):
+def test_a_request_that_cannot_be_decoded_is_declined_and_counted(what, content):
     host, link = Host(), Link()
     host.ask(link, what, content)
     host.clock.advance(0)
     assert [(each.done, each.content) for each in link.replies] == [(False, encode_raw("unfit"))]
     assert host.serving.counts == {"questions that can't be read": 1}
-    assert not host.serving.wants("propose") and host.serving.wants(FOLLOW)
+    assert not host.serving.handles("propose") and host.serving.handles(FOLLOW)
 
 
-def test_one_subscriber_too_many_is_told_so_and_a_command_is_still_answered():
+def test_a_subscriber_above_the_bound_is_declined_and_a_command_still_answered():
     host = Host()
-    links = [Link() for _ in range(SUBSCRIBERS_MOST + 1)]
+    links = [Link() for _ in range(MAX_SUBSCRIBERS + 1)]
     for each in links:
         host.follow(each, 0, host.table.digest)
     host.clock.advance(0)
@@ -199,24 +203,24 @@
     host.ask(links[-1], IN_FORCE)
     host.clock.advance(0)
     assert links[-1].replies[-1].done
-    host.serving.hung_up(links[0])
+    host.serving.on_disconnected(links[0])
     host.follow(links[-1], 0, host.table.digest)
     host.pass_by(1.1)
-    assert decode_fed(links[-1].replies[-1].content).say == Say.SAME
+    assert decode_follow_answer(links[-1].replies[-1].content).outcome == FollowOutcome.SAME
 
 
-def test_one_that_hung_up_is_answered_no_more_and_forgotten():
+def test_a_link_that_ended_is_forgotten_and_gets_no_answer():
     host, gone, other = Host(), Link(), Link()
     host.follow(gone, 0, host.table.digest)
     host.follow(other, 0, host.table.digest)
-    host.serving.hung_up(gone)
+    host.serving.on_disconnected(gone)
     host.publish(1, "acme")
     host.clock.advance(0)
     assert not gone.replies and len(other.replies) == 1
-    assert len(host.serving.askers) == len(host.serving.numbers) == len(host.feeder.subscribers) == 1
+    assert len(host.serving.links) == len(host.serving.numbers) == len(host.publisher.subscribers) == 1
 
 
-def test_after_its_close_nothing_is_answered_and_no_timer_is_left():
+def test_after_close_nothing_is_answered_and_no_timer_is_left():
     host, link = Host(), Link()
     host.follow(link, 0, host.table.digest)
     host.clock.advance(0)
@@ -226,13 +230,13 @@
     assert not link.replies and not host.clock.getDelayedCalls()
 
 
-def test_an_error_in_a_decision_is_told_and_ends_nothing():
+def test_an_error_in_a_decision_is_logged_and_serving_continues():
     host, link = Host(), Link()
-    right, host.feeder.next_decision = host.feeder.next_decision, lambda now: 1 // 0
+    right, host.publisher.next_decision = host.publisher.next_decision, lambda now: 1 // 0
     host.follow(link, 0, host.table.digest)
     host.clock.advance(0)
     assert host.serving.counts == {"errors": 1} and "ZeroDivisionError" in host.log.events[0][1]["trace"]
-    host.feeder.next_decision = right
+    host.publisher.next_decision = right
     host.publish(1, "acme")
     host.clock.advance(0)
     assert len(link.replies) == 1
--- a/tests/fleet/test_publishing.py
+++ b/tests/fleet/test_publishing.py
@@ -1,4 +1,4 @@
-"""Configuration published by the commands to three real voters, over cuts of power."""
+"""Configuration published by the commands to three real voters, with power losses."""
 
 import json
 
@@ -12,7 +12,7 @@
 def rig(tmp_path):
     made = Rig(tmp_path)
     for each in made.voters.values():
-        each.chosen["distribution"] = True
+        each.settings["distribution"] = True
     try:
         made.form()
         yield made
@@ -20,22 +20,22 @@
         made.close()
 
 
-def run(rig, command, *words):
+def run(rig, command, *arguments):
     file = next(iter(rig.voters.values())).file
-    return rig.command("distribution", command, *([str(file)] if command != "check" else []), *words)
+    return rig.command("distribution", command, *([str(file)] if command != "check" else []), *arguments)
 
 
 def ages(rig):
-    """Version and age, in s, of each voter that answers; a subscriber would be told the same."""
-    code, said = run(rig, "status", "--json")
+    """Return version and age in µs by voter, for each voter that answers."""
+    code, output = run(rig, "status", "--json")
     return {
         each["name"]: (each["version"], each["age_us"])
-        for each in json.loads(said.splitlines()[0])["members"].values()
+        for each in json.loads(output.splitlines()[0])["members"].values()
         if isinstance(each, dict)
     }
 
 
-def test_what_was_published_is_shown_and_fed_by_every_voter_after_cuts(rig, tmp_path):
+def test_published_configuration_is_shown_and_served_by_every_voter_after_power_losses(rig, tmp_path):
     small, large, wrong = (str(tmp_path / name) for name in ("a.yaml", "b.jsonl", "c.jsonl"))
     with open(small, "w") as file:
         file.write("records:\n- {kind: tenant, name: t1, value: {rate: 5}}\n")
@@ -47,54 +47,54 @@
     with open(wrong, "w") as file:
         file.write('{"kind": "tenant", "name": "t2", "value": 1}\n{"kind": "tenant"}\n')
     assert run(rig, "check", small)[0] == 0
-    code, said = run(rig, "publish", small, "--json", "--only-if", "0")
-    first = json.loads(said)["version"]
+    code, output = run(rig, "publish", small, "--json", "--only-if", "0")
+    first = json.loads(output)["version"]
     assert code == 0 and first
-    code, said = run(rig, "publish", large, "--in-batches", "--json")
-    assert code == 0 and json.loads(said.splitlines()[-1])["batches"] == 3, said
-    code, said = run(rig, "publish", wrong)
-    assert code == 2 and f"{wrong}, line 2: " in said
+    code, output = run(rig, "publish", large, "--in-batches", "--json")
+    assert code == 0 and json.loads(output.splitlines()[-1])["batches"] == 3, output
+    code, output = run(rig, "publish", wrong)
+    assert code == 2 and f"{wrong}, line 2: " in output
     with open(small, "w") as file:
         file.write("records:\n- {kind: tenant, name: t1, gone: true}\n")
     rig.leader().kill()
-    code, said = run(rig, "publish", small, "--json")
-    assert code == 0, said
-    last = json.loads(said)["version"]
+    code, output = run(rig, "publish", small, "--json")
+    assert code == 0, output
+    last = json.loads(output)["version"]
     for each in rig.voters.values():
         each.kill()
     for each in rig.voters.values():
         each.start()
-    rig.until(lambda: rig.leader(), "a leader again")
-    code, said = run(rig, "show", "tenant", "t1", "--at", str(first), "--json")
-    assert (code, json.loads(said)["value"]) == (0, {"rate": 5})
+    rig.until(lambda: rig.leader(), "a leader after the restart")
+    code, output = run(rig, "show", "tenant", "t1", "--at", str(first), "--json")
+    assert (code, json.loads(output)["value"]) == (0, {"rate": 5})
     assert run(rig, "show", "tenant", "t1")[0] == 1 and run(rig, "show", "tenant", "t2")[0] == 1
-    code, said = run(rig, "diff", str(first), str(last), "--json")
-    assert code == 0 and len(json.loads(said)) == 1_501
+    code, output = run(rig, "diff", str(first), str(last), "--json")
+    assert code == 0 and len(json.loads(output)) == 1_501
     rig.until(
         lambda: (
             len(found := ages(rig)) == 3
             and all(version == last and 0 <= age < 2_000_000 for version, age in found.values())
         ),
-        "all voters to serve the newest",
+        "all voters to serve the newest version",
     )
-    client = rig.client()  # leases and renewals never travel with configuration
+    client = rig.client()  # the configuration group has no replicated state for leases
     assert rig.ask(client.read, "owners", None, 10.0) is None
     with pytest.raises(RequestFailedError, match="does not know 'owners'"):
         rig.ask(client.propose, "owners", ["define", "job", ""], 1.0)
     rig.voters["v1"].signal(15)
-    assert rig.voters["v1"].ended() == 0
+    assert rig.voters["v1"].wait_for_exit() == 0
 
 
-def test_a_voter_whose_file_says_something_else_is_not_taken_in_and_does_not_start(rig):
+def test_a_voter_with_a_different_distribution_setting_is_not_added_and_does_not_start(rig):
     other = Voter(rig, "v4", "real")
-    rig.voters["v4"] = other  # its file does not say that the group is for configuration
+    rig.voters["v4"] = other  # a voter without the setting quorum.distribution
     other.start()
-    rig.until(other.status, "the fourth to answer")
-    code, said = rig.command("quorum", "add", str(rig.voters["v1"].file), other.address)
-    assert code == 2 and "quorum.distribution is to be the same" in said
+    rig.until(other.status, "the fourth voter to answer")
+    code, output = rig.command("quorum", "add", str(rig.voters["v1"].file), other.address)
+    assert code == 2 and "set quorum.distribution to the same value" in output
     other.kill()
     changed = rig.voters["v2"]
     changed.kill()
-    changed.chosen["distribution"] = False
+    changed.settings["distribution"] = False
     changed.start()
-    assert changed.ended() == 2 and "set quorum.distribution as it was" in changed.log.read_text()
+    assert changed.wait_for_exit() == 2 and "set quorum.distribution as it was" in changed.log.read_text()
--- a/tests/node/conftest.py
+++ b/tests/node/conftest.py
@@ -9,8 +9,8 @@
 from lichencleat.admission.types import Effect, NodeSpec, Request, RequestClass
 from lichencleat.node.catalogue import Catalogue
 from lichencleat.node.deadlines import Deadlines
-from lichencleat.node.dispatchers import Connection, Dispatchers
-from lichencleat.node.host import Case, Host
+from lichencleat.node.dispatchers import Connection, DispatcherListener
+from lichencleat.node.host import PendingRequest, RequestEngine
 from lichencleat.node.interpreter import Interpreter, Link, Run
 from lichencleat.node.report import Report
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture
 def deadlines(reactor, report):
-    return Deadlines(reactor, report.trouble)
+    return Deadlines(reactor, report.log_exception)
 
 
 @pytest.fixture
@@ -36,16 +36,16 @@
 
 
 @pytest.fixture
-def receipted():
+def keyed_class():
     return RequestClass(
         "save", Effect.KEYED, latency_objective=2 * SECOND, deadline=5 * SECOND, window=9 * SECOND
     )
 
 
 @pytest.fixture
-def host(reactor, deadlines, report, request_class, receipted):
-    machine = NodeSpec(cores=2, memory_kb=10_000.0, request_classes=[request_class, receipted])
-    made = Host(
+def engine(reactor, deadlines, report, request_class, keyed_class):
+    machine = NodeSpec(cores=2, memory_kb=10_000.0, request_classes=[request_class, keyed_class])
+    made = RequestEngine(
         machine,
         [],
         "5",
@@ -65,17 +65,17 @@
 
 
 @pytest.fixture
-def case(host, request_class, answers):
-    made = Case(
+def pending(engine, request_class, answers):
+    made = PendingRequest(
         Request(request_class, 0, 5 * SECOND), ID, b"x", b"", lambda *answer: answers.append(answer[0])
     )
-    made.request.number = host.cases.take(made)
+    made.request.number = engine.pending_requests.acquire(made)
     return made
 
 
 @pytest.fixture
-def connection(host, deadlines, report):
-    made = Connection(Dispatchers(host, deadlines, report, 100))
+def connection(engine, deadlines, report):
+    made = Connection(DispatcherListener(engine, deadlines, report, 100))
     made.makeConnection(Transport())
     return made
 
@@ -92,9 +92,9 @@
 
 @pytest.fixture
 def run():
-    heard = []
-    made = Run(ID, lambda *what: heard.append(what), lambda *what: heard.append(what))
-    return made, heard
+    received = []
+    made = Run(ID, lambda *what: received.append(what), lambda *what: received.append(what))
+    return made, received
 
 
 @pytest.fixture
@@ -104,12 +104,12 @@
 
 @pytest.fixture
 def place(reactor, catalogue):
-    def place(spent=(), connected=True):
+    def place(used_links=(), connected=True):
         known = len(catalogue.links)
-        call, heard = catalogue.fetch(ID, SECOND, b"x", list(spent)), []
-        call.ended.addCallback(heard.append)
+        call, received = catalogue.fetch(ID, SECOND, b"x", list(used_links)), []
+        call.ended.addCallback(received.append)
         if connected and len(catalogue.links) > known:
             call.link.makeConnection(Transport())
-        return call, heard
+        return call, received
 
     return place
