--- a/lichencleat/admission/concurrency.py
+++ b/lichencleat/admission/concurrency.py
@@ -12,8 +12,9 @@
 from lichencleat.admission.timing import Timing
 from lichencleat.admission.types import NodeSpec
 
-# Change of the concurrency limit per period, for each request by which the queue's length differs from the
-# reference length. Low, as the paper behind the design prefers: the limit crosses its range in about 1 s.
+# The concurrency limit changes per period by this factor times the difference between the reference length
+# and the queue's length. The paper behind the design prefers a low gain: the limit crosses its range in about
+# 1 s.
 GAIN = 0.2
 # Fraction of the shortest latency objective that a request may wait in the queue; the run and its calls need
 # the rest.
--- a/lichencleat/admission/connections.py
+++ b/lichencleat/admission/connections.py
@@ -8,12 +8,13 @@
 from lichencleat.admission.types import NodeSpec
 
 MAX_CALLER_SAMPLES = 64  # arrivals whose callers are remembered: about ten seconds on two cores
-# Fraction of the last arrivals that came from callers seen before. Below it, callers count as one-time
-# callers, who do not return.
+# Minimum fraction of the last `MAX_CALLER_SAMPLES` arrivals that come from callers seen before. Below this
+# minimum, callers count as one-time callers, who do not return, and their shorter idle timeout applies.
 MIN_RETURNING_SHARE = 0.5
 # Minimum idle timeout of one-time callers' connections, on which no further request is expected.
 MIN_IDLE_TIMEOUT_US = 100_000
-UPDATE_PERIOD_US = 1_000_000  # time between two changes of the one-time callers' timeout: about ten arrivals
+# Time between two changes of the one-time callers' timeout; about ten callers arrive in this time.
+UPDATE_PERIOD_US = 1_000_000
 # Change of the logarithm of the one-time callers' timeout, per task and core above
 # `MAX_OTHER_RUNNABLE_PER_CORE`. An excess of a third of a task per core multiplies the timeout by e.
 TIMEOUT_GAIN = 3
--- a/lichencleat/admission/controller.py
+++ b/lichencleat/admission/controller.py
@@ -342,7 +342,9 @@
                     yield Decision(Action.COALESCE, request)
                     continue
                 if request.request_class.effect is not Effect.IDEMPOTENT:
-                    yield self.fail(request)  # the original's run failed: no second run, and no rejection
+                    # The original's run failed. The repeat must not cause a second run, and must not be
+                    # rejected, because a rejection states that the request never ran.
+                    yield self.fail(request)
                     continue
             if original is not None:
                 if original.state is not RequestState.ENDED:
--- a/lichencleat/admission/outliers.py
+++ b/lichencleat/admission/outliers.py
@@ -96,6 +96,9 @@
         return self.read_delay(now) > self.timing.longest_objective * MAX_READ_DELAY_SHARE
 
     def is_slow(self, now: int, request_class: RequestClass) -> bool:
-        """Return whether runs of a class take longer than its objective although calls are not slow."""
+        """Return whether runs of a request class take longer than the latency objective of the class.
+
+        False while the last calls to dependencies were slow or failed, which would explain the long runs.
+        """
         late = self.service_times.current(now, request_class) > request_class.latency_objective
         return late and not self.calls.are_slow()
--- a/lichencleat/admission/slow_start.py
+++ b/lichencleat/admission/slow_start.py
@@ -10,7 +10,11 @@
 
 
 class SlowStart:
-    """Tracks the minimum speed of a node after a cold start."""
+    """Estimates the minimum speed of a node after a cold start, and how many requests it may start meanwhile.
+
+    The speed is not measured: it is assumed to rise linearly from the configured cold speed to full speed
+    during the configured warm-up time.
+    """
 
     def __init__(self, spec: NodeSpec) -> None:
         self.cores = spec.cores
--- a/lichencleat/capacity/page.py
+++ b/lichencleat/capacity/page.py
@@ -42,7 +42,7 @@
 
 
 def tables(plan: Plan, slopes: Slopes, target: Target) -> dict[str, str]:
-    """Return all tables by the names in the page's markers."""
+    """Return all tables of the capacity page by name; a marker in the page names the table to insert."""
     return {
         "measured on": runs_table(slopes),
         "target": target_table(target),
--- a/lichencleat/capacity/slopes.py
+++ b/lichencleat/capacity/slopes.py
@@ -16,9 +16,9 @@
 from lichencleat.decode_errors import UNDECODABLE
 
 FORMAT = 1  # version of the file format
-MAX_LINES = 256  # lines of a file; usual files have about fifty
-MAX_POINTS = 64  # points of a line
-MAX_RUNS = 64  # runs of a point
+MAX_LINES = 256  # maximum number of `Line` entries in a file; usual files have about fifty
+MAX_POINTS = 64  # maximum number of measured points in a `Line`
+MAX_RUNS = 64  # maximum number of measurement runs, and so of values, in a `Point`
 # a point ends the straight part if it is further from its prediction than this fraction of the larger value
 MAX_DEVIATION = 0.2
 MIN_POINTS = 2  # points needed to fit a line
@@ -48,9 +48,10 @@
     # exponent of the power law through all points above 0; None: fewer than two such points
     exponent: float | None
     residual: float  # largest distance of a point from the line, as a fraction of the largest value
-    spread: float  # largest difference between runs of a point, as a fraction of its median
+    # largest difference between the values that the runs measured at one size, as a fraction of their median
+    spread: float
     straight_to: float | None  # largest size up to which the previous points predict each point
-    straight: bool  # the previous points predict every point
+    straight: bool  # whether the previous points predict every point
 
 
 class Line(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
@@ -84,15 +85,19 @@
         return max(straight, points[-1].value) if found.slope >= 0 else straight
 
     def derivation(self, size: float) -> str:
-        """Say how `value_at` gets the value at a size: "measured", "between" (interpolated), or "line" or
-        "bent" (extrapolated).
+        """Return how `value_at` derives the value at a size.
+
+        Returns:
+            "measured" if the size was measured, "between" if the value is interpolated, "line" if it is
+            extrapolated along the fitted line, "bent" if it is extrapolated from the last two points because
+            the points bend upwards.
         """
         if size <= self.largest_size():
             return "measured" if any(each.size == size for each in self.points) else "between"
         return "bent" if self.is_bent() else "line"
 
     def is_bent(self) -> bool:
-        """Say whether the points fit no line and the last stretch is steeper than everything before it."""
+        """Return whether the points fit no line and bend upwards at the end, by more than `BEND_FACTOR`."""
         if len(self.points) < 3 or self.fit().straight:
             return False
         first, one, other = self.points[0], *self.points[-2:]
--- a/lichencleat/capacity/target.py
+++ b/lichencleat/capacity/target.py
@@ -60,8 +60,8 @@
     control: ControlBudget = ControlBudget()
     # the fields below are assumptions, for which the fleet gives no figures
     tree: Tree = Tree()
-    rack: Count = 40  # nodes lost at once with a rack or a switch
-    burst: Count = 50  # changes of configuration at once
+    rack: Count = 40  # number of nodes that are lost at once with a rack or a switch
+    burst: Count = 50  # number of configuration changes made at once
     # cores that a node's process may use for requests
     node_cores: Annotated[float, Meta(gt=0, le=1024)] = 1.0
     node_sockets: Count = 20_000  # descriptors that a node's process may open
@@ -111,7 +111,8 @@
     if target.nodes < target.zones:
         line = place.line_of("$.nodes")
         raise InvalidConfigError(
-            f"{path}, line {line}: nodes: {target.nodes} in {target.zones} zones; each has one"
+            f"{path}, line {line}: nodes: {target.nodes} in {target.zones} zones; "
+            "each zone needs at least one node"
         )
     return target
 
--- a/lichencleat/config_distribution/feed.py
+++ b/lichencleat/config_distribution/feed.py
@@ -211,7 +211,8 @@
 
     def set_age(self, now: int, age: int) -> None:
         """Sets the age: µs since the source was known to have nothing newer than the table."""
-        # if the versions differ, the age belongs to a version that is not served yet
+        # Subscribers are served from the window. While the table has another version than the window, the age
+        # belongs to a version that is not served yet, and is ignored.
         if self.table.version == self.window.version:
             self.age_report = (now, min(MAX_AGE_US, max(0, age)))
 
--- a/lichencleat/config_distribution/follow.py
+++ b/lichencleat/config_distribution/follow.py
@@ -331,7 +331,7 @@
     # -- news --------------------------------------------------------------------------------------------
 
     def on_follow_answer(self, now: int, relay: str, request: SentRequest, answer: FollowAnswer) -> None:
-        """Handles the answer to a `follow`."""
+        """Handles a relay's answer to a `follow` request."""
         if answer.version and not self.mark:
             self.leave(now, relay, "it did not report its group when the link was opened")
         elif answer.outcome == FollowOutcome.BEHIND:
@@ -452,7 +452,7 @@
                 self.send_request(now, PAGES_OF, wanted)
 
     def on_pages(self, now: int, relay: str, pages: PagesAnswer) -> None:
-        """Handles the answer to a request for pages of the snapshot."""
+        """Handles a relay's answer to a request for pages of the snapshot."""
         if not pages.pages and self.pending.head is not None:
             # the relay dropped that snapshot: a newer snapshot continues the fetch, and fetched pages stay
             self.dropped_snapshots += 1
--- a/lichencleat/config_distribution/kept.py
+++ b/lichencleat/config_distribution/kept.py
@@ -289,7 +289,10 @@
             self.schedule_write()
 
     def trim_pending(self) -> None:
-        """Drops the oldest batches to be written that exceed the bounds."""
+        """Drops the oldest batches that wait to be written until the rest is within the bounds.
+
+        The bounds are `MAX_RECENT_BATCHES` and `MAX_RECENT_BYTES`.
+        """
         size = sum(map(len, self.pending))
         while self.pending and (len(self.pending) > MAX_RECENT_BATCHES or size > MAX_RECENT_BYTES):
             size -= len(self.pending.popleft())
--- a/lichencleat/config_distribution/subscriber.py
+++ b/lichencleat/config_distribution/subscriber.py
@@ -250,7 +250,7 @@
             self.schedule_pull()
 
     def on_lost(self, attempt: RelayAttempt, why: str) -> None:
-        """Handles the end of an attempt."""
+        """Handles the end of an attempt to use a relay; passes the reason `why` to the follower."""
         if self.attempts.get(attempt.relay) is attempt:
             del self.attempts[attempt.relay]
             self.follower.on_link_lost(self.now(), attempt.relay, why)
--- a/lichencleat/consensus/extension.py
+++ b/lichencleat/consensus/extension.py
@@ -36,7 +36,7 @@
 
 
 class MemberExtension(Protocol):
-    """Answers requests from the state that the member has applied."""
+    """An extension of a consensus member: answers requests from the member's applied state."""
 
     def start(self, member: MemberView) -> None:
         """Start the extension; called before the member participates in the cluster."""
--- a/lichencleat/consensus/identity.py
+++ b/lichencleat/consensus/identity.py
@@ -20,7 +20,8 @@
 from lichencleat.transport.identity import GreetingResult, Incarnation
 
 IDENTITY_KEY = b"i"  # key in the store; never changes
-# Time that a starting member waits for the others' confirmation; then it participates without confirmation.
+# Time that a starting member waits until all other members have confirmed that they know no later start of
+# this member. After this time, the member participates without their confirmation.
 CONFIRMATION_WAIT_US = 3_000_000
 MEMBER_ID_BITS = 63
 
@@ -33,7 +34,7 @@
 
 
 class PeerIncarnations:
-    """Tracks the latest incarnation of each other member, and the members that confirmed this one."""
+    """Tracks other members' latest incarnations, and which members confirmed this member's incarnation."""
 
     def __init__(
         self, cluster_id: bytes, member_id: int, incarnation: Incarnation, known: dict[int, Incarnation]
--- a/lichencleat/consensus/leader.py
+++ b/lichencleat/consensus/leader.py
@@ -1,8 +1,9 @@
 """The state of a leader: progress of followers, pending proposals and reads, leadership transfer. No I/O.
 
 `LeaderState` is created when an election is won and dropped when leadership ends, so it never holds state of
-an earlier term. A read round is a round of heartbeats to the voters; once a majority has answered, this
-member was still the leader after the round began, and may serve the reads that arrived before.
+an earlier term. A read round is a round of heartbeats to the voters. Answers from a majority of the voters
+prove that this member was still the leader when the round began; the leader may then serve the reads that
+arrived before the round began.
 """
 
 from __future__ import annotations
--- a/lichencleat/daemon.py
+++ b/lichencleat/daemon.py
@@ -45,7 +45,8 @@
             daemon.log.warning("error", trace=failure.getBriefTraceback().replace("\n", " | "))
 
     globalLogBeginner.beginLoggingTo(
-        [log_failure],  # type: ignore[list-item]  # a function is a valid observer by its zope interface
+        # Twisted accepts any function as a log observer; type checkers can't see that in its zope interface.
+        [log_failure],  # type: ignore[list-item]
         redirectStandardIO=False,
         discardBuffer=True,
     )
--- a/lichencleat/flows/assembly.py
+++ b/lichencleat/flows/assembly.py
@@ -193,5 +193,6 @@
         info = transport.socket.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_BYTES)
         sent, received = SEGMENT_COUNTS.unpack_from(info, SEGMENTS_OFFSET)
     except (AttributeError, OSError, struct.error):
-        return None  # other kernel, other transport, or the socket is closed
+        # The kernel has no such counts, the transport is not a TCP socket, or the socket is closed.
+        return None
     return received, sent
--- a/lichencleat/idempotency/earlier_runs.py
+++ b/lichencleat/idempotency/earlier_runs.py
@@ -61,7 +61,10 @@
             self._discard_if_interpreter_is_new()
 
     def discard_overdue(self) -> None:
-        """Drops the earlier runs whose deadline has passed; repeats that wait for them get an error."""
+        """Drops the runs of the earlier process whose deadline has passed.
+
+        Repeated requests that wait for the result of a dropped run get an error.
+        """
         for key in self._index.discard_overdue_runs(self._time.now()):
             self._answer_waiting(key, None)
 
--- a/lichencleat/idempotency/index.py
+++ b/lichencleat/idempotency/index.py
@@ -160,7 +160,7 @@
         self.earlier_runs.clear()
 
     def discard_overdue_runs(self, now: int) -> list[bytes]:
-        """Drops the earlier runs whose deadline has passed, and returns their keys."""
+        """Drops the runs of the earlier process whose deadline has passed; returns the keys of these runs."""
         overdue = [run_id for run_id, run in self.earlier_runs.items() if run.deadline <= now]
         return [self.earlier_runs.pop(run_id).key for run_id in overdue]
 
--- a/lichencleat/node/assembly.py
+++ b/lichencleat/node/assembly.py
@@ -121,7 +121,7 @@
         self.code = 0  # exit code of the process
 
     def make_report(self, operator_config: Any) -> Report:
-        """Return a plain-text report, or a structured one if the operators' file has a `log` section."""
+        """Create the report: structured if the operators' file has a `log` section, otherwise plain text."""
         if operator_config is None or operator_config.log is None:
             return Report(self.settings.name, self.clock)
         # imported only with a `log` section, to save memory
--- a/lichencleat/node/catalogue.py
+++ b/lichencleat/node/catalogue.py
@@ -110,7 +110,10 @@
         self.catalogue.report.count("catalogue", "sent FETCH")
 
     def cancel_call(self, call: Call, outcome: Outcome) -> None:
-        """Cancel a call whose Deferred was cancelled or which timed out; if it was sent, tell the proxy."""
+        """End a call that timed out or whose Deferred was cancelled.
+
+        If the call was already sent, the proxy is told to cancel the call.
+        """
         if self.calls.get(call.ident) is call:
             if call.written and self.transport is not None:
                 self.transport.writeSequence(line(b"QUIT", call.ident))
--- a/lichencleat/node/deadlines.py
+++ b/lichencleat/node/deadlines.py
@@ -8,7 +8,9 @@
 
 # µs: if a timer fires later than this, the process was paused, and pending input is read before timers fire
 MAX_LATENESS = 20_000
-MAX_CANCELLED = 64  # cancelled timers in the heap before it is rebuilt; a few seconds bring as many
+# Number of cancelled timers that may stay in the heap before the heap is rebuilt without them. As many timers
+# are cancelled within a few seconds.
+MAX_CANCELLED = 64
 
 
 class Deadline:
--- a/lichencleat/node/dispatchers.py
+++ b/lichencleat/node/dispatchers.py
@@ -362,9 +362,10 @@
         self.listener.deadlines.after(0, self.close)
 
     def close(self, in_any_case: bool = False) -> None:
-        """Half-close this side, unless a request is open or, after a goaway, an array is partly read.
+        """Close the sending side of the connection, unless the connection is still needed.
 
-        `in_any_case`: half-close even if a request is open or an array is partly read.
+        The connection is still needed while a request is open or, once a goaway was sent, while an array is
+        partly read. With `in_any_case`, the sending side is closed nevertheless.
 
         The producer is unregistered, as a connection with a paused producer would not close.
         """
--- a/lichencleat/node/host.py
+++ b/lichencleat/node/host.py
@@ -77,7 +77,8 @@
         self.awaiting_storage = False  # the start or the outcome of the run waits for a write to disk
         self.call: Call | None = None
         self.call_body = b""
-        self.used_links: list[Any] = []  # catalogue connections that carried a call of this request
+        # Catalogue connections that carried a call of this request; its next call uses another connection.
+        self.used_links: list[Any] = []
 
 
 class ClientListener(Protocol):
--- a/lichencleat/quotas/allocation.py
+++ b/lichencleat/quotas/allocation.py
@@ -9,7 +9,8 @@
 
 from lichencleat.quotas.messages import Pool
 
-# Least change of a target, as a fraction of the target; each change costs a renewal and holds calls back.
+# Fraction of a node's current target. Unless nodes lack calls, a target changes only by more than this
+# fraction: each change costs a renewal, and until then calls stay reserved for the node that gives them up.
 MIN_RELATIVE_CHANGE = 0.15
 # Fraction of the calls left over after all demands that is divided among the nodes; lets a node serve a burst
 # without a round trip to the group.
--- a/lichencleat/quotas/messages.py
+++ b/lichencleat/quotas/messages.py
@@ -13,13 +13,15 @@
 DEFAULT_TERM_US = 5_000_000  # validity of a grant after a renewal; all calls under the grant end within it
 RENEWALS_PER_TERM = 3  # renewals during one term, so that two renewals in a row may be lost
 MAX_POOLS = 64
-MAX_NODES = 1_024  # nodes of one pool
-MAX_LIMIT = 1_000_000  # calls in flight of one pool
+MAX_NODES = 1_024  # maximum number of nodes of one pool
+MAX_LIMIT = 1_000_000  # maximum limit of one pool, in calls in flight
 # Bounds of a pool's term. With a shorter term, nodes would do little else than renew. With a longer term, the
 # calls reserved for a lost node would stay unusable for too long.
 MIN_TERM_US = 300_000
 MAX_TERM_US = 600_000_000
-RECOVERY_JOB = "revive"  # the job whose lease holder may set the allocatable share
+# Name of the recovery job. Only the holder of this job's lease may set `Pool.allocatable_share`, the fraction
+# of each pool's calls above the floors that may be allocated.
+RECOVERY_JOB = "revive"
 
 
 class NodeQuota(msgspec.Struct, array_like=True):
--- a/lichencleat/store/checkpoint_writer.py
+++ b/lichencleat/store/checkpoint_writer.py
@@ -23,7 +23,10 @@
 
 
 class CheckpointWriter:
-    """Writes one checkpoint at a time; only `abort` closes the checkpoint's file and snapshot."""
+    """Writes checkpoints, at most one at a time.
+
+    Every checkpoint, also a complete one, ends with `abort`, which closes the checkpoint's file and snapshot.
+    """
 
     def __init__(self, log: Log) -> None:
         self.log = log
--- a/lichencleat/store/log_tail.py
+++ b/lichencleat/store/log_tail.py
@@ -34,7 +34,7 @@
         proved_sequence: Sequence of the last frame that is known to be flushed.
         proved_end: Offset at which the frames that are known to be flushed end, in bytes.
         unproved_frames: The accepted frames that are not known to be flushed, oldest first.
-        removed_segments: For each segment-removed record, its sequence and the removed segment's number.
+        removed_segments: For each record of a segment's removal: the record's sequence, the segment's number.
         time: The latest time in a time mark (a log record with the current time), in µs.
     """
 
--- a/lichencleat/store/maintenance.py
+++ b/lichencleat/store/maintenance.py
@@ -22,7 +22,7 @@
 # reclaim too little for the bytes that it copies.
 MIN_GARBAGE_SHARE = 0.25
 # Used in place of `MIN_GARBAGE_SHARE` under disk pressure, that is when disk space is short. The garbage is
-# then still much larger than the segment-removed record that each compaction writes.
+# then still much larger than the record of the segment's removal that each compaction writes.
 MIN_GARBAGE_SHARE_UNDER_PRESSURE = 0.1
 # The store is under disk pressure if it uses more than this fraction of the bytes that its limits allow.
 DISK_PRESSURE_SHARE = 0.8
--- a/lichencleat/store/recovery.py
+++ b/lichencleat/store/recovery.py
@@ -76,14 +76,15 @@
         return lambda offset, length: self.disk.read(file, offset, length)
 
     def removed_segments(self) -> set[int]:
-        """Return the numbers of the removed segments, from segment-removed records in the newest segment."""
+        """Return the numbers of the segments that the newest segment records as removed."""
         return {number for _, number in self.tail.removed_segments} if self.tail else set()
 
     def must_rewrite_tail(self) -> bool:
-        """Whether the end of the log has to be written again, in a new segment.
+        """Return whether the records at the end of the log must be written again, in a new segment.
 
-        This holds if records to keep, or segment-removed records, are not known to be flushed. A power cut
-        may still remove such records, so no other write may depend on them before they are written again.
+        They must be if any of them is not known to be flushed: a record to keep, or a record that a segment
+        was removed. A power cut could still destroy such a record, so no other write may depend on the record
+        before it is written again.
         """
         tail = self.tail
         if tail is None:
--- a/lichencleat/transport/errors.py
+++ b/lichencleat/transport/errors.py
@@ -1,10 +1,10 @@
-"""The errors of the transport."""
+"""Exceptions that the transport package raises."""
 
 from __future__ import annotations
 
 
 class TransportError(Exception):
-    """Base of the errors of this package."""
+    """Base class of the exceptions of the transport package."""
 
 
 class RequestFailedError(TransportError):
